--- a/cowsliproad-bench/src/bin/cowsliproad-naive.rs
+++ b/cowsliproad-bench/src/bin/cowsliproad-naive.rs
@@ -19,7 +19,7 @@
 use cowsliproad_net::program;
 use cowsliproad_platform::{
     READINESS_PATH, SETTINGS_VARIABLE, catalog, header,
-    log::{Client, OPERATORS, Page, TARGETS},
+    log::{CONFIG_TOPIC, Client, Page, TARGETS_TOPIC},
     target,
 };
 use cowsliproad_routing::{
@@ -87,10 +87,10 @@
     let mut client = Client::new(settings.log);
     loop {
         // What could not be read is read the next time.
-        if let Ok(page) = client.newest(OPERATORS).await {
+        if let Ok(page) = client.read_newest(CONFIG_TOPIC).await {
             take_catalog(&front, page);
         }
-        if let Ok(page) = client.newest(TARGETS).await {
+        if let Ok(page) = client.read_newest(TARGETS_TOPIC).await {
             take_targets(&front, page);
         }
         sleep(POLL_TIME.duration()).await;
@@ -98,7 +98,8 @@
 }
 
 fn take_catalog(front: &Shared, page: Page) {
-    let record = page.records.into_iter().find(|it| it.key == catalog::KEY);
+    let record =
+        page.records.into_iter().find(|it| it.key == catalog::CONFIG_KEY);
     let raw = record.and_then(|it| it.value);
     if let Some(Ok(read)) = raw.map(|it| catalog::decode(&it)) {
         front.borrow_mut().catalog = Some(Arc::new(read));
--- a/cowsliproad-direct/src/call.rs
+++ b/cowsliproad-direct/src/call.rs
@@ -254,7 +254,7 @@
         }
         attempt.answered();
         if head.headers.contains_key(&header::NOT_RUN) {
-            let at_fault = head.headers.contains_key(&header::AT_FAULT);
+            let at_fault = head.headers.contains_key(&header::FAULTY_TARGET);
             drop(body);
             if at_fault {
                 entry.note_broken(choice);
@@ -303,7 +303,7 @@
             headers.insert(header::EXPECTED_TARGET, id);
         }
         if let Some(event) = resume {
-            headers.insert(header::LAST_EVENT, HeaderValue::from(event));
+            headers.insert(header::LAST_EVENT_ID, HeaderValue::from(event));
         }
         *request.headers_mut() = headers;
         request
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -146,10 +146,10 @@
             sleep(entry.reading_delay().duration()).await;
         }
         let era = entry.rollbacks.era();
-        self.client.raise(era);
+        self.client.raise_era(era);
         let call = async {
             match self.next {
-                None => self.client.newest(self.topic).await,
+                None => self.client.read_newest(self.topic).await,
                 Some(from) => self.client.read(self.topic, from, hold).await,
             }
         };
@@ -185,7 +185,7 @@
 
 /// Follows the configuration for ever.
 pub async fn catalog(entry: Rc<Entry>) {
-    let mut reader = Reader::new(&entry, log::OPERATORS);
+    let mut reader = Reader::new(&entry, log::CONFIG_TOPIC);
     let mut called = Millis(0);
     loop {
         let pause = (called + MIN_READ_INTERVAL).since(Millis::now());
@@ -198,7 +198,7 @@
                 if reading.scope != Scope::New {
                     let new = usize::from(entry.version() > before);
                     let records = reading.records.len();
-                    entry.note_read(log::OPERATORS, records, new);
+                    entry.note_read(log::CONFIG_TOPIC, records, new);
                 }
             }
             Err(error) => reader.recover(&entry, &error).await,
@@ -208,7 +208,7 @@
 
 async fn adopt_newest(entry: &Entry, records: &[Record]) {
     let versions = records.iter().rev();
-    for record in versions.filter(|it| it.key == catalog::KEY) {
+    for record in versions.filter(|it| it.key == catalog::CONFIG_KEY) {
         let Some(raw) = &record.value else { continue };
         match catalog::decode(raw) {
             Ok(catalog) => {
@@ -224,7 +224,7 @@
 
 /// Follows the targets for ever.
 pub async fn targets(entry: Rc<Entry>) {
-    let mut reader = Reader::new(&entry, log::TARGETS);
+    let mut reader = Reader::new(&entry, log::TARGETS_TOPIC);
     loop {
         wait_for_turn(&entry).await;
         let begun = Millis::now();
@@ -281,7 +281,7 @@
     if reading.scope == Scope::New {
         return;
     }
-    entry.note_read(log::TARGETS, records.len(), news);
+    entry.note_read(log::TARGETS_TOPIC, records.len(), news);
     if reading.scope == Scope::First {
         // Others told of the targets known so far, and the log may have come
         // back from a copy that lacks them.
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -346,7 +346,7 @@
         attempt: &Attempt,
         headers: &HeaderMap,
     ) {
-        let named = headers.get(&header::LIMIT);
+        let named = headers.get(&header::RATE_LIMIT);
         let now = Millis::now();
         let sent = attempt.sent_at().unwrap_or(now);
         let bytes = named.map(HeaderValue::as_bytes);
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -386,7 +386,7 @@
 
 /// Follows what the log keeps, for ever.
 pub async fn follow(entry: Rc<Entry>) {
-    let mut reader = Reader::new(&entry, log::QUARANTINE);
+    let mut reader = Reader::new(&entry, log::QUARANTINE_TOPIC);
     loop {
         let called = Millis::now();
         let reading = match reader.read(&entry, POLL_TIMEOUT).await {
@@ -402,7 +402,7 @@
         let new = kept.iter().filter(|it| take(&entry, it)).count();
         if reading.scope != Scope::New {
             let records = reading.records.len();
-            entry.note_read(log::QUARANTINE, records, new);
+            entry.note_read(log::QUARANTINE_TOPIC, records, new);
             note_lost(&entry, &kept);
         } else if reading.records.is_empty() {
             // A log that doesn't hold reads is not asked all the time.
@@ -419,7 +419,7 @@
 fn decode(entry: &Entry, record: &Record) -> Option<Kept> {
     let kept = gossip::decode::<Kept>(record.value.as_ref()?);
     if kept.is_none() {
-        warn!(entry.log, "strange_record"; "topic" => log::QUARANTINE,
+        warn!(entry.log, "strange_record"; "topic" => log::QUARANTINE_TOPIC,
             "key" => &record.key);
     }
     kept
@@ -490,7 +490,7 @@
 /// Writes to the log what it has to keep, for ever.
 pub async fn write(entry: Rc<Entry>) {
     let mut client = Client::new(entry.settings().log);
-    let mut contact = Contact::new(log::QUARANTINE);
+    let mut contact = Contact::new(log::QUARANTINE_TOPIC);
     let due = entry.quarantine.borrow().due.clone();
     loop {
         let now = Millis::now();
@@ -509,8 +509,8 @@
         };
         let value = value_of(&entry, work);
         let key = work.to_string();
-        client.raise(entry.rollbacks.era());
-        let written = client.put(log::QUARANTINE, &key, &value).await;
+        client.raise_era(entry.rollbacks.era());
+        let written = client.put(log::QUARANTINE_TOPIC, &key, &value).await;
         entry.learn_era(client.era(), Source::Log);
         if let Err(error) = written {
             contact.bad(&entry, &error).await;
--- a/cowsliproad-direct/src/rollback.rs
+++ b/cowsliproad-direct/src/rollback.rs
@@ -25,7 +25,9 @@
 };
 
 use cowsliproad_kernel::{clock::Millis, position::Era};
-use cowsliproad_platform::log::{OPERATORS, QUARANTINE, TARGETS};
+use cowsliproad_platform::log::{
+    CONFIG_TOPIC, QUARANTINE_TOPIC, TARGETS_TOPIC,
+};
 use slog::info;
 use tokio::sync::watch;
 
@@ -115,7 +117,8 @@
             "before" => before.0, "source" => ?source);
         self.measure.rolled_back();
         self.fleet.borrow_mut().regained(now);
-        let unread = BTreeSet::from([OPERATORS, TARGETS, QUARANTINE]);
+        let unread =
+            BTreeSet::from([CONFIG_TOPIC, TARGETS_TOPIC, QUARANTINE_TOPIC]);
         *self.rollbacks.last.borrow_mut() = Some(Rollback { at: now, unread });
         self.behind.notify_one();
         self.rumour.notify_one();
--- a/cowsliproad-direct/src/stated.rs
+++ b/cowsliproad-direct/src/stated.rs
@@ -35,7 +35,7 @@
         head: &response::Parts,
     ) {
         let stated = head.headers.get(&header::LEAVING);
-        let leaves = stated.is_some_and(header::says_yes);
+        let leaves = stated.is_some_and(header::is_flag_set);
         if leaves && self.is_ready_target(&choice.target) {
             info!(self.log, "target_leaving"; "request" => request,
                 "target" => &*choice.target.id,
--- a/cowsliproad-direct/tests/entry/harness.rs
+++ b/cowsliproad-direct/tests/entry/harness.rs
@@ -21,7 +21,7 @@
 };
 use cowsliproad_net::client::{Client, Error};
 use cowsliproad_platform::{
-    READINESS_PATH, SETTINGS_VARIABLE, header, log::TARGETS as TARGETS_TOPIC,
+    READINESS_PATH, SETTINGS_VARIABLE, header, log::TARGETS_TOPIC,
 };
 use cowsliproad_platform_standin::{
     catalog::{Catalog, Kind},
--- a/cowsliproad-direct/tests/entry/news.rs
+++ b/cowsliproad-direct/tests/entry/news.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use cowsliproad_kernel::clock::Millis;
-use cowsliproad_platform::log::{OPERATORS, TARGETS};
+use cowsliproad_platform::log::{CONFIG_TOPIC, TARGETS_TOPIC};
 use cowsliproad_platform_standin::{catalog::Kind, log::Fault, target};
 use http::StatusCode;
 
@@ -56,8 +56,8 @@
         1_000,
     );
     plant.catalog.publish(&plant.log);
-    plant.log.forget(OPERATORS);
-    plant.log.forget(TARGETS);
+    plant.log.forget(CONFIG_TOPIC);
+    plant.log.forget(TARGETS_TOPIC);
     plant.log.set(Fault::None);
     until("the new route holds", async || {
         status(&entry, "/new/", KEY).await == StatusCode::OK
@@ -135,7 +135,11 @@
         sequence: 9,
         start: None,
     };
-    plant.log.put(TARGETS, "i-gone", Some(entry_of_old.text().as_bytes()));
+    plant.log.put(
+        TARGETS_TOPIC,
+        "i-gone",
+        Some(entry_of_old.text().as_bytes()),
+    );
     until("the old incarnation is met and found gone", async || {
         status(&entry, "/many/model/a", KEY).await
             == StatusCode::SERVICE_UNAVAILABLE
--- a/cowsliproad-direct/tests/entry/quarantine.rs
+++ b/cowsliproad-direct/tests/entry/quarantine.rs
@@ -17,7 +17,7 @@
 };
 
 use cowsliproad_kernel::gossip::{self, Datagram, Load};
-use cowsliproad_platform::log::{QUARANTINE, TARGETS};
+use cowsliproad_platform::log::{QUARANTINE_TOPIC, TARGETS_TOPIC};
 use cowsliproad_platform_standin::{
     log::Fault,
     target::{self, Config, Target},
@@ -318,7 +318,7 @@
         until_refused(entry, 1.0).await;
     }
     until("the log knows it", async || {
-        scene.plant.log.records(QUARANTINE) > 1
+        scene.plant.log.records(QUARANTINE_TOPIC) > 1
     })
     .await;
     let settings: Vec<_> =
@@ -630,7 +630,7 @@
             sequence: 1,
             start: None,
         };
-        plant.log.put(TARGETS, id, Some(said.text().as_bytes()));
+        plant.log.put(TARGETS_TOPIC, id, Some(said.text().as_bytes()));
         Full { address, _listener: listener, _waiting: waiting }
     }
 }
--- a/cowsliproad-direct/tests/entry/rollback_siege.rs
+++ b/cowsliproad-direct/tests/entry/rollback_siege.rs
@@ -24,7 +24,7 @@
 use cowsliproad_net::client::Client;
 use cowsliproad_platform::{
     header,
-    log::{OPERATORS, TARGETS as TARGETS_TOPIC},
+    log::{CONFIG_TOPIC, TARGETS_TOPIC},
 };
 use cowsliproad_platform_standin::{
     log,
@@ -308,7 +308,7 @@
             match self.draw(6) {
                 0 => {
                     let log = self.plant.borrow().log.clone();
-                    log.forget(OPERATORS);
+                    log.forget(CONFIG_TOPIC);
                     log.forget(TARGETS_TOPIC);
                 }
                 1 => {
--- a/cowsliproad-direct/tests/entry/rollbacks.rs
+++ b/cowsliproad-direct/tests/entry/rollbacks.rs
@@ -7,7 +7,9 @@
     time::{Duration, Instant},
 };
 
-use cowsliproad_platform::log::{OPERATORS, QUARANTINE, TARGETS};
+use cowsliproad_platform::log::{
+    CONFIG_TOPIC, QUARANTINE_TOPIC, TARGETS_TOPIC,
+};
 use cowsliproad_platform_standin::{
     catalog::Kind,
     log::Fault,
@@ -410,21 +412,23 @@
         let _ = entries[sent % 3].ask_with("/many/a", KEY, DEADLY).await;
         sent += 1;
     }
-    until("the log keeps it", async || plant.log.records(QUARANTINE) > 0)
-        .await;
+    until("the log keeps it", async || {
+        plant.log.records(QUARANTINE_TOPIC) > 0
+    })
+    .await;
     sleep(BOUND).await;
     plant.log.roll_back(copy);
-    assert_eq!(plant.log.records(QUARANTINE), 0);
+    assert_eq!(plant.log.records(QUARANTINE_TOPIC), 0);
     // Those that still live renew theirs, which makes the rollback known.
     let living = targets.iter().filter(|it| !it.has_ended());
     living.for_each(|it| renew(&plant, it, 1));
     until("the log keeps it again", async || {
-        plant.log.records(QUARANTINE) > 0
+        plant.log.records(QUARANTINE_TOPIC) > 0
     })
     .await;
     // Whoever else has it would have written it by then.
     sleep(BOUND * 2).await;
-    assert_eq!(plant.log.records(QUARANTINE), 1);
+    assert_eq!(plant.log.records(QUARANTINE_TOPIC), 1);
     // One that the others don't reach knows it, too.
     let alone = plant.entry().await;
     until("the work is refused", async || {
@@ -454,8 +458,8 @@
         sleep(Duration::from_millis(100 + 400 * round)).await;
         plant.log.roll_back(copy);
         if round == 2 {
-            plant.log.forget(OPERATORS);
-            plant.log.forget(TARGETS);
+            plant.log.forget(CONFIG_TOPIC);
+            plant.log.forget(TARGETS_TOPIC);
         }
         let back = Instant::now();
         renew(&plant, &one, 7);
--- a/cowsliproad-direct/tests/entry/streams.rs
+++ b/cowsliproad-direct/tests/entry/streams.rs
@@ -66,7 +66,7 @@
     plant.target_with(engine("i-1", 2)).await;
     let entry = plant.entry().await;
     let mut request = entry.request("/stream/a", KEY, "");
-    request.headers_mut().insert(header::LAST_EVENT, 5.into());
+    request.headers_mut().insert(header::LAST_EVENT_ID, 5.into());
     let answer = Client::new().send(request).await.expect("an answer");
     let body = answer.into_body().collect().await.expect("a body");
     assert_eq!(numbers(&body.to_bytes()), (6..=20).collect::<Vec<_>>());
--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -19,7 +19,7 @@
 use cowsliproad_mapswitch::order::{
     self, Aim, Directive, Epoch, Report, Standing,
 };
-use cowsliproad_platform::engine::State;
+use cowsliproad_platform::engine::EngineState;
 use cowsliproad_routing::cooldown::Cooldown;
 use slog::{Logger, info, warn};
 use tokio::{
@@ -81,7 +81,7 @@
     entries: BTreeMap<SocketAddr, Millis>,
     /// What entries say of the service.
     shape: Option<Subscribe>,
-    state: Option<State>,
+    state: Option<EngineState>,
     /// Which start of the engine all below is of.
     start: Option<u64>,
     /// Whether the engine's process is known to be gone.
--- a/cowsliproad-rank/src/agent/chair.rs
+++ b/cowsliproad-rank/src/agent/chair.rs
@@ -8,7 +8,7 @@
     position::{Era, Position},
 };
 use cowsliproad_mapswitch::order::{Aim, Directive, Standing, fence};
-use cowsliproad_platform::log::{COORDINATORS, Client};
+use cowsliproad_platform::log::{COORDINATORS_TOPIC, Client};
 use slog::{Logger, info, warn};
 
 use super::{Agent, Candidacy};
@@ -140,8 +140,8 @@
 ) -> Option<Position> {
     let mut client = Client::new(log);
     for _ in 0..MAX_RECORDS {
-        client.raise(era);
-        match client.append(COORDINATORS, vm.as_bytes()).await {
+        client.raise_era(era);
+        match client.append(COORDINATORS_TOPIC, vm.as_bytes()).await {
             Ok(record) if fence::is_unique(record, era) => {
                 return Some(record);
             }
--- a/cowsliproad-rank/src/agent/readings.rs
+++ b/cowsliproad-rank/src/agent/readings.rs
@@ -21,7 +21,7 @@
     pub(super) async fn refresh(&mut self) {
         match self.engine.state().await {
             Ok(state) => {
-                self.note_start(state.start);
+                self.note_start(state.start_unix_ms);
                 self.engine_ended = Ended::No;
                 self.group = state.group.clone().or(self.group.take());
                 self.state = Some(state);
--- a/cowsliproad-rank/src/agent/words.rs
+++ b/cowsliproad-rank/src/agent/words.rs
@@ -41,7 +41,7 @@
             step: report.map_or(0, |it| it.step),
             open: report.is_none_or(|it| it.standing == Standing::Open),
             list: self.list(),
-            start: state.start,
+            start: state.start_unix_ms,
             leaving: self.engine.is_leaving(),
         });
         self.say_to_entries(&load).await;
--- a/cowsliproad-rank/src/engine.rs
+++ b/cowsliproad-rank/src/engine.rs
@@ -15,7 +15,7 @@
     single::Single,
 };
 use cowsliproad_platform::{
-    engine::{self, Choices, Lists, State},
+    engine::{self, EngineState, ExpertLists, SelectionCounts},
     header,
 };
 use cowsliproad_routing::cooldown::Cooldown;
@@ -74,21 +74,24 @@
     }
 
     /// Load and standing.
-    pub async fn state(&mut self) -> io::Result<State> {
-        let (_, body) = self.call(engine::ask_state()).await?;
-        Ok(engine::state(&body)?)
+    pub async fn state(&mut self) -> io::Result<EngineState> {
+        let (_, body) = self.call(engine::state_request()).await?;
+        Ok(engine::decode_state(&body)?)
     }
 
     /// How often requests chose each expert.
-    pub async fn choices(&mut self, experts: usize) -> io::Result<Choices> {
-        let (_, body) = self.call(engine::ask_choices()).await?;
-        Ok(engine::choices(&body, experts)?)
+    pub async fn choices(
+        &mut self,
+        experts: usize,
+    ) -> io::Result<SelectionCounts> {
+        let (_, body) = self.call(engine::selection_counts_request()).await?;
+        Ok(engine::decode_selection_counts(&body, experts)?)
     }
 
     /// The experts that the engine has.
-    pub async fn lists(&mut self) -> io::Result<Lists> {
-        let (_, body) = self.call(engine::ask_lists()).await?;
-        Ok(engine::lists(&body)?)
+    pub async fn lists(&mut self) -> io::Result<ExpertLists> {
+        let (_, body) = self.call(engine::expert_lists_request()).await?;
+        Ok(engine::decode_expert_lists(&body)?)
     }
 
     /// Gives an order. An error leaves open whether it is carried out.
@@ -98,9 +101,9 @@
         epoch: Epoch,
         fence: u64,
     ) -> io::Result<Verdict> {
-        let request = engine::order(order, epoch, fence);
+        let request = engine::order_request(order, epoch, fence);
         let (status, _) = self.call_within(ORDER_TIME, request).await?;
-        Ok(engine::verdict(status))
+        Ok(engine::decode_verdict(status))
     }
 
     async fn call(
@@ -136,7 +139,7 @@
             self.cooldown.extend(wait, Millis::now());
         }
         let leaving = headers.get(&header::LEAVING);
-        self.leaving = leaving.is_some_and(header::says_yes);
+        self.leaving = leaving.is_some_and(header::is_flag_set);
     }
 
     /// Fails for as long as the engine is to be left alone. Its process's end
--- a/cowsliproad-rank/tests/group/main.rs
+++ b/cowsliproad-rank/tests/group/main.rs
@@ -16,7 +16,7 @@
 };
 
 use cowsliproad_kernel::gossip::{self, Datagram, Load, Lost, Subscribe};
-use cowsliproad_platform::{SETTINGS_VARIABLE, log::COORDINATORS};
+use cowsliproad_platform::{SETTINGS_VARIABLE, log::COORDINATORS_TOPIC};
 use cowsliproad_platform_standin::{
     group::{self, Frozen, Group},
     log::{self, Log},
@@ -225,7 +225,11 @@
         plant.until_balanced().await;
     }
     assert!(plant.group.tally().changes >= 3);
-    assert_eq!(plant.log.records(COORDINATORS), 1, "one led all the time");
+    assert_eq!(
+        plant.log.records(COORDINATORS_TOPIC),
+        1,
+        "one led all the time"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -262,7 +266,7 @@
     plant.group.freeze(0, Frozen::No);
     plant.signal(0, Signal::CONT);
     plant.until_balanced().await;
-    assert!(plant.log.records(COORDINATORS) >= 2, "another took over");
+    assert!(plant.log.records(COORDINATORS_TOPIC) >= 2, "another took over");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -315,7 +319,8 @@
     let ended = plant.agents[0].child.wait().expect("it ends");
     let stopped = Instant::now();
     assert!(ended.success());
-    until("another leads", || plant.log.records(COORDINATORS) == 2).await;
+    until("another leads", || plant.log.records(COORDINATORS_TOPIC) == 2)
+        .await;
     // Unannounced it would be missed after 1.7 s, by rank 1.
     assert!(stopped.elapsed() < Duration::from_millis(1_300), "{stopped:?}");
 }
