--- a/cowsliproad-direct/tests/entry/answers.rs
+++ b/cowsliproad-direct/tests/entry/answers.rs
@@ -15,11 +15,11 @@
     assert_eq!(answer.body(), "whole answer of i-1");
     let runs = target.runs();
     assert_eq!(runs.len(), 1);
-    assert_eq!(runs[0].line, "POST /many/a?b=c");
+    assert_eq!(runs[0].request_line, "POST /many/a?b=c");
     assert_eq!(runs[0].body, "body");
     assert_eq!(runs[0].organisation.as_deref(), Some("harju"));
-    assert_eq!(runs[0].key, None);
-    assert!(runs[0].time_left.is_some_and(|it| it <= 4_000));
+    assert_eq!(runs[0].authorization, None);
+    assert!(runs[0].time_left_ms.is_some_and(|it| it <= 4_000));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -45,8 +45,8 @@
     let one = plant.target("i-1", "plain").await;
     let two = plant.target("i-2", "plain").await;
     let entry = plant.entry().await;
-    one.set(fault);
-    two.set(fault);
+    one.set_fault(fault);
+    two.set_fault(fault);
     let answer = entry.ask("/once/a").await.expect("an answer");
     assert_eq!(answer.status(), status, "{fault:?}");
     let ran = one.runs().len() + two.runs().len();
@@ -65,7 +65,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn another_requests_answer_is_nobodys() {
-    check_once(Fault::WrongRequest, StatusCode::BAD_GATEWAY, 1).await;
+    check_once(Fault::WrongRequestId, StatusCode::BAD_GATEWAY, 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -95,7 +95,7 @@
     let one = plant.target("i-1", "plain").await;
     plant.target("i-2", "plain").await;
     let entry = plant.entry().await;
-    one.set(fault);
+    one.set_fault(fault);
     until("the fault is met", async || {
         let answer = entry.ask("/many/a").await.expect("an answer");
         assert_eq!(answer.status(), StatusCode::OK, "{fault:?}");
@@ -111,13 +111,13 @@
     for fault in [
         Fault::LoseAnswer,
         Fault::Cut,
-        Fault::WrongRequest,
+        Fault::WrongRequestId,
         Fault::NoSignature,
         Fault::Failing,
         Fault::Refuse,
         Fault::Silent,
         Fault::Unframed,
-        Fault::Extra,
+        Fault::ExtraAnswer,
     ] {
         check_idempotent(fault).await;
     }
@@ -129,7 +129,7 @@
     let target = plant.target("i-1", "plain").await;
     let entry = plant.entry().await;
     for _ in 0..10 {
-        target.set(Fault::Extra);
+        target.set_fault(Fault::ExtraAnswer);
         for _ in 0..2 {
             let answer = entry.ask("/many/a").await.expect("an answer");
             assert_eq!(answer.body(), "whole answer of i-1");
--- a/cowsliproad-direct/tests/entry/callers.rs
+++ b/cowsliproad-direct/tests/entry/callers.rs
@@ -46,7 +46,7 @@
     let read = exchange(&entry, &format!("{one}{two}")).await;
     assert_eq!(read.matches("HTTP/1.1 200").count(), 2, "{read}");
     let lines: Vec<String> =
-        target.runs().into_iter().map(|it| it.line).collect();
+        target.runs().into_iter().map(|it| it.request_line).collect();
     assert_eq!(lines, ["POST /many/1", "POST /many/2"]);
 }
 
--- a/cowsliproad-direct/tests/entry/connections.rs
+++ b/cowsliproad-direct/tests/entry/connections.rs
@@ -26,10 +26,10 @@
 /// A target that takes so many connections from all entries together.
 async fn narrow(most: u64) -> (Plant, Arc<Target>) {
     let mut plant = Plant::start().await;
-    plant.catalog = plant.catalog.clone().with_connections("plain", most);
+    plant.catalog = plant.catalog.clone().with_max_connections("plain", most);
     plant.catalog.publish(&plant.log);
     let config =
-        Config::new("i-1", "plain", "a").with_pause(Duration::from_millis(60));
+        Config::new("i-1", "plain", "a").with_delay(Duration::from_millis(60));
     let target = plant.target_with(config).await;
     (plant, target)
 }
@@ -62,7 +62,7 @@
     for path in ["/many/a", "/once/a"] {
         let good = at_once(&entries, path, 48).await;
         let connections = target.connections();
-        let settled = connections.settled;
+        let settled = connections.max_open_settled;
         assert!(settled <= MOST as usize, "{path}: {connections:?}");
         assert_eq!(good, 48, "{path}");
         // What must not be repeated takes no connection that idled for long.
@@ -78,7 +78,7 @@
     let entries = plant.entries(2).await;
     let good = at_once(&entries, "/many/a", 48).await;
     let connections = target.connections();
-    assert!(connections.most <= MOST as usize, "{connections:?}");
+    assert!(connections.max_open <= MOST as usize, "{connections:?}");
     // Whoever found no connection free waited for one.
     assert_eq!(good, 48);
 }
@@ -90,7 +90,7 @@
     let mut plant = Plant::start().await;
     let config = Config::new("i-1", "model", "a")
         .with_events(EVENTS, Duration::ZERO)
-        .with_padding(BYTES);
+        .with_event_padding(BYTES);
     let target = plant.target_with(config).await;
     let entry = plant.entry().await;
     let mut request = entry.request("/stream/a", KEY, "");
@@ -101,11 +101,14 @@
     let mut before = 0;
     until("the target is held back", async || {
         sleep(Duration::from_millis(250)).await;
-        let sent = target.sent();
+        let sent = target.events_sent();
         std::mem::replace(&mut before, sent) == sent
     })
     .await;
-    assert!(target.sent() < EVENTS, "all was taken in without a reader");
+    assert!(
+        target.events_sent() < EVENTS,
+        "all was taken in without a reader"
+    );
     // 16 events wait in the entry, the rest in the system's buffers.
     let memory = entry.memory();
     assert!(memory < 40 << 20, "{memory} bytes");
--- a/cowsliproad-direct/tests/entry/cooldown_siege.rs
+++ b/cowsliproad-direct/tests/entry/cooldown_siege.rs
@@ -180,9 +180,9 @@
                     let lasts = self.draw(2) == 0;
                     let fault =
                         if lasts { Fault::Shedding } else { Fault::Refuse };
-                    target.set(fault);
+                    target.set_fault(fault);
                 }
-                4 => place.target.borrow().set(Fault::None),
+                4 => place.target.borrow().set_fault(Fault::None),
                 5 => self.lapse(place).await,
                 6 => self.restart(place).await,
                 _ => {
@@ -194,12 +194,13 @@
             sleep(Duration::from_millis(100 + self.draw(500) as u64)).await;
         }
         for place in &self.places {
-            place.target.borrow().set(Fault::None);
+            place.target.borrow().set_fault(Fault::None);
         }
         // A time that is never over ends with its target's process.
         let forever = |it: &Arrival| it.retry_after.as_deref() == Some("1e9");
         for place in &self.places {
-            let asked = place.target.borrow().log().iter().any(forever);
+            let asked =
+                place.target.borrow().arrival_log().iter().any(forever);
             if asked {
                 self.restart(place).await;
             }
@@ -220,7 +221,7 @@
     async fn restart(&self, place: &Place) {
         let number = self.places.iter().position(|it| std::ptr::eq(it, place));
         place.starts.set(place.starts.get() + 1);
-        place.target.borrow().end();
+        place.target.borrow().kill();
         sleep(Duration::from_millis(300)).await;
         let config = config(number.unwrap_or(0), place.starts.get());
         let (address, log) = self.plant.borrow_mut().target_site();
@@ -257,32 +258,37 @@
     }
 
     fn set_log(&self, fault: log::Fault) {
-        self.plant.borrow().log.set(fault);
+        self.plant.borrow().log.set_fault(fault);
     }
 
     /// Requests that came to a target although its answers had asked for
     /// none.
     fn unwanted(&self, target: &Target) -> Vec<Arrival> {
         let asked = self.asked.borrow();
-        let log = target.log();
+        let log = target.arrival_log();
         let mut unwanted = Vec::new();
         for arrival in &log {
             let Some(process) = asked.get(&arrival.request) else { continue };
             let breaks = |earlier: &Arrival| {
-                let since = earlier.at + ON_ITS_WAY;
+                let since = earlier.arrived_at + ON_ITS_WAY;
                 let told = asked.get(&earlier.request);
                 let own = told == Some(process);
                 let stated = earlier.retry_after.as_deref();
                 let wait = STATED.iter().find(|it| Some(it.0) == stated);
                 let wait = wait.map_or(0.0, |it| it.1).min(1e6);
-                let until = earlier.at + Duration::from_secs_f64(wait);
-                let rests = own && arrival.at > since && arrival.at < until;
+                let until = earlier.arrived_at + Duration::from_secs_f64(wait);
+                let rests = own
+                    && arrival.arrived_at > since
+                    && arrival.arrived_at < until;
                 let left = earlier.leaving
-                    && arrival.at > if own { since } else { since + TOLD };
+                    && arrival.arrived_at
+                        > if own { since } else { since + TOLD };
                 (rests || left)
-                    && !self
-                        .processes
-                        .stood_still(*process, earlier.at, arrival.at)
+                    && !self.processes.stood_still(
+                        *process,
+                        earlier.arrived_at,
+                        arrival.arrived_at,
+                    )
             };
             if log.iter().any(breaks) {
                 unwanted.push(arrival.clone());
@@ -341,8 +347,8 @@
 
 fn config(number: usize, start: u64) -> Config {
     Config::new(&format!("i-{number}"), "plain", "a")
-        .with_pause(Duration::from_millis(5))
-        .with_start(start)
+        .with_delay(Duration::from_millis(5))
+        .with_start_time(start)
 }
 
 async fn play(seed: u64) {
--- a/cowsliproad-direct/tests/entry/cooldowns.rs
+++ b/cowsliproad-direct/tests/entry/cooldowns.rs
@@ -31,7 +31,7 @@
 /// as soon as the entry has read that.
 async fn refuse_once(entry: &Entry, target: &Target, path: &str, value: &str) {
     target.set_retry_after(Some(value));
-    target.set(Fault::Refuse);
+    target.set_fault(Fault::Refuse);
     let before = target.arrivals();
     let mut asked = JoinSet::new();
     until("the target refuses a request", async || {
@@ -43,7 +43,7 @@
         target.arrivals() > before
     })
     .await;
-    target.set(Fault::None);
+    target.set_fault(Fault::None);
     asked.detach_all();
 }
 
@@ -99,7 +99,7 @@
         let target = plant.target("i-1", "plain").await;
         let entry = plant.entry().await;
         target.set_retry_after(Some("3"));
-        target.set(Fault::Shedding);
+        target.set_fault(Fault::Shedding);
         for _ in 0..5 {
             let begun = Instant::now();
             let answer = entry.ask(path).await.expect("an answer");
@@ -120,7 +120,7 @@
     let targets = plant.uneven_targets("plain").await;
     let entry = plant.entry().await;
     targets[0].set_retry_after(Some("3"));
-    targets[0].set(Fault::Shedding);
+    targets[0].set_fault(Fault::Shedding);
     let refused = async || {
         let answer = entry.ask("/once/a").await.expect("an answer");
         let is_refused = answer.status() == StatusCode::SERVICE_UNAVAILABLE;
@@ -145,8 +145,8 @@
     let entry = plant.entry().await;
     refuse_once(&entry, &targets[0], "/many/a", "3").await;
     let before = targets[0].arrivals();
-    targets[1].set(Fault::Failing);
-    targets[2].set(Fault::Slow(SECOND));
+    targets[1].set_fault(Fault::Failing);
+    targets[2].set_fault(Fault::Slow(SECOND));
     load(&[&entry], "/many/a", PAUSE, SECOND).await;
     assert_eq!(targets[0].arrivals(), before);
 }
@@ -160,8 +160,8 @@
     refuse_once(&entry, &targets[0], "/stream/a", "3").await;
     let before = targets[0].arrivals();
     for _ in 0..10 {
-        targets[1].set(Fault::Cut);
-        targets[2].set(Fault::Cut);
+        targets[1].set_fault(Fault::Cut);
+        targets[2].set_fault(Fault::Cut);
         entry.ask("/stream/a").await.expect("a stream");
     }
     assert_eq!(targets[0].arrivals(), before);
@@ -173,7 +173,7 @@
     let mut plant = Plant::start().await;
     let target = plant.target("i-1", "plain").await;
     let entry = plant.entry().await;
-    target.set(Fault::Slow(Duration::from_millis(600)));
+    target.set_fault(Fault::Slow(Duration::from_millis(600)));
     let request = entry.request("/once/a", KEY, "body");
     let asked = tokio::spawn(async move {
         let client = Client::new();
@@ -254,13 +254,13 @@
     for id in ["i-1", "i-2"] {
         let mut plant = Plant::start().await;
         let config =
-            |id, start| Config::new(id, "plain", "a").with_start(start);
+            |id, start| Config::new(id, "plain", "a").with_start_time(start);
         let first = plant.target_with(config("i-1", 1)).await;
         let entry = plant.entry().await;
         refuse_once(&entry, &first, "/many/a", "1e9").await;
         let answer = entry.ask("/many/a").await.expect("an answer");
         assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
-        first.end();
+        first.kill();
         let address = match id {
             "i-1" => plant.target_site().0,
             _ => first.address().expect("an address"),
@@ -371,7 +371,7 @@
     }
     // The one that was refused is among them.
     assert!((30..=32).contains(&(target.arrivals() - before)));
-    let mut times = target.times();
+    let mut times = target.arrival_times();
     times.retain(|it| *it >= begun);
     let first = times[0] - begun;
     assert!(first >= Duration::from_millis(700), "{first:?}");
@@ -386,10 +386,10 @@
     let mut plant = Plant::start().await;
     let target = plant.target("i-1", "plain").await;
     let entry = plant.entry().await;
-    target.set_limit(Some("4"));
+    target.set_rate_limit(Some("4"));
     load(&[&entry], "/many/a", PAUSE, SECOND).await;
     target.set_retry_after(Some("1.5"));
-    target.set(Fault::Refuse);
+    target.set_fault(Fault::Refuse);
     let begun = target.arrivals();
     let callers = [&entry];
     let (_, quiet) =
@@ -433,7 +433,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_that_wait_for_a_connection_keep_a_retry_after() {
     let mut plant = Plant::start().await;
-    plant.catalog = plant.catalog.clone().with_connections("plain", 1);
+    plant.catalog = plant.catalog.clone().with_max_connections("plain", 1);
     plant.catalog.publish(&plant.log);
     let scripted = Scripted::start(&mut plant, "i-1").await;
     let entry = plant.entry().await;
@@ -480,14 +480,14 @@
     let targets = plant.uneven_targets("plain").await;
     let entry = plant.entry().await;
     targets[0].set_retry_after(Some("0.2"));
-    targets[0].set(Fault::Shedding);
+    targets[0].set_fault(Fault::Shedding);
     let often = Duration::from_millis(2);
     let heard = load(&[&entry], "/many/a", often, 2 * SECOND).await;
     assert_eq!((heard.refused, heard.other), (0, 0), "{heard:?}");
     let got = targets[0].arrivals();
     assert!((5..=11).contains(&got), "{got} in 2 s");
     // Once it takes requests it gets its part at once.
-    targets[0].set(Fault::None);
+    targets[0].set_fault(Fault::None);
     sleep(Duration::from_millis(200)).await;
     load(&[&entry], "/many/a", often, SECOND).await;
     let got = targets[0].arrivals() - got;
@@ -506,7 +506,7 @@
     let targets = plant.uneven_targets("plain").await;
     let entries = plant.entries(ENTRIES).await;
     targets[0].set_retry_after(Some("3"));
-    targets[0].set(Fault::Shedding);
+    targets[0].set_fault(Fault::Shedding);
     let used = || entries.iter().map(Entry::processor).sum::<Duration>();
     let before = used();
     let pause = 2 * PAUSE;
--- a/cowsliproad-direct/tests/entry/group_crashes.rs
+++ b/cowsliproad-direct/tests/entry/group_crashes.rs
@@ -127,7 +127,7 @@
 async fn rank(plant: &mut Plant, number: usize) -> Arc<Target> {
     let config = Config::new(&format!("i-{number}"), "model", "a")
         .with_events(EVENTS, PAUSE)
-        .with_deadly(POISON);
+        .with_crashing_body(POISON);
     plant.target_with(config).await
 }
 
@@ -161,8 +161,9 @@
     let innocent = tokio::spawn(async move {
         Client::new().call(request, 1 << 20, Duration::from_secs(10)).await
     });
-    let sent = scene.ranks[0].sent();
-    until("it has begun", async || scene.ranks[0].sent() > sent + 1).await;
+    let sent = scene.ranks[0].events_sent();
+    until("it has begun", async || scene.ranks[0].events_sent() > sent + 1)
+        .await;
     let second = rank(&mut scene.plant, 1).await;
     scene.ranks.push(second);
     for (entry, agents) in scene.entries.iter().zip(&scene.agents) {
--- a/cowsliproad-direct/tests/entry/harness.rs
+++ b/cowsliproad-direct/tests/entry/harness.rs
@@ -127,7 +127,7 @@
         for (id, pause) in [("i-1", 2), ("i-2", 20), ("i-3", 20)] {
             let pause = Duration::from_millis(pause);
             let events = if service == "model" { 4 } else { 0 };
-            let config = Config::new(id, service, "a").with_start(1);
+            let config = Config::new(id, service, "a").with_start_time(1);
             let config = config.with_events(events, pause);
             targets.push(self.target_with(config).await);
         }
@@ -149,9 +149,9 @@
             zone: "a",
             state: "ready",
             sequence: 1,
-            start,
+            start_unix_ms: start,
         };
-        let text = announced.text();
+        let text = announced.to_json();
         self.log.put(TARGETS_TOPIC, id, Some(text.as_bytes()));
         listener
     }
--- a/cowsliproad-direct/tests/entry/leaving.rs
+++ b/cowsliproad-direct/tests/entry/leaving.rs
@@ -38,14 +38,14 @@
         ("/many/a", "plain", Fault::Refuse),
         ("/many/a", "plain", Fault::Failing),
         ("/stream/a", "model", Fault::None),
-        ("/stream/a", "model", Fault::Broken),
+        ("/stream/a", "model", Fault::GroupBroken),
     ];
     for (path, service, fault) in cases {
         let mut plant = Plant::start().await;
         let targets = plant.uneven_targets(service).await;
         let entries = plant.entries(2).await;
         targets[0].set_leaving(Some("1"));
-        targets[0].set(fault);
+        targets[0].set_fault(fault);
         answer_once(&entries[0], &targets[0], path).await;
         let before = targets[0].arrivals();
         let heard = load(&entries[..1], path, PAUSE, SECOND / 2).await;
@@ -93,10 +93,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_successor_is_not_leaving() {
     let mut plant = Plant::start().await;
-    let config = |start| Config::new("i-1", "plain", "a").with_start(start);
+    let config =
+        |start| Config::new("i-1", "plain", "a").with_start_time(start);
     let first = plant.target_with(config(1)).await;
     let entry = plant.entry().await;
-    first.set(Fault::Slow(SECOND));
+    first.set_fault(Fault::Slow(SECOND));
     first.set_leaving(Some("1"));
     let request = entry.request("/once/a", KEY, "body");
     let asked = tokio::spawn(async move {
--- a/cowsliproad-direct/tests/entry/limit_siege.rs
+++ b/cowsliproad-direct/tests/entry/limit_siege.rs
@@ -88,7 +88,7 @@
 
 impl Limited {
     fn name(&self, (text, rate): (Option<&str>, Option<f64>)) {
-        self.target.set_limit(text);
+        self.target.set_rate_limit(text);
         let from = Instant::now();
         self.stages.borrow_mut().push(Stage { from, rate });
     }
@@ -132,7 +132,7 @@
             let pause = if number == LIMITED { 25 } else { 5 };
             let pause = Duration::from_millis(pause);
             let id = format!("i-{number}");
-            let config = Config::new(&id, "plain", "a").with_pause(pause);
+            let config = Config::new(&id, "plain", "a").with_delay(pause);
             let target = plant.target_with(config).await;
             if number < LIMITED {
                 let stages = RefCell::new(Vec::new());
@@ -234,7 +234,7 @@
     }
 
     fn set_log(&self, fault: log::Fault) {
-        self.plant.borrow().log.set(fault);
+        self.plant.borrow().log.set_fault(fault);
     }
 
     async fn freeze_entry(&self) {
@@ -269,7 +269,7 @@
         let open = self.limited.iter().filter(|it| !it.closed.get());
         let calm = open.map(|it| {
             let until = checked + CHECKED;
-            let times = it.target.times();
+            let times = it.target.arrival_times();
             let within = times.iter().filter(|it| **it >= checked);
             let got = within.filter(|it| **it < until).count() as f64;
             got / (3.0 * CHECKED.as_secs_f64())
--- a/cowsliproad-direct/tests/entry/limits.rs
+++ b/cowsliproad-direct/tests/entry/limits.rs
@@ -57,7 +57,7 @@
     between: Range<Instant>,
     span: Duration,
 ) -> usize {
-    let mut times = target.times();
+    let mut times = target.arrival_times();
     times.retain(|it| between.contains(it));
     let within = |from: &Instant| {
         times.iter().filter(|it| (*from..*from + span).contains(it)).count()
@@ -106,7 +106,7 @@
     let mut targets = Vec::new();
     for (id, pause) in [("i-1", 2), ("i-2", 15), ("i-3", 15)] {
         let pause = Duration::from_millis(pause);
-        let config = Config::new(id, "plain", "a").with_pause(pause);
+        let config = Config::new(id, "plain", "a").with_delay(pause);
         targets.push(plant.target_with(config).await);
     }
     targets
@@ -124,7 +124,7 @@
     let mut plant = Plant::start().await;
     let targets = targets(&mut plant).await;
     let entries = plant.entries(4).await;
-    targets[0].set_limit(Some("2"));
+    targets[0].set_rate_limit(Some("2"));
     let told = told();
     let heard =
         load(&entries, "/many/a", Duration::from_millis(20), TIME).await;
@@ -132,7 +132,7 @@
     // Those under way when it was first told, and one more.
     let most = most_within(&targets[0], told, SPAN);
     assert!(most <= RATE * SPAN.as_secs() as usize + 1, "{most} in 4 s");
-    let times = targets[0].times();
+    let times = targets[0].arrival_times();
     let got = times.iter().filter(|it| **it >= told).count();
     let least = RATE * (TIME.as_secs() as usize - 1) * 8 / 10;
     assert!(got >= least, "it is left idle: {got}");
@@ -145,12 +145,12 @@
     let entries = plant.entries(3).await;
     let pause = Duration::from_millis(20);
     let stage = async |limit: Option<&str>, time: u64| {
-        targets[0].set_limit(limit);
+        targets[0].set_rate_limit(limit);
         let told = told();
         let time = Duration::from_secs(time);
         let heard = load(&entries, "/many/a", pause, time).await;
         assert_eq!((heard.refused, heard.other), (0, 0), "{heard:?}");
-        let times = targets[0].times();
+        let times = targets[0].arrival_times();
         times.iter().filter(|it| **it >= told).count()
     };
     let lowered = stage(Some("8.0"), 4).await;
@@ -186,11 +186,11 @@
     ];
     for value in bad {
         // Also in place of a limit that was good.
-        targets[0].set_limit(Some("1"));
+        targets[0].set_rate_limit(Some("1"));
         let pause = Duration::from_millis(10);
         let time = Duration::from_millis(200);
         load(&entries, "/many/a", pause, time).await;
-        targets[0].set_limit(Some(value));
+        targets[0].set_rate_limit(Some(value));
         load(&entries, "/many/a", pause, Duration::from_millis(1_300)).await;
         let before = targets[0].arrivals();
         let heard = load(&entries, "/many/a", pause, time * 2).await;
@@ -206,12 +206,12 @@
     let targets = targets(&mut plant).await;
     let entries = plant.entries(2).await;
     let pause = Duration::from_millis(20);
-    targets[0].set_limit(Some("0"));
+    targets[0].set_rate_limit(Some("0"));
     let told = told();
     load(&entries, "/many/a", pause, Duration::from_secs(6)).await;
     let most = most_within(&targets[0], told, SPAN);
     assert!(most <= 1, "{most} in 4 s");
-    targets[0].set_limit(None);
+    targets[0].set_rate_limit(None);
     let before = targets[0].arrivals();
     load(&entries, "/many/a", pause, Duration::from_secs(9)).await;
     assert!(
@@ -227,7 +227,7 @@
     let targets = targets(&mut plant).await;
     let entries = plant.entries(3).await;
     for target in &targets {
-        target.set_limit(Some("2"));
+        target.set_rate_limit(Some("2"));
     }
     let told = told();
     let pause = Duration::from_millis(25);
@@ -249,14 +249,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn who_can_go_elsewhere_in_time_is_not_turned_away() {
     let mut plant = Plant::start().await;
-    plant.catalog = plant.catalog.clone().with_connections("plain", 1);
+    plant.catalog = plant.catalog.clone().with_max_connections("plain", 1);
     plant.catalog.publish(&plant.log);
     let limited = plant.target("i-1", "plain").await;
     let pause = Duration::from_millis(100);
-    let config = Config::new("i-2", "plain", "a").with_pause(pause);
+    let config = Config::new("i-2", "plain", "a").with_delay(pause);
     plant.target_with(config).await;
     let entry = plant.entry().await;
-    limited.set_limit(Some("0"));
+    limited.set_rate_limit(Some("0"));
     until("the limit is known", async || {
         entry.ask("/many/a").await.expect("an answer");
         entry.metric("limits").await == Some(1.0)
@@ -279,7 +279,7 @@
     let targets = targets(&mut plant).await;
     let entries = plant.entries(3).await;
     for target in &targets {
-        target.set_limit(Some("2"));
+        target.set_rate_limit(Some("2"));
     }
     let often = Duration::from_millis(25);
     let seldom = Duration::from_millis(250);
@@ -300,9 +300,9 @@
     let targets = targets(&mut plant).await;
     let entries = plant.entries(3).await;
     for failing in &targets[1..] {
-        failing.set(Fault::Failing);
+        failing.set_fault(Fault::Failing);
     }
-    targets[0].set_limit(Some("2"));
+    targets[0].set_rate_limit(Some("2"));
     let told = told();
     let pause = Duration::from_millis(25);
     load(&entries, "/many/a", pause, Duration::from_secs(6)).await;
@@ -323,7 +323,7 @@
     let entries = plant.entries(3).await;
     let agents = entries.iter().map(|it| it.settings.peer_address());
     let reports = tokio::spawn(report_all(ranks.clone(), agents.collect()));
-    ranks[0].set_limit(Some("2"));
+    ranks[0].set_rate_limit(Some("2"));
     let told = told();
     let cuts = tokio::spawn(cut(ranks.clone()));
     let pause = Duration::from_millis(25);
@@ -334,7 +334,8 @@
     assert_eq!((heard.refused, heard.other), (0, 0), "{heard:?}");
     let most = most_within(&ranks[0], told, SPAN);
     assert!(most <= 9, "{most} in 4 s");
-    let got = ranks[0].times().iter().filter(|it| **it >= told).count();
+    let got =
+        ranks[0].arrival_times().iter().filter(|it| **it >= told).count();
     assert!(got >= 2 * 7 * 8 / 10, "it is left idle: {got}");
 }
 
@@ -356,7 +357,7 @@
 async fn cut(ranks: Vec<Arc<Target>>) {
     loop {
         for rank in &ranks[1..] {
-            rank.set(Fault::Cut);
+            rank.set_fault(Fault::Cut);
             sleep(Duration::from_millis(100)).await;
         }
     }
@@ -367,7 +368,7 @@
     let mut plant = Plant::start().await;
     let targets = targets(&mut plant).await;
     let first = plant.entries(3).await;
-    targets[0].set_limit(Some("1"));
+    targets[0].set_rate_limit(Some("1"));
     let pause = Duration::from_millis(20);
     load(&first, "/many/a", pause, Duration::from_secs(2)).await;
     let begun = Instant::now();
@@ -385,7 +386,7 @@
     let mut plant = Plant::start().await;
     let targets = targets(&mut plant).await;
     let mut entries = plant.entries(4).await;
-    targets[0].set_limit(Some("2"));
+    targets[0].set_rate_limit(Some("2"));
     let pause = Duration::from_millis(20);
     let time = Duration::from_millis(3_000);
     let told = told();
@@ -417,7 +418,7 @@
     let mut plant = Plant::start().await;
     let targets = targets(&mut plant).await;
     let entries = plant.entries(4).await;
-    targets[0].set_limit(Some("1"));
+    targets[0].set_rate_limit(Some("1"));
     let pause = Duration::from_millis(5);
     load(&entries, "/many/a", pause, Duration::from_secs(1)).await;
     let begun = Instant::now();
--- a/cowsliproad-direct/tests/entry/news.rs
+++ b/cowsliproad-direct/tests/entry/news.rs
@@ -47,7 +47,7 @@
     let mut plant = Plant::start().await;
     plant.target("i-1", "plain").await;
     let entry = plant.entry().await;
-    plant.log.set(Fault::Refusing);
+    plant.log.set_fault(Fault::Refusing);
     let two = plant.target("i-2", "plain").await;
     plant.catalog = plant.catalog.clone().with_route(
         "/new/",
@@ -56,9 +56,9 @@
         1_000,
     );
     plant.catalog.publish(&plant.log);
-    plant.log.forget(CONFIG_TOPIC);
-    plant.log.forget(TARGETS_TOPIC);
-    plant.log.set(Fault::None);
+    plant.log.drop_history(CONFIG_TOPIC);
+    plant.log.drop_history(TARGETS_TOPIC);
+    plant.log.set_fault(Fault::None);
     until("the new route holds", async || {
         status(&entry, "/new/", KEY).await == StatusCode::OK
     })
@@ -133,12 +133,12 @@
         zone: "a",
         state: "ready",
         sequence: 9,
-        start: None,
+        start_unix_ms: None,
     };
     plant.log.put(
         TARGETS_TOPIC,
         "i-gone",
-        Some(entry_of_old.text().as_bytes()),
+        Some(entry_of_old.to_json().as_bytes()),
     );
     until("the old incarnation is met and found gone", async || {
         status(&entry, "/many/model/a", KEY).await
@@ -152,7 +152,7 @@
 async fn an_entry_starts_while_the_log_is_away() {
     let mut plant = Plant::start().await;
     plant.target("i-1", "plain").await;
-    plant.log.set(Fault::Silent);
+    plant.log.set_fault(Fault::Silent);
     let settings = plant.settings(&[]);
     let entry = Entry::start(settings);
     until("the entry answers", async || entry.ask("/many/a").await.is_ok())
@@ -160,7 +160,7 @@
     let early = status(&entry, "/many/a", KEY).await;
     assert_eq!(early, StatusCode::SERVICE_UNAVAILABLE);
     assert!(!entry.is_ready().await);
-    plant.log.set(Fault::None);
+    plant.log.set_fault(Fault::None);
     entry.until_ready().await;
     assert_eq!(status(&entry, "/many/a", KEY).await, StatusCode::OK);
 }
@@ -216,7 +216,7 @@
         status(&entry, "/new/", KEY).await == StatusCode::OK
     })
     .await;
-    target.set(target::Fault::Silent);
+    target.set_fault(target::Fault::Silent);
     let asked = Instant::now();
     let answer = status(&entry, "/once/a", KEY).await;
     assert_eq!(answer, StatusCode::GATEWAY_TIMEOUT);
--- a/cowsliproad-direct/tests/entry/numbers.rs
+++ b/cowsliproad-direct/tests/entry/numbers.rs
@@ -25,7 +25,7 @@
     let mut plant = Plant::start().await;
     let target = plant.target("i-1", "plain").await;
     let slow =
-        Config::new("i-2", "plain", "a").with_pause(Duration::from_millis(15));
+        Config::new("i-2", "plain", "a").with_delay(Duration::from_millis(15));
     plant.target_with(slow).await;
     let entries = plant.entries(2).await;
     tell(&target, Some(told));
@@ -60,7 +60,8 @@
 async fn a_time_to_keep_connections_that_cant_be_ends_no_request() {
     for told in ["18446744073709551615", "999999999999999", "0", "-1"] {
         let time = Duration::from_millis(200);
-        let sent = sent_after(told, |it, told| it.set_keeps(told), time).await;
+        let sent =
+            sent_after(told, |it, told| it.set_keep_alive(told), time).await;
         assert!(sent >= 50, "{told}: {sent} of 100");
     }
 }
--- a/cowsliproad-direct/tests/entry/processes.rs
+++ b/cowsliproad-direct/tests/entry/processes.rs
@@ -126,9 +126,9 @@
     /// Changes the way of whichever entry is in a place to the log, for a
     /// time.
     pub async fn disturb(&self, place: usize, link: Link, time: Duration) {
-        self.links[place].set(link);
+        self.links[place].set_link(link);
         sleep(time).await;
-        self.links[place].set(Link::Up);
+        self.links[place].set_link(Link::Up);
     }
 
     /// Ends an entry by a signal and starts another one in its place.
--- a/cowsliproad-direct/tests/entry/quarantine.rs
+++ b/cowsliproad-direct/tests/entry/quarantine.rs
@@ -69,7 +69,7 @@
                 Kind::Streams => Config::new(&id, "model", "a")
                     .with_events(20, Duration::from_millis(2)),
             };
-            let config = config.with_deadly(DEADLY);
+            let config = config.with_crashing_body(DEADLY);
             targets.push(plant.target_with(config).await);
         }
         let entries = entries(&mut plant).await;
@@ -180,8 +180,8 @@
     let mut targets = Vec::new();
     for number in 0..7 {
         let config = Config::new(&format!("i-{number}"), "plain", "a")
-            .with_deadly(DEADLY)
-            .with_stubborn(Duration::from_millis(1_500));
+            .with_crashing_body(DEADLY)
+            .with_crash_delay(Duration::from_millis(1_500));
         targets.push(plant.target_with(config).await);
     }
     let entries = entries(&mut plant).await;
@@ -237,7 +237,7 @@
         let id = format!("i-{number}");
         let config = Config::new(&id, "model", "a")
             .with_events(20, Duration::from_millis(100))
-            .with_deadly(DEADLY);
+            .with_crashing_body(DEADLY);
         targets.push(plant.target_with(config).await);
     }
     let entries = entries(&mut plant).await;
@@ -293,8 +293,8 @@
         assert_eq!(status(entry, "/many/a", KEY, "common").await, 200);
         let ran = runs().zip(&before).position(|it| it.0 > *it.1);
         for (number, target) in targets.iter().enumerate() {
-            target.set(match ran == Some(number) && ended() < 3 {
-                true => target::Fault::End,
+            target.set_fault(match ran == Some(number) && ended() < 3 {
+                true => target::Fault::Crash,
                 false => target::Fault::None,
             });
         }
@@ -318,7 +318,7 @@
         until_refused(entry, 1.0).await;
     }
     until("the log knows it", async || {
-        scene.plant.log.records(QUARANTINE_TOPIC) > 1
+        scene.plant.log.record_count(QUARANTINE_TOPIC) > 1
     })
     .await;
     let settings: Vec<_> =
@@ -336,7 +336,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_tell_one_another_while_the_log_is_away() {
     let mut scene = Scene::start(Kind::Calls).await;
-    scene.plant.log.set(Fault::Silent);
+    scene.plant.log.set_fault(Fault::Silent);
     scene.end_three("/once/a").await;
     sleep(BOUND).await;
     scene.is_refused("/once/a").await;
@@ -451,7 +451,7 @@
     }
     let entries = entries(&mut plant).await;
     for target in &far {
-        target.set(target::Fault::End);
+        target.set_fault(target::Fault::Crash);
     }
     for entry in &entries {
         let _ = entry.ask_with("/once/a", KEY, "innocent").await;
@@ -481,7 +481,10 @@
             tell_lost(target, to).await;
         }
     };
-    scene.targets.iter().for_each(|it| it.set(target::Fault::LoseAnswer));
+    scene
+        .targets
+        .iter()
+        .for_each(|it| it.set_fault(target::Fault::LoseAnswer));
     let have_run = || scene.targets.iter().all(|it| !it.runs().is_empty());
     let mut sent = 0;
     while !have_run() {
@@ -521,7 +524,7 @@
     let entry = &scene.entries[0];
     let to = entry.settings.peer_address();
     let slow = target::Fault::Slow(Duration::from_millis(900));
-    scene.targets.iter().for_each(|it| it.set(slow));
+    scene.targets.iter().for_each(|it| it.set_fault(slow));
     let have_run = |body| scene.targets.iter().all(|it| has_run(it, body));
     let on_their_way = async {
         let asked =
@@ -543,7 +546,7 @@
         .await;
         while !have_run("suspect") {
             for target in &scene.targets {
-                target.set(target::Fault::LoseAnswer);
+                target.set_fault(target::Fault::LoseAnswer);
             }
             let _ = entry.ask_with("/once/a", KEY, "suspect").await;
             for target in
@@ -586,12 +589,12 @@
     let mut sent = 0;
     while targets.iter().filter(|it| has_run(it, DEADLY)).count() < 3 {
         assert!(sent < 30, "the work reaches no three targets");
-        targets.iter().for_each(|it| it.set(target::Fault::LoseAnswer));
+        targets.iter().for_each(|it| it.set_fault(target::Fault::LoseAnswer));
         let _ = entry.ask_with("/stream/a", KEY, DEADLY).await;
         sent += 1;
     }
     until_refused(&entry, 1.0).await;
-    targets.iter().for_each(|it| it.set(target::Fault::None));
+    targets.iter().for_each(|it| it.set_fault(target::Fault::None));
     assert_eq!(status(&entry, "/stream/a", KEY, DEADLY).await, 503);
     assert_eq!(status(&entry, "/stream/a", KEY, "other").await, 200);
 }
@@ -628,9 +631,9 @@
             zone: "a",
             state: "ready",
             sequence: 1,
-            start: None,
+            start_unix_ms: None,
         };
-        plant.log.put(TARGETS_TOPIC, id, Some(said.text().as_bytes()));
+        plant.log.put(TARGETS_TOPIC, id, Some(said.to_json().as_bytes()));
         Full { address, _listener: listener, _waiting: waiting }
     }
 }
--- a/cowsliproad-direct/tests/entry/rollback_siege.rs
+++ b/cowsliproad-direct/tests/entry/rollback_siege.rs
@@ -251,7 +251,7 @@
             if self.draw(2) == 0 {
                 self.leave(place).await;
             } else {
-                place.target.borrow().end();
+                place.target.borrow().kill();
                 sleep(self.draw_time(200, 1_000)).await;
             }
             self.restart(number).await;
@@ -267,7 +267,7 @@
         let departure = Departure { target: target.clone(), at };
         self.departures.borrow_mut().push(departure);
         sleep(LEAVING_TIME).await;
-        target.end();
+        target.kill();
     }
 
     /// Another process takes the name of one that ended.
@@ -308,8 +308,8 @@
             match self.draw(6) {
                 0 => {
                     let log = self.plant.borrow().log.clone();
-                    log.forget(CONFIG_TOPIC);
-                    log.forget(TARGETS_TOPIC);
+                    log.drop_history(CONFIG_TOPIC);
+                    log.drop_history(TARGETS_TOPIC);
                 }
                 1 => {
                     let slow = log::Fault::Slow(self.draw_time(20, 400));
@@ -332,8 +332,8 @@
             let place = self.draw(self.processes.count());
             let link = match self.draw(5) {
                 0 => Link::Cut,
-                1 => Link::CutThere,
-                2 => Link::CutBack,
+                1 => Link::CutToServer,
+                2 => Link::CutFromServer,
                 3 => Link::Closed,
                 _ => Link::Slow(self.draw_time(20, 400)),
             };
@@ -344,9 +344,9 @@
 
     async fn disturb(&self, fault: log::Fault) {
         let from = Instant::now();
-        self.plant.borrow().log.set(fault);
+        self.plant.borrow().log.set_fault(fault);
         sleep(self.draw_time(100, 800)).await;
-        self.plant.borrow().log.set(log::Fault::None);
+        self.plant.borrow().log.set_fault(log::Fault::None);
         self.note_disturbance(from, Instant::now());
     }
 
@@ -487,11 +487,11 @@
         let mut unwanted = Vec::new();
         for departure in departures.iter() {
             let deadline = self.deadline(departure);
-            for arrival in departure.target.log() {
+            for arrival in departure.target.arrival_log() {
                 let Some(process) = asked.get(&arrival.request) else {
                     continue;
                 };
-                let at = arrival.at;
+                let at = arrival.arrived_at;
                 let started = self.processes.life(*process).from;
                 let late = at > deadline.max(started + BOUND)
                     && !self.processes.stood_still(*process, departure.at, at);
@@ -516,8 +516,8 @@
 
 fn config(number: usize, start: u64) -> Config {
     Config::new(&format!("i-{number}"), "plain", "a")
-        .with_pause(Duration::from_millis(5))
-        .with_start(start)
+        .with_delay(Duration::from_millis(5))
+        .with_start_time(start)
 }
 
 async fn play(seed: u64) {
--- a/cowsliproad-direct/tests/entry/rollbacks.rs
+++ b/cowsliproad-direct/tests/entry/rollbacks.rs
@@ -292,13 +292,14 @@
 async fn what_all_others_know_already_is_news_to_one_that_stood_still() {
     let mut plant = Plant::start().await;
     plant.log.set_era(Some(1));
-    let config = |start| Config::new("i-1", "plain", "a").with_start(start);
+    let config =
+        |start| Config::new("i-1", "plain", "a").with_start_time(start);
     let mut target = plant.target_with(config(1)).await;
     let entries = plant.entries(7).await;
     for start in 2..5 {
         let copy = Instant::now();
         entries[0].signal(Signal::STOP);
-        target.end();
+        target.kill();
         target = plant.target_with(config(start)).await;
         for entry in &entries[1..] {
             until_used(entry, &target).await;
@@ -349,12 +350,12 @@
     let copy = Instant::now();
     let lives = plant.target("i-2", "plain").await;
     until_used(&first, &lives).await;
-    plant.log.set(Fault::Refusing);
+    plant.log.set_fault(Fault::Refusing);
     let (second, second_lines) = Lines::of(&mut plant, &[&first]);
     second.until_ready().await;
     until_used(&second, &lives).await;
     plant.log.roll_back(copy);
-    plant.log.set(Fault::None);
+    plant.log.set_fault(Fault::None);
     sleep(RETURN_TIME).await;
     renew(&plant, &lives, 1);
     sleep(BOUND).await;
@@ -400,7 +401,7 @@
     let mut targets: Vec<Arc<Target>> = Vec::new();
     for number in 0..6 {
         let id = format!("i-{number}");
-        let config = Config::new(&id, "plain", "a").with_deadly(DEADLY);
+        let config = Config::new(&id, "plain", "a").with_crashing_body(DEADLY);
         targets.push(plant.target_with(config).await);
     }
     let entries = plant.entries(3).await;
@@ -413,22 +414,22 @@
         sent += 1;
     }
     until("the log keeps it", async || {
-        plant.log.records(QUARANTINE_TOPIC) > 0
+        plant.log.record_count(QUARANTINE_TOPIC) > 0
     })
     .await;
     sleep(BOUND).await;
     plant.log.roll_back(copy);
-    assert_eq!(plant.log.records(QUARANTINE_TOPIC), 0);
+    assert_eq!(plant.log.record_count(QUARANTINE_TOPIC), 0);
     // Those that still live renew theirs, which makes the rollback known.
     let living = targets.iter().filter(|it| !it.has_ended());
     living.for_each(|it| renew(&plant, it, 1));
     until("the log keeps it again", async || {
-        plant.log.records(QUARANTINE_TOPIC) > 0
+        plant.log.record_count(QUARANTINE_TOPIC) > 0
     })
     .await;
     // Whoever else has it would have written it by then.
     sleep(BOUND * 2).await;
-    assert_eq!(plant.log.records(QUARANTINE_TOPIC), 1);
+    assert_eq!(plant.log.record_count(QUARANTINE_TOPIC), 1);
     // One that the others don't reach knows it, too.
     let alone = plant.entry().await;
     until("the work is refused", async || {
@@ -458,8 +459,8 @@
         sleep(Duration::from_millis(100 + 400 * round)).await;
         plant.log.roll_back(copy);
         if round == 2 {
-            plant.log.forget(CONFIG_TOPIC);
-            plant.log.forget(TARGETS_TOPIC);
+            plant.log.drop_history(CONFIG_TOPIC);
+            plant.log.drop_history(TARGETS_TOPIC);
         }
         let back = Instant::now();
         renew(&plant, &one, 7);
--- a/cowsliproad-direct/tests/entry/siege.rs
+++ b/cowsliproad-direct/tests/entry/siege.rs
@@ -236,23 +236,23 @@
                 1 => self.kill_entry(),
                 2 => {
                     let place = &self.places[self.draw(TARGETS)];
-                    place.target.borrow().end();
+                    place.target.borrow().kill();
                 }
-                3 => self.plant.log.set(log::Fault::Refusing),
+                3 => self.plant.log.set_fault(log::Fault::Refusing),
                 5 => self.mistake().await,
                 6 => {
                     let first = self.draw(TARGETS);
                     let killed = self.places.iter().cycle().skip(first);
                     for place in killed.take(KILLED) {
-                        place.target.borrow().end();
+                        place.target.borrow().kill();
                     }
                 }
-                _ => self.plant.log.set(log::Fault::None),
+                _ => self.plant.log.set_fault(log::Fault::None),
             }
             let pause = 200 + self.draw(500) as u64;
             sleep(Duration::from_millis(pause)).await;
         }
-        self.plant.log.set(log::Fault::None);
+        self.plant.log.set_fault(log::Fault::None);
     }
 
     /// A target loses an answer, and entries are told that its process is
@@ -260,7 +260,7 @@
     async fn mistake(&self) {
         let place = &self.places[self.draw(TARGETS)];
         let target = place.target.borrow().clone();
-        target.set(target::Fault::LoseAnswer);
+        target.set_fault(target::Fault::LoseAnswer);
         sleep(Duration::from_millis(50)).await;
         let Some(target) = target.address() else { return };
         for entry in &self.entries {
@@ -318,11 +318,11 @@
 
 fn config(shape: Shape, number: usize, start: usize) -> Config {
     let config = Config::new(&format!("i-{number}-{start}"), "plain", "a")
-        .with_pause(Duration::from_millis(15))
-        .with_deadly(DEADLY);
+        .with_delay(Duration::from_millis(15))
+        .with_crashing_body(DEADLY);
     match shape {
         Shape::Patient => config,
-        Shape::Impatient => config.with_stubborn(STUBBORN),
+        Shape::Impatient => config.with_crash_delay(STUBBORN),
     }
 }
 
--- a/cowsliproad-direct/tests/entry/slowness.rs
+++ b/cowsliproad-direct/tests/entry/slowness.rs
@@ -24,7 +24,7 @@
 async fn slow_once(plant: &mut Plant) -> (Entry, Arc<Target>) {
     plant.target("i-1", "plain").await;
     let slow = plant.target("i-2", "plain").await;
-    slow.set(Fault::Slow(SLOW));
+    slow.set_fault(Fault::Slow(SLOW));
     let entry = plant.entry().await;
     until("the slow target is used", async || {
         call(&entry).await;
@@ -45,7 +45,7 @@
 async fn a_target_that_was_slow_once_is_used_again() {
     let mut plant = Plant::start().await;
     let (entry, slow) = slow_once(&mut plant).await;
-    slow.set(Fault::None);
+    slow.set_fault(Fault::None);
     let (begun, before) = (Instant::now(), slow.arrivals());
     // It has to get a fair part again, not only a request to measure it.
     while slow.arrivals() < before + 20 {
--- a/cowsliproad-direct/tests/entry/streams.rs
+++ b/cowsliproad-direct/tests/entry/streams.rs
@@ -38,12 +38,12 @@
     let one = plant.target_with(engine("i-1", 2)).await;
     let two = plant.target_with(engine("i-2", 2)).await;
     let entry = plant.entry().await;
-    one.set(Fault::Cut);
+    one.set_fault(Fault::Cut);
     // Which target a stream begins at is left to chance.
     until("a stream was cut and went on elsewhere", async || {
         let answer = entry.ask("/stream/a").await.expect("an answer");
         assert_eq!(numbers(answer.body()), (1..=20).collect::<Vec<_>>());
-        two.runs().iter().any(|it| it.after == Some(2))
+        two.runs().iter().any(|it| it.resume_after == Some(2))
     })
     .await;
 }
@@ -54,8 +54,8 @@
     let one = plant.target_with(engine("i-1", 2)).await;
     let two = plant.target_with(engine("i-2", 2)).await;
     let entry = plant.entry().await;
-    one.set(Fault::Cut);
-    two.set(Fault::Cut);
+    one.set_fault(Fault::Cut);
+    two.set_fault(Fault::Cut);
     let answer = entry.ask("/stream/a").await;
     assert!(answer.is_err(), "{answer:?}");
 }
@@ -82,11 +82,11 @@
     let mut answer = client.send(request).await.expect("an answer");
     let first = answer.body_mut().frame().await;
     assert!(first.is_some_and(|it| it.is_ok()));
-    assert_eq!(target.working(), 1);
+    assert_eq!(target.in_flight_streams(), 1);
     drop(answer);
     drop(client);
     let left = std::time::Instant::now();
-    until("the target stops", async || target.working() == 0).await;
+    until("the target stops", async || target.in_flight_streams() == 0).await;
     assert!(left.elapsed() < Duration::from_millis(600), "{left:?}");
 }
 
@@ -148,11 +148,11 @@
     let two = plant.target_with(engine("i-2", 20)).await;
     let entry = plant.entry().await;
     Agents::start(&entry, &[&one, &two]).await;
-    one.set(Fault::Silent);
+    one.set_fault(Fault::Silent);
     until("a stream fell silent and went on elsewhere", async || {
         let answer = entry.ask("/stream/a").await.expect("a whole stream");
         assert_eq!(numbers(answer.body()), (1..=20).collect::<Vec<_>>());
-        two.runs().iter().any(|it| it.after == Some(3))
+        two.runs().iter().any(|it| it.resume_after == Some(3))
     })
     .await;
 }
@@ -170,13 +170,14 @@
     let first = answer.body_mut().frame().await;
     assert!(first.is_some_and(|it| it.is_ok()));
     let (slow, well) =
-        if one.working() > 0 { (&one, &two) } else { (&two, &one) };
+        if one.in_flight_streams() > 0 { (&one, &two) } else { (&two, &one) };
     agents.change(|loads| {
         let slow = slow.address();
         let load = loads.iter_mut().find(|it| Some(it.target) == slow);
         load.expect("it is listed").pace = 1_200;
     });
-    until("the slow rank is left", async || slow.working() == 0).await;
+    until("the slow rank is left", async || slow.in_flight_streams() == 0)
+        .await;
     let body = answer.into_body().collect().await.expect("a whole stream");
     let ids = numbers(&body.to_bytes());
     assert_eq!(ids.last(), Some(&20));
@@ -249,8 +250,8 @@
     })
     .await;
     // The agents have not noticed yet.
-    one.set(Fault::Broken);
-    two.set(Fault::Broken);
+    one.set_fault(Fault::GroupBroken);
+    two.set_fault(Fault::GroupBroken);
     let before = one.arrivals() + two.arrivals();
     let waiting = tokio::spawn({
         let request = entry.request("/stream/a", KEY, "");
@@ -264,8 +265,8 @@
     // A second rank would have been asked long before.
     sleep(Duration::from_millis(300)).await;
     assert_eq!(one.arrivals() + two.arrivals(), before + 1);
-    one.set(Fault::None);
-    two.set(Fault::None);
+    one.set_fault(Fault::None);
+    two.set_fault(Fault::None);
     agents.change(|loads| loads.iter_mut().for_each(|it| it.epoch = 2));
     let answer = waiting.await.expect("no panic").expect("an answer");
     assert_eq!(numbers(answer.body()), (1..=20).collect::<Vec<_>>());
--- a/cowsliproad-rank/tests/group/main.rs
+++ b/cowsliproad-rank/tests/group/main.rs
@@ -62,7 +62,7 @@
     /// The same, once the map follows a first demand.
     async fn balanced() -> Plant {
         let plant = Plant::start().await;
-        plant.group.like_from(0);
+        plant.group.concentrate_demand(0);
         plant.until_balanced().await;
         plant
     }
@@ -159,7 +159,7 @@
     async fn until_balanced(&self) {
         let group = &self.group;
         until("the map follows the demand", || group.skew() < 1.35).await;
-        assert_eq!(group.tally().mixed, 0, "{:?}", group.tally());
+        assert_eq!(group.tally().mixed_passes, 0, "{:?}", group.tally());
     }
 
     fn signal(&self, agent: usize, signal: Signal) {
@@ -221,12 +221,12 @@
 async fn the_map_follows_a_demand_that_shifts() {
     let plant = Plant::start().await;
     for first in [0, 5, 11] {
-        plant.group.like_from(first);
+        plant.group.concentrate_demand(first);
         plant.until_balanced().await;
     }
-    assert!(plant.group.tally().changes >= 3);
+    assert!(plant.group.tally().map_changes >= 3);
     assert_eq!(
-        plant.log.records(COORDINATORS_TOPIC),
+        plant.log.record_count(COORDINATORS_TOPIC),
         1,
         "one led all the time"
     );
@@ -235,9 +235,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_and_late_orders_mix_no_maps() {
     let plant = Plant::start().await;
-    plant.group.lose_every(3);
+    plant.group.lose_every_nth_order(3);
     for first in [0, 7] {
-        plant.group.like_from(first);
+        plant.group.concentrate_demand(first);
         plant.until_balanced().await;
     }
 }
@@ -247,7 +247,7 @@
     let mut plant = Plant::balanced().await;
     for round in 0..2 {
         // The first to lead is rank 0; it is killed as a change is due.
-        plant.group.like_from(5 + 3 * round);
+        plant.group.concentrate_demand(5 + 3 * round);
         plant.signal(round, Signal::KILL);
         plant.agents[round].restart();
         plant.until_balanced().await;
@@ -257,22 +257,25 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_coordinator_holds_nobody_up_and_stops_when_it_wakes() {
     let plant = Plant::balanced().await;
-    plant.group.like_from(8);
+    plant.group.concentrate_demand(8);
     plant.signal(0, Signal::STOP);
-    plant.group.freeze(0, Frozen::Yes);
-    let steps = plant.group.tally().steps;
-    until("the group goes on", || plant.group.tally().steps > steps + 100)
+    plant.group.set_frozen(0, Frozen::Yes);
+    let steps = plant.group.tally().passes;
+    until("the group goes on", || plant.group.tally().passes > steps + 100)
         .await;
-    plant.group.freeze(0, Frozen::No);
+    plant.group.set_frozen(0, Frozen::No);
     plant.signal(0, Signal::CONT);
     plant.until_balanced().await;
-    assert!(plant.log.records(COORDINATORS_TOPIC) >= 2, "another took over");
+    assert!(
+        plant.log.record_count(COORDINATORS_TOPIC) >= 2,
+        "another took over"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_group_that_forms_anew_is_balanced_again() {
     let plant = Plant::balanced().await;
-    plant.group.form();
+    plant.group.form_again();
     assert!(plant.group.skew() > 1.35);
     plant.until_balanced().await;
 }
@@ -280,7 +283,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn without_the_log_nobody_leads_and_load_is_reported() {
     let plant = Plant::start().await;
-    plant.log.set(log::Fault::Refusing);
+    plant.log.set_fault(log::Fault::Refusing);
     until("every agent reports", || {
         let loads = plant.loads.lock().expect("no panic");
         let mut targets: Vec<SocketAddr> =
@@ -290,8 +293,8 @@
         targets.len() == usize::from(RANKS)
     })
     .await;
-    plant.log.set(log::Fault::None);
-    plant.group.like_from(0);
+    plant.log.set_fault(log::Fault::None);
+    plant.group.concentrate_demand(0);
     plant.until_balanced().await;
 }
 
@@ -301,9 +304,10 @@
 async fn graceful_restarts_hold_no_group() {
     let mut plant = Plant::balanced().await;
     for agent in 0..usize::from(RANKS) {
-        plant.group.like_from(3 * agent + 1);
+        plant.group.concentrate_demand(3 * agent + 1);
         // Some passes later a change is most likely under way.
-        let turns = || plant.group.tally().steps + plant.group.tally().held;
+        let turns =
+            || plant.group.tally().passes + plant.group.tally().held_turns;
         let begun = turns();
         until("the group goes on", || turns() > begun + 20).await;
         plant.signal(agent, Signal::TERM);
@@ -319,7 +323,7 @@
     let ended = plant.agents[0].child.wait().expect("it ends");
     let stopped = Instant::now();
     assert!(ended.success());
-    until("another leads", || plant.log.records(COORDINATORS_TOPIC) == 2)
+    until("another leads", || plant.log.record_count(COORDINATORS_TOPIC) == 2)
         .await;
     // Unannounced it would be missed after 1.7 s, by rank 1.
     assert!(stopped.elapsed() < Duration::from_millis(1_300), "{stopped:?}");
@@ -335,24 +339,24 @@
         plant.signal(agent, Signal::KILL);
         plant.agents[agent].restart();
     }
-    let steps = plant.group.tally().steps;
-    until("the group goes on", || plant.group.tally().steps > steps + 40)
+    let steps = plant.group.tally().passes;
+    until("the group goes on", || plant.group.tally().passes > steps + 40)
         .await;
     for first in [8, 13, 3, 10, 5] {
-        plant.group.like_from(first);
-        let held = plant.group.tally().held;
+        plant.group.concentrate_demand(first);
+        let held = plant.group.tally().held_turns;
         until("a change is made or the group is held", || {
-            plant.group.skew() < 1.35 || plant.group.tally().held > held
+            plant.group.skew() < 1.35 || plant.group.tally().held_turns > held
         })
         .await;
     }
-    plant.group.like_from(0);
+    plant.group.concentrate_demand(0);
     plant.signal(0, Signal::STOP);
-    plant.group.freeze(0, Frozen::Yes);
-    let steps = plant.group.tally().steps;
-    until("the group goes on", || plant.group.tally().steps > steps + 100)
+    plant.group.set_frozen(0, Frozen::Yes);
+    let steps = plant.group.tally().passes;
+    until("the group goes on", || plant.group.tally().passes > steps + 100)
         .await;
-    plant.group.freeze(0, Frozen::No);
+    plant.group.set_frozen(0, Frozen::No);
     plant.signal(0, Signal::CONT);
     plant.until_balanced().await;
 }
@@ -362,18 +366,21 @@
 async fn groups_of_one_service_keep_to_their_own_maps() {
     let (one, mut engines) = Plant::prepare().await;
     let (other, more) = Plant::prepare().await;
-    one.group.rename("one");
-    other.group.rename("other");
+    one.group.set_name("one");
+    other.group.set_name("other");
     engines.extend(more);
     one.ask(engines.clone()).await;
     other.ask(engines).await;
     for first in [0, 5, 11] {
-        one.group.like_from(first);
-        other.group.like_from(first + 2);
+        one.group.concentrate_demand(first);
+        other.group.concentrate_demand(first + 2);
         one.until_balanced().await;
         other.until_balanced().await;
     }
-    assert_eq!(one.group.tally().mixed + other.group.tally().mixed, 0);
+    assert_eq!(
+        one.group.tally().mixed_passes + other.group.tally().mixed_passes,
+        0
+    );
 }
 
 /// An agent stands on its engine's own VM and knows best that its process is
@@ -390,8 +397,8 @@
         engines.iter().all(|it| reports_of(*it) > 0)
     })
     .await;
-    plant.group.freeze(3, Frozen::Yes);
-    plant.group.end(2);
+    plant.group.set_frozen(3, Frozen::Yes);
+    plant.group.kill(2);
     let losts = || plant.losts.lock().expect("no panic").clone();
     until("it is said, and said again", || losts().len() > 2).await;
     assert!(losts().iter().all(|it| it.target == engines[2]));
@@ -408,20 +415,20 @@
     let plant = Plant::balanced().await;
     for rank in 0..usize::from(RANKS) {
         let before = plant.group.calls(rank);
-        plant.group.reject(rank, Some("2.5"));
+        plant.group.set_retry_after(rank, Some("2.5"));
         // The group has a change of the map to see to.
-        plant.group.like_from(4 * (rank + 1) % EXPERTS);
+        plant.group.concentrate_demand(4 * (rank + 1) % EXPERTS);
         sleep(Duration::from_millis(2_000)).await;
         let calls = plant.group.calls(rank) - before;
         // Each agent may be turned away once. One call was under way.
         let most = u64::from(RANKS) + 1;
         assert!((1..=most).contains(&calls), "rank {rank}: {calls} calls");
-        plant.group.reject(rank, None);
+        plant.group.set_retry_after(rank, None);
         let before = plant.group.calls(rank);
         until("it is called again", || plant.group.calls(rank) > before + 10)
             .await;
     }
-    assert_eq!(plant.group.tally().mixed, 0);
+    assert_eq!(plant.group.tally().mixed_passes, 0);
 }
 
 /// Guards against a cooldown that outlives the process that asked for it.
@@ -438,13 +445,13 @@
         engines.iter().all(|it| loads.iter().any(|load| load.target == *it))
     })
     .await;
-    plant.group.reject(2, Some("1000000000"));
+    plant.group.set_retry_after(2, Some("1000000000"));
     let before = plant.group.calls(2);
     until("it is turned away", || plant.group.calls(2) > before).await;
     sleep(Duration::from_millis(200)).await;
     assert!(!lost());
-    plant.group.end(2);
-    plant.group.reject(2, None);
+    plant.group.kill(2);
+    plant.group.set_retry_after(2, None);
     until("its end is told", lost).await;
     let before = plant.group.calls(2);
     plant.group.restart(2, engines[2]).await;
@@ -456,7 +463,7 @@
 async fn an_agent_says_that_its_engine_is_leaving() {
     let (plant, engines) = Plant::prepare().await;
     plant.ask(engines.clone()).await;
-    plant.group.leave(1);
+    plant.group.set_leaving(1);
     let leaving = |engine: SocketAddr| {
         let loads = plant.loads.lock().expect("no panic");
         loads.iter().any(|it| it.target == engine && it.leaving)
@@ -475,9 +482,9 @@
     plant.ask(engines).await;
     let mut last = 0;
     for round in 0..3 {
-        plant.group.like_from(3 * round);
+        plant.group.concentrate_demand(3 * round);
         plant.until_balanced().await;
-        let fence = plant.group.fence();
+        let fence = plant.group.max_fencing_token();
         assert!(fence > last, "{fence} after {last}");
         last = fence;
         plant.log.roll_back(before_all);
--- a/cowsliproad-rank/tests/group/siege.rs
+++ b/cowsliproad-rank/tests/group/siege.rs
@@ -55,7 +55,7 @@
             }
             _ => {
                 let first = self.random.random_range(0..EXPERTS);
-                self.plant.group.like_from(first);
+                self.plant.group.concentrate_demand(first);
             }
         }
     }
@@ -96,7 +96,7 @@
         sleep(pause).await;
     }
     let plant = &siege.plant;
-    plant.group.like_from(3);
+    plant.group.concentrate_demand(3);
     println!("seed {seed}: lines in {:?}", output(&plant.agents[0].file));
     plant.until_balanced().await;
     let (numbers, tally) = (siege.numbers(), plant.group.tally());
@@ -107,7 +107,7 @@
     assert!(!numbers.is_empty());
     let twice = numbers.windows(2).find(|it| it[0] == it[1]);
     assert_eq!(twice, None, "seed {seed}: {numbers:?}");
-    assert_eq!(tally.mixed, 0, "seed {seed}: {tally:?}");
+    assert_eq!(tally.mixed_passes, 0, "seed {seed}: {tally:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
