--- a/cowsliproad-admission/src/limit.rs
+++ b/cowsliproad-admission/src/limit.rs
@@ -44,13 +44,13 @@
 
 impl Rate {
     /// A rate, unless it is no number or less than nothing.
-    pub fn new(a_second: f64) -> Option<Rate> {
-        let sound = a_second.is_finite() && a_second >= 0.0;
-        sound.then_some(Rate(a_second))
+    pub fn new(per_second: f64) -> Option<Rate> {
+        let sound = per_second.is_finite() && per_second >= 0.0;
+        sound.then_some(Rate(per_second))
     }
 
     /// Reads a decimal number: digits, and maybe a point and more of them.
-    pub fn read(text: &[u8]) -> Option<Rate> {
+    pub fn parse(text: &[u8]) -> Option<Rate> {
         let text = std::str::from_utf8(text).ok()?.trim();
         let (whole, part) = text.split_once('.').unwrap_or((text, "0"));
         let digits = |it: &str| {
@@ -63,25 +63,25 @@
     }
 
     /// Requests a second.
-    pub fn a_second(self) -> f64 {
+    pub fn per_second(self) -> f64 {
         self.0
     }
 
     /// The time from one request to the next in microseconds.
-    pub fn gap_us(self) -> u32 {
-        (self.interval(1.0) * 1_000.0) as u32
+    pub fn interval_us(self) -> u32 {
+        (self.interval_ms(1.0) * 1_000.0) as u32
     }
 
     /// The time from one request to the next in milliseconds, for whoever
     /// keeps a share of the rate.
-    fn interval(self, share: f64) -> f64 {
+    fn interval_ms(self, share: f64) -> f64 {
         1_000.0 / (self.0.max(MIN_RATE) * share)
     }
 }
 
 /// What was last said of a target's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Report {
+pub struct LimitReport {
     /// The limit; `None` once the target names none any more.
     pub rate: Option<Rate>,
     /// For how long this has counted.
@@ -108,7 +108,7 @@
 
 /// What a piece of news changed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Change {
+pub enum LimitChange {
     /// Nothing.
     None,
     /// The limit is new or lower.
@@ -119,11 +119,11 @@
 
 /// What an answer brought.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Update {
+pub struct LimitUpdate {
     /// What it changed.
-    pub change: Change,
+    pub change: LimitChange,
     /// Whether the target names what is no number, and didn't before.
-    pub unreadable: bool,
+    pub newly_invalid: bool,
 }
 
 impl CurrentLimit {
@@ -134,67 +134,71 @@
 
     /// What was last said, for others. A target that never named a limit has
     /// no word.
-    pub fn report(&self, now: Millis) -> Option<Report> {
+    pub fn report(&self, now: Millis) -> Option<LimitReport> {
         let Held { rate, since } = self.word?;
         let age = Millis((now.0 as i64 - since).max(0) as u64);
-        Some(Report { rate, age })
+        Some(LimitReport { rate, age })
     }
 
     /// When the limit last became another one.
-    pub fn changed(&self) -> Millis {
+    pub fn changed_at(&self) -> Millis {
         self.changed
     }
 
     /// Takes in an answer to a request that was sent at `sent`, as it came.
     /// What is no number names no limit.
-    pub fn read(
+    pub fn observe_header(
         &mut self,
         named: Option<&[u8]>,
         sent: Millis,
         now: Millis,
-    ) -> Update {
-        let rate = named.and_then(Rate::read);
+    ) -> LimitUpdate {
+        let rate = named.and_then(Rate::parse);
         let unreadable = named.is_some() && rate.is_none();
         let before = std::mem::replace(&mut self.unreadable, unreadable);
-        let change = self.answered(rate, sent, now);
-        Update { change, unreadable: unreadable && !before }
+        let change = self.observe_response(rate, sent, now);
+        LimitUpdate { change, newly_invalid: unreadable && !before }
     }
 
     /// Takes in an answer to a request that was sent at `sent`.
-    pub fn answered(
+    pub fn observe_response(
         &mut self,
         rate: Option<Rate>,
         sent: Millis,
         now: Millis,
-    ) -> Change {
+    ) -> LimitChange {
         let loosens = loosens(self.rate(), rate);
         let age = if loosens { now.since(sent) } else { Millis(0) };
-        self.hear(Report { rate, age }, now)
+        self.merge_report(LimitReport { rate, age }, now)
     }
 
     /// Takes in what another entry was told.
-    pub fn hear(&mut self, word: Report, now: Millis) -> Change {
-        let Report { rate, age } = word;
+    pub fn merge_report(
+        &mut self,
+        word: LimitReport,
+        now: Millis,
+    ) -> LimitChange {
+        let LimitReport { rate, age } = word;
         let since = now.0 as i64 - age.0.min(i64::MAX as u64 / 2) as i64;
         let Some(known) = self.word else {
             if rate.is_none() {
-                return Change::None;
+                return LimitChange::None;
             }
             self.word = Some(Held { rate, since });
             self.changed = now;
-            return Change::Tightened;
+            return LimitChange::Tightened;
         };
         if since <= known.since {
-            return Change::None;
+            return LimitChange::None;
         }
         self.word = Some(Held { rate, since });
         if known.rate == rate {
-            return Change::None;
+            return LimitChange::None;
         }
         self.changed = now;
         match loosens(known.rate, rate) {
-            true => Change::Loosened,
-            false => Change::Tightened,
+            true => LimitChange::Loosened,
+            false => LimitChange::Tightened,
         }
     }
 }
@@ -210,7 +214,7 @@
 
 /// What whoever asks for a permit is told.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum PermitDecision {
     /// A request may be sent after this time.
     Permit(Millis),
     /// None is free before this time is over.
@@ -232,7 +236,7 @@
     /// from the target: of one that takes few, a new limiter that waited for a
     /// whole interval would never give a permit where limiters change often.
     pub fn new(rate: Rate, idle: Millis, now: Millis) -> Limiter {
-        let interval = rate.interval(1.0);
+        let interval = rate.interval_ms(1.0);
         let least = interval.min(NEWS_MS);
         let wait = (interval - idle.0 as f64).clamp(least, interval);
         let next = now.0 as f64 + wait;
@@ -242,25 +246,25 @@
     /// Whether nobody has asked here for so long that others may have kept the
     /// pace meanwhile. Where few requests are taken, few are asked for.
     pub fn is_stale(&self, share: f64, now: Millis) -> bool {
-        let asks = ASKED_INTERVALS * self.rate.interval(share);
+        let asks = ASKED_INTERVALS * self.rate.interval_ms(share);
         now.since(self.asked) > RESUMPTION_TIMEOUT + Millis(asks as u64)
     }
 
     /// How long no permit is free.
-    pub fn full_for(&self, now: Millis) -> Millis {
+    pub fn permit_wait(&self, now: Millis) -> Millis {
         Millis((self.next - now.0 as f64).max(0.0).ceil() as u64)
     }
 
     /// Asks for a permit that is free within `patience`. `share` is the part
     /// of the limit that may be given out here, over 0 to 1.
-    pub fn ask(
+    pub fn acquire(
         &mut self,
         rate: Rate,
         share: f64,
         patience: Millis,
         now: Millis,
-    ) -> Verdict {
-        let interval = rate.interval(share);
+    ) -> PermitDecision {
+        let interval = rate.interval_ms(share);
         let now_ms = now.0 as f64;
         // Permits that were promised under another limit don't bind this one.
         if rate > self.rate {
@@ -270,12 +274,12 @@
         }
         self.rate = rate;
         self.asked = now;
-        let wait = self.full_for(now);
+        let wait = self.permit_wait(now);
         if wait > patience {
-            return Verdict::Later(wait);
+            return PermitDecision::Later(wait);
         }
         self.next = self.next.max(now_ms - LATENESS_MS) + interval;
-        Verdict::Permit(wait)
+        PermitDecision::Permit(wait)
     }
 }
 
@@ -285,14 +289,14 @@
     /// The limit that it was given under.
     pub rate: Rate,
     /// When it may be used.
-    pub from: Millis,
+    pub valid_from: Millis,
     /// When it lapses.
-    pub until: Millis,
+    pub valid_until: Millis,
 }
 
 impl Permit {
     /// Whether a request may still be sent for it under the limit in force.
-    pub fn holds(&self, rate: Rate, now: Millis) -> bool {
-        self.from <= now && now <= self.until && self.rate <= rate
+    pub fn is_valid(&self, rate: Rate, now: Millis) -> bool {
+        self.valid_from <= now && now <= self.valid_until && self.rate <= rate
     }
 }
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -361,7 +361,7 @@
         let (slots, service_us) =
             (self.settings.slots, inner.service_us as u32);
         let (rate, next) = self.pace.limit(Millis::now());
-        let gap_us = rate.map_or(0, Rate::gap_us);
+        let gap_us = rate.map_or(0, Rate::interval_us);
         let next_us = u32::try_from(next.0.saturating_mul(1_000));
         let next_us = next_us.unwrap_or(u32::MAX);
         Pace { slots, service_us, gap_us, next_us }
--- a/cowsliproad-agent/src/pace.rs
+++ b/cowsliproad-agent/src/pace.rs
@@ -11,7 +11,7 @@
 };
 
 use cowsliproad_admission::limit::{
-    Change, CurrentLimit, Limiter, Rate, Verdict,
+    CurrentLimit, LimitChange, Limiter, PermitDecision, Rate,
 };
 use cowsliproad_kernel::{clock::Millis, sync::lock};
 use cowsliproad_net::retry_after::{self, RetryAfter};
@@ -74,15 +74,15 @@
         let named = headers.get(&HEADER);
         let mut inner = self.lock();
         let bytes = named.map(HeaderValue::as_bytes);
-        let news = inner.known.read(bytes, sent, Millis::now());
+        let news = inner.known.observe_header(bytes, sent, Millis::now());
         let (change, rate) = (news.change, inner.known.rate());
-        inner.tightened |= change == Change::Tightened;
+        inner.tightened |= change == LimitChange::Tightened;
         drop(inner);
-        if news.unreadable {
+        if news.newly_invalid {
             warn!(self.log, "limit_refused"; "limit" => ?named);
         }
-        if change != Change::None {
-            info!(self.log, "limit"; "a_second" => rate.map(Rate::a_second),
+        if change != LimitChange::None {
+            info!(self.log, "limit"; "a_second" => rate.map(Rate::per_second),
                 "change" => ?change);
             self.changed.notify_waiters();
         }
@@ -151,7 +151,7 @@
         let mut inner = self.lock();
         let wait = inner.cooldown.left(now);
         let Some(rate) = inner.known.rate() else { return (None, wait) };
-        let full_for = inner.limiter(rate, now).full_for(now);
+        let full_for = inner.limiter(rate, now).permit_wait(now);
         (Some(rate), wait.max(full_for))
     }
 
@@ -167,9 +167,9 @@
             inner.limiter = None;
             return Ok(());
         };
-        match inner.limiter(rate, now).ask(rate, 1.0, Millis(0), now) {
-            Verdict::Permit(_) => Ok(()),
-            Verdict::Later(after) => Err(after),
+        match inner.limiter(rate, now).acquire(rate, 1.0, Millis(0), now) {
+            PermitDecision::Permit(_) => Ok(()),
+            PermitDecision::Later(after) => Err(after),
         }
     }
 
--- a/cowsliproad-bench/src/experiment/limits.rs
+++ b/cowsliproad-bench/src/experiment/limits.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use cowsliproad_admission::limit::{
-    self, CurrentLimit, Rate, Report, Verdict,
+    self, CurrentLimit, LimitReport, PermitDecision, Rate,
 };
 use cowsliproad_kernel::{
     Name,
@@ -260,7 +260,7 @@
         let others = known.chain((0..3).filter(|it| *it != entry));
         let told = others.choose_multiple(&mut self.random, MAX_TOLD);
         let word = self.entries[entry].limit.report(Millis(now));
-        let changed = self.entries[entry].limit.changed();
+        let changed = self.entries[entry].limit.changed_at();
         let is_news = Millis(now).since(changed) < Millis(NEWS_MS);
         let is_due = (now / TELL_MS).is_multiple_of(LIMITS_EVERY);
         let word = word.filter(|_| self.policy != Policy::Unread);
@@ -298,9 +298,9 @@
         }
     }
 
-    fn hear(&mut self, entry: usize, word: Report) {
+    fn hear(&mut self, entry: usize, word: LimitReport) {
         let now = Millis(self.now);
-        self.entries[entry].limit.hear(word, now);
+        self.entries[entry].limit.merge_report(word, now);
         self.news(entry);
     }
 
@@ -319,7 +319,7 @@
             return;
         }
         let now = Millis(self.now);
-        self.entries[entry].limit.answered(rate, Millis(sent), now);
+        self.entries[entry].limit.observe_response(rate, Millis(sent), now);
         self.news(entry);
     }
 
@@ -341,8 +341,8 @@
                     return;
                 }
                 match self.decide(entry, RELAYS) {
-                    Verdict::Permit(_) => true,
-                    Verdict::Later(after) => {
+                    PermitDecision::Permit(_) => true,
+                    PermitDecision::Later(after) => {
                         self.entries[entry].full_until = (now + after).0;
                         false
                     }
@@ -361,10 +361,11 @@
         let now = Millis(self.now);
         let new = limit::Limiter::new(rate, Millis(0), now);
         let pace = self.entries[entry].pace.get_or_insert(new);
-        pace.ask(rate, share, Millis(0), now) == Verdict::Permit(Millis(0))
+        pace.acquire(rate, share, Millis(0), now)
+            == PermitDecision::Permit(Millis(0))
     }
 
-    fn decide(&mut self, entry: usize, relays: u8) -> Verdict {
+    fn decide(&mut self, entry: usize, relays: u8) -> PermitDecision {
         for asked in 0..MAX_ASKED {
             let other = match self.owner(entry) {
                 Owner::Other(_) if asked > 0 && relays < RELAYS => break,
@@ -389,7 +390,7 @@
                 known.1 = until;
             }
         }
-        Verdict::Later(Millis(AGAIN_MS))
+        PermitDecision::Later(Millis(AGAIN_MS))
     }
 
     fn owner(&self, entry: usize) -> Owner<usize> {
@@ -409,23 +410,24 @@
         owner::owner(&self.target, member(entry, Presence::Heard), others)
     }
 
-    fn give(&mut self, entry: usize, substitute: bool) -> Verdict {
+    fn give(&mut self, entry: usize, substitute: bool) -> PermitDecision {
         let now = Millis(self.now);
         let known = &self.entries[entry].known;
         let silence = owner::silence(known.len(), MAX_TOLD).0;
         let heard = known.values().filter(|it| self.now - it.0 < silence);
         let share = (heard.count() + 1) as f64 / (known.len() + 1) as f64;
         let entry = &mut self.entries[entry];
-        let Some(Report { rate: Some(rate), age }) = entry.limit.report(now)
+        let Some(LimitReport { rate: Some(rate), age }) =
+            entry.limit.report(now)
         else {
-            return Verdict::Permit(Millis(0));
+            return PermitDecision::Permit(Millis(0));
         };
         let new = limit::Limiter::new(rate, age, now);
         let pace = entry.pace.get_or_insert(new);
         if substitute && pace.is_stale(share, now) {
             *pace = new;
         }
-        pace.ask(rate, share, Millis(0), now)
+        pace.acquire(rate, share, Millis(0), now)
     }
 
     fn score(&self) -> Score {
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -275,7 +275,7 @@
             "target" => &*choice.target.id, "route" => &*self.route.name,
             "cost" => choice.cost as u64, "at_target" => endpoint.record.occupancy(now),
             "own" => endpoint.record.in_flight(), "report_age" => age,
-            "limit" => choice.limit.map(|it| it.a_second()),
+            "limit" => choice.limit.map(|it| it.per_second()),
             "limit_age" => report.map(|it| it.age.0),
             "denied" => self.denied,
             "left" => self.left().0, "try" => self.tries + 1);
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -98,8 +98,9 @@
         let slots = usable.iter().map(|it| it.target.slots).max()?;
         let step = self.usual.in_step() / f64::from(slots);
         let place = pick::spread(&costs, step, self.unseen, draw)?;
-        let binds =
-            |it: &Choice| it.limit.is_some_and(|it| it.a_second() < self.part);
+        let binds = |it: &Choice| {
+            it.limit.is_some_and(|it| it.per_second() < self.part)
+        };
         let scarce =
             usable.iter().filter(|it| binds(it) && it.cost <= costs[place]);
         let scarce = scarce.min_by(|a, b| a.cost.total_cmp(&b.cost));
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -12,7 +12,7 @@
 use std::{cell::RefCell, collections::HashMap, fmt, net::SocketAddr, rc::Rc};
 
 use cowsliproad_admission::limit::{
-    self, Change, Permit, Rate, Report, Verdict,
+    self, LimitChange, LimitReport, Permit, PermitDecision, Rate,
 };
 use cowsliproad_kernel::{
     Name,
@@ -131,7 +131,7 @@
     pub fn may_send(&self, now: Millis) -> bool {
         let rate = self.endpoint.borrow().limit.rate();
         let Some(rate) = rate else { return true };
-        self.permit.is_some_and(|it| it.holds(rate, now))
+        self.permit.is_some_and(|it| it.is_valid(rate, now))
     }
 
     /// Gives back the permit of a request that wasn't sent.
@@ -169,12 +169,12 @@
 impl Endpoint {
     /// A permit that came too late for the request that asked for it.
     pub fn has_permit(&self, rate: Rate, now: Millis) -> bool {
-        self.permits.iter().any(|it| it.holds(rate, now))
+        self.permits.iter().any(|it| it.is_valid(rate, now))
     }
 
     fn take_permit(&mut self, rate: Rate, now: Millis) -> Option<Permit> {
-        self.permits.retain(|it| it.until >= now && it.rate <= rate);
-        let at = self.permits.iter().position(|it| it.holds(rate, now))?;
+        self.permits.retain(|it| it.valid_until >= now && it.rate <= rate);
+        let at = self.permits.iter().position(|it| it.is_valid(rate, now))?;
         Some(self.permits.swap_remove(at))
     }
 }
@@ -208,7 +208,7 @@
     let mut held =
         Held { endpoint: choice.endpoint.clone(), permit: Some(permit) };
     tokio::select! {
-        () = sleep(permit.from.since(Millis::now()).duration()) => {}
+        () = sleep(permit.valid_from.since(Millis::now()).duration()) => {}
         () = entry.until_cooldown(&choice.target) => return false,
     }
     choice.permit = held.permit.take();
@@ -241,16 +241,20 @@
     let mut endpoint = choice.endpoint.borrow_mut();
     endpoint.asking = false;
     match verdict {
-        Verdict::Permit(after) => {
-            let from = now + after;
+        PermitDecision::Permit(after) => {
+            let valid_from = now + after;
             let rate = endpoint.limit.rate().or(choice.limit);
             let Some(rate) = rate else { return };
-            let permit = Permit { rate, from, until: from + PERMIT_TTL };
+            let permit = Permit {
+                rate,
+                valid_from,
+                valid_until: valid_from + PERMIT_TTL,
+            };
             if given.send(Some(permit)).is_err() {
                 endpoint.permits.push(permit);
             }
         }
-        Verdict::Later(after) => {
+        PermitDecision::Later(after) => {
             endpoint.full_until = now + after;
             // Whoever asked may have gone elsewhere.
             let _ = given.send(None);
@@ -267,7 +271,7 @@
     target: &Target,
     patience: Millis,
     relays: u8,
-) -> Verdict {
+) -> PermitDecision {
     for asked in 0..MAX_ASKED {
         let now = Millis::now();
         let zone = entry.settings().zone.clone();
@@ -279,8 +283,8 @@
             _ => return entry.give(target, owner, patience, now),
         };
         match ask(entry, other, target, patience, relays - 1).await {
-            Some(reply) if reply.given => return Verdict::Permit(reply.after),
-            Some(reply) => return Verdict::Later(reply.after),
+            Some(it) if it.given => return PermitDecision::Permit(it.after),
+            Some(it) => return PermitDecision::Later(it.after),
             None => {
                 let until = Millis::now() + MUTE_TTL;
                 entry.peers.borrow_mut().mute(other, until);
@@ -289,7 +293,7 @@
             }
         }
     }
-    Verdict::Later(RETRY_BACKOFF)
+    PermitDecision::Later(RETRY_BACKOFF)
 }
 
 /// Asks another entry for a permit.
@@ -327,11 +331,11 @@
                 (verdict, entry.current_limit(&target, Millis::now()))
             }
             // Its announcement has not come here yet.
-            None => (Verdict::Later(RETRY_BACKOFF), ask.limit),
+            None => (PermitDecision::Later(RETRY_BACKOFF), ask.limit),
         };
         let (given, after) = match verdict {
-            Verdict::Permit(after) => (true, after),
-            Verdict::Later(after) => (false, after),
+            PermitDecision::Permit(after) => (true, after),
+            PermitDecision::Later(after) => (false, after),
         };
         let reply = Reply { number: ask.number, limit, given, after };
         entry.say(Datagram::Reply(reply), from).await;
@@ -351,9 +355,9 @@
         let sent = attempt.sent_at().unwrap_or(now);
         let bytes = named.map(HeaderValue::as_bytes);
         let mut endpoint = choice.endpoint.borrow_mut();
-        let news = endpoint.limit.read(bytes, sent, now);
+        let news = endpoint.limit.observe_header(bytes, sent, now);
         drop(endpoint);
-        if news.unreadable {
+        if news.newly_invalid {
             warn!(self.log, "limit_refused"; "target" => &*choice.target.id,
                 "limit" => ?named);
         }
@@ -377,9 +381,9 @@
         if rate.is_none() != limit.rate.is_none() {
             return;
         }
-        let report = Report { rate, age: limit.age };
+        let report = LimitReport { rate, age: limit.age };
         let endpoint = self.endpoint(&limit.target);
-        let change = endpoint.borrow_mut().limit.hear(report, now);
+        let change = endpoint.borrow_mut().limit.merge_report(report, now);
         self.limit_changed(&limit.target, change, Source::Peer);
     }
 
@@ -392,21 +396,26 @@
         }
     }
 
-    fn limit_changed(&self, target: &Name, change: Change, source: Source) {
-        if change == Change::None {
+    fn limit_changed(
+        &self,
+        target: &Name,
+        change: LimitChange,
+        source: Source,
+    ) {
+        if change == LimitChange::None {
             return;
         }
         let Some(endpoint) = self.known_endpoint(target) else { return };
         let mut endpoint = endpoint.borrow_mut();
         let rate = endpoint.limit.rate();
-        if change == Change::Loosened {
+        if change == LimitChange::Loosened {
             endpoint.full_until = Millis(0);
         }
         drop(endpoint);
         info!(self.log, "limit"; "target" => &**target,
-            "a_second" => rate.map(Rate::a_second), "change" => ?change,
+            "a_second" => rate.map(Rate::per_second), "change" => ?change,
             "source" => ?source);
-        if change == Change::Loosened {
+        if change == LimitChange::Loosened {
             self.tell_news();
         }
         // Others hand it on too: there may be more entries than one tells.
@@ -425,7 +434,7 @@
             let endpoint = self.known_endpoint(&target.id)?;
             let limit = endpoint.borrow().limit;
             let report = limit.report(now)?;
-            let is_news = now.since(limit.changed()) < BROADCAST_TTL;
+            let is_news = now.since(limit.changed_at()) < BROADCAST_TTL;
             let is_told = match which {
                 Update::Changed => is_news,
                 Update::All => is_news || report.rate.is_some(),
@@ -448,7 +457,7 @@
     /// What is known of a target's limit.
     fn current_limit(&self, target: &Target, now: Millis) -> Limit {
         let report = self.endpoint(&target.id).borrow().limit.report(now);
-        let never = Report { rate: None, age: Millis(u64::MAX) };
+        let never = LimitReport { rate: None, age: Millis(u64::MAX) };
         limit_of(target, report.unwrap_or(never))
     }
 
@@ -459,10 +468,10 @@
         owner: Owner<SocketAddr>,
         patience: Millis,
         now: Millis,
-    ) -> Verdict {
+    ) -> PermitDecision {
         let report = self.endpoint(&target.id).borrow().limit.report(now);
-        let Some(Report { rate: Some(rate), age }) = report else {
-            return Verdict::Permit(Millis(0));
+        let Some(LimitReport { rate: Some(rate), age }) = report else {
+            return PermitDecision::Permit(Millis(0));
         };
         let share = self.peers.borrow().reached(now);
         let new = (target.start, limit::Limiter::new(rate, age, now));
@@ -473,7 +482,7 @@
         if kept.0 != target.start || stale {
             *kept = new;
         }
-        kept.1.ask(rate, share, patience, now)
+        kept.1.acquire(rate, share, patience, now)
     }
 
     /// Takes in the answer to a question.
@@ -497,11 +506,11 @@
     }
 }
 
-fn limit_of(target: &Target, report: Report) -> Limit {
+fn limit_of(target: &Target, report: LimitReport) -> Limit {
     Limit {
         target: target.id.clone(),
         start: target.start.0,
-        rate: report.rate.map(Rate::a_second),
+        rate: report.rate.map(Rate::per_second),
         age: report.age,
     }
 }
--- a/tests/properties/limits.rs
+++ b/tests/properties/limits.rs
@@ -6,7 +6,8 @@
 
 use cowsliproad::{
     admission::limit::{
-        Change, CurrentLimit, Limiter, Permit, Rate, Report, Verdict,
+        CurrentLimit, LimitChange, LimitReport, Limiter, Permit,
+        PermitDecision, Rate,
     },
     kernel::clock::Millis,
 };
@@ -33,10 +34,10 @@
 fn numbers_are_read_and_nothing_else() {
     for (text, read) in [("1", 1.0), ("1.2", 1.2), (" 0 ", 0.0), ("007", 7.0)]
     {
-        assert_eq!(Rate::read(text.as_bytes()), Some(rate(read)), "{text:?}");
+        assert_eq!(Rate::parse(text.as_bytes()), Some(rate(read)), "{text:?}");
     }
     for text in ["", " ", ".", "1.", ".5", "-1", "+1", "1e3", "nan", "inf"] {
-        assert_eq!(Rate::read(text.as_bytes()), None, "{text:?}");
+        assert_eq!(Rate::parse(text.as_bytes()), None, "{text:?}");
     }
 }
 
@@ -45,16 +46,28 @@
     let mut known = CurrentLimit::default();
     let named = Some(rate(1.0));
     let (sent, later) = (Millis(900), Millis(1_100));
-    assert_eq!(known.answered(named, sent, Millis(1_000)), Change::Tightened);
-    assert_eq!(known.answered(None, sent, Millis(1_050)), Change::None);
+    assert_eq!(
+        known.observe_response(named, sent, Millis(1_000)),
+        LimitChange::Tightened
+    );
+    assert_eq!(
+        known.observe_response(None, sent, Millis(1_050)),
+        LimitChange::None
+    );
     let more = Some(rate(5.0));
-    assert_eq!(known.answered(more, sent, Millis(1_060)), Change::None);
+    assert_eq!(
+        known.observe_response(more, sent, Millis(1_060)),
+        LimitChange::None
+    );
     assert_eq!(known.rate(), named);
     // One that was sent since then does.
-    assert_eq!(known.answered(more, later, Millis(1_200)), Change::Loosened);
     assert_eq!(
-        known.answered(None, Millis(1_300), Millis(1_400)),
-        Change::Loosened
+        known.observe_response(more, later, Millis(1_200)),
+        LimitChange::Loosened
+    );
+    assert_eq!(
+        known.observe_response(None, Millis(1_300), Millis(1_400)),
+        LimitChange::Loosened
     );
     assert_eq!(known.rate(), None);
 }
@@ -63,25 +76,28 @@
 fn who_heard_of_a_limit_before_this_process_began_is_believed_by_age() {
     let mut known = CurrentLimit::default();
     let now = Millis(1_000);
-    let old = Report { rate: Some(rate(1.0)), age: Millis(60_000) };
-    let over = Report { rate: None, age: Millis(30_000) };
-    assert_eq!(known.hear(old, now), Change::Tightened);
-    assert_eq!(known.hear(over, now), Change::Loosened);
-    assert_eq!(known.hear(old, now), Change::None);
+    let old = LimitReport { rate: Some(rate(1.0)), age: Millis(60_000) };
+    let over = LimitReport { rate: None, age: Millis(30_000) };
+    assert_eq!(known.merge_report(old, now), LimitChange::Tightened);
+    assert_eq!(known.merge_report(over, now), LimitChange::Loosened);
+    assert_eq!(known.merge_report(old, now), LimitChange::None);
     assert_eq!(known.rate(), None);
-    let never = Report { rate: None, age: Millis(u64::MAX) };
-    assert_eq!(known.hear(never, now), Change::None);
+    let never = LimitReport { rate: None, age: Millis(u64::MAX) };
+    assert_eq!(known.merge_report(never, now), LimitChange::None);
 }
 
 #[test]
 fn a_place_holds_under_the_limit_that_it_was_given_under() {
-    let permit =
-        Permit { rate: rate(5.0), from: Millis(10), until: Millis(20) };
-    assert!(permit.holds(rate(5.0), Millis(15)));
-    assert!(permit.holds(rate(8.0), Millis(15)));
-    assert!(!permit.holds(rate(1.0), Millis(15)));
-    assert!(!permit.holds(rate(5.0), Millis(9)));
-    assert!(!permit.holds(rate(5.0), Millis(21)));
+    let permit = Permit {
+        rate: rate(5.0),
+        valid_from: Millis(10),
+        valid_until: Millis(20),
+    };
+    assert!(permit.is_valid(rate(5.0), Millis(15)));
+    assert!(permit.is_valid(rate(8.0), Millis(15)));
+    assert!(!permit.is_valid(rate(1.0), Millis(15)));
+    assert!(!permit.is_valid(rate(5.0), Millis(9)));
+    assert!(!permit.is_valid(rate(5.0), Millis(21)));
 }
 
 /// An entry that stands in for the limiter of a target that takes few, and is
@@ -108,8 +124,8 @@
         let mut limiter = Limiter::new(rate, begun, begun);
         for step in 0..50 {
             let now = begun + Millis(step * 100);
-            let verdict = limiter.ask(rate, 1.0, Millis(0), now);
-            permits += u32::from(verdict == Verdict::Permit(Millis(0)));
+            let verdict = limiter.acquire(rate, 1.0, Millis(0), now);
+            permits += u32::from(verdict == PermitDecision::Permit(Millis(0)));
         }
         if permits > 0 {
             assert!(begun >= Millis(5_000), "{begun}: too early");
@@ -138,13 +154,13 @@
         for (pause, patience) in questions {
             now += pause;
             let verdict =
-                limiter.ask(rate, share, Millis(patience), Millis(now));
+                limiter.acquire(rate, share, Millis(patience), Millis(now));
             match verdict {
-                Verdict::Permit(after) => {
+                PermitDecision::Permit(after) => {
                     prop_assert!(after <= Millis(patience));
                     permits.push(now + after.0);
                 }
-                Verdict::Later(after) => {
+                PermitDecision::Later(after) => {
                     prop_assert!(after > Millis(patience));
                 }
             }
@@ -179,7 +195,7 @@
         answers.sort_by_key(|it| it.0);
         let mut known = CurrentLimit::default();
         for (come, sent, limit) in answers {
-            known.answered(limit, Millis(sent), Millis(come));
+            known.observe_response(limit, Millis(sent), Millis(come));
         }
         prop_assert_eq!(known.rate(), last);
     }
