--- a/cowsliproad-admission/src/budget.rs
+++ b/cowsliproad-admission/src/budget.rs
@@ -6,7 +6,7 @@
 
 /// A budget shared by the requests of one service at one entry.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Retries that may be spent, in thousandths.
     balance: u64,
     earned: u64,
@@ -16,21 +16,21 @@
 /// A retry, in the units of the balance.
 const RETRY: u64 = 1000;
 
-impl Budget {
+impl RetryBudget {
     /// A budget in which `percent` retries are earned by 100 successes and
     /// at most `reserve` can be saved up.
-    pub fn new(percent: u32, reserve: u32) -> Budget {
+    pub fn new(percent: u32, reserve: u32) -> RetryBudget {
         let most = u64::from(reserve) * RETRY;
-        Budget { balance: most, earned: u64::from(percent) * 10, most }
+        RetryBudget { balance: most, earned: u64::from(percent) * 10, most }
     }
 
     /// Notes a success.
-    pub fn earn(&mut self) {
+    pub fn record_success(&mut self) {
         self.balance = (self.balance + self.earned).min(self.most);
     }
 
     /// Spends one retry, if there is one.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         if self.balance < RETRY {
             return false;
         }
--- a/cowsliproad-admission/src/window.rs
+++ b/cowsliproad-admission/src/window.rs
@@ -21,41 +21,41 @@
 
 /// What a budget allows.
 #[derive(Clone, Copy, Debug)]
-pub struct Config {
+pub struct RetryWindowConfig {
     ratio: f64,
     slack: f64,
     span: Millis,
 }
 
-impl Config {
+impl RetryWindowConfig {
     /// Retries for each request, and retries beyond that for all entries
     /// together, in any span.
-    pub fn new(ratio: f64, slack: f64, span: Millis) -> Config {
-        Config { ratio, slack, span }
+    pub fn new(ratio: f64, slack: f64, span: Millis) -> RetryWindowConfig {
+        RetryWindowConfig { ratio, slack, span }
     }
 }
 
 /// The budget of one service at one entry.
 #[derive(Clone, Debug)]
-pub struct Window {
-    config: Config,
+pub struct RetryWindow {
+    config: RetryWindowConfig,
     /// Requests and retries by step, the newest last.
     steps: VecDeque<(u64, u32, u32)>,
 }
 
-impl Window {
+impl RetryWindow {
     /// Nothing sent yet.
-    pub fn new(config: Config) -> Window {
-        Window { config, steps: VecDeque::new() }
+    pub fn new(config: RetryWindowConfig) -> RetryWindow {
+        RetryWindow { config, steps: VecDeque::new() }
     }
 
     /// Notes a request.
-    pub fn request(&mut self, now: Millis) {
+    pub fn record_request(&mut self, now: Millis) {
         self.step(now).1 += 1;
     }
 
     /// Spends a retry, if there is one left for one of `entries`.
-    pub fn spend(&mut self, entries: usize, now: Millis) -> bool {
+    pub fn try_spend(&mut self, entries: usize, now: Millis) -> bool {
         self.step(now);
         let requests: u32 = self.steps.iter().map(|it| it.1).sum();
         let retries: u32 = self.steps.iter().map(|it| it.2).sum();
@@ -69,7 +69,7 @@
     }
 
     /// Requests that are noted in a span, from those of the last whole steps.
-    pub fn usual(&self, span: Millis, now: Millis) -> f64 {
+    pub fn expected_requests(&self, span: Millis, now: Millis) -> f64 {
         let index = now.0 / STEP.0;
         let oldest = index.saturating_sub(RATE_STEPS);
         let within = |it: &&(u64, u32, u32)| (oldest..index).contains(&it.0);
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use cowsliproad_admission::{
     limit::{CurrentLimit, Permit, Rate},
-    window::{self, Window},
+    window::{RetryWindow, RetryWindowConfig},
 };
 use cowsliproad_kernel::{Name, clock::Millis, position::Position, settings};
 use cowsliproad_routing::{
@@ -156,7 +156,7 @@
     /// Announcements as they came, for entries that start without the log.
     pub announced: RefCell<HashMap<Name, Bytes>>,
     endpoints: RefCell<HashMap<Name, Rc<RefCell<Endpoint>>>>,
-    budgets: RefCell<HashMap<Name, Window>>,
+    budgets: RefCell<HashMap<Name, RetryWindow>>,
     /// What was last said of each group, by any of its ranks.
     formations: RefCell<HashMap<Name, Formation>>,
     /// Requests that crash their targets.
@@ -454,13 +454,13 @@
 
     /// Notes a request in its service's retry budget.
     pub fn count_request(&self, service: &Name, now: Millis) {
-        self.budget(service, |it| it.request(now));
+        self.budget(service, |it| it.record_request(now));
     }
 
     /// Spends a retry of a service, if there is one left.
     pub fn spend_retry(&self, service: &Name, now: Millis) -> bool {
         let entries = self.peers.borrow().entries();
-        self.budget(service, |it| it.spend(entries, now))
+        self.budget(service, |it| it.try_spend(entries, now))
     }
 
     /// A random number from 0 to 1.
@@ -471,15 +471,18 @@
     fn budget<T>(
         &self,
         service: &Name,
-        with: impl FnOnce(&mut Window) -> T,
+        with: impl FnOnce(&mut RetryWindow) -> T,
     ) -> T {
         let retries = self.settings().retries;
-        let config =
-            window::Config::new(retries.ratio, retries.slack, retries.span_ms);
+        let config = RetryWindowConfig::new(
+            retries.ratio,
+            retries.slack,
+            retries.span_ms,
+        );
         let mut budgets = self.budgets.borrow_mut();
         let window = budgets
             .entry(service.clone())
-            .or_insert_with(|| Window::new(config));
+            .or_insert_with(|| RetryWindow::new(config));
         with(window)
     }
 }
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -243,7 +243,7 @@
         let entries = self.peers.borrow().entries() as f64;
         let budgets = self.budgets.borrow();
         let usual = budgets.get(service);
-        let usual = usual.map_or(0.0, |it| it.usual(SECOND, now));
+        let usual = usual.map_or(0.0, |it| it.expected_requests(SECOND, now));
         usual * entries / targets.max(1) as f64
     }
 
@@ -255,7 +255,8 @@
         let sent: u32 = records.iter().map(Record::unreported).sum();
         let budgets = self.budgets.borrow();
         let usual = budgets.get(service);
-        let usual = usual.map_or(0.0, |it| it.usual(UNSEEN_INTERVAL, now));
+        let usual =
+            usual.map_or(0.0, |it| it.expected_requests(UNSEEN_INTERVAL, now));
         usual.max(f64::from(sent)) * others
     }
 
--- a/cowsliproad-entry/src/forward/failure.rs
+++ b/cowsliproad-entry/src/forward/failure.rs
@@ -125,7 +125,7 @@
             return true;
         }
         let budget = &order.service.budget;
-        lock(budget).spend()
+        lock(budget).try_spend()
     }
 
     /// What was given out belongs to an attempt that will not be finished.
@@ -152,7 +152,7 @@
     pub(super) fn earn(&self) {
         if let Task::Work(order) = &self.task {
             let budget = &order.service.budget;
-            lock(budget).earn();
+            lock(budget).record_success();
             quarantine::outlived(&self.shared, order);
         }
     }
--- a/cowsliproad-entry/src/view.rs
+++ b/cowsliproad-entry/src/view.rs
@@ -9,7 +9,7 @@
 };
 
 use arc_swap::ArcSwap;
-use cowsliproad_admission::budget::Budget;
+use cowsliproad_admission::budget::RetryBudget;
 use cowsliproad_config::{
     Object, State,
     object::{self, Backend},
@@ -62,7 +62,7 @@
     /// Whether so many targets are ejected that none is left out for it.
     pub ejections_doubted: AtomicBool,
     /// Its retry budget, shared by successive views.
-    pub budget: Arc<Mutex<Budget>>,
+    pub budget: Arc<Mutex<RetryBudget>>,
 }
 
 impl View {
@@ -247,8 +247,8 @@
     }
 }
 
-fn budget() -> Budget {
-    Budget::new(RETRY_PERCENT, RETRY_RESERVE)
+fn budget() -> RetryBudget {
+    RetryBudget::new(RETRY_PERCENT, RETRY_RESERVE)
 }
 
 fn counters(view: &View) -> HashMap<Name, Arc<AtomicU32>> {
--- a/tests/properties/direct.rs
+++ b/tests/properties/direct.rs
@@ -2,7 +2,7 @@
 //! target, the retry budget, the cut of events.
 
 use cowsliproad::{
-    admission::window::{Config, Window},
+    admission::window::{RetryWindow, RetryWindowConfig},
     kernel::clock::Millis,
     relay::events::Splitter,
     routing::{
@@ -192,9 +192,9 @@
         seed in prop::collection::vec((0_u64..400, 0_usize..4, 0_u8..4), 400),
     ) {
         let (ratio, slack, span) = (0.2, 40.0, Millis(10_000));
-        let config = Config::new(ratio, slack, span);
-        let mut entries: Vec<Window> =
-            (0..4).map(|_| Window::new(config)).collect();
+        let config = RetryWindowConfig::new(ratio, slack, span);
+        let mut entries: Vec<RetryWindow> =
+            (0..4).map(|_| RetryWindow::new(config)).collect();
         let mut now = Millis(0);
         let mut requests = Vec::new();
         let mut retries = Vec::new();
@@ -202,9 +202,9 @@
             now = now + Millis(pause / 4);
             let window = &mut entries[entry];
             if kind == 0 {
-                window.request(now);
+                window.record_request(now);
                 requests.push(now);
-            } else if window.spend(4, now) {
+            } else if window.try_spend(4, now) {
                 retries.push(now);
             }
         }
--- a/tests/properties/queue.rs
+++ b/tests/properties/queue.rs
@@ -2,7 +2,7 @@
 
 use cowsliproad::{
     admission::{
-        budget::Budget,
+        budget::RetryBudget,
         queue::{AGED_TURN, Config, Item, Outcome, Pace, Queue},
     },
     kernel::{clock::Millis, wire::Urgency},
@@ -174,13 +174,13 @@
         percent in 0..50u32,
         reserve in 0..50u32,
     ) {
-        let mut budget = Budget::new(percent, reserve);
+        let mut budget = RetryBudget::new(percent, reserve);
         let (mut successes, mut retries) = (0u64, 0u64);
         for success in steps {
             if success {
-                budget.earn();
+                budget.record_success();
                 successes += 1;
-            } else if budget.spend() {
+            } else if budget.try_spend() {
                 retries += 1;
             }
         }
