--- a/cowsliproad-admission/src/register.rs
+++ b/cowsliproad-admission/src/register.rs
@@ -1,12 +1,12 @@
 //! An agent's record of the tickets it has seen.
 //!
-//! Invariant: a ticket gets [`Verdict::Run`] at most once in the life of a
+//! Invariant: a ticket gets [`SubmitVerdict::Run`] at most once in the life of a
 //! register, and never after a refusal. The record is made before the target
-//! is called. A record outlives its ticket by [`KEPT_AFTER_EXPIRY`], so
+//! is called. A record outlives its ticket by [`RECORD_RETENTION`], so
 //! that a late question about it still gets a true answer, and it is dropped
 //! only when the ticket is too old to be taken at all.
 //!
-//! When the agent stops, [`Register::seal`] makes a register that a peer
+//! When the agent stops, [`TicketRegister::seal`] makes a register that a peer
 //! answers from: it runs nothing more, and what it never saw is truly not
 //! run, because the agent took in nothing after sealing.
 
@@ -18,10 +18,10 @@
 use crate::ticket::Ticket;
 
 /// How long a ticket may be submitted after it was made.
-pub const LIFETIME: Millis = Millis(10 * 60 * 1000);
+pub const TICKET_TTL: Millis = Millis(10 * 60 * 1000);
 
 /// How long a record is kept after its ticket's expiry.
-pub const KEPT_AFTER_EXPIRY: Millis = Millis(60 * 60 * 1000);
+pub const RECORD_RETENTION: Millis = Millis(60 * 60 * 1000);
 
 /// What is known of a ticket.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -34,7 +34,7 @@
 
 /// What to do with a submitted ticket.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum SubmitVerdict {
     /// Take the work in; it is recorded now.
     Run,
     /// The work was taken in before: answer from what is kept of it.
@@ -52,17 +52,17 @@
 
 /// The records of one agent process.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Register {
+pub struct TicketRegister {
     capacity: usize,
     marks: HashMap<id::Request, Mark>,
     expiries: BTreeSet<(Millis, id::Request)>,
     sealed: bool,
 }
 
-impl Register {
+impl TicketRegister {
     /// An empty register for at most `capacity` records.
-    pub fn new(capacity: usize) -> Register {
-        Register {
+    pub fn new(capacity: usize) -> TicketRegister {
+        TicketRegister {
             capacity,
             marks: HashMap::new(),
             expiries: BTreeSet::new(),
@@ -71,37 +71,37 @@
     }
 
     /// Judges a ticket and records it.
-    pub fn submit(&mut self, ticket: &Ticket, now: Millis) -> Verdict {
+    pub fn submit(&mut self, ticket: &Ticket, now: Millis) -> SubmitVerdict {
         self.forget(now);
         match self.marks.get(&ticket.request) {
-            Some(Mark::Taken) => return Verdict::Seen,
-            Some(Mark::Burned) => return Verdict::Burned,
+            Some(Mark::Taken) => return SubmitVerdict::Seen,
+            Some(Mark::Burned) => return SubmitVerdict::Burned,
             None => {}
         }
-        if ticket.expiry + KEPT_AFTER_EXPIRY <= now {
-            return Verdict::TooOld;
+        if ticket.expiry + RECORD_RETENTION <= now {
+            return SubmitVerdict::TooOld;
         }
         if ticket.expiry <= now {
-            return Verdict::Expired;
+            return SubmitVerdict::Expired;
         }
         if self.sealed {
             // The sealed state itself refuses every further submission, so
             // a record is not needed for the refusal to be permanent.
-            return Verdict::Burned;
+            return SubmitVerdict::Burned;
         }
         if self.marks.len() >= self.capacity {
-            return Verdict::Full;
+            return SubmitVerdict::Full;
         }
         self.record(ticket, Mark::Taken);
-        Verdict::Run
+        SubmitVerdict::Run
     }
 
     /// Refuses a ticket for good, unless its work was taken in before.
-    pub fn burn(&mut self, ticket: &Ticket, now: Millis) -> Verdict {
+    pub fn refuse(&mut self, ticket: &Ticket, now: Millis) -> SubmitVerdict {
         match self.submit(ticket, now) {
-            Verdict::Run => {
+            SubmitVerdict::Run => {
                 self.marks.insert(ticket.request, Mark::Burned);
-                Verdict::Burned
+                SubmitVerdict::Burned
             }
             other => other,
         }
@@ -109,7 +109,7 @@
 
     /// Turns taken work that provably never reached the target into refused
     /// work.
-    pub fn give_up(&mut self, request: id::Request) {
+    pub fn refuse_unsent(&mut self, request: id::Request) {
         if let Some(mark) = self.marks.get_mut(&request) {
             *mark = Mark::Burned;
         }
@@ -137,7 +137,7 @@
 
     fn forget(&mut self, now: Millis) {
         while let Some(&(expiry, request)) = self.expiries.first() {
-            if expiry + KEPT_AFTER_EXPIRY > now {
+            if expiry + RECORD_RETENTION > now {
                 return;
             }
             self.expiries.pop_first();
--- a/cowsliproad-admission/src/ticket.rs
+++ b/cowsliproad-admission/src/ticket.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The length of the shared key in bytes.
-pub const KEY: usize = 32;
+pub const KEY_BYTES: usize = 32;
 
 /// The length of the authentication code in bytes.
 const MAC: usize = 16;
@@ -65,10 +65,10 @@
 
 /// A text that is not a token made with this key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Forged;
+pub struct InvalidToken;
 
 /// Writes a token that only holders of the key can make.
-pub fn seal(ticket: &Ticket, key: &[u8; KEY]) -> String {
+pub fn sign(ticket: &Ticket, key: &[u8; KEY_BYTES]) -> String {
     let mut bytes = Vec::with_capacity(128);
     ciborium::into_writer(ticket, &mut bytes)
         .expect("tickets have no value that CBOR lacks");
@@ -78,24 +78,27 @@
 }
 
 /// Reads a token and checks that it was made with the key.
-pub fn open(text: &str, key: &[u8; KEY]) -> Result<Ticket, Forged> {
+pub fn verify(
+    text: &str,
+    key: &[u8; KEY_BYTES],
+) -> Result<Ticket, InvalidToken> {
     if text.len() > MAX_TEXT {
-        return Err(Forged);
+        return Err(InvalidToken);
     }
-    let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| Forged)?;
-    let split = bytes.len().checked_sub(MAC).ok_or(Forged)?;
+    let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| InvalidToken)?;
+    let split = bytes.len().checked_sub(MAC).ok_or(InvalidToken)?;
     let (content, code) = bytes.split_at(split);
     let right = blake3::keyed_hash(key, content);
     if !secret::equal(code, &right.as_bytes()[..MAC]) {
-        return Err(Forged);
+        return Err(InvalidToken);
     }
-    ciborium::from_reader(content).map_err(|_| Forged)
+    ciborium::from_reader(content).map_err(|_| InvalidToken)
 }
 
-impl fmt::Display for Forged {
+impl fmt::Display for InvalidToken {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the token was not made with this key")
     }
 }
 
-impl std::error::Error for Forged {}
+impl std::error::Error for InvalidToken {}
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -18,7 +18,7 @@
 use cowsliproad_admission::{
     limit::Rate,
     queue::{self, Pace, Queue},
-    register::Register,
+    register::TicketRegister,
     ticket,
 };
 use cowsliproad_kernel::{
@@ -50,7 +50,7 @@
 pub struct Gate {
     /// The agent's settings.
     pub settings: Arc<Settings>,
-    ticket_key: [u8; ticket::KEY],
+    ticket_key: [u8; ticket::KEY_BYTES],
     incarnation: id::Incarnation,
     /// Work under which the target's process ended.
     pub ends: Ends,
@@ -66,7 +66,7 @@
 #[derive(Debug)]
 struct Inner {
     phase: Phase,
-    register: Register,
+    register: TicketRegister,
     inherited: HashMap<id::Incarnation, Inherited>,
     queue: Queue<Arc<Work>>,
     running: u32,
@@ -81,7 +81,7 @@
 /// The records of an agent that stopped.
 #[derive(Debug)]
 struct Inherited {
-    register: Register,
+    register: TicketRegister,
     /// That agent's clock when it stopped.
     clock: Millis,
     /// This agent's clock then.
@@ -119,7 +119,7 @@
             queue::Config::new().with_capacity(settings.queue as usize);
         let inner = Inner {
             phase: Phase::Serving,
-            register: Register::new(settings.tickets as usize),
+            register: TicketRegister::new(settings.tickets as usize),
             inherited: HashMap::new(),
             queue: Queue::new(queue),
             running: 0,
@@ -304,7 +304,11 @@
     }
 
     /// Takes over what a stopping peer hands on.
-    pub fn inherit(&self, handover: Handover, register: Option<Register>) {
+    pub fn inherit(
+        &self,
+        handover: Handover,
+        register: Option<TicketRegister>,
+    ) {
         let now = Millis::now();
         let mut inner = self.lock();
         for answer in handover.answers {
@@ -401,7 +405,7 @@
     /// Its clock at the handover.
     pub clock: Millis,
     /// The records.
-    pub register: Register,
+    pub register: TicketRegister,
 }
 
 /// Gives back waiting work that can't meet its deadline any more, at once
@@ -455,7 +459,7 @@
 
     /// Ends work that never reached the target.
     fn give_up(&mut self, work: &Arc<Work>, failure: Failure) {
-        self.register.give_up(work.request);
+        self.register.refuse_unsent(work.request);
         work.finish(Err(failure));
         self.keep(work, Millis::now());
     }
--- a/cowsliproad-agent/src/gate/submit.rs
+++ b/cowsliproad-agent/src/gate/submit.rs
@@ -5,7 +5,7 @@
 
 use cowsliproad_admission::{
     queue::{Item, Outcome},
-    register::Verdict,
+    register::SubmitVerdict,
     ticket::{self, Purpose, Ticket},
 };
 use cowsliproad_kernel::{
@@ -66,7 +66,7 @@
         let recalled = submit.permit == Permit::Recall;
         let verdict = if ticket.incarnation == self.incarnation {
             if leaving || recalled {
-                inner.register.burn(&ticket, now)
+                inner.register.refuse(&ticket, now)
             } else {
                 inner.register.submit(&ticket, now)
             }
@@ -77,26 +77,26 @@
             return Err(Failure::new(Code::TargetGone, Ran::OutcomeUnknown));
         };
         match verdict {
-            Verdict::Run => self.enqueue(inner, submit, now),
-            Verdict::Seen => inner
+            SubmitVerdict::Run => self.enqueue(inner, submit, now),
+            SubmitVerdict::Seen => inner
                 .works
                 .get(&ticket.request)
                 .cloned()
                 .ok_or(Failure::new(Code::AnswerDropped, Ran::Ran)),
-            Verdict::Burned if recalled => Err(QUARANTINED),
-            Verdict::Burned if leaving => {
+            SubmitVerdict::Burned if recalled => Err(QUARANTINED),
+            SubmitVerdict::Burned if leaving => {
                 Err(Failure::new(Code::Leaving, Ran::NotRun))
             }
-            Verdict::Burned => {
+            SubmitVerdict::Burned => {
                 Err(Failure::new(Code::TicketBurned, Ran::NotRun))
             }
-            Verdict::Expired => {
+            SubmitVerdict::Expired => {
                 Err(Failure::new(Code::TicketExpired, Ran::NotRun))
             }
-            Verdict::TooOld => {
+            SubmitVerdict::TooOld => {
                 Err(Failure::new(Code::TicketExpired, Ran::OutcomeUnknown))
             }
-            Verdict::Full => {
+            SubmitVerdict::Full => {
                 Err(Failure::new(Code::RegisterFull, Ran::NotForwarded)
                     .with_retry_after(Millis(1_000)))
             }
@@ -165,7 +165,7 @@
                 inner.give_up(&loser.work, failure.with_retry_after(wait));
             }
             Outcome::Refused(_, wait) => {
-                inner.register.give_up(work.request);
+                inner.register.refuse_unsent(work.request);
                 return Err(Failure::new(Code::Overloaded, Ran::NotRun)
                     .with_retry_after(wait));
             }
@@ -179,7 +179,7 @@
         let forged = Failure::new(Code::ForgedToken, Ran::NotForwarded);
         let text = std::str::from_utf8(text).map_err(|_| forged)?;
         let ticket =
-            ticket::open(text, &self.ticket_key).map_err(|_| forged)?;
+            ticket::verify(text, &self.ticket_key).map_err(|_| forged)?;
         let fits = ticket.purpose == Purpose::Ticket
             && ticket.organisation == submit.organisation
             && ticket.request_type == submit.request_type
--- a/cowsliproad-agent/src/handover.rs
+++ b/cowsliproad-agent/src/handover.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use cowsliproad_admission::register::Register;
+use cowsliproad_admission::register::TicketRegister;
 use cowsliproad_config::{Object, object::Target};
 use cowsliproad_kernel::{
     clock::Millis,
@@ -77,7 +77,7 @@
 }
 
 /// Reads the ticket records in a handover.
-pub fn decode(bytes: &[u8]) -> Option<Register> {
+pub fn decode(bytes: &[u8]) -> Option<TicketRegister> {
     ciborium::from_reader(bytes).ok()
 }
 
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -15,7 +15,7 @@
 use cowsliproad_admission::{
     quarantine::{End, Ledger, Work as Kind},
     queue::{self, Item, Pace, Queue},
-    register::Register,
+    register::TicketRegister,
     ticket::{Purpose, Ticket},
 };
 use cowsliproad_agent::work::Work;
@@ -326,7 +326,7 @@
     let (mut memory, mut time) = (Points::new(), Points::new());
     for count in [20_000u64, 50_000, 100_000, 200_000] {
         let before = meter::memory();
-        let mut register = Register::new(count as usize);
+        let mut register = TicketRegister::new(count as usize);
         let start = Instant::now();
         for request in 0..count {
             let ticket = Ticket {
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -10,7 +10,7 @@
 
 use cowsliproad_admission::{
     patience,
-    register::LIFETIME,
+    register::TICKET_TTL,
     ticket::{self, Purpose, Ticket},
 };
 use cowsliproad_config::object::RequestType;
@@ -309,7 +309,7 @@
         let tickets = tickets?;
         let body = json!({
             "tickets": tickets,
-            "valid_ms": LIFETIME.0,
+            "valid_ms": TICKET_TTL.0,
         });
         Ok(reply::json(StatusCode::OK, body.to_string()))
     }
@@ -331,14 +331,14 @@
             target: target.name.clone(),
             incarnation: beat.incarnation,
             request: id::Request::random(),
-            expiry: beat.clock + Millis::now().since(at) + LIFETIME,
+            expiry: beat.clock + Millis::now().since(at) + TICKET_TTL,
         };
         info!(self.shared.log, "ticket";
             "request" => %ticket.request,
             "type" => %ticket.request_type,
             "target" => %ticket.target,
             "score_us" => found.map_or(0, |it| it.score_us));
-        Ok(ticket::seal(&ticket, &self.shared.ticket_key))
+        Ok(ticket::sign(&ticket, &self.shared.ticket_key))
     }
 
     /// The target that takes work again first where all of them asked to be
@@ -419,7 +419,7 @@
             .to_str()
             .map_err(|_| refused(Code::ForgedToken, ""))?
             .to_string();
-        let ticket = ticket::open(&text, &self.shared.ticket_key)
+        let ticket = ticket::verify(&text, &self.shared.ticket_key)
             .map_err(|_| refused(Code::ForgedToken, ""))?;
         let fits = ticket.purpose == Purpose::Ticket
             && ticket.organisation == checked.organisation.declared.name
@@ -449,7 +449,7 @@
     ) -> Result<Ticket, Refused> {
         let view = self.shared.published.load();
         let organisation = organisation(request, &view)?;
-        let token = ticket::open(token, &self.shared.ticket_key)
+        let token = ticket::verify(token, &self.shared.ticket_key)
             .map_err(|_| refused(Code::ForgedToken, ""))?;
         if token.organisation != organisation.declared.name {
             return Err(refused(Code::ForeignToken, ""));
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -424,7 +424,7 @@
             },
             Task::Kept { token, .. } => token.clone(),
         };
-        ticket::seal(&token, &self.shared.ticket_key)
+        ticket::sign(&token, &self.shared.ticket_key)
     }
 
     fn step(&mut self, attempt: Attempt, step: Step) {
--- a/tests/properties/decoders.rs
+++ b/tests/properties/decoders.rs
@@ -76,7 +76,7 @@
         let _ = fold::decode(&bytes);
         let _ = fold::decode_state(&bytes);
         let text = String::from_utf8_lossy(&bytes);
-        let _ = ticket::open(&text, &[0; 32]);
+        let _ = ticket::verify(&text, &[0; 32]);
         type Entry = cowsliproad_entry::settings::Settings;
         prop_assert!(settings::parse::<Entry>("x", &text).is_err());
     }
--- a/tests/properties/register.rs
+++ b/tests/properties/register.rs
@@ -4,7 +4,7 @@
 
 use cowsliproad::{
     admission::{
-        register::{Register, Verdict},
+        register::{SubmitVerdict, TicketRegister},
         ticket::{self, Purpose, Ticket},
     },
     kernel::{clock::Millis, id},
@@ -51,13 +51,15 @@
 }
 
 impl History {
-    fn note(&mut self, request: u64, verdict: Verdict) {
+    fn note(&mut self, request: u64, verdict: SubmitVerdict) {
         match verdict {
-            Verdict::Run => *self.ran.entry(request).or_default() += 1,
-            Verdict::Burned | Verdict::Expired => {
+            SubmitVerdict::Run => *self.ran.entry(request).or_default() += 1,
+            SubmitVerdict::Burned | SubmitVerdict::Expired => {
                 self.not_run.insert(request);
             }
-            Verdict::Seen | Verdict::TooOld | Verdict::Full => {}
+            SubmitVerdict::Seen
+            | SubmitVerdict::TooOld
+            | SubmitVerdict::Full => {}
         }
     }
 
@@ -77,7 +79,7 @@
         steps in prop::collection::vec(step(), 1..60),
         capacity in 1..5usize,
     ) {
-        let mut register = Register::new(capacity);
+        let mut register = TicketRegister::new(capacity);
         let mut history = History::default();
         let mut now = Millis(0);
         for step in steps {
@@ -87,11 +89,11 @@
                     history.note(request, verdict);
                 }
                 Step::Burn(request) => {
-                    let verdict = register.burn(&ticket(request), now);
+                    let verdict = register.refuse(&ticket(request), now);
                     history.note(request, verdict);
                 }
                 Step::GiveUp(request) => {
-                    register.give_up(id::Request(request));
+                    register.refuse_unsent(id::Request(request));
                     history.give_up(request);
                 }
                 Step::Wait(time) => now = now + Millis(time),
@@ -111,15 +113,15 @@
         bit in 0..8u32,
         key in any::<[u8; 32]>(),
     ) {
-        let text = ticket::seal(&ticket(7), &key);
-        prop_assert_eq!(ticket::open(&text, &key), Ok(ticket(7)));
+        let text = ticket::sign(&ticket(7), &key);
+        prop_assert_eq!(ticket::verify(&text, &key), Ok(ticket(7)));
         let mut bytes = text.clone().into_bytes();
         let position = position % bytes.len();
         bytes[position] ^= 1 << bit;
         let Ok(changed) = String::from_utf8(bytes) else { return Ok(()) };
         // The last character may carry bits that the decoder refuses or
         // that stand for nothing, but never for another ticket.
-        if let Ok(read) = ticket::open(&changed, &key) {
+        if let Ok(read) = ticket::verify(&changed, &key) {
             prop_assert_eq!(read, ticket(7));
         }
     }
@@ -127,6 +129,6 @@
 
 #[test]
 fn another_key_opens_nothing() {
-    let text = ticket::seal(&ticket(1), &[1; 32]);
-    assert_eq!(ticket::open(&text, &[2; 32]), Err(ticket::Forged));
+    let text = ticket::sign(&ticket(1), &[1; 32]);
+    assert_eq!(ticket::verify(&text, &[2; 32]), Err(ticket::InvalidToken));
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -7,7 +7,7 @@
 use cowsliproad::{
     admission::{
         queue::{Config, Item, Outcome, Pace, Queue},
-        register::Register,
+        register::TicketRegister,
         ticket::{Purpose, Ticket},
     },
     config::{
@@ -27,7 +27,7 @@
 /// Everything that a script can touch.
 struct World {
     now: Millis,
-    agent: Register,
+    agent: TicketRegister,
     tickets: BTreeMap<String, Ticket>,
     queue: Queue<String>,
     log: Vec<Vec<u8>>,
@@ -41,7 +41,7 @@
         let member = |rank| Member::new(rank, 3, Generation(1), Version(0));
         World {
             now: Millis(0),
-            agent: Register::new(100),
+            agent: TicketRegister::new(100),
             tickets: BTreeMap::new(),
             queue: Queue::new(Config::new()),
             log: Vec::new(),
@@ -61,7 +61,7 @@
             target: "access-1".into(),
             incarnation: id::Incarnation(1),
             request: id::Request(self.tickets.len() as u64),
-            expiry: self.now + cowsliproad::admission::register::LIFETIME,
+            expiry: self.now + cowsliproad::admission::register::TICKET_TTL,
         };
         self.tickets.insert(name.into(), ticket);
         String::new()
@@ -168,7 +168,7 @@
                 let ticket = self.tickets.get(name).ok_or("no ticket")?;
                 let verdict = match command.name.as_str() {
                     "submit" => self.agent.submit(ticket, self.now),
-                    _ => self.agent.burn(ticket, self.now),
+                    _ => self.agent.refuse(ticket, self.now),
                 };
                 format!("{verdict:?}")
             }
