--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -17,7 +17,7 @@
 
 use cowsliproad_admission::{
     limit::Rate,
-    queue::{self, Pace, Queue},
+    queue::{Queue, QueueConfig, ServiceRate},
     register::TicketRegister,
     ticket,
 };
@@ -115,8 +115,7 @@
 impl Gate {
     /// A gate that takes work.
     pub fn new(settings: Arc<Settings>, log: Logger, meter: &Meter) -> Gate {
-        let queue =
-            queue::Config::new().with_capacity(settings.queue as usize);
+        let queue = QueueConfig::new().with_capacity(settings.queue as usize);
         let inner = Inner {
             phase: Phase::Serving,
             register: TicketRegister::new(settings.tickets as usize),
@@ -167,7 +166,8 @@
             Err(failure) => return failure,
         };
         let mut inner = self.lock();
-        let queued = inner.queue.take(|it| it.request == cancel.request);
+        let queued =
+            inner.queue.remove_first(|it| it.request == cancel.request);
         if queued.is_some() {
             let failure = Failure::new(Code::Cancelled, Ran::NotRun);
             inner.give_up(&work, failure);
@@ -197,7 +197,7 @@
             return;
         }
         let mut inner = self.lock();
-        let queued = inner.queue.take(|it| it.request == work.request);
+        let queued = inner.queue.remove_first(|it| it.request == work.request);
         if let Some(item) = queued {
             let failure = Failure::new(Code::Cancelled, Ran::NotRun);
             inner.give_up(&item.work, failure);
@@ -361,14 +361,14 @@
     }
 
     /// How fast the queue empties.
-    fn speed(&self, inner: &Inner) -> Pace {
+    fn speed(&self, inner: &Inner) -> ServiceRate {
         let (slots, service_us) =
             (self.settings.slots, inner.service_us as u32);
         let (rate, next) = self.pace.limit(Millis::now());
-        let gap_us = rate.map_or(0, Rate::interval_us);
-        let next_us = u32::try_from(next.0.saturating_mul(1_000));
-        let next_us = next_us.unwrap_or(u32::MAX);
-        Pace { slots, service_us, gap_us, next_us }
+        let start_interval_us = rate.map_or(0, Rate::interval_us);
+        let next_start_us = u32::try_from(next.0.saturating_mul(1_000));
+        let next_start_us = next_start_us.unwrap_or(u32::MAX);
+        ServiceRate { slots, service_us, start_interval_us, next_start_us }
     }
 
     fn count(&self, code: Code) {
@@ -424,7 +424,7 @@
 }
 
 impl Inner {
-    fn load(&self, speed: Pace) -> Load {
+    fn load(&self, speed: ServiceRate) -> Load {
         Load {
             queued: self.queue.len() as u32,
             running: self.running,
@@ -441,18 +441,18 @@
         self.service_us = (old + held) / SMOOTHING;
     }
 
-    fn lapse(&mut self, pace: Pace, now: Millis) {
-        while let Some(item) = self.queue.lapsed(pace, now) {
+    fn lapse(&mut self, pace: ServiceRate, now: Millis) {
+        while let Some(item) = self.queue.remove_expired(pace, now) {
             let failure = Failure::new(Code::DeadlinePassed, Ran::NotRun);
             self.give_up(&item.work, failure);
         }
     }
 
     /// Gives back what a lower limit leaves no time for.
-    fn shed(&mut self, pace: Pace, now: Millis) {
-        for item in self.queue.late(pace, now) {
+    fn shed(&mut self, pace: ServiceRate, now: Millis) {
+        for item in self.queue.remove_late(pace, now) {
             let failure = Failure::new(Code::Overloaded, Ran::NotRun);
-            let wait = self.queue.back_off(pace);
+            let wait = self.queue.retry_after(pace);
             self.give_up(&item.work, failure.with_retry_after(wait));
         }
     }
--- a/cowsliproad-agent/src/gate/submit.rs
+++ b/cowsliproad-agent/src/gate/submit.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use cowsliproad_admission::{
-    queue::{Item, Outcome},
+    queue::{Item, PushOutcome},
     register::SubmitVerdict,
     ticket::{self, Purpose, Ticket},
 };
@@ -151,7 +151,7 @@
         let work = Arc::new(Work::new(submit, now));
         let item = Item {
             organisation: submit.organisation.clone(),
-            share: submit.share,
+            weight: submit.share,
             urgency: submit.urgency,
             deadline: work.deadline,
             work: work.clone(),
@@ -159,12 +159,12 @@
         let pace = self.speed(inner);
         // With a free slot nothing waits, so only the deadline can refuse.
         match inner.queue.push(item, pace, now) {
-            Outcome::Queued => {}
-            Outcome::Displaced(loser, wait) => {
+            PushOutcome::Queued => {}
+            PushOutcome::Displaced(loser, wait) => {
                 let failure = Failure::new(Code::Shed, Ran::NotRun);
                 inner.give_up(&loser.work, failure.with_retry_after(wait));
             }
-            Outcome::Refused(_, wait) => {
+            PushOutcome::Refused(_, wait) => {
                 inner.register.refuse_unsent(work.request);
                 return Err(Failure::new(Code::Overloaded, Ran::NotRun)
                     .with_retry_after(wait));
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -14,7 +14,7 @@
 
 use cowsliproad_admission::{
     quarantine::{End, Ledger, Work as Kind},
-    queue::{self, Item, Pace, Queue},
+    queue::{Item, Queue, QueueConfig, ServiceRate},
     register::TicketRegister,
     ticket::{Purpose, Ticket},
 };
@@ -352,14 +352,19 @@
 
 /// Time of putting one item into a queue of a length and taking one out.
 fn queue_choice(figures: &mut Value) {
-    let pace = Pace { slots: 16, service_us: 1, gap_us: 0, next_us: 0 };
+    let pace = ServiceRate {
+        slots: 16,
+        service_us: 1,
+        start_interval_us: 0,
+        next_start_us: 0,
+    };
     let mut points = Points::new();
     for length in [16usize, 256, 1_024, 4_000] {
-        let config = queue::Config::new().with_capacity(8_192);
+        let config = QueueConfig::new().with_capacity(8_192);
         let mut queue = Queue::new(config);
         let item = |index: usize| Item {
             organisation: format!("o{}", index % 50).as_str().into(),
-            share: 1,
+            weight: 1,
             urgency: Urgency::Normal,
             deadline: Millis(1_000_000),
             work: index,
--- a/tests/properties/queue.rs
+++ b/tests/properties/queue.rs
@@ -3,19 +3,26 @@
 use cowsliproad::{
     admission::{
         budget::RetryBudget,
-        queue::{AGED_TURN, Config, Item, Outcome, Pace, Queue},
+        queue::{
+            AGED_TURN_INTERVAL, Item, PushOutcome, Queue, QueueConfig,
+            ServiceRate,
+        },
     },
     kernel::{clock::Millis, wire::Urgency},
 };
 use proptest::prelude::*;
 
-const PACE: Pace =
-    Pace { slots: 4, service_us: 10_000, gap_us: 0, next_us: 0 };
+const PACE: ServiceRate = ServiceRate {
+    slots: 4,
+    service_us: 10_000,
+    start_interval_us: 0,
+    next_start_us: 0,
+};
 
 fn item(organisation: &str, urgency: Urgency, deadline: u64) -> Item<u64> {
     Item {
         organisation: organisation.into(),
-        share: 1,
+        weight: 1,
         urgency,
         deadline: Millis(deadline),
         work: 0,
@@ -24,7 +31,7 @@
 
 #[test]
 fn urgent_work_goes_before_drafts_that_came_first() {
-    let mut queue = Queue::new(Config::new());
+    let mut queue = Queue::new(QueueConfig::new());
     let draft = item("a", Urgency::Background, 100_000);
     queue.push(draft, PACE, Millis(0));
     queue.push(item("b", Urgency::Urgent, 100_000), PACE, Millis(500));
@@ -36,8 +43,8 @@
 
 #[test]
 fn a_draft_past_its_patience_goes_within_a_round_of_urgent_work() {
-    let config = Config::new();
-    let patience = config.patience(Urgency::Background);
+    let config = QueueConfig::new();
+    let patience = config.aging_delay(Urgency::Background);
     let mut queue = Queue::new(config);
     let draft = item("a", Urgency::Background, 1_000_000);
     queue.push(draft, PACE, Millis(0));
@@ -51,14 +58,14 @@
         if next.urgency == Urgency::Background {
             break;
         }
-        assert!(turns < AGED_TURN, "the draft starves");
+        assert!(turns < AGED_TURN_INTERVAL, "the draft starves");
     }
 }
 
 #[test]
 fn aged_drafts_do_not_hold_urgent_work_up() {
-    let config = Config::new();
-    let late = config.patience(Urgency::Background) + Millis(1);
+    let config = QueueConfig::new();
+    let late = config.aging_delay(Urgency::Background) + Millis(1);
     let mut queue = Queue::new(config);
     for _ in 0..200 {
         let draft = item("a", Urgency::Background, 1_000_000);
@@ -72,7 +79,7 @@
 
 #[test]
 fn an_organisations_drafts_do_not_hold_up_its_own_urgent_work() {
-    let mut queue = Queue::new(Config::new());
+    let mut queue = Queue::new(QueueConfig::new());
     for _ in 0..500 {
         let draft = item("a", Urgency::Normal, 1_000_000);
         queue.push(draft, PACE, Millis(0));
@@ -85,7 +92,7 @@
 
 #[test]
 fn a_flood_waits_behind_another_organisation() {
-    let mut queue = Queue::new(Config::new());
+    let mut queue = Queue::new(QueueConfig::new());
     for _ in 0..1_000 {
         let flood = item("flood", Urgency::Urgent, 1_000_000);
         queue.push(flood, PACE, Millis(0));
@@ -98,18 +105,20 @@
 
 #[test]
 fn work_that_can_not_be_on_time_is_refused_at_once() {
-    let mut queue = Queue::new(Config::new());
+    let mut queue = Queue::new(QueueConfig::new());
     for _ in 0..100 {
         queue.push(item("a", Urgency::Urgent, 1_000_000), PACE, Millis(0));
     }
     let late = item("a", Urgency::Urgent, 100);
     let outcome = queue.push(late, PACE, Millis(0));
-    assert!(matches!(outcome, Outcome::Refused(_, wait) if wait > Millis(0)));
+    assert!(
+        matches!(outcome, PushOutcome::Refused(_, wait) if wait > Millis(0))
+    );
 }
 
 #[test]
 fn a_full_queue_gives_up_its_least_urgent_work() {
-    let mut queue = Queue::new(Config::new().with_capacity(2));
+    let mut queue = Queue::new(QueueConfig::new().with_capacity(2));
     for _ in 0..2 {
         let draft = item("a", Urgency::Background, 1_000_000);
         queue.push(draft, PACE, Millis(0));
@@ -118,7 +127,7 @@
     let outcome = queue.push(urgent, PACE, Millis(0));
     assert!(matches!(
         outcome,
-        Outcome::Displaced(it, _) if it.urgency == Urgency::Background
+        PushOutcome::Displaced(it, _) if it.urgency == Urgency::Background
     ));
 }
 
@@ -141,14 +150,14 @@
         ),
         capacity in 1..40usize,
     ) {
-        let mut queue = Queue::new(Config::new().with_capacity(capacity));
+        let mut queue = Queue::new(QueueConfig::new().with_capacity(capacity));
         let mut now = Millis(0);
         let mut out = 0;
         for (index, (urgency, organisation, wait, deadline)) in
             arrivals.iter().enumerate()
         {
             now = now + Millis(*wait);
-            while queue.lapsed(PACE, now).is_some() {
+            while queue.remove_expired(PACE, now).is_some() {
                 out += 1;
             }
             let name = format!("o{organisation}");
@@ -157,8 +166,8 @@
                 ..item(&name, *urgency, now.0 + deadline)
             };
             match queue.push(item, PACE, now) {
-                Outcome::Queued => {}
-                Outcome::Displaced(..) | Outcome::Refused(..) => out += 1,
+                PushOutcome::Queued => {}
+                PushOutcome::Displaced(..) | PushOutcome::Refused(..) => out += 1,
             }
             prop_assert!(queue.len() <= capacity);
         }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -6,7 +6,7 @@
 
 use cowsliproad::{
     admission::{
-        queue::{Config, Item, Outcome, Pace, Queue},
+        queue::{Item, PushOutcome, Queue, QueueConfig, ServiceRate},
         register::TicketRegister,
         ticket::{Purpose, Ticket},
     },
@@ -21,8 +21,12 @@
 use goldenscript::{Command, Context, Runner};
 
 /// How fast the scripted target works.
-const PACE: Pace =
-    Pace { slots: 1, service_us: 100_000, gap_us: 0, next_us: 0 };
+const PACE: ServiceRate = ServiceRate {
+    slots: 1,
+    service_us: 100_000,
+    start_interval_us: 0,
+    next_start_us: 0,
+};
 
 /// Everything that a script can touch.
 struct World {
@@ -43,7 +47,7 @@
             now: Millis(0),
             agent: TicketRegister::new(100),
             tickets: BTreeMap::new(),
-            queue: Queue::new(Config::new()),
+            queue: Queue::new(QueueConfig::new()),
             log: Vec::new(),
             replicas: BTreeMap::new(),
             group: (0..3).map(member).collect(),
@@ -71,7 +75,7 @@
     fn arrive(&mut self, name: &str, urgency: &str, deadline: u64) -> String {
         let item = Item {
             organisation: name.split('-').next().unwrap_or(name).into(),
-            share: 1,
+            weight: 1,
             urgency: match urgency {
                 "urgent" => Urgency::Urgent,
                 "normal" => Urgency::Normal,
@@ -81,9 +85,13 @@
             work: name.into(),
         };
         match self.queue.push(item, PACE, self.now) {
-            Outcome::Queued => "waits".into(),
-            Outcome::Displaced(it, _) => format!("waits, {} shed", it.work),
-            Outcome::Refused(_, wait) => format!("refused, back in {wait}"),
+            PushOutcome::Queued => "waits".into(),
+            PushOutcome::Displaced(it, _) => {
+                format!("waits, {} shed", it.work)
+            }
+            PushOutcome::Refused(_, wait) => {
+                format!("refused, back in {wait}")
+            }
         }
     }
 
@@ -186,7 +194,7 @@
                 Some(item) => item.work,
                 None => "nothing".into(),
             },
-            "lapse" => match self.queue.lapsed(PACE, self.now) {
+            "lapse" => match self.queue.remove_expired(PACE, self.now) {
                 Some(item) => format!("{} not run", item.work),
                 None => "nothing".into(),
             },
