--- a/cowsliproad-admission/src/patience.rs
+++ b/cowsliproad-admission/src/patience.rs
@@ -36,16 +36,16 @@
 
 /// A stream that could start now.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
+pub struct PendingStream {
     /// When it came.
     pub arrived: Millis,
     /// How long its caller stays without an event.
-    pub silence: Millis,
+    pub silence_timeout: Millis,
     /// The time within which a first event is wanted, and usually comes also
     /// while a backlog is taken up.
-    pub aim: Millis,
+    pub first_event_aim: Millis,
     /// What the caller has left in all.
-    pub left: Millis,
+    pub time_left: Millis,
     /// Which of its tries this is.
     pub caller_try: CallerTry,
 }
@@ -56,26 +56,29 @@
     /// It starts.
     Now,
     /// The caller comes back after this time.
-    Later(Millis),
+    RetryAfter(Millis),
 }
 
-impl Asked {
+impl PendingStream {
     /// Whether it should start now. `draw` is a random number from 0 to 1.
-    pub fn start(&self, now: Millis, draw: f64) -> Admission {
-        let stays = (self.arrived + self.silence).since(now);
-        let third = Millis(self.left.0 / 3);
-        let hopeless = stays < self.aim && self.caller_try == CallerTry::First;
+    pub fn decide(&self, now: Millis, draw: f64) -> Admission {
+        let stays = (self.arrived + self.silence_timeout).since(now);
+        let third = Millis(self.time_left.0 / 3);
+        let hopeless = stays < self.first_event_aim
+            && self.caller_try == CallerTry::First;
         if !hopeless || third < SOONEST {
             return Admission::Now;
         }
         let spread = third.min(LATEST).since(SOONEST);
-        Admission::Later(SOONEST + Millis((spread.0 as f64 * draw) as u64))
+        Admission::RetryAfter(
+            SOONEST + Millis((spread.0 as f64 * draw) as u64),
+        )
     }
 }
 
 /// When a caller comes back that is told of a moment, as others are. Their
 /// returns are spread over a quarter of the time until then.
-pub fn spread_return(wait: Millis, draw: f64) -> Millis {
+pub fn jittered_retry(wait: Millis, draw: f64) -> Millis {
     let spread = Millis(wait.0 / RETURN_SPREAD).max(MIN_SPREAD);
     wait + Millis((spread.0 as f64 * draw) as u64)
 }
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use cowsliproad_admission::{
-    patience::{Admission, Asked, CallerTry},
+    patience::{Admission, CallerTry, PendingStream},
     quarantine::Verdict,
 };
 use cowsliproad_kernel::clock::Millis;
@@ -165,7 +165,8 @@
         mut choice: Choice,
         patience: Millis,
     ) -> Result<Option<Choice>, Response<Body>> {
-        if let Admission::Later(after) = self.start(entry, Millis::now()) {
+        if let Admission::RetryAfter(after) = self.start(entry, Millis::now())
+        {
             return Err(self.reject_with(entry, Reason::TooLate(after)));
         }
         if !limits::permit(entry, &mut choice, patience).await {
@@ -189,7 +190,8 @@
 
     /// Whether a stream that nothing has run of is still worth its start.
     fn start(&self, entry: &Entry, now: Millis) -> Admission {
-        let (Some(silence), Some(aim)) = (self.route.silence, self.route.aim)
+        let (Some(silence_timeout), Some(first_event_aim)) =
+            (self.route.silence, self.route.aim)
         else {
             return Admission::Now;
         };
@@ -197,9 +199,15 @@
             return Admission::Now;
         }
         let Call { arrived, caller_try, .. } = *self;
-        let left = self.left();
-        let asked = Asked { arrived, silence, aim, left, caller_try };
-        asked.start(now, entry.draw())
+        let time_left = self.left();
+        let stream = PendingStream {
+            arrived,
+            silence_timeout,
+            first_event_aim,
+            time_left,
+            caller_try,
+        };
+        stream.decide(now, entry.draw())
     }
 
     /// How long the request may wait for a target to be usable. A caller of a
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -351,7 +351,7 @@
         let first = choose::first_to_return(&checked.service, &[], deadline);
         first.map_err(|wait| {
             let Some(wait) = wait else { return no_target() };
-            let after = patience::spread_return(wait, rand::random());
+            let after = patience::jittered_retry(wait, rand::random());
             let failure = Failure::new(Code::Overloaded, Ran::NotRun);
             Refused::new(failure.with_retry_after(after))
         })
--- a/cowsliproad-entry/src/forward/failure.rs
+++ b/cowsliproad-entry/src/forward/failure.rs
@@ -138,7 +138,7 @@
 
     pub(super) fn fail(&mut self, mut failure: Failure) {
         if failure.code == Code::Overloaded {
-            let spread = |it| patience::spread_return(it, rand::random());
+            let spread = |it| patience::jittered_retry(it, rand::random());
             failure.retry_after = failure.retry_after.map(spread);
         }
         self.finished = true;
--- a/tests/properties/patience.rs
+++ b/tests/properties/patience.rs
@@ -2,7 +2,7 @@
 //! and who is told to come back.
 
 use cowsliproad::{
-    admission::patience::{Admission, Asked, CallerTry},
+    admission::patience::{Admission, CallerTry, PendingStream},
     kernel::clock::Millis,
 };
 use proptest::prelude::*;
@@ -13,17 +13,22 @@
 const SILENCE: Millis = Millis(2_000);
 const AIM: Millis = Millis(500);
 
-fn asked(waited: u64, caller_try: CallerTry) -> (Asked, Millis) {
+fn asked(waited: u64, caller_try: CallerTry) -> (PendingStream, Millis) {
     let arrived = Millis(10_000);
-    let left = MOST.since(Millis(waited));
-    let asked =
-        Asked { arrived, silence: SILENCE, aim: AIM, left, caller_try };
+    let time_left = MOST.since(Millis(waited));
+    let asked = PendingStream {
+        arrived,
+        silence_timeout: SILENCE,
+        first_event_aim: AIM,
+        time_left,
+        caller_try,
+    };
     (asked, arrived + Millis(waited))
 }
 
 fn start(waited: u64, caller_try: CallerTry) -> Admission {
     let (asked, now) = asked(waited, caller_try);
-    asked.start(now, 0.5)
+    asked.decide(now, 0.5)
 }
 
 #[test]
@@ -43,7 +48,10 @@
 fn whoever_would_leave_before_it_comes_back() {
     for waited in [1_501, 1_700, 1_890] {
         let start = start(waited, CallerTry::First);
-        assert!(matches!(start, Admission::Later(_)), "{waited}: {start:?}");
+        assert!(
+            matches!(start, Admission::RetryAfter(_)),
+            "{waited}: {start:?}"
+        );
     }
 }
 
@@ -71,12 +79,12 @@
         waited in 1_501_u64..7_900, draw in 0.0..1.0_f64,
     ) {
         let (asked, now) = asked(waited, CallerTry::First);
-        match asked.start(now, draw) {
-            Admission::Later(after) => {
-                prop_assert!(after <= Millis(asked.left.0 / 3));
+        match asked.decide(now, draw) {
+            Admission::RetryAfter(after) => {
+                prop_assert!(after <= Millis(asked.time_left.0 / 3));
                 prop_assert!((100..=1_100).contains(&after.0));
             }
-            Admission::Now => prop_assert!(asked.left.0 / 3 < 100),
+            Admission::Now => prop_assert!(asked.time_left.0 / 3 < 100),
         }
     }
 }
