--- a/cowsliproad-admission/src/quarantine.rs
+++ b/cowsliproad-admission/src/quarantine.rs
@@ -2,14 +2,14 @@
 //!
 //! A caller's tries have ids of their own and go to any entry, so work that
 //! ends its target is new to each of them, and ends one target after the
-//! other, unless it is known by what it is: [`Work`]. Each entry notes under
+//! other, unless it is known by what it is: [`WorkDigest`]. Each entry notes under
 //! which work a target ended and tells the others ([`Suspect`]). Once
-//! [`ENDS`] targets have ended under one piece of work, all entries refuse
-//! it ([`Ledger::verdict`]).
+//! [`CRASH_THRESHOLD`] targets have ended under one piece of work, all entries refuse
+//! it ([`CrashLedger::verdict`]).
 //!
 //! Where targets go in lock-step, the end of one stops its whole group, and
 //! three would stop it three times. So what a rank ran at its end and had not
-//! begun to answer is suspended at once ([`Ledger::suspend`]): not sent
+//! begun to answer is suspended at once ([`CrashLedger::suspend`]): not sent
 //! anywhere for [`SUSPENSION_TTL`], and twice as long after each further end.
 //! That rejects, for so long, requests that ran there by chance; it is bounded
 //! by what one rank runs, and what some target outlived is not suspended.
@@ -18,11 +18,11 @@
 //! proves little, and what it can prove wrongly is kept small:
 //!
 //! * a target that outlives work excuses it of all ends that were known then,
-//!   at all entries, and from then on it takes [`PROVEN_ENDS`] more: what
+//!   at all entries, and from then on it takes [`SURVIVED_CRASH_THRESHOLD`] more: what
 //!   comes often is at many targets that are killed, and outlived all along;
 //! * an end that was none is taken back everywhere once the target shows
-//!   life ([`Ledger::lives`]): a target that is cut off looks like one that
-//!   ended. Its next end is another ([`Ledger::end_of`]), and counts;
+//!   life ([`CrashLedger::lives`]): a target that is cut off looks like one that
+//!   ended. Its next end is another ([`CrashLedger::end_of`]), and counts;
 //! * all of it is forgotten [`SUSPECT_TTL`] after the work came last, and
 //!   [`REJECT_TTL`] after it was first refused, so that targets that were
 //!   mended get it again. Trying it sooner would cost a target each time.
@@ -38,18 +38,18 @@
 use cowsliproad_kernel::{clock::Millis, gossip::Suspect};
 
 use self::case::Case;
-pub use self::work::{End, Work};
+pub use self::work::{CrashId, WorkDigest};
 
 mod case;
 mod work;
 
 /// Targets that may end under work that none is known to have outlived.
 /// Fewer would refuse what was there by chance when two targets were killed.
-pub const ENDS: usize = 3;
+pub const CRASH_THRESHOLD: usize = 3;
 
 /// The same for work that some target outlived in the last minutes, counted
 /// anew each time that one does.
-pub const PROVEN_ENDS: usize = 6;
+pub const SURVIVED_CRASH_THRESHOLD: usize = 6;
 
 /// How long work is suspected after it came last, by any entry's clock.
 pub const SUSPECT_TTL: Millis = Millis(10 * 60 * 1_000);
@@ -99,7 +99,8 @@
 const MAX_LATENCY: Millis = Millis(1_000);
 
 /// The longest suspension, before what is suspended is refused.
-const MAX_SUSPENSION: Millis = Millis(SUSPENSION_TTL.0 << (ENDS - 2));
+const MAX_SUSPENSION: Millis =
+    Millis(SUSPENSION_TTL.0 << (CRASH_THRESHOLD - 2));
 
 /// How often what is due is looked for.
 const SWEEP_INTERVAL: Millis = Millis(10_000);
@@ -110,9 +111,9 @@
 
 /// What becomes of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum QuarantineVerdict {
     /// It may run.
-    Free,
+    Allowed,
     /// It is refused, and may be tried again after this time.
     Refused(Millis),
     /// It is suspended for this time.
@@ -121,7 +122,7 @@
 
 /// How news changed what is known of a piece of work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Change {
+pub enum QuarantineChange {
     /// Not at all.
     None,
     /// It is suspected, or less so.
@@ -136,10 +137,10 @@
 
 /// What an entry knows of work that targets ended under.
 #[derive(Debug, Default)]
-pub struct Ledger {
-    cases: HashMap<Work, Case>,
+pub struct CrashLedger {
+    cases: HashMap<WorkDigest, Case>,
     /// Ends that were none, and when that was last heard.
-    lives: HashMap<End, Millis>,
+    lives: HashMap<CrashId, Millis>,
     outlived: Outlived,
     swept: Millis,
 }
@@ -147,58 +148,68 @@
 /// Work that targets outlived, of the time before and the one before that.
 #[derive(Debug, Default)]
 struct Outlived {
-    newer: HashSet<Work>,
-    older: HashSet<Work>,
+    newer: HashSet<WorkDigest>,
+    older: HashSet<WorkDigest>,
     since: Millis,
 }
 
-impl Ledger {
+impl CrashLedger {
     /// Nothing known.
-    pub fn new() -> Ledger {
-        Ledger::default()
+    pub fn new() -> CrashLedger {
+        CrashLedger::default()
     }
 
     /// Whether work may run now.
-    pub fn verdict(&self, work: Work, now: Millis) -> Verdict {
+    pub fn verdict(&self, work: WorkDigest, now: Millis) -> QuarantineVerdict {
         if self.cases.is_empty() {
-            return Verdict::Free;
+            return QuarantineVerdict::Allowed;
         }
         let now = now + BEFORE;
         let case = self.cases.get(&work).filter(|it| !it.is_over(now));
-        let Some(case) = case else { return Verdict::Free };
+        let Some(case) = case else { return QuarantineVerdict::Allowed };
         if let Some(since) = case.since {
             let longest = (since + REJECT_TTL).since(now);
-            return Verdict::Refused(SUSPECT_TTL.min(longest));
+            return QuarantineVerdict::Refused(SUSPECT_TTL.min(longest));
         }
-        case.suspension(now).map_or(Verdict::Free, Verdict::Suspended)
+        case.suspension(now)
+            .map_or(QuarantineVerdict::Allowed, QuarantineVerdict::Suspended)
     }
 
     /// Suspends work under which a rank of a group ended, unless some target
     /// is known to have outlived it.
-    pub fn suspend(&mut self, work: Work, now: Millis) -> Change {
+    pub fn suspend(
+        &mut self,
+        work: WorkDigest,
+        now: Millis,
+    ) -> QuarantineChange {
         let now = now + BEFORE;
         let Some(case) = self.cases.get_mut(&work) else {
-            return Change::None;
+            return QuarantineChange::None;
         };
         if case.proven || case.ends.is_empty() || case.since.is_some() {
-            return Change::None;
+            return QuarantineChange::None;
         }
         let doublings = case.ends.len() as u32 - 1;
         case.suspended_until =
             Some(now + Millis(SUSPENSION_TTL.0 << doublings));
         case.told_until = now + BROADCAST_TTL;
-        Change::Suspended
+        QuarantineChange::Suspended
     }
 
     /// Notes that refused work came again.
-    pub fn sighted(&mut self, work: Work, now: Millis) {
+    pub fn record_arrival(&mut self, work: WorkDigest, now: Millis) {
         if let Some(case) = self.cases.get_mut(&work) {
             case.seen = now + BEFORE;
         }
     }
 
     /// Notes that a target ended under work.
-    pub fn ended(&mut self, work: Work, end: End, now: Millis) -> Change {
+    pub fn record_crash(
+        &mut self,
+        work: WorkDigest,
+        end: CrashId,
+        now: Millis,
+    ) -> QuarantineChange {
         let seen = Suspect {
             work: work.0,
             ends: vec![end.0],
@@ -208,18 +219,22 @@
             refused: None,
             suspended: None,
         };
-        self.learn(&seen, BROADCAST_TTL, now)
+        self.merge_suspect(&seen, BROADCAST_TTL, now)
     }
 
     /// Notes that a target outlived work.
-    pub fn outlived(&mut self, work: Work, now: Millis) -> Change {
+    pub fn record_survival(
+        &mut self,
+        work: WorkDigest,
+        now: Millis,
+    ) -> QuarantineChange {
         self.outlived.note(work, now);
         let now = now + BEFORE;
         let Some(case) = self.cases.get_mut(&work) else {
-            return Change::None;
+            return QuarantineChange::None;
         };
         if case.proven && case.ends.is_empty() {
-            return Change::None;
+            return QuarantineChange::None;
         }
         case.proven = true;
         for end in std::mem::take(&mut case.ends) {
@@ -227,29 +242,29 @@
         }
         case.told_until = now + BROADCAST_TTL;
         match case.judge(now) {
-            Change::None => Change::Suspected,
+            QuarantineChange::None => QuarantineChange::Suspected,
             change => change,
         }
     }
 
     /// Takes in what another entry, or one before this process, knows.
-    pub fn hear(&mut self, told: &Suspect, now: Millis) -> Change {
-        self.learn(told, RELAY_TTL, now)
+    pub fn merge(&mut self, told: &Suspect, now: Millis) -> QuarantineChange {
+        self.merge_suspect(told, RELAY_TTL, now)
     }
 
     /// Takes something in that is told for a time.
-    fn learn(
+    fn merge_suspect(
         &mut self,
         told: &Suspect,
         telling: Millis,
         now: Millis,
-    ) -> Change {
+    ) -> QuarantineChange {
         let now = now + BEFORE;
         let refused = told.refused.unwrap_or_default();
         if told.idle >= SUSPECT_TTL || refused >= REJECT_TTL {
-            return Change::None;
+            return QuarantineChange::None;
         }
-        let work = Work(told.work);
+        let work = WorkDigest(told.work);
         if !self.cases.contains_key(&work) {
             self.make_room();
         }
@@ -277,10 +292,10 @@
         // everybody sends.
         let mut misses = case.proven && !told.proven;
         case.proven |= told.proven;
-        for end in told.excused.iter().map(|it| End(*it)) {
+        for end in told.excused.iter().map(|it| CrashId(*it)) {
             case.excuse(end);
         }
-        for end in told.ends.iter().map(|it| End(*it)) {
+        for end in told.ends.iter().map(|it| CrashId(*it)) {
             if let Some(heard) = self.lives.get_mut(&end) {
                 *heard = now;
             } else if case.excused.contains(&end) {
@@ -305,17 +320,21 @@
             *since = (*since).min(now - refused);
         }
         match change {
-            Change::None if suspends => Change::Suspended,
-            Change::None if is_news => Change::Suspected,
+            QuarantineChange::None if suspends => QuarantineChange::Suspended,
+            QuarantineChange::None if is_news => QuarantineChange::Suspected,
             change => change,
         }
     }
 
     /// Notes that a target that was taken for ended lives. Returns the work
     /// that is refused no longer.
-    pub fn lives(&mut self, end: End, now: Millis) -> Vec<Work> {
+    pub fn retract_crash(
+        &mut self,
+        end: CrashId,
+        now: Millis,
+    ) -> Vec<WorkDigest> {
         let now = now + BEFORE;
-        if self.took_back(end) {
+        if self.is_retracted(end) {
             return Vec::new();
         }
         self.lives.insert(end, now);
@@ -327,7 +346,9 @@
         }
         let mut freed = Vec::new();
         for (work, case) in &mut self.cases {
-            if case.ends.remove(&end) && case.judge(now) == Change::Freed {
+            if case.ends.remove(&end)
+                && case.judge(now) == QuarantineChange::Freed
+            {
                 freed.push(*work);
             }
         }
@@ -336,10 +357,10 @@
 
     /// The end of what started at `start` under a name, as it is told of now:
     /// the first that was not taken back.
-    pub fn end_of(&self, target: &str, start: u64) -> End {
-        let mut end = End::new(target, start);
+    pub fn crash_id(&self, target: &str, start: u64) -> CrashId {
+        let mut end = CrashId::new(target, start);
         for _ in 0..MAX_RETURNS {
-            if !self.took_back(end) {
+            if !self.is_retracted(end) {
                 break;
             }
             end = end.next();
@@ -348,32 +369,32 @@
     }
 
     /// Whether an end is known to have been none.
-    pub fn took_back(&self, end: End) -> bool {
+    pub fn is_retracted(&self, end: CrashId) -> bool {
         self.lives.contains_key(&end)
     }
 
     /// Whether anything is known of a piece of work.
-    pub fn knows(&self, work: Work) -> bool {
+    pub fn has_case(&self, work: WorkDigest) -> bool {
         self.cases.contains_key(&work)
     }
 
     /// Whether an end is held against any work.
-    pub fn holds(&self, end: End) -> bool {
+    pub fn counts_crash(&self, end: CrashId) -> bool {
         self.cases.values().any(|it| it.ends.contains(&end))
     }
 
     /// How many ends are held against work.
-    pub fn ends(&self, work: Work) -> usize {
+    pub fn crash_count(&self, work: WorkDigest) -> usize {
         self.cases.get(&work).map_or(0, |it| it.ends.len())
     }
 
     /// Pieces of work that are kept.
-    pub fn cases(&self) -> usize {
+    pub fn case_count(&self) -> usize {
         self.cases.len()
     }
 
     /// What is known of a piece of work, to be told or kept.
-    pub fn suspect(&self, work: Work, now: Millis) -> Option<Suspect> {
+    pub fn suspect(&self, work: WorkDigest, now: Millis) -> Option<Suspect> {
         let now = now + BEFORE;
         self.cases.get(&work).map(|it| it.suspect(work, now))
     }
@@ -384,7 +405,7 @@
     }
 
     /// The same, and what is suspended, for others that may have missed it.
-    pub fn renewals(&self, now: Millis) -> Vec<Suspect> {
+    pub fn updates_and_suspensions(&self, now: Millis) -> Vec<Suspect> {
         self.told(now, |case, now| {
             case.is_news(now) || case.suspension(now).is_some()
         })
@@ -396,7 +417,7 @@
         is_told: impl Fn(&Case, Millis) -> bool,
     ) -> Vec<Suspect> {
         let now = now + BEFORE;
-        let mut told: Vec<(&Work, &Case)> =
+        let mut told: Vec<(&WorkDigest, &Case)> =
             self.cases.iter().filter(|it| is_told(it.1, now)).collect();
         // Own news lasts longer than what is passed on.
         told.sort_by_key(|(_, case)| {
@@ -408,7 +429,7 @@
     }
 
     /// All that is known, for a peer that was out of reach.
-    pub fn known(&self, now: Millis) -> Vec<Suspect> {
+    pub fn snapshot(&self, now: Millis) -> Vec<Suspect> {
         let now = now + BEFORE;
         let kept = self.cases.iter().filter(|it| !it.1.is_over(now));
         let mut kept: Vec<Suspect> =
@@ -419,7 +440,7 @@
     }
 
     /// Ends that were none, as far as that is news.
-    pub fn taken_back(&self, now: Millis) -> Vec<u64> {
+    pub fn recent_retractions(&self, now: Millis) -> Vec<u64> {
         let now = now + BEFORE;
         let news = |at: Millis| now.since(at) < BROADCAST_TTL;
         let told = self.lives.iter().filter(|it| news(*it.1));
@@ -427,7 +448,7 @@
     }
 
     /// Forgets what is over, and says which work that was.
-    pub fn sweep(&mut self, now: Millis) -> Vec<Work> {
+    pub fn evict_expired(&mut self, now: Millis) -> Vec<WorkDigest> {
         if now.since(self.swept) < SWEEP_INTERVAL {
             return Vec::new();
         }
@@ -436,7 +457,7 @@
         self.lives.retain(|_, at| now.since(*at) < REJECT_TTL);
         let is_over = |it: &Case| it.is_over(now);
         let over = self.cases.iter().filter(|it| is_over(it.1));
-        let over: Vec<Work> = over.map(|it| *it.0).collect();
+        let over: Vec<WorkDigest> = over.map(|it| *it.0).collect();
         for work in &over {
             self.cases.remove(work);
         }
@@ -458,7 +479,7 @@
 }
 
 impl Outlived {
-    fn note(&mut self, work: Work, now: Millis) {
+    fn note(&mut self, work: WorkDigest, now: Millis) {
         let is_old = now.since(self.since) >= OUTLIVED_TTL;
         if is_old || self.newer.len() >= MAX_OUTLIVED {
             self.older = std::mem::take(&mut self.newer);
@@ -467,7 +488,7 @@
         self.newer.insert(work);
     }
 
-    fn holds(&self, work: Work) -> bool {
+    fn holds(&self, work: WorkDigest) -> bool {
         self.newer.contains(&work) || self.older.contains(&work)
     }
 }
--- a/cowsliproad-admission/src/quarantine/case.rs
+++ b/cowsliproad-admission/src/quarantine/case.rs
@@ -5,16 +5,16 @@
 use cowsliproad_kernel::{clock::Millis, gossip::Suspect};
 
 use super::{
-    Change, ENDS, End, MAX_EXCUSED, MAX_SUSPENSION, PROVEN_ENDS, REJECT_TTL,
-    SUSPECT_TTL, Work,
+    CRASH_THRESHOLD, CrashId, MAX_EXCUSED, MAX_SUSPENSION, QuarantineChange,
+    REJECT_TTL, SURVIVED_CRASH_THRESHOLD, SUSPECT_TTL, WorkDigest,
 };
 
 /// What is known of one piece of work. Times are counted from [`super::BEFORE`].
 #[derive(Clone, Debug)]
 pub(super) struct Case {
-    pub(super) ends: BTreeSet<End>,
+    pub(super) ends: BTreeSet<CrashId>,
     /// Ends that were before some target outlived it, the newest last.
-    pub(super) excused: Vec<End>,
+    pub(super) excused: Vec<CrashId>,
     /// Whether a target is known to have outlived it.
     pub(super) proven: bool,
     /// When it came last.
@@ -29,7 +29,7 @@
 
 impl Case {
     /// Holds an end against it no longer.
-    pub(super) fn excuse(&mut self, end: End) {
+    pub(super) fn excuse(&mut self, end: CrashId) {
         self.ends.remove(&end);
         if !self.excused.contains(&end) {
             self.excused.push(end);
@@ -57,28 +57,32 @@
 
     /// Sees whether it is to be refused. What no end is held against is not
     /// suspended either.
-    pub(super) fn judge(&mut self, now: Millis) -> Change {
+    pub(super) fn judge(&mut self, now: Millis) -> QuarantineChange {
         let was_suspended = self.suspended_until.is_some_and(|it| it > now);
         if self.proven || self.ends.is_empty() {
             self.suspended_until = None;
         }
-        let most = if self.proven { PROVEN_ENDS } else { ENDS };
+        let most = if self.proven {
+            SURVIVED_CRASH_THRESHOLD
+        } else {
+            CRASH_THRESHOLD
+        };
         let refused = self.ends.len() >= most;
         match (self.since, refused) {
             (None, true) => {
                 self.since = Some(now);
-                Change::Refused
+                QuarantineChange::Refused
             }
             (Some(_), false) => {
                 self.since = None;
-                Change::Freed
+                QuarantineChange::Freed
             }
             (None, false)
                 if was_suspended && self.suspended_until.is_none() =>
             {
-                Change::Freed
+                QuarantineChange::Freed
             }
-            _ => Change::None,
+            _ => QuarantineChange::None,
         }
     }
 
@@ -97,7 +101,7 @@
         left.filter(|it| *it > Millis(0))
     }
 
-    pub(super) fn suspect(&self, work: Work, now: Millis) -> Suspect {
+    pub(super) fn suspect(&self, work: WorkDigest, now: Millis) -> Suspect {
         Suspect {
             work: work.0,
             ends: self.ends.iter().map(|it| it.0).collect(),
--- a/cowsliproad-admission/src/quarantine/work.rs
+++ b/cowsliproad-admission/src/quarantine/work.rs
@@ -6,14 +6,14 @@
 /// digest, shared by all entries. Two different pieces are alike by chance
 /// once in 10^11 pairs of a million.
 #[derive(Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Work(pub u64);
+pub struct WorkDigest(pub u64);
 
-impl Work {
+impl WorkDigest {
     /// The work of a request, by everything that a target could run
     /// differently: its parts in a fixed order, such as who asks, the method,
     /// the path and the body.
-    pub fn new(parts: &[&[u8]]) -> Work {
-        Work(digest(parts))
+    pub fn new(parts: &[&[u8]]) -> WorkDigest {
+        WorkDigest(digest(parts))
     }
 
     /// The work of a submission, as agents and entries both know it.
@@ -21,30 +21,30 @@
         organisation: &str,
         request_type: &str,
         body: &[u8],
-    ) -> Work {
+    ) -> WorkDigest {
         let parts = [organisation.as_bytes(), request_type.as_bytes(), body];
-        Work::new(&parts)
+        WorkDigest::new(&parts)
     }
 
     /// The same work at one of several services that don't know of others.
-    pub fn within(self, service: &str) -> Work {
-        Work(digest(&[service.as_bytes(), &self.0.to_be_bytes()]))
+    pub fn within(self, service: &str) -> WorkDigest {
+        WorkDigest(digest(&[service.as_bytes(), &self.0.to_be_bytes()]))
     }
 }
 
 /// One start of a target, as entries tell one another of its end.
 #[derive(Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct End(pub u64);
+pub struct CrashId(pub u64);
 
-impl End {
+impl CrashId {
     /// The end of what started at `start` under a name.
-    pub fn new(target: &str, start: u64) -> End {
-        End(digest(&[target.as_bytes(), &start.to_be_bytes()]))
+    pub fn new(target: &str, start: u64) -> CrashId {
+        CrashId(digest(&[target.as_bytes(), &start.to_be_bytes()]))
     }
 
     /// The next end of the same start, once this one was taken back.
-    pub(super) fn next(self) -> End {
-        End(digest(&[&self.0.to_be_bytes()]))
+    pub(super) fn next(self) -> CrashId {
+        CrashId(digest(&[&self.0.to_be_bytes()]))
     }
 }
 
@@ -60,19 +60,19 @@
     u64::from_be_bytes(first)
 }
 
-impl fmt::Display for Work {
+impl fmt::Display for WorkDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
 }
 
-impl fmt::Debug for Work {
+impl fmt::Debug for WorkDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, f)
     }
 }
 
-impl fmt::Debug for End {
+impl fmt::Debug for CrashId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
--- a/cowsliproad-agent/src/ends.rs
+++ b/cowsliproad-agent/src/ends.rs
@@ -18,7 +18,9 @@
     time::Duration,
 };
 
-use cowsliproad_admission::quarantine::{self, Change, End, Ledger};
+use cowsliproad_admission::quarantine::{
+    self, CrashId, CrashLedger, QuarantineChange,
+};
 use cowsliproad_kernel::{
     clock::Millis,
     code::{Code, Ran},
@@ -74,16 +76,16 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    ledger: Ledger,
+    ledger: CrashLedger,
     /// The last end and when it was seen.
-    last: Option<(End, Millis)>,
+    last: Option<(CrashId, Millis)>,
     /// Work that entries are to be told of.
-    news: Vec<quarantine::Work>,
+    news: Vec<quarantine::WorkDigest>,
     presence: Presence,
     /// Whether entries are to be told of that.
     changed: bool,
     /// Work that was given up, and until when the target may go on with it.
-    left: VecDeque<(quarantine::Work, Millis)>,
+    left: VecDeque<(quarantine::WorkDigest, Millis)>,
 }
 
 /// What was seen of the target after work failed.
@@ -122,7 +124,8 @@
         inner.changed = false;
         let news = std::mem::take(&mut inner.news);
         let now = Millis::now();
-        let known = |it: &quarantine::Work| inner.ledger.suspect(*it, now);
+        let known =
+            |it: &quarantine::WorkDigest| inner.ledger.suspect(*it, now);
         news.iter().filter_map(known).collect()
     }
 
@@ -130,27 +133,29 @@
     pub fn known(&self) -> Vec<Suspect> {
         let mut inner = lock(&self.inner);
         let now = Millis::now();
-        inner.ledger.sweep(now);
-        inner.ledger.known(now)
+        inner.ledger.evict_expired(now);
+        inner.ledger.snapshot(now)
     }
 
     /// Notes that the target outlived work.
-    pub fn outlived(&self, work: quarantine::Work) {
+    pub fn outlived(&self, work: quarantine::WorkDigest) {
         let mut inner = lock(&self.inner);
-        if inner.ledger.outlived(work, Millis::now()) != Change::None {
+        if inner.ledger.record_survival(work, Millis::now())
+            != QuarantineChange::None
+        {
             inner.news.push(work);
         }
     }
 
-    fn ended(&self, work: quarantine::Work) {
+    fn ended(&self, work: quarantine::WorkDigest) {
         let now = Millis::now();
         let mut inner = lock(&self.inner);
         let end = match inner.last {
             Some((end, at)) if now.since(at) < ONE_END => end,
-            _ => End::new(&self.target, now.0),
+            _ => CrashId::new(&self.target, now.0),
         };
         inner.last = Some((end, now));
-        inner.ledger.ended(work, end, now);
+        inner.ledger.record_crash(work, end, now);
         inner.news.push(work);
     }
 
@@ -169,7 +174,7 @@
     }
 
     /// Notes that work was given up, which the target may go on with.
-    fn leave(&self, work: quarantine::Work, until: Millis) {
+    fn leave(&self, work: quarantine::WorkDigest, until: Millis) {
         let mut inner = lock(&self.inner);
         if inner.left.len() >= MAX_LEFT {
             inner.left.pop_front();
@@ -192,7 +197,7 @@
     }
 
     /// The work that was given up and that the target may have been at.
-    fn take_left(&self) -> Vec<quarantine::Work> {
+    fn take_left(&self) -> Vec<quarantine::WorkDigest> {
         let left = std::mem::take(&mut lock(&self.inner).left);
         left.into_iter().map(|it| it.0).collect()
     }
--- a/cowsliproad-agent/src/work.rs
+++ b/cowsliproad-agent/src/work.rs
@@ -97,8 +97,8 @@
 
 impl Work {
     /// What it is, whatever request it is of.
-    pub fn kind(&self) -> quarantine::Work {
-        quarantine::Work::submitted(
+    pub fn kind(&self) -> quarantine::WorkDigest {
+        quarantine::WorkDigest::submitted(
             &self.organisation,
             &self.request_type,
             &self.body,
--- a/cowsliproad-bench/src/experiment/quarantine.rs
+++ b/cowsliproad-bench/src/experiment/quarantine.rs
@@ -8,7 +8,7 @@
 //! pieces. For a while one of three zones is cut off from the others and from
 //! the log, and all entries are restarted in turn, which makes them forget.
 //!
-//! Played is the decision itself ([`Ledger`]) and who is told; the model
+//! Played is the decision itself ([`CrashLedger`]) and who is told; the model
 //! leaves out groups in lock-step, queues, and how an end is told from a cut.
 
 use std::{
@@ -16,7 +16,9 @@
     collections::{BTreeMap, BinaryHeap, HashSet},
 };
 
-use cowsliproad_admission::quarantine::{Change, End, Ledger, Verdict, Work};
+use cowsliproad_admission::quarantine::{
+    CrashId, CrashLedger, QuarantineChange, QuarantineVerdict, WorkDigest,
+};
 use cowsliproad_kernel::{
     clock::Millis,
     gossip::{self, Suspect, Suspects},
@@ -140,7 +142,7 @@
 /// A request at a target.
 #[derive(Clone, Copy, Debug)]
 struct Request {
-    work: Work,
+    work: WorkDigest,
     entry: usize,
     tries: u32,
 }
@@ -155,7 +157,7 @@
     /// A target is back.
     Back(usize),
     /// An entry learns that a target ended under its request.
-    Learnt(usize, Work, End),
+    Learnt(usize, WorkDigest, CrashId),
     /// Words arrive at an entry.
     Words(usize, u64),
 }
@@ -165,7 +167,7 @@
     policy: Policy,
     random: StdRng,
     now: u64,
-    ledgers: Vec<Ledger>,
+    ledgers: Vec<CrashLedger>,
     /// The start of each target, if it is up.
     targets: Vec<Option<u64>>,
     starts: u64,
@@ -173,8 +175,8 @@
     next: u64,
     events: BinaryHeap<Reverse<(u64, Event)>>,
     words: BTreeMap<u64, Vec<Suspect>>,
-    log: BTreeMap<Work, Suspect>,
-    own: HashSet<(usize, Work)>,
+    log: BTreeMap<WorkDigest, Suspect>,
+    own: HashSet<(usize, WorkDigest)>,
     /// When each entry's process started.
     born: Vec<u64>,
     third: Option<u64>,
@@ -182,7 +184,7 @@
 }
 
 /// The deadly work.
-const DEADLY: Work = Work(u64::MAX);
+const DEADLY: WorkDigest = WorkDigest(u64::MAX);
 
 /// Plays a policy.
 pub fn play(size: Size, policy: Policy, seed: u64) -> Score {
@@ -191,7 +193,7 @@
         policy,
         random: StdRng::seed_from_u64(seed),
         now: 0,
-        ledgers: (0..size.entries).map(|_| Ledger::new()).collect(),
+        ledgers: (0..size.entries).map(|_| CrashLedger::new()).collect(),
         targets: (0..size.targets as u64).map(Some).collect(),
         starts: size.targets as u64,
         requests: BTreeMap::new(),
@@ -242,14 +244,14 @@
         }
     }
 
-    fn innocent(&mut self) -> Work {
+    fn innocent(&mut self) -> WorkDigest {
         if self.random.random_bool(COMMON_SHARE) {
-            return Work(self.random.random_range(0..COMMON));
+            return WorkDigest(self.random.random_range(0..COMMON));
         }
-        Work(self.random.random_range(COMMON..u64::MAX))
+        WorkDigest(self.random.random_range(COMMON..u64::MAX))
     }
 
-    fn arrive(&mut self, work: Work) {
+    fn arrive(&mut self, work: WorkDigest) {
         let entry = self.random.random_range(0..self.size.entries);
         if work != DEADLY {
             self.score.innocents += 1;
@@ -261,9 +263,10 @@
         let Request { work, entry, tries } = request;
         let now = Millis(self.now);
         if self.policy != Policy::ByRequest
-            && self.ledgers[entry].verdict(work, now) != Verdict::Free
+            && self.ledgers[entry].verdict(work, now)
+                != QuarantineVerdict::Allowed
         {
-            self.ledgers[entry].sighted(work, now);
+            self.ledgers[entry].record_arrival(work, now);
             self.score.refused += u32::from(work != DEADLY);
             return;
         }
@@ -315,8 +318,9 @@
                 let done = self.requests.remove(&request);
                 if let Some((_, Request { work, entry, .. })) = done {
                     let now = Millis(self.now);
-                    let change = self.ledgers[entry].outlived(work, now);
-                    if change != Change::None {
+                    let change =
+                        self.ledgers[entry].record_survival(work, now);
+                    if change != QuarantineChange::None {
                         self.own.insert((entry, work));
                         self.write(entry, work);
                         self.tell(entry);
@@ -349,7 +353,7 @@
     fn end(&mut self, target: usize, start: u64) {
         self.targets[target] = None;
         self.at(self.now + DOWN_MS, Event::Back(target));
-        let end = End::new(&target.to_string(), start);
+        let end = CrashId::new(&target.to_string(), start);
         let there = self.requests.iter().filter(|it| it.1.0 == target);
         let there: Vec<u64> = there.map(|it| *it.0).collect();
         for number in there {
@@ -364,9 +368,11 @@
         }
     }
 
-    fn learn(&mut self, entry: usize, work: Work, end: End) {
+    fn learn(&mut self, entry: usize, work: WorkDigest, end: CrashId) {
         let now = Millis(self.now);
-        if self.ledgers[entry].ended(work, end, now) == Change::None {
+        if self.ledgers[entry].record_crash(work, end, now)
+            == QuarantineChange::None
+        {
             return;
         }
         self.own.insert((entry, work));
@@ -378,14 +384,14 @@
 
     fn hear(&mut self, entry: usize, suspect: &Suspect) {
         let now = Millis(self.now);
-        let change = self.ledgers[entry].hear(suspect, now);
-        if change != Change::None {
-            self.write(entry, Work(suspect.work));
+        let change = self.ledgers[entry].merge(suspect, now);
+        if change != QuarantineChange::None {
+            self.write(entry, WorkDigest(suspect.work));
         }
     }
 
-    fn write(&mut self, entry: usize, work: Work) {
-        let known = self.ledgers[entry].ends(work);
+    fn write(&mut self, entry: usize, work: WorkDigest) {
+        let known = self.ledgers[entry].crash_count(work);
         if self.policy < Policy::Kept
             || known < WRITTEN_ENDS
             || !self.own.contains(&(entry, work))
@@ -450,7 +456,7 @@
         {
             return;
         }
-        self.ledgers[entry] = Ledger::new();
+        self.ledgers[entry] = CrashLedger::new();
         self.born[entry] = self.now;
         self.own.retain(|it| it.0 != entry);
         if self.policy >= Policy::Kept {
@@ -462,10 +468,11 @@
 
     fn watch(&mut self, entry: usize) {
         let now = Millis(self.now);
-        let kept = self.ledgers[entry].cases();
+        let kept = self.ledgers[entry].case_count();
         self.score.kept = self.score.kept.max(kept);
         let Some(third) = self.third else { return };
-        let knows = self.ledgers[entry].verdict(DEADLY, now) != Verdict::Free;
+        let knows = self.ledgers[entry].verdict(DEADLY, now)
+            != QuarantineVerdict::Allowed;
         if !knows && self.born[entry] == 0 && self.is_in_touch(entry) {
             self.score.known_ms = self.now - third;
         }
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -13,7 +13,7 @@
 };
 
 use cowsliproad_admission::{
-    quarantine::{End, Ledger, Work as Kind},
+    quarantine::{CrashId, CrashLedger, WorkDigest as Kind},
     queue::{Item, Queue, QueueConfig, ServiceRate},
     register::TicketRegister,
     ticket::{Purpose, Ticket},
@@ -425,12 +425,12 @@
     let (mut suspected, mut learn) = (Points::new(), Points::new());
     for count in [512_u64, 1_024, 2_048, 4_096] {
         let before = meter::memory();
-        let mut ledgers: Vec<Ledger> =
-            (0..LEDGERS).map(|_| Ledger::new()).collect();
+        let mut ledgers: Vec<CrashLedger> =
+            (0..LEDGERS).map(|_| CrashLedger::new()).collect();
         let start = Instant::now();
         for ledger in &mut ledgers {
             for work in 0..count {
-                ledger.ended(Kind(work), End(work / 50), now);
+                ledger.record_crash(Kind(work), CrashId(work / 50), now);
             }
         }
         let taken = start.elapsed().as_nanos() as f64 / 1e3;
--- a/cowsliproad-direct/src/attempt.rs
+++ b/cowsliproad-direct/src/attempt.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::Cell, rc::Rc};
 
-use cowsliproad_admission::quarantine::Work;
+use cowsliproad_admission::quarantine::WorkDigest;
 use cowsliproad_kernel::{Name, clock::Millis};
 
 use crate::{
@@ -17,7 +17,7 @@
 pub struct Attempt {
     entry: Rc<Entry>,
     choice: Choice,
-    call: (Name, Work),
+    call: (Name, WorkDigest),
     began: Millis,
     /// When the request ends, also at the target.
     until: Millis,
@@ -139,7 +139,7 @@
         });
     }
 
-    fn suspect(&self, new: impl FnOnce(Name, Work) -> Suspicion) {
+    fn suspect(&self, new: impl FnOnce(Name, WorkDigest) -> Suspicion) {
         if !self.settled.replace(true) && self.sent.get().is_some() {
             let (request, work) = self.call.clone();
             let suspect = new(request, work);
--- a/cowsliproad-direct/src/call.rs
+++ b/cowsliproad-direct/src/call.rs
@@ -17,7 +17,7 @@
 use std::{rc::Rc, sync::Arc};
 
 use bytes::Bytes;
-use cowsliproad_admission::{patience::CallerTry, quarantine::Work};
+use cowsliproad_admission::{patience::CallerTry, quarantine::WorkDigest};
 use cowsliproad_kernel::{Name, clock::Millis};
 use cowsliproad_platform::header;
 use cowsliproad_routing::catalog::Route;
@@ -65,7 +65,7 @@
     /// Its id, for logs.
     pub id: Name,
     /// What it is, whatever its id.
-    pub work: Work,
+    pub work: WorkDigest,
     /// The rule it goes by.
     pub route: Arc<Route>,
     /// The service that it goes to.
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -5,7 +5,7 @@
 
 use cowsliproad_admission::{
     patience::{Admission, CallerTry, PendingStream},
-    quarantine::Verdict,
+    quarantine::QuarantineVerdict,
 };
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_routing::fleet::Target;
@@ -52,11 +52,11 @@
             let now = Millis::now();
             let verdict = entry.quarantine.borrow_mut().admit(self.work, now);
             match verdict {
-                Verdict::Free => {}
-                Verdict::Refused(after) => {
+                QuarantineVerdict::Allowed => {}
+                QuarantineVerdict::Refused(after) => {
                     return Err(self.reject_with(entry, Reason::Poison(after)));
                 }
-                Verdict::Suspended(after) => {
+                QuarantineVerdict::Suspended(after) => {
                     let reason = Reason::Suspended(after);
                     return Err(self.reject_with(entry, reason));
                 }
--- a/cowsliproad-direct/src/ends.rs
+++ b/cowsliproad-direct/src/ends.rs
@@ -19,7 +19,7 @@
 
 use std::{io, rc::Rc};
 
-use cowsliproad_admission::quarantine::Work;
+use cowsliproad_admission::quarantine::WorkDigest;
 use cowsliproad_kernel::{Name, clock::Millis};
 use slog::info;
 use tokio::{net::TcpStream, time::sleep};
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug)]
 pub struct Suspicion {
     request: Name,
-    work: Work,
+    work: WorkDigest,
     /// When its connection broke or was given up, or since then the target
     /// was last seen to live.
     at: Millis,
@@ -75,7 +75,7 @@
 
 impl Suspicion {
     /// A request whose connection broke.
-    pub fn broken(request: Name, work: Work) -> Suspicion {
+    pub fn broken(request: Name, work: WorkDigest) -> Suspicion {
         let at = Millis::now();
         Suspicion {
             request,
@@ -94,7 +94,11 @@
 
     /// A request that was given up here, and that the target may go on with
     /// until its time is over.
-    pub fn given_up(request: Name, work: Work, until: Millis) -> Suspicion {
+    pub fn given_up(
+        request: Name,
+        work: WorkDigest,
+        until: Millis,
+    ) -> Suspicion {
         let broken = Suspicion::broken(request, work);
         let lingers = LINGER_INTERVAL;
         let until = until.min(broken.at + LONGEST_LINGER);
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -17,7 +17,9 @@
     time::{SystemTime, UNIX_EPOCH},
 };
 
-use cowsliproad_admission::quarantine::{Change, End, Ledger, Verdict, Work};
+use cowsliproad_admission::quarantine::{
+    CrashId, CrashLedger, QuarantineChange, QuarantineVerdict, WorkDigest,
+};
 use cowsliproad_kernel::{
     clock::Millis,
     gossip::{self, Suspect, Suspects},
@@ -73,16 +75,16 @@
 /// What the entry knows and has to do.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    ledger: Ledger,
+    ledger: CrashLedger,
     /// Work of which this entry saw something itself.
-    own: HashSet<Work>,
+    own: HashSet<WorkDigest>,
     /// Work that the log is to be told of, and that it was told of.
-    unwritten: BTreeSet<Work>,
-    written: HashSet<Work>,
+    unwritten: BTreeSet<WorkDigest>,
+    written: HashSet<WorkDigest>,
     /// Work that the log lost, and when it is to be told again.
-    lost: BTreeMap<Work, Millis>,
+    lost: BTreeMap<WorkDigest, Millis>,
     /// Ends that are held against work, whose targets may yet show life.
-    ended: HashMap<End, Ended>,
+    ended: HashMap<CrashId, Ended>,
     /// Wakes the task that writes.
     due: Rc<Notify>,
     swept: Millis,
@@ -118,17 +120,21 @@
 
 impl Quarantine {
     /// Whether work may run now. Work that is refused counts as seen.
-    pub fn admit(&mut self, work: Work, now: Millis) -> Verdict {
+    pub fn admit(
+        &mut self,
+        work: WorkDigest,
+        now: Millis,
+    ) -> QuarantineVerdict {
         let verdict = self.ledger.verdict(work, now);
-        if verdict != Verdict::Free {
-            self.ledger.sighted(work, now);
+        if verdict != QuarantineVerdict::Allowed {
+            self.ledger.record_arrival(work, now);
         }
         verdict
     }
 
     /// Whether work is refused.
-    pub fn refuses(&self, work: Work, now: Millis) -> bool {
-        self.ledger.verdict(work, now) != Verdict::Free
+    pub fn refuses(&self, work: WorkDigest, now: Millis) -> bool {
+        self.ledger.verdict(work, now) != QuarantineVerdict::Allowed
     }
 
     /// What other entries are told.
@@ -139,13 +145,13 @@
     ) -> (Suspects, Vec<u64>) {
         let suspects = match update {
             Update::Changed => self.ledger.updates(now),
-            Update::All => self.ledger.renewals(now),
+            Update::All => self.ledger.updates_and_suspensions(now),
         };
-        (Suspects::pack(suspects), self.ledger.taken_back(now))
+        (Suspects::pack(suspects), self.ledger.recent_retractions(now))
     }
 
-    fn note(&mut self, work: Work) {
-        let known = self.ledger.ends(work);
+    fn note(&mut self, work: WorkDigest) {
+        let known = self.ledger.crash_count(work);
         if self.own.contains(&work) && known >= WRITTEN_ENDS {
             self.unwritten.insert(work);
             self.due.notify_one();
@@ -158,21 +164,21 @@
             return;
         }
         self.swept = now;
-        for work in self.ledger.sweep(now) {
+        for work in self.ledger.evict_expired(now) {
             if self.written.remove(&work) {
                 self.unwritten.insert(work);
                 self.due.notify_one();
             }
         }
         let ledger = &self.ledger;
-        self.own.retain(|it| ledger.knows(*it));
-        self.written.retain(|it| ledger.knows(*it));
-        self.lost.retain(|it, _| ledger.knows(*it));
-        self.ended.retain(|end, _| ledger.holds(*end));
+        self.own.retain(|it| ledger.has_case(*it));
+        self.written.retain(|it| ledger.has_case(*it));
+        self.lost.retain(|it, _| ledger.has_case(*it));
+        self.ended.retain(|end, _| ledger.counts_crash(*end));
     }
 
     /// Work that the log is to be told of now, or when there is some.
-    fn due(&mut self, now: Millis) -> Result<Work, Option<Millis>> {
+    fn due(&mut self, now: Millis) -> Result<WorkDigest, Option<Millis>> {
         let next = self.lost.iter().min_by_key(|it| it.1);
         let next = next.map(|it| (*it.0, *it.1));
         if let Some((work, at)) = next
@@ -187,7 +193,7 @@
 
     /// Notes that the log keeps so much of a piece of work.
     fn note_kept(&mut self, kept: &Suspect, now: Millis) {
-        let work = Work(kept.work);
+        let work = WorkDigest(kept.work);
         if let Some(own) = self.ledger.suspect(work, now)
             && covers(kept, &own)
         {
@@ -195,7 +201,7 @@
         }
     }
 
-    fn watch(&mut self, end: End, now: Millis) {
+    fn watch(&mut self, end: CrashId, now: Millis) {
         if self.ended.len() < MAX_ENDED {
             let new = Ended { at: now, announced: None };
             self.ended.entry(end).or_insert(new);
@@ -203,11 +209,11 @@
     }
 
     /// What is known of the end of a target, if it is held against work.
-    fn end_of(&mut self, target: &Target) -> Option<(End, &mut Ended)> {
+    fn end_of(&mut self, target: &Target) -> Option<(CrashId, &mut Ended)> {
         if self.ended.is_empty() {
             return None;
         }
-        let end = self.ledger.end_of(&target.id, target.start.0);
+        let end = self.ledger.crash_id(&target.id, target.start.0);
         self.ended.get_mut(&end).map(|it| (end, it))
     }
 }
@@ -218,18 +224,18 @@
     pub fn note_ended(
         &self,
         target: &Target,
-        work: Work,
+        work: WorkDigest,
         extent: Extent,
         now: Millis,
     ) {
         let mut quarantine = self.quarantine.borrow_mut();
-        let end = quarantine.ledger.end_of(&target.id, target.start.0);
+        let end = quarantine.ledger.crash_id(&target.id, target.start.0);
         quarantine.watch(end, now);
         quarantine.own.insert(work);
-        let change = quarantine.ledger.ended(work, end, now);
+        let change = quarantine.ledger.record_crash(work, end, now);
         let suspended = match extent {
             Extent::Group => quarantine.ledger.suspend(work, now),
-            Extent::Target => Change::None,
+            Extent::Target => QuarantineChange::None,
         };
         drop(quarantine);
         self.judged(work, change, Source::Own);
@@ -237,10 +243,10 @@
     }
 
     /// Notes that a target outlived work.
-    pub fn note_outlived(&self, work: Work, now: Millis) {
+    pub fn note_outlived(&self, work: WorkDigest, now: Millis) {
         let mut quarantine = self.quarantine.borrow_mut();
-        let change = quarantine.ledger.outlived(work, now);
-        if change != Change::None {
+        let change = quarantine.ledger.record_survival(work, now);
+        if change != QuarantineChange::None {
             // What the log keeps of it is to say so too.
             quarantine.own.insert(work);
         }
@@ -292,13 +298,13 @@
     }
 
     /// Notes that what was taken for the end of a target was none.
-    fn note_lives(&self, end: End, now: Millis, source: Source) {
+    fn note_lives(&self, end: CrashId, now: Millis, source: Source) {
         let mut quarantine = self.quarantine.borrow_mut();
-        if quarantine.ledger.took_back(end) {
+        if quarantine.ledger.is_retracted(end) {
             return;
         }
-        let held = quarantine.ledger.holds(end);
-        let freed = quarantine.ledger.lives(end, now);
+        let held = quarantine.ledger.counts_crash(end);
+        let freed = quarantine.ledger.retract_crash(end, now);
         quarantine.ended.remove(&end);
         drop(quarantine);
         if !held {
@@ -306,7 +312,7 @@
         }
         info!(self.log, "end_taken_back"; "end" => ?end, "source" => ?source);
         for work in freed {
-            self.judged(work, Change::Freed, source);
+            self.judged(work, QuarantineChange::Freed, source);
         }
         if source != Source::Peer {
             self.rumour.notify_one();
@@ -320,7 +326,7 @@
         lives: &[u64],
         now: Millis,
     ) {
-        for end in lives.iter().map(|it| End(*it)) {
+        for end in lives.iter().map(|it| CrashId(*it)) {
             self.note_lives(end, now, Source::Peer);
         }
         for suspect in suspects.unpack() {
@@ -333,36 +339,43 @@
         suspect: &Suspect,
         now: Millis,
         source: Source,
-    ) -> Change {
+    ) -> QuarantineChange {
         let mut quarantine = self.quarantine.borrow_mut();
-        let change = quarantine.ledger.hear(suspect, now);
-        for end in suspect.ends.iter().map(|it| End(*it)) {
-            if change != Change::None && !quarantine.ledger.took_back(end) {
+        let change = quarantine.ledger.merge(suspect, now);
+        for end in suspect.ends.iter().map(|it| CrashId(*it)) {
+            if change != QuarantineChange::None
+                && !quarantine.ledger.is_retracted(end)
+            {
                 quarantine.watch(end, now);
             }
         }
         drop(quarantine);
-        self.judged(Work(suspect.work), change, source);
+        self.judged(WorkDigest(suspect.work), change, source);
         change
     }
 
     /// Does what follows when something is learnt of a piece of work.
-    fn judged(&self, work: Work, change: Change, source: Source) {
-        if change == Change::None {
+    fn judged(
+        &self,
+        work: WorkDigest,
+        change: QuarantineChange,
+        source: Source,
+    ) {
+        if change == QuarantineChange::None {
             return;
         }
         let now = Millis::now();
-        let ends = self.quarantine.borrow().ledger.ends(work);
+        let ends = self.quarantine.borrow().ledger.crash_count(work);
         match change {
-            Change::None | Change::Suspected => {}
-            Change::Refused => {
+            QuarantineChange::None | QuarantineChange::Suspected => {}
+            QuarantineChange::Refused => {
                 info!(self.log, "work_refused"; "work" => %work,
                     "ends" => ends, "source" => ?source);
                 self.measure.quarantined("refused");
                 // Requests that wait with it are answered now.
                 self.tell_news();
             }
-            Change::Suspended => {
+            QuarantineChange::Suspended => {
                 let verdict =
                     self.quarantine.borrow().ledger.verdict(work, now);
                 info!(self.log, "work_suspended"; "work" => %work,
@@ -371,7 +384,7 @@
                 self.measure.quarantined("suspended");
                 self.tell_news();
             }
-            Change::Freed => {
+            QuarantineChange::Freed => {
                 info!(self.log, "work_freed"; "work" => %work,
                     "ends" => ends, "source" => ?source);
                 self.measure.quarantined("freed");
@@ -439,7 +452,7 @@
         None => suspect.idle = suspect.idle + age,
     }
     let change = entry.hear_suspect(&suspect, now, Source::Log);
-    let work = Work(suspect.work);
+    let work = WorkDigest(suspect.work);
     let mut quarantine = entry.quarantine.borrow_mut();
     quarantine.note_kept(&suspect, now);
     if quarantine.ledger.suspect(work, now).is_none() {
@@ -447,7 +460,7 @@
         quarantine.unwritten.insert(work);
         quarantine.due.notify_one();
     }
-    change != Change::None
+    change != QuarantineChange::None
 }
 
 /// Finds the work that the log should keep and lost.
@@ -458,10 +471,10 @@
     let entries = entry.peers.borrow().entries() as u64;
     let others = Millis(REWRITE_DELAY_PER_ENTRY.0 * entries);
     let others = others.min(MAX_REWRITE_DELAY);
-    let known = entry.quarantine.borrow().ledger.known(now);
+    let known = entry.quarantine.borrow().ledger.snapshot(now);
     let known = known.into_iter().filter(|it| it.ends.len() >= WRITTEN_ENDS);
     for suspect in known {
-        let work = Work(suspect.work);
+        let work = WorkDigest(suspect.work);
         if kept.get(&work.0).is_some_and(|it| covers(it, &suspect)) {
             continue;
         }
@@ -531,7 +544,7 @@
 }
 
 /// What the log is to keep of work; nothing if it is to forget it.
-fn value_of(entry: &Entry, work: Work) -> Vec<u8> {
+fn value_of(entry: &Entry, work: WorkDigest) -> Vec<u8> {
     let suspect =
         entry.quarantine.borrow().ledger.suspect(work, Millis::now());
     // A suspension is over before others read it again.
--- a/cowsliproad-direct/src/receive.rs
+++ b/cowsliproad-direct/src/receive.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use cowsliproad_admission::{patience::CallerTry, quarantine::Work};
+use cowsliproad_admission::{patience::CallerTry, quarantine::WorkDigest};
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_platform::header;
 use cowsliproad_routing::catalog::{Catalog, Found, Organisation, Refusal};
@@ -161,11 +161,11 @@
 
 /// What a request is, by all of it that a target could run differently. Who
 /// asks is known by the organisation, which is all of it that targets see.
-pub fn work_of(head: &request::Parts, body: &[u8]) -> Work {
+pub fn work_of(head: &request::Parts, body: &[u8]) -> WorkDigest {
     let text =
         |name| head.headers.get(name).map_or(&[][..], |it| it.as_bytes());
     let path = head.uri.path_and_query().map_or("/", |it| it.as_str());
-    Work::new(&[
+    WorkDigest::new(&[
         text(&header::ORGANISATION),
         text(&standard::HOST),
         head.method.as_str().as_bytes(),
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -19,7 +19,7 @@
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
 use cowsliproad_admission::{
-    quarantine::{Verdict, Work},
+    quarantine::{QuarantineVerdict, WorkDigest},
     ticket::{self, Purpose, Ticket},
 };
 use cowsliproad_config::object::{Repeat, RequestType};
@@ -106,7 +106,7 @@
     /// The body.
     pub body: Vec<u8>,
     /// What the work is, whatever the request.
-    pub work: Work,
+    pub work: WorkDigest,
 }
 
 /// What is forwarded.
@@ -291,14 +291,16 @@
     async fn submit(&mut self, target: Arc<Target>) {
         let Task::Work(order) = &self.task else { return };
         let permit = match quarantine::verdict(&self.shared, order) {
-            Verdict::Free => Permit::Run,
+            QuarantineVerdict::Allowed => Permit::Run,
             // What became of earlier submissions is still told.
-            Verdict::Refused(_) | Verdict::Suspended(_)
+            QuarantineVerdict::Refused(_)
+            | QuarantineVerdict::Suspended(_)
                 if may_be_known(order) =>
             {
                 Permit::Recall
             }
-            Verdict::Refused(after) | Verdict::Suspended(after) => {
+            QuarantineVerdict::Refused(after)
+            | QuarantineVerdict::Suspended(after) => {
                 let (shared, ran) = (&self.shared, self.ran());
                 let failure = quarantine::refusal(shared, order, ran, after);
                 return self.fail(failure);
--- a/cowsliproad-entry/src/forward/failure.rs
+++ b/cowsliproad-entry/src/forward/failure.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, atomic::Ordering};
 
-use cowsliproad_admission::{patience, quarantine::Verdict};
+use cowsliproad_admission::{patience, quarantine::QuarantineVerdict};
 use cowsliproad_kernel::{
     clock::Millis,
     code::{Code, Ran},
@@ -94,8 +94,9 @@
             return failure;
         }
         let after = match quarantine::verdict(&self.shared, order) {
-            Verdict::Refused(after) | Verdict::Suspended(after) => after,
-            Verdict::Free => ASK_AGAIN,
+            QuarantineVerdict::Refused(after)
+            | QuarantineVerdict::Suspended(after) => after,
+            QuarantineVerdict::Allowed => ASK_AGAIN,
         };
         quarantine::refusal(&self.shared, order, failure.ran, after)
     }
--- a/cowsliproad-entry/src/lib.rs
+++ b/cowsliproad-entry/src/lib.rs
@@ -40,7 +40,7 @@
     time::Duration,
 };
 
-use cowsliproad_admission::quarantine::Ledger;
+use cowsliproad_admission::quarantine::CrashLedger;
 use cowsliproad_kernel::{clock::Millis, id, wire::Phase};
 use cowsliproad_net::{
     client::Client,
@@ -65,7 +65,7 @@
     /// What traffic reads.
     pub published: Published,
     /// Requests that crash their targets.
-    pub quarantine: Mutex<Ledger>,
+    pub quarantine: Mutex<CrashLedger>,
     /// Requests in flight.
     pub in_flight: AtomicU32,
     /// Whether the entry is stopping.
--- a/cowsliproad-entry/src/quarantine.rs
+++ b/cowsliproad-entry/src/quarantine.rs
@@ -5,7 +5,9 @@
 //! hears it from the agents, and one in a zone that is cut off counts the ends
 //! of the targets that it can reach.
 
-use cowsliproad_admission::quarantine::{Change, Verdict, Work};
+use cowsliproad_admission::quarantine::{
+    QuarantineChange, QuarantineVerdict, WorkDigest,
+};
 use cowsliproad_kernel::{
     clock::Millis,
     code::{Code, Ran},
@@ -23,22 +25,26 @@
     organisation: &str,
     request_type: &str,
     body: &[u8],
-) -> Work {
-    Work::submitted(organisation, request_type, body).within(&service.name)
+) -> WorkDigest {
+    WorkDigest::submitted(organisation, request_type, body)
+        .within(&service.name)
 }
 
 /// Takes in what an agent tells.
 pub fn hear(shared: &Shared, target: &Target, suspects: Vec<Suspect>) {
     let now = Millis::now();
     let mut ledger = lock(&shared.quarantine);
-    ledger.sweep(now);
+    ledger.evict_expired(now);
     for suspect in suspects {
-        let work = Work(suspect.work).within(&target.service);
+        let work = WorkDigest(suspect.work).within(&target.service);
         let suspect = Suspect { work: work.0, ..suspect };
-        let change = ledger.hear(&suspect, now);
-        if matches!(change, Change::Refused | Change::Freed) {
+        let change = ledger.merge(&suspect, now);
+        if matches!(
+            change,
+            QuarantineChange::Refused | QuarantineChange::Freed
+        ) {
             info!(shared.log, "work_judged"; "work" => %work,
-                "change" => ?change, "ends" => ledger.ends(work),
+                "change" => ?change, "ends" => ledger.crash_count(work),
                 "target" => %target.name);
         }
     }
@@ -46,16 +52,16 @@
 
 /// Notes that a target outlived a request.
 pub fn outlived(shared: &Shared, order: &Order) {
-    lock(&shared.quarantine).outlived(order.work, Millis::now());
+    lock(&shared.quarantine).record_survival(order.work, Millis::now());
 }
 
 /// Whether a request may run now, and when it may come back if not.
-pub fn verdict(shared: &Shared, order: &Order) -> Verdict {
+pub fn verdict(shared: &Shared, order: &Order) -> QuarantineVerdict {
     let (now, work) = (Millis::now(), order.work);
     let mut ledger = lock(&shared.quarantine);
     let verdict = ledger.verdict(work, now);
-    if verdict != Verdict::Free {
-        ledger.sighted(work, now);
+    if verdict != QuarantineVerdict::Allowed {
+        ledger.record_arrival(work, now);
     }
     verdict
 }
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -11,7 +11,8 @@
 
 use cowsliproad::{
     admission::quarantine::{
-        ENDS, End, Ledger, PROVEN_ENDS, SUSPENSION_TTL, Verdict, Work,
+        CRASH_THRESHOLD, CrashId, CrashLedger, QuarantineVerdict,
+        SURVIVED_CRASH_THRESHOLD, SUSPENSION_TTL, WorkDigest,
     },
     kernel::clock::Millis,
 };
@@ -41,7 +42,7 @@
 struct World {
     poison: Mask,
     count: u32,
-    ledger: Ledger,
+    ledger: CrashLedger,
     now: Millis,
     crashes: u64,
     /// When each work was in a crash.
@@ -50,14 +51,14 @@
 }
 
 /// What of a world decides what may follow.
-type Key = (Vec<(Verdict, usize)>, Mask);
+type Key = (Vec<(QuarantineVerdict, usize)>, Mask);
 
 impl World {
     fn new(count: u32, poison: Mask) -> World {
         World {
             poison,
             count,
-            ledger: Ledger::new(),
+            ledger: CrashLedger::new(),
             now: START,
             crashes: 0,
             crashed: vec![Vec::new(); count as usize],
@@ -72,11 +73,11 @@
         world
     }
 
-    fn work(number: u32) -> Work {
-        Work::new(&[&number.to_be_bytes()])
+    fn work(number: u32) -> WorkDigest {
+        WorkDigest::new(&[&number.to_be_bytes()])
     }
 
-    fn verdict(&self, number: u32) -> Verdict {
+    fn verdict(&self, number: u32) -> QuarantineVerdict {
         self.ledger.verdict(World::work(number), self.now)
     }
 
@@ -85,7 +86,7 @@
     }
 
     fn free(&self) -> Mask {
-        let free = |it: &u32| self.verdict(*it) == Verdict::Free;
+        let free = |it: &u32| self.verdict(*it) == QuarantineVerdict::Allowed;
         (0..self.count).filter(free).fold(0, |mask, it| mask | 1 << it)
     }
 
@@ -108,8 +109,8 @@
     /// How long the suspension lasts that ends first.
     fn next_end(&self) -> Option<Millis> {
         let left = |it| match self.verdict(it) {
-            Verdict::Suspended(left) => Some(left),
-            Verdict::Free | Verdict::Refused(_) => None,
+            QuarantineVerdict::Suspended(left) => Some(left),
+            QuarantineVerdict::Allowed | QuarantineVerdict::Refused(_) => None,
         };
         (0..self.count).filter_map(left).min()
     }
@@ -122,17 +123,17 @@
             }
             Action::Run { works, .. } if works & self.poison == 0 => {
                 for number in self.members(works) {
-                    self.ledger.outlived(World::work(number), self.now);
+                    self.ledger.record_survival(World::work(number), self.now);
                 }
                 self.outlived |= works;
                 self.now = self.now + RUN;
             }
             Action::Run { works, begun } => {
-                let end = End::new("i-1", self.crashes);
+                let end = CrashId::new("i-1", self.crashes);
                 self.crashes += 1;
                 for number in self.members(works) {
                     let work = World::work(number);
-                    self.ledger.ended(work, end, self.now);
+                    self.ledger.record_crash(work, end, self.now);
                     if begun >> number & 1 == 0 {
                         self.ledger.suspend(work, self.now);
                     }
@@ -146,23 +147,24 @@
     fn check(&self, actions: &[Action]) {
         for number in self.members(self.poison) {
             let times = &self.crashed[number as usize];
-            assert!(times.len() <= ENDS, "{actions:?}");
+            assert!(times.len() <= CRASH_THRESHOLD, "{actions:?}");
             for (gap, pair) in times.windows(2).enumerate() {
                 let least = Millis(SUSPENSION_TTL.0 << gap);
                 assert!(pair[1].since(pair[0]) >= least, "{actions:?}");
             }
         }
         for number in self.members(self.outlived) {
-            let ends = self.ledger.ends(World::work(number));
-            let is_refused = ends >= PROVEN_ENDS;
-            let is_free = self.verdict(number) == Verdict::Free;
+            let ends = self.ledger.crash_count(World::work(number));
+            let is_refused = ends >= SURVIVED_CRASH_THRESHOLD;
+            let is_free = self.verdict(number) == QuarantineVerdict::Allowed;
             assert!(is_free != is_refused, "{number}: {actions:?}");
         }
     }
 
     fn key(&self) -> Key {
-        let works = (0..self.count)
-            .map(|it| (self.verdict(it), self.ledger.ends(World::work(it))));
+        let works = (0..self.count).map(|it| {
+            (self.verdict(it), self.ledger.crash_count(World::work(it)))
+        });
         (works.collect(), self.outlived)
     }
 }
@@ -202,6 +204,6 @@
         println!(
             "{count} works, {poisonous} crash: {worlds} worlds, {crashes}"
         );
-        assert!(crashes <= poisonous * ENDS as u64);
+        assert!(crashes <= poisonous * CRASH_THRESHOLD as u64);
     }
 }
--- a/tests/properties/quarantine.rs
+++ b/tests/properties/quarantine.rs
@@ -3,8 +3,9 @@
 
 use cowsliproad::{
     admission::quarantine::{
-        Change, ENDS, End, Ledger, PROVEN_ENDS, REJECT_TTL, SUSPECT_TTL,
-        SUSPENSION_TTL, Verdict, Work,
+        CRASH_THRESHOLD, CrashId, CrashLedger, QuarantineChange,
+        QuarantineVerdict, REJECT_TTL, SURVIVED_CRASH_THRESHOLD, SUSPECT_TTL,
+        SUSPENSION_TTL, WorkDigest,
     },
     kernel::{
         clock::Millis,
@@ -16,35 +17,38 @@
 
 const NOW: Millis = Millis(1_000_000);
 
-fn end(number: u64) -> End {
-    End::new(&format!("i-{number}"), 0)
+fn end(number: u64) -> CrashId {
+    CrashId::new(&format!("i-{number}"), 0)
 }
 
-fn work(body: &str) -> Work {
-    Work::new(&[b"harju", b"/draft/", body.as_bytes()])
+fn work(body: &str) -> WorkDigest {
+    WorkDigest::new(&[b"harju", b"/draft/", body.as_bytes()])
 }
 
 /// A ledger in which so many targets ended under work.
-fn after(ends: u64, work: Work) -> Ledger {
-    let mut ledger = Ledger::new();
+fn after(ends: u64, work: WorkDigest) -> CrashLedger {
+    let mut ledger = CrashLedger::new();
     for number in 0..ends {
-        ledger.ended(work, end(number), NOW);
+        ledger.record_crash(work, end(number), NOW);
     }
     ledger
 }
 
-fn is_refused(ledger: &Ledger, work: Work, now: Millis) -> bool {
-    ledger.verdict(work, now) != Verdict::Free
+fn is_refused(ledger: &CrashLedger, work: WorkDigest, now: Millis) -> bool {
+    ledger.verdict(work, now) != QuarantineVerdict::Allowed
 }
 
 #[test]
 fn it_is_refused_from_the_third_end_on() {
     let deadly = work("deadly");
-    for ends in 0..ENDS as u64 {
+    for ends in 0..CRASH_THRESHOLD as u64 {
         assert!(!is_refused(&after(ends, deadly), deadly, NOW), "{ends}");
     }
-    let mut ledger = after(ENDS as u64 - 1, deadly);
-    assert_eq!(ledger.ended(deadly, end(7), NOW), Change::Refused);
+    let mut ledger = after(CRASH_THRESHOLD as u64 - 1, deadly);
+    assert_eq!(
+        ledger.record_crash(deadly, end(7), NOW),
+        QuarantineChange::Refused
+    );
     assert!(is_refused(&ledger, deadly, NOW));
 }
 
@@ -52,19 +56,22 @@
 #[test]
 fn what_crashed_a_rank_is_suspended_for_longer_each_time() {
     let poison = work("poison");
-    let mut ledger = Ledger::new();
+    let mut ledger = CrashLedger::new();
     let mut now = NOW;
     for (ends, time) in [(1, SUSPENSION_TTL.0), (2, 2 * SUSPENSION_TTL.0)] {
-        ledger.ended(poison, end(ends), now);
-        assert_eq!(ledger.suspend(poison, now), Change::Suspended);
-        let left = |it: &Ledger, now| it.verdict(poison, now);
+        ledger.record_crash(poison, end(ends), now);
+        assert_eq!(ledger.suspend(poison, now), QuarantineChange::Suspended);
+        let left = |it: &CrashLedger, now| it.verdict(poison, now);
         let time = Millis(time);
-        assert_eq!(left(&ledger, now), Verdict::Suspended(time));
+        assert_eq!(left(&ledger, now), QuarantineVerdict::Suspended(time));
         assert!(is_refused(&ledger, poison, now + time - Millis(1)));
         now = now + time;
-        assert_eq!(left(&ledger, now), Verdict::Free);
+        assert_eq!(left(&ledger, now), QuarantineVerdict::Allowed);
     }
-    assert_eq!(ledger.ended(poison, end(3), now), Change::Refused);
+    assert_eq!(
+        ledger.record_crash(poison, end(3), now),
+        QuarantineChange::Refused
+    );
 }
 
 /// Guards against rejecting innocent work for a crash that it ran beside.
@@ -72,16 +79,16 @@
 fn what_some_target_outlives_is_not_suspended() {
     let common = work("common");
     let mut ledger = after(1, common);
-    assert_eq!(ledger.suspend(common, NOW), Change::Suspended);
-    assert_eq!(ledger.outlived(common, NOW), Change::Freed);
+    assert_eq!(ledger.suspend(common, NOW), QuarantineChange::Suspended);
+    assert_eq!(ledger.record_survival(common, NOW), QuarantineChange::Freed);
     assert!(!is_refused(&ledger, common, NOW));
-    ledger.ended(common, end(1), NOW);
-    assert_eq!(ledger.suspend(common, NOW), Change::None);
+    ledger.record_crash(common, end(1), NOW);
+    assert_eq!(ledger.suspend(common, NOW), QuarantineChange::None);
     // An end that was none suspends nothing.
     let rare = work("rare");
-    ledger.ended(rare, end(2), NOW);
+    ledger.record_crash(rare, end(2), NOW);
     ledger.suspend(rare, NOW);
-    assert_eq!(ledger.lives(end(2), NOW), [rare]);
+    assert_eq!(ledger.retract_crash(end(2), NOW), [rare]);
     assert!(!is_refused(&ledger, rare, NOW));
 }
 
@@ -90,18 +97,20 @@
 #[test]
 fn a_suspension_ends_at_all_entries_at_once() {
     let poison = work("poison");
-    let mut ledgers = [after(1, poison), Ledger::new(), Ledger::new()];
+    let mut ledgers =
+        [after(1, poison), CrashLedger::new(), CrashLedger::new()];
     ledgers[0].suspend(poison, NOW);
-    let first = ledgers[0].renewals(NOW);
+    let first = ledgers[0].updates_and_suspensions(NOW);
     let over = NOW + SUSPENSION_TTL;
     let mut now = NOW;
     while now < over {
         for from in 0..ledgers.len() {
-            let told = Suspects::pack(ledgers[from].renewals(now));
+            let told =
+                Suspects::pack(ledgers[from].updates_and_suspensions(now));
             now = now + Millis(20);
             for ledger in &mut ledgers {
                 told.unpack().chain(first.clone()).for_each(|it| {
-                    ledger.hear(&it, now);
+                    ledger.merge(&it, now);
                 });
             }
         }
@@ -112,15 +121,18 @@
     let late = over + Millis(100);
     for ledger in &mut ledgers {
         first.iter().for_each(|it| {
-            ledger.hear(it, late);
+            ledger.merge(it, late);
         });
         assert!(!is_refused(ledger, poison, late));
     }
     // A further end counts anew.
-    assert_eq!(ledgers[1].ended(poison, end(7), late), Change::Suspected);
+    assert_eq!(
+        ledgers[1].record_crash(poison, end(7), late),
+        QuarantineChange::Suspected
+    );
     ledgers[1].suspend(poison, late);
     for told in ledgers[1].updates(late) {
-        ledgers[2].hear(&told, late);
+        ledgers[2].merge(&told, late);
     }
     assert!(is_refused(&ledgers[2], poison, late + SUSPENSION_TTL));
 }
@@ -129,29 +141,32 @@
 #[test]
 fn one_end_counts_once_however_often_it_is_told() {
     let deadly = work("deadly");
-    let mut ledger = Ledger::new();
+    let mut ledger = CrashLedger::new();
     for _ in 0..20 {
-        ledger.ended(deadly, end(0), NOW);
+        ledger.record_crash(deadly, end(0), NOW);
     }
     assert!(!is_refused(&ledger, deadly, NOW));
 }
 
 #[test]
 fn a_target_that_starts_again_under_its_name_may_end_again() {
-    assert_ne!(End::new("i-1", 1), End::new("i-1", 2));
+    assert_ne!(CrashId::new("i-1", 1), CrashId::new("i-1", 2));
 }
 
 #[test]
 fn parts_of_work_do_not_run_into_one_another() {
-    assert_ne!(Work::new(&[b"ab", b"c"]), Work::new(&[b"a", b"bc"]));
-    assert_ne!(Work::new(&[b"ab", b""]), Work::new(&[b"ab"]));
+    assert_ne!(
+        WorkDigest::new(&[b"ab", b"c"]),
+        WorkDigest::new(&[b"a", b"bc"])
+    );
+    assert_ne!(WorkDigest::new(&[b"ab", b""]), WorkDigest::new(&[b"ab"]));
 }
 
 #[test]
 fn what_looks_alike_runs() {
     let ledger = after(3, work("deadly"));
     assert!(!is_refused(&ledger, work("deadly."), NOW));
-    let other = Work::new(&[b"other", b"/draft/", b"deadly"]);
+    let other = WorkDigest::new(&[b"other", b"/draft/", b"deadly"]);
     assert!(!is_refused(&ledger, other, NOW));
 }
 
@@ -160,13 +175,13 @@
 #[test]
 fn work_that_was_outlived_lately_is_refused_later() {
     let common = work("common");
-    let mut ledger = Ledger::new();
-    ledger.outlived(common, NOW);
-    for number in 0..PROVEN_ENDS as u64 - 1 {
-        ledger.ended(common, end(number), NOW);
+    let mut ledger = CrashLedger::new();
+    ledger.record_survival(common, NOW);
+    for number in 0..SURVIVED_CRASH_THRESHOLD as u64 - 1 {
+        ledger.record_crash(common, end(number), NOW);
     }
     assert!(!is_refused(&ledger, common, NOW));
-    ledger.ended(common, end(99), NOW);
+    ledger.record_crash(common, end(99), NOW);
     assert!(is_refused(&ledger, common, NOW));
 }
 
@@ -175,12 +190,12 @@
 #[test]
 fn work_that_targets_outlive_all_along_is_never_refused() {
     let common = work("common");
-    let mut ledger = Ledger::new();
+    let mut ledger = CrashLedger::new();
     for number in 0..200 {
         let now = NOW + Millis(number * 3_000);
-        ledger.ended(common, end(number), now);
+        ledger.record_crash(common, end(number), now);
         assert!(!is_refused(&ledger, common, now), "{number}");
-        ledger.outlived(common, now + Millis(1_000));
+        ledger.record_survival(common, now + Millis(1_000));
     }
 }
 
@@ -190,32 +205,32 @@
     let common = work("common");
     let mut ledger = after(2, common);
     let late = ledger.updates(NOW);
-    ledger.outlived(common, NOW);
+    ledger.record_survival(common, NOW);
     let later = NOW + Millis(10_000);
     assert!(ledger.updates(later).is_empty());
-    ledger.hear(&late[0], later);
-    assert_eq!(ledger.ends(common), 0);
+    ledger.merge(&late[0], later);
+    assert_eq!(ledger.crash_count(common), 0);
     let corrected = ledger.updates(later);
     let mut other = after(2, common);
-    other.hear(&corrected[0], later);
-    assert_eq!(other.ends(common), 0);
+    other.merge(&corrected[0], later);
+    assert_eq!(other.crash_count(common), 0);
 }
 
 #[test]
 fn work_that_another_entry_saw_outlived_is_freed() {
     let common = work("common");
     let mut ledger = after(3, common);
-    let mut other = Ledger::new();
-    other.outlived(common, NOW);
+    let mut other = CrashLedger::new();
+    other.record_survival(common, NOW);
     // It hears that three ended, and knows better.
     for told in ledger.updates(NOW) {
-        other.hear(&told, NOW);
+        other.merge(&told, NOW);
     }
     assert!(!is_refused(&other, common, NOW));
     let told = other.updates(NOW);
-    let changes: Vec<Change> =
-        told.iter().map(|it| ledger.hear(it, NOW)).collect();
-    assert_eq!(changes, [Change::Freed]);
+    let changes: Vec<QuarantineChange> =
+        told.iter().map(|it| ledger.merge(it, NOW)).collect();
+    assert_eq!(changes, [QuarantineChange::Freed]);
 }
 
 /// A cut looks like an end until the target is heard from again.
@@ -223,15 +238,15 @@
 fn an_end_that_was_none_is_taken_back_everywhere() {
     let innocent = work("innocent");
     let mut ledger = after(3, innocent);
-    let mut other = Ledger::new();
+    let mut other = CrashLedger::new();
     for told in ledger.updates(NOW) {
-        other.hear(&told, NOW);
+        other.merge(&told, NOW);
     }
     assert!(is_refused(&other, innocent, NOW));
-    assert_eq!(ledger.lives(end(1), NOW), [innocent]);
+    assert_eq!(ledger.retract_crash(end(1), NOW), [innocent]);
     assert!(!is_refused(&ledger, innocent, NOW));
-    for lives in ledger.taken_back(NOW) {
-        other.lives(End(lives), NOW);
+    for lives in ledger.recent_retractions(NOW) {
+        other.retract_crash(CrashId(lives), NOW);
     }
     assert!(!is_refused(&other, innocent, NOW));
     // One who hasn't heard it tells of the end again.
@@ -244,9 +259,9 @@
         refused: None,
         suspended: None,
     };
-    other.hear(&late, NOW + Millis(8_000));
+    other.merge(&late, NOW + Millis(8_000));
     assert!(!is_refused(&other, innocent, NOW + Millis(8_000)));
-    assert_eq!(other.taken_back(NOW + Millis(8_000)), [end(1).0]);
+    assert_eq!(other.recent_retractions(NOW + Millis(8_000)), [end(1).0]);
 }
 
 /// A zone is cut off and its targets are taken for ended, and later they end
@@ -254,22 +269,22 @@
 #[test]
 fn targets_that_were_taken_for_ended_may_end_after_all() {
     let (innocent, deadly) = (work("innocent"), work("deadly"));
-    let mut ledger = Ledger::new();
-    let mut other = Ledger::new();
+    let mut ledger = CrashLedger::new();
+    let mut other = CrashLedger::new();
     let targets = ["i-0", "i-1", "i-2"];
     for target in targets {
         for _ in 0..3 {
-            let end = ledger.end_of(target, 0);
-            ledger.ended(innocent, end, NOW);
-            ledger.lives(end, NOW);
+            let end = ledger.crash_id(target, 0);
+            ledger.record_crash(innocent, end, NOW);
+            ledger.retract_crash(end, NOW);
         }
     }
     tell(&ledger, &mut other, NOW);
     for (number, target) in targets.iter().enumerate() {
         assert!(!is_refused(&ledger, deadly, NOW), "{number}");
-        let end = other.end_of(target, 0);
-        assert_eq!(end, ledger.end_of(target, 0));
-        other.ended(deadly, end, NOW);
+        let end = other.crash_id(target, 0);
+        assert_eq!(end, ledger.crash_id(target, 0));
+        other.record_crash(deadly, end, NOW);
         tell(&other, &mut ledger, NOW);
     }
     for ledger in [&ledger, &other] {
@@ -284,34 +299,34 @@
     let mut ledger = after(3, deadly);
     let later = NOW + SUSPECT_TTL - Millis(1);
     assert!(is_refused(&ledger, deadly, later));
-    ledger.sighted(deadly, later);
+    ledger.record_arrival(deadly, later);
     assert!(is_refused(&ledger, deadly, later + SUSPECT_TTL - Millis(1)));
     assert!(!is_refused(&ledger, deadly, later + SUSPECT_TTL));
     let mut now = NOW;
     while now < NOW + REJECT_TTL {
         assert!(is_refused(&ledger, deadly, now), "{now}");
-        ledger.sighted(deadly, now);
+        ledger.record_arrival(deadly, now);
         now = now + SUSPECT_TTL - Millis(1);
     }
     assert!(!is_refused(&ledger, deadly, NOW + REJECT_TTL));
-    assert_eq!(ledger.sweep(NOW + REJECT_TTL), [deadly]);
-    assert_eq!(ledger.ends(deadly), 0);
+    assert_eq!(ledger.evict_expired(NOW + REJECT_TTL), [deadly]);
+    assert_eq!(ledger.crash_count(deadly), 0);
 }
 
 /// Entries tell one another for ever, and none keeps it alive for the others.
 #[test]
 fn telling_keeps_nothing_alive() {
     let deadly = work("deadly");
-    let mut ledgers = [after(3, deadly), Ledger::new()];
-    ledgers[0].lives(end(9), NOW);
+    let mut ledgers = [after(3, deadly), CrashLedger::new()];
+    ledgers[0].retract_crash(end(9), NOW);
     let mut now = NOW;
     while now < NOW + SUSPECT_TTL + Millis(2_000) {
         for (from, to) in [(0, 1), (1, 0)] {
             for told in ledgers[from].updates(now) {
-                ledgers[to].hear(&told, now + Millis(5));
+                ledgers[to].merge(&told, now + Millis(5));
             }
-            for lives in ledgers[from].taken_back(now) {
-                ledgers[to].lives(End(lives), now + Millis(5));
+            for lives in ledgers[from].recent_retractions(now) {
+                ledgers[to].retract_crash(CrashId(lives), now + Millis(5));
             }
         }
         now = now + Millis(500);
@@ -319,7 +334,7 @@
     for ledger in &ledgers {
         assert!(!is_refused(ledger, deadly, now));
         assert!(ledger.updates(now).is_empty());
-        assert!(ledger.taken_back(now).is_empty());
+        assert!(ledger.recent_retractions(now).is_empty());
     }
 }
 
@@ -329,15 +344,15 @@
     let deadly = work("deadly");
     let mut old = after(3, deadly);
     let idle = SUSPECT_TTL - Millis(2_000);
-    let mut young = Ledger::new();
+    let mut young = CrashLedger::new();
     for told in old.updates(NOW + idle) {
         // Its clock began a second ago.
-        young.hear(&told, Millis(1_000));
+        young.merge(&told, Millis(1_000));
     }
     assert!(is_refused(&young, deadly, Millis(2_900)));
     assert!(!is_refused(&young, deadly, Millis(3_000)));
     for told in young.updates(Millis(2_900)) {
-        old.hear(&told, NOW + idle + Millis(1_900));
+        old.merge(&told, NOW + idle + Millis(1_900));
     }
     assert!(!is_refused(&old, deadly, NOW + SUSPECT_TTL));
 }
@@ -348,25 +363,25 @@
     let deadly = work("deadly");
     let mut ledger = after(3, deadly);
     for number in 0..20_000_u64 {
-        let work = Work::new(&[&number.to_be_bytes()]);
-        ledger.outlived(work, NOW);
-        ledger.ended(work, end(number / 50), NOW);
+        let work = WorkDigest::new(&[&number.to_be_bytes()]);
+        ledger.record_survival(work, NOW);
+        ledger.record_crash(work, end(number / 50), NOW);
     }
     let told = ledger.updates(NOW);
     assert!(told.len() <= 512, "{}", told.len());
     let bytes = gossip::encode(&Suspects::pack(told.clone())).len();
     assert!(bytes < gossip::MAX_BYTES / 3, "{bytes}");
     assert_eq!(told[0].work, deadly.0);
-    assert!(ledger.cases() <= 4_096, "{}", ledger.cases());
+    assert!(ledger.case_count() <= 4_096, "{}", ledger.case_count());
     assert!(is_refused(&ledger, deadly, NOW));
 }
 
 #[test]
 fn what_is_packed_is_unpacked() {
     let mut ledger = after(3, work("deadly"));
-    ledger.outlived(work("proven"), NOW);
+    ledger.record_survival(work("proven"), NOW);
     for (piece, target) in [("a", 1), ("b", 1), ("c", 2), ("proven", 2)] {
-        ledger.ended(work(piece), end(target), NOW);
+        ledger.record_crash(work(piece), end(target), NOW);
     }
     let mut told = ledger.updates(NOW);
     let packed = gossip::encode(&Suspects::pack(told.clone()));
@@ -393,27 +408,27 @@
     ]
 }
 
-fn learn(ledger: &mut Ledger, fact: Fact, now: Millis) {
+fn learn(ledger: &mut CrashLedger, fact: Fact, now: Millis) {
     match fact {
         Fact::Ended(piece, target) => {
-            let end = ledger.end_of(&target.to_string(), 0);
-            ledger.ended(Work(piece.into()), end, now);
+            let end = ledger.crash_id(&target.to_string(), 0);
+            ledger.record_crash(WorkDigest(piece.into()), end, now);
         }
         Fact::Outlived(piece) => {
-            ledger.outlived(Work(piece.into()), now);
+            ledger.record_survival(WorkDigest(piece.into()), now);
         }
         Fact::Lives(target) => {
-            ledger.lives(ledger.end_of(&target.to_string(), 0), now);
+            ledger.retract_crash(ledger.crash_id(&target.to_string(), 0), now);
         }
     }
 }
 
-fn tell(from: &Ledger, to: &mut Ledger, now: Millis) {
-    for lives in from.taken_back(now) {
-        to.lives(End(lives), now);
+fn tell(from: &CrashLedger, to: &mut CrashLedger, now: Millis) {
+    for lives in from.recent_retractions(now) {
+        to.retract_crash(CrashId(lives), now);
     }
     for told in from.updates(now) {
-        to.hear(&told, now);
+        to.merge(&told, now);
     }
 }
 
@@ -428,7 +443,7 @@
         facts in proptest::collection::vec((0..3_usize, fact()), 0..40),
         told in proptest::collection::vec((0..3_usize, 0..3_usize), 0..20),
     ) {
-        let mut ledgers = [Ledger::new(), Ledger::new(), Ledger::new()];
+        let mut ledgers = [CrashLedger::new(), CrashLedger::new(), CrashLedger::new()];
         let mut now = NOW;
         let mut words = told.into_iter();
         for (entry, fact) in facts {
@@ -451,7 +466,7 @@
         }
         for piece in 0..4 {
             let refused = ledgers.each_ref().map(|it| {
-                is_refused(it, Work(piece), now)
+                is_refused(it, WorkDigest(piece), now)
             });
             prop_assert!(
                 refused == [true; 3] || refused == [false; 3],
@@ -480,10 +495,10 @@
 }
 
 fn pair(
-    ledgers: &mut [Ledger; 3],
+    ledgers: &mut [CrashLedger; 3],
     from: usize,
     to: usize,
-) -> (&Ledger, &mut Ledger) {
+) -> (&CrashLedger, &mut CrashLedger) {
     let (low, high) = ledgers.split_at_mut(from.max(to));
     if from < to {
         (&low[from], &mut high[0])
