--- a/cowsliproad-admission/src/budget.rs
+++ b/cowsliproad-admission/src/budget.rs
@@ -1,40 +1,48 @@
-//! The retry budget: retries may be a bounded share of successes.
+//! The retry budget: limits retries to a fraction of successful requests.
 //!
-//! A fixed number of tries for each request multiplies the load just when
-//! targets fail. With a budget, retries cost what recent successes earned,
-//! so an outage of everything is amplified by little more than the reserve.
+//! A fixed number of attempts per request multiplies the load just when
+//! targets fail. With a budget, each retry spends credit that earlier
+//! successes earned, so a full outage is amplified by little more than the
+//! reserve.
 
-/// A budget shared by the requests of one service at one entry.
+/// A retry budget shared by the requests of one service at one entry.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    /// Retries that may be spent, in thousandths.
-    balance: u64,
-    earned: u64,
-    most: u64,
+    /// Retries that may be spent, in thousandths of a retry.
+    balance_milli: u64,
+    /// Credit for each successful request, in thousandths of a retry.
+    credit_milli: u64,
+    /// Upper bound of the balance, in thousandths of a retry.
+    max_balance_milli: u64,
 }
 
-/// A retry, in the units of the balance.
-const RETRY: u64 = 1000;
+/// The cost of one retry, in thousandths of a retry.
+const RETRY_COST_MILLI: u64 = 1000;
 
 impl RetryBudget {
-    /// A budget in which `percent` retries are earned by 100 successes and
-    /// at most `reserve` can be saved up.
+    /// Creates a full budget: every 100 successes earn `percent` retries, and
+    /// at most `reserve` retries can be saved up.
     pub fn new(percent: u32, reserve: u32) -> RetryBudget {
-        let most = u64::from(reserve) * RETRY;
-        RetryBudget { balance: most, earned: u64::from(percent) * 10, most }
+        let max_balance_milli = u64::from(reserve) * RETRY_COST_MILLI;
+        RetryBudget {
+            balance_milli: max_balance_milli,
+            credit_milli: u64::from(percent) * 10,
+            max_balance_milli,
+        }
     }
 
-    /// Notes a success.
+    /// Records a successful request and credits its share of a retry.
     pub fn record_success(&mut self) {
-        self.balance = (self.balance + self.earned).min(self.most);
+        self.balance_milli = (self.balance_milli + self.credit_milli)
+            .min(self.max_balance_milli);
     }
 
-    /// Spends one retry, if there is one.
+    /// Spends one retry; returns false if the budget is exhausted.
     pub fn try_spend(&mut self) -> bool {
-        if self.balance < RETRY {
+        if self.balance_milli < RETRY_COST_MILLI {
             return false;
         }
-        self.balance -= RETRY;
+        self.balance_milli -= RETRY_COST_MILLI;
         true
     }
 }
--- a/cowsliproad-admission/src/limit.rs
+++ b/cowsliproad-admission/src/limit.rs
@@ -1,115 +1,128 @@
-//! How many requests a second a target takes from all VMs together.
+//! The rate limit of a target: how many requests per second it accepts from
+//! all VMs together.
 //!
-//! A target says so in its answers, for as long as it holds. Two questions
-//! are decided here:
+//! A target names its limit in its responses for as long as the limit applies.
+//! This module decides two things:
 //!
-//! * *What holds now* ([`CurrentLimit`]). Answers overtake one another, wait at VMs
-//!   that stand still, and are told on by others. What allows less counts
-//!   from when it was read. What allows more, or lifts the limit, counts only
-//!   from when its request was sent: an answer that was on its way when the
-//!   target began to name a limit says nothing against it.
-//! * *Who may send* ([`Limiter`]). Shares of a limit don't work: of one request
-//!   a second, a hundred entries would each have one in a hundred seconds, and
-//!   the target would be idle before the one that has callers. So for each
-//!   target one entry keeps the pace, and the others ask it for a permit each
-//!   time. Whoever keeps the pace anew begins as if a permit had just been
-//!   given, and gives out no larger part of the limit than the part of all
-//!   entries that it reaches, so the parts that a cut leaves make up one limit.
+//! * *Which limit is in force* ([`CurrentLimit`]). Responses overtake one
+//!   another, are delayed in stalled VMs, and are forwarded by other entries.
+//!   A lower limit counts from the time its response was read. A higher limit,
+//!   or the end of a limit, counts only from the time its request was sent: a
+//!   response that was in transit when the target began to name a limit
+//!   doesn't contradict that limit.
+//! * *Who may send* ([`Limiter`]). Static shares of a limit don't work: with
+//!   one request per second, each of a hundred entries would get one request
+//!   in a hundred seconds, and the target would be idle while the one entry
+//!   that has callers waits. So for each target one entry runs the limiter,
+//!   and the other entries request a permit from it for each request. A new
+//!   limiter starts as if a permit had just been granted. It grants at most
+//!   the fraction of the limit that equals the fraction of all entries it
+//!   reaches, so after a network partition the parts together grant one limit.
 
 use cowsliproad_kernel::clock::Millis;
 
-/// A target that takes less than this is asked all the same, once in ten
-/// seconds by all together: only its answer tells that the limit is over.
-const MIN_RATE: f64 = 0.1;
+/// Lower bound for the rate of permits: a target with a lower limit still gets
+/// one request in ten seconds from all entries together, because only its
+/// response shows that the limit has ended.
+const MIN_REQUESTS_PER_SECOND: f64 = 0.1;
 
-/// How far back a permit may count that nobody asked for in time. A permit is
-/// asked for when a request comes, some time after it is free.
-const LATENESS_MS: f64 = 250.0;
+/// How late a permit may be used and still count from the time it became free.
+/// A permit is requested when a request arrives, some time after that.
+const MAX_PERMIT_LATENESS_MS: f64 = 250.0;
 
-/// After so long, and so many times from one permit to the next, without a
-/// question somebody else may have kept the pace.
-const RESUMPTION_TIMEOUT: Millis = Millis(1_000);
-const ASKED_INTERVALS: f64 = 2.0;
+/// A limiter is stale after this time plus [`IDLE_TIMEOUT_INTERVALS`] permit
+/// intervals in which no permit was requested: another entry may have run a
+/// limiter for the target meanwhile.
+const IDLE_TIMEOUT: Millis = Millis(1_000);
+const IDLE_TIMEOUT_INTERVALS: f64 = 2.0;
 
-/// What is known of the last answer of a target is no older than this where
-/// entries reach one another.
-const NEWS_MS: f64 = 4_000.0;
+/// The longest time for which entries that reach one another may not know of
+/// a target's last response yet.
+const MAX_GOSSIP_DELAY_MS: f64 = 4_000.0;
 
-/// The longest text that is taken for a number.
-const MAX_DIGITS: usize = 24;
+/// The longest header value that is parsed as a number, in bytes.
+const MAX_NUMBER_LEN: usize = 24;
 
-/// Requests a second.
+/// A rate limit in requests per second; finite and not negative.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Rate(f64);
 
 impl Rate {
-    /// A rate, unless it is no number or less than nothing.
+    /// Creates a rate, or returns `None` if the value is negative or not
+    /// finite.
     pub fn new(per_second: f64) -> Option<Rate> {
-        let sound = per_second.is_finite() && per_second >= 0.0;
-        sound.then_some(Rate(per_second))
+        let is_valid = per_second.is_finite() && per_second >= 0.0;
+        is_valid.then_some(Rate(per_second))
     }
 
-    /// Reads a decimal number: digits, and maybe a point and more of them.
+    /// Parses a decimal number: digits, optionally followed by a point and
+    /// more digits.
     pub fn parse(text: &[u8]) -> Option<Rate> {
         let text = std::str::from_utf8(text).ok()?.trim();
-        let (whole, part) = text.split_once('.').unwrap_or((text, "0"));
-        let digits = |it: &str| {
+        let (integer, fraction) = text.split_once('.').unwrap_or((text, "0"));
+        let is_digits = |it: &str| {
             !it.is_empty() && it.bytes().all(|it| it.is_ascii_digit())
         };
-        if text.len() > MAX_DIGITS || !digits(whole) || !digits(part) {
+        if text.len() > MAX_NUMBER_LEN
+            || !is_digits(integer)
+            || !is_digits(fraction)
+        {
             return None;
         }
         Rate::new(text.parse().ok()?)
     }
 
-    /// Requests a second.
+    /// Returns the rate in requests per second.
     pub fn per_second(self) -> f64 {
         self.0
     }
 
-    /// The time from one request to the next in microseconds.
+    /// Returns the interval between two requests at this rate, in
+    /// microseconds.
     pub fn interval_us(self) -> u32 {
         (self.interval_ms(1.0) * 1_000.0) as u32
     }
 
-    /// The time from one request to the next in milliseconds, for whoever
-    /// keeps a share of the rate.
+    /// Returns the interval between two permits of a limiter that grants a
+    /// fraction `share` of the rate, in milliseconds.
     fn interval_ms(self, share: f64) -> f64 {
-        1_000.0 / (self.0.max(MIN_RATE) * share)
+        1_000.0 / (self.0.max(MIN_REQUESTS_PER_SECOND) * share)
     }
 }
 
-/// What was last said of a target's limit.
+/// The last known limit of a target, as entries exchange it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitReport {
-    /// The limit; `None` once the target names none any more.
+    /// The target's limit; `None` once the target no longer names a limit.
     pub rate: Option<Rate>,
-    /// For how long this has counted.
+    /// How long the reported limit, or the absence of a limit, has applied.
     pub age: Millis,
 }
 
-/// What is known of a target's limit.
+/// The limit of one target, merged from its responses and from other entries.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CurrentLimit {
-    word: Option<Held>,
-    /// When it last became another limit.
-    changed: Millis,
-    /// Whether the last answer named something that is no number.
-    unreadable: bool,
+    /// The latest limit; `None` if the target never named a limit.
+    latest: Option<TimedLimit>,
+    /// When the limit last changed to another value.
+    changed_at: Millis,
+    /// Whether the last response named a limit that is not a number.
+    is_invalid: bool,
 }
 
+/// A limit and the time from which it applies.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct TimedLimit {
     rate: Option<Rate>,
-    /// Since when it counts, in milliseconds; before 0 if it was told by
-    /// somebody who knew it before this process began.
-    since: i64,
+    /// When the limit began to apply, in milliseconds; negative if another
+    /// entry observed the limit before this process started.
+    since_ms: i64,
 }
 
-/// What a piece of news changed.
+/// The effect of a response or a report on the limit in force.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LimitChange {
-    /// Nothing.
+    /// The limit in force is unchanged.
     None,
     /// The limit is new or lower.
     Tightened,
@@ -117,94 +130,97 @@
     Loosened,
 }
 
-/// What an answer brought.
+/// The effect of a target's response on its limit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LimitUpdate {
-    /// What it changed.
+    /// How the limit in force changed.
     pub change: LimitChange,
-    /// Whether the target names what is no number, and didn't before.
+    /// Whether this response named a limit that is not a number, and the
+    /// response before it didn't.
     pub newly_invalid: bool,
 }
 
 impl CurrentLimit {
-    /// The limit in force.
+    /// Returns the limit in force.
     pub fn rate(&self) -> Option<Rate> {
-        self.word?.rate
+        self.latest?.rate
     }
 
-    /// What was last said, for others. A target that never named a limit has
-    /// no word.
+    /// Returns the latest limit as a report to other entries, or `None` if the
+    /// target never named a limit.
     pub fn report(&self, now: Millis) -> Option<LimitReport> {
-        let Held { rate, since } = self.word?;
-        let age = Millis((now.0 as i64 - since).max(0) as u64);
+        let TimedLimit { rate, since_ms } = self.latest?;
+        let age = Millis((now.0 as i64 - since_ms).max(0) as u64);
         Some(LimitReport { rate, age })
     }
 
-    /// When the limit last became another one.
+    /// Returns when the limit last changed to another value.
     pub fn changed_at(&self) -> Millis {
-        self.changed
+        self.changed_at
     }
 
-    /// Takes in an answer to a request that was sent at `sent`, as it came.
-    /// What is no number names no limit.
+    /// Merges the limit header of a response whose request was sent at
+    /// `sent_at`. A header that is not a number counts as no limit.
     pub fn observe_header(
         &mut self,
-        named: Option<&[u8]>,
-        sent: Millis,
+        header: Option<&[u8]>,
+        sent_at: Millis,
         now: Millis,
     ) -> LimitUpdate {
-        let rate = named.and_then(Rate::parse);
-        let unreadable = named.is_some() && rate.is_none();
-        let before = std::mem::replace(&mut self.unreadable, unreadable);
-        let change = self.observe_response(rate, sent, now);
-        LimitUpdate { change, newly_invalid: unreadable && !before }
+        let rate = header.and_then(Rate::parse);
+        let is_invalid = header.is_some() && rate.is_none();
+        let was_invalid = std::mem::replace(&mut self.is_invalid, is_invalid);
+        let change = self.observe_response(rate, sent_at, now);
+        LimitUpdate { change, newly_invalid: is_invalid && !was_invalid }
     }
 
-    /// Takes in an answer to a request that was sent at `sent`.
+    /// Merges the limit that a response named, whose request was sent at
+    /// `sent_at`.
     pub fn observe_response(
         &mut self,
         rate: Option<Rate>,
-        sent: Millis,
+        sent_at: Millis,
         now: Millis,
     ) -> LimitChange {
-        let loosens = loosens(self.rate(), rate);
-        let age = if loosens { now.since(sent) } else { Millis(0) };
+        let is_looser = is_looser(self.rate(), rate);
+        let age = if is_looser { now.since(sent_at) } else { Millis(0) };
         self.merge_report(LimitReport { rate, age }, now)
     }
 
-    /// Takes in what another entry was told.
+    /// Merges the limit that another entry reports; an older report than the
+    /// latest limit is ignored.
     pub fn merge_report(
         &mut self,
-        word: LimitReport,
+        report: LimitReport,
         now: Millis,
     ) -> LimitChange {
-        let LimitReport { rate, age } = word;
-        let since = now.0 as i64 - age.0.min(i64::MAX as u64 / 2) as i64;
-        let Some(known) = self.word else {
+        let LimitReport { rate, age } = report;
+        let since_ms = now.0 as i64 - age.0.min(i64::MAX as u64 / 2) as i64;
+        let Some(latest) = self.latest else {
             if rate.is_none() {
                 return LimitChange::None;
             }
-            self.word = Some(Held { rate, since });
-            self.changed = now;
+            self.latest = Some(TimedLimit { rate, since_ms });
+            self.changed_at = now;
             return LimitChange::Tightened;
         };
-        if since <= known.since {
+        if since_ms <= latest.since_ms {
             return LimitChange::None;
         }
-        self.word = Some(Held { rate, since });
-        if known.rate == rate {
+        self.latest = Some(TimedLimit { rate, since_ms });
+        if latest.rate == rate {
             return LimitChange::None;
         }
-        self.changed = now;
-        match loosens(known.rate, rate) {
+        self.changed_at = now;
+        match is_looser(latest.rate, rate) {
             true => LimitChange::Loosened,
             false => LimitChange::Tightened,
         }
     }
 }
 
-/// Whether a limit allows more than the one before.
-fn loosens(before: Option<Rate>, after: Option<Rate>) -> bool {
+/// Returns whether the limit `after` allows more requests than `before`.
+fn is_looser(before: Option<Rate>, after: Option<Rate>) -> bool {
     match (before, after) {
         (None, _) => false,
         (Some(_), None) => true,
@@ -212,90 +228,101 @@
     }
 }
 
-/// What whoever asks for a permit is told.
+/// A limiter's answer to a request for a permit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PermitDecision {
-    /// A request may be sent after this time.
+    /// The permit is granted; the request may be sent after this delay.
     Permit(Millis),
-    /// None is free before this time is over.
+    /// No permit is free until this time has passed.
     Later(Millis),
 }
 
-/// The pace of requests to a target that names a limit.
+/// Spaces out the requests of all entries to a target that names a limit.
 #[derive(Clone, Copy, Debug)]
 pub struct Limiter {
     rate: Rate,
     /// When the next permit is free, in milliseconds.
-    next: f64,
-    asked: Millis,
+    next_permit_ms: f64,
+    /// When a permit was last requested.
+    last_request: Millis,
 }
 
 impl Limiter {
-    /// A pace that is kept from now on. Whoever kept it before may have given
-    /// a permit just now. `idle` is for how long nobody is known to have heard
-    /// from the target: of one that takes few, a new limiter that waited for a
-    /// whole interval would never give a permit where limiters change often.
+    /// Creates a limiter whose predecessor at another entry may have granted a
+    /// permit just now. `idle` is the age of the target's last known response:
+    /// at a low rate, limiters that always waited for a whole interval would
+    /// never grant a permit where limiters are replaced often.
     pub fn new(rate: Rate, idle: Millis, now: Millis) -> Limiter {
-        let interval = rate.interval_ms(1.0);
-        let least = interval.min(NEWS_MS);
-        let wait = (interval - idle.0 as f64).clamp(least, interval);
-        let next = now.0 as f64 + wait;
-        Limiter { rate, next, asked: now }
+        let interval_ms = rate.interval_ms(1.0);
+        let min_wait_ms = interval_ms.min(MAX_GOSSIP_DELAY_MS);
+        let wait_ms =
+            (interval_ms - idle.0 as f64).clamp(min_wait_ms, interval_ms);
+        let next_permit_ms = now.0 as f64 + wait_ms;
+        Limiter { rate, next_permit_ms, last_request: now }
     }
 
-    /// Whether nobody has asked here for so long that others may have kept the
-    /// pace meanwhile. Where few requests are taken, few are asked for.
+    /// Returns whether no permit was requested here for so long that another
+    /// entry may have run a limiter meanwhile. The time grows with the permit
+    /// interval, because at a low rate permits are requested rarely.
     pub fn is_stale(&self, share: f64, now: Millis) -> bool {
-        let asks = ASKED_INTERVALS * self.rate.interval_ms(share);
-        now.since(self.asked) > RESUMPTION_TIMEOUT + Millis(asks as u64)
+        let intervals_ms =
+            IDLE_TIMEOUT_INTERVALS * self.rate.interval_ms(share);
+        now.since(self.last_request)
+            > IDLE_TIMEOUT + Millis(intervals_ms as u64)
     }
 
-    /// How long no permit is free.
+    /// Returns the time until a permit is free.
     pub fn permit_wait(&self, now: Millis) -> Millis {
-        Millis((self.next - now.0 as f64).max(0.0).ceil() as u64)
+        Millis((self.next_permit_ms - now.0 as f64).max(0.0).ceil() as u64)
     }
 
-    /// Asks for a permit that is free within `patience`. `share` is the part
-    /// of the limit that may be given out here, over 0 to 1.
+    /// Grants a permit if one becomes free within `max_wait`. `share` is the
+    /// fraction of the limit that this limiter may grant, above 0 and up to 1.
     pub fn acquire(
         &mut self,
         rate: Rate,
         share: f64,
-        patience: Millis,
+        max_wait: Millis,
         now: Millis,
     ) -> PermitDecision {
-        let interval = rate.interval_ms(share);
+        let interval_ms = rate.interval_ms(share);
         let now_ms = now.0 as f64;
-        // Permits that were promised under another limit don't bind this one.
+        // Permits scheduled under an earlier limit don't delay or speed up
+        // permits under the new limit.
         if rate > self.rate {
-            self.next = self.next.min(now_ms + interval);
+            self.next_permit_ms =
+                self.next_permit_ms.min(now_ms + interval_ms);
         } else if rate < self.rate {
-            self.next = self.next.max(now_ms + interval);
+            self.next_permit_ms =
+                self.next_permit_ms.max(now_ms + interval_ms);
         }
         self.rate = rate;
-        self.asked = now;
+        self.last_request = now;
         let wait = self.permit_wait(now);
-        if wait > patience {
+        if wait > max_wait {
             return PermitDecision::Later(wait);
         }
-        self.next = self.next.max(now_ms - LATENESS_MS) + interval;
+        self.next_permit_ms =
+            self.next_permit_ms.max(now_ms - MAX_PERMIT_LATENESS_MS)
+                + interval_ms;
         PermitDecision::Permit(wait)
     }
 }
 
-/// A permit at a target, as whoever asked for it holds it.
+/// A permit to send one request to a target, as the requesting entry holds it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Permit {
-    /// The limit that it was given under.
+    /// The target's limit when the permit was granted.
     pub rate: Rate,
-    /// When it may be used.
+    /// The time from which the permit may be used.
     pub valid_from: Millis,
-    /// When it lapses.
+    /// The time at which the permit expires.
     pub valid_until: Millis,
 }
 
 impl Permit {
-    /// Whether a request may still be sent for it under the limit in force.
+    /// Returns whether a request may be sent with this permit now. A permit
+    /// that was granted under a higher limit than `rate` is not valid.
     pub fn is_valid(&self, rate: Rate, now: Millis) -> bool {
         self.valid_from <= now && now <= self.valid_until && self.rate <= rate
     }
--- a/cowsliproad-admission/src/window.rs
+++ b/cowsliproad-admission/src/window.rs
@@ -1,85 +1,93 @@
-//! The retry budget that all entries keep together without talking.
+//! A retry budget that all entries keep to together without communicating.
 //!
-//! In any span of some seconds the retries of a service may be a share of
-//! its requests and some more. Each entry keeps to the share of its own
-//! requests and to its part of the rest, so the sum over all entries keeps
-//! to the whole, also while they can't reach one another.
+//! Within any span of some seconds, the retries of a service may be a fraction
+//! of its requests plus a fixed number. Each entry keeps to the fraction of
+//! its own requests and to its part of the fixed number, so the sum over all
+//! entries keeps to the whole budget, also during a network partition.
 
 use std::collections::VecDeque;
 
 use cowsliproad_kernel::clock::Millis;
 
-/// The steps in which the span slides.
+/// The granularity with which the window slides.
 const STEP: Millis = Millis(500);
 
-/// Steps that the usual number of requests is taken over.
+/// The number of whole steps that the request rate is averaged over.
 const RATE_STEPS: u64 = 4;
 
-/// What is used of the budget. The rest covers that targets count arrivals
-/// a little later than we count departures.
-const USED: f64 = 0.85;
+/// The fraction of the budget that entries use. The rest covers that targets
+/// count arrivals a little later than entries count departures.
+const USED_FRACTION: f64 = 0.85;
 
-/// What a budget allows.
+/// The size of a retry budget.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryWindowConfig {
+    /// Retries allowed for each request.
     ratio: f64,
+    /// Further retries allowed within a span, for all entries together.
     slack: f64,
+    /// The length of the sliding window.
     span: Millis,
 }
 
 impl RetryWindowConfig {
-    /// Retries for each request, and retries beyond that for all entries
-    /// together, in any span.
+    /// Allows `ratio` retries per request, plus `slack` retries for all
+    /// entries together, within any time of length `span`.
     pub fn new(ratio: f64, slack: f64, span: Millis) -> RetryWindowConfig {
         RetryWindowConfig { ratio, slack, span }
     }
 }
 
-/// The budget of one service at one entry.
+/// A sliding window that limits the retries of one service at one entry.
 #[derive(Clone, Debug)]
 pub struct RetryWindow {
     config: RetryWindowConfig,
-    /// Requests and retries by step, the newest last.
+    /// The index, the number of requests and the number of retries of each
+    /// step, oldest first.
     steps: VecDeque<(u64, u32, u32)>,
 }
 
 impl RetryWindow {
-    /// Nothing sent yet.
+    /// Creates a window without requests or retries.
     pub fn new(config: RetryWindowConfig) -> RetryWindow {
         RetryWindow { config, steps: VecDeque::new() }
     }
 
-    /// Notes a request.
+    /// Counts a request that is not a retry.
     pub fn record_request(&mut self, now: Millis) {
-        self.step(now).1 += 1;
+        self.current_step(now).1 += 1;
     }
 
-    /// Spends a retry, if there is one left for one of `entries`.
+    /// Counts a retry if this entry's part of the budget allows one; `entries`
+    /// is the number of entries that share the budget.
     pub fn try_spend(&mut self, entries: usize, now: Millis) -> bool {
-        self.step(now);
+        self.current_step(now);
         let requests: u32 = self.steps.iter().map(|it| it.1).sum();
         let retries: u32 = self.steps.iter().map(|it| it.2).sum();
-        let part = self.config.slack / entries.max(1) as f64;
-        let most = self.config.ratio * f64::from(requests) + part;
-        if f64::from(retries) + 1.0 > most * USED {
+        let slack = self.config.slack / entries.max(1) as f64;
+        let max_retries = self.config.ratio * f64::from(requests) + slack;
+        if f64::from(retries) + 1.0 > max_retries * USED_FRACTION {
             return false;
         }
-        self.step(now).2 += 1;
+        self.current_step(now).2 += 1;
         true
     }
 
-    /// Requests that are noted in a span, from those of the last whole steps.
+    /// Returns the number of requests to expect within `span`, extrapolated
+    /// from the last [`RATE_STEPS`] whole steps.
     pub fn expected_requests(&self, span: Millis, now: Millis) -> f64 {
         let index = now.0 / STEP.0;
         let oldest = index.saturating_sub(RATE_STEPS);
-        let within = |it: &&(u64, u32, u32)| (oldest..index).contains(&it.0);
-        let steps = self.steps.iter().filter(within);
+        let is_recent =
+            |it: &&(u64, u32, u32)| (oldest..index).contains(&it.0);
+        let steps = self.steps.iter().filter(is_recent);
         let requests: u32 = steps.map(|it| it.1).sum();
-        let time = (RATE_STEPS * STEP.0) as f64;
-        f64::from(requests) * span.0 as f64 / time
+        let period_ms = (RATE_STEPS * STEP.0) as f64;
+        f64::from(requests) * span.0 as f64 / period_ms
     }
 
-    fn step(&mut self, now: Millis) -> &mut (u64, u32, u32) {
+    /// Returns the counters of the current step, and removes expired steps.
+    fn current_step(&mut self, now: Millis) -> &mut (u64, u32, u32) {
         let index = now.0 / STEP.0;
         let oldest = index.saturating_sub(self.config.span.0 / STEP.0);
         while self.steps.front().is_some_and(|it| it.0 < oldest) {
