--- a/cowsliproad-admission/src/lib.rs
+++ b/cowsliproad-admission/src/lib.rs
@@ -1,15 +1,16 @@
-//! Admission: what may run, once, in which order, and how often it may be
-//! tried again.
+//! Admission control: which requests may run, in which order, and how often
+//! a request may be retried.
 //!
-//! * [`ticket`]: tokens that tie non-repeatable work to one agent process;
-//! * [`register`]: that agent's record of the tickets it saw;
-//! * [`queue`]: the order of waiting work and what is refused instead;
-//! * [`patience`]: whether a stream that waited is still worth its start;
-//! * [`limit`]: how many requests a second a target takes from all VMs;
-//! * [`quarantine`]: work that ends the targets that run it;
-//! * [`budget`]: the share of requests that may be retries.
+//! * [`ticket`]: tokens that bind non-repeatable work to one agent process;
+//! * [`register`]: an agent's record of the tickets submitted to it;
+//! * [`queue`]: the order of queued requests, and which requests are rejected;
+//! * [`patience`]: whether a stream that waited should still be started;
+//! * [`limit`]: the rate limit that a target sets for all VMs together;
+//! * [`quarantine`]: crash-inducing requests, which are refused;
+//! * [`budget`]: limits retries to a fraction of successes at one entry;
+//! * [`window`]: limits retries over a sliding window across all entries.
 //!
-//! All is pure and takes the time as an argument.
+//! The crate does no I/O and reads no clock: time is passed as an argument.
 
 #![forbid(unsafe_code)]
 
--- a/cowsliproad-admission/src/patience.rs
+++ b/cowsliproad-admission/src/patience.rs
@@ -1,29 +1,32 @@
-//! Whether a stream that had to wait is still worth its start.
+//! Whether a stream whose request had to wait should still be started.
 //!
-//! A caller of a stream leaves when it has heard nothing for a while. One
-//! that waited here while its group stood may have so little of that left
-//! when the group opens that no first event can reach it: it leaves, the
-//! work is for nobody, and the engine is kept from others that the same
-//! moment brings. Told to come back, the caller stays as long again. They all
-//! come from one moment, so their returns are spread; and a caller that came
-//! back before mostly doesn't do so twice, so it is sent on whatever is left.
+//! A caller disconnects from a stream that sends no event for the silence
+//! timeout. After waiting for a closed group of ranks, a caller may have so
+//! little of that timeout left when the group opens that no first event can
+//! arrive in time. The caller then disconnects, its stream is generated for
+//! nobody, and the engine is kept from the other requests that start at the
+//! same moment. Asked to retry instead, the caller waits for a full silence
+//! timeout again. Many callers are asked to retry at one moment, so the
+//! backoff is spread. Few callers retry twice, so the stream of a retry starts
+//! whatever time is left.
 
 use cowsliproad_kernel::clock::Millis;
 
-/// Which of a caller's tries a request is.
+/// Whether a request is its caller's first attempt or a retry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallerTry {
-    /// The first.
+    /// The caller's first attempt.
     First,
-    /// A later one.
+    /// A retry by the caller.
     Return,
 }
 
 impl CallerTry {
-    /// By what callers have left here and what they have at most: one that
-    /// has much less has been somewhere before.
-    pub fn new(left: Millis, most: Millis) -> CallerTry {
-        if most.since(left) > ON_THE_WAY {
+    /// Classifies an attempt by the time left until the caller's deadline. A
+    /// caller with much less than the maximum has already made an attempt
+    /// elsewhere.
+    pub fn new(time_left: Millis, max_time: Millis) -> CallerTry {
+        if max_time.since(time_left) > MAX_TRANSIT_TIME {
             CallerTry::Return
         } else {
             CallerTry::First
@@ -31,64 +34,72 @@
     }
 }
 
-/// What a first try may have lost on its way here to packets sent again.
-const ON_THE_WAY: Millis = Millis(300);
+/// The longest time that a first attempt may take to arrive when packets are
+/// retransmitted.
+const MAX_TRANSIT_TIME: Millis = Millis(300);
 
-/// A stream that could start now.
+/// A queued stream request that could be started now.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingStream {
-    /// When it came.
+    /// When the stream request arrived.
     pub arrived: Millis,
-    /// How long its caller stays without an event.
+    /// How long the caller waits for an event before it disconnects.
     pub silence_timeout: Millis,
-    /// The time within which a first event is wanted, and usually comes also
-    /// while a backlog is taken up.
+    /// The intended time to the first event of the stream, usually met even
+    /// while a backlog of streams is started.
     pub first_event_aim: Millis,
-    /// What the caller has left in all.
+    /// The time until the caller's deadline.
     pub time_left: Millis,
-    /// Which of its tries this is.
+    /// Whether the stream request is a first attempt or a retry.
     pub caller_try: CallerTry,
 }
 
-/// What is best for its caller.
+/// Whether a stream is started or its caller is asked to retry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// It starts.
+    /// The stream is started now.
     Now,
-    /// The caller comes back after this time.
+    /// The caller is asked to retry after this time.
     RetryAfter(Millis),
 }
 
 impl PendingStream {
-    /// Whether it should start now. `draw` is a random number from 0 to 1.
-    pub fn decide(&self, now: Millis, draw: f64) -> Admission {
-        let stays = (self.arrived + self.silence_timeout).since(now);
+    /// Decides whether the stream is started now. `random` is a random number
+    /// from 0 to 1 that spreads the backoff.
+    pub fn decide(&self, now: Millis, random: f64) -> Admission {
+        let silence_left = (self.arrived + self.silence_timeout).since(now);
         let third = Millis(self.time_left.0 / 3);
-        let hopeless = stays < self.first_event_aim
+        let is_too_late = silence_left < self.first_event_aim
             && self.caller_try == CallerTry::First;
-        if !hopeless || third < SOONEST {
+        if !is_too_late || third < MIN_BACKOFF {
             return Admission::Now;
         }
-        let spread = third.min(LATEST).since(SOONEST);
+        let spread = third.min(MAX_BACKOFF).since(MIN_BACKOFF);
         Admission::RetryAfter(
-            SOONEST + Millis((spread.0 as f64 * draw) as u64),
+            MIN_BACKOFF + Millis((spread.0 as f64 * random) as u64),
         )
     }
 }
 
-/// When a caller comes back that is told of a moment, as others are. Their
-/// returns are spread over a quarter of the time until then.
-pub fn jittered_retry(wait: Millis, draw: f64) -> Millis {
-    let spread = Millis(wait.0 / RETURN_SPREAD).max(MIN_SPREAD);
-    wait + Millis((spread.0 as f64 * draw) as u64)
+/// Adds random jitter to a retry time that many callers get, of up to a quarter
+/// of the time and at least up to [`MIN_JITTER_RANGE`], so that the retries
+/// don't arrive all at once. `random` is a random
+/// number from 0 to 1.
+pub fn jittered_retry(wait: Millis, random: f64) -> Millis {
+    let max_jitter = Millis(wait.0 / JITTER_DIVISOR).max(MIN_JITTER_RANGE);
+    wait + Millis((max_jitter.0 as f64 * random) as u64)
 }
 
-const RETURN_SPREAD: u64 = 4;
-const MIN_SPREAD: Millis = Millis(100);
+/// The jitter of a retry time is at most the retry time divided by this.
+const JITTER_DIVISOR: u64 = 4;
 
-/// The soonest return, after those that can still start have been sent.
-const SOONEST: Millis = Millis(100);
+/// Lower bound for the maximum jitter, so that short retry times are spread
+/// too.
+const MIN_JITTER_RANGE: Millis = Millis(100);
 
-/// The latest. A backlog of two seconds' callers is spread over one, of which
-/// each can then wait for as long as it could at first.
-const LATEST: Millis = Millis(1_100);
+/// The shortest backoff: streams that can still start are dispatched first.
+const MIN_BACKOFF: Millis = Millis(100);
+
+/// The longest backoff. The callers of a two-second backlog retry within one
+/// second, and each of them can then wait as long as on its first attempt.
+const MAX_BACKOFF: Millis = Millis(1_100);
--- a/cowsliproad-admission/src/queue.rs
+++ b/cowsliproad-admission/src/queue.rs
@@ -1,79 +1,83 @@
-//! The order of waiting work at an agent.
+//! The order of queued work at an agent.
 //!
-//! The most urgent class that has work goes first. Within a class each
-//! piece of work has a rank, fixed when it arrives: the arrival time plus a
-//! penalty for the work of the same class that its organisation already has
-//! waiting, lowest first. The penalty spaces out a flooding organisation as
-//! if it had its share of the slots to itself, and leaves the others alone.
+//! The most urgent class that has queued work is served first. Within a class,
+//! work is served in the order of its rank, lowest first. A rank is fixed on
+//! arrival: the arrival time plus a penalty for the work of the same class
+//! that its organisation has already queued. The penalty spaces out the work
+//! of a flooding organisation as if the organisation had its share of the
+//! slots to itself, and leaves the work of other organisations unaffected.
 //!
-//! So that drafts never starve, one turn in [`AGED_TURN_INTERVAL`] goes to the work
-//! that has waited longest beyond its class's patience, whatever its class.
-//! Ageing by adding the patience to the rank would have urgent work wait
-//! behind drafts, as under lasting overload every draft is older than that.
+//! To prevent starvation of background work, one turn in
+//! [`AGED_TURN_INTERVAL`] serves the work that has exceeded the aging delay
+//! of its class by the longest time, whatever its class. Aging by adding the
+//! delay to the rank would make urgent work wait behind background work: under
+//! lasting overload, all queued background work exceeds its delay.
 //!
-//! Work that can't meet its deadline any more is refused on arrival, and
-//! work whose deadline passes while it waits is given back at once by
-//! [`Queue::lapsed`]. When the queue is full the worst rank goes.
+//! Work that can't meet its deadline is refused on arrival. Work whose
+//! deadline passes while it is queued is handed back at once by
+//! [`Queue::remove_expired`]. When the queue is full, the work with the worst
+//! rank is removed.
 
 use std::collections::{BTreeMap, HashMap};
 
 use cowsliproad_kernel::{Name, clock::Millis, wire::Urgency};
 
-/// One turn in so many goes to aged work, so that at least this share of the
-/// slots is open to it.
+/// One turn in this many serves aged work, so that at least this fraction of
+/// the slots is open to aged work.
 pub const AGED_TURN_INTERVAL: u64 = 16;
 
-/// What the queue needs to know of a piece of work.
+/// A queued request with the properties that decide its place in the queue.
 #[derive(Clone, Debug)]
 pub struct Item<T> {
-    /// Who asks.
+    /// The organisation that sent the request.
     pub organisation: Name,
-    /// The organisation's weight, from 1.
+    /// The organisation's weight for fair sharing, at least 1.
     pub weight: u32,
-    /// How soon it is needed.
+    /// The urgency class of the request.
     pub urgency: Urgency,
-    /// When its answer has lost its use.
+    /// When the answer to the request becomes useless.
     pub deadline: Millis,
-    /// The work.
+    /// The queued request itself.
     pub work: T,
 }
 
 impl<T> Item<T> {
-    /// What its share is counted by.
-    fn class(&self) -> (Name, Urgency) {
+    /// Returns the key under which queued items are counted for fair sharing.
+    fn sharing_key(&self) -> (Name, Urgency) {
         (self.organisation.clone(), self.urgency)
     }
 }
 
-/// Limits of a queue.
+/// The capacity and the aging delays of a queue.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueConfig {
     capacity: usize,
-    normal_patience: Millis,
-    background_patience: Millis,
+    normal_aging_delay: Millis,
+    background_aging_delay: Millis,
 }
 
 impl QueueConfig {
-    /// The usual limits.
+    /// Returns the default limits of a queue.
     pub fn new() -> QueueConfig {
         QueueConfig {
             capacity: 4096,
-            normal_patience: Millis(2_000),
-            background_patience: Millis(30_000),
+            normal_aging_delay: Millis(2_000),
+            background_aging_delay: Millis(30_000),
         }
     }
 
-    /// Limits the number of waiting items.
+    /// Sets the maximum number of queued items.
     pub fn with_capacity(self, capacity: usize) -> QueueConfig {
         QueueConfig { capacity, ..self }
     }
 
-    /// How long work may wait before it gets aged turns.
+    /// Returns how long work of a class is queued before aged turns may serve
+    /// the work.
     pub fn aging_delay(&self, urgency: Urgency) -> Millis {
         match urgency {
             Urgency::Urgent => Millis(0),
-            Urgency::Normal => self.normal_patience,
-            Urgency::Background => self.background_patience,
+            Urgency::Normal => self.normal_aging_delay,
+            Urgency::Background => self.background_aging_delay,
         }
     }
 }
@@ -84,109 +88,120 @@
     }
 }
 
-/// How fast the queue empties.
+/// The rate at which a target serves the queue.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceRate {
-    /// Items served at once.
+    /// The number of items served concurrently.
     pub slots: u32,
-    /// Mean time an item holds a slot, in microseconds.
+    /// The mean time for which an item holds a slot, in microseconds.
     pub service_us: u32,
-    /// The least time from one item's start to the next one's, in
-    /// microseconds, where the target takes only so many; else 0.
+    /// The minimum time between the starts of two items, in microseconds, if
+    /// the target has a rate limit; else 0.
     pub start_interval_us: u32,
-    /// The time until the next item may start for all that, in microseconds.
+    /// The time until the target's rate limit lets the next item start, in
+    /// microseconds.
     pub next_start_us: u32,
 }
 
-/// What became of an arriving item.
+/// The result of pushing an item onto the queue.
 #[derive(Debug)]
 pub enum PushOutcome<T> {
-    /// It waits.
+    /// The new item is queued.
     Queued,
-    /// It waits, and this item was given up for it.
+    /// The new item is queued, and this item was removed to make room; its
+    /// sender may retry after the given time.
     Displaced(Item<T>, Millis),
-    /// It is refused; come back after the given time.
+    /// The new item is refused; its sender may retry after the given time.
     Refused(Item<T>, Millis),
 }
 
+/// The position of an item: its class, its virtual arrival time and its
+/// arrival number.
 type Rank = (Urgency, Millis, u64);
 
-/// Waiting work.
+/// A queue of requests that wait for a slot at one target.
 #[derive(Debug)]
 pub struct Queue<T> {
     config: QueueConfig,
+    /// The number of items that have arrived.
     arrivals: u64,
     items: BTreeMap<Rank, Item<T>>,
+    /// The ranks of all items by deadline and arrival number.
     deadlines: BTreeMap<(Millis, u64), Rank>,
-    /// When each item's patience ends.
-    patience: BTreeMap<(Millis, u64), Rank>,
-    ends: HashMap<u64, Millis>,
+    /// The ranks of all items by the time at which aged turns may serve the
+    /// item, and by arrival number.
+    aging: BTreeMap<(Millis, u64), Rank>,
+    /// The time at which aged turns may serve an item, by arrival number.
+    aged_from: HashMap<u64, Millis>,
+    /// The number of items that were served.
     turns: u64,
-    waiting: HashMap<(Name, Urgency), u32>,
+    /// The number of queued items by organisation and class.
+    queued: HashMap<(Name, Urgency), u32>,
 }
 
 impl<T> Queue<T> {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(config: QueueConfig) -> Queue<T> {
         Queue {
             config,
             arrivals: 0,
             items: BTreeMap::new(),
             deadlines: BTreeMap::new(),
-            patience: BTreeMap::new(),
-            ends: HashMap::new(),
+            aging: BTreeMap::new(),
+            aged_from: HashMap::new(),
             turns: 0,
-            waiting: HashMap::new(),
+            queued: HashMap::new(),
         }
     }
 
-    /// The number of waiting items.
+    /// Returns the number of queued items.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether nothing waits.
+    /// Returns whether the queue has no items.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// Takes an item in, or refuses it.
+    /// Queues an item, or refuses it if it would miss its deadline or has the
+    /// worst rank in a full queue.
     pub fn push(
         &mut self,
         item: Item<T>,
-        pace: ServiceRate,
+        service_rate: ServiceRate,
         now: Millis,
     ) -> PushOutcome<T> {
-        let rank = self.rank(&item, pace, now);
+        let rank = self.rank(&item, service_rate, now);
         let ahead = self.items.range(..rank).count() as u64;
-        let wait = pace.wait(ahead);
-        let finish = now + wait + pace.service();
+        let wait = service_rate.wait(ahead);
+        let finish = now + wait + service_rate.service();
         if finish > item.deadline {
-            return PushOutcome::Refused(item, self.retry_after(pace));
+            return PushOutcome::Refused(item, self.retry_after(service_rate));
         }
         if self.items.len() < self.config.capacity {
             self.insert(rank, item, now);
             return PushOutcome::Queued;
         }
-        let back_off = self.retry_after(pace);
+        let retry_after = self.retry_after(service_rate);
         match self.items.last_key_value() {
             Some((worst, _)) if *worst > rank => {}
-            _ => return PushOutcome::Refused(item, back_off),
+            _ => return PushOutcome::Refused(item, retry_after),
         }
         let displaced = self.remove_last();
         self.insert(rank, item, now);
         match displaced {
-            Some(displaced) => PushOutcome::Displaced(displaced, back_off),
+            Some(displaced) => PushOutcome::Displaced(displaced, retry_after),
             None => PushOutcome::Queued,
         }
     }
 
-    /// The next item to serve.
+    /// Removes and returns the next item to serve.
     pub fn pop(&mut self, now: Millis) -> Option<Item<T>> {
         let first = *self.items.first_key_value()?.0;
         self.turns += 1;
-        let aged = self.patience.first_key_value();
-        let aged = aged.filter(|(end, _)| end.0 <= now);
+        let aged = self.aging.first_key_value();
+        let aged = aged.filter(|(aged_from, _)| aged_from.0 <= now);
         let rank = match aged {
             Some((_, rank))
                 if self.turns.is_multiple_of(AGED_TURN_INTERVAL) =>
@@ -198,30 +213,32 @@
         self.remove(rank)
     }
 
-    /// Takes out an item that could not finish by its deadline any more.
+    /// Removes an item that would miss its deadline even if it started now.
     pub fn remove_expired(
         &mut self,
-        pace: ServiceRate,
+        service_rate: ServiceRate,
         now: Millis,
     ) -> Option<Item<T>> {
         let (&(deadline, _), &rank) = self.deadlines.first_key_value()?;
-        if now + pace.service() <= deadline {
+        if now + service_rate.service() <= deadline {
             return None;
         }
         self.remove(rank)
     }
 
-    /// Takes out all that could not finish by their deadlines at this pace,
-    /// which is slower than the one that they came in at.
+    /// Removes all items that would miss their deadlines after the service
+    /// rate has dropped to `service_rate`.
     pub fn remove_late(
         &mut self,
-        pace: ServiceRate,
+        service_rate: ServiceRate,
         now: Millis,
     ) -> Vec<Item<T>> {
         let mut ahead = 0;
         let mut late = Vec::new();
         for (rank, item) in &self.items {
-            if now + pace.wait(ahead) + pace.service() > item.deadline {
+            if now + service_rate.wait(ahead) + service_rate.service()
+                > item.deadline
+            {
                 late.push(*rank);
             } else {
                 ahead += 1;
@@ -230,7 +247,7 @@
         late.into_iter().filter_map(|rank| self.remove(rank)).collect()
     }
 
-    /// Takes out the first item that matches.
+    /// Removes the first item whose work matches.
     pub fn remove_first(
         &mut self,
         mut matches: impl FnMut(&T) -> bool,
@@ -240,27 +257,29 @@
         self.remove(rank)
     }
 
+    /// Computes the rank of an arriving item.
     fn rank(
         &mut self,
         item: &Item<T>,
-        pace: ServiceRate,
+        service_rate: ServiceRate,
         now: Millis,
     ) -> Rank {
         self.arrivals += 1;
-        // Less urgent work doesn't count: an organisation's drafts must not
-        // hold up its own tow calls.
-        let waiting = self.waiting.get(&item.class()).copied();
-        let ahead = u64::from(waiting.unwrap_or(0));
-        let penalty = pace.wait(ahead).0 / u64::from(item.weight.max(1));
+        // Queued work of other classes adds no penalty: an organisation's
+        // background work must not delay its own urgent work.
+        let queued = self.queued.get(&item.sharing_key()).copied();
+        let ahead = u64::from(queued.unwrap_or(0));
+        let penalty =
+            service_rate.wait(ahead).0 / u64::from(item.weight.max(1));
         (item.urgency, now + Millis(penalty), self.arrivals)
     }
 
     fn insert(&mut self, rank: Rank, item: Item<T>, now: Millis) {
-        *self.waiting.entry(item.class()).or_default() += 1;
+        *self.queued.entry(item.sharing_key()).or_default() += 1;
         self.deadlines.insert((item.deadline, rank.2), rank);
-        let end = now + self.config.aging_delay(item.urgency);
-        self.patience.insert((end, rank.2), rank);
-        self.ends.insert(rank.2, end);
+        let aged_from = now + self.config.aging_delay(item.urgency);
+        self.aging.insert((aged_from, rank.2), rank);
+        self.aged_from.insert(rank.2, aged_from);
         self.items.insert(rank, item);
     }
 
@@ -272,44 +291,48 @@
     fn remove(&mut self, rank: Rank) -> Option<Item<T>> {
         let item = self.items.remove(&rank)?;
         self.deadlines.remove(&(item.deadline, rank.2));
-        if let Some(end) = self.ends.remove(&rank.2) {
-            self.patience.remove(&(end, rank.2));
+        if let Some(aged_from) = self.aged_from.remove(&rank.2) {
+            self.aging.remove(&(aged_from, rank.2));
         }
-        let class = item.class();
-        let waiting = self.waiting.get_mut(&class)?;
-        *waiting -= 1;
-        if *waiting == 0 {
-            self.waiting.remove(&class);
+        let key = item.sharing_key();
+        let queued = self.queued.get_mut(&key)?;
+        *queued -= 1;
+        if *queued == 0 {
+            self.queued.remove(&key);
         }
         Some(item)
     }
 
-    /// When the work that waits now will have been served, roughly.
-    pub fn retry_after(&self, pace: ServiceRate) -> Millis {
-        pace.wait(self.items.len() as u64).max(pace.service()).max(MIN_WAIT)
+    /// Estimates the time until all items queued now have got a slot, as the
+    /// retry time for a refused sender.
+    pub fn retry_after(&self, service_rate: ServiceRate) -> Millis {
+        service_rate
+            .wait(self.items.len() as u64)
+            .max(service_rate.service())
+            .max(MIN_RETRY_AFTER)
     }
 }
 
-/// The shortest time a refused caller is told to stay away.
-const MIN_WAIT: Millis = Millis(50);
+/// The shortest retry time that a refused sender gets.
+const MIN_RETRY_AFTER: Millis = Millis(50);
 
 impl ServiceRate {
-    /// The time until `ahead` items have got a slot.
+    /// Returns the time until `ahead` items have got a slot.
     pub fn wait(self, ahead: u64) -> Millis {
         let slots = u64::from(self.slots.max(1));
-        let by_slots = ahead * u64::from(self.service_us) / slots;
-        let by_gaps = u64::from(self.next_start_us)
+        let slot_wait_us = ahead * u64::from(self.service_us) / slots;
+        let limit_wait_us = u64::from(self.next_start_us)
             + ahead * u64::from(self.start_interval_us);
-        Millis(by_slots.max(by_gaps) / 1000)
+        Millis(slot_wait_us.max(limit_wait_us) / 1000)
     }
 
-    /// The time for which each item would hold a slot if slots alone made the
-    /// queue as slow as it is, in microseconds.
+    /// Returns the service time that would make the queue as slow as it is if
+    /// the slots were its only limit, in microseconds.
     pub fn effective_us(self) -> u32 {
         self.service_us.max(self.start_interval_us.saturating_mul(self.slots))
     }
 
-    /// The mean time an item holds a slot.
+    /// Returns the mean time for which an item holds a slot.
     pub fn service(self) -> Millis {
         Millis(u64::from(self.service_us) / 1000)
     }
