--- a/cowsliproad-admission/src/register.rs
+++ b/cowsliproad-admission/src/register.rs
@@ -1,14 +1,16 @@
-//! An agent's record of the tickets it has seen.
+//! An agent's record of the tickets that were submitted to it.
 //!
-//! Invariant: a ticket gets [`SubmitVerdict::Run`] at most once in the life of a
-//! register, and never after a refusal. The record is made before the target
-//! is called. A record outlives its ticket by [`RECORD_RETENTION`], so
-//! that a late question about it still gets a true answer, and it is dropped
-//! only when the ticket is too old to be taken at all.
+//! Invariant: a ticket gets [`SubmitVerdict::Run`] at most once in the
+//! lifetime of a register, and never after a refusal. The record is made
+//! before the target is called. A record is kept for [`RECORD_RETENTION`]
+//! after its ticket expires, so that a late resubmission still gets a correct
+//! answer. A record is removed only when its ticket is too old to be accepted
+//! at all.
 //!
-//! When the agent stops, [`TicketRegister::seal`] makes a register that a peer
-//! answers from: it runs nothing more, and what it never saw is truly not
-//! run, because the agent took in nothing after sealing.
+//! When the agent stops, [`TicketRegister::seal`] turns the register into one
+//! that a peer can answer from: a sealed register accepts no more work. A
+//! ticket that a sealed register has no record of never ran, because the agent
+//! accepted nothing after sealing.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -17,65 +19,73 @@
 
 use crate::ticket::Ticket;
 
-/// How long a ticket may be submitted after it was made.
+/// How long a ticket may be submitted after it was issued.
 pub const TICKET_TTL: Millis = Millis(10 * 60 * 1000);
 
-/// How long a record is kept after its ticket's expiry.
+/// How long a record is kept after its ticket expires.
 pub const RECORD_RETENTION: Millis = Millis(60 * 60 * 1000);
 
-/// What is known of a ticket.
+/// The recorded state of a ticket.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Mark {
-    /// Its work was taken in; the target may have been called.
-    Taken,
-    /// It was refused and stays refused.
-    Burned,
+pub enum TicketState {
+    /// The ticket's work was accepted; the target may have been called.
+    #[serde(rename = "Taken")]
+    Accepted,
+    /// The ticket was refused permanently.
+    #[serde(rename = "Burned")]
+    Refused,
 }
 
-/// What to do with a submitted ticket.
+/// What an agent does with a submitted ticket.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SubmitVerdict {
-    /// Take the work in; it is recorded now.
+    /// The ticket's work is accepted and recorded now, and is to be run.
     Run,
-    /// The work was taken in before: answer from what is kept of it.
+    /// The ticket's work was accepted before: the kept answer is returned.
     Seen,
-    /// It was refused before: not run, for good.
+    /// The ticket was refused before: its work never runs.
     Burned,
-    /// It has lapsed unseen: not run, for good.
+    /// The ticket expired without a record: its work never runs.
     Expired,
-    /// It is too old for the records: nobody knows.
+    /// The ticket's record may have been removed: whether its work ran is
+    /// unknown.
     TooOld,
-    /// There is no room for another record. Nothing was recorded, so this
-    /// says nothing of later attempts.
+    /// The register is full. Nothing was recorded, so a later submission of
+    /// the ticket may still be accepted.
     Full,
 }
 
-/// The records of one agent process.
+/// The ticket records of one agent process.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct TicketRegister {
+    /// The maximum number of records.
     capacity: usize,
-    marks: HashMap<id::Request, Mark>,
+    #[serde(rename = "marks")]
+    states: HashMap<id::Request, TicketState>,
+    /// The expiry of each recorded ticket, earliest first.
     expiries: BTreeSet<(Millis, id::Request)>,
+    /// Whether no more work is accepted.
     sealed: bool,
 }
 
 impl TicketRegister {
-    /// An empty register for at most `capacity` records.
+    /// Creates an empty register for at most `capacity` records.
     pub fn new(capacity: usize) -> TicketRegister {
         TicketRegister {
             capacity,
-            marks: HashMap::new(),
+            states: HashMap::new(),
             expiries: BTreeSet::new(),
             sealed: false,
         }
     }
 
-    /// Judges a ticket and records it.
+    /// Decides what to do with a submitted ticket; records the ticket if its
+    /// work is to be run.
     pub fn submit(&mut self, ticket: &Ticket, now: Millis) -> SubmitVerdict {
-        self.forget(now);
-        match self.marks.get(&ticket.request) {
-            Some(Mark::Taken) => return SubmitVerdict::Seen,
-            Some(Mark::Burned) => return SubmitVerdict::Burned,
+        self.remove_expired(now);
+        match self.states.get(&ticket.request) {
+            Some(TicketState::Accepted) => return SubmitVerdict::Seen,
+            Some(TicketState::Refused) => return SubmitVerdict::Burned,
             None => {}
         }
         if ticket.expiry + RECORD_RETENTION <= now {
@@ -85,63 +95,64 @@
             return SubmitVerdict::Expired;
         }
         if self.sealed {
-            // The sealed state itself refuses every further submission, so
-            // a record is not needed for the refusal to be permanent.
+            // A sealed register refuses every further submission, so the
+            // refusal is permanent without a record.
             return SubmitVerdict::Burned;
         }
-        if self.marks.len() >= self.capacity {
+        if self.states.len() >= self.capacity {
             return SubmitVerdict::Full;
         }
-        self.record(ticket, Mark::Taken);
+        self.record(ticket, TicketState::Accepted);
         SubmitVerdict::Run
     }
 
-    /// Refuses a ticket for good, unless its work was taken in before.
+    /// Refuses a ticket permanently, unless its work was accepted before.
     pub fn refuse(&mut self, ticket: &Ticket, now: Millis) -> SubmitVerdict {
         match self.submit(ticket, now) {
             SubmitVerdict::Run => {
-                self.marks.insert(ticket.request, Mark::Burned);
+                self.states.insert(ticket.request, TicketState::Refused);
                 SubmitVerdict::Burned
             }
             other => other,
         }
     }
 
-    /// Turns taken work that provably never reached the target into refused
-    /// work.
+    /// Changes accepted work to refused, for work that provably never reached
+    /// the target.
     pub fn refuse_unsent(&mut self, request: id::Request) {
-        if let Some(mark) = self.marks.get_mut(&request) {
-            *mark = Mark::Burned;
+        if let Some(state) = self.states.get_mut(&request) {
+            *state = TicketState::Refused;
         }
     }
 
-    /// The number of records.
+    /// Returns the number of records.
     pub fn len(&self) -> usize {
-        self.marks.len()
+        self.states.len()
     }
 
-    /// Whether there is no record.
+    /// Returns whether the register has no records.
     pub fn is_empty(&self) -> bool {
-        self.marks.is_empty()
+        self.states.is_empty()
     }
 
-    /// Stops taking work in, for good.
+    /// Permanently stops accepting work.
     pub fn seal(&mut self) {
         self.sealed = true;
     }
 
-    fn record(&mut self, ticket: &Ticket, mark: Mark) {
-        self.marks.insert(ticket.request, mark);
+    fn record(&mut self, ticket: &Ticket, state: TicketState) {
+        self.states.insert(ticket.request, state);
         self.expiries.insert((ticket.expiry, ticket.request));
     }
 
-    fn forget(&mut self, now: Millis) {
+    /// Removes the records whose retention time is over.
+    fn remove_expired(&mut self, now: Millis) {
         while let Some(&(expiry, request)) = self.expiries.first() {
             if expiry + RECORD_RETENTION > now {
                 return;
             }
             self.expiries.pop_first();
-            self.marks.remove(&request);
+            self.states.remove(&request);
         }
     }
 }
--- a/cowsliproad-admission/src/ticket.rs
+++ b/cowsliproad-admission/src/ticket.rs
@@ -1,14 +1,15 @@
 //! Tickets and resume tokens.
 //!
-//! A ticket ties a piece of non-repeatable work to one process start of one
-//! agent, the only process that can say truthfully whether it ran. Any entry
-//! mints one without asking anybody, since it is authenticated by a key that
-//! entries and agents share. The expiry is a reading of the agent's own
-//! monotonic clock, which an entry knows from heartbeats.
+//! A ticket binds a piece of non-repeatable work to one process start of one
+//! agent, the only process that can say reliably whether the work ran. Any
+//! entry issues tickets without contacting an agent, because a ticket is
+//! authenticated with a key that entries and agents share. The expiry is a
+//! time on the agent's own monotonic clock, which entries know from its
+//! heartbeats.
 //!
-//! A resume token has the same form and names a request whose answer an
-//! agent keeps. The two are told apart by [`Purpose`], which is under the
-//! authentication code.
+//! A resume token has the same format and identifies a request whose answer
+//! an agent keeps. [`Purpose`] distinguishes tickets from resume tokens and is
+//! covered by the authentication code.
 
 use std::fmt;
 
@@ -16,80 +17,81 @@
 use cowsliproad_kernel::{Name, clock::Millis, id, secret};
 use serde::{Deserialize, Serialize};
 
-/// The length of the shared key in bytes.
+/// The length of the key that entries and agents share, in bytes.
 pub const KEY_BYTES: usize = 32;
 
-/// The length of the authentication code in bytes.
-const MAC: usize = 16;
+/// The length of a token's authentication code, in bytes.
+const MAC_BYTES: usize = 16;
 
-/// The longest token text that is looked at.
-const MAX_TEXT: usize = 1024;
+/// The longest token that is decoded, in bytes of its text.
+const MAX_TOKEN_LEN: usize = 1024;
 
-/// What a token is good for.
+/// What a token authorises its holder to do.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Purpose {
-    /// To run work at most once.
+    /// The token authorises running its work at most once.
     Ticket,
-    /// To reclaim a kept answer.
+    /// The token authorises fetching the kept answer of a request.
     Resume,
 }
 
-/// What a token says.
+/// The content of a ticket or resume token.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Ticket {
-    /// What it is good for.
+    /// Whether the token is a ticket or a resume token.
     #[serde(rename = "p")]
     pub purpose: Purpose,
-    /// Who may use it.
+    /// The organisation that may use the token.
     #[serde(rename = "o")]
     pub organisation: Name,
-    /// The service.
+    /// The service that the token's request is for.
     #[serde(rename = "s")]
     pub service: Name,
-    /// The request type.
+    /// The type of the token's request.
     #[serde(rename = "k")]
     pub request_type: Name,
-    /// The target.
+    /// The target that the token is bound to.
     #[serde(rename = "t")]
     pub target: Name,
-    /// The agent process.
+    /// The agent process that the token is bound to.
     #[serde(rename = "i")]
     pub incarnation: id::Incarnation,
-    /// The request.
+    /// The id of the token's request.
     #[serde(rename = "r")]
     pub request: id::Request,
-    /// When it lapses, by the agent's clock.
+    /// When the token expires, by the agent's clock.
     #[serde(rename = "e")]
     pub expiry: Millis,
 }
 
-/// A text that is not a token made with this key.
+/// The error for a text that is not a token signed with the expected key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct InvalidToken;
 
-/// Writes a token that only holders of the key can make.
+/// Encodes a ticket as text, with an authentication code that only holders of
+/// the key can compute.
 pub fn sign(ticket: &Ticket, key: &[u8; KEY_BYTES]) -> String {
     let mut bytes = Vec::with_capacity(128);
     ciborium::into_writer(ticket, &mut bytes)
-        .expect("tickets have no value that CBOR lacks");
-    let code = blake3::keyed_hash(key, &bytes);
-    bytes.extend_from_slice(&code.as_bytes()[..MAC]);
+        .expect("every ticket can be encoded as CBOR");
+    let mac = blake3::keyed_hash(key, &bytes);
+    bytes.extend_from_slice(&mac.as_bytes()[..MAC_BYTES]);
     URL_SAFE_NO_PAD.encode(bytes)
 }
 
-/// Reads a token and checks that it was made with the key.
+/// Decodes a token after checking that it was signed with the key.
 pub fn verify(
     text: &str,
     key: &[u8; KEY_BYTES],
 ) -> Result<Ticket, InvalidToken> {
-    if text.len() > MAX_TEXT {
+    if text.len() > MAX_TOKEN_LEN {
         return Err(InvalidToken);
     }
     let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| InvalidToken)?;
-    let split = bytes.len().checked_sub(MAC).ok_or(InvalidToken)?;
-    let (content, code) = bytes.split_at(split);
-    let right = blake3::keyed_hash(key, content);
-    if !secret::equal(code, &right.as_bytes()[..MAC]) {
+    let split = bytes.len().checked_sub(MAC_BYTES).ok_or(InvalidToken)?;
+    let (content, mac) = bytes.split_at(split);
+    let expected_mac = blake3::keyed_hash(key, content);
+    if !secret::equal(mac, &expected_mac.as_bytes()[..MAC_BYTES]) {
         return Err(InvalidToken);
     }
     ciborium::from_reader(content).map_err(|_| InvalidToken)
@@ -97,7 +99,7 @@
 
 impl fmt::Display for InvalidToken {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the token was not made with this key")
+        f.write_str("the token was not signed with this key")
     }
 }
 
