--- a/cowsliproad-admission/src/patience.rs
+++ b/cowsliproad-admission/src/patience.rs
@@ -81,10 +81,10 @@
     }
 }
 
-/// Adds random jitter to a retry time that many callers get, of up to a quarter
-/// of the time and at least up to [`MIN_JITTER_RANGE`], so that the retries
-/// don't arrive all at once. `random` is a random
-/// number from 0 to 1.
+/// Adds random jitter to a retry time that many callers get, so that their
+/// retries don't arrive all at once: up to a quarter of the retry time, or up
+/// to [`MIN_JITTER_RANGE`] if that is longer. `random` is a random number from
+/// 0 to 1.
 pub fn jittered_retry(wait: Millis, random: f64) -> Millis {
     let max_jitter = Millis(wait.0 / JITTER_DIVISOR).max(MIN_JITTER_RANGE);
     wait + Millis((max_jitter.0 as f64 * random) as u64)
--- a/cowsliproad-admission/src/quarantine.rs
+++ b/cowsliproad-admission/src/quarantine.rs
@@ -1,34 +1,43 @@
-//! Work that ends the targets that run it.
+//! Quarantine of crash-inducing requests, which crash the targets that run
+//! them.
 //!
-//! A caller's tries have ids of their own and go to any entry, so work that
-//! ends its target is new to each of them, and ends one target after the
-//! other, unless it is known by what it is: [`WorkDigest`]. Each entry notes under
-//! which work a target ended and tells the others ([`Suspect`]). Once
-//! [`CRASH_THRESHOLD`] targets have ended under one piece of work, all entries refuse
-//! it ([`CrashLedger::verdict`]).
+//! The attempts of one caller have different request ids and arrive at any
+//! entry. A crash-inducing request would be new to each entry, and would crash
+//! one target after the other, unless entries recognise the request by a
+//! digest of its content ([`WorkDigest`]). Each entry records which requests
+//! were running when a target crashed, and gossips this to the other entries
+//! ([`Suspect`]). Once [`CRASH_THRESHOLD`] targets have crashed under one
+//! request, all entries refuse that request ([`CrashLedger::verdict`]).
 //!
-//! Where targets go in lock-step, the end of one stops its whole group, and
-//! three would stop it three times. So what a rank ran at its end and had not
-//! begun to answer is suspended at once ([`CrashLedger::suspend`]): not sent
-//! anywhere for [`SUSPENSION_TTL`], and twice as long after each further end.
-//! That rejects, for so long, requests that ran there by chance; it is bounded
-//! by what one rank runs, and what some target outlived is not suspended.
+//! Where targets work in lock-step, the crash of one target stops its whole
+//! group, and three crashes would stop the group three times. So requests that
+//! a rank was running when it crashed, and had not begun to answer, are
+//! suspended at once ([`CrashLedger::suspend`]): no target gets them for
+//! [`SUSPENSION_TTL`], and for twice as long after each further crash.
+//! Meanwhile this also rejects requests that the rank ran by chance. Their
+//! number is bounded by what one rank runs, and requests that a target has
+//! survived are not suspended.
 //!
-//! Others work beside it, and targets end for other reasons, so that alone
-//! proves little, and what it can prove wrongly is kept small:
+//! Other requests run beside a crash-inducing one, and targets crash for other
+//! reasons, so a crash alone proves little. Three rules limit wrong refusals:
 //!
-//! * a target that outlives work excuses it of all ends that were known then,
-//!   at all entries, and from then on it takes [`SURVIVED_CRASH_THRESHOLD`] more: what
-//!   comes often is at many targets that are killed, and outlived all along;
-//! * an end that was none is taken back everywhere once the target shows
-//!   life ([`CrashLedger::lives`]): a target that is cut off looks like one that
-//!   ended. Its next end is another ([`CrashLedger::end_of`]), and counts;
-//! * all of it is forgotten [`SUSPECT_TTL`] after the work came last, and
-//!   [`REJECT_TTL`] after it was first refused, so that targets that were
-//!   mended get it again. Trying it sooner would cost a target each time.
+//! * When a target survives a request, all crashes known so far no longer
+//!   count against the request, at all entries, and from then on the request
+//!   is refused only after [`SURVIVED_CRASH_THRESHOLD`] further crashes. A
+//!   frequent request runs on many targets that are killed, and is survived
+//!   all along.
+//! * A crash report is retracted at all entries once the target shows signs of
+//!   life ([`CrashLedger::retract_crash`]), because a target behind a network
+//!   partition looks like a crashed one. The next crash of that target has
+//!   another id ([`CrashLedger::crash_id`]) and counts again.
+//! * Everything known about a request expires [`SUSPECT_TTL`] after the
+//!   request last arrived, and [`REJECT_TTL`] after it was first refused, so
+//!   that targets that were repaired get the request again. Retrying it sooner
+//!   would cost a target each time.
 //!
-//! What entries tell one another only ever grows (ends, excuses, lives), so it
-//! may be heard late, twice and in any order, and all come to the same.
+//! The sets that entries gossip (crashes, excused crashes, retracted crashes)
+//! only grow, so messages may arrive late, twice and in any order, and all
+//! entries converge.
 
 use std::{
     cmp::Reverse,
@@ -43,311 +52,339 @@
 mod case;
 mod work;
 
-/// Targets that may end under work that none is known to have outlived.
-/// Fewer would refuse what was there by chance when two targets were killed.
+/// Target crashes after which a request is refused that no target is known to
+/// have survived. A lower threshold would refuse requests that ran by chance
+/// on two targets that were killed.
 pub const CRASH_THRESHOLD: usize = 3;
 
-/// The same for work that some target outlived in the last minutes, counted
-/// anew each time that one does.
+/// Target crashes after which a request is refused that a target survived in
+/// the last minutes, counted from the last survival.
 pub const SURVIVED_CRASH_THRESHOLD: usize = 6;
 
-/// How long work is suspected after it came last, by any entry's clock.
+/// How long a request is suspected after it last arrived at any entry. Each
+/// entry decides by its own clock.
 pub const SUSPECT_TTL: Millis = Millis(10 * 60 * 1_000);
 
-/// How long it is refused at most. Three targets an hour are the price of
-/// finding out whether it still ends them.
+/// The longest time for which a request is refused. Finding out whether the
+/// request still crashes targets then costs three targets an hour.
 pub const REJECT_TTL: Millis = Millis(60 * 60 * 1_000);
 
-/// How long work is suspended under which a rank of a group ended.
+/// How long a request is suspended after the first crash of a rank under it.
 pub const SUSPENSION_TTL: Millis = Millis(30_000);
 
-/// How long own news is told: eight digests, of which seven may be lost.
+/// How long an entry broadcasts its own observation: eight digests, of which
+/// seven may be lost.
 const BROADCAST_TTL: Millis = Millis(4_000);
 
-/// How long what was heard is passed on, for entries that whoever learnt it
-/// doesn't reach: two digests. Only from the second end on, as otherwise all
-/// that runs on killed targets would be passed on.
+/// How long an entry relays the observation of another entry, to entries that
+/// the observer can't reach: two digests.
 const RELAY_TTL: Millis = Millis(1_000);
-const PASSED_ON_ENDS: usize = 2;
 
-/// Pieces of work that are told of at a time, 8 to 35 bytes each: a third of
-/// the largest datagram.
+/// The number of crashes from which a case is relayed. With one crash, every
+/// request that ran on killed targets would be relayed.
+const MIN_RELAY_CRASHES: usize = 2;
+
+/// Cases that are broadcast in one digest, 8 to 35 bytes each: a third of the
+/// largest datagram.
 const MAX_UPDATES: usize = 512;
 
-/// Pieces of work that are suspected, 350 bytes each. What a target ran and
-/// had waiting at its end is some 50.
+/// Cases that are kept, 350 bytes each. A target that crashes adds some 50
+/// cases: the requests that were running or queued there.
 const MAX_CASES: usize = 4_096;
 
-/// Ends that are held against one piece of work, and those that it is excused
-/// of.
-const MAX_ENDS: usize = 8;
-const MAX_EXCUSED: usize = 16;
+/// Crashes that count against one request.
+const MAX_CRASHES: usize = 8;
+
+/// Excused crashes that are remembered for one request.
+const MAX_EXCUSED_CRASHES: usize = 16;
 
-/// Ends that were none. Those of a whole availability zone that was cut off.
-const MAX_LIVES: usize = 1_024;
+/// Retracted crashes that are remembered: those of a whole availability zone
+/// that was cut off.
+const MAX_RETRACTIONS: usize = 1_024;
 
-/// Ends of one start of a target that may be taken back. One that is cut off
-/// more often in an hour is no longer believed to have ended.
-const MAX_RETURNS: usize = 16;
+/// Crash reports that may be retracted for one start of a target. A target
+/// that is cut off more often within an hour is no longer taken for crashed.
+const MAX_RETRACTIONS_PER_START: usize = 16;
 
-/// Outlived work that is remembered, 9 bytes each, and for how long.
-const MAX_OUTLIVED: usize = 4_096;
-const OUTLIVED_TTL: Millis = Millis(5 * 60 * 1_000);
+/// Survived requests in each of two generations, 9 bytes each.
+const MAX_SURVIVED: usize = 4_096;
 
-/// What a word may take on its way, and be older than it says. Each telling
-/// of one another would keep work in mind for that much longer.
-const MAX_LATENCY: Millis = Millis(1_000);
+/// The time after which a new generation of survived requests begins.
+const SURVIVED_TTL: Millis = Millis(5 * 60 * 1_000);
 
-/// The longest suspension, before what is suspended is refused.
+/// The longest gossip delay that is tolerated in the reported time of a
+/// request's last arrival. Without a tolerance, each exchange between entries
+/// would move that time forward by the delay and postpone the expiry.
+const MAX_GOSSIP_DELAY: Millis = Millis(1_000);
+
+/// The longest suspension, before a suspended request is refused.
 const MAX_SUSPENSION: Millis =
     Millis(SUSPENSION_TTL.0 << (CRASH_THRESHOLD - 2));
 
-/// How often what is due is looked for.
+/// The interval between removals of expired cases.
 const SWEEP_INTERVAL: Millis = Millis(10_000);
 
-/// Times before the start of the process, as others tell them, are counted
-/// from so long before it.
-const BEFORE: Millis = Millis(24 * 60 * 60 * 1_000);
+/// Added to all clock readings of a ledger, so that times before the start of
+/// the process, which other entries report, are not negative.
+const CLOCK_OFFSET: Millis = Millis(24 * 60 * 60 * 1_000);
 
-/// What becomes of a request.
+/// Whether a request may run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QuarantineVerdict {
-    /// It may run.
+    /// The request may run.
     Allowed,
-    /// It is refused, and may be tried again after this time.
+    /// The request is refused, and may be retried after this time.
     Refused(Millis),
-    /// It is suspended for this time.
+    /// The request is suspended for this time.
     Suspended(Millis),
 }
 
-/// How news changed what is known of a piece of work.
+/// How an observation or a gossip message changed the state of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QuarantineChange {
-    /// Not at all.
+    /// The state is unchanged.
     None,
-    /// It is suspected, or less so.
+    /// The request is suspected, or its suspicion changed.
     Suspected,
-    /// It is suspended.
+    /// The request is now suspended.
     Suspended,
-    /// It is refused from now on.
+    /// The request is now refused.
     Refused,
-    /// It is refused no longer.
+    /// The request is no longer refused or suspended.
     Freed,
 }
 
-/// What an entry knows of work that targets ended under.
+/// The crash-inducing requests that one entry or agent knows of.
 #[derive(Debug, Default)]
 pub struct CrashLedger {
     cases: HashMap<WorkDigest, Case>,
-    /// Ends that were none, and when that was last heard.
-    lives: HashMap<CrashId, Millis>,
-    outlived: Outlived,
-    swept: Millis,
+    /// Retracted crashes, and when each was retracted or last reported by an
+    /// entry that missed the retraction.
+    retracted: HashMap<CrashId, Millis>,
+    survived: SurvivedWork,
+    last_sweep: Millis,
 }
 
-/// Work that targets outlived, of the time before and the one before that.
+/// Requests that targets survived, in two generations.
 #[derive(Debug, Default)]
-struct Outlived {
+struct SurvivedWork {
     newer: HashSet<WorkDigest>,
     older: HashSet<WorkDigest>,
-    since: Millis,
+    /// When the newer generation began.
+    newer_since: Millis,
 }
 
 impl CrashLedger {
-    /// Nothing known.
+    /// Creates an empty ledger.
     pub fn new() -> CrashLedger {
         CrashLedger::default()
     }
 
-    /// Whether work may run now.
+    /// Returns whether a request may run now.
     pub fn verdict(&self, work: WorkDigest, now: Millis) -> QuarantineVerdict {
         if self.cases.is_empty() {
             return QuarantineVerdict::Allowed;
         }
-        let now = now + BEFORE;
-        let case = self.cases.get(&work).filter(|it| !it.is_over(now));
+        let now = now + CLOCK_OFFSET;
+        let case = self.cases.get(&work).filter(|it| !it.is_expired(now));
         let Some(case) = case else { return QuarantineVerdict::Allowed };
-        if let Some(since) = case.since {
-            let longest = (since + REJECT_TTL).since(now);
-            return QuarantineVerdict::Refused(SUSPECT_TTL.min(longest));
+        if let Some(since) = case.refused_since {
+            let left = (since + REJECT_TTL).since(now);
+            return QuarantineVerdict::Refused(SUSPECT_TTL.min(left));
         }
         case.suspension(now)
             .map_or(QuarantineVerdict::Allowed, QuarantineVerdict::Suspended)
     }
 
-    /// Suspends work under which a rank of a group ended, unless some target
-    /// is known to have outlived it.
+    /// Suspends a request that a rank of a group was running when it crashed,
+    /// unless a target is known to have survived the request.
     pub fn suspend(
         &mut self,
         work: WorkDigest,
         now: Millis,
     ) -> QuarantineChange {
-        let now = now + BEFORE;
+        let now = now + CLOCK_OFFSET;
         let Some(case) = self.cases.get_mut(&work) else {
             return QuarantineChange::None;
         };
-        if case.proven || case.ends.is_empty() || case.since.is_some() {
+        if case.survived
+            || case.crashes.is_empty()
+            || case.refused_since.is_some()
+        {
             return QuarantineChange::None;
         }
-        let doublings = case.ends.len() as u32 - 1;
+        let doublings = case.crashes.len() as u32 - 1;
         case.suspended_until =
             Some(now + Millis(SUSPENSION_TTL.0 << doublings));
-        case.told_until = now + BROADCAST_TTL;
+        case.broadcast_until = now + BROADCAST_TTL;
         QuarantineChange::Suspended
     }
 
-    /// Notes that refused work came again.
+    /// Records that a refused request arrived again.
     pub fn record_arrival(&mut self, work: WorkDigest, now: Millis) {
         if let Some(case) = self.cases.get_mut(&work) {
-            case.seen = now + BEFORE;
+            case.last_seen = now + CLOCK_OFFSET;
         }
     }
 
-    /// Notes that a target ended under work.
+    /// Records that a target crashed while it ran a request.
     pub fn record_crash(
         &mut self,
         work: WorkDigest,
-        end: CrashId,
+        crash: CrashId,
         now: Millis,
     ) -> QuarantineChange {
-        let seen = Suspect {
+        let suspect = Suspect {
             work: work.0,
-            ends: vec![end.0],
+            ends: vec![crash.0],
             excused: Vec::new(),
             proven: false,
             idle: Millis(0),
             refused: None,
             suspended: None,
         };
-        self.merge_suspect(&seen, BROADCAST_TTL, now)
+        self.merge_suspect(&suspect, BROADCAST_TTL, now)
     }
 
-    /// Notes that a target outlived work.
+    /// Records that a target survived a request.
     pub fn record_survival(
         &mut self,
         work: WorkDigest,
         now: Millis,
     ) -> QuarantineChange {
-        self.outlived.note(work, now);
-        let now = now + BEFORE;
+        self.survived.insert(work, now);
+        let now = now + CLOCK_OFFSET;
         let Some(case) = self.cases.get_mut(&work) else {
             return QuarantineChange::None;
         };
-        if case.proven && case.ends.is_empty() {
+        if case.survived && case.crashes.is_empty() {
             return QuarantineChange::None;
         }
-        case.proven = true;
-        for end in std::mem::take(&mut case.ends) {
-            case.excuse(end);
+        case.survived = true;
+        for crash in std::mem::take(&mut case.crashes) {
+            case.excuse(crash);
         }
-        case.told_until = now + BROADCAST_TTL;
-        match case.judge(now) {
+        case.broadcast_until = now + BROADCAST_TTL;
+        match case.update_refusal(now) {
             QuarantineChange::None => QuarantineChange::Suspected,
             change => change,
         }
     }
 
-    /// Takes in what another entry, or one before this process, knows.
-    pub fn merge(&mut self, told: &Suspect, now: Millis) -> QuarantineChange {
-        self.merge_suspect(told, RELAY_TTL, now)
+    /// Merges what another entry, or an earlier process, knows of a request.
+    pub fn merge(
+        &mut self,
+        suspect: &Suspect,
+        now: Millis,
+    ) -> QuarantineChange {
+        self.merge_suspect(suspect, RELAY_TTL, now)
     }
 
-    /// Takes something in that is told for a time.
+    /// Merges an observation and broadcasts the case for `broadcast_ttl` if
+    /// the observation changed the case.
     fn merge_suspect(
         &mut self,
-        told: &Suspect,
-        telling: Millis,
+        suspect: &Suspect,
+        broadcast_ttl: Millis,
         now: Millis,
     ) -> QuarantineChange {
-        let now = now + BEFORE;
-        let refused = told.refused.unwrap_or_default();
-        if told.idle >= SUSPECT_TTL || refused >= REJECT_TTL {
+        let now = now + CLOCK_OFFSET;
+        let refused = suspect.refused.unwrap_or_default();
+        if suspect.idle >= SUSPECT_TTL || refused >= REJECT_TTL {
             return QuarantineChange::None;
         }
-        let work = WorkDigest(told.work);
+        let work = WorkDigest(suspect.work);
         if !self.cases.contains_key(&work) {
-            self.make_room();
+            self.evict_if_full();
         }
-        let outlived = self.outlived.holds(work);
+        let survived = self.survived.contains(work);
         let case = self.cases.entry(work).or_insert_with(|| Case {
-            ends: BTreeSet::new(),
+            crashes: BTreeSet::new(),
             excused: Vec::new(),
-            proven: outlived,
-            seen: now - told.idle,
-            since: None,
+            survived,
+            last_seen: now - suspect.idle,
+            refused_since: None,
             suspended_until: None,
-            told_until: now,
+            broadcast_until: now,
         });
-        if case.is_over(now) {
-            case.since = None;
+        if case.is_expired(now) {
+            case.refused_since = None;
             case.suspended_until = None;
-            case.ends.clear();
+            case.crashes.clear();
         }
-        if now.since(case.seen) > told.idle + MAX_LATENCY {
-            case.seen = now - told.idle;
+        if now.since(case.last_seen) > suspect.idle + MAX_GOSSIP_DELAY {
+            case.last_seen = now - suspect.idle;
         }
-        let before = (case.ends.len(), case.excused.len(), case.proven);
-        // Whoever tells of proven work as of any other, or of an end that was
-        // excused or none, hasn't heard it, and would soon refuse what
-        // everybody sends.
-        let mut misses = case.proven && !told.proven;
-        case.proven |= told.proven;
-        for end in told.excused.iter().map(|it| CrashId(*it)) {
-            case.excuse(end);
+        let before = (case.crashes.len(), case.excused.len(), case.survived);
+        // A sender that doesn't report the survival, or still counts a crash
+        // that was excused or retracted, has missed that update and would soon
+        // refuse a request that every caller sends.
+        let mut missed_update = case.survived && !suspect.proven;
+        case.survived |= suspect.proven;
+        for crash in suspect.excused.iter().map(|it| CrashId(*it)) {
+            case.excuse(crash);
         }
-        for end in told.ends.iter().map(|it| CrashId(*it)) {
-            if let Some(heard) = self.lives.get_mut(&end) {
-                *heard = now;
-            } else if case.excused.contains(&end) {
-                misses = true;
-            } else if case.ends.len() < MAX_ENDS {
-                case.ends.insert(end);
+        for crash in suspect.ends.iter().map(|it| CrashId(*it)) {
+            if let Some(reported_at) = self.retracted.get_mut(&crash) {
+                *reported_at = now;
+            } else if case.excused.contains(&crash) {
+                missed_update = true;
+            } else if case.crashes.len() < MAX_CRASHES {
+                case.crashes.insert(crash);
             }
         }
-        let after = (case.ends.len(), case.excused.len(), case.proven);
-        // Once for each end: later words of it may have waited in a process
-        // that stood still.
+        let after = (case.crashes.len(), case.excused.len(), case.survived);
+        // Each crash extends a suspension at most once: a later message about
+        // the same crash may have been delayed in a stalled process.
         let may_extend = after.0 > before.0 || case.suspended_until.is_none();
-        let suspends = may_extend && case.extend(told.suspended, now);
-        let is_news = after != before || suspends;
-        let is_passed_on =
-            case.ends.len() >= PASSED_ON_ENDS || case.proven || suspends;
-        if misses || is_news && (is_passed_on || telling == BROADCAST_TTL) {
-            case.told_until = case.told_until.max(now + telling);
+        let suspends = may_extend && case.extend(suspect.suspended, now);
+        let has_changed = after != before || suspends;
+        let is_relayed = case.crashes.len() >= MIN_RELAY_CRASHES
+            || case.survived
+            || suspends;
+        if missed_update
+            || has_changed && (is_relayed || broadcast_ttl == BROADCAST_TTL)
+        {
+            case.broadcast_until =
+                case.broadcast_until.max(now + broadcast_ttl);
         }
-        let change = case.judge(now);
-        if let (Some(since), Some(_)) = (&mut case.since, told.refused) {
+        let change = case.update_refusal(now);
+        if let (Some(since), Some(_)) =
+            (&mut case.refused_since, suspect.refused)
+        {
             *since = (*since).min(now - refused);
         }
         match change {
             QuarantineChange::None if suspends => QuarantineChange::Suspended,
-            QuarantineChange::None if is_news => QuarantineChange::Suspected,
+            QuarantineChange::None if has_changed => {
+                QuarantineChange::Suspected
+            }
             change => change,
         }
     }
 
-    /// Notes that a target that was taken for ended lives. Returns the work
-    /// that is refused no longer.
+    /// Retracts a crash whose target turned out to be alive. Returns the
+    /// requests that are no longer refused or suspended.
     pub fn retract_crash(
         &mut self,
-        end: CrashId,
+        crash: CrashId,
         now: Millis,
     ) -> Vec<WorkDigest> {
-        let now = now + BEFORE;
-        if self.is_retracted(end) {
+        let now = now + CLOCK_OFFSET;
+        if self.is_retracted(crash) {
             return Vec::new();
         }
-        self.lives.insert(end, now);
-        if self.lives.len() > MAX_LIVES {
-            let oldest = self.lives.iter().min_by_key(|it| it.1);
+        self.retracted.insert(crash, now);
+        if self.retracted.len() > MAX_RETRACTIONS {
+            let oldest = self.retracted.iter().min_by_key(|it| it.1);
             if let Some(oldest) = oldest.map(|it| *it.0) {
-                self.lives.remove(&oldest);
+                self.retracted.remove(&oldest);
             }
         }
         let mut freed = Vec::new();
         for (work, case) in &mut self.cases {
-            if case.ends.remove(&end)
-                && case.judge(now) == QuarantineChange::Freed
+            if case.crashes.remove(&crash)
+                && case.update_refusal(now) == QuarantineChange::Freed
             {
                 freed.push(*work);
             }
@@ -355,140 +392,153 @@
         freed
     }
 
-    /// The end of what started at `start` under a name, as it is told of now:
-    /// the first that was not taken back.
+    /// Returns the id for a crash of the target that started at `start`: the
+    /// first id of that start that was not retracted.
     pub fn crash_id(&self, target: &str, start: u64) -> CrashId {
-        let mut end = CrashId::new(target, start);
-        for _ in 0..MAX_RETURNS {
-            if !self.is_retracted(end) {
+        let mut crash = CrashId::new(target, start);
+        for _ in 0..MAX_RETRACTIONS_PER_START {
+            if !self.is_retracted(crash) {
                 break;
             }
-            end = end.next();
+            crash = crash.next();
         }
-        end
+        crash
     }
 
-    /// Whether an end is known to have been none.
-    pub fn is_retracted(&self, end: CrashId) -> bool {
-        self.lives.contains_key(&end)
+    /// Returns whether a crash was retracted.
+    pub fn is_retracted(&self, crash: CrashId) -> bool {
+        self.retracted.contains_key(&crash)
     }
 
-    /// Whether anything is known of a piece of work.
+    /// Returns whether the ledger has a case for a request.
     pub fn has_case(&self, work: WorkDigest) -> bool {
         self.cases.contains_key(&work)
     }
 
-    /// Whether an end is held against any work.
-    pub fn counts_crash(&self, end: CrashId) -> bool {
-        self.cases.values().any(|it| it.ends.contains(&end))
+    /// Returns whether a crash counts against any request.
+    pub fn counts_crash(&self, crash: CrashId) -> bool {
+        self.cases.values().any(|it| it.crashes.contains(&crash))
     }
 
-    /// How many ends are held against work.
+    /// Returns the number of crashes that count against a request.
     pub fn crash_count(&self, work: WorkDigest) -> usize {
-        self.cases.get(&work).map_or(0, |it| it.ends.len())
+        self.cases.get(&work).map_or(0, |it| it.crashes.len())
     }
 
-    /// Pieces of work that are kept.
+    /// Returns the number of requests that the ledger has a case for.
     pub fn case_count(&self) -> usize {
         self.cases.len()
     }
 
-    /// What is known of a piece of work, to be told or kept.
+    /// Returns the case of a request as a gossip message, to be sent or
+    /// stored.
     pub fn suspect(&self, work: WorkDigest, now: Millis) -> Option<Suspect> {
-        let now = now + BEFORE;
+        let now = now + CLOCK_OFFSET;
         self.cases.get(&work).map(|it| it.suspect(work, now))
     }
 
-    /// What others are told: what is refused, and news.
+    /// Returns the cases to broadcast: refused requests and recent changes.
     pub fn updates(&self, now: Millis) -> Vec<Suspect> {
-        self.told(now, |case, now| case.is_news(now))
+        self.select(now, |case, now| case.is_broadcast(now))
     }
 
-    /// The same, and what is suspended, for others that may have missed it.
+    /// Returns the cases to broadcast and those of suspended requests, for
+    /// entries that may have missed a suspension.
     pub fn updates_and_suspensions(&self, now: Millis) -> Vec<Suspect> {
-        self.told(now, |case, now| {
-            case.is_news(now) || case.suspension(now).is_some()
+        self.select(now, |case, now| {
+            case.is_broadcast(now) || case.suspension(now).is_some()
         })
     }
 
-    fn told(
+    /// Returns up to [`MAX_UPDATES`] selected cases: refused requests first,
+    /// then those with the most crashes.
+    fn select(
         &self,
         now: Millis,
-        is_told: impl Fn(&Case, Millis) -> bool,
+        is_selected: impl Fn(&Case, Millis) -> bool,
     ) -> Vec<Suspect> {
-        let now = now + BEFORE;
-        let mut told: Vec<(&WorkDigest, &Case)> =
-            self.cases.iter().filter(|it| is_told(it.1, now)).collect();
-        // Own news lasts longer than what is passed on.
-        told.sort_by_key(|(_, case)| {
-            let ends = Reverse(case.ends.len());
-            (case.since.is_none(), ends, Reverse(case.told_until))
+        let now = now + CLOCK_OFFSET;
+        let mut selected: Vec<(&WorkDigest, &Case)> =
+            self.cases.iter().filter(|it| is_selected(it.1, now)).collect();
+        // An entry's own observations come before relayed ones, because they
+        // are broadcast for longer.
+        selected.sort_by_key(|(_, case)| {
+            let crashes = Reverse(case.crashes.len());
+            (
+                case.refused_since.is_none(),
+                crashes,
+                Reverse(case.broadcast_until),
+            )
         });
-        told.truncate(MAX_UPDATES);
-        told.into_iter().map(|it| it.1.suspect(*it.0, now)).collect()
+        selected.truncate(MAX_UPDATES);
+        selected.into_iter().map(|it| it.1.suspect(*it.0, now)).collect()
     }
 
-    /// All that is known, for a peer that was out of reach.
+    /// Returns the unexpired cases with the most crashes, for a peer that was
+    /// unreachable.
     pub fn snapshot(&self, now: Millis) -> Vec<Suspect> {
-        let now = now + BEFORE;
-        let kept = self.cases.iter().filter(|it| !it.1.is_over(now));
-        let mut kept: Vec<Suspect> =
-            kept.map(|it| it.1.suspect(*it.0, now)).collect();
-        kept.sort_by_key(|it| (Reverse(it.ends.len()), it.idle));
-        kept.truncate(MAX_UPDATES);
-        kept
+        let now = now + CLOCK_OFFSET;
+        let cases = self.cases.iter().filter(|it| !it.1.is_expired(now));
+        let mut cases: Vec<Suspect> =
+            cases.map(|it| it.1.suspect(*it.0, now)).collect();
+        cases.sort_by_key(|it| (Reverse(it.ends.len()), it.idle));
+        cases.truncate(MAX_UPDATES);
+        cases
     }
 
-    /// Ends that were none, as far as that is news.
+    /// Returns the crashes whose retraction is still broadcast.
     pub fn recent_retractions(&self, now: Millis) -> Vec<u64> {
-        let now = now + BEFORE;
-        let news = |at: Millis| now.since(at) < BROADCAST_TTL;
-        let told = self.lives.iter().filter(|it| news(*it.1));
-        told.take(MAX_UPDATES).map(|it| it.0.0).collect()
+        let now = now + CLOCK_OFFSET;
+        let is_recent = |at: Millis| now.since(at) < BROADCAST_TTL;
+        let recent = self.retracted.iter().filter(|it| is_recent(*it.1));
+        recent.take(MAX_UPDATES).map(|it| it.0.0).collect()
     }
 
-    /// Forgets what is over, and says which work that was.
+    /// Removes expired cases and retractions, at most once in
+    /// [`SWEEP_INTERVAL`]. Returns the requests whose cases were removed.
     pub fn evict_expired(&mut self, now: Millis) -> Vec<WorkDigest> {
-        if now.since(self.swept) < SWEEP_INTERVAL {
+        if now.since(self.last_sweep) < SWEEP_INTERVAL {
             return Vec::new();
         }
-        self.swept = now;
-        let now = now + BEFORE;
-        self.lives.retain(|_, at| now.since(*at) < REJECT_TTL);
-        let is_over = |it: &Case| it.is_over(now);
-        let over = self.cases.iter().filter(|it| is_over(it.1));
-        let over: Vec<WorkDigest> = over.map(|it| *it.0).collect();
-        for work in &over {
+        self.last_sweep = now;
+        let now = now + CLOCK_OFFSET;
+        self.retracted.retain(|_, at| now.since(*at) < REJECT_TTL);
+        let is_expired = |it: &Case| it.is_expired(now);
+        let expired = self.cases.iter().filter(|it| is_expired(it.1));
+        let expired: Vec<WorkDigest> = expired.map(|it| *it.0).collect();
+        for work in &expired {
             self.cases.remove(work);
         }
-        over
+        expired
     }
 
-    /// Drops what is least worth keeping: not refused, the fewest ends, the
-    /// longest unseen.
-    fn make_room(&mut self) {
+    /// Evicts a case if the ledger is full: one that is not refused, with the
+    /// fewest crashes, whose request arrived the longest time ago.
+    fn evict_if_full(&mut self) {
         if self.cases.len() < MAX_CASES {
             return;
         }
-        let worth = |it: &Case| (it.since.is_some(), it.ends.len(), it.seen);
-        let least = self.cases.iter().min_by_key(|it| worth(it.1));
-        if let Some(least) = least.map(|it| *it.0) {
-            self.cases.remove(&least);
+        let priority = |it: &Case| {
+            (it.refused_since.is_some(), it.crashes.len(), it.last_seen)
+        };
+        let lowest = self.cases.iter().min_by_key(|it| priority(it.1));
+        if let Some(lowest) = lowest.map(|it| *it.0) {
+            self.cases.remove(&lowest);
         }
     }
 }
 
-impl Outlived {
-    fn note(&mut self, work: WorkDigest, now: Millis) {
-        let is_old = now.since(self.since) >= OUTLIVED_TTL;
-        if is_old || self.newer.len() >= MAX_OUTLIVED {
+impl SurvivedWork {
+    fn insert(&mut self, work: WorkDigest, now: Millis) {
+        let is_old = now.since(self.newer_since) >= SURVIVED_TTL;
+        if is_old || self.newer.len() >= MAX_SURVIVED {
             self.older = std::mem::take(&mut self.newer);
-            self.since = now;
+            self.newer_since = now;
         }
         self.newer.insert(work);
     }
 
-    fn holds(&self, work: WorkDigest) -> bool {
+    fn contains(&self, work: WorkDigest) -> bool {
         self.newer.contains(&work) || self.older.contains(&work)
     }
 }
--- a/cowsliproad-admission/src/quarantine/case.rs
+++ b/cowsliproad-admission/src/quarantine/case.rs
@@ -1,80 +1,86 @@
-//! What is known of one piece of work, and what follows from it.
+//! The quarantine state of one request digest.
 
 use std::collections::BTreeSet;
 
 use cowsliproad_kernel::{clock::Millis, gossip::Suspect};
 
 use super::{
-    CRASH_THRESHOLD, CrashId, MAX_EXCUSED, MAX_SUSPENSION, QuarantineChange,
-    REJECT_TTL, SURVIVED_CRASH_THRESHOLD, SUSPECT_TTL, WorkDigest,
+    CRASH_THRESHOLD, CrashId, MAX_EXCUSED_CRASHES, MAX_SUSPENSION,
+    QuarantineChange, REJECT_TTL, SURVIVED_CRASH_THRESHOLD, SUSPECT_TTL,
+    WorkDigest,
 };
 
-/// What is known of one piece of work. Times are counted from [`super::BEFORE`].
+/// The quarantine state of one request digest. All times include
+/// [`super::CLOCK_OFFSET`].
 #[derive(Clone, Debug)]
 pub(super) struct Case {
-    pub(super) ends: BTreeSet<CrashId>,
-    /// Ends that were before some target outlived it, the newest last.
+    /// Target crashes that count against the request.
+    pub(super) crashes: BTreeSet<CrashId>,
+    /// Target crashes from before a target survived the request, which no
+    /// longer count; newest last.
     pub(super) excused: Vec<CrashId>,
-    /// Whether a target is known to have outlived it.
-    pub(super) proven: bool,
-    /// When it came last.
-    pub(super) seen: Millis,
-    /// Since when it is refused.
-    pub(super) since: Option<Millis>,
-    /// Until when it is suspended.
+    /// Whether a target is known to have survived the request.
+    pub(super) survived: bool,
+    /// When the request last arrived at any entry.
+    pub(super) last_seen: Millis,
+    /// The time since which the request is refused, if it is.
+    pub(super) refused_since: Option<Millis>,
+    /// The time until which the request is suspended.
     pub(super) suspended_until: Option<Millis>,
-    /// Until when it is told.
-    pub(super) told_until: Millis,
+    /// The time until which this entry broadcasts the case to others.
+    pub(super) broadcast_until: Millis,
 }
 
 impl Case {
-    /// Holds an end against it no longer.
-    pub(super) fn excuse(&mut self, end: CrashId) {
-        self.ends.remove(&end);
-        if !self.excused.contains(&end) {
-            self.excused.push(end);
+    /// Stops counting a crash against the request.
+    pub(super) fn excuse(&mut self, crash: CrashId) {
+        self.crashes.remove(&crash);
+        if !self.excused.contains(&crash) {
+            self.excused.push(crash);
         }
-        if self.excused.len() > MAX_EXCUSED {
+        if self.excused.len() > MAX_EXCUSED_CRASHES {
             self.excused.remove(0);
         }
     }
 
-    /// Suspends it for as long as others do, if that is longer than known.
+    /// Merges the remaining suspension time that another entry reports;
+    /// returns whether the suspension was extended.
     pub(super) fn extend(
         &mut self,
-        told: Option<Millis>,
+        reported: Option<Millis>,
         now: Millis,
     ) -> bool {
-        let Some(told) = told else { return false };
-        let until = now + told.min(MAX_SUSPENSION);
+        let Some(reported) = reported else { return false };
+        let until = now + reported.min(MAX_SUSPENSION);
         let is_longer = self.suspended_until.is_none_or(|it| until > it);
-        let extends = is_longer && !self.proven && !self.ends.is_empty();
+        let extends = is_longer && !self.survived && !self.crashes.is_empty();
         if extends {
             self.suspended_until = Some(until);
         }
         extends
     }
 
-    /// Sees whether it is to be refused. What no end is held against is not
-    /// suspended either.
-    pub(super) fn judge(&mut self, now: Millis) -> QuarantineChange {
+    /// Updates whether the request is refused, after its crashes or its
+    /// survival changed. A request that no crash counts against, or that a
+    /// target survived, is not suspended either.
+    pub(super) fn update_refusal(&mut self, now: Millis) -> QuarantineChange {
         let was_suspended = self.suspended_until.is_some_and(|it| it > now);
-        if self.proven || self.ends.is_empty() {
+        if self.survived || self.crashes.is_empty() {
             self.suspended_until = None;
         }
-        let most = if self.proven {
+        let threshold = if self.survived {
             SURVIVED_CRASH_THRESHOLD
         } else {
             CRASH_THRESHOLD
         };
-        let refused = self.ends.len() >= most;
-        match (self.since, refused) {
+        let is_refused = self.crashes.len() >= threshold;
+        match (self.refused_since, is_refused) {
             (None, true) => {
-                self.since = Some(now);
+                self.refused_since = Some(now);
                 QuarantineChange::Refused
             }
             (Some(_), false) => {
-                self.since = None;
+                self.refused_since = None;
                 QuarantineChange::Freed
             }
             (None, false)
@@ -86,29 +92,35 @@
         }
     }
 
-    pub(super) fn is_over(&self, now: Millis) -> bool {
-        let longest = |since| now.since(since) >= REJECT_TTL;
-        now.since(self.seen) >= SUSPECT_TTL || self.since.is_some_and(longest)
+    /// Returns whether the case has expired.
+    pub(super) fn is_expired(&self, now: Millis) -> bool {
+        let refusal_expired = |since| now.since(since) >= REJECT_TTL;
+        now.since(self.last_seen) >= SUSPECT_TTL
+            || self.refused_since.is_some_and(refusal_expired)
     }
 
-    pub(super) fn is_news(&self, now: Millis) -> bool {
-        !self.is_over(now) && (self.since.is_some() || now < self.told_until)
+    /// Returns whether the case is broadcast: a refused request always, any
+    /// other request for a time after a change.
+    pub(super) fn is_broadcast(&self, now: Millis) -> bool {
+        !self.is_expired(now)
+            && (self.refused_since.is_some() || now < self.broadcast_until)
     }
 
-    /// For how long it is still suspended.
+    /// Returns the remaining time of the suspension, if there is one.
     pub(super) fn suspension(&self, now: Millis) -> Option<Millis> {
         let left = self.suspended_until.map(|it| it.since(now));
         left.filter(|it| *it > Millis(0))
     }
 
+    /// Returns the case as the gossip message that entries exchange.
     pub(super) fn suspect(&self, work: WorkDigest, now: Millis) -> Suspect {
         Suspect {
             work: work.0,
-            ends: self.ends.iter().map(|it| it.0).collect(),
+            ends: self.crashes.iter().map(|it| it.0).collect(),
             excused: self.excused.iter().map(|it| it.0).collect(),
-            proven: self.proven,
-            idle: now.since(self.seen),
-            refused: self.since.map(|it| now.since(it)),
+            proven: self.survived,
+            idle: now.since(self.last_seen),
+            refused: self.refused_since.map(|it| now.since(it)),
             suspended: self.suspension(now),
         }
     }
--- a/cowsliproad-admission/src/quarantine/work.rs
+++ b/cowsliproad-admission/src/quarantine/work.rs
@@ -1,22 +1,23 @@
-//! Names of work and of ends of targets that all entries agree on.
+//! Digests of requests and of target crashes that are equal at all entries.
 
 use std::fmt;
 
-/// What tells a piece of work from others, whatever its id: 64 bits of a
-/// digest, shared by all entries. Two different pieces are alike by chance
-/// once in 10^11 pairs of a million.
+/// The digest of a request's content, which doesn't depend on the request id
+/// and is the same at all entries. Among a million different requests, some
+/// 10^11 pairs, the probability that two have the same 64-bit digest is below
+/// 10^-7.
 #[derive(Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct WorkDigest(pub u64);
 
 impl WorkDigest {
-    /// The work of a request, by everything that a target could run
-    /// differently: its parts in a fixed order, such as who asks, the method,
-    /// the path and the body.
+    /// Computes the digest of a request from everything that could change what
+    /// a target runs: its parts in a fixed order, such as the caller, the
+    /// method, the path and the body.
     pub fn new(parts: &[&[u8]]) -> WorkDigest {
         WorkDigest(digest(parts))
     }
 
-    /// The work of a submission, as agents and entries both know it.
+    /// Computes the digest of a submission, alike at agents and entries.
     pub fn submitted(
         organisation: &str,
         request_type: &str,
@@ -26,23 +27,25 @@
         WorkDigest::new(&parts)
     }
 
-    /// The same work at one of several services that don't know of others.
+    /// Combines the digest with a service name, because the digests that
+    /// agents report don't include the service.
     pub fn within(self, service: &str) -> WorkDigest {
         WorkDigest(digest(&[service.as_bytes(), &self.0.to_be_bytes()]))
     }
 }
 
-/// One start of a target, as entries tell one another of its end.
+/// Identifies one crash of a target, the same at all entries.
 #[derive(Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct CrashId(pub u64);
 
 impl CrashId {
-    /// The end of what started at `start` under a name.
+    /// Computes the id of the first crash of a target that started at `start`.
     pub fn new(target: &str, start: u64) -> CrashId {
         CrashId(digest(&[target.as_bytes(), &start.to_be_bytes()]))
     }
 
-    /// The next end of the same start, once this one was taken back.
+    /// Computes the id of the next crash of the same target start, once the
+    /// crash with this id was retracted.
     pub(super) fn next(self) -> CrashId {
         CrashId(digest(&[&self.0.to_be_bytes()]))
     }
@@ -51,13 +54,14 @@
 fn digest(parts: &[&[u8]]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
-        // With its length, so that parts can't run into one another.
+        // Each part is hashed with its length, so that moving bytes from one
+        // part to the next changes the digest.
         hasher.update(&(part.len() as u64).to_be_bytes());
         hasher.update(part);
     }
-    let mut first = [0; 8];
-    first.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
-    u64::from_be_bytes(first)
+    let mut prefix = [0; 8];
+    prefix.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
+    u64::from_be_bytes(prefix)
 }
 
 impl fmt::Display for WorkDigest {
