--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,11 +1,11 @@
-//! Targets that name how many requests a second they take, on the product's
-//! own path.
+//! Rate limits that targets name in their responses, tested through entries
+//! and agents.
 //!
-//! Seen elsewhere: a target in need that named a limit went on getting its
-//! usual share. Here the agent before a target sent it whatever had a slot,
-//! since nothing read what its answers say beside their content. All work
-//! for a target passes through one agent, so the agent alone can keep the
-//! limit; what it must not do is let work wait that can't be served in time.
+//! A target under pressure that named a limit kept getting its usual share of
+//! requests: its agent sent it every request that had a slot, because nothing
+//! read the headers of its responses. All requests for a target pass through
+//! one agent, so the agent alone can keep the limit. The agent must not queue
+//! requests that can't be served in time under the limit.
 
 use std::{
     sync::Arc,
@@ -26,24 +26,31 @@
     time::{interval, sleep},
 };
 
-const HANGAR: &str = "harju-hangars";
-const GATE: &str = "/v1/access/gate-check";
-const DRAFT: &str = "/v1/drafting/lease-draft";
+const ORGANISATION: &str = "harju-hangars";
+/// A request type served by the plain target.
+const PLAIN_PATH: &str = "/v1/access/gate-check";
+/// A request type served by the engine.
+const ENGINE_PATH: &str = "/v1/drafting/lease-draft";
 
-/// The span in which requests are counted.
-const SPAN: Duration = Duration::from_secs(4);
+/// The length of the window in which requests are counted.
+const WINDOW: Duration = Duration::from_secs(4);
 
-/// What targets name, and how many more than that may come within a span: one
-/// at its end, and what may be made up for.
-const RATE: usize = 5;
-const MORE: usize = 2;
+/// The limit that targets name, in requests per second.
+const LIMIT_PER_SECOND: usize = 5;
 
+/// Requests that may arrive within a window beyond the limit: one at the end
+/// of the window, and one from a permit that is used late.
+const EXTRA_REQUESTS: usize = 2;
+
+/// The answers to a load, by result.
 #[derive(Debug, Default)]
-struct Heard {
-    good: usize,
+struct Answers {
+    succeeded: usize,
+    /// Answers that say the request did not run.
     refused: usize,
     other: Vec<(StatusCode, Bytes)>,
-    refused_after: Duration,
+    /// The longest time until a refusal.
+    max_refusal_time: Duration,
 }
 
 async fn plant() -> Plant {
@@ -53,13 +60,13 @@
     plant
 }
 
-/// The limits of the plain target and of the engine.
-fn limits(plant: &Plant) -> Vec<(Backend, &'static str)> {
+/// Returns the back end of each target and the path that it serves.
+fn backends(plant: &Plant) -> Vec<(Backend, &'static str)> {
     let backends = plant.sites.iter().map(|it| it.backend.clone());
     backends
         .map(|it| match it {
-            Backend::Plain(_) => (it, GATE),
-            Backend::Engine(_) => (it, DRAFT),
+            Backend::Plain(_) => (it, PLAIN_PATH),
+            Backend::Engine(_) => (it, ENGINE_PATH),
         })
         .collect()
 }
@@ -71,19 +78,20 @@
     }
 }
 
-/// Sends requests a pause apart through all entries.
+/// Sends requests through all entries in turn, one per `pause`, for a duration
+/// of `time`.
 async fn load(
     plant: &Plant,
     path: &str,
     pause: Duration,
     time: Duration,
-) -> Heard {
+) -> Answers {
     let client = Arc::new(Client::new());
-    let mut asked = JoinSet::new();
-    let mut due = interval(pause);
+    let mut calls = JoinSet::new();
+    let mut ticks = interval(pause);
     let end = Instant::now() + time;
     for turn in 0.. {
-        due.tick().await;
+        ticks.tick().await;
         if Instant::now() >= end {
             break;
         }
@@ -91,33 +99,33 @@
         let entry = gateway.entry.as_ref().expect("the entry is up");
         let address = entry.handle.http;
         let body = match path {
-            DRAFT => r#"{"messages":[],"max_tokens":4}"#.to_string(),
+            ENGINE_PATH => r#"{"messages":[],"max_tokens":4}"#.to_string(),
             _ => format!(r#"{{"id":"{turn}"}}"#),
         };
         let request = Request::post(format!("http://{address}{path}"))
             .header(
                 "authorization",
-                format!("Bearer {}", workload::key(HANGAR)),
+                format!("Bearer {}", workload::key(ORGANISATION)),
             )
             .body(Full::new(Bytes::from(body)))
             .expect("the parts are valid");
         let client = client.clone();
-        asked.spawn(async move {
-            let begun = Instant::now();
-            let patience = Duration::from_secs(60);
-            let answer = client.call(request, 1 << 20, patience).await;
-            (answer.expect("an answer"), begun.elapsed())
+        calls.spawn(async move {
+            let start = Instant::now();
+            let timeout = Duration::from_secs(60);
+            let answer = client.call(request, 1 << 20, timeout).await;
+            (answer.expect("an answer"), start.elapsed())
         });
     }
-    let mut heard = Heard::default();
-    while let Some(answer) = asked.join_next().await {
+    let mut heard = Answers::default();
+    while let Some(answer) = calls.join_next().await {
         let (answer, took) = answer.expect("no panic");
         let body = String::from_utf8_lossy(answer.body());
         if answer.status() == StatusCode::OK {
-            heard.good += 1;
+            heard.succeeded += 1;
         } else if body.contains("NOT_RUN") {
             heard.refused += 1;
-            heard.refused_after = heard.refused_after.max(took);
+            heard.max_refusal_time = heard.max_refusal_time.max(took);
         } else {
             heard.other.push((answer.status(), answer.into_body()));
         }
@@ -125,43 +133,55 @@
     heard
 }
 
-fn most_within(limit: &Limit, after: Instant) -> usize {
-    let mut times = limit.times();
-    times.retain(|it| *it >= after);
-    let within = |from: &Instant| {
-        times.iter().filter(|it| (*from..*from + SPAN).contains(it)).count()
+/// Returns the maximum number of requests that arrived within one window, of
+/// those since `after`.
+fn max_in_window(limit: &Limit, after: Instant) -> usize {
+    let mut arrivals = limit.times();
+    arrivals.retain(|it| *it >= after);
+    let count_from = |from: &Instant| {
+        arrivals
+            .iter()
+            .filter(|it| (*from..*from + WINDOW).contains(it))
+            .count()
     };
-    times.iter().map(within).max().unwrap_or(0)
+    arrivals.iter().map(count_from).max().unwrap_or(0)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_agent_keeps_its_targets_limit() {
+async fn an_agent_enforces_its_targets_limit() {
     const TIME: Duration = Duration::from_secs(6);
     let plant = plant().await;
-    for (backend, path) in limits(&plant) {
+    for (backend, path) in backends(&plant) {
         limit(&backend).set(Some("5"));
-        let begun = Instant::now();
+        let start = Instant::now();
         let pause = Duration::from_millis(100);
         let heard = load(&plant, path, pause, TIME).await;
         assert!(heard.other.is_empty(), "{path}: {:?}", heard.other);
-        // What waited in the agent's slots when the limit was first told.
-        let told = begun + Duration::from_millis(500);
-        let most = most_within(limit(&backend), told);
-        let allowed = RATE * SPAN.as_secs() as usize + MORE;
+        // Requests that held a slot of the agent when the first response
+        // named the limit don't count.
+        let limit_known = start + Duration::from_millis(500);
+        let most = max_in_window(limit(&backend), limit_known);
+        let allowed =
+            LIMIT_PER_SECOND * WINDOW.as_secs() as usize + EXTRA_REQUESTS;
         assert!(most <= allowed, "{path}: {most} in 4 s");
-        let least = RATE * 5 * 8 / 10;
-        assert!(heard.good >= least, "{path}: left idle, {}", heard.good);
-        // Drafts may wait for longer than these do.
-        let waits = path == DRAFT;
-        assert!(waits || heard.refused > 0, "{path}: {heard:?}");
+        let least = LIMIT_PER_SECOND * 5 * 8 / 10;
+        assert!(
+            heard.succeeded >= least,
+            "{path}: target left idle, {} succeeded",
+            heard.succeeded
+        );
+        // Requests to the engine may wait for longer than this test lasts.
+        let may_wait = path == ENGINE_PATH;
+        assert!(may_wait || heard.refused > 0, "{path}: {heard:?}");
         let most = Duration::from_millis(100);
-        assert!(heard.refused_after < most, "{path}: {heard:?}");
+        assert!(heard.max_refusal_time < most, "{path}: {heard:?}");
     }
 }
 
-/// Work that waited when the limit came, and that it leaves no time for.
+/// Guards against requests that stay queued when a new limit leaves no time to
+/// serve them before their deadline.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_a_new_limit_leaves_no_time_for_is_refused_at_once() {
+async fn requests_that_a_new_limit_makes_late_are_refused() {
     let config = Config {
         engines: 0,
         plains: 1,
@@ -171,24 +191,25 @@
     };
     let plant = Plant::start(config).await.expect("it starts");
     plant.settle().await.expect("agents are linked");
-    for (backend, _) in limits(&plant) {
+    for (backend, _) in backends(&plant) {
         limit(&backend).set(Some("1"));
     }
-    // At once, so that all wait before the first answer names the limit.
+    // Fast, so that all requests are queued before the first response names
+    // the limit.
     let pause = Duration::from_millis(2);
     let time = Duration::from_millis(120);
-    let heard = load(&plant, GATE, pause, time).await;
+    let heard = load(&plant, PLAIN_PATH, pause, time).await;
     assert!(heard.other.is_empty(), "{:?}", heard.other);
     assert!(heard.refused >= 30, "{heard:?}");
-    // The first answer comes after 0.2 s.
+    // The first response arrives after 0.2 s.
     let most = Duration::from_millis(500);
-    assert!(heard.refused_after < most, "{heard:?}");
+    assert!(heard.max_refusal_time < most, "{heard:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_agents_limit_holds_for_as_long_as_it_is_named() {
+async fn a_limit_ends_when_responses_stop_naming_it() {
     let plant = plant().await;
-    for (backend, path) in limits(&plant) {
+    for (backend, path) in backends(&plant) {
         let pause = Duration::from_millis(50);
         limit(&backend).set(Some("2"));
         load(&plant, path, pause, Duration::from_secs(2)).await;
@@ -196,12 +217,18 @@
         sleep(Duration::from_millis(600)).await;
         load(&plant, path, pause, Duration::from_secs(1)).await;
         let heard = load(&plant, path, pause, Duration::from_secs(2)).await;
-        assert!(heard.good >= 38, "{path}: outlives its word, {heard:?}");
-        for bad in ["none", "-1", "NaN", "", "1e3"] {
-            limit(&backend).set(Some(bad));
+        assert!(
+            heard.succeeded >= 38,
+            "{path}: the limit is still applied, {heard:?}"
+        );
+        for invalid in ["none", "-1", "NaN", "", "1e3"] {
+            limit(&backend).set(Some(invalid));
             let time = Duration::from_millis(500);
             let heard = load(&plant, path, pause, time).await;
-            assert!(heard.good >= 9, "{path}: {bad} is believed, {heard:?}");
+            assert!(
+                heard.succeeded >= 9,
+                "{path}: {invalid:?} limits requests, {heard:?}"
+            );
         }
     }
 }
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -1,10 +1,12 @@
-//! Work that ends every target that runs it, on the product's own path.
+//! Crash-inducing requests, sent through entries and agents to targets that
+//! crash when they run the request.
 //!
-//! What was seen elsewhere: work that ends its target came again under new
-//! ids and through other entries, and ended one target after the other. Here
-//! one request alone ended four, since each attempt goes to another target,
-//! and nothing was remembered of it. The cause is the same: attempts are
-//! counted by request. The first two tests failed with all targets ended.
+//! A crash-inducing request arrived again with new request ids and through
+//! other entries, and crashed one target after the other. A single request
+//! crashed four targets, because each attempt goes to another target.
+//! Attempts are counted per request id, so nothing was remembered of earlier
+//! crashes, and all targets of a service crashed. These tests check that a
+//! request is refused after three crashes, and nothing else with it.
 
 use std::{
     sync::Arc,
@@ -26,38 +28,47 @@
 use serde_json::{Value, json};
 use tokio::time::{sleep, timeout};
 
-const HANGAR: &str = "harju-hangars";
-const OTHER: &str = "wattleford";
-const TOW: &str = "/v1/access/tow-call";
-const GATE: &str = "/v1/access/gate-check";
-const DRAFT: &str = "/v1/drafting/lease-draft";
-const DEADLY: &str = "deadly";
+const ORGANISATION: &str = "harju-hangars";
+const OTHER_ORGANISATION: &str = "wattleford";
+/// A request type whose requests need a ticket.
+const TICKETED_PATH: &str = "/v1/access/tow-call";
+/// A request type whose requests may be repeated.
+const REPEATABLE_PATH: &str = "/v1/access/gate-check";
+/// A request type that is answered as a stream.
+const STREAM_PATH: &str = "/v1/drafting/lease-draft";
+/// The text in a request body that makes a target crash.
+const CRASH_MARKER: &str = "deadly";
 
-/// By then all entries have to know.
-const BOUND: Duration = Duration::from_secs(3);
+/// The time within which all entries must know of a crash.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A plant whose targets end under such work.
-struct Scene {
+/// A deployment whose targets crash when they run a request with
+/// [`CRASH_MARKER`] in its body.
+struct Deployment {
     plant: Plant,
     targets: Vec<Arc<Mortal>>,
     client: Client,
-    /// The idempotency key of all requests.
-    key: Option<String>,
+    /// The idempotency key sent with all requests, if any.
+    idempotency_key: Option<String>,
 }
 
-impl Scene {
-    async fn start() -> Scene {
-        Scene::start_with(engine::Config::new()).await
+impl Deployment {
+    async fn start() -> Deployment {
+        Deployment::start_with_engines(engine::Config::new()).await
     }
 
-    async fn start_with(engine: engine::Config) -> Scene {
-        Scene::start_of(engine, mortal::Config::new(DEADLY)).await
+    async fn start_with_engines(engine: engine::Config) -> Deployment {
+        Deployment::start_with_targets(
+            engine,
+            mortal::Config::new(CRASH_MARKER),
+        )
+        .await
     }
 
-    async fn start_of(
+    async fn start_with_targets(
         engine: engine::Config,
         mortal: mortal::Config,
-    ) -> Scene {
+    ) -> Deployment {
         let config = Config {
             engines: 5,
             plains: 5,
@@ -69,18 +80,24 @@
         let mut targets = Vec::new();
         for index in 0..plant.sites.len() {
             plant.kill_agent(index).await;
-            let behind = plant.sites[index].target;
-            let started = mortal::start(ANY, behind, mortal.clone()).await;
+            let backend = plant.sites[index].target;
+            let started = mortal::start(ANY, backend, mortal.clone()).await;
             let (mortal, address) = started.expect("a target");
             plant.sites[index].target = address;
             targets.push(mortal);
             plant.start_agent(index).await.expect("it starts");
         }
         plant.settle().await.expect("agents are linked");
-        Scene { plant, targets, client: Client::new(), key: None }
+        Deployment {
+            plant,
+            targets,
+            client: Client::new(),
+            idempotency_key: None,
+        }
     }
 
-    fn ends(&self) -> u32 {
+    /// Returns the number of target crashes so far.
+    fn crash_count(&self) -> u32 {
         self.targets.iter().map(|it| it.ends()).sum()
     }
 
@@ -100,17 +117,17 @@
         if let Some(ticket) = ticket {
             request = request.header("request-ticket", ticket);
         }
-        if let Some(key) = &self.key {
+        if let Some(key) = &self.idempotency_key {
             request = request.header("idempotency-key", key);
         }
         let body = Full::new(Bytes::from(body.to_string()));
         let request = request.body(body).expect("the parts are valid");
-        let patience = Duration::from_secs(30);
-        let answer = self.client.call(request, 1 << 20, patience).await;
+        let answer_timeout = Duration::from_secs(30);
+        let answer = self.client.call(request, 1 << 20, answer_timeout).await;
         answer.expect("an answer")
     }
 
-    /// Sends work, with a ticket of its own where it needs one.
+    /// Sends a request, with a new ticket if its type requires one.
     async fn send(
         &self,
         entry: usize,
@@ -127,20 +144,22 @@
         self.post(entry, organisation, path, ticket, body).await
     }
 
-    async fn end_three(&self, path: &str, body: &str) {
+    /// Sends a crash-inducing request until three targets have crashed.
+    async fn crash_three(&self, path: &str, body: &str) {
         let mut sent = 0;
-        while self.ends() < 3 {
-            assert!(sent < 10, "the work ends no target");
-            self.send(sent % 3, HANGAR, path, body).await;
+        while self.crash_count() < 3 {
+            assert!(sent < 10, "the request crashes no target");
+            self.send(sent % 3, ORGANISATION, path, body).await;
             sent += 1;
         }
     }
 
-    async fn is_refused(&self, path: &str, body: &str) {
-        let before = self.ends();
+    /// Asserts that every entry refuses a request and no target crashes.
+    async fn assert_refused(&self, path: &str, body: &str) {
+        let before = self.crash_count();
         for entry in [0, 1, 2, 0, 1, 2] {
-            let answer = self.send(entry, HANGAR, path, body).await;
-            assert_eq!(self.ends(), before);
+            let answer = self.send(entry, ORGANISATION, path, body).await;
+            assert_eq!(self.crash_count(), before);
             let said: Value =
                 serde_json::from_slice(answer.body()).expect("JSON");
             assert_eq!(said["title"], json!("Quarantined"));
@@ -150,132 +169,155 @@
     }
 }
 
-fn call() -> String {
-    json!({ "id": DEADLY }).to_string()
+fn crashing_call() -> String {
+    json!({ "id": CRASH_MARKER }).to_string()
 }
 
-fn draft() -> String {
-    json!({ "messages": [DEADLY], "max_tokens": 20 }).to_string()
+fn crashing_stream() -> String {
+    json!({ "messages": [CRASH_MARKER], "max_tokens": 20 }).to_string()
 }
 
-async fn check(path: &str, body: &str) {
-    let scene = Scene::start().await;
-    scene.end_three(path, body).await;
-    sleep(BOUND).await;
-    scene.is_refused(path, body).await;
+/// Asserts that a request is refused after three crashes.
+async fn check_quarantine(path: &str, body: &str) {
+    let deployment = Deployment::start().await;
+    deployment.crash_three(path, body).await;
+    sleep(PROPAGATION_TIMEOUT).await;
+    deployment.assert_refused(path, body).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn agents_see_a_call_that_ends_its_targets() {
-    check(GATE, &call()).await;
+async fn agents_detect_a_crashing_call() {
+    check_quarantine(REPEATABLE_PATH, &crashing_call()).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn agents_see_ticketed_work_that_ends_its_targets() {
-    check(TOW, &call()).await;
+async fn agents_detect_crashing_ticketed_work() {
+    check_quarantine(TICKETED_PATH, &crashing_call()).await;
 }
 
-/// Resends with a key go to the same target while it is there.
+/// Requests with the same idempotency key go to the same target while that
+/// target is up.
 #[tokio::test(flavor = "multi_thread")]
-async fn agents_see_keyed_work_that_ends_its_targets() {
-    let mut scene = Scene::start().await;
-    scene.key = Some("of-the-gate".into());
-    scene.end_three(GATE, &call()).await;
-    sleep(BOUND).await;
-    scene.is_refused(GATE, &call()).await;
-    scene.key = Some("another".into());
-    scene.is_refused(GATE, &call()).await;
+async fn agents_detect_crashing_work_with_a_key() {
+    let mut deployment = Deployment::start().await;
+    deployment.idempotency_key = Some("of-the-gate".into());
+    deployment.crash_three(REPEATABLE_PATH, &crashing_call()).await;
+    sleep(PROPAGATION_TIMEOUT).await;
+    deployment.assert_refused(REPEATABLE_PATH, &crashing_call()).await;
+    deployment.idempotency_key = Some("another".into());
+    deployment.assert_refused(REPEATABLE_PATH, &crashing_call()).await;
     let other = json!({ "id": "other" }).to_string();
-    let served = scene.send(0, HANGAR, GATE, &other).await;
+    let served =
+        deployment.send(0, ORGANISATION, REPEATABLE_PATH, &other).await;
     assert_eq!(served.status(), StatusCode::OK);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn agents_see_a_stream_that_ends_its_targets() {
-    check(DRAFT, &draft()).await;
+async fn agents_detect_a_crashing_stream() {
+    check_quarantine(STREAM_PATH, &crashing_stream()).await;
 }
 
-/// Each attempt goes to another target, so one request could end four.
+/// Guards against one request that crashes four targets, because each of its
+/// attempts goes to another target.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_by_itself_ends_no_more_than_three() {
+async fn one_request_crashes_at_most_three_targets() {
     for _ in 0..3 {
-        let scene = Scene::start().await;
-        let answer = scene.send(0, HANGAR, GATE, &call()).await;
+        let deployment = Deployment::start().await;
+        let answer = deployment
+            .send(0, ORGANISATION, REPEATABLE_PATH, &crashing_call())
+            .await;
         let said: Value = serde_json::from_slice(answer.body()).expect("JSON");
-        assert!(scene.ends() <= 3, "{said}");
+        assert!(deployment.crash_count() <= 3, "{said}");
         assert_eq!(said["ran"], json!("OUTCOME_UNKNOWN"), "{said}");
     }
 }
 
-/// A process closes its listener and its connections one after the other.
+/// Guards against a crash that is missed because the process closes its
+/// connections before its listener.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_end_is_seen_where_the_listener_goes_last() {
-    let lag = Duration::from_millis(20);
-    let mortal = mortal::Config::new(DEADLY).with_lag(lag);
-    let scene = Scene::start_of(engine::Config::new(), mortal).await;
-    scene.end_three(TOW, &call()).await;
-    sleep(BOUND).await;
-    scene.is_refused(TOW, &call()).await;
+async fn a_crash_is_detected_if_the_listener_closes_last() {
+    let listener_delay = Duration::from_millis(20);
+    let mortal = mortal::Config::new(CRASH_MARKER).with_lag(listener_delay);
+    let deployment =
+        Deployment::start_with_targets(engine::Config::new(), mortal).await;
+    deployment.crash_three(TICKETED_PATH, &crashing_call()).await;
+    sleep(PROPAGATION_TIMEOUT).await;
+    deployment.assert_refused(TICKETED_PATH, &crashing_call()).await;
 }
 
-/// Callers leave, or their time is over, and targets go on all the same and
-/// end later. Nobody waits for an answer any more when they do.
+/// Guards against a crash that is missed because the caller has disconnected,
+/// or its deadline has passed, before the target crashes.
 #[tokio::test(flavor = "multi_thread")]
-async fn work_that_targets_go_on_with_when_it_was_given_up_is_refused() {
-    // Agents give up after two seconds.
-    for stubborn in [1_200, 2_500].map(Duration::from_millis) {
-        let mortal = mortal::Config::new(DEADLY).with_stubborn(stubborn);
-        let scene = Scene::start_of(engine::Config::new(), mortal).await;
-        let body = call();
+async fn abandoned_work_that_crashes_its_target_is_refused() {
+    // Agents abandon a request after two seconds.
+    for crash_delay in [1_200, 2_500].map(Duration::from_millis) {
+        let mortal =
+            mortal::Config::new(CRASH_MARKER).with_stubborn(crash_delay);
+        let deployment =
+            Deployment::start_with_targets(engine::Config::new(), mortal)
+                .await;
+        let body = crashing_call();
         let mut sent = 0;
-        while scene.ends() < 3 {
-            assert!(sent < 10, "the work ends no target");
-            let asked = scene.send(sent % 3, HANGAR, GATE, &body);
-            let left = timeout(Duration::from_millis(300), asked).await;
-            assert!(left.is_err(), "it was answered");
-            sleep(stubborn).await;
+        while deployment.crash_count() < 3 {
+            assert!(sent < 10, "the request crashes no target");
+            let call = deployment.send(
+                sent % 3,
+                ORGANISATION,
+                REPEATABLE_PATH,
+                &body,
+            );
+            let answer = timeout(Duration::from_millis(300), call).await;
+            assert!(answer.is_err(), "the request was answered");
+            sleep(crash_delay).await;
             sent += 1;
         }
-        sleep(BOUND).await;
-        scene.is_refused(GATE, &body).await;
+        sleep(PROPAGATION_TIMEOUT).await;
+        deployment.assert_refused(REPEATABLE_PATH, &body).await;
     }
 }
 
-/// Work with a ticket is for one target only. While that one's process is
-/// gone it was answered 502, one in five such requests here.
+/// Guards against 502 answers to requests with a ticket, which is bound to one
+/// target: while that target's process was down, one in five such requests
+/// here got a 502.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_target_that_ended_gets_nothing_until_it_is_back() {
+async fn a_crashed_target_gets_no_work_until_it_restarts() {
     let down = Duration::from_secs(4);
-    let mortal = mortal::Config::new(DEADLY).with_down(down);
-    let scene = Scene::start_of(engine::Config::new(), mortal).await;
-    scene.send(0, HANGAR, TOW, &call()).await;
-    assert_eq!(scene.ends(), 1);
+    let mortal = mortal::Config::new(CRASH_MARKER).with_down(down);
+    let deployment =
+        Deployment::start_with_targets(engine::Config::new(), mortal).await;
+    deployment.send(0, ORGANISATION, TICKETED_PATH, &crashing_call()).await;
+    assert_eq!(deployment.crash_count(), 1);
     for number in 0..30 {
         let body = json!({ "id": format!("other-{number}") }).to_string();
-        let answer = scene.send(0, HANGAR, TOW, &body).await;
+        let answer =
+            deployment.send(0, ORGANISATION, TICKETED_PATH, &body).await;
         let said = String::from_utf8_lossy(answer.body()).into_owned();
         assert_eq!(answer.status(), StatusCode::OK, "{number}: {said}");
     }
-    sleep(down + BOUND).await;
-    scene.plant.settle().await.expect("it is back");
+    sleep(down + PROPAGATION_TIMEOUT).await;
+    deployment.plant.settle().await.expect("it is back");
 }
 
-/// With every target gone the answer is prompt, true and has a time.
+/// While every target is down, the answer comes at once and says correctly
+/// whether the request ran and when to retry.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_target_is_said_while_all_are_gone() {
+async fn no_target_is_reported_while_all_are_down() {
     let down = Duration::from_secs(20);
-    let mortal = mortal::Config::new(DEADLY).with_down(down);
-    let scene = Scene::start_of(engine::Config::new(), mortal).await;
+    let mortal = mortal::Config::new(CRASH_MARKER).with_down(down);
+    let deployment =
+        Deployment::start_with_targets(engine::Config::new(), mortal).await;
     for number in 0..5 {
-        let body = json!({ "id": DEADLY, "number": number }).to_string();
-        scene.send(0, HANGAR, TOW, &body).await;
+        let body = json!({ "id": CRASH_MARKER, "number": number }).to_string();
+        deployment.send(0, ORGANISATION, TICKETED_PATH, &body).await;
     }
-    assert_eq!(scene.ends(), 5);
+    assert_eq!(deployment.crash_count(), 5);
     let other = json!({ "id": "other" }).to_string();
-    for (path, ran) in [(TOW, "NOT_FORWARDED"), (GATE, "NOT_RUN")] {
-        let began = Instant::now();
-        let answer = scene.send(0, HANGAR, path, &other).await;
-        assert!(began.elapsed() < Duration::from_secs(1));
+    for (path, ran) in
+        [(TICKETED_PATH, "NOT_FORWARDED"), (REPEATABLE_PATH, "NOT_RUN")]
+    {
+        let start = Instant::now();
+        let answer = deployment.send(0, ORGANISATION, path, &other).await;
+        assert!(start.elapsed() < Duration::from_secs(1));
         let said: Value = serde_json::from_slice(answer.body()).expect("JSON");
         assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE, "{said}");
         assert_eq!(said["title"], json!("NoTarget"), "{said}");
@@ -284,81 +326,90 @@
     }
 }
 
-/// Other words, another caller's and another type's are served.
+/// Requests with another body, organisation or type than the refused request
+/// still reach targets.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_looks_like_it_is_served() {
-    let scene = Scene::start().await;
-    scene.end_three(GATE, &call()).await;
-    sleep(BOUND).await;
+async fn similar_work_is_not_refused() {
+    let deployment = Deployment::start().await;
+    deployment.crash_three(REPEATABLE_PATH, &crashing_call()).await;
+    sleep(PROPAGATION_TIMEOUT).await;
     let other = json!({ "id": "other" }).to_string();
-    let served = scene.send(0, HANGAR, GATE, &other).await;
+    let served =
+        deployment.send(0, ORGANISATION, REPEATABLE_PATH, &other).await;
     assert_eq!(served.status(), StatusCode::OK);
-    let another = json!({ "id": "another", "note": DEADLY }).to_string();
+    let another = json!({ "id": "another", "note": CRASH_MARKER }).to_string();
     for (organisation, path, body) in [
-        (HANGAR, TOW, call()),
-        (OTHER, "/v1/access/label-print", call()),
-        (HANGAR, GATE, another),
+        (ORGANISATION, TICKETED_PATH, crashing_call()),
+        (OTHER_ORGANISATION, "/v1/access/label-print", crashing_call()),
+        (ORGANISATION, REPEATABLE_PATH, another),
     ] {
-        let before = scene.ends();
-        let answer = scene.send(0, organisation, path, &body).await;
+        let before = deployment.crash_count();
+        let answer = deployment.send(0, organisation, path, &body).await;
         let said = String::from_utf8_lossy(answer.body()).into_owned();
-        assert!(scene.ends() > before, "{path}: {said}");
+        assert!(deployment.crash_count() > before, "{path}: {said}");
     }
 }
 
-/// Entries that all start anew hear of it from the agents.
+/// Guards against crashes that are forgotten when all entries restart at once:
+/// the agents report the crashes again.
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_that_start_anew_hear_of_it() {
-    let mut scene = Scene::start().await;
-    scene.end_three(GATE, &call()).await;
-    sleep(BOUND).await;
+async fn restarted_entries_learn_of_crashes_from_agents() {
+    let mut deployment = Deployment::start().await;
+    deployment.crash_three(REPEATABLE_PATH, &crashing_call()).await;
+    sleep(PROPAGATION_TIMEOUT).await;
     for index in 0..3 {
-        scene.plant.kill_entry(index).await;
+        deployment.plant.kill_entry(index).await;
     }
     for index in 0..3 {
-        scene.plant.start_entry(index).await.expect("it starts");
+        deployment.plant.start_entry(index).await.expect("it starts");
     }
-    scene.plant.settle().await.expect("agents are linked");
-    sleep(BOUND).await;
-    scene.is_refused(GATE, &call()).await;
+    deployment.plant.settle().await.expect("agents are linked");
+    sleep(PROPAGATION_TIMEOUT).await;
+    deployment.assert_refused(REPEATABLE_PATH, &crashing_call()).await;
 }
 
-/// A stream has begun and its engine's process ends. That nobody listens when
-/// it is asked to go on doesn't mean that it never ran.
+/// Guards against a stream that has begun and is reported as not run, because
+/// its engine crashed and refuses the connection that would resume the stream.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_whose_engine_ends_is_not_said_to_have_never_run() {
+async fn a_stream_cut_by_a_crash_is_not_reported_as_not_run() {
     let slow = engine::Config { token_us: 50_000, ..engine::Config::new() };
-    let scene = Scene::start_with(slow).await;
+    let deployment = Deployment::start_with_engines(slow).await;
     let body = json!({ "messages": ["a lease"], "max_tokens": 20 });
     let body = body.to_string();
-    let asked = scene.send(0, HANGAR, DRAFT, &body);
-    let ended = async {
+    let call = deployment.send(0, ORGANISATION, STREAM_PATH, &body);
+    let crash = async {
         sleep(Duration::from_millis(400)).await;
-        scene.targets.iter().for_each(|it| it.end());
+        deployment.targets.iter().for_each(|it| it.end());
     };
-    let (answer, ()) = tokio::join!(asked, ended);
+    let (answer, ()) = tokio::join!(call, crash);
     let said: Value = serde_json::from_slice(answer.body()).expect("JSON");
     assert_eq!(said["ran"], json!("OUTCOME_UNKNOWN"), "{said}");
 }
 
-/// The work of a ticket ended its target. Asked again once such work is
-/// refused, its outcome is still what it was.
+/// Guards against work that crashed its target but is reported as not run
+/// when its ticket is sent again after the work was quarantined.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_ticket_that_ran_is_not_said_to_have_never_run() {
-    let scene = Scene::start().await;
-    let first = scene.post(0, HANGAR, TOW, None, &call()).await;
+async fn a_ticket_that_ran_is_not_reported_as_not_run() {
+    let deployment = Deployment::start().await;
+    let first = deployment
+        .post(0, ORGANISATION, TICKETED_PATH, None, &crashing_call())
+        .await;
     let ticket = first.headers()["request-ticket"].to_str();
     let ticket = Some(ticket.expect("it is text"));
-    scene.post(0, HANGAR, TOW, ticket, &call()).await;
-    assert_eq!(scene.ends(), 1);
-    scene.end_three(TOW, &call()).await;
-    sleep(BOUND).await;
-    let before = scene.ends();
+    deployment
+        .post(0, ORGANISATION, TICKETED_PATH, ticket, &crashing_call())
+        .await;
+    assert_eq!(deployment.crash_count(), 1);
+    deployment.crash_three(TICKETED_PATH, &crashing_call()).await;
+    sleep(PROPAGATION_TIMEOUT).await;
+    let before = deployment.crash_count();
     for entry in 0..3 {
-        let answer = scene.post(entry, HANGAR, TOW, ticket, &call()).await;
+        let answer = deployment
+            .post(entry, ORGANISATION, TICKETED_PATH, ticket, &crashing_call())
+            .await;
         let said: Value = serde_json::from_slice(answer.body()).expect("JSON");
         assert_eq!(said["title"], json!("TargetFailed"), "{said}");
         assert_eq!(said["ran"], json!("OUTCOME_UNKNOWN"), "{said}");
     }
-    assert_eq!(scene.ends(), before);
+    assert_eq!(deployment.crash_count(), before);
 }
