--- a/cowsliproad-admission/src/limit.rs
+++ b/cowsliproad-admission/src/limit.rs
@@ -249,14 +249,15 @@
 
 impl Limiter {
     /// Creates a limiter whose predecessor at another entry may have granted a
-    /// permit just now. `idle` is the age of the target's last known response:
-    /// at a low rate, limiters that always waited for a whole interval would
-    /// never grant a permit where limiters are replaced often.
-    pub fn new(rate: Rate, idle: Millis, now: Millis) -> Limiter {
+    /// permit just now. `since_response` is the age of the target's last known
+    /// response and shortens the first wait: at a low rate, a limiter that
+    /// always waited for a whole interval would never grant a permit where
+    /// limiters are replaced often.
+    pub fn new(rate: Rate, since_response: Millis, now: Millis) -> Limiter {
         let interval_ms = rate.interval_ms(1.0);
         let min_wait_ms = interval_ms.min(MAX_GOSSIP_DELAY_MS);
-        let wait_ms =
-            (interval_ms - idle.0 as f64).clamp(min_wait_ms, interval_ms);
+        let wait_ms = (interval_ms - since_response.0 as f64)
+            .clamp(min_wait_ms, interval_ms);
         let next_permit_ms = now.0 as f64 + wait_ms;
         Limiter { rate, next_permit_ms, last_request: now }
     }
--- a/cowsliproad-admission/src/quarantine.rs
+++ b/cowsliproad-admission/src/quarantine.rs
@@ -86,7 +86,7 @@
 
 /// Cases that are broadcast in one digest, 8 to 35 bytes each: a third of the
 /// largest datagram.
-const MAX_UPDATES: usize = 512;
+const MAX_BROADCAST_CASES: usize = 512;
 
 /// Cases that are kept, 350 bytes each. A target that crashes adds some 50
 /// cases: the requests that were running or queued there.
@@ -337,7 +337,8 @@
         // Each crash extends a suspension at most once: a later message about
         // the same crash may have been delayed in a stalled process.
         let may_extend = after.0 > before.0 || case.suspended_until.is_none();
-        let suspends = may_extend && case.extend(suspect.suspended, now);
+        let suspends =
+            may_extend && case.extend_suspension(suspect.suspended, now);
         let has_changed = after != before || suspends;
         let is_relayed = case.crashes.len() >= MIN_RELAY_CRASHES
             || case.survived
@@ -450,8 +451,8 @@
         })
     }
 
-    /// Returns up to [`MAX_UPDATES`] selected cases: refused requests first,
-    /// then those with the most crashes.
+    /// Returns up to [`MAX_BROADCAST_CASES`] selected cases: refused requests
+    /// first, then those with the most crashes.
     fn select(
         &self,
         now: Millis,
@@ -470,7 +471,7 @@
                 Reverse(case.broadcast_until),
             )
         });
-        selected.truncate(MAX_UPDATES);
+        selected.truncate(MAX_BROADCAST_CASES);
         selected.into_iter().map(|it| it.1.suspect(*it.0, now)).collect()
     }
 
@@ -482,7 +483,7 @@
         let mut cases: Vec<Suspect> =
             cases.map(|it| it.1.suspect(*it.0, now)).collect();
         cases.sort_by_key(|it| (Reverse(it.ends.len()), it.idle));
-        cases.truncate(MAX_UPDATES);
+        cases.truncate(MAX_BROADCAST_CASES);
         cases
     }
 
@@ -491,7 +492,7 @@
         let now = now + CLOCK_OFFSET;
         let is_recent = |at: Millis| now.since(at) < BROADCAST_TTL;
         let recent = self.retracted.iter().filter(|it| is_recent(*it.1));
-        recent.take(MAX_UPDATES).map(|it| it.0.0).collect()
+        recent.take(MAX_BROADCAST_CASES).map(|it| it.0.0).collect()
     }
 
     /// Removes expired cases and retractions, at most once in
--- a/cowsliproad-admission/src/quarantine/case.rs
+++ b/cowsliproad-admission/src/quarantine/case.rs
@@ -45,7 +45,7 @@
 
     /// Merges the remaining suspension time that another entry reports;
     /// returns whether the suspension was extended.
-    pub(super) fn extend(
+    pub(super) fn extend_suspension(
         &mut self,
         reported: Option<Millis>,
         now: Millis,
--- a/cowsliproad-admission/src/quarantine/work.rs
+++ b/cowsliproad-admission/src/quarantine/work.rs
@@ -18,7 +18,7 @@
     }
 
     /// Computes the digest of a submission, alike at agents and entries.
-    pub fn submitted(
+    pub fn of_submission(
         organisation: &str,
         request_type: &str,
         body: &[u8],
@@ -29,7 +29,7 @@
 
     /// Combines the digest with a service name, because the digests that
     /// agents report don't include the service.
-    pub fn within(self, service: &str) -> WorkDigest {
+    pub fn for_service(self, service: &str) -> WorkDigest {
         WorkDigest(digest(&[service.as_bytes(), &self.0.to_be_bytes()]))
     }
 }
--- a/cowsliproad-admission/src/queue.rs
+++ b/cowsliproad-admission/src/queue.rs
@@ -28,7 +28,7 @@
 
 /// A queued request with the properties that decide its place in the queue.
 #[derive(Clone, Debug)]
-pub struct Item<T> {
+pub struct QueueItem<T> {
     /// The organisation that sent the request.
     pub organisation: Name,
     /// The organisation's weight for fair sharing, at least 1.
@@ -41,7 +41,7 @@
     pub work: T,
 }
 
-impl<T> Item<T> {
+impl<T> QueueItem<T> {
     /// Returns the key under which queued items are counted for fair sharing.
     fn sharing_key(&self) -> (Name, Urgency) {
         (self.organisation.clone(), self.urgency)
@@ -110,9 +110,9 @@
     Queued,
     /// The new item is queued, and this item was removed to make room; its
     /// sender may retry after the given time.
-    Displaced(Item<T>, Millis),
+    Displaced(QueueItem<T>, Millis),
     /// The new item is refused; its sender may retry after the given time.
-    Refused(Item<T>, Millis),
+    Refused(QueueItem<T>, Millis),
 }
 
 /// The position of an item: its class, its virtual arrival time and its
@@ -124,8 +124,8 @@
 pub struct Queue<T> {
     config: QueueConfig,
     /// The number of items that have arrived.
-    arrivals: u64,
-    items: BTreeMap<Rank, Item<T>>,
+    arrival_count: u64,
+    items: BTreeMap<Rank, QueueItem<T>>,
     /// The ranks of all items by deadline and arrival number.
     deadlines: BTreeMap<(Millis, u64), Rank>,
     /// The ranks of all items by the time at which aged turns may serve the
@@ -134,7 +134,7 @@
     /// The time at which aged turns may serve an item, by arrival number.
     aged_from: HashMap<u64, Millis>,
     /// The number of items that were served.
-    turns: u64,
+    served_count: u64,
     /// The number of queued items by organisation and class.
     queued: HashMap<(Name, Urgency), u32>,
 }
@@ -144,12 +144,12 @@
     pub fn new(config: QueueConfig) -> Queue<T> {
         Queue {
             config,
-            arrivals: 0,
+            arrival_count: 0,
             items: BTreeMap::new(),
             deadlines: BTreeMap::new(),
             aging: BTreeMap::new(),
             aged_from: HashMap::new(),
-            turns: 0,
+            served_count: 0,
             queued: HashMap::new(),
         }
     }
@@ -168,14 +168,14 @@
     /// worst rank in a full queue.
     pub fn push(
         &mut self,
-        item: Item<T>,
+        item: QueueItem<T>,
         service_rate: ServiceRate,
         now: Millis,
     ) -> PushOutcome<T> {
-        let rank = self.rank(&item, service_rate, now);
+        let rank = self.compute_rank(&item, service_rate, now);
         let ahead = self.items.range(..rank).count() as u64;
-        let wait = service_rate.wait(ahead);
-        let finish = now + wait + service_rate.service();
+        let wait = service_rate.queue_wait(ahead);
+        let finish = now + wait + service_rate.service_time();
         if finish > item.deadline {
             return PushOutcome::Refused(item, self.retry_after(service_rate));
         }
@@ -197,14 +197,14 @@
     }
 
     /// Removes and returns the next item to serve.
-    pub fn pop(&mut self, now: Millis) -> Option<Item<T>> {
+    pub fn pop(&mut self, now: Millis) -> Option<QueueItem<T>> {
         let first = *self.items.first_key_value()?.0;
-        self.turns += 1;
+        self.served_count += 1;
         let aged = self.aging.first_key_value();
         let aged = aged.filter(|(aged_from, _)| aged_from.0 <= now);
         let rank = match aged {
             Some((_, rank))
-                if self.turns.is_multiple_of(AGED_TURN_INTERVAL) =>
+                if self.served_count.is_multiple_of(AGED_TURN_INTERVAL) =>
             {
                 *rank
             }
@@ -218,9 +218,9 @@
         &mut self,
         service_rate: ServiceRate,
         now: Millis,
-    ) -> Option<Item<T>> {
+    ) -> Option<QueueItem<T>> {
         let (&(deadline, _), &rank) = self.deadlines.first_key_value()?;
-        if now + service_rate.service() <= deadline {
+        if now + service_rate.service_time() <= deadline {
             return None;
         }
         self.remove(rank)
@@ -232,11 +232,13 @@
         &mut self,
         service_rate: ServiceRate,
         now: Millis,
-    ) -> Vec<Item<T>> {
+    ) -> Vec<QueueItem<T>> {
         let mut ahead = 0;
         let mut late = Vec::new();
         for (rank, item) in &self.items {
-            if now + service_rate.wait(ahead) + service_rate.service()
+            if now
+                + service_rate.queue_wait(ahead)
+                + service_rate.service_time()
                 > item.deadline
             {
                 late.push(*rank);
@@ -251,30 +253,30 @@
     pub fn remove_first(
         &mut self,
         mut matches: impl FnMut(&T) -> bool,
-    ) -> Option<Item<T>> {
+    ) -> Option<QueueItem<T>> {
         let found = self.items.iter().find(|(_, it)| matches(&it.work));
         let rank = *found?.0;
         self.remove(rank)
     }
 
     /// Computes the rank of an arriving item.
-    fn rank(
+    fn compute_rank(
         &mut self,
-        item: &Item<T>,
+        item: &QueueItem<T>,
         service_rate: ServiceRate,
         now: Millis,
     ) -> Rank {
-        self.arrivals += 1;
+        self.arrival_count += 1;
         // Queued work of other classes adds no penalty: an organisation's
         // background work must not delay its own urgent work.
         let queued = self.queued.get(&item.sharing_key()).copied();
         let ahead = u64::from(queued.unwrap_or(0));
         let penalty =
-            service_rate.wait(ahead).0 / u64::from(item.weight.max(1));
-        (item.urgency, now + Millis(penalty), self.arrivals)
+            service_rate.queue_wait(ahead).0 / u64::from(item.weight.max(1));
+        (item.urgency, now + Millis(penalty), self.arrival_count)
     }
 
-    fn insert(&mut self, rank: Rank, item: Item<T>, now: Millis) {
+    fn insert(&mut self, rank: Rank, item: QueueItem<T>, now: Millis) {
         *self.queued.entry(item.sharing_key()).or_default() += 1;
         self.deadlines.insert((item.deadline, rank.2), rank);
         let aged_from = now + self.config.aging_delay(item.urgency);
@@ -283,12 +285,12 @@
         self.items.insert(rank, item);
     }
 
-    fn remove_last(&mut self) -> Option<Item<T>> {
+    fn remove_last(&mut self) -> Option<QueueItem<T>> {
         let rank = *self.items.last_key_value()?.0;
         self.remove(rank)
     }
 
-    fn remove(&mut self, rank: Rank) -> Option<Item<T>> {
+    fn remove(&mut self, rank: Rank) -> Option<QueueItem<T>> {
         let item = self.items.remove(&rank)?;
         self.deadlines.remove(&(item.deadline, rank.2));
         if let Some(aged_from) = self.aged_from.remove(&rank.2) {
@@ -307,8 +309,8 @@
     /// retry time for a refused sender.
     pub fn retry_after(&self, service_rate: ServiceRate) -> Millis {
         service_rate
-            .wait(self.items.len() as u64)
-            .max(service_rate.service())
+            .queue_wait(self.items.len() as u64)
+            .max(service_rate.service_time())
             .max(MIN_RETRY_AFTER)
     }
 }
@@ -318,7 +320,7 @@
 
 impl ServiceRate {
     /// Returns the time until `ahead` items have got a slot.
-    pub fn wait(self, ahead: u64) -> Millis {
+    pub fn queue_wait(self, ahead: u64) -> Millis {
         let slots = u64::from(self.slots.max(1));
         let slot_wait_us = ahead * u64::from(self.service_us) / slots;
         let limit_wait_us = u64::from(self.next_start_us)
@@ -328,12 +330,12 @@
 
     /// Returns the service time that would make the queue as slow as it is if
     /// the slots were its only limit, in microseconds.
-    pub fn effective_us(self) -> u32 {
+    pub fn effective_service_us(self) -> u32 {
         self.service_us.max(self.start_interval_us.saturating_mul(self.slots))
     }
 
     /// Returns the mean time for which an item holds a slot.
-    pub fn service(self) -> Millis {
+    pub fn service_time(self) -> Millis {
         Millis(u64::from(self.service_us) / 1000)
     }
 }
--- a/cowsliproad-admission/src/window.rs
+++ b/cowsliproad-admission/src/window.rs
@@ -10,7 +10,7 @@
 use cowsliproad_kernel::clock::Millis;
 
 /// The granularity with which the window slides.
-const STEP: Millis = Millis(500);
+const STEP_DURATION: Millis = Millis(500);
 
 /// The number of whole steps that the request rate is averaged over.
 const RATE_STEPS: u64 = 4;
@@ -23,18 +23,22 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RetryWindowConfig {
     /// Retries allowed for each request.
-    ratio: f64,
+    retries_per_request: f64,
     /// Further retries allowed within a span, for all entries together.
-    slack: f64,
+    extra_retries: f64,
     /// The length of the sliding window.
     span: Millis,
 }
 
 impl RetryWindowConfig {
-    /// Allows `ratio` retries per request, plus `slack` retries for all
-    /// entries together, within any time of length `span`.
-    pub fn new(ratio: f64, slack: f64, span: Millis) -> RetryWindowConfig {
-        RetryWindowConfig { ratio, slack, span }
+    /// Allows `retries_per_request`, plus `extra_retries` for all entries
+    /// together, within any time of length `span`.
+    pub fn new(
+        retries_per_request: f64,
+        extra_retries: f64,
+        span: Millis,
+    ) -> RetryWindowConfig {
+        RetryWindowConfig { retries_per_request, extra_retries, span }
     }
 }
 
@@ -64,8 +68,10 @@
         self.current_step(now);
         let requests: u32 = self.steps.iter().map(|it| it.1).sum();
         let retries: u32 = self.steps.iter().map(|it| it.2).sum();
-        let slack = self.config.slack / entries.max(1) as f64;
-        let max_retries = self.config.ratio * f64::from(requests) + slack;
+        let entry_extra = self.config.extra_retries / entries.max(1) as f64;
+        let max_retries = self.config.retries_per_request
+            * f64::from(requests)
+            + entry_extra;
         if f64::from(retries) + 1.0 > max_retries * USED_FRACTION {
             return false;
         }
@@ -76,20 +82,21 @@
     /// Returns the number of requests to expect within `span`, extrapolated
     /// from the last [`RATE_STEPS`] whole steps.
     pub fn expected_requests(&self, span: Millis, now: Millis) -> f64 {
-        let index = now.0 / STEP.0;
+        let index = now.0 / STEP_DURATION.0;
         let oldest = index.saturating_sub(RATE_STEPS);
         let is_recent =
             |it: &&(u64, u32, u32)| (oldest..index).contains(&it.0);
         let steps = self.steps.iter().filter(is_recent);
         let requests: u32 = steps.map(|it| it.1).sum();
-        let period_ms = (RATE_STEPS * STEP.0) as f64;
+        let period_ms = (RATE_STEPS * STEP_DURATION.0) as f64;
         f64::from(requests) * span.0 as f64 / period_ms
     }
 
     /// Returns the counters of the current step, and removes expired steps.
     fn current_step(&mut self, now: Millis) -> &mut (u64, u32, u32) {
-        let index = now.0 / STEP.0;
-        let oldest = index.saturating_sub(self.config.span.0 / STEP.0);
+        let index = now.0 / STEP_DURATION.0;
+        let oldest =
+            index.saturating_sub(self.config.span.0 / STEP_DURATION.0);
         while self.steps.front().is_some_and(|it| it.0 < oldest) {
             self.steps.pop_front();
         }
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -430,7 +430,7 @@
             running: self.running,
             slots: speed.slots,
             // Entries go by how fast the queue empties.
-            service_us: speed.effective_us(),
+            service_us: speed.effective_service_us(),
             count: self.count,
         }
     }
--- a/cowsliproad-agent/src/gate/submit.rs
+++ b/cowsliproad-agent/src/gate/submit.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use cowsliproad_admission::{
-    queue::{Item, PushOutcome},
+    queue::{PushOutcome, QueueItem},
     register::SubmitVerdict,
     ticket::{self, Purpose, Ticket},
 };
@@ -149,7 +149,7 @@
         now: Millis,
     ) -> Result<Arc<Work>, Failure> {
         let work = Arc::new(Work::new(submit, now));
-        let item = Item {
+        let item = QueueItem {
             organisation: submit.organisation.clone(),
             weight: submit.share,
             urgency: submit.urgency,
--- a/cowsliproad-agent/src/work.rs
+++ b/cowsliproad-agent/src/work.rs
@@ -98,7 +98,7 @@
 impl Work {
     /// What it is, whatever request it is of.
     pub fn kind(&self) -> quarantine::WorkDigest {
-        quarantine::WorkDigest::submitted(
+        quarantine::WorkDigest::of_submission(
             &self.organisation,
             &self.request_type,
             &self.body,
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -14,7 +14,7 @@
 
 use cowsliproad_admission::{
     quarantine::{CrashId, CrashLedger, WorkDigest as Kind},
-    queue::{Item, Queue, QueueConfig, ServiceRate},
+    queue::{Queue, QueueConfig, QueueItem, ServiceRate},
     register::TicketRegister,
     ticket::{Purpose, Ticket},
 };
@@ -362,7 +362,7 @@
     for length in [16usize, 256, 1_024, 4_000] {
         let config = QueueConfig::new().with_capacity(8_192);
         let mut queue = Queue::new(config);
-        let item = |index: usize| Item {
+        let item = |index: usize| QueueItem {
             organisation: format!("o{}", index % 50).as_str().into(),
             weight: 1,
             urgency: Urgency::Normal,
--- a/cowsliproad-entry/src/quarantine.rs
+++ b/cowsliproad-entry/src/quarantine.rs
@@ -26,8 +26,8 @@
     request_type: &str,
     body: &[u8],
 ) -> WorkDigest {
-    WorkDigest::submitted(organisation, request_type, body)
-        .within(&service.name)
+    WorkDigest::of_submission(organisation, request_type, body)
+        .for_service(&service.name)
 }
 
 /// Takes in what an agent tells.
@@ -36,7 +36,7 @@
     let mut ledger = lock(&shared.quarantine);
     ledger.evict_expired(now);
     for suspect in suspects {
-        let work = WorkDigest(suspect.work).within(&target.service);
+        let work = WorkDigest(suspect.work).for_service(&target.service);
         let suspect = Suspect { work: work.0, ..suspect };
         let change = ledger.merge(&suspect, now);
         if matches!(
--- a/tests/properties/queue.rs
+++ b/tests/properties/queue.rs
@@ -4,7 +4,7 @@
     admission::{
         budget::RetryBudget,
         queue::{
-            AGED_TURN_INTERVAL, Item, PushOutcome, Queue, QueueConfig,
+            AGED_TURN_INTERVAL, PushOutcome, Queue, QueueConfig, QueueItem,
             ServiceRate,
         },
     },
@@ -19,8 +19,12 @@
     next_start_us: 0,
 };
 
-fn item(organisation: &str, urgency: Urgency, deadline: u64) -> Item<u64> {
-    Item {
+fn item(
+    organisation: &str,
+    urgency: Urgency,
+    deadline: u64,
+) -> QueueItem<u64> {
+    QueueItem {
         organisation: organisation.into(),
         weight: 1,
         urgency,
@@ -161,7 +165,7 @@
                 out += 1;
             }
             let name = format!("o{organisation}");
-            let item = Item {
+            let item = QueueItem {
                 work: index as u64,
                 ..item(&name, *urgency, now.0 + deadline)
             };
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -6,7 +6,7 @@
 
 use cowsliproad::{
     admission::{
-        queue::{Item, PushOutcome, Queue, QueueConfig, ServiceRate},
+        queue::{PushOutcome, Queue, QueueConfig, QueueItem, ServiceRate},
         register::TicketRegister,
         ticket::{Purpose, Ticket},
     },
@@ -73,7 +73,7 @@
 
     /// `queue NAME URGENCY deadline=MS`: work arrives at the agent.
     fn arrive(&mut self, name: &str, urgency: &str, deadline: u64) -> String {
-        let item = Item {
+        let item = QueueItem {
             organisation: name.split('-').next().unwrap_or(name).into(),
             weight: 1,
             urgency: match urgency {
