--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -13,9 +13,9 @@
 };
 
 use cowsliproad_admission::{
-    quarantine::{End, Ledger, Work as Kind},
-    queue::{self, Item, Pace, Queue},
-    register::Register,
+    quarantine::{CrashId, CrashLedger, WorkDigest as Kind},
+    queue::{Queue, QueueConfig, QueueItem, ServiceRate},
+    register::TicketRegister,
     ticket::{Purpose, Ticket},
 };
 use cowsliproad_agent::work::Work;
@@ -326,7 +326,7 @@
     let (mut memory, mut time) = (Points::new(), Points::new());
     for count in [20_000u64, 50_000, 100_000, 200_000] {
         let before = meter::memory();
-        let mut register = Register::new(count as usize);
+        let mut register = TicketRegister::new(count as usize);
         let start = Instant::now();
         for request in 0..count {
             let ticket = Ticket {
@@ -352,14 +352,19 @@
 
 /// Time of putting one item into a queue of a length and taking one out.
 fn queue_choice(figures: &mut Value) {
-    let pace = Pace { slots: 16, service_us: 1, gap_us: 0, next_us: 0 };
+    let pace = ServiceRate {
+        slots: 16,
+        service_us: 1,
+        start_interval_us: 0,
+        next_start_us: 0,
+    };
     let mut points = Points::new();
     for length in [16usize, 256, 1_024, 4_000] {
-        let config = queue::Config::new().with_capacity(8_192);
+        let config = QueueConfig::new().with_capacity(8_192);
         let mut queue = Queue::new(config);
-        let item = |index: usize| Item {
+        let item = |index: usize| QueueItem {
             organisation: format!("o{}", index % 50).as_str().into(),
-            share: 1,
+            weight: 1,
             urgency: Urgency::Normal,
             deadline: Millis(1_000_000),
             work: index,
@@ -420,12 +425,12 @@
     let (mut suspected, mut learn) = (Points::new(), Points::new());
     for count in [512_u64, 1_024, 2_048, 4_096] {
         let before = meter::memory();
-        let mut ledgers: Vec<Ledger> =
-            (0..LEDGERS).map(|_| Ledger::new()).collect();
+        let mut ledgers: Vec<CrashLedger> =
+            (0..LEDGERS).map(|_| CrashLedger::new()).collect();
         let start = Instant::now();
         for ledger in &mut ledgers {
             for work in 0..count {
-                ledger.ended(Kind(work), End(work / 50), now);
+                ledger.record_crash(Kind(work), CrashId(work / 50), now);
             }
         }
         let taken = start.elapsed().as_nanos() as f64 / 1e3;
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 
 use cowsliproad_admission::{
-    patience::{Admission, Asked, CallerTry},
-    quarantine::Verdict,
+    patience::{Admission, CallerTry, PendingStream},
+    quarantine::QuarantineVerdict,
 };
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_routing::fleet::Target;
@@ -52,11 +52,11 @@
             let now = Millis::now();
             let verdict = entry.quarantine.borrow_mut().admit(self.work, now);
             match verdict {
-                Verdict::Free => {}
-                Verdict::Refused(after) => {
+                QuarantineVerdict::Allowed => {}
+                QuarantineVerdict::Refused(after) => {
                     return Err(self.reject_with(entry, Reason::Poison(after)));
                 }
-                Verdict::Suspended(after) => {
+                QuarantineVerdict::Suspended(after) => {
                     let reason = Reason::Suspended(after);
                     return Err(self.reject_with(entry, reason));
                 }
@@ -165,7 +165,8 @@
         mut choice: Choice,
         patience: Millis,
     ) -> Result<Option<Choice>, Response<Body>> {
-        if let Admission::Later(after) = self.start(entry, Millis::now()) {
+        if let Admission::RetryAfter(after) = self.start(entry, Millis::now())
+        {
             return Err(self.reject_with(entry, Reason::TooLate(after)));
         }
         if !limits::permit(entry, &mut choice, patience).await {
@@ -189,7 +190,8 @@
 
     /// Whether a stream that nothing has run of is still worth its start.
     fn start(&self, entry: &Entry, now: Millis) -> Admission {
-        let (Some(silence), Some(aim)) = (self.route.silence, self.route.aim)
+        let (Some(silence_timeout), Some(first_event_aim)) =
+            (self.route.silence, self.route.aim)
         else {
             return Admission::Now;
         };
@@ -197,9 +199,15 @@
             return Admission::Now;
         }
         let Call { arrived, caller_try, .. } = *self;
-        let left = self.left();
-        let asked = Asked { arrived, silence, aim, left, caller_try };
-        asked.start(now, entry.draw())
+        let time_left = self.left();
+        let stream = PendingStream {
+            arrived,
+            silence_timeout,
+            first_event_aim,
+            time_left,
+            caller_try,
+        };
+        stream.decide(now, entry.draw())
     }
 
     /// How long the request may wait for a target to be usable. A caller of a
@@ -275,7 +283,7 @@
             "target" => &*choice.target.id, "route" => &*self.route.name,
             "cost" => choice.cost as u64, "at_target" => endpoint.record.occupancy(now),
             "own" => endpoint.record.in_flight(), "report_age" => age,
-            "limit" => choice.limit.map(|it| it.a_second()),
+            "limit" => choice.limit.map(|it| it.per_second()),
             "limit_age" => report.map(|it| it.age.0),
             "denied" => self.denied,
             "left" => self.left().0, "try" => self.tries + 1);
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -98,8 +98,9 @@
         let slots = usable.iter().map(|it| it.target.slots).max()?;
         let step = self.usual.in_step() / f64::from(slots);
         let place = pick::spread(&costs, step, self.unseen, draw)?;
-        let binds =
-            |it: &Choice| it.limit.is_some_and(|it| it.a_second() < self.part);
+        let binds = |it: &Choice| {
+            it.limit.is_some_and(|it| it.per_second() < self.part)
+        };
         let scarce =
             usable.iter().filter(|it| binds(it) && it.cost <= costs[place]);
         let scarce = scarce.min_by(|a, b| a.cost.total_cmp(&b.cost));
@@ -242,7 +243,7 @@
         let entries = self.peers.borrow().entries() as f64;
         let budgets = self.budgets.borrow();
         let usual = budgets.get(service);
-        let usual = usual.map_or(0.0, |it| it.usual(SECOND, now));
+        let usual = usual.map_or(0.0, |it| it.expected_requests(SECOND, now));
         usual * entries / targets.max(1) as f64
     }
 
@@ -254,7 +255,8 @@
         let sent: u32 = records.iter().map(Record::unreported).sum();
         let budgets = self.budgets.borrow();
         let usual = budgets.get(service);
-        let usual = usual.map_or(0.0, |it| it.usual(UNSEEN_INTERVAL, now));
+        let usual =
+            usual.map_or(0.0, |it| it.expected_requests(UNSEEN_INTERVAL, now));
         usual.max(f64::from(sent)) * others
     }
 
--- a/cowsliproad-entry/src/forward/failure.rs
+++ b/cowsliproad-entry/src/forward/failure.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, atomic::Ordering};
 
-use cowsliproad_admission::{patience, quarantine::Verdict};
+use cowsliproad_admission::{patience, quarantine::QuarantineVerdict};
 use cowsliproad_kernel::{
     clock::Millis,
     code::{Code, Ran},
@@ -94,8 +94,9 @@
             return failure;
         }
         let after = match quarantine::verdict(&self.shared, order) {
-            Verdict::Refused(after) | Verdict::Suspended(after) => after,
-            Verdict::Free => ASK_AGAIN,
+            QuarantineVerdict::Refused(after)
+            | QuarantineVerdict::Suspended(after) => after,
+            QuarantineVerdict::Allowed => ASK_AGAIN,
         };
         quarantine::refusal(&self.shared, order, failure.ran, after)
     }
@@ -125,7 +126,7 @@
             return true;
         }
         let budget = &order.service.budget;
-        lock(budget).spend()
+        lock(budget).try_spend()
     }
 
     /// What was given out belongs to an attempt that will not be finished.
@@ -138,7 +139,7 @@
 
     pub(super) fn fail(&mut self, mut failure: Failure) {
         if failure.code == Code::Overloaded {
-            let spread = |it| patience::spread_return(it, rand::random());
+            let spread = |it| patience::jittered_retry(it, rand::random());
             failure.retry_after = failure.retry_after.map(spread);
         }
         self.finished = true;
@@ -152,7 +153,7 @@
     pub(super) fn earn(&self) {
         if let Task::Work(order) = &self.task {
             let budget = &order.service.budget;
-            lock(budget).earn();
+            lock(budget).record_success();
             quarantine::outlived(&self.shared, order);
         }
     }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -6,8 +6,8 @@
 
 use cowsliproad::{
     admission::{
-        queue::{Config, Item, Outcome, Pace, Queue},
-        register::Register,
+        queue::{PushOutcome, Queue, QueueConfig, QueueItem, ServiceRate},
+        register::TicketRegister,
         ticket::{Purpose, Ticket},
     },
     config::{
@@ -21,13 +21,17 @@
 use goldenscript::{Command, Context, Runner};
 
 /// How fast the scripted target works.
-const PACE: Pace =
-    Pace { slots: 1, service_us: 100_000, gap_us: 0, next_us: 0 };
+const PACE: ServiceRate = ServiceRate {
+    slots: 1,
+    service_us: 100_000,
+    start_interval_us: 0,
+    next_start_us: 0,
+};
 
 /// Everything that a script can touch.
 struct World {
     now: Millis,
-    agent: Register,
+    agent: TicketRegister,
     tickets: BTreeMap<String, Ticket>,
     queue: Queue<String>,
     log: Vec<Vec<u8>>,
@@ -41,9 +45,9 @@
         let member = |rank| Member::new(rank, 3, Generation(1), Version(0));
         World {
             now: Millis(0),
-            agent: Register::new(100),
+            agent: TicketRegister::new(100),
             tickets: BTreeMap::new(),
-            queue: Queue::new(Config::new()),
+            queue: Queue::new(QueueConfig::new()),
             log: Vec::new(),
             replicas: BTreeMap::new(),
             group: (0..3).map(member).collect(),
@@ -61,7 +65,7 @@
             target: "access-1".into(),
             incarnation: id::Incarnation(1),
             request: id::Request(self.tickets.len() as u64),
-            expiry: self.now + cowsliproad::admission::register::LIFETIME,
+            expiry: self.now + cowsliproad::admission::register::TICKET_TTL,
         };
         self.tickets.insert(name.into(), ticket);
         String::new()
@@ -69,9 +73,9 @@
 
     /// `queue NAME URGENCY deadline=MS`: work arrives at the agent.
     fn arrive(&mut self, name: &str, urgency: &str, deadline: u64) -> String {
-        let item = Item {
+        let item = QueueItem {
             organisation: name.split('-').next().unwrap_or(name).into(),
-            share: 1,
+            weight: 1,
             urgency: match urgency {
                 "urgent" => Urgency::Urgent,
                 "normal" => Urgency::Normal,
@@ -81,9 +85,13 @@
             work: name.into(),
         };
         match self.queue.push(item, PACE, self.now) {
-            Outcome::Queued => "waits".into(),
-            Outcome::Displaced(it, _) => format!("waits, {} shed", it.work),
-            Outcome::Refused(_, wait) => format!("refused, back in {wait}"),
+            PushOutcome::Queued => "waits".into(),
+            PushOutcome::Displaced(it, _) => {
+                format!("waits, {} shed", it.work)
+            }
+            PushOutcome::Refused(_, wait) => {
+                format!("refused, back in {wait}")
+            }
         }
     }
 
@@ -168,7 +176,7 @@
                 let ticket = self.tickets.get(name).ok_or("no ticket")?;
                 let verdict = match command.name.as_str() {
                     "submit" => self.agent.submit(ticket, self.now),
-                    _ => self.agent.burn(ticket, self.now),
+                    _ => self.agent.refuse(ticket, self.now),
                 };
                 format!("{verdict:?}")
             }
@@ -186,7 +194,7 @@
                 Some(item) => item.work,
                 None => "nothing".into(),
             },
-            "lapse" => match self.queue.lapsed(PACE, self.now) {
+            "lapse" => match self.queue.remove_expired(PACE, self.now) {
                 Some(item) => format!("{} not run", item.work),
                 None => "nothing".into(),
             },
