--- a/cowsliproad-kernel/src/clock.rs
+++ b/cowsliproad-kernel/src/clock.rs
@@ -1,9 +1,10 @@
 //! Time in whole milliseconds.
 //!
-//! Decisions take the time as an argument and never read a clock, so one
-//! [`Millis`] type serves the programs, the scenarios and the bench. A
-//! [`Millis`] counts from the start of the process that read it. Two
-//! processes never compare absolute values, only spans.
+//! Functions that make decisions take the current time as an argument and
+//! never read a clock, so programs, test scenarios and the bench can all use
+//! the [`Millis`] type. As a point in time, a [`Millis`] counts from about
+//! the start of the process that read the clock. Processes therefore never
+//! exchange points in time for comparison, only time spans.
 
 use std::{
     ops::{Add, Sub},
@@ -13,7 +14,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time, or a span, in milliseconds.
+/// A point in time or a time span, in milliseconds.
 #[derive(
     Clone,
     Copy,
@@ -31,17 +32,18 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// The process's monotonic time.
+    /// Reads the monotonic clock of this process.
     pub fn now() -> Millis {
-        Millis(start().elapsed().as_millis() as u64)
+        Millis(process_start().elapsed().as_millis() as u64)
     }
 
-    /// The span from `earlier` to `self`, zero when `earlier` is later.
+    /// Returns the time span from `earlier` to `self`, or zero if `earlier`
+    /// is the later time.
     pub fn since(self, earlier: Millis) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// The span as the standard library's duration.
+    /// Converts a time span to the standard library's type.
     pub fn duration(self) -> std::time::Duration {
         std::time::Duration::from_millis(self.0)
     }
@@ -69,7 +71,7 @@
     }
 }
 
-fn start() -> Instant {
+fn process_start() -> Instant {
     static START: OnceLock<Instant> = OnceLock::new();
     *START.get_or_init(Instant::now)
 }
--- a/cowsliproad-kernel/src/code.rs
+++ b/cowsliproad-kernel/src/code.rs
@@ -1,27 +1,29 @@
 //! The numbered result codes that callers, operators and logs see.
 //!
-//! The thousands tell who has to act: 1 the caller, 2 nobody (come back
-//! later), 3 the caller after looking at the outcome, 4 the operator. The
-//! table in `docs/RESULT_CODES.md` is compared with this list by a test.
+//! The thousands digit says who has to act: 1 the caller, 2 nobody (retry
+//! later), 3 the caller once it has checked the outcome, 4 the operator. A
+//! test compares the table in `docs/RESULT_CODES.md` with this list.
 
 use serde::{Deserialize, Serialize};
 
-/// What is known about whether the refused work ran.
+/// Whether a request ran, as far as the entry knows.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Ran {
-    /// It ran and the answer is complete.
+    /// The request ran and its answer is complete.
     Ran,
-    /// It did not run and never will under this request or ticket.
+    /// The request did not run, and will never run under this request
+    /// identifier or ticket.
     NotRun,
-    /// This attempt did not leave the entry. Earlier ones may have run.
+    /// The entry did not forward this attempt. Earlier attempts of the same
+    /// request may have run.
     NotForwarded,
-    /// It may have run.
+    /// The request may have run.
     OutcomeUnknown,
 }
 
 impl Ran {
-    /// The word callers see.
+    /// Returns the value that callers see.
     pub fn as_str(self) -> &'static str {
         match self {
             Ran::Ran => "RAN",
@@ -34,7 +36,7 @@
 
 macro_rules! codes {
     ($($name:ident = $number:literal $status:literal $text:literal,)*) => {
-        /// A numbered result.
+        /// A numbered result code.
         #[derive(
             Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize,
         )]
@@ -44,24 +46,24 @@
         }
 
         impl Code {
-            /// Every code, in the order of the numbers.
+            /// All result codes, ordered by number.
             pub const ALL: &'static [Code] = &[$(Code::$name,)*];
 
-            /// The code's name.
+            /// Returns the name of the result code.
             pub fn name(self) -> &'static str {
                 match self {
                     $(Code::$name => stringify!($name),)*
                 }
             }
 
-            /// The HTTP status that carries it.
+            /// Returns the HTTP status of responses with this result code.
             pub fn status(self) -> u16 {
                 match self {
                     $(Code::$name => $status,)*
                 }
             }
 
-            /// What it means and what to do, for a person.
+            /// Returns a text for people: the cause and what to do.
             pub fn text(self) -> &'static str {
                 match self {
                     $(Code::$name => $text,)*
@@ -129,7 +131,7 @@
 }
 
 impl Code {
-    /// The code's number.
+    /// Returns the number of the result code.
     pub fn number(self) -> u16 {
         self as u16
     }
--- a/cowsliproad-kernel/src/gossip.rs
+++ b/cowsliproad-kernel/src/gossip.rs
@@ -1,9 +1,10 @@
-//! The datagrams between entries and agents that stand beside targets.
+//! Gossip datagrams between entries, and between entries and the agents on
+//! the VMs of targets.
 //!
-//! What they carry is repeated or corrected within a second, so a lost one
-//! costs little, a peer that is gone costs nothing, and no connection can
-//! fall silent. Each is one CBOR value. What must arrive whole and is large,
-//! the configuration, goes over HTTP between entries.
+//! Datagrams are repeated or corrected within a second, so a lost datagram
+//! costs little and a stopped peer costs nothing, and there is no connection
+//! that can hang. Each datagram is one CBOR value. The configuration is large
+//! and must arrive complete, so entries fetch it from one another over HTTP.
 
 use std::{
     collections::BTreeMap,
@@ -16,7 +17,8 @@
 
 use crate::{Name, clock::Millis, position::Era};
 
-/// Encodes a message. All of ours encode.
+/// Encodes a message as CBOR. Every message type of this project can be
+/// encoded.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     let mut bytes = Vec::new();
     let encoded = ciborium::into_writer(message, &mut bytes);
@@ -24,138 +26,146 @@
     bytes
 }
 
-/// Decodes a message; `None` for anything that is none.
+/// Decodes a message from CBOR; returns `None` for invalid bytes.
 pub fn decode<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Option<T> {
     ciborium::from_reader(bytes).ok()
 }
 
-/// A number for a list of engines, never 0. Lists are told once and named
-/// from then on: 72 engines to 72 agents from 31 entries each second were
-/// nearly all bytes that went between availability zones.
+/// Returns an identifier for a list of targets, which is never 0. An agent
+/// receives each list once, and later messages carry only its identifier:
+/// sending the lists of 72 engines to 72 agents from 31 entries every second
+/// made up nearly all traffic between availability zones.
 pub fn list_of(targets: &[SocketAddr]) -> u64 {
     let mut hasher = DefaultHasher::new();
     targets.hash(&mut hasher);
     hasher.finish().max(1)
 }
 
-/// The largest datagram that is read.
+/// The largest datagram that is received.
 pub const MAX_BYTES: usize = 60_000;
 
-/// What entries take.
+/// A datagram that an entry can receive.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Datagram {
-    /// From another entry.
+    /// State that another entry broadcasts.
     #[serde(rename = "d")]
     Digest(Digest),
-    /// From an agent.
+    /// The load report of an engine, sent by its agent.
     #[serde(rename = "l")]
     Load(Load),
-    /// From an agent whose engine's process is gone.
+    /// The report of an agent that its engine's process is gone.
     #[serde(rename = "x")]
     Lost(Lost),
-    /// From an entry that has a request for a target with a limit.
+    /// The request of an entry for a permit to send to a rate-limited target.
     #[serde(rename = "p")]
     Ask(Ask),
-    /// The answer to that.
+    /// The reply to a request for a permit.
     #[serde(rename = "r")]
     Reply(Reply),
 }
 
-/// A message between entries.
+/// The gossip message that entries broadcast to one another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Digest {
-    /// The sender's VM.
+    /// The name of the sender's VM.
     #[serde(rename = "v")]
     pub vm: Name,
-    /// Where the sender takes datagrams and calls of other entries.
+    /// The address at which the sender receives datagrams and HTTP requests
+    /// from other entries.
     #[serde(rename = "a")]
     pub address: SocketAddr,
-    /// The version of the configuration that it uses; 0 for none.
+    /// The version of the configuration that the sender uses; 0 for none.
     #[serde(rename = "c")]
     pub version: u64,
-    /// The newest era of the platform's log that the sender knows of.
+    /// The highest era of the platform's log that the sender has observed.
     #[serde(rename = "y", default)]
     pub era: Era,
-    /// How long ago the targets were last read in that era, by the sender or
-    /// by an entry that it heard of; in milliseconds.
+    /// The time since the targets were last read from the log in that era, by
+    /// the sender or by an entry whose digests reached it, in milliseconds.
     #[serde(rename = "r")]
     pub read_ms: u64,
-    /// The offset of the last change of the targets in that era that the
-    /// sender knows of.
+    /// The highest log offset in that era at which the sender knows that the
+    /// targets changed.
     #[serde(rename = "n")]
     pub changed: u64,
-    /// Targets that it saw leave for good in the last seconds, and when they
-    /// had started.
+    /// Targets that the sender recently saw leave for good, each with its
+    /// start time as a Unix millisecond.
     #[serde(rename = "l")]
     pub left: Vec<(Name, u64)>,
-    /// Those whose entries went, when they had started, and the number of
-    /// their last announcement.
+    /// Targets whose announcements recently expired or were deleted in the
+    /// log, each with its start time as a Unix millisecond and the sequence
+    /// number of its last announcement.
     #[serde(rename = "w")]
     pub withdrawn: Vec<(Name, u64, u64)>,
-    /// Other entries that it heard from lately.
+    /// Other entries whose digests recently reached the sender.
     #[serde(rename = "p")]
     pub peers: Vec<SocketAddr>,
     /// The sender's availability zone.
     #[serde(rename = "z", default = "nowhere")]
     pub zone: Name,
-    /// Work that targets ended under: what is refused, and news.
+    /// Quarantined requests, and recent changes to what the sender knows about
+    /// crash-inducing requests.
     #[serde(rename = "q", default, skip_serializing_if = "Suspects::is_none")]
     pub suspects: Suspects,
-    /// Ends of targets that were none.
+    /// Identifiers of reported target crashes that turned out to be false.
     #[serde(rename = "b", default, skip_serializing_if = "Vec::is_empty")]
     pub lives: Vec<u64>,
-    /// Limits that targets named, and that they lately ceased to name.
+    /// Rate limits of targets, including limits that were recently lifted.
     #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
     pub limits: Vec<Limit>,
 }
 
-/// What a target was last heard to say of how much it takes.
+/// The rate limit that a target last stated.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Limit {
-    /// The target.
+    /// The name of the target.
     #[serde(rename = "t")]
     pub target: Name,
-    /// When it had started, as a Unix millisecond; 0 where it doesn't say.
+    /// When the target started, as a Unix millisecond; 0 if the target doesn't
+    /// report its start time.
     #[serde(rename = "b", default)]
     pub start: u64,
-    /// Requests a second from all VMs together, if it names a limit.
+    /// The limit in requests per second from all VMs together; `None` if the
+    /// target states no limit.
     #[serde(rename = "r")]
     pub rate: Option<f64>,
-    /// How long ago that counted from, in milliseconds.
+    /// For how long the limit has been in force, in milliseconds.
     #[serde(rename = "i")]
     pub age: Millis,
 }
 
-/// May a request be sent to a target that names a limit?
+/// Asks another entry for a permit to send a request to a rate-limited target.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Ask {
-    /// Names the question in the answer.
+    /// Identifies the permit request; the reply repeats the same number.
     #[serde(rename = "n")]
     pub number: u64,
-    /// The target, and its limit as whoever asks knows it.
+    /// The target, with its limit as the asking entry knows it.
     #[serde(rename = "l")]
     pub limit: Limit,
-    /// How long the request can wait, in milliseconds.
+    /// How long the caller's request can wait for the permit, in milliseconds.
     #[serde(rename = "w")]
     pub patience: Millis,
-    /// How often the question may be passed on.
+    /// How many more times the permit request may be forwarded to another
+    /// entry.
     #[serde(rename = "h")]
     pub relays: u8,
 }
 
-/// An answer to [`Ask`].
+/// The reply to a request for a permit.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Reply {
-    /// The question that this answers.
+    /// Identifies the permit request that this is the reply to.
     #[serde(rename = "n")]
     pub number: u64,
-    /// The target, and its limit as whoever answers knows it.
+    /// The target, with its limit as the replying entry knows it.
     #[serde(rename = "l")]
     pub limit: Limit,
-    /// Whether there is a place.
+    /// Whether the permit is granted.
     #[serde(rename = "g")]
     pub given: bool,
-    /// When it may be used, or when one may be free; in milliseconds.
+    /// The wait in milliseconds until a granted permit may be used, or until a
+    /// rejected permit request may be retried.
     #[serde(rename = "w")]
     pub after: Millis,
 }
@@ -164,97 +174,106 @@
     "".into()
 }
 
-/// Work that targets ended under.
+/// A request that is suspected of crashing the targets that run it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Suspect {
-    /// What the work is: a digest of who asks, the path and the body.
+    /// Identifies the request's content: a digest of the sender, the path and
+    /// the body.
     #[serde(rename = "w")]
     pub work: u64,
-    /// The targets that this is held against, each as a digest of its name and
-    /// its start.
+    /// Target crashes attributed to the request, each identified by a digest
+    /// of the target's name and start time.
     #[serde(rename = "e")]
     pub ends: Vec<u64>,
-    /// Those of them that were before some target outlived it.
+    /// Crashes that no longer count against the request, because some target
+    /// completed it after they happened.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
     pub excused: Vec<u64>,
-    /// Whether some target is known to have outlived it.
+    /// Whether some target is known to have completed the request without a
+    /// crash.
     #[serde(rename = "s")]
     pub proven: bool,
-    /// How long ago it came last, in milliseconds.
+    /// The time since the request was last received from a caller, in
+    /// milliseconds.
     #[serde(rename = "i")]
     pub idle: Millis,
-    /// For how long it has been refused, in milliseconds, if it is.
+    /// For how long the request has been rejected, in milliseconds; `None` if
+    /// it is accepted.
     #[serde(rename = "r")]
     pub refused: Option<Millis>,
-    /// For how long it is suspended, in milliseconds, if it is.
+    /// How much longer the request is suspended, in milliseconds; `None` if it
+    /// isn't.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     pub suspended: Option<Millis>,
 }
 
-/// An entry's word to an agent: report to me.
+/// Asks an agent to send load reports to the entry that sends this.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Subscribe {
-    /// The engines of the service, each with an agent on its VM; empty for
-    /// an agent that has said that it knows them.
+    /// The engines of the service, each with an agent on its VM. Empty if the
+    /// agent has reported that it has this list.
     #[serde(rename = "t")]
     pub targets: Vec<SocketAddr>,
-    /// Which list of engines is meant; see [`list_of`].
+    /// The identifier of the list of engines; see [`list_of`].
     #[serde(rename = "l")]
     pub list: u64,
-    /// Sets of layers with an expert map of their own.
+    /// The number of sets of layers that have their own expert map.
     #[serde(rename = "s")]
     pub sets: u16,
-    /// Experts in each set.
+    /// The number of experts in each set of layers.
     #[serde(rename = "e")]
     pub experts: u16,
-    /// Experts that a rank holds in each set.
+    /// The number of expert slots on each rank in each set of layers.
     #[serde(rename = "p")]
     pub places: u16,
-    /// Experts that may be new to a rank in one map, in each set.
+    /// The number of experts in each set of layers that one map change may add
+    /// to a rank.
     #[serde(rename = "n")]
     pub spare: u16,
-    /// The time in which a rank copies an expert, in milliseconds.
+    /// How long a rank takes to copy an expert, in milliseconds.
     #[serde(rename = "c")]
     pub copy_ms: u64,
-    /// The newest era of the platform's log that the sender knows of.
+    /// The highest era of the platform's log that the sender has observed.
     #[serde(rename = "y", default)]
     pub era: Era,
 }
 
-/// An agent's word to entries: how its engine stands.
+/// An agent's report to entries on the state of its engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Load {
-    /// Where the engine listens.
+    /// The address at which the engine listens.
     #[serde(rename = "a")]
     pub target: SocketAddr,
-    /// Requests in its batch.
+    /// The number of requests in the engine's current batch.
     #[serde(rename = "r")]
     pub running: u32,
-    /// Requests that wait.
+    /// The number of requests that wait in the engine's queue.
     #[serde(rename = "q")]
     pub queued: u32,
-    /// How long its work takes, in percent of the usual.
+    /// How long the engine takes for its work, in percent of the usual time.
     #[serde(rename = "p")]
     pub pace: u32,
-    /// Its group.
+    /// The name of the engine's group.
     #[serde(rename = "g")]
     pub group: Name,
-    /// The formation of its group.
+    /// The number of the group's current formation.
     #[serde(rename = "e")]
     pub epoch: u64,
-    /// The last pass that was begun.
+    /// The number of the last forward pass that the engine began.
     #[serde(rename = "s")]
     pub step: u64,
-    /// Whether its group takes requests.
+    /// Whether the engine's group accepts requests.
     #[serde(rename = "o")]
     pub open: bool,
-    /// The list of engines that the agent knows; 0 for none.
+    /// The identifier of the list of engines that the agent has; 0 for none.
     #[serde(rename = "l")]
     pub list: u64,
-    /// When the engine started, as a Unix millisecond; 0 where it doesn't say.
+    /// When the engine started, as a Unix millisecond; 0 if the engine doesn't
+    /// report its start time.
     #[serde(rename = "b", default)]
     pub start: u64,
-    /// Whether it is leaving, by its last answer to the agent.
+    /// Whether the engine is draining, according to its last reply to the
+    /// agent.
     #[serde(rename = "x", default, skip_serializing_if = "is_false")]
     pub leaving: bool,
 }
@@ -263,28 +282,30 @@
     !value
 }
 
-/// Many pieces of work that targets ended under. Mostly one target ended
-/// under all that it ran, and those take 8 bytes each instead of some 35.
+/// Suspected requests, encoded compactly. Most often one target crashed while
+/// it ran many requests and nothing else is known of these: each such request
+/// takes 8 bytes instead of about 35.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Suspects {
-    /// Work under which one target ended, by that end.
+    /// Requests to which one crash is attributed, as concatenated digests
+    /// keyed by the identifier of the crash.
     #[serde(rename = "o")]
     once: Vec<(u64, ByteBuf)>,
-    /// What more is known of.
+    /// All other suspected requests.
     #[serde(rename = "m")]
     more: Vec<Suspect>,
 }
 
-/// The bytes that one piece of work takes.
+/// The encoded size of the digest that identifies a request.
 const WORK_BYTES: usize = 8;
 
-/// Whether all that is known of it is that one target ended under it.
+/// Whether nothing is known of a request but the crashes attributed to it.
 fn is_plain(suspect: &Suspect) -> bool {
     !suspect.proven && suspect.refused.is_none() && suspect.suspended.is_none()
 }
 
 impl Suspects {
-    /// Packs them.
+    /// Encodes suspected requests compactly.
     pub fn pack(suspects: Vec<Suspect>) -> Suspects {
         let mut once: BTreeMap<u64, ByteBuf> = BTreeMap::new();
         let mut more = Vec::new();
@@ -300,13 +321,13 @@
         Suspects { once: once.into_iter().collect(), more }
     }
 
-    /// Whether there are none.
+    /// Whether there are no suspected requests.
     pub fn is_none(&self) -> bool {
         self.once.is_empty() && self.more.is_empty()
     }
 
-    /// Unpacks them. Those that were packed closely count as seen just now:
-    /// they are told for some seconds only.
+    /// Decodes the suspected requests. A compactly encoded request counts as
+    /// received just now, because it is broadcast for only a few seconds.
     pub fn unpack(&self) -> impl Iterator<Item = Suspect> {
         let once = self.once.iter().flat_map(|(end, works)| {
             works.chunks_exact(WORK_BYTES).map(|work| Suspect {
@@ -325,14 +346,16 @@
     }
 }
 
-/// An agent's word to entries: its engine's process is gone. Nobody listens
-/// on the VM that the agent itself runs on, so no cut is taken for an end.
+/// An agent's report to entries that its engine's process is gone. The agent
+/// runs on the same VM and reports this only when no process listens on the
+/// engine's port, so a network failure is not mistaken for a crash.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Lost {
-    /// Where the engine listened.
+    /// The address at which the engine listened.
     #[serde(rename = "a")]
     pub target: SocketAddr,
-    /// When it had started, as a Unix millisecond; 0 where it didn't say.
+    /// When the engine had started, as a Unix millisecond; 0 if the engine
+    /// didn't report its start time.
     #[serde(rename = "b")]
     pub start: u64,
 }
--- a/cowsliproad-kernel/src/lib.rs
+++ b/cowsliproad-kernel/src/lib.rs
@@ -1,9 +1,9 @@
-//! What every cowsliproad program shares: time, names, result codes,
-//! settings, logs, the plug-in registry and the messages on the links.
+//! Code that all cowsliproad programs share: time, names, result codes,
+//! settings, logs, the plug-in registry and the messages between processes.
 //!
-//! Nothing here performs network I/O or keeps a decision. The decision crates
-//! depend on this crate alone, so that tests and the bench can drive them
-//! under a manual clock.
+//! This crate performs no network I/O and makes no decisions. The crates that
+//! decide (such as routing and admission) depend on no other crate of the
+//! workspace, so tests and the bench can run them with a simulated clock.
 
 #![forbid(unsafe_code)]
 
@@ -19,5 +19,5 @@
 pub mod sync;
 pub mod wire;
 
-/// A shared immutable name of an organisation, service, target or VM.
+/// The name of an organisation, service, target or VM; cheap to clone.
 pub type Name = std::sync::Arc<str>;
--- a/cowsliproad-kernel/src/log.rs
+++ b/cowsliproad-kernel/src/log.rs
@@ -1,48 +1,53 @@
-//! Structured logs: one `key=value` line for each event.
+//! Structured logs: one line of `key=value` pairs for each event.
 //!
-//! Lines go to standard output through a bounded asynchronous drain. When the
-//! drain is full, lines are dropped and counted rather than holding up
-//! traffic.
+//! A background thread writes the lines to standard output from a bounded
+//! queue. If the queue is full, lines are dropped and counted, so that logging
+//! never blocks request processing.
 
 use serde::{Deserialize, Serialize};
 use slog::{Drain, Logger, o};
 
-/// Lines that may wait for the writer.
-const CHANNEL_LINES: usize = 4096;
+/// The capacity of the queue to the thread that writes log lines.
+const MAX_QUEUED_LINES: usize = 4096;
 
-/// How much is logged.
+/// The log level.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
-    /// Nothing at all.
+    /// Log nothing.
     Off,
-    /// Faults that need a person.
+    /// Log faults that an operator has to look into.
     Error,
-    /// What an operator wants to see.
+    /// Also log normal operational events.
     #[default]
     Info,
-    /// One line for each routing decision as well.
+    /// Also log every routing decision.
     Debug,
 }
 
-/// Makes the logger of a program called `program` on VM `vm`.
+/// Creates a logger whose lines name the program and the VM.
 pub fn logger(program: &'static str, vm: &str, level: Level) -> Logger {
     let keys = o!("program" => program, "vm" => vm.to_string());
-    let Some(least) = least(level) else {
+    let Some(min_level) = min_level(level) else {
         return Logger::root(slog::Discard, keys);
     };
     let stdout = std::io::LineWriter::new(std::io::stdout());
-    let lines =
-        slog_logfmt::Logfmt::new(stdout).set_prefix(prefix).build().fuse();
-    let lines =
-        slog_async::Async::new(lines).chan_size(CHANNEL_LINES).build().fuse();
-    Logger::root(slog::LevelFilter::new(lines, least).fuse(), keys)
+    let lines = slog_logfmt::Logfmt::new(stdout)
+        .set_prefix(write_prefix)
+        .build()
+        .fuse();
+    let lines = slog_async::Async::new(lines)
+        .chan_size(MAX_QUEUED_LINES)
+        .build()
+        .fuse();
+    Logger::root(slog::LevelFilter::new(lines, min_level).fuse(), keys)
 }
 
-/// Starts a line with its level and event, as pairs like the rest.
-fn prefix(
+/// Writes the level and the event at the start of a line, as `key=value`
+/// pairs.
+fn write_prefix(
     line: &mut dyn std::io::Write,
     record: &slog::Record,
 ) -> slog::Result {
@@ -51,7 +56,7 @@
     Ok(())
 }
 
-fn least(level: Level) -> Option<slog::Level> {
+fn min_level(level: Level) -> Option<slog::Level> {
     match level {
         Level::Off => None,
         Level::Error => Some(slog::Level::Error),
--- a/cowsliproad-kernel/src/plugin.rs
+++ b/cowsliproad-kernel/src/plugin.rs
@@ -1,28 +1,28 @@
-//! The registry of plug-ins that register themselves.
+//! A registry of plug-ins that register themselves.
 //!
-//! A crate defines a plug-in type, collects it with [`inventory::collect!`],
-//! and each plug-in submits itself with [`inventory::submit!`] where it is
-//! defined. The program that links it finds it by name. A plug-in carries a
-//! plain function pointer to a monomorphic entry point, so nothing on the
-//! request path is dispatched dynamically.
+//! A crate defines a type of plug-in and declares it with
+//! [`inventory::collect!`]. Each plug-in registers itself with
+//! [`inventory::submit!`] where it is defined, and a program that links the
+//! plug-in can look it up by name. A plug-in holds a function pointer to a
+//! monomorphic entry point, so the request path needs no dynamic dispatch.
 
 pub use inventory;
 
-/// A type of plug-in.
+/// A type of plug-in that can be looked up by name.
 pub trait Plugin: inventory::Collect {
-    /// The name that a plug-in is chosen by.
+    /// Returns the name by which settings or flags select the plug-in.
     fn name(&self) -> &'static str;
 
-    /// One line for help texts.
+    /// Returns a one-line description for help texts.
     fn about(&self) -> &'static str;
 }
 
-/// Finds the plug-in with the given name.
+/// Returns the plug-in with the given name.
 pub fn find<P: Plugin>(name: &str) -> Option<&'static P> {
     all::<P>().into_iter().find(|plugin| plugin.name() == name)
 }
 
-/// Lists the plug-ins of one type, ordered by name.
+/// Returns all plug-ins of one type, sorted by name.
 pub fn all<P: Plugin>() -> Vec<&'static P> {
     let mut found: Vec<_> = inventory::iter::<P>.into_iter().collect();
     found.sort_by_key(|plugin| plugin.name());
--- a/cowsliproad-kernel/src/position.rs
+++ b/cowsliproad-kernel/src/position.rs
@@ -1,15 +1,16 @@
-//! Places in a log that may come back from an older copy.
+//! Positions in a log that may be restored from an older copy.
 //!
-//! Such a log has lost its newest records and gives their offsets out again,
-//! so an offset by itself names no record. It does together with the era,
-//! which the log raises each time.
+//! A restored log has lost its newest records and assigns their offsets again
+//! to new records, so an offset alone doesn't identify a record. The log
+//! increments its era at each restore, and the era and the offset together
+//! identify a record.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Counts the times that a log came back from an older copy; 0 also where the
-/// log states none.
+/// The number of times that a log was restored from an older copy; 0 if the
+/// log doesn't report its era.
 #[derive(
     Clone,
     Copy,
@@ -25,24 +26,25 @@
 )]
 pub struct Era(pub u64);
 
-/// A place in a log. Places of a later era come after all of an earlier one.
+/// A position in a log. Every position of a later era is greater than all
+/// positions of an earlier era.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd,
 )]
 pub struct Position {
-    /// The era in which the offset was given out.
+    /// The era in which the log assigned the offset.
     pub era: Era,
-    /// Counts the records from 0.
+    /// The index of the record in the log, from 0.
     pub offset: u64,
 }
 
 impl Position {
-    /// A place in an era.
+    /// Creates a position from an era and an offset.
     pub fn new(era: Era, offset: u64) -> Position {
         Position { era, offset }
     }
 
-    /// The first place of an era.
+    /// Returns the first position of an era.
     pub fn start_of(era: Era) -> Position {
         Position { era, offset: 0 }
     }
--- a/cowsliproad-kernel/src/secret.rs
+++ b/cowsliproad-kernel/src/secret.rs
@@ -1,24 +1,24 @@
-//! Shared keys, which never show in logs.
+//! Secret keys that are never printed to logs.
 
 use std::fmt;
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// The length of a key in bytes.
+/// The length of a secret key.
 pub const LENGTH: usize = 32;
 
-/// A key shared by the entries and agents of one user.
+/// A secret key that all entries and agents of one installation share.
 #[derive(Clone, Copy, Eq, PartialEq)]
 pub struct Secret(pub [u8; LENGTH]);
 
 impl Secret {
-    /// Reads 64 hexadecimal digits.
+    /// Parses a key from 64 hexadecimal digits.
     pub fn parse(text: &str) -> Option<Secret> {
         let hash = blake3::Hash::from_hex(text).ok()?;
         Some(Secret(*hash.as_bytes()))
     }
 
-    /// A key for a purpose, derived from this one.
+    /// Derives a separate key for the given purpose.
     pub fn derive(&self, purpose: &str) -> Secret {
         Secret(blake3::derive_key(purpose, &self.0))
     }
@@ -40,13 +40,14 @@
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Secret, D::Error> {
         let text = String::deserialize(from)?;
         Secret::parse(&text).ok_or_else(|| {
-            serde::de::Error::custom("a key of 64 hexadecimal digits")
+            serde::de::Error::custom("expected a key of 64 hexadecimal digits")
         })
     }
 }
 
-/// Compares codes without stopping at the first difference, which would tell
-/// a forger how far it got.
+/// Compares two authentication codes in constant time. Stopping at the first
+/// difference would reveal to an attacker how many bytes of a forged code are
+/// right.
 pub fn equal(left: &[u8], right: &[u8]) -> bool {
     let difference = left
         .iter()
--- a/cowsliproad-kernel/src/settings.rs
+++ b/cowsliproad-kernel/src/settings.rs
@@ -1,14 +1,14 @@
-//! Settings files: one JSON file for each program, checked as a whole.
+//! Settings files: one JSON file for each program, which is validated before
+//! the program starts.
 //!
-//! An unknown or ill-typed field is refused with the path of the field and
-//! what was expected there. Reading is apart from running: a program first
-//! turns its file into its settings type, then starts.
+//! A file with an unknown field or a value of the wrong type is rejected. The
+//! error contains the path of the field and what was expected there.
 
 use std::{fmt, fs, path::Path};
 
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Why a settings file was refused.
+/// Why a settings file was rejected.
 #[derive(Debug)]
 pub struct Error {
     file: String,
@@ -16,13 +16,14 @@
     reason: String,
 }
 
-/// A settings type that can check its values against one another.
+/// A settings type that can validate its values.
 pub trait Check {
-    /// The path of the first bad field and what would be right.
+    /// Checks the values, also against one another. Returns the path of the
+    /// first invalid field and a description of valid values.
     fn check(&self) -> Result<(), (&'static str, String)>;
 }
 
-/// Reads and checks the settings in a file.
+/// Reads a settings file and validates it.
 pub fn read<T: Check + DeserializeOwned>(path: &Path) -> Result<T, Error> {
     let file = path.display().to_string();
     let text = fs::read_to_string(path).map_err(|error| Error {
@@ -33,7 +34,7 @@
     parse(&file, &text)
 }
 
-/// Parses and checks settings; `file` is named in errors.
+/// Parses settings and validates them; errors contain the name `file`.
 pub fn parse<T: Check + DeserializeOwned>(
     file: &str,
     text: &str,
@@ -60,10 +61,10 @@
     Ok(settings)
 }
 
-/// The settings as an operator would write them.
+/// Formats settings as a settings file.
 pub fn print<T: Serialize>(settings: &T) -> String {
     serde_json::to_string_pretty(settings)
-        .unwrap_or_else(|error| format!("settings don't print: {error}"))
+        .unwrap_or_else(|error| format!("can't encode settings: {error}"))
 }
 
 impl fmt::Display for Error {
--- a/cowsliproad-kernel/src/wire.rs
+++ b/cowsliproad-kernel/src/wire.rs
@@ -1,10 +1,11 @@
 //! The messages between entries and agents.
 //!
-//! One websocket message carries one [`Frame`] in CBOR. Field names are kept
-//! to a letter because they travel with every token. A stream of answer bytes
-//! belongs to one attempt; its frames carry a sequence number, and its last
-//! frame carries the length and the BLAKE3 digest of the whole, so a receiver
-//! can tell a whole answer from a cut or mixed one whatever the links did.
+//! Each websocket message carries one [`Frame`] in CBOR. Field names are a
+//! single letter on the wire because every token of an answer is sent with
+//! them. A stream of answer bytes belongs to one attempt. Its frames carry
+//! sequence numbers, and its last frame carries the length and the BLAKE3
+//! digest of the whole answer. The receiver can therefore detect a truncated
+//! answer, or one mixed from several attempts, regardless of link failures.
 
 use serde::{Deserialize, Serialize};
 
@@ -16,126 +17,134 @@
     id,
 };
 
-/// The largest message a link accepts, in bytes.
+/// The largest websocket message that a link accepts.
 pub const MAX_MESSAGE: usize = 16 << 20;
 
-/// Answer bytes an agent may send ahead of the entry's acknowledgement.
+/// Flow control: answer bytes that an agent may send before the entry
+/// acknowledges them.
 pub const WINDOW: u64 = 256 << 10;
 
-/// The length of a BLAKE3 digest in bytes.
+/// The length of a BLAKE3 digest.
 pub const DIGEST: usize = 32;
 
-/// One message on a link.
+/// A message between an entry and an agent; each websocket message carries one
+/// frame.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Frame {
-    /// The listener asks for proof of the shared key.
+    /// The listener asks the dialling process to prove that it has the shared
+    /// key.
     #[serde(rename = "ch")]
     Challenge(Challenge),
-    /// The dialler names itself and proves the key.
+    /// The dialling process sends its name and the proof that it has the
+    /// shared key.
     #[serde(rename = "he")]
     Hello(Hello),
-    /// The listener takes the dialler in.
+    /// The listener accepts the dialling process and sends its first
+    /// heartbeat.
     #[serde(rename = "we")]
     Welcome(Beat),
-    /// Work for the target.
+    /// The entry submits a request for the target.
     #[serde(rename = "su")]
     Submit(Box<Submit>),
-    /// A kept answer is asked for.
+    /// The entry asks for a stored answer.
     #[serde(rename = "rc")]
     Reclaim(Reclaim),
-    /// The attempt's frames are no longer wanted.
+    /// The entry needs no more frames of this attempt.
     #[serde(rename = "de")]
     Detach(id::Attempt),
-    /// The caller gave up the request.
+    /// The caller cancelled its request.
     #[serde(rename = "ca")]
     Cancel(Cancel),
-    /// Bytes were passed on to the caller.
+    /// The entry has forwarded answer bytes to the caller.
     #[serde(rename = "ak")]
     Ack(Ack),
-    /// The agent recorded the work and will answer for it.
+    /// The agent has recorded the request and is responsible for its answer.
     #[serde(rename = "ac")]
     Accepted(Accepted),
-    /// A piece of the answer.
+    /// A chunk of the answer.
     #[serde(rename = "d")]
     Data(Data),
-    /// The answer is whole.
+    /// The answer is complete.
     #[serde(rename = "en")]
     End(End),
     /// The attempt ended without an answer.
     #[serde(rename = "re")]
     Refusal(Refusal),
-    /// Heartbeat with load.
+    /// A heartbeat with the sender's load.
     #[serde(rename = "be")]
     Beat(Beat),
-    /// Log records, in offset order and without a gap.
+    /// Configuration log records, in offset order and without a gap.
     #[serde(rename = "cr")]
     Records(Records),
-    /// A folded configuration.
+    /// The configuration after all log records up to an offset were applied.
     #[serde(rename = "cs")]
     Snapshot(Snapshot),
-    /// The sender asks for the receiver's folded configuration.
+    /// The sender requests the receiver's configuration, starting at this log
+    /// offset.
     #[serde(rename = "cp")]
     Pull(u64),
-    /// Work that ended the agent's target.
+    /// Requests that are suspected of crashing the agent's target.
     #[serde(rename = "sp")]
     Suspects(Vec<Suspect>),
-    /// A stopping agent's ticket records and kept answers.
+    /// Ticket records and stored answers of an agent that is shutting down.
     #[serde(rename = "ho")]
     Handover(Box<Handover>),
-    /// The peer has everything that was handed over.
+    /// The peer has received the complete handover of this agent process.
     #[serde(rename = "hd")]
     HandoverDone(id::Incarnation),
 }
 
-/// A random value that the dialler must sign.
+/// A random nonce that the dialling process must authenticate with the shared
+/// key.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Challenge {
-    /// The value.
+    /// The random bytes that the proof must cover.
     #[serde(with = "serde_bytes")]
     pub nonce: Vec<u8>,
 }
 
-/// What sort of process is at the other end.
+/// The kind of process that dials a link.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Role {
-    /// An entry.
+    /// An entry, which accepts requests from callers.
     Entry,
-    /// An agent.
+    /// An agent, which forwards requests to the target on its VM.
     Agent,
 }
 
-/// The dialler's introduction.
+/// The dialling process's identity and its proof of the shared key.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Hello {
-    /// What dials.
+    /// The kind of the dialling process.
     pub role: Role,
-    /// Its name.
+    /// The name of the dialling process.
     pub name: Name,
-    /// Its availability zone.
+    /// The availability zone of the dialling process.
     pub zone: Name,
-    /// The keyed hash of the nonce and the name.
+    /// The hash of the challenge's nonce and the name, keyed with the shared
+    /// key.
     #[serde(with = "serde_bytes")]
     pub proof: Vec<u8>,
 }
 
-/// Where an agent or entry is in its life.
+/// Whether an agent or entry accepts new requests.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Phase {
-    /// It takes new work.
+    /// The process accepts new requests.
     Serving,
-    /// It finishes what it has.
+    /// The process is draining: it only finishes requests that it accepted.
     Leaving,
 }
 
-/// Whether the process of an agent's target is there.
+/// Whether the process of an agent's target is running.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize,
 )]
 pub enum Presence {
-    /// It is, as far as the agent knows.
+    /// The target's process is running, as far as the agent knows.
     #[default]
     Here,
-    /// Nobody listens at its address.
+    /// No process listens at the target's address.
     Gone,
 }
 
@@ -151,28 +160,30 @@
     /// The sender's name.
     #[serde(rename = "n")]
     pub name: Name,
-    /// The sender's process start.
+    /// Identifies the sender's process start.
     #[serde(rename = "i")]
     pub incarnation: id::Incarnation,
     /// The sender's monotonic clock.
     #[serde(rename = "t")]
     pub clock: Millis,
-    /// Whether it takes new work.
+    /// Whether the sender accepts new requests.
     #[serde(rename = "p")]
     pub phase: Phase,
-    /// Its load.
+    /// The sender's load.
     #[serde(rename = "l")]
     pub load: Load,
-    /// Whether the target's process is there.
+    /// Whether the process of the sender's target is running.
     #[serde(rename = "x", default, skip_serializing_if = "Presence::is_here")]
     pub presence: Presence,
-    /// How long the target asked to be left alone from now on.
+    /// For how long from now the target asked to receive no requests; zero
+    /// without a cooldown.
     #[serde(rename = "c", default, skip_serializing_if = "is_zero")]
     pub cooldown: Millis,
-    /// Earlier incarnations whose tickets it answers for.
+    /// Agent processes that handed their tickets over to the sender before
+    /// they stopped.
     #[serde(rename = "h")]
     pub holds: Vec<id::Incarnation>,
-    /// The configuration offset it has folded up to.
+    /// The next offset of the configuration log that the sender needs.
     #[serde(rename = "o")]
     pub offset: u64,
 }
@@ -181,27 +192,27 @@
     time.0 == 0
 }
 
-/// What an agent knows of its own load.
+/// An agent's own load.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Load {
-    /// Requests waiting.
+    /// Requests that wait in the agent's queue.
     #[serde(rename = "q")]
     pub queued: u32,
-    /// Requests at the target.
+    /// Requests that the target is processing.
     #[serde(rename = "r")]
     pub running: u32,
-    /// Requests the target takes at once.
+    /// The number of requests that the target processes at the same time.
     #[serde(rename = "s")]
     pub slots: u32,
-    /// Mean time a request holds a slot, in microseconds.
+    /// The mean time that a request occupies a slot, in microseconds.
     #[serde(rename = "u")]
     pub service_us: u32,
-    /// Requests taken in since the process started.
+    /// The number of requests accepted since the agent's process started.
     #[serde(rename = "c")]
     pub count: u64,
 }
 
-/// How soon work is needed.
+/// The priority class of a request.
 #[derive(
     Clone,
     Copy,
@@ -216,170 +227,171 @@
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Urgency {
-    /// People wait for it at a gate, a tug or a plate.
+    /// People are held up until the answer comes: at a gate, a tug or a plate.
     Urgent,
-    /// A person waits for it at a desk.
+    /// A person at a desk waits for the answer.
     Normal,
-    /// It may wait, but must not vanish.
+    /// The request may wait, but must not be lost.
     Background,
 }
 
-/// Work for the target.
+/// A request for the target.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Submit {
-    /// The attempt whose frames answer this.
+    /// The attempt that frames with the answer refer to.
     #[serde(rename = "a")]
     pub attempt: id::Attempt,
     /// The caller's request.
     #[serde(rename = "r")]
     pub request: id::Request,
-    /// Who asks.
+    /// The organisation that sent the request.
     #[serde(rename = "o")]
     pub organisation: Name,
     /// The request type.
     #[serde(rename = "k")]
     pub request_type: Name,
-    /// How soon it is needed.
+    /// The request's priority class.
     #[serde(rename = "u")]
     pub urgency: Urgency,
-    /// Time left until the deadline.
+    /// The time left until the request's deadline.
     #[serde(rename = "d")]
     pub budget: Millis,
-    /// The ticket of work that must not be repeated.
+    /// The ticket of a request that must not run twice.
     #[serde(rename = "t", with = "serde_bytes")]
     pub ticket: Option<Vec<u8>>,
     /// The caller's idempotency key.
     #[serde(rename = "i")]
     pub key: Option<Name>,
-    /// Whether the work goes on when nobody listens.
+    /// Whether the request continues when no caller waits for its answer.
     #[serde(rename = "w")]
     pub persistence: Persistence,
-    /// The organisation's weight in the queue.
+    /// The organisation's weight in the fair queue.
     #[serde(rename = "h")]
     pub share: u32,
-    /// The caller's body.
+    /// The request body.
     #[serde(rename = "b", with = "serde_bytes")]
     pub body: Vec<u8>,
-    /// What the agent may do.
+    /// Whether the agent may run the request.
     #[serde(rename = "m", default)]
     pub permit: Permit,
 }
 
-/// What an agent may do with work that is submitted.
+/// Whether an agent may run a submitted request.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize,
 )]
 pub enum Permit {
-    /// Run it, unless it was taken in before.
+    /// Run the request, unless the agent accepted it before.
     #[default]
     Run,
-    /// Only tell what became of it, if it was taken in before. Otherwise it
-    /// is refused for good: it ends the targets that run it.
+    /// Only report the outcome, if the agent accepted the request before.
+    /// Otherwise reject the request for good: it crashes the targets that run
+    /// it.
     Recall,
 }
 
-/// What becomes of work whose last listener left.
+/// What happens to a request when no caller waits for its answer any more.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Persistence {
-    /// It goes on, and its answer is kept.
+    /// The request continues, and its answer is stored.
     Keep,
-    /// It is cancelled if it has not started.
+    /// The request is cancelled if it has not started.
     Drop,
 }
 
-/// A kept answer is asked for.
+/// Asks for a stored answer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Reclaim {
-    /// The attempt whose frames answer this.
+    /// The attempt that frames with the answer refer to.
     #[serde(rename = "a")]
     pub attempt: id::Attempt,
-    /// The request that was answered.
+    /// The request whose answer is stored.
     #[serde(rename = "r")]
     pub request: id::Request,
-    /// Who asks.
+    /// The organisation that asks for the answer.
     #[serde(rename = "o")]
     pub organisation: Name,
-    /// The first byte wanted.
+    /// The first byte of the answer to send.
     #[serde(rename = "f")]
     pub from: u64,
 }
 
-/// The caller gave up the request.
+/// The caller cancelled its request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Cancel {
-    /// The request.
+    /// The cancelled request.
     #[serde(rename = "r")]
     pub request: id::Request,
-    /// Who asks.
+    /// The organisation that cancelled the request.
     #[serde(rename = "o")]
     pub organisation: Name,
-    /// The attempt whose frames answer this.
+    /// The attempt that frames with the outcome refer to.
     #[serde(rename = "a")]
     pub attempt: id::Attempt,
 }
 
-/// Bytes were passed on to the caller.
+/// Acknowledges answer bytes that were forwarded to the caller.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Ack {
-    /// The attempt.
+    /// The attempt whose answer is acknowledged.
     #[serde(rename = "a")]
     pub attempt: id::Attempt,
-    /// The number of answer bytes passed on so far.
+    /// The number of answer bytes forwarded to the caller so far.
     #[serde(rename = "n")]
     pub bytes: u64,
 }
 
-/// The agent recorded the work.
+/// The agent has recorded the request.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Accepted {
-    /// The attempt.
+    /// The attempt whose request was recorded.
     #[serde(rename = "a")]
     pub attempt: id::Attempt,
-    /// The request under which the answer is kept, which is an earlier one
-    /// when the idempotency key or ticket was seen before.
+    /// The request under which the answer is stored. It is an earlier request
+    /// if the agent has already seen the idempotency key or ticket.
     #[serde(rename = "r")]
     pub request: id::Request,
 }
 
-/// A piece of the answer.
+/// A chunk of an answer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Data {
-    /// The attempt.
+    /// The attempt that the chunk belongs to.
     #[serde(rename = "a")]
     pub attempt: id::Attempt,
-    /// The number of the frame in the attempt, from zero.
+    /// The sequence number of the data frame within the attempt, from zero.
     #[serde(rename = "s")]
     pub sequence: u32,
-    /// The bytes.
+    /// The answer bytes of this chunk.
     #[serde(rename = "b", with = "serde_bytes")]
     pub bytes: Vec<u8>,
 }
 
-/// How the answer's bytes are to be read.
+/// The format of an answer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Format {
-    /// Model text.
+    /// Text generated by a model.
     Text,
-    /// One JSON value.
+    /// A single JSON value.
     Json,
 }
 
-/// The answer is whole.
+/// Marks an answer as complete.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct End {
-    /// The attempt.
+    /// The attempt that completed.
     #[serde(rename = "a")]
     pub attempt: id::Attempt,
-    /// The number of data frames before this one.
+    /// The number of data frames in the attempt.
     #[serde(rename = "s")]
     pub sequence: u32,
-    /// How to read the bytes.
+    /// The format of the answer.
     #[serde(rename = "f")]
     pub format: Format,
-    /// The whole answer's length in bytes.
+    /// The length of the complete answer in bytes.
     #[serde(rename = "l")]
     pub length: u64,
-    /// The whole answer's digest.
+    /// The BLAKE3 digest of the complete answer.
     #[serde(rename = "d", with = "serde_bytes")]
     pub digest: Vec<u8>,
 }
@@ -387,111 +399,112 @@
 /// The attempt ended without an answer.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Refusal {
-    /// The attempt.
+    /// The attempt that ended.
     #[serde(rename = "a")]
     pub attempt: id::Attempt,
-    /// Why.
+    /// The reason for the refusal.
     #[serde(rename = "c")]
     pub code: Code,
-    /// Whether the work ran.
+    /// Whether the request ran.
     #[serde(rename = "r")]
     pub ran: Ran,
-    /// When to come back.
+    /// How long the caller should wait before it retries.
     #[serde(rename = "w")]
     pub retry_after: Option<Millis>,
 }
 
-/// Log records.
+/// Consecutive records of the configuration log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Records {
     /// The offset of the first record.
     pub first: u64,
-    /// The records, one for each offset.
+    /// Encoded records, one for each offset.
     pub records: Vec<serde_bytes::ByteBuf>,
 }
 
-/// A folded configuration.
+/// The configuration after all log records up to an offset were applied.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Snapshot {
-    /// The offset after the last record folded in.
+    /// The offset after the last applied record.
     pub next: u64,
-    /// The state.
+    /// The encoded configuration.
     #[serde(with = "serde_bytes")]
     pub state: Vec<u8>,
 }
 
-/// A stopping agent's ticket records and kept answers.
+/// Ticket records and stored answers of an agent that is shutting down.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Handover {
-    /// The agent that stops.
+    /// The agent process that is shutting down.
     pub incarnation: id::Incarnation,
-    /// How far the stopping agent's clock has come.
+    /// The monotonic clock of the agent that is shutting down.
     pub clock: Millis,
-    /// Its ticket records.
+    /// The encoded ticket records.
     #[serde(with = "serde_bytes")]
     pub tickets: Vec<u8>,
-    /// Some of its kept answers.
+    /// A batch of the stored answers.
     pub answers: Vec<Answer>,
-    /// Whether more messages follow.
+    /// Whether more handover messages follow.
     pub more: bool,
 }
 
-/// A kept answer.
+/// A stored answer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Answer {
-    /// The request that it answers.
+    /// The request that was answered.
     pub request: id::Request,
-    /// Whose it is.
+    /// The organisation that owns the answer.
     pub organisation: Name,
-    /// The bytes, or why there are none.
+    /// The content of the answer, or the reason why there is none.
     pub result: Result<Content, Failure>,
 }
 
-/// The content of a whole answer.
+/// The content of a complete answer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Content {
-    /// How to read the bytes.
+    /// The format of the answer.
     pub format: Format,
-    /// The bytes.
+    /// The answer bytes.
     #[serde(with = "serde_bytes")]
     pub bytes: Vec<u8>,
 }
 
-/// Why work has no answer.
+/// Why a request has no answer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Failure {
-    /// Why.
+    /// The reason for the failure.
     pub code: Code,
-    /// Whether the work ran.
+    /// Whether the request ran.
     pub ran: Ran,
-    /// When to come back.
+    /// How long the caller should wait before it retries.
     pub retry_after: Option<Millis>,
 }
 
 impl Failure {
-    /// A failure without a time to come back.
+    /// Creates a failure without a retry delay.
     pub fn new(code: Code, ran: Ran) -> Failure {
         Failure { code, ran, retry_after: None }
     }
 
-    /// The same failure with a time to come back.
+    /// Returns the same failure with a retry delay.
     pub fn with_retry_after(self, wait: Millis) -> Failure {
         Failure { retry_after: Some(wait), ..self }
     }
 }
 
-/// Encodes a frame.
+/// Encodes a frame as CBOR.
 pub fn encode(frame: &Frame) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(128);
     ciborium::into_writer(frame, &mut bytes)
-        .expect("frames have no value that CBOR lacks");
+        .expect("every frame can be encoded as CBOR");
     bytes
 }
 
-/// Decodes a frame; `None` when the bytes are not one.
+/// Decodes a frame from CBOR; returns `None` for invalid bytes.
 pub fn decode(bytes: &[u8]) -> Option<Frame> {
     ciborium::de::from_reader_with_recursion_limit(bytes, DEPTH).ok()
 }
 
-/// The deepest nesting that a frame has.
+/// The deepest nesting that a valid frame can have; limits recursion on
+/// hostile input.
 const DEPTH: usize = 16;
