--- a/cowsliproad-net/src/client.rs
+++ b/cowsliproad-net/src/client.rs
@@ -1,4 +1,5 @@
-//! A pooled HTTP client, towards targets, the platform and in the bench.
+//! An HTTP client with a connection pool, for requests to targets and the
+//! platform, and for the bench.
 
 use std::{fmt, net::IpAddr, time::Duration};
 
@@ -11,51 +12,57 @@
     rt::TokioExecutor,
 };
 
-/// Why a call failed.
+/// Why an HTTP request failed.
 #[derive(Debug)]
 pub enum Error {
-    /// No connection could be made, so nothing was sent.
+    /// The connection failed, so nothing was sent.
     Connect(String),
-    /// Nobody listens there, so nothing was sent.
+    /// The connection was refused because no process listens on the port, so
+    /// nothing was sent.
     Refused(String),
-    /// The exchange broke; the other side may have acted.
+    /// The connection broke after the request may have been sent; the server
+    /// may have processed it.
     Exchange(String),
-    /// The answer took too long; the other side may have acted.
+    /// No complete response arrived in time; the server may have processed the
+    /// request.
     Timeout,
-    /// The answer is larger than allowed.
+    /// The response body exceeds the size limit.
     TooLarge,
 }
 
-/// A client with its own pool of connections.
+/// An HTTP client with its own connection pool.
 #[derive(Clone, Debug)]
 pub struct Client {
     pool: Pool<HttpConnector, Full<Bytes>>,
 }
 
-/// How long an idle connection is kept. A server that goes away silently is
-/// met by a new connection at the latest after this time.
-const IDLE: Duration = Duration::from_secs(10);
+/// How long an idle connection stays in the pool. After a server disappears
+/// without closing its connections, this is the longest time until new
+/// connections are opened.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client without open connections.
     pub fn new() -> Client {
         Client::from(None)
     }
 
-    /// A client that connects from an address, on a VM that has several.
+    /// Creates a client that connects from the given local address, for VMs
+    /// with several addresses.
     pub fn from(source: Option<IpAddr>) -> Client {
         let mut connector = HttpConnector::new();
         connector.set_local_address(source);
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(Duration::from_secs(1)));
         let pool = Pool::builder(TokioExecutor::new())
-            .pool_idle_timeout(IDLE)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .retry_canceled_requests(false)
             .build(connector);
         Client { pool }
     }
 
-    /// Sends a request and returns the answer's head with its body to come.
+    /// Sends a request and returns the response as soon as its head has
+    /// arrived; the body is still to be read.
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -69,13 +76,13 @@
         })
     }
 
-    /// Sends a request and returns the whole answer of at most `limit`
-    /// bytes, all within `patience`.
+    /// Sends a request and reads the response with a body of at most `limit`
+    /// bytes, all within `time_limit`.
     pub async fn call(
         &self,
         request: Request<Full<Bytes>>,
         limit: usize,
-        patience: Duration,
+        time_limit: Duration,
     ) -> Result<Response<Bytes>, Error> {
         let whole = async {
             let (head, body) = self.send(request).await?.into_parts();
@@ -89,7 +96,7 @@
             })?;
             Ok(Response::from_parts(head, body.to_bytes()))
         };
-        tokio::time::timeout(patience, whole)
+        tokio::time::timeout(time_limit, whole)
             .await
             .unwrap_or(Err(Error::Timeout))
     }
@@ -105,11 +112,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Error::Connect(why) | Error::Refused(why) => {
-                write!(f, "can't connect: {why}")
+                write!(f, "connection failed: {why}")
             }
-            Error::Exchange(why) => write!(f, "the exchange broke: {why}"),
+            Error::Exchange(why) => write!(f, "HTTP exchange failed: {why}"),
             Error::Timeout => f.write_str("no answer in time"),
-            Error::TooLarge => f.write_str("the answer is too large"),
+            Error::TooLarge => f.write_str("the response is too large"),
         }
     }
 }
--- a/cowsliproad-net/src/hooked.rs
+++ b/cowsliproad-net/src/hooked.rs
@@ -1,7 +1,7 @@
-//! A connection that does a little more than pass bytes on.
+//! A TCP connection with hooks.
 //!
-//! What is read and written goes through unchanged; [`Hooks`] says what else
-//! is done on the way.
+//! Bytes that are read and written pass through unchanged. [`Hooks`] are
+//! called on reads and flushes and define how the connection is closed.
 
 use std::{
     io,
@@ -16,42 +16,44 @@
     net::TcpStream,
 };
 
-/// What is done beside passing bytes on. Nothing, unless it is said.
+/// Actions that a connection performs in addition to passing bytes on. By
+/// default there are none.
 pub trait Hooks: Unpin {
-    /// How a connection ends.
+    /// How the connection is closed.
     const ENDING: Ending = Ending::Orderly;
 
-    /// Notes that bytes came.
+    /// Called when bytes were read from the connection.
     fn came(&mut self) {}
 
-    /// Bytes that go out before the next flush.
+    /// Returns bytes to send before the next flush.
     fn before_flush(&mut self) -> Vec<u8> {
         Vec::new()
     }
 }
 
-/// How a connection ends.
+/// How a connection is closed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ending {
-    /// What was written still arrives.
+    /// Close the connection gracefully: bytes that were written still arrive.
     Orderly,
-    /// It is reset when it is dropped.
+    /// Reset the connection when it is dropped.
     Reset,
 }
 
-/// A connection with hooks.
+/// A TCP connection with hooks.
 #[derive(Debug)]
 pub struct Hooked<H> {
     stream: TcpStream,
     hooks: H,
 }
 
-/// Ends a connection by a reset.
+/// Closes a connection by a TCP reset.
 ///
-/// A client that drops a connection has no use for its answer any more. Closed
-/// in good order, the other side may take it for one that has merely sent all
-/// that it had to say; and one that reads late, since its VM was frozen, finds
-/// a whole request to run. A reset discards what it has not read.
+/// A client that drops a connection no longer needs the response. After a
+/// graceful close, the server may believe that the client has only finished
+/// sending. A server that reads late because its VM was frozen would even find
+/// a complete request and run it. A reset discards bytes that the server has
+/// not read.
 #[derive(Clone, Copy, Debug)]
 pub struct Abrupt;
 
@@ -60,7 +62,7 @@
 }
 
 impl<H: Hooks> Hooked<H> {
-    /// Takes a connection over.
+    /// Wraps a connection.
     pub fn new(stream: TcpStream, hooks: H) -> io::Result<Hooked<H>> {
         if H::ENDING == Ending::Reset {
             SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
@@ -111,7 +113,7 @@
     ) -> Poll<io::Result<()>> {
         let tail = self.hooks.before_flush();
         if !tail.is_empty() {
-            // A few bytes fit into the empty buffer of a socket.
+            // The socket's send buffer is empty and has room for a few bytes.
             let _ = Pin::new(&mut self.stream).poll_write(context, &tail);
         }
         Pin::new(&mut self.stream).poll_flush(context)
--- a/cowsliproad-net/src/lib.rs
+++ b/cowsliproad-net/src/lib.rs
@@ -1,9 +1,9 @@
-//! How processes reach one another: HTTP servers that stop when told to, an
-//! HTTP client, the authenticated links between entries and agents, and
+//! Networking code that the programs share: HTTP servers with a graceful
+//! stop, HTTP clients, authenticated links between entries and agents, and
 //! metrics.
 //!
-//! Everything that speaks a protocol is a library's; what stands here is how
-//! the programs share it.
+//! External libraries implement the protocols; this crate contains only the
+//! code around them that several programs need.
 
 #![forbid(unsafe_code)]
 
--- a/cowsliproad-net/src/link.rs
+++ b/cowsliproad-net/src/link.rs
@@ -1,13 +1,15 @@
 //! Authenticated links that carry [`Frame`]s over a websocket.
 //!
-//! The listener sends a random challenge, the dialler answers with its name
-//! and a keyed hash over both, and the listener answers with its first
-//! heartbeat. The key comes from the settings and never crosses the link.
+//! In the handshake, the listener sends a random challenge. The dialling
+//! process replies with its name and a keyed hash of the challenge and the
+//! name, and the listener replies with its first heartbeat. The key comes
+//! from the settings and is never sent over the link.
 //!
-//! A link has one writer task, which sends all frames that are ready in one
-//! flush. Its queue is bounded, so a slow peer holds up its senders rather
-//! than filling memory. When either direction breaks, or nothing has come
-//! for [`SILENCE`], the whole link is gone and the owner dials anew.
+//! Each link has one writer task, which sends all queued frames with one
+//! flush. The queue is bounded, so a slow peer blocks its senders instead of
+//! filling memory. If either direction fails, or nothing is received for
+//! [`SILENCE_TIMEOUT`], the link is closed in both directions and its owner
+//! dials again.
 
 use std::{
     fmt, io,
@@ -33,103 +35,110 @@
     tungstenite::{Message, protocol::WebSocketConfig},
 };
 
-/// The length of the shared key in bytes.
-pub const KEY: usize = 32;
+/// The length of the shared key.
+pub const KEY_BYTES: usize = 32;
 
-/// How long dialling and the introduction may take.
+/// The time limit for connecting and for the handshake.
 pub const DIAL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A link on which nothing came for so long is given up.
-pub const SILENCE: Duration = Duration::from_millis(3_000);
+/// A link is closed if nothing was received for this time.
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// Frames that may wait for the writer of a link.
-const QUEUE: usize = 1024;
+/// The capacity of a link's queue of outgoing frames.
+const MAX_QUEUED_FRAMES: usize = 1024;
 
-/// The bytes that one read of a link may take. The library clears its buffer
-/// before each read, which at its usual 128 KiB cost more than the decoding.
-const READ_BUFFER: usize = 8 << 10;
+/// The size of the read buffer of a link. The websocket library clears the
+/// buffer before each read; with its default of 128 KiB that cost more than
+/// decoding the frames.
+const READ_BUFFER_BYTES: usize = 8 << 10;
 
-/// Frames written between two flushes, so that none waits long for others.
-const BATCH: usize = 64;
+/// The number of frames written between two flushes. The bound keeps the first
+/// frame of a batch from waiting long for the others.
+const MAX_BATCH_FRAMES: usize = 64;
 
-/// The length of a challenge in bytes.
-const NONCE: usize = 16;
+/// The length of the nonce in a challenge.
+const NONCE_BYTES: usize = 16;
 
-/// Why a link could not be made.
+/// Why a link could not be established.
 #[derive(Debug)]
 pub enum Error {
     /// The connection or the websocket failed.
     Transport(String),
-    /// The peer did not keep to the introduction.
+    /// The peer violated the handshake protocol.
     Protocol(&'static str),
-    /// The peer does not have the key.
+    /// The peer does not have the shared key.
     WrongKey,
-    /// The introduction took too long.
+    /// The handshake did not complete in time.
     Timeout,
 }
 
-/// How a process introduces itself.
+/// The identity that a process presents when it dials a link.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// What it is.
+    /// The kind of the process.
     pub role: Role,
-    /// Its name.
+    /// The name of the process.
     pub name: Name,
-    /// Its availability zone.
+    /// The availability zone of the process.
     pub zone: Name,
     /// The shared key.
-    pub key: [u8; KEY],
-    /// The address that it dials from, on a VM that has several.
+    pub key: [u8; KEY_BYTES],
+    /// The local address to dial from, for VMs with several addresses.
     pub source: Option<IpAddr>,
 }
 
-/// The sending end of a link.
+/// The sending half of a link.
 #[derive(Clone, Debug)]
 pub struct Sender {
     queue: mpsc::Sender<Frame>,
 }
 
-/// The receiving end of a link.
+/// The receiving half of a link.
 #[derive(Debug)]
 pub struct Receiver {
     stream: Stream,
 }
 
 enum Stream {
-    Dialled(SplitStream<Dialled>),
+    Dialled(SplitStream<DialledSocket>),
     Accepted(SplitStream<WebSocketStream<TcpStream>>),
 }
 
-type Dialled = WebSocketStream<MaybeTlsStream<TcpStream>>;
+type DialledSocket = WebSocketStream<MaybeTlsStream<TcpStream>>;
 
-/// A frame could not be sent because the link is gone.
+/// The error for a frame that could not be queued: the link is closed or its
+/// queue is full.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Gone;
 
 impl Sender {
-    /// Queues a frame, waiting for room.
+    /// Queues a frame, waiting while the queue is full.
     pub async fn send(&self, frame: Frame) -> Result<(), Gone> {
         self.queue.send(frame).await.map_err(|_| Gone)
     }
 
-    /// Queues a frame if there is room.
+    /// Queues a frame, or fails if the queue is full.
     pub fn try_send(&self, frame: Frame) -> Result<(), Gone> {
         self.queue.try_send(frame).map_err(|_| Gone)
     }
 
-    /// Whether the link is gone.
+    /// Whether the link is closed.
     pub fn is_gone(&self) -> bool {
         self.queue.is_closed()
     }
 }
 
 impl Receiver {
-    /// The next frame; `None` when the link is gone or silent.
+    /// Returns the next frame, or `None` if the link is closed or timed out.
     pub async fn recv(&mut self) -> Option<Frame> {
         loop {
             let message = match &mut self.stream {
-                Stream::Dialled(it) => timeout(SILENCE, it.next()).await,
-                Stream::Accepted(it) => timeout(SILENCE, it.next()).await,
+                Stream::Dialled(it) => {
+                    timeout(SILENCE_TIMEOUT, it.next()).await
+                }
+                Stream::Accepted(it) => {
+                    timeout(SILENCE_TIMEOUT, it.next()).await
+                }
             };
             match message.ok()??.ok()? {
                 Message::Binary(bytes) => return wire::decode(&bytes),
@@ -140,44 +149,49 @@
     }
 }
 
-/// Dials a listener and introduces this process.
+/// Dials a listener and authenticates this process to it.
 pub async fn dial(
     address: SocketAddr,
     identity: &Identity,
 ) -> Result<(Sender, Receiver, Beat), Error> {
-    timeout(DIAL_TIMEOUT, introduce(address, identity))
+    timeout(DIAL_TIMEOUT, dial_handshake(address, identity))
         .await
         .unwrap_or(Err(Error::Timeout))
 }
 
-async fn introduce(
+async fn dial_handshake(
     address: SocketAddr,
     identity: &Identity,
 ) -> Result<(Sender, Receiver, Beat), Error> {
-    let tcp = connect(address, identity.source).await.map_err(transport)?;
-    tcp.set_nodelay(true).map_err(transport)?;
+    let tcp =
+        connect(address, identity.source).await.map_err(transport_error)?;
+    tcp.set_nodelay(true).map_err(transport_error)?;
     let (mut socket, _) = tokio_tungstenite::client_async_with_config(
         format!("ws://{address}/link"),
         MaybeTlsStream::Plain(tcp),
-        Some(limits()),
+        Some(websocket_config()),
     )
     .await
-    .map_err(transport)?;
-    let Frame::Challenge(challenge) = next(&mut socket).await? else {
-        return Err(Error::Protocol("no challenge came"));
+    .map_err(transport_error)?;
+    let Frame::Challenge(challenge) = read_frame(&mut socket).await? else {
+        return Err(Error::Protocol("expected a challenge frame"));
     };
     let hello = Hello {
         role: identity.role,
         name: identity.name.clone(),
         zone: identity.zone.clone(),
-        proof: prove(&identity.key, &challenge.nonce, &identity.name),
+        proof: handshake_proof(
+            &identity.key,
+            &challenge.nonce,
+            &identity.name,
+        ),
     };
-    put(&mut socket, &Frame::Hello(hello)).await?;
-    let Frame::Welcome(beat) = next(&mut socket).await? else {
+    send_frame(&mut socket, &Frame::Hello(hello)).await?;
+    let Frame::Welcome(beat) = read_frame(&mut socket).await? else {
         return Err(Error::WrongKey);
     };
     let (sink, stream) = socket.split();
-    let sender = start(sink);
+    let sender = spawn_writer(sink);
     Ok((sender, Receiver { stream: Stream::Dialled(stream) }, beat))
 }
 
@@ -196,70 +210,78 @@
     socket.connect(address).await
 }
 
-/// Accepts a link on a new connection and checks who dials.
+/// Performs the handshake on an accepted connection and authenticates the
+/// dialling process.
 pub async fn accept(
     tcp: TcpStream,
-    key: &[u8; KEY],
+    key: &[u8; KEY_BYTES],
     beat: Beat,
 ) -> Result<(Sender, Receiver, Hello), Error> {
-    timeout(DIAL_TIMEOUT, receive(tcp, key, beat))
+    timeout(DIAL_TIMEOUT, accept_handshake(tcp, key, beat))
         .await
         .unwrap_or(Err(Error::Timeout))
 }
 
-async fn receive(
+async fn accept_handshake(
     tcp: TcpStream,
-    key: &[u8; KEY],
+    key: &[u8; KEY_BYTES],
     beat: Beat,
 ) -> Result<(Sender, Receiver, Hello), Error> {
-    tcp.set_nodelay(true).map_err(transport)?;
-    let mut socket =
-        tokio_tungstenite::accept_async_with_config(tcp, Some(limits()))
-            .await
-            .map_err(transport)?;
-    let nonce: [u8; NONCE] = rand::random();
+    tcp.set_nodelay(true).map_err(transport_error)?;
+    let mut socket = tokio_tungstenite::accept_async_with_config(
+        tcp,
+        Some(websocket_config()),
+    )
+    .await
+    .map_err(transport_error)?;
+    let nonce: [u8; NONCE_BYTES] = rand::random();
     let challenge = Challenge { nonce: nonce.to_vec() };
-    put(&mut socket, &Frame::Challenge(challenge)).await?;
-    let Frame::Hello(hello) = next(&mut socket).await? else {
-        return Err(Error::Protocol("no introduction came"));
+    send_frame(&mut socket, &Frame::Challenge(challenge)).await?;
+    let Frame::Hello(hello) = read_frame(&mut socket).await? else {
+        return Err(Error::Protocol("expected a hello frame"));
     };
-    if !secret::equal(&hello.proof, &prove(key, &nonce, &hello.name)) {
+    if !secret::equal(&hello.proof, &handshake_proof(key, &nonce, &hello.name))
+    {
         return Err(Error::WrongKey);
     }
-    put(&mut socket, &Frame::Welcome(beat)).await?;
+    send_frame(&mut socket, &Frame::Welcome(beat)).await?;
     let (sink, stream) = socket.split();
-    let sender = start(sink);
+    let sender = spawn_writer(sink);
     Ok((sender, Receiver { stream: Stream::Accepted(stream) }, hello))
 }
 
-fn limits() -> WebSocketConfig {
+fn websocket_config() -> WebSocketConfig {
     WebSocketConfig::default()
-        .read_buffer_size(READ_BUFFER)
+        .read_buffer_size(READ_BUFFER_BYTES)
         .max_message_size(Some(wire::MAX_MESSAGE))
         .max_frame_size(Some(wire::MAX_MESSAGE))
 }
 
-fn prove(key: &[u8; KEY], nonce: &[u8], name: &str) -> Vec<u8> {
+fn handshake_proof(
+    key: &[u8; KEY_BYTES],
+    nonce: &[u8],
+    name: &str,
+) -> Vec<u8> {
     let mut hasher = blake3::Hasher::new_keyed(key);
     hasher.update(nonce);
     hasher.update(name.as_bytes());
     hasher.finalize().as_bytes().to_vec()
 }
 
-async fn next<S>(socket: &mut WebSocketStream<S>) -> Result<Frame, Error>
+async fn read_frame<S>(socket: &mut WebSocketStream<S>) -> Result<Frame, Error>
 where
     S: tokio::io::AsyncRead + tokio::io::AsyncWrite + Unpin,
 {
     let message = socket.next().await.ok_or(Error::Protocol("closed"))?;
-    match message.map_err(transport)? {
+    match message.map_err(transport_error)? {
         Message::Binary(bytes) => {
-            wire::decode(&bytes).ok_or(Error::Protocol("no frame"))
+            wire::decode(&bytes).ok_or(Error::Protocol("invalid frame"))
         }
-        _ => Err(Error::Protocol("no binary message")),
+        _ => Err(Error::Protocol("expected a binary message")),
     }
 }
 
-async fn put<S>(
+async fn send_frame<S>(
     socket: &mut WebSocketStream<S>,
     frame: &Frame,
 ) -> Result<(), Error>
@@ -267,31 +289,32 @@
     S: tokio::io::AsyncRead + tokio::io::AsyncWrite + Unpin,
 {
     let message = Message::Binary(wire::encode(frame).into());
-    socket.send(message).await.map_err(transport)
+    socket.send(message).await.map_err(transport_error)
 }
 
-fn start<S>(sink: SplitSink<WebSocketStream<S>, Message>) -> Sender
+fn spawn_writer<S>(sink: SplitSink<WebSocketStream<S>, Message>) -> Sender
 where
     S: tokio::io::AsyncRead + tokio::io::AsyncWrite + Send + Unpin + 'static,
 {
-    let (queue, frames) = mpsc::channel(QUEUE);
-    tokio::spawn(write(sink, frames));
+    let (queue, frames) = mpsc::channel(MAX_QUEUED_FRAMES);
+    tokio::spawn(write_frames(sink, frames));
     Sender { queue }
 }
 
-/// Writes frames until the link or all senders are gone. A write that takes
-/// longer than the silence limit means that the peer doesn't read.
-async fn write<S>(
+/// Writes queued frames until the link fails or all senders are dropped. A
+/// write that takes longer than the silence timeout means that the peer
+/// doesn't read.
+async fn write_frames<S>(
     mut sink: SplitSink<WebSocketStream<S>, Message>,
     mut frames: mpsc::Receiver<Frame>,
 ) where
     S: tokio::io::AsyncRead + tokio::io::AsyncWrite + Unpin,
 {
     while let Some(frame) = frames.recv().await {
-        let deadline = tokio::time::Instant::now() + SILENCE;
+        let deadline = tokio::time::Instant::now() + SILENCE_TIMEOUT;
         let batch = async {
             let mut next = Some(frame);
-            for _ in 0..BATCH {
+            for _ in 0..MAX_BATCH_FRAMES {
                 let Some(frame) = next else { break };
                 let bytes = wire::encode(&frame);
                 sink.feed(Message::Binary(bytes.into())).await?;
@@ -308,10 +331,10 @@
             _ => return,
         }
     }
-    let _ = timeout(SILENCE, sink.close()).await;
+    let _ = timeout(SILENCE_TIMEOUT, sink.close()).await;
 }
 
-fn transport(error: impl fmt::Display) -> Error {
+fn transport_error(error: impl fmt::Display) -> Error {
     Error::Transport(error.to_string())
 }
 
@@ -327,10 +350,10 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Error::Transport(why) => write!(f, "transport: {why}"),
-            Error::Protocol(why) => write!(f, "introduction: {why}"),
-            Error::WrongKey => f.write_str("the peer has another key"),
-            Error::Timeout => f.write_str("the introduction took too long"),
+            Error::Transport(why) => write!(f, "connection failed: {why}"),
+            Error::Protocol(why) => write!(f, "handshake failed: {why}"),
+            Error::WrongKey => f.write_str("the peer has a different key"),
+            Error::Timeout => f.write_str("the handshake timed out"),
         }
     }
 }
--- a/cowsliproad-net/src/metrics.rs
+++ b/cowsliproad-net/src/metrics.rs
@@ -1,13 +1,14 @@
-//! Metrics of one process, in the text form that `/metrics` serves.
+//! Metrics of one program, in the Prometheus text format that `/metrics`
+//! serves.
 //!
-//! Each program owns its meter, so that several can live in one process of
-//! the demo without sharing counters.
+//! Each program has its own registry, so that the demo can run several
+//! programs in one process without sharing counters between them.
 
 use opentelemetry::metrics::{Meter, MeterProvider};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// A program's meter and what it has measured.
+/// The metrics registry of one program.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -15,7 +16,7 @@
 }
 
 impl Metrics {
-    /// A set of metrics with nothing in it.
+    /// Creates an empty registry.
     pub fn new() -> Metrics {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -25,24 +26,24 @@
             Ok(exporter) => {
                 SdkMeterProvider::builder().with_reader(exporter).build()
             }
-            // A fresh registry takes any exporter; without one the numbers
-            // are merely not shown.
+            // Registering an exporter in an empty registry doesn't fail. If
+            // it did, the program would run without visible metrics.
             Err(_) => SdkMeterProvider::builder().build(),
         };
         Metrics { registry, provider }
     }
 
-    /// The meter that instruments are made with.
+    /// Returns the meter that creates counters, gauges and histograms.
     pub fn meter(&self) -> Meter {
         self.provider.meter("cowsliproad")
     }
 
-    /// Everything measured so far.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut bytes = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut bytes) {
             Ok(()) => String::from_utf8_lossy(&bytes).into_owned(),
-            Err(error) => format!("# metrics don't encode: {error}\n"),
+            Err(error) => format!("# can't encode metrics: {error}\n"),
         }
     }
 }
--- a/cowsliproad-net/src/program.rs
+++ b/cowsliproad-net/src/program.rs
@@ -1,5 +1,5 @@
-//! What the long-running programs have in common: their command line, their
-//! threads, their signals and their exit status.
+//! Code that all long-running programs share: command line, threads, signals
+//! and exit status.
 
 use std::{
     io,
@@ -18,20 +18,20 @@
 
 use crate::threads::{self, Threads};
 
-/// The exit status when the settings are refused.
-const BAD_SETTINGS: i32 = 2;
+/// The exit status for invalid settings.
+const EXIT_BAD_SETTINGS: i32 = 2;
 
-/// Reads a program's settings as its command line says. Ends the process
-/// after `--check` and `--print-default`, and when the settings are bad.
+/// Reads the settings file named on the command line. Exits the process after
+/// `--check` and `--print-default`, and if the settings are invalid.
 pub fn settings<T>(name: &'static str, about: &'static str, example: &T) -> T
 where
     T: Check + DeserializeOwned + Serialize,
 {
-    read(name, about, example, None).1
+    read_settings(name, about, example, None).1
 }
 
-/// The same, with the file's path; without an argument that stands in an
-/// environment variable.
+/// Like [`settings`], but also returns the path of the file, and takes the
+/// path from an environment variable if the command line names none.
 pub fn settings_or<T>(
     name: &'static str,
     about: &'static str,
@@ -42,10 +42,10 @@
     T: Check + DeserializeOwned + Serialize,
 {
     let path = std::env::var_os(variable).map(PathBuf::from);
-    read(name, about, example, path)
+    read_settings(name, about, example, path)
 }
 
-fn read<T>(
+fn read_settings<T>(
     name: &'static str,
     about: &'static str,
     example: &T,
@@ -54,30 +54,31 @@
 where
     T: Check + DeserializeOwned + Serialize,
 {
-    let matches = command(name, about).get_matches();
+    let matches = command_line(name, about).get_matches();
     if matches.get_flag("print-default") {
         println!("{}", settings::print(example));
         process::exit(0);
     }
     let path = matches.get_one::<PathBuf>("settings").cloned().or(fallback);
     let Some(path) = path else {
-        eprintln!("{name}: --settings FILE is needed");
-        process::exit(BAD_SETTINGS);
+        eprintln!("{name}: the option --settings FILE is required");
+        process::exit(EXIT_BAD_SETTINGS);
     };
     match settings::read(&path) {
         Ok(_) if matches.get_flag("check") => {
-            println!("{}: good", path.display());
+            println!("{}: valid", path.display());
             process::exit(0);
         }
         Ok(settings) => (path, settings),
         Err(error) => {
             eprintln!("{name}: {error}");
-            process::exit(BAD_SETTINGS);
+            process::exit(EXIT_BAD_SETTINGS);
         }
     }
 }
 
-/// Runs a program's main task and ends the process if it fails.
+/// Runs a program's main task on a multi-threaded runtime, and exits the
+/// process if the task fails.
 pub fn run(workers: usize, main: impl AsyncFnOnce(Threads) -> io::Result<()>) {
     let outcome = threads::run(workers, main);
     if let Err(error) = outcome.and_then(|outcome| outcome) {
@@ -86,8 +87,8 @@
     }
 }
 
-/// Runs a program's main task on this thread alone, which suits a VM with a
-/// part of one core: tasks share their state without locks.
+/// Runs a program's main task on the current thread only. This suits a VM with
+/// a fraction of one core; tasks share their state without locks.
 pub fn run_local(
     main: impl Future<Output = io::Result<()>>,
 ) -> io::Result<()> {
@@ -96,33 +97,33 @@
     tokio::task::LocalSet::new().block_on(&runtime, main)
 }
 
-/// How often a settings file is looked at that may change without a signal.
-const LOOK_TIME: Millis = Millis(5_000);
+/// How often a settings file is checked for changes without a SIGHUP.
+const CHANGE_CHECK_INTERVAL: Millis = Millis(5_000);
 
-/// Reads the settings again whenever SIGHUP comes or the file changes, and
-/// hands over what was read, for ever. SIGHUP never ends the process.
+/// Reads the settings again on SIGHUP or when the file changes, and passes the
+/// result to `on_read`. Never returns. SIGHUP doesn't stop the process.
 pub async fn reload<T: Check + DeserializeOwned>(
     path: PathBuf,
-    mut take: impl FnMut(Result<T, settings::Error>),
+    mut on_read: impl FnMut(Result<T, settings::Error>),
 ) {
-    let mut seen = written(&path);
+    let mut last_modified = modified_at(&path);
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return std::future::pending().await;
     };
     loop {
-        let told = tokio::select! {
-            told = hangup.recv() => told.is_some(),
-            () = tokio::time::sleep(LOOK_TIME.duration()) => false,
+        let signalled = tokio::select! {
+            signalled = hangup.recv() => signalled.is_some(),
+            () = tokio::time::sleep(CHANGE_CHECK_INTERVAL.duration()) => false,
         };
-        let now = written(&path);
-        if told || now != seen {
-            seen = now;
-            take(settings::read(&path));
+        let modified = modified_at(&path);
+        if signalled || modified != last_modified {
+            last_modified = modified;
+            on_read(settings::read(&path));
         }
     }
 }
 
-fn written(path: &Path) -> Option<SystemTime> {
+fn modified_at(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path).and_then(|it| it.modified()).ok()
 }
 
@@ -139,7 +140,7 @@
     }
 }
 
-fn command(name: &'static str, about: &'static str) -> Command {
+fn command_line(name: &'static str, about: &'static str) -> Command {
     Command::new(name)
         .about(about)
         .version(env!("CARGO_PKG_VERSION"))
@@ -148,18 +149,18 @@
                 .long("settings")
                 .value_name("FILE")
                 .value_parser(value_parser!(PathBuf))
-                .help("The settings file, in JSON"),
+                .help("Path of the settings file (JSON)"),
         )
         .arg(
             Arg::new("check")
                 .long("check")
                 .action(ArgAction::SetTrue)
-                .help("Only check the settings file"),
+                .help("Validate the settings file and exit"),
         )
         .arg(
             Arg::new("print-default")
                 .long("print-default")
                 .action(ArgAction::SetTrue)
-                .help("Print a settings file to start from"),
+                .help("Print an example settings file and exit"),
         )
 }
--- a/cowsliproad-net/src/reply.rs
+++ b/cowsliproad-net/src/reply.rs
@@ -1,34 +1,37 @@
-//! Answers to callers: JSON, and `application/problem+json` for failures.
+//! Responses to callers: JSON, and `application/problem+json` for failures.
 
 use cowsliproad_kernel::{clock::Millis, wire::Failure};
 use http::{HeaderValue, StatusCode, header};
 use serde_json::json;
 use volo_http::{body::Body, response::Response};
 
-/// A JSON answer.
+/// Creates a JSON response.
 pub fn json(status: StatusCode, body: String) -> Response {
-    with_type(status, "application/json", body)
+    with_content_type(status, "application/json", body)
 }
 
-/// A plain text answer.
+/// Creates a plain text response.
 pub fn text(status: StatusCode, body: &str) -> Response {
-    with_type(status, "text/plain; charset=utf-8", body.to_string())
+    with_content_type(status, "text/plain; charset=utf-8", body.to_string())
 }
 
-/// A failure as a problem document.
+/// Creates a problem response for a failure. If `detail` is empty, the
+/// standard text of the result code is used.
 pub fn problem(failure: &Failure, detail: &str) -> Response {
     let status = StatusCode::from_u16(failure.code.status())
         .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let body = problem_body(failure, detail).to_string();
-    let mut response = with_type(status, "application/problem+json", body);
+    let mut response =
+        with_content_type(status, "application/problem+json", body);
     if let Some(wait) = failure.retry_after {
-        let seconds = HeaderValue::from(whole_seconds(wait));
+        let seconds = HeaderValue::from(retry_after_seconds(wait));
         response.headers_mut().insert(header::RETRY_AFTER, seconds);
     }
     response
 }
 
-/// The problem document itself, which streams carry as their last event.
+/// Returns the problem document of a failure. Streams send it as their last
+/// event.
 pub fn problem_body(failure: &Failure, detail: &str) -> serde_json::Value {
     let mut body = json!({
         "status": failure.code.status(),
@@ -43,7 +46,7 @@
     body
 }
 
-fn with_type(
+fn with_content_type(
     status: StatusCode,
     content_type: &'static str,
     body: String,
@@ -56,6 +59,6 @@
     response
 }
 
-fn whole_seconds(wait: Millis) -> u64 {
+fn retry_after_seconds(wait: Millis) -> u64 {
     wait.0.div_ceil(1000).max(1)
 }
--- a/cowsliproad-net/src/retry_after.rs
+++ b/cowsliproad-net/src/retry_after.rs
@@ -1,8 +1,9 @@
-//! The `Retry-After` of an answer that turns a request away.
+//! Parsing of the `Retry-After` header of responses that reject a request.
 //!
-//! It is a number of seconds or a date. Fractions and exponents are read too,
-//! as some servers print their numbers so. A date counts from the answer's own
-//! `Date`, since the clocks of two VMs may differ.
+//! The value is a number of seconds or a date. Fractions and exponents are
+//! accepted as well because some servers format numbers that way. A date is
+//! compared with the `Date` header of the same response because the clocks of
+//! two VMs may differ.
 
 use std::time::SystemTime;
 
@@ -12,47 +13,52 @@
     header::{DATE, RETRY_AFTER},
 };
 
-/// Longer than any process lives, and far from overflow.
+/// The upper bound of a wait, a hundred years. It is longer than any process
+/// runs, and adding it to a point in time can't overflow.
 const MAX_WAIT: Millis = Millis(100 * 365 * 24 * 3_600 * 1_000);
 
-/// Our clock counts whole milliseconds: a wait from now begins within one.
-const TICK: Millis = Millis(1);
+/// The resolution of the clock. It is added to a wait because the clock
+/// truncates the current time to whole milliseconds, so the wait would end up
+/// to one millisecond early.
+const CLOCK_RESOLUTION: Millis = Millis(1);
 
-/// What an answer states.
+/// The `Retry-After` value of a response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RetryAfter {
-    /// Nothing.
+    /// The response is not a rejection or has no `Retry-After` header.
     None,
-    /// A time that is no time.
+    /// The `Retry-After` header is neither a number nor a date.
     Unreadable,
-    /// A time from now, zero for none.
+    /// The time to wait from now on, zero for no wait.
     Wait(Millis),
 }
 
-/// Reads what an answer states. With several values the longest counts. The
-/// time of day is asked for only where a date needs it.
+/// Parses the `Retry-After` header of a response with status 503 or 429. If
+/// there are several values, the longest wait is returned. `now` is called
+/// only if a date needs it and the response has no `Date` header.
 pub fn read(
     status: StatusCode,
     headers: &HeaderMap,
     now: impl FnOnce() -> SystemTime,
 ) -> RetryAfter {
-    let turned_away =
+    let rejections =
         [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
-    if !turned_away.contains(&status) || !headers.contains_key(RETRY_AFTER) {
+    if !rejections.contains(&status) || !headers.contains_key(RETRY_AFTER) {
         return RetryAfter::None;
     }
-    let date = headers.get(DATE).and_then(date).unwrap_or_else(now);
+    let date = headers.get(DATE).and_then(parse_date).unwrap_or_else(now);
     let values = headers.get_all(RETRY_AFTER).iter();
-    let waits =
-        values.filter_map(|it| seconds(it).or_else(|| until(it, date)));
+    let waits = values.filter_map(|it| {
+        parse_seconds(it).or_else(|| parse_date_wait(it, date))
+    });
     match waits.max() {
         None => RetryAfter::Unreadable,
         Some(Millis(0)) => RetryAfter::Wait(Millis(0)),
-        Some(wait) => RetryAfter::Wait(wait + TICK),
+        Some(wait) => RetryAfter::Wait(wait + CLOCK_RESOLUTION),
     }
 }
 
-fn seconds(value: &HeaderValue) -> Option<Millis> {
+fn parse_seconds(value: &HeaderValue) -> Option<Millis> {
     let text = value.to_str().ok()?.trim();
     let is_number = |it: u8| it.is_ascii_digit() || b".eE+-".contains(&it);
     if !text.starts_with(|it: char| it.is_ascii_digit())
@@ -65,13 +71,13 @@
     Some(wait.min(MAX_WAIT))
 }
 
-fn until(value: &HeaderValue, from: SystemTime) -> Option<Millis> {
-    // A date that has passed states no wait.
-    let wait = date(value)?.duration_since(from).unwrap_or_default();
+fn parse_date_wait(value: &HeaderValue, from: SystemTime) -> Option<Millis> {
+    // A date in the past means that there is no wait.
+    let wait = parse_date(value)?.duration_since(from).unwrap_or_default();
     let wait = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
     Some(Millis(wait).min(MAX_WAIT))
 }
 
-fn date(value: &HeaderValue) -> Option<SystemTime> {
+fn parse_date(value: &HeaderValue) -> Option<SystemTime> {
     httpdate::parse_http_date(value.to_str().ok()?.trim()).ok()
 }
--- a/cowsliproad-net/src/server.rs
+++ b/cowsliproad-net/src/server.rs
@@ -1,10 +1,11 @@
-//! HTTP servers that stop when told to.
+//! HTTP servers with a graceful stop.
 //!
-//! The library's own graceful stop waits a fixed time and is bound to
-//! signals. A program here counts its requests in flight itself, and a
-//! [`Door`] ends the accepting. A connection reaches the library only when
-//! its first request head has arrived, so callers that dribble headers hold
-//! a socket for [`HEAD_TIMEOUT`] and no more.
+//! The graceful shutdown of the volo library waits a fixed time and is tied
+//! to signals. Instead, each program counts its own in-flight requests, and a
+//! [`Door`] stops the accepting of connections. A connection is passed to
+//! volo only once its first request head has arrived. A client that sends its
+//! headers slowly therefore occupies nothing but a socket, and for
+//! [`HEAD_TIMEOUT`] at most.
 
 use std::{
     convert::Infallible,
@@ -36,31 +37,33 @@
     server::Server,
 };
 
-/// How long a connection may take to send its first request head.
+/// The time limit for a connection to send its first request head.
 pub const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Connections that may wait for their first request head.
-const MAX_PENDING: usize = 1024;
+/// The capacity of the queue of connections that have sent their first request
+/// head and wait for the server.
+const MAX_PENDING_CONNECTIONS: usize = 1024;
 
-/// The largest request head that is waited for, in bytes.
-const MAX_HEAD: usize = 16 << 10;
+/// The size up to which an incomplete request head is waited for. Connections
+/// with a longer head are passed on as they are.
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// How often an incomplete head is looked at again.
-const LOOK_AGAIN: Duration = Duration::from_millis(10);
+/// How often an incomplete request head is checked again.
+const HEAD_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Ends the accepting of connections.
+/// A handle that stops a server from accepting connections.
 #[derive(Clone, Debug)]
 pub struct Door {
     open: watch::Sender<bool>,
 }
 
 impl Door {
-    /// An open door.
+    /// Creates a handle in the accepting state.
     pub fn new() -> Door {
         Door { open: watch::Sender::new(true) }
     }
 
-    /// Accepts no more connections.
+    /// Stops accepting connections.
     pub fn close(&self) {
         self.open.send_replace(false);
     }
@@ -70,10 +73,10 @@
         *self.open.borrow()
     }
 
-    /// Waits until the door is closed.
+    /// Waits until connections are no longer accepted.
     pub async fn closed(&self) {
         let mut open = self.open.subscribe();
-        // The sender lives as long as `self`, so waiting can't fail.
+        // `self` owns the sender, so the wait can't fail.
         let _ = open.wait_for(|open| !open).await;
     }
 }
@@ -84,26 +87,26 @@
     }
 }
 
-/// A bound socket that volo accepts connections from.
+/// A bound socket from which volo accepts connections.
 pub struct Listener {
     address: SocketAddr,
     accepted: mpsc::Receiver<TcpStream>,
 }
 
 impl Listener {
-    /// Binds an address and starts accepting while the door is open.
+    /// Binds an address and accepts connections until the handle is closed.
     pub async fn bind(
         address: SocketAddr,
         door: &Door,
     ) -> io::Result<Listener> {
         let socket = TcpListener::bind(address).await?;
         let address = socket.local_addr()?;
-        let (sender, accepted) = mpsc::channel(MAX_PENDING);
+        let (sender, accepted) = mpsc::channel(MAX_PENDING_CONNECTIONS);
         tokio::spawn(accept(socket, door.clone(), sender));
         Ok(Listener { address, accepted })
     }
 
-    /// The bound address.
+    /// Returns the bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -119,8 +122,9 @@
     async fn accept(&mut self) -> io::Result<Option<Conn>> {
         match self.accepted.recv().await {
             Some(stream) => Ok(Some(Conn::from(ConnStream::from(stream)))),
-            // The library would ask again at once, so a closed door never
-            // answers. The server's task is dropped with its program.
+            // Volo calls `accept` again at once when it returns, so after
+            // the handle is closed this never returns. The server's task is
+            // dropped with its program.
             None => std::future::pending().await,
         }
     }
@@ -146,28 +150,33 @@
         };
         match stream {
             Ok((stream, _)) => {
-                tokio::spawn(await_head(stream, sender.clone()));
+                tokio::spawn(pass_on_after_head(stream, sender.clone()));
             }
-            // Out of file descriptors, most likely: let some close.
-            Err(_) => sleep(LOOK_AGAIN).await,
+            // Most likely the process is out of file descriptors. Wait until
+            // other connections are closed.
+            Err(_) => sleep(HEAD_POLL_INTERVAL).await,
         }
     }
 }
 
-/// Passes a connection on when a whole request head is in its buffer.
-async fn await_head(stream: TcpStream, sender: mpsc::Sender<TcpStream>) {
+/// Passes a connection on once its socket buffer holds a complete request
+/// head.
+async fn pass_on_after_head(
+    stream: TcpStream,
+    sender: mpsc::Sender<TcpStream>,
+) {
     let deadline = Instant::now() + HEAD_TIMEOUT;
-    let mut head = vec![0; MAX_HEAD];
+    let mut head = vec![0; MAX_HEAD_BYTES];
     loop {
         let peeked = timeout_at(deadline, stream.peek(&mut head)).await;
         let Ok(Ok(length)) = peeked else { return };
         if length == 0 {
             return;
         }
-        if is_complete(&head[..length]) {
+        if is_head_complete(&head[..length]) {
             break;
         }
-        sleep(LOOK_AGAIN).await;
+        sleep(HEAD_POLL_INTERVAL).await;
         if Instant::now() >= deadline {
             return;
         }
@@ -175,27 +184,28 @@
     let _ = sender.send(stream).await;
 }
 
-fn is_complete(head: &[u8]) -> bool {
-    head.len() == MAX_HEAD || head.windows(4).any(|end| end == b"\r\n\r\n")
+fn is_head_complete(head: &[u8]) -> bool {
+    head.len() == MAX_HEAD_BYTES
+        || head.windows(4).any(|end| end == b"\r\n\r\n")
 }
 
-/// What answers the requests of a server.
+/// Handles the requests of a server.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Returns the response to a request.
     fn handle(
         &self,
         request: Request,
     ) -> impl Future<Output = Response> + Send;
 }
 
-/// Serves a listener until the door is closed, and goes on serving the
-/// connections that it has for as long as the runtime lives.
+/// Serves a listener until the handle is closed. Connections that are already
+/// open are served until the runtime stops.
 pub async fn serve<H: Handler>(
     listener: Listener,
     handler: Arc<H>,
     door: Door,
 ) -> io::Result<()> {
-    let mut server = Server::new(App(handler));
+    let mut server = Server::new(HandlerService(handler));
     server.http1_config().set_max_headers(MAX_HEADERS);
     let server = server.register_shutdown_hook(move || {
         Box::pin(async move { door.closed().await })
@@ -203,12 +213,12 @@
     server.run(listener).await.map_err(io::Error::other)
 }
 
-/// The most header lines of a request.
+/// The largest number of header lines in a request.
 const MAX_HEADERS: usize = 64;
 
-struct App<H>(Arc<H>);
+struct HandlerService<H>(Arc<H>);
 
-impl<H: Handler> Service<ServerContext, Request> for App<H> {
+impl<H: Handler> Service<ServerContext, Request> for HandlerService<H> {
     type Response = Response;
     type Error = Infallible;
 
@@ -221,24 +231,24 @@
     }
 }
 
-/// Why a body was not read.
+/// Why a request body could not be read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BodyError {
-    /// It is larger than allowed.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// It took too long.
+    /// The body did not arrive in time.
     Slow,
-    /// The caller stopped in its middle.
+    /// The connection broke before the body was complete.
     Cut,
 }
 
-/// Reads a whole body of at most `limit` bytes within `patience`.
+/// Reads a request body of at most `limit` bytes within `time_limit`.
 pub async fn read_body(
     body: Body,
     limit: usize,
-    patience: Duration,
+    time_limit: Duration,
 ) -> Result<Bytes, BodyError> {
-    match timeout(patience, Limited::new(body, limit).collect()).await {
+    match timeout(time_limit, Limited::new(body, limit).collect()).await {
         Err(_) => Err(BodyError::Slow),
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
@@ -248,8 +258,8 @@
     }
 }
 
-/// A stream that may be shared between threads, as a response body must be,
-/// although only one task ever polls it.
+/// Makes a stream `Sync`, as volo requires of response bodies, although only
+/// one task ever polls it.
 #[derive(Debug)]
 pub struct SyncStream<S> {
     inner: Mutex<Pin<Box<S>>>,
@@ -275,7 +285,8 @@
     }
 }
 
-/// The number given for a name in the query of a request.
+/// Returns the number that the query string of a request contains under a
+/// name.
 pub fn query_number(request: &Request, name: &str) -> Option<u64> {
     let pairs = request.uri().query()?.split('&');
     let mut pairs = pairs.filter_map(|pair| pair.split_once('='));
--- a/cowsliproad-net/src/single.rs
+++ b/cowsliproad-net/src/single.rs
@@ -1,8 +1,9 @@
-//! One connection to one address, for whoever makes a call at a time.
+//! An HTTP client with a single connection to one address, which carries one
+//! request at a time.
 //!
-//! The connection is opened by the first call and kept. After a call that
-//! broke or was overdue the next one opens another: an answer that comes
-//! after all belongs to nobody.
+//! The first request opens the connection, and later requests reuse it. After
+//! a request that failed or timed out, the next request opens a new
+//! connection, so that a late response is not taken for its own.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -15,52 +16,52 @@
 
 use crate::client::Error;
 
-/// A client with one connection, for the tasks of one thread.
+/// An HTTP client with a single connection, used by the tasks of one thread.
 #[derive(Debug)]
 pub struct Single {
     address: SocketAddr,
-    open: Option<SendRequest<Full<Bytes>>>,
+    connection: Option<SendRequest<Full<Bytes>>>,
 }
 
 impl Single {
-    /// A client that has not connected yet.
+    /// Creates a client without connecting it.
     pub fn new(address: SocketAddr) -> Single {
-        Single { address, open: None }
+        Single { address, connection: None }
     }
 
-    /// Whether no connection is open.
+    /// Whether there is no open connection.
     pub fn is_closed(&self) -> bool {
-        self.open.as_ref().is_none_or(SendRequest::is_closed)
+        self.connection.as_ref().is_none_or(SendRequest::is_closed)
     }
 
-    /// Has the next call open another connection.
+    /// Closes the connection; the next request opens a new one.
     pub fn close(&mut self) {
-        self.open = None;
+        self.connection = None;
     }
 
-    /// Opens the connection without a call.
-    pub async fn open(&mut self, patience: Duration) -> Result<(), Error> {
+    /// Opens a connection within `time_limit` without sending a request.
+    pub async fn open(&mut self, time_limit: Duration) -> Result<(), Error> {
         let opening = connect(self.address);
-        match tokio::time::timeout(patience, opening).await {
-            Ok(opened) => self.open = Some(opened?),
+        match tokio::time::timeout(time_limit, opening).await {
+            Ok(opened) => self.connection = Some(opened?),
             Err(_) => return Err(Error::Timeout),
         }
         Ok(())
     }
 
-    /// Sends a request and returns the whole answer of at most `limit`
-    /// bytes, all within `patience`. Repeats nothing.
+    /// Sends a request and reads the response with a body of at most `limit`
+    /// bytes, all within `time_limit`. Never retries.
     pub async fn call(
         &mut self,
         request: Request<Full<Bytes>>,
         limit: usize,
-        patience: Duration,
+        time_limit: Duration,
     ) -> Result<Response<Bytes>, Error> {
         let exchange = self.exchange(request, limit);
-        match tokio::time::timeout(patience, exchange).await {
+        match tokio::time::timeout(time_limit, exchange).await {
             Ok(outcome) => outcome,
             Err(_) => {
-                self.open = None;
+                self.connection = None;
                 Err(Error::Timeout)
             }
         }
@@ -74,7 +75,7 @@
         let host = HeaderValue::from_str(&self.address.to_string());
         let host = host.map_err(|error| Error::Connect(error.to_string()))?;
         request.headers_mut().insert(HOST, host);
-        let mut sender = match self.open.take() {
+        let mut sender = match self.connection.take() {
             Some(sender) if sender.is_ready() => sender,
             _ => connect(self.address).await?,
         };
@@ -89,7 +90,7 @@
                 Error::Exchange(error.to_string())
             }
         })?;
-        self.open = Some(sender);
+        self.connection = Some(sender);
         Ok(Response::from_parts(head, body.to_bytes()))
     }
 }
@@ -106,7 +107,7 @@
     let (sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(|error| Error::Connect(error.to_string()))?;
-    // A failure of the connection shows in the call that meets it.
+    // The request that is sent on a failed connection returns the error.
     tokio::task::spawn_local(async move {
         let _ = connection.await;
     });
--- a/cowsliproad-net/src/threads.rs
+++ b/cowsliproad-net/src/threads.rs
@@ -1,29 +1,29 @@
-//! The two runtimes of a program: one thread for control state, others for
-//! traffic.
+//! The two runtimes of a program: one thread for the control state, and
+//! several threads for traffic.
 
 use std::io;
 
 use tokio::runtime::{Builder, Handle, Runtime};
 
-/// Where tasks run.
+/// The runtimes on which a program spawns its tasks.
 #[derive(Clone, Debug)]
 pub struct Threads {
-    /// One thread that owns control state.
+    /// The single-threaded runtime that owns the control state.
     pub control: Handle,
-    /// Threads that serve requests.
+    /// The runtime that serves requests.
     pub traffic: Handle,
 }
 
 impl Threads {
-    /// Runs everything on the present runtime, as the demo's nodes do.
+    /// Uses the current runtime for all tasks, as the nodes of the demo do.
     pub fn here() -> Threads {
         let handle = Handle::current();
         Threads { control: handle.clone(), traffic: handle }
     }
 }
 
-/// Runs a program's main task on traffic threads, with a control thread
-/// beside them, until the task ends.
+/// Runs a program's main task on the traffic runtime until it ends; a control
+/// runtime with one thread runs beside it.
 pub fn run<T>(
     workers: usize,
     main: impl AsyncFnOnce(Threads) -> T,
