--- a/cowsliproad-direct/src/stream.rs
+++ b/cowsliproad-direct/src/stream.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 
 use cowsliproad_kernel::clock::Millis;
-use cowsliproad_relay::events::{Event, Splitter};
+use cowsliproad_relay::events::{Event, EventSplitter};
 use http::{Response, header as standard, response};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -52,7 +52,7 @@
     attempt: Attempt,
     body: Incoming,
     lease: Option<Lease>,
-    splitter: Splitter,
+    splitter: EventSplitter,
     last_bytes: Moment,
     /// The news that it knows of.
     news: u64,
@@ -155,7 +155,7 @@
         attempt,
         body: opened.body,
         lease: Some(opened.lease),
-        splitter: Splitter::new(),
+        splitter: EventSplitter::new(),
         last_bytes: Moment::new(entry, choice),
         news: 0,
     };
@@ -209,7 +209,7 @@
                 self.attempt.progress();
                 return Next::Event(event);
             }
-            if self.splitter.is_over_long() {
+            if self.splitter.exceeds_max_size() {
                 return Next::Failed(AttemptError::Unknown(
                     "an event without an end",
                 ));
@@ -249,7 +249,7 @@
                         "the stream was cut",
                     ));
                 }
-                None if self.splitter.is_inside() => {
+                None if self.splitter.has_partial_event() => {
                     return Next::Failed(AttemptError::Broken(
                         "cut inside an event",
                     ));
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -32,7 +32,7 @@
         Ack, End, Failure, Frame, Permit, Persistence, Reclaim, Submit, WINDOW,
     },
 };
-use cowsliproad_relay::{Assembly, Step};
+use cowsliproad_relay::{AnswerAssembly, Progress};
 use tokio::{sync::mpsc, time::timeout};
 
 use crate::{
@@ -141,7 +141,7 @@
     target: Arc<Target>,
     link: Arc<Link>,
     events: mpsc::UnboundedReceiver<Event>,
-    assembly: Assembly,
+    assembly: AnswerAssembly,
     request: id::Request,
     acknowledged: u64,
 }
@@ -240,7 +240,7 @@
             organisation: token.organisation,
             from,
         };
-        let assembly = Assembly::tail(attempt, from);
+        let assembly = AnswerAssembly::starting_at(attempt, from);
         self.send(target, Frame::Reclaim(reclaim), assembly, token.request)
             .await;
     }
@@ -323,7 +323,7 @@
         let request = order.request;
         self.attempts += 1;
         let frame = Frame::Submit(Box::new(submit));
-        let assembly = Assembly::new(attempt);
+        let assembly = AnswerAssembly::new(attempt);
         self.send(target, frame, assembly, request).await;
     }
 
@@ -331,7 +331,7 @@
         &mut self,
         target: Arc<Target>,
         frame: Frame,
-        assembly: Assembly,
+        assembly: AnswerAssembly,
         request: id::Request,
     ) {
         let Some(link) = target.link.load_full() else {
@@ -380,12 +380,12 @@
         match event {
             Event::Accepted(request) => self.accepted(attempt, request),
             Event::Data(data) => {
-                let step = attempt.assembly.data(data);
-                self.step(attempt, step);
+                let progress = attempt.assembly.push_data(data);
+                self.on_progress(attempt, progress);
             }
             Event::End(end) => {
-                let step = attempt.assembly.end(end);
-                self.step(attempt, step);
+                let progress = attempt.assembly.push_end(end);
+                self.on_progress(attempt, progress);
             }
             Event::Refused(failure) => {
                 attempt.end(outcome(&failure));
@@ -427,23 +427,23 @@
         ticket::seal(&token, &self.shared.ticket_key)
     }
 
-    fn step(&mut self, attempt: Attempt, step: Step) {
-        match step {
-            Step::Nothing => self.current = Some(attempt),
-            Step::Bytes(bytes) => {
+    fn on_progress(&mut self, attempt: Attempt, progress: Progress) {
+        match progress {
+            Progress::Pending => self.current = Some(attempt),
+            Progress::Bytes(bytes) => {
                 self.give(bytes);
                 self.current = Some(attempt);
                 self.acknowledge();
             }
-            Step::Whole(bytes) => {
+            Progress::Complete(bytes) => {
                 self.give(bytes);
-                let end = attempt.assembly.ending().cloned();
+                let end = attempt.assembly.end_frame().cloned();
                 attempt.end(Outcome::Whole);
                 self.earn();
                 self.finished = true;
                 self.ready.extend(end.map(Item::Done));
             }
-            Step::Broken => {
+            Progress::Broken => {
                 attempt.detach();
                 self.tried.push(attempt.target.name.clone());
                 let failure =
--- a/cowsliproad-relay/src/events.rs
+++ b/cowsliproad-relay/src/events.rs
@@ -1,68 +1,70 @@
-//! Whole events of a stream, cut out of the bytes of its answer.
+//! Splitting of an answer stream into complete server-sent events.
 //!
-//! A target may break off in the middle of an event. Only whole events are
-//! passed on, so that a stream can go on at another target after the last
-//! whole one, with nothing missing, twice or joined.
+//! A target may fail in the middle of an event. Only complete events are
+//! forwarded to the caller, so that another target can resume the stream
+//! after the last complete event and no event is lost, repeated or merged
+//! with another.
 
 use bytes::{Bytes, BytesMut};
 
-/// The most bytes that wait for the end of their event.
-pub const MAX_BYTES: usize = 1 << 20;
+/// The largest event; longer events are buffered no further.
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// A whole event.
+/// A complete server-sent event.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Event {
-    /// Its number, if it has one.
+    /// The numeric `id` field of the event, if it has one.
     pub id: Option<u64>,
-    /// Its bytes, with the empty line at the end.
+    /// The bytes of the event, including the empty line that ends it.
     pub bytes: Bytes,
 }
 
-/// Cuts events out of bytes.
+/// Splits a byte stream into complete events.
 #[derive(Debug, Default)]
-pub struct Splitter {
-    rest: BytesMut,
-    /// Bytes of the rest that were looked at already.
-    seen: usize,
+pub struct EventSplitter {
+    buffer: BytesMut,
+    /// The length of the part of the buffer that was already searched for the
+    /// end of an event.
+    searched: usize,
 }
 
-impl Splitter {
-    /// Nothing taken yet.
-    pub fn new() -> Splitter {
-        Splitter::default()
+impl EventSplitter {
+    /// Creates a splitter with an empty buffer.
+    pub fn new() -> EventSplitter {
+        EventSplitter::default()
     }
 
-    /// Takes bytes in.
+    /// Appends received bytes to the buffer.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.rest.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// Removes the next complete event from the buffer and returns it.
     pub fn pop(&mut self) -> Option<Event> {
-        let from = self.seen.saturating_sub(3);
-        let Some(length) = end(&self.rest, from) else {
-            self.seen = self.rest.len();
+        let from = self.searched.saturating_sub(3);
+        let Some(length) = event_length(&self.buffer, from) else {
+            self.searched = self.buffer.len();
             return None;
         };
-        self.seen = 0;
-        let bytes = self.rest.split_to(length).freeze();
-        Some(Event { id: id(&bytes), bytes })
+        self.searched = 0;
+        let bytes = self.buffer.split_to(length).freeze();
+        Some(Event { id: event_id(&bytes), bytes })
     }
 
-    /// Whether an event has begun and not ended.
-    pub fn is_inside(&self) -> bool {
-        !self.rest.is_empty()
+    /// Whether the buffer holds an incomplete event.
+    pub fn has_partial_event(&self) -> bool {
+        !self.buffer.is_empty()
     }
 
-    /// Whether an event is longer than any may be.
-    pub fn is_over_long(&self) -> bool {
-        self.rest.len() > MAX_BYTES
+    /// Whether the buffered event exceeds the maximum size.
+    pub fn exceeds_max_size(&self) -> bool {
+        self.buffer.len() > MAX_EVENT_BYTES
     }
 }
 
-/// The length of the first event: up to an empty line, in either of the
-/// usual line ends.
-fn end(bytes: &[u8], from: usize) -> Option<usize> {
+/// Returns the length of the first event, up to and including the empty line
+/// after it. Lines may end in LF or CRLF.
+fn event_length(bytes: &[u8], from: usize) -> Option<usize> {
     (from..bytes.len()).find_map(|at| {
         let rest = &bytes[at..];
         if rest.starts_with(b"\n\n") {
@@ -75,7 +77,7 @@
     })
 }
 
-fn id(event: &[u8]) -> Option<u64> {
+fn event_id(event: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(event).ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix("id:"))?;
     line.trim().parse().ok()
--- a/cowsliproad-relay/src/lib.rs
+++ b/cowsliproad-relay/src/lib.rs
@@ -1,15 +1,15 @@
-//! The whole answer from the frames of one attempt.
+//! Reassembly of an answer from the frames of one attempt.
 //!
-//! An entry relays exactly one attempt to a caller. An [`Assembly`] takes
-//! the frames of that attempt in whatever order they come, gives the bytes
-//! out in sequence, and says that the answer is whole only when the length
-//! and the digest in the end frame match every byte given out. Frames of
-//! another attempt are dropped, however late they come.
+//! An entry relays exactly one attempt to a caller. An [`AnswerAssembly`] accepts
+//! the frames of that attempt in any order and returns the answer bytes in
+//! sequence. It reports the answer as complete only if the length and the
+//! digest in the end frame match all bytes that it returned. It drops frames
+//! of other attempts, however late they arrive.
 //!
-//! An answer may also be taken up in its middle by a caller that has the
-//! first part. The digest covers the whole, so such an assembly starts from
-//! the hash of the bytes that came before, or, when those bytes are not at
-//! hand, checks the length alone and leaves the digest to the caller.
+//! A caller that already has the first part of an answer may resume it. The
+//! digest covers the complete answer, so the assembly continues from the hash
+//! of the earlier bytes. If these bytes are not available, it checks only the
+//! length and leaves the digest to the caller.
 
 #![forbid(unsafe_code)]
 
@@ -22,141 +22,149 @@
     wire::{Data, End},
 };
 
-/// Frames that may wait for one that is missing.
-const MAX_EARLY: usize = 1024;
+/// The largest number of data frames that are buffered while an earlier frame
+/// is missing.
+const MAX_OUT_OF_ORDER_FRAMES: usize = 1024;
 
-/// What a frame led to.
+/// The result of processing one frame.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Step {
-    /// Nothing to pass on yet, or the frame was not for this attempt.
-    Nothing,
-    /// Bytes to pass on.
+pub enum Progress {
+    /// There are no bytes to forward yet, or the frame belongs to another
+    /// attempt.
+    Pending,
+    /// Answer bytes to forward; the answer is not complete yet.
     Bytes(Vec<u8>),
-    /// Perhaps bytes to pass on, after which the answer is whole.
-    Whole(Vec<u8>),
-    /// The answer can't become whole any more.
+    /// The last answer bytes to forward (possibly none); the answer is
+    /// complete and verified.
+    Complete(Vec<u8>),
+    /// The answer can't be completed: too many frames are out of order, or
+    /// the frame count, the length or the digest is wrong.
     Broken,
 }
 
-/// The frames of one attempt being put together.
+/// Reassembles an answer from the frames of one attempt.
 #[derive(Clone, Debug)]
-pub struct Assembly {
+pub struct AnswerAssembly {
     attempt: id::Attempt,
-    next: u32,
+    next_sequence: u32,
     length: u64,
-    /// Boxed, since an assembly is moved often and a hasher is large.
+    /// Boxed because a hasher is large and the assembly is moved often.
     hasher: Option<Box<blake3::Hasher>>,
-    early: BTreeMap<u32, Vec<u8>>,
+    out_of_order: BTreeMap<u32, Vec<u8>>,
     end: Option<End>,
 }
 
-impl Assembly {
-    /// Starts an answer from its first byte.
-    pub fn new(attempt: id::Attempt) -> Assembly {
-        Assembly {
+impl AnswerAssembly {
+    /// Creates an assembly for an answer from its first byte on.
+    pub fn new(attempt: id::Attempt) -> AnswerAssembly {
+        AnswerAssembly {
             attempt,
-            next: 0,
+            next_sequence: 0,
             length: 0,
             hasher: Some(Box::default()),
-            early: BTreeMap::new(),
+            out_of_order: BTreeMap::new(),
             end: None,
         }
     }
 
-    /// Goes on with the same answer under another attempt, from the byte
-    /// that this assembly has reached.
-    pub fn resume(self, attempt: id::Attempt) -> Assembly {
-        Assembly {
+    /// Continues the same answer with the frames of another attempt, at the
+    /// byte after the last one that was returned.
+    pub fn resume(self, attempt: id::Attempt) -> AnswerAssembly {
+        AnswerAssembly {
             attempt,
-            next: 0,
-            early: BTreeMap::new(),
+            next_sequence: 0,
+            out_of_order: BTreeMap::new(),
             end: None,
             ..self
         }
     }
 
-    /// Takes an answer up at byte `from` without the bytes before it.
-    pub fn tail(attempt: id::Attempt, from: u64) -> Assembly {
+    /// Creates an assembly for an answer from byte `from` on, without access
+    /// to the bytes before it.
+    pub fn starting_at(attempt: id::Attempt, from: u64) -> AnswerAssembly {
         let hasher = (from == 0).then(Box::default);
-        Assembly { length: from, hasher, ..Assembly::new(attempt) }
+        AnswerAssembly { length: from, hasher, ..AnswerAssembly::new(attempt) }
     }
 
-    /// The attempt whose frames count.
+    /// Returns the attempt whose frames are processed.
     pub fn attempt(&self) -> id::Attempt {
         self.attempt
     }
 
-    /// The number of bytes given out so far, with those taken as read.
+    /// Returns the offset in the answer after the last byte returned so far.
     pub fn length(&self) -> u64 {
         self.length
     }
 
-    /// Takes a piece.
-    pub fn data(&mut self, data: Data) -> Step {
-        if data.attempt != self.attempt || data.sequence < self.next {
-            return Step::Nothing;
+    /// Processes a data frame.
+    pub fn push_data(&mut self, data: Data) -> Progress {
+        if data.attempt != self.attempt || data.sequence < self.next_sequence {
+            return Progress::Pending;
         }
-        if data.sequence > self.next {
-            if self.early.len() == MAX_EARLY {
-                return Step::Broken;
+        if data.sequence > self.next_sequence {
+            if self.out_of_order.len() == MAX_OUT_OF_ORDER_FRAMES {
+                return Progress::Broken;
             }
-            self.early.insert(data.sequence, data.bytes);
-            return Step::Nothing;
+            self.out_of_order.insert(data.sequence, data.bytes);
+            return Progress::Pending;
         }
         let mut bytes = data.bytes;
-        self.next += 1;
-        while let Some(more) = self.early.remove(&self.next) {
+        self.next_sequence += 1;
+        while let Some(more) = self.out_of_order.remove(&self.next_sequence) {
             bytes.extend_from_slice(&more);
-            self.next += 1;
+            self.next_sequence += 1;
         }
         self.length += bytes.len() as u64;
         if let Some(hasher) = &mut self.hasher {
             hasher.update(&bytes);
         }
-        match self.verdict() {
-            Verdict::Open => Step::Bytes(bytes),
-            Verdict::Whole => Step::Whole(bytes),
-            Verdict::Broken => Step::Broken,
+        match self.completeness() {
+            Completeness::Incomplete => Progress::Bytes(bytes),
+            Completeness::Complete => Progress::Complete(bytes),
+            Completeness::Broken => Progress::Broken,
         }
     }
 
-    /// Takes the end frame.
-    pub fn end(&mut self, end: End) -> Step {
+    /// Processes the end frame.
+    pub fn push_end(&mut self, end: End) -> Progress {
         if end.attempt != self.attempt {
-            return Step::Nothing;
+            return Progress::Pending;
         }
         self.end = Some(end);
-        match self.verdict() {
-            Verdict::Open => Step::Nothing,
-            Verdict::Whole => Step::Whole(Vec::new()),
-            Verdict::Broken => Step::Broken,
+        match self.completeness() {
+            Completeness::Incomplete => Progress::Pending,
+            Completeness::Complete => Progress::Complete(Vec::new()),
+            Completeness::Broken => Progress::Broken,
         }
     }
 
-    /// The end frame, once it came.
-    pub fn ending(&self) -> Option<&End> {
+    /// Returns the end frame if it has arrived.
+    pub fn end_frame(&self) -> Option<&End> {
         self.end.as_ref()
     }
 
-    fn verdict(&self) -> Verdict {
-        let Some(end) = &self.end else { return Verdict::Open };
-        if self.next < end.sequence {
-            return Verdict::Open;
+    fn completeness(&self) -> Completeness {
+        let Some(end) = &self.end else { return Completeness::Incomplete };
+        if self.next_sequence < end.sequence {
+            return Completeness::Incomplete;
         }
-        let digest = match &self.hasher {
+        let digest_matches = match &self.hasher {
             Some(hasher) => hasher.finalize().as_bytes() == &end.digest[..],
             None => true,
         };
-        if digest && self.length == end.length && self.next == end.sequence {
-            Verdict::Whole
+        if digest_matches
+            && self.length == end.length
+            && self.next_sequence == end.sequence
+        {
+            Completeness::Complete
         } else {
-            Verdict::Broken
+            Completeness::Broken
         }
     }
 }
 
-enum Verdict {
-    Open,
-    Whole,
+enum Completeness {
+    Incomplete,
+    Complete,
     Broken,
 }
--- a/tests/properties/direct.rs
+++ b/tests/properties/direct.rs
@@ -4,7 +4,7 @@
 use cowsliproad::{
     admission::window::{Config, Window},
     kernel::clock::Millis,
-    relay::events::Splitter,
+    relay::events::EventSplitter,
     routing::{
         catalog::{
             Access, Builder, Kind, Organisation, Refusal, Route, Share,
@@ -229,7 +229,7 @@
             let event = format!("id: {id}\ndata: a b{end}");
             stream.extend_from_slice(event.as_bytes());
         }
-        let mut splitter = Splitter::new();
+        let mut splitter = EventSplitter::new();
         let mut ids = Vec::new();
         let mut bytes = Vec::new();
         let mut rest = &stream[..];
@@ -245,17 +245,17 @@
         }
         prop_assert_eq!(ids, (1..=count).collect::<Vec<_>>());
         prop_assert_eq!(bytes, stream);
-        prop_assert!(!splitter.is_inside());
+        prop_assert!(!splitter.has_partial_event());
     }
 }
 
 #[test]
 fn a_broken_off_event_stays_inside() {
-    let mut splitter = Splitter::new();
+    let mut splitter = EventSplitter::new();
     splitter.push(b"id: 1\ndata: x\n\nid: 2\nda");
     assert_eq!(splitter.pop().and_then(|it| it.id), Some(1));
     assert_eq!(splitter.pop(), None);
-    assert!(splitter.is_inside());
+    assert!(splitter.has_partial_event());
 }
 
 /// Guards against a group that is taken for halted for good by a wrong word,
--- a/tests/properties/relay.rs
+++ b/tests/properties/relay.rs
@@ -5,7 +5,7 @@
         id::Attempt,
         wire::{Data, End, Format, Frame},
     },
-    relay::{Assembly, Step},
+    relay::{AnswerAssembly, Progress},
 };
 use proptest::prelude::*;
 
@@ -31,22 +31,22 @@
 
 /// Feeds frames and returns the bytes and whether the answer is whole.
 fn assemble(frames: &[Frame]) -> (Vec<u8>, Ending) {
-    let mut assembly = Assembly::new(Attempt(1));
+    let mut assembly = AnswerAssembly::new(Attempt(1));
     let mut given = Vec::new();
     for frame in frames {
         let step = match frame.clone() {
-            Frame::Data(data) => assembly.data(data),
-            Frame::End(end) => assembly.end(end),
-            _ => Step::Nothing,
+            Frame::Data(data) => assembly.push_data(data),
+            Frame::End(end) => assembly.push_end(end),
+            _ => Progress::Pending,
         };
         match step {
-            Step::Nothing => {}
-            Step::Bytes(bytes) => given.extend(bytes),
-            Step::Whole(bytes) => {
+            Progress::Pending => {}
+            Progress::Bytes(bytes) => given.extend(bytes),
+            Progress::Complete(bytes) => {
                 given.extend(bytes);
                 return (given, Ending::Whole);
             }
-            Step::Broken => return (given, Ending::Broken),
+            Progress::Broken => return (given, Ending::Broken),
         }
     }
     (given, Ending::Open)
@@ -115,26 +115,26 @@
         cut in any::<prop::sample::Index>(),
     ) {
         let cut = cut.index(pieces.len() + 1);
-        let mut assembly = Assembly::new(Attempt(1));
+        let mut assembly = AnswerAssembly::new(Attempt(1));
         for frame in &frames(1, &pieces)[..cut] {
             if let Frame::Data(data) = frame.clone() {
-                assembly.data(data);
+                assembly.push_data(data);
             }
         }
         let mut assembly = assembly.resume(Attempt(2));
-        let mut last = Step::Nothing;
+        let mut last = Progress::Pending;
         for frame in frames(2, &pieces[cut..]) {
             last = match frame {
-                Frame::Data(data) => assembly.data(data),
-                Frame::End(end) => assembly.end(End {
+                Frame::Data(data) => assembly.push_data(data),
+                Frame::End(end) => assembly.push_end(End {
                     length: pieces.concat().len() as u64,
                     digest: digest(&pieces.concat()),
                     ..end
                 }),
-                _ => Step::Nothing,
+                _ => Progress::Pending,
             };
         }
-        prop_assert_eq!(last, Step::Whole(Vec::new()));
+        prop_assert_eq!(last, Progress::Complete(Vec::new()));
     }
 }
 
