--- a/cowsliproad-agent/src/http.rs
+++ b/cowsliproad-agent/src/http.rs
@@ -6,7 +6,7 @@
 use cowsliproad_net::{
     metrics::Metrics,
     reply,
-    server::{self, Door, Handler, Listener},
+    server::{self, AcceptHandle, Handler, Listener},
 };
 use http::StatusCode;
 use volo_http::{request::Request, response::Response};
@@ -22,12 +22,16 @@
     settings: &Settings,
     gate: &Arc<Gate>,
     metrics: &Metrics,
-    door: &Door,
+    accept_handle: &AcceptHandle,
 ) -> io::Result<SocketAddr> {
     let front = Front { gate: gate.clone(), metrics: metrics.clone() };
-    let listener = Listener::bind(settings.http, door).await?;
+    let listener = Listener::bind(settings.http, accept_handle).await?;
     let address = listener.address();
-    tokio::spawn(server::serve(listener, Arc::new(front), door.clone()));
+    tokio::spawn(server::serve(
+        listener,
+        Arc::new(front),
+        accept_handle.clone(),
+    ));
     Ok(address)
 }
 
--- a/cowsliproad-agent/src/lib.rs
+++ b/cowsliproad-agent/src/lib.rs
@@ -32,7 +32,9 @@
 use std::{io, net::SocketAddr, sync::Arc};
 
 use cowsliproad_kernel::{log, plugin};
-use cowsliproad_net::{metrics::Metrics, server::Door, threads::Threads};
+use cowsliproad_net::{
+    metrics::Metrics, server::AcceptHandle, threads::Threads,
+};
 use slog::{Logger, info, o};
 use tokio::net::TcpListener;
 
@@ -60,7 +62,7 @@
     pub address: SocketAddr,
     /// Where it answers `/readyz` and `/metrics`.
     pub http: SocketAddr,
-    door: Door,
+    accept_handle: AcceptHandle,
 }
 
 /// Starts an agent's tasks.
@@ -84,8 +86,8 @@
     threads.control.spawn(ends::follow(gate.clone(), links.clone()));
     let watch = ends::watch_cooldown(gate.clone(), links.clone());
     threads.control.spawn(watch);
-    let door = Door::new();
-    let http = http::start(&settings, &gate, &metrics, &door).await?;
+    let accept_handle = AcceptHandle::new();
+    let http = http::start(&settings, &gate, &metrics, &accept_handle).await?;
     info!(log, "start";
         "listen" => %address,
         "target" => %settings.target,
@@ -100,7 +102,7 @@
         log,
         address,
         http,
-        door,
+        accept_handle,
     })
 }
 
@@ -108,6 +110,6 @@
     /// Finishes what it has, hands its records to a peer and returns.
     pub async fn stop(&self) {
         handover::stop(self).await;
-        self.door.close();
+        self.accept_handle.close();
     }
 }
--- a/cowsliproad-agent/src/links.rs
+++ b/cowsliproad-agent/src/links.rs
@@ -81,7 +81,7 @@
         let news = self.gate.ends.take_news();
         self.gate.pace.take_news();
         let beat = Frame::Beat(self.gate.beat(self.replica.next()));
-        open.retain(|link| !link.is_gone());
+        open.retain(|link| !link.is_closed());
         for link in open.iter() {
             // A full queue means that the peer will hear of us anyway.
             let _ = link.try_send(beat.clone());
--- a/cowsliproad-agent/src/main.rs
+++ b/cowsliproad-agent/src/main.rs
@@ -11,12 +11,15 @@
 
 fn main() {
     let about = "The gate in front of one target";
-    let settings: Settings =
-        program::settings("cowsliproad-agent", about, &Settings::example());
+    let settings: Settings = program::load_settings(
+        "cowsliproad-agent",
+        about,
+        &Settings::example(),
+    );
     let threads = settings.threads;
     program::run(threads, async |threads| {
         let agent = cowsliproad_agent::start(settings, threads).await?;
-        program::stopped().await;
+        program::stop_signal().await;
         agent.stop().await;
         Ok(())
     });
--- a/cowsliproad-bench/src/baseline.rs
+++ b/cowsliproad-bench/src/baseline.rs
@@ -17,7 +17,7 @@
 use cowsliproad_net::{
     client::{Client, Error},
     reply,
-    server::{self, Door, Handler, Listener},
+    server::{self, AcceptHandle, Handler, Listener},
 };
 use http::{Request, Response, StatusCode};
 use http_body_util::Full;
@@ -39,7 +39,7 @@
 pub struct Proxy {
     /// Where callers connect.
     pub http: SocketAddr,
-    door: Door,
+    accept_handle: AcceptHandle,
 }
 
 struct Front {
@@ -54,8 +54,8 @@
     engines: Vec<SocketAddr>,
     plains: Vec<SocketAddr>,
 ) -> io::Result<Proxy> {
-    let door = Door::new();
-    let listener = Listener::bind(ANY, &door).await?;
+    let accept_handle = AcceptHandle::new();
+    let listener = Listener::bind(ANY, &accept_handle).await?;
     let http = listener.address();
     let front = Front {
         client: Client::new(),
@@ -63,13 +63,17 @@
         plains,
         turn: AtomicUsize::new(0),
     };
-    tokio::spawn(server::serve(listener, Arc::new(front), door.clone()));
-    Ok(Proxy { http, door })
+    tokio::spawn(server::serve(
+        listener,
+        Arc::new(front),
+        accept_handle.clone(),
+    ));
+    Ok(Proxy { http, accept_handle })
 }
 
 impl Program for Proxy {
     async fn stop(&self) {
-        self.door.close();
+        self.accept_handle.close();
     }
 }
 
--- a/cowsliproad-bench/src/bin/cowsliproad-naive.rs
+++ b/cowsliproad-bench/src/bin/cowsliproad-naive.rs
@@ -55,13 +55,13 @@
 
 fn main() -> ExitCode {
     let about = "Passes requests on to random targets";
-    let (_, settings) = program::settings_or(
+    let (_, settings) = program::load_settings_or_env(
         "cowsliproad-naive",
         about,
         &Settings::example(),
         SETTINGS_VARIABLE,
     );
-    match program::run_local(run(settings)) {
+    match program::run_single_threaded(run(settings)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("can't run: {error}");
@@ -78,7 +78,7 @@
     let callers = TcpListener::bind(settings.callers).await?;
     tokio::select! {
         () = serve(front, callers) => {}
-        () = program::stopped() => {}
+        () = program::stop_signal() => {}
     }
     Ok(())
 }
--- a/cowsliproad-bench/src/plant.rs
+++ b/cowsliproad-bench/src/plant.rs
@@ -288,7 +288,8 @@
         let agent = match self.config.layout {
             Layout::Single => {
                 Node::start(&site.name, async move || {
-                    cowsliproad_agent::start(settings, Threads::here()).await
+                    cowsliproad_agent::start(settings, Threads::current())
+                        .await
                 })
                 .await?
             }
@@ -325,7 +326,8 @@
         let entry = match self.config.layout {
             Layout::Single => {
                 Node::start(&gateway.name, async move || {
-                    cowsliproad_entry::start(settings, Threads::here()).await
+                    cowsliproad_entry::start(settings, Threads::current())
+                        .await
                 })
                 .await?
             }
--- a/cowsliproad-direct/src/callers.rs
+++ b/cowsliproad-direct/src/callers.rs
@@ -13,7 +13,7 @@
 
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_net::{
-    hooked::{Hooked, Hooks},
+    hooked::{HookedStream, Hooks},
     program,
 };
 use cowsliproad_routing::catalog::Limits;
@@ -63,7 +63,7 @@
 ) -> io::Result<()> {
     tokio::select! {
         never = accept(entry, &listener) => match never {},
-        () = program::stopped() => {}
+        () = program::stop_signal() => {}
     }
     let end =
         Instant::now() + (entry.settings().grace_ms - END_MARGIN).duration();
@@ -143,7 +143,7 @@
         async move { Ok::<_, Infallible>(answer(entry, activity, request).await) }
     });
     let opened = upstream::prepare(&stream)
-        .and_then(|()| Hooked::new(stream, Watch(activity.clone())));
+        .and_then(|()| HookedStream::new(stream, Watch(activity.clone())));
     let stream = match opened {
         Ok(stream) => stream,
         Err(error) => {
@@ -221,7 +221,7 @@
 struct Watch(Rc<Activity>);
 
 impl Hooks for Watch {
-    fn came(&mut self) {
+    fn on_read(&mut self) {
         let activity = &self.0;
         if activity.busy.get() == 0 && activity.head_since.get().is_none() {
             activity.head_since.set(Some(Millis::now()));
--- a/cowsliproad-direct/src/lib.rs
+++ b/cowsliproad-direct/src/lib.rs
@@ -80,7 +80,8 @@
     tokio::task::spawn_local(quarantine::follow(entry.clone()));
     tokio::task::spawn_local(quarantine::write(entry.clone()));
     let reloaded = entry.clone();
-    let reload = program::reload(path, move |read| reloaded.reload(read));
+    let reload =
+        program::watch_settings(path, move |read| reloaded.reload(read));
     tokio::task::spawn_local(reload);
     callers::serve(&entry, callers).await?;
     info!(log, "stopped");
--- a/cowsliproad-direct/src/main.rs
+++ b/cowsliproad-direct/src/main.rs
@@ -12,9 +12,14 @@
     let about = "Takes callers' requests straight to targets";
     let example = Settings::example();
     let name = "cowsliproad-direct";
-    let (path, settings) =
-        program::settings_or(name, about, &example, SETTINGS_VARIABLE);
-    match program::run_local(cowsliproad_direct::run(path, settings)) {
+    let (path, settings) = program::load_settings_or_env(
+        name,
+        about,
+        &example,
+        SETTINGS_VARIABLE,
+    );
+    match program::run_single_threaded(cowsliproad_direct::run(path, settings))
+    {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("can't run: {error}");
--- a/cowsliproad-direct/src/upstream.rs
+++ b/cowsliproad-direct/src/upstream.rs
@@ -13,7 +13,7 @@
 
 use bytes::Bytes;
 use cowsliproad_kernel::clock::Millis;
-use cowsliproad_net::hooked::{Abrupt, Hooked};
+use cowsliproad_net::hooked::{HookedStream, ResetOnDrop};
 use http::{HeaderMap, Request, Response};
 use http_body_util::Full;
 use hyper::{
@@ -237,7 +237,7 @@
         .map_err(|_| Failure::Unsent("no connection in time"))?
         .map_err(|_| Failure::Unsent("no connection"))?;
     let stream = prepare(&stream)
-        .and_then(|()| Hooked::new(stream, Abrupt))
+        .and_then(|()| HookedStream::new(stream, ResetOnDrop))
         .map_err(|_| Failure::Unsent("no connection"))?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
--- a/cowsliproad-entry/src/admin.rs
+++ b/cowsliproad-entry/src/admin.rs
@@ -18,7 +18,7 @@
     code::{Code, Ran},
     id,
 };
-use cowsliproad_net::server::{Door, Listener};
+use cowsliproad_net::server::{AcceptHandle, Listener};
 use futures_util::{Stream, stream};
 use slog::{info, warn};
 use tokio::time::{Instant, timeout_at};
@@ -40,13 +40,17 @@
     shared: Arc<Shared>,
 }
 
-/// Serves operators until the door is closed.
-pub async fn serve(shared: Arc<Shared>, listener: Listener, door: Door) {
+/// Serves operators until connections are no longer accepted.
+pub async fn serve(
+    shared: Arc<Shared>,
+    listener: Listener,
+    accept_handle: AcceptHandle,
+) {
     let log = shared.log.clone();
     let admin = message::AdminServer::new(Admin { shared });
     let service = ServiceBuilder::new(admin).build();
     let closed = async move {
-        door.closed().await;
+        accept_handle.closed().await;
         Ok(())
     };
     let server = Server::new().add_service(service);
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -470,8 +470,10 @@
             BodyError::TooLarge => {
                 refused(Code::TooLarge, &format!("at most {limit} bytes"))
             }
-            BodyError::Slow => refused(Code::SlowBody, ""),
-            BodyError::Cut => refused(Code::BadRequest, "the body was cut"),
+            BodyError::TimedOut => refused(Code::SlowBody, ""),
+            BodyError::Incomplete => {
+                refused(Code::BadRequest, "the body was cut")
+            }
         })?;
         serde_json::from_slice::<serde::de::IgnoredAny>(&body)
             .map_err(|error| refused(Code::BadJson, &error.to_string()))?;
--- a/cowsliproad-entry/src/lib.rs
+++ b/cowsliproad-entry/src/lib.rs
@@ -45,7 +45,7 @@
 use cowsliproad_net::{
     client::Client,
     metrics::Metrics,
-    server::{self, Door, Listener},
+    server::{self, AcceptHandle, Listener},
     threads::Threads,
 };
 use slog::{Logger, info, warn};
@@ -105,7 +105,7 @@
     pub admin: SocketAddr,
     /// Where other entries connect.
     pub link: SocketAddr,
-    door: Door,
+    accept_handle: AcceptHandle,
 }
 
 /// How often a stopping entry looks whether its requests are done.
@@ -128,23 +128,23 @@
         in_flight: AtomicU32::new(0),
         stopping: AtomicBool::new(false),
         control: inbox,
-        client: Client::from(settings.source),
+        client: Client::with_local_address(settings.source),
         instruments: callers::Instruments::new(&metrics.meter()),
         metrics,
         log,
         threads: threads.clone(),
         settings,
     });
-    let door = Door::new();
-    let http = Listener::bind(shared.settings.http, &door).await?;
-    let admin = Listener::bind(shared.settings.admin, &door).await?;
+    let accept_handle = AcceptHandle::new();
+    let http = Listener::bind(shared.settings.http, &accept_handle).await?;
+    let admin = Listener::bind(shared.settings.admin, &accept_handle).await?;
     let link = tokio::net::TcpListener::bind(shared.settings.link).await?;
     let entry = Entry {
         http: http.address(),
         admin: admin.address(),
         link: link.local_addr()?,
         shared: shared.clone(),
-        door: door.clone(),
+        accept_handle: accept_handle.clone(),
     };
     threads.control.spawn(Control::new(shared.clone()).run(events));
     threads.control.spawn(control::weigh_ejections(shared.clone()));
@@ -159,8 +159,8 @@
         threads.control.spawn(links::dial_seed(shared.clone(), seed));
     }
     let callers = Arc::new(callers::Api::new(shared.clone()));
-    threads.traffic.spawn(server::serve(http, callers, door.clone()));
-    threads.control.spawn(admin::serve(shared.clone(), admin, door));
+    threads.traffic.spawn(server::serve(http, callers, accept_handle.clone()));
+    threads.control.spawn(admin::serve(shared.clone(), admin, accept_handle));
     info!(shared.log, "start";
         "http" => %entry.http, "admin" => %entry.admin,
         "link" => %entry.link);
@@ -175,7 +175,7 @@
         let in_flight = || shared.in_flight.load(Ordering::Relaxed);
         info!(shared.log, "stop"; "in_flight" => in_flight());
         sleep(shared.settings.grace_ms.duration()).await;
-        self.door.close();
+        self.accept_handle.close();
         let most = shared.settings.stop_ms.duration();
         let deadline = Instant::now() + most;
         while in_flight() > 0 && Instant::now() < deadline {
--- a/cowsliproad-entry/src/main.rs
+++ b/cowsliproad-entry/src/main.rs
@@ -11,12 +11,15 @@
 
 fn main() {
     let about = "Where callers and operators come in";
-    let settings: Settings =
-        program::settings("cowsliproad-entry", about, &Settings::example());
+    let settings: Settings = program::load_settings(
+        "cowsliproad-entry",
+        about,
+        &Settings::example(),
+    );
     let threads = settings.threads;
     program::run(threads, async |threads| {
         let entry = cowsliproad_entry::start(settings, threads).await?;
-        program::stopped().await;
+        program::stop_signal().await;
         entry.stop().await;
         Ok(())
     });
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -22,7 +22,7 @@
     sync::lock,
     wire::{Beat, Data, End, Failure, Frame, Load, Phase, Presence, Refusal},
 };
-use cowsliproad_net::link::{Gone, Sender};
+use cowsliproad_net::link::{SendError, Sender};
 use cowsliproad_routing::{
     health::{self, Admit, Health},
     score::Candidate,
@@ -301,12 +301,12 @@
     }
 
     /// Sends a frame.
-    pub async fn send(&self, frame: Frame) -> Result<(), Gone> {
+    pub async fn send(&self, frame: Frame) -> Result<(), SendError> {
         self.sender.send(frame).await
     }
 
     /// Sends a frame if there is room.
-    pub fn try_send(&self, frame: Frame) -> Result<(), Gone> {
+    pub fn try_send(&self, frame: Frame) -> Result<(), SendError> {
         self.sender.try_send(frame)
     }
 
--- a/cowsliproad-net/src/client.rs
+++ b/cowsliproad-net/src/client.rs
@@ -44,12 +44,12 @@
 impl Client {
     /// Creates a client without open connections.
     pub fn new() -> Client {
-        Client::from(None)
+        Client::with_local_address(None)
     }
 
     /// Creates a client that connects from the given local address, for VMs
     /// with several addresses.
-    pub fn from(source: Option<IpAddr>) -> Client {
+    pub fn with_local_address(source: Option<IpAddr>) -> Client {
         let mut connector = HttpConnector::new();
         connector.set_local_address(source);
         connector.set_nodelay(true);
--- a/cowsliproad-net/src/hooked.rs
+++ b/cowsliproad-net/src/hooked.rs
@@ -20,10 +20,10 @@
 /// default there are none.
 pub trait Hooks: Unpin {
     /// How the connection is closed.
-    const ENDING: Ending = Ending::Orderly;
+    const CLOSE_MODE: CloseMode = CloseMode::Graceful;
 
     /// Called when bytes were read from the connection.
-    fn came(&mut self) {}
+    fn on_read(&mut self) {}
 
     /// Returns bytes to send before the next flush.
     fn before_flush(&mut self) -> Vec<u8> {
@@ -33,16 +33,16 @@
 
 /// How a connection is closed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ending {
+pub enum CloseMode {
     /// Close the connection gracefully: bytes that were written still arrive.
-    Orderly,
+    Graceful,
     /// Reset the connection when it is dropped.
     Reset,
 }
 
 /// A TCP connection with hooks.
 #[derive(Debug)]
-pub struct Hooked<H> {
+pub struct HookedStream<H> {
     stream: TcpStream,
     hooks: H,
 }
@@ -55,23 +55,23 @@
 /// a complete request and run it. A reset discards bytes that the server has
 /// not read.
 #[derive(Clone, Copy, Debug)]
-pub struct Abrupt;
+pub struct ResetOnDrop;
 
-impl Hooks for Abrupt {
-    const ENDING: Ending = Ending::Reset;
+impl Hooks for ResetOnDrop {
+    const CLOSE_MODE: CloseMode = CloseMode::Reset;
 }
 
-impl<H: Hooks> Hooked<H> {
+impl<H: Hooks> HookedStream<H> {
     /// Wraps a connection.
-    pub fn new(stream: TcpStream, hooks: H) -> io::Result<Hooked<H>> {
-        if H::ENDING == Ending::Reset {
+    pub fn new(stream: TcpStream, hooks: H) -> io::Result<HookedStream<H>> {
+        if H::CLOSE_MODE == CloseMode::Reset {
             SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
         }
-        Ok(Hooked { stream, hooks })
+        Ok(HookedStream { stream, hooks })
     }
 }
 
-impl<H: Hooks> AsyncRead for Hooked<H> {
+impl<H: Hooks> AsyncRead for HookedStream<H> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -80,13 +80,13 @@
         let before = buffer.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
         if buffer.filled().len() > before {
-            self.hooks.came();
+            self.hooks.on_read();
         }
         polled
     }
 }
 
-impl<H: Hooks> AsyncWrite for Hooked<H> {
+impl<H: Hooks> AsyncWrite for HookedStream<H> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -123,11 +123,11 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<io::Result<()>> {
-        match H::ENDING {
-            Ending::Orderly => {
+        match H::CLOSE_MODE {
+            CloseMode::Graceful => {
                 Pin::new(&mut self.stream).poll_shutdown(context)
             }
-            Ending::Reset => Poll::Ready(Ok(())),
+            CloseMode::Reset => Poll::Ready(Ok(())),
         }
     }
 }
--- a/cowsliproad-net/src/link.rs
+++ b/cowsliproad-net/src/link.rs
@@ -109,21 +109,21 @@
 /// The error for a frame that could not be queued: the link is closed or its
 /// queue is full.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Gone;
+pub struct SendError;
 
 impl Sender {
     /// Queues a frame, waiting while the queue is full.
-    pub async fn send(&self, frame: Frame) -> Result<(), Gone> {
-        self.queue.send(frame).await.map_err(|_| Gone)
+    pub async fn send(&self, frame: Frame) -> Result<(), SendError> {
+        self.queue.send(frame).await.map_err(|_| SendError)
     }
 
     /// Queues a frame, or fails if the queue is full.
-    pub fn try_send(&self, frame: Frame) -> Result<(), Gone> {
-        self.queue.try_send(frame).map_err(|_| Gone)
+    pub fn try_send(&self, frame: Frame) -> Result<(), SendError> {
+        self.queue.try_send(frame).map_err(|_| SendError)
     }
 
     /// Whether the link is closed.
-    pub fn is_gone(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.queue.is_closed()
     }
 }
--- a/cowsliproad-net/src/program.rs
+++ b/cowsliproad-net/src/program.rs
@@ -23,16 +23,20 @@
 
 /// Reads the settings file named on the command line. Exits the process after
 /// `--check` and `--print-default`, and if the settings are invalid.
-pub fn settings<T>(name: &'static str, about: &'static str, example: &T) -> T
+pub fn load_settings<T>(
+    name: &'static str,
+    about: &'static str,
+    example: &T,
+) -> T
 where
     T: Check + DeserializeOwned + Serialize,
 {
     read_settings(name, about, example, None).1
 }
 
-/// Like [`settings`], but also returns the path of the file, and takes the
+/// Like [`load_settings`], but also returns the path of the file, and takes the
 /// path from an environment variable if the command line names none.
-pub fn settings_or<T>(
+pub fn load_settings_or_env<T>(
     name: &'static str,
     about: &'static str,
     example: &T,
@@ -89,7 +93,7 @@
 
 /// Runs a program's main task on the current thread only. This suits a VM with
 /// a fraction of one core; tasks share their state without locks.
-pub fn run_local(
+pub fn run_single_threaded(
     main: impl Future<Output = io::Result<()>>,
 ) -> io::Result<()> {
     let runtime =
@@ -102,7 +106,7 @@
 
 /// Reads the settings again on SIGHUP or when the file changes, and passes the
 /// result to `on_read`. Never returns. SIGHUP doesn't stop the process.
-pub async fn reload<T: Check + DeserializeOwned>(
+pub async fn watch_settings<T: Check + DeserializeOwned>(
     path: PathBuf,
     mut on_read: impl FnMut(Result<T, settings::Error>),
 ) {
@@ -128,7 +132,7 @@
 }
 
 /// Waits for SIGTERM or SIGINT.
-pub async fn stopped() {
+pub async fn stop_signal() {
     let (Ok(mut terminate), Ok(mut interrupt)) =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
     else {
--- a/cowsliproad-net/src/server.rs
+++ b/cowsliproad-net/src/server.rs
@@ -1,11 +1,11 @@
 //! HTTP servers with a graceful stop.
 //!
 //! The graceful shutdown of the volo library waits a fixed time and is tied
-//! to signals. Instead, each program counts its own in-flight requests, and a
-//! [`Door`] stops the accepting of connections. A connection is passed to
-//! volo only once its first request head has arrived. A client that sends its
-//! headers slowly therefore occupies nothing but a socket, and for
-//! [`HEAD_TIMEOUT`] at most.
+//! to signals. Instead, each program counts its own in-flight requests, and
+//! an [`AcceptHandle`] stops a server from accepting connections. A connection
+//! is passed to volo only once its first request head has arrived. A client
+//! that sends its headers slowly therefore occupies nothing but a socket, and
+//! for at most [`REQUEST_HEAD_TIMEOUT`].
 
 use std::{
     convert::Infallible,
@@ -38,7 +38,7 @@
 };
 
 /// The time limit for a connection to send its first request head.
-pub const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
+pub const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The capacity of the queue of connections that have sent their first request
 /// head and wait for the server.
@@ -53,14 +53,14 @@
 
 /// A handle that stops a server from accepting connections.
 #[derive(Clone, Debug)]
-pub struct Door {
+pub struct AcceptHandle {
     open: watch::Sender<bool>,
 }
 
-impl Door {
+impl AcceptHandle {
     /// Creates a handle in the accepting state.
-    pub fn new() -> Door {
-        Door { open: watch::Sender::new(true) }
+    pub fn new() -> AcceptHandle {
+        AcceptHandle { open: watch::Sender::new(true) }
     }
 
     /// Stops accepting connections.
@@ -81,9 +81,9 @@
     }
 }
 
-impl Default for Door {
-    fn default() -> Door {
-        Door::new()
+impl Default for AcceptHandle {
+    fn default() -> AcceptHandle {
+        AcceptHandle::new()
     }
 }
 
@@ -97,12 +97,12 @@
     /// Binds an address and accepts connections until the handle is closed.
     pub async fn bind(
         address: SocketAddr,
-        door: &Door,
+        accept_handle: &AcceptHandle,
     ) -> io::Result<Listener> {
         let socket = TcpListener::bind(address).await?;
         let address = socket.local_addr()?;
         let (sender, accepted) = mpsc::channel(MAX_PENDING_CONNECTIONS);
-        tokio::spawn(accept(socket, door.clone(), sender));
+        tokio::spawn(accept(socket, accept_handle.clone(), sender));
         Ok(Listener { address, accepted })
     }
 
@@ -140,13 +140,13 @@
 
 async fn accept(
     socket: TcpListener,
-    door: Door,
+    accept_handle: AcceptHandle,
     sender: mpsc::Sender<TcpStream>,
 ) {
     loop {
         let stream = tokio::select! {
             accepted = socket.accept() => accepted,
-            () = door.closed() => return,
+            () = accept_handle.closed() => return,
         };
         match stream {
             Ok((stream, _)) => {
@@ -165,7 +165,7 @@
     stream: TcpStream,
     sender: mpsc::Sender<TcpStream>,
 ) {
-    let deadline = Instant::now() + HEAD_TIMEOUT;
+    let deadline = Instant::now() + REQUEST_HEAD_TIMEOUT;
     let mut head = vec![0; MAX_HEAD_BYTES];
     loop {
         let peeked = timeout_at(deadline, stream.peek(&mut head)).await;
@@ -203,12 +203,12 @@
 pub async fn serve<H: Handler>(
     listener: Listener,
     handler: Arc<H>,
-    door: Door,
+    accept_handle: AcceptHandle,
 ) -> io::Result<()> {
     let mut server = Server::new(HandlerService(handler));
     server.http1_config().set_max_headers(MAX_HEADERS);
     let server = server.register_shutdown_hook(move || {
-        Box::pin(async move { door.closed().await })
+        Box::pin(async move { accept_handle.closed().await })
     });
     server.run(listener).await.map_err(io::Error::other)
 }
@@ -237,9 +237,9 @@
     /// The body exceeds the size limit.
     TooLarge,
     /// The body did not arrive in time.
-    Slow,
+    TimedOut,
     /// The connection broke before the body was complete.
-    Cut,
+    Incomplete,
 }
 
 /// Reads a request body of at most `limit` bytes within `time_limit`.
@@ -249,12 +249,12 @@
     time_limit: Duration,
 ) -> Result<Bytes, BodyError> {
     match timeout(time_limit, Limited::new(body, limit).collect()).await {
-        Err(_) => Err(BodyError::Slow),
+        Err(_) => Err(BodyError::TimedOut),
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             Err(BodyError::TooLarge)
         }
-        Ok(Err(_)) => Err(BodyError::Cut),
+        Ok(Err(_)) => Err(BodyError::Incomplete),
     }
 }
 
--- a/cowsliproad-net/src/single.rs
+++ b/cowsliproad-net/src/single.rs
@@ -18,15 +18,15 @@
 
 /// An HTTP client with a single connection, used by the tasks of one thread.
 #[derive(Debug)]
-pub struct Single {
+pub struct SingleConnection {
     address: SocketAddr,
     connection: Option<SendRequest<Full<Bytes>>>,
 }
 
-impl Single {
+impl SingleConnection {
     /// Creates a client without connecting it.
-    pub fn new(address: SocketAddr) -> Single {
-        Single { address, connection: None }
+    pub fn new(address: SocketAddr) -> SingleConnection {
+        SingleConnection { address, connection: None }
     }
 
     /// Whether there is no open connection.
--- a/cowsliproad-net/src/threads.rs
+++ b/cowsliproad-net/src/threads.rs
@@ -16,7 +16,7 @@
 
 impl Threads {
     /// Uses the current runtime for all tasks, as the nodes of the demo do.
-    pub fn here() -> Threads {
+    pub fn current() -> Threads {
         let handle = Handle::current();
         Threads { control: handle.clone(), traffic: handle }
     }
--- a/cowsliproad-rank/src/engine.rs
+++ b/cowsliproad-rank/src/engine.rs
@@ -12,7 +12,7 @@
 use cowsliproad_net::{
     client::Error,
     retry_after::{self, RetryAfter},
-    single::Single,
+    single::SingleConnection,
 };
 use cowsliproad_platform::{
     engine::{self, Choices, Lists, State},
@@ -40,7 +40,7 @@
 /// A client of one engine.
 #[derive(Debug)]
 pub struct Engine {
-    connection: Single,
+    connection: SingleConnection,
     cooldown: Cooldown,
     /// When it was last looked whether the process is there.
     looked: Millis,
@@ -51,7 +51,7 @@
     /// A client that has not connected yet.
     pub fn new(address: SocketAddr) -> Engine {
         Engine {
-            connection: Single::new(address),
+            connection: SingleConnection::new(address),
             cooldown: Cooldown::default(),
             looked: Millis(0),
             leaving: false,
--- a/cowsliproad-rank/src/lib.rs
+++ b/cowsliproad-rank/src/lib.rs
@@ -38,8 +38,8 @@
     info!(log, "started"; "engine" => %settings.engine);
     let agent = Agent::new(settings, log.clone()).await?;
     tokio::select! {
-        outcome = agent.run(program::stopped()) => outcome?,
-        () = program::reload(path, |read| note(&log, read)) => {}
+        outcome = agent.run(program::stop_signal()) => outcome?,
+        () = program::watch_settings(path, |read| note(&log, read)) => {}
     }
     info!(log, "stopped");
     Ok(())
--- a/cowsliproad-rank/src/main.rs
+++ b/cowsliproad-rank/src/main.rs
@@ -12,9 +12,13 @@
     let about = "Reports an engine's load and leads its group's expert map";
     let example = Settings::example();
     let name = "cowsliproad-rank";
-    let (path, settings) =
-        program::settings_or(name, about, &example, SETTINGS_VARIABLE);
-    match program::run_local(cowsliproad_rank::run(path, settings)) {
+    let (path, settings) = program::load_settings_or_env(
+        name,
+        about,
+        &example,
+        SETTINGS_VARIABLE,
+    );
+    match program::run_single_threaded(cowsliproad_rank::run(path, settings)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("can't run: {error}");
--- a/cowsliproad-standin/src/engine.rs
+++ b/cowsliproad-standin/src/engine.rs
@@ -21,7 +21,7 @@
 use cowsliproad_kernel::sync::lock;
 use cowsliproad_net::{
     reply,
-    server::{self, Door, Handler, Listener},
+    server::{self, AcceptHandle, Handler, Listener},
 };
 use futures_util::stream;
 use http::{HeaderValue, Method, StatusCode, header};
@@ -132,14 +132,14 @@
         switch: Switch::new(),
         limit: Limit::default(),
     });
-    let door = Door::new();
-    let listener = Listener::bind(address, &door).await?;
+    let accept_handle = AcceptHandle::new();
+    let listener = Listener::bind(address, &accept_handle).await?;
     let address = listener.address();
     tokio::spawn(report(engine.clone()));
     tokio::spawn(server::serve(
         listener,
         Arc::new(Front(engine.clone())),
-        door,
+        accept_handle,
     ));
     Ok((engine, address))
 }
--- a/cowsliproad-standin/src/log.rs
+++ b/cowsliproad-standin/src/log.rs
@@ -19,7 +19,7 @@
 use cowsliproad_kernel::sync::lock;
 use cowsliproad_net::{
     reply,
-    server::{self, Door, Handler, Listener},
+    server::{self, AcceptHandle, Handler, Listener},
 };
 use http::{Method, StatusCode};
 use serde_json::json;
@@ -66,10 +66,10 @@
         lose_every: Mutex::new(0),
         switch: Switch::new(),
     });
-    let door = Door::new();
-    let listener = Listener::bind(address, &door).await?;
+    let accept_handle = AcceptHandle::new();
+    let listener = Listener::bind(address, &accept_handle).await?;
     let address = listener.address();
-    tokio::spawn(server::serve(listener, log.clone(), door));
+    tokio::spawn(server::serve(listener, log.clone(), accept_handle));
     Ok((log, address))
 }
 
--- a/cowsliproad-standin/src/plain.rs
+++ b/cowsliproad-standin/src/plain.rs
@@ -18,7 +18,7 @@
 use cowsliproad_kernel::sync::lock;
 use cowsliproad_net::{
     reply,
-    server::{self, Door, Handler, Listener},
+    server::{self, AcceptHandle, Handler, Listener},
 };
 use http::{Method, StatusCode};
 use serde::{Deserialize, Serialize};
@@ -80,10 +80,10 @@
         switch: Switch::new(),
         limit: Limit::default(),
     });
-    let door = Door::new();
-    let listener = Listener::bind(address, &door).await?;
+    let accept_handle = AcceptHandle::new();
+    let listener = Listener::bind(address, &accept_handle).await?;
     let address = listener.address();
-    tokio::spawn(server::serve(listener, plain.clone(), door));
+    tokio::spawn(server::serve(listener, plain.clone(), accept_handle));
     Ok((plain, address))
 }
 
--- a/cowsliproad-standin/src/vms.rs
+++ b/cowsliproad-standin/src/vms.rs
@@ -14,7 +14,7 @@
 use cowsliproad_kernel::sync::lock;
 use cowsliproad_net::{
     reply,
-    server::{self, Door, Handler, Listener},
+    server::{self, AcceptHandle, Handler, Listener},
 };
 use http::{Method, StatusCode};
 use serde::{Deserialize, Serialize};
@@ -60,11 +60,11 @@
         shown: Mutex::default(),
         switch: Switch::new(),
     });
-    let door = Door::new();
-    let listener = Listener::bind(address, &door).await?;
+    let accept_handle = AcceptHandle::new();
+    let listener = Listener::bind(address, &accept_handle).await?;
     let address = listener.address();
     tokio::spawn(publish(vms.clone()));
-    tokio::spawn(server::serve(listener, vms.clone(), door));
+    tokio::spawn(server::serve(listener, vms.clone(), accept_handle));
     Ok((vms, address))
 }
 
--- a/tests/callers/main.rs
+++ b/tests/callers/main.rs
@@ -174,7 +174,7 @@
         TcpStream::connect(scene.address(0)).await.expect("it connects");
     socket.write_all(b"POST /v1/access").await.expect("it is open");
     let mut rest = Vec::new();
-    let wait = cowsliproad_net::server::HEAD_TIMEOUT * 2;
+    let wait = cowsliproad_net::server::REQUEST_HEAD_TIMEOUT * 2;
     let end = tokio::time::timeout(wait, socket.read_to_end(&mut rest));
     let end = end.await.expect("the entry drops it");
     assert!(end.is_err() || rest.is_empty());
