--- a/cowsliproad-admission/src/ticket.rs
+++ b/cowsliproad-admission/src/ticket.rs
@@ -86,7 +86,7 @@
     let split = bytes.len().checked_sub(MAC).ok_or(Forged)?;
     let (content, code) = bytes.split_at(split);
     let right = blake3::keyed_hash(key, content);
-    if !secret::equal(code, &right.as_bytes()[..MAC]) {
+    if !secret::constant_time_eq(code, &right.as_bytes()[..MAC]) {
         return Err(Forged);
     }
     ciborium::from_reader(content).map_err(|_| Forged)
--- a/cowsliproad-agent/src/adapter/engine.rs
+++ b/cowsliproad-agent/src/adapter/engine.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Ran},
+    code::{Code, Execution},
     plugin::inventory,
     wire::{Failure, Format},
 };
@@ -69,7 +69,7 @@
             result = self.stream(work) => result,
             () = work.cancelled() => {
                 self.cancel(work).await;
-                Err(Failure::new(Code::Cancelled, Ran::OutcomeUnknown))
+                Err(Failure::new(Code::Cancelled, Execution::OutcomeUnknown))
             }
         }
     }
@@ -98,14 +98,14 @@
                     let resumed = self.head(resume).await;
                     // It has begun, whatever became of the resumption.
                     response = resumed.map_err(|it| Failure {
-                        ran: Ran::OutcomeUnknown,
+                        ran: Execution::OutcomeUnknown,
                         ..it
                     })?;
                 }
             }
         }
         self.cancel(work).await;
-        Err(Failure::new(Code::TargetFailed, Ran::OutcomeUnknown))
+        Err(Failure::new(Code::TargetFailed, Execution::OutcomeUnknown))
     }
 
     async fn head(
@@ -114,7 +114,7 @@
     ) -> Result<Response<Incoming>, Failure> {
         let sent = Millis::now();
         let head = timeout(self.silence, self.client.send(request)).await;
-        let silent = Failure::new(Code::TimedOut, Ran::OutcomeUnknown);
+        let silent = Failure::new(Code::TimedOut, Execution::OutcomeUnknown);
         let head = head.map_err(|_| silent)?.map_err(plain::failure)?;
         self.pace.answered(head.status(), head.headers(), sent);
         Ok(head)
@@ -144,7 +144,7 @@
             if work.length() > MAX_ANSWER {
                 return Err(Failure::new(
                     Code::TargetFailed,
-                    Ran::OutcomeUnknown,
+                    Execution::OutcomeUnknown,
                 ));
             }
         }
@@ -156,14 +156,14 @@
         match work.repeat {
             Repeat::Never => Ok(self.silence),
             Repeat::Allowed if left.is_zero() => {
-                Err(Failure::new(Code::TimedOut, Ran::OutcomeUnknown))
+                Err(Failure::new(Code::TimedOut, Execution::OutcomeUnknown))
             }
             Repeat::Allowed => Ok(self.silence.min(left)),
         }
     }
 
     fn start(&self, work: &Work) -> Result<Request<Full<Bytes>>, Failure> {
-        let bad = Failure::new(Code::BadJson, Ran::NotRun);
+        let bad = Failure::new(Code::BadJson, Execution::NotRun);
         let mut body: Value =
             serde_json::from_slice(&work.body).map_err(|_| bad)?;
         let fields = body.as_object_mut().ok_or(bad)?;
@@ -185,7 +185,7 @@
         let target = self.target;
         Request::get(format!("http://{target}/v1/streams/{id}?from={from}"))
             .body(Full::default())
-            .map_err(|_| Failure::new(Code::BadRequest, Ran::NotRun))
+            .map_err(|_| Failure::new(Code::BadRequest, Execution::NotRun))
     }
 
     async fn cancel(&self, work: &Work) {
--- a/cowsliproad-agent/src/adapter/plain.rs
+++ b/cowsliproad-agent/src/adapter/plain.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Ran},
+    code::{Code, Execution},
     plugin::inventory,
     wire::{Failure, Format},
 };
@@ -58,12 +58,15 @@
         let response = tokio::select! {
             response = call => response.map_err(failure)?,
             () = work.cancelled() => {
-                return Err(Failure::new(Code::Cancelled, Ran::OutcomeUnknown));
+                return Err(Failure::new(Code::Cancelled, Execution::OutcomeUnknown));
             }
         };
         self.pace.answered(response.status(), response.headers(), sent);
         if !response.status().is_success() {
-            return Err(Failure::new(Code::TargetFailed, Ran::OutcomeUnknown));
+            return Err(Failure::new(
+                Code::TargetFailed,
+                Execution::OutcomeUnknown,
+            ));
         }
         work.append(response.body());
         Ok(Format::Json)
@@ -78,7 +81,7 @@
         .header(header::CONTENT_TYPE, "application/json")
         .header("x-request-id", work.request.to_string())
         .body(Full::new(work.body.clone()))
-        .map_err(|_| Failure::new(Code::BadRequest, Ran::NotRun))
+        .map_err(|_| Failure::new(Code::BadRequest, Execution::NotRun))
 }
 
 /// Work that may be repeated has until shortly after its deadline: once it
@@ -96,11 +99,13 @@
 pub(super) fn failure(error: Error) -> Failure {
     match error {
         Error::Connect(_) | Error::Refused(_) => {
-            Failure::new(Code::TargetFailed, Ran::NotRun)
+            Failure::new(Code::TargetFailed, Execution::NotRun)
+        }
+        Error::Timeout => {
+            Failure::new(Code::TimedOut, Execution::OutcomeUnknown)
         }
-        Error::Timeout => Failure::new(Code::TimedOut, Ran::OutcomeUnknown),
         Error::Exchange(_) | Error::TooLarge => {
-            Failure::new(Code::TargetFailed, Ran::OutcomeUnknown)
+            Failure::new(Code::TargetFailed, Execution::OutcomeUnknown)
         }
     }
 }
--- a/cowsliproad-agent/src/ends.rs
+++ b/cowsliproad-agent/src/ends.rs
@@ -21,7 +21,7 @@
 use cowsliproad_admission::quarantine::{self, Change, End, Ledger};
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Ran},
+    code::{Code, Execution},
     gossip::Suspect,
     id,
     sync::lock,
@@ -201,7 +201,7 @@
 /// Asks whether the target ended under work that failed.
 pub async fn look(gate: &Gate, work: &Work, failure: Failure) -> Seen {
     if failure.code != Code::TargetFailed {
-        if failure.ran == Ran::OutcomeUnknown {
+        if failure.ran == Execution::OutcomeUnknown {
             let until = Millis::now() + LINGER_TIME;
             gate.ends.leave(work.kind(), until.max(work.deadline));
         }
@@ -209,11 +209,11 @@
     }
     let is_gone = nobody_listens(gate).await;
     match (failure.ran, is_gone) {
-        (Ran::OutcomeUnknown, true) => {
+        (Execution::OutcomeUnknown, true) => {
             note_end(gate, work);
             Seen::Enough
         }
-        (Ran::OutcomeUnknown, false) => Seen::Listens,
+        (Execution::OutcomeUnknown, false) => Seen::Listens,
         // It was gone before this work came.
         (_, true) => {
             note_presence(gate, Presence::Gone);
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -24,10 +24,12 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    code::{Code, Ran},
+    code::{Code, Execution},
     id,
     sync::lock,
-    wire::{Answer, Beat, Cancel, Failure, Handover, Load, Phase, Reclaim},
+    wire::{
+        Answer, Cancel, Failure, Handover, Heartbeat, Load, Phase, Reclaim,
+    },
 };
 use opentelemetry::{
     KeyValue,
@@ -169,24 +171,24 @@
         let mut inner = self.lock();
         let queued = inner.queue.take(|it| it.request == cancel.request);
         if queued.is_some() {
-            let failure = Failure::new(Code::Cancelled, Ran::NotRun);
+            let failure = Failure::new(Code::Cancelled, Execution::NotRun);
             inner.give_up(&work, failure);
             return failure;
         }
         drop(inner);
         match (work.ending(), work.repeat) {
             (Some(Ending::Whole { .. }), _) => {
-                Failure::new(Code::Cancelled, Ran::Ran)
+                Failure::new(Code::Cancelled, Execution::Ran)
             }
             (Some(Ending::Failed(failure)), _) => failure,
             (None, Repeat::Allowed) => {
                 work.cancel();
-                Failure::new(Code::Cancelled, Ran::OutcomeUnknown)
+                Failure::new(Code::Cancelled, Execution::OutcomeUnknown)
             }
             // Work that must not be repeated is never broken off in its
             // middle, since nobody could say what the target did of it.
             (None, Repeat::Never) => {
-                Failure::new(Code::InProgress, Ran::OutcomeUnknown)
+                Failure::new(Code::InProgress, Execution::OutcomeUnknown)
             }
         }
     }
@@ -199,7 +201,7 @@
         let mut inner = self.lock();
         let queued = inner.queue.take(|it| it.request == work.request);
         if let Some(item) = queued {
-            let failure = Failure::new(Code::Cancelled, Ran::NotRun);
+            let failure = Failure::new(Code::Cancelled, Execution::NotRun);
             inner.give_up(&item.work, failure);
         } else {
             work.cancel();
@@ -244,9 +246,9 @@
     }
 
     /// The present heartbeat.
-    pub fn beat(&self, offset: u64) -> Beat {
+    pub fn beat(&self, offset: u64) -> Heartbeat {
         let inner = self.lock();
-        Beat {
+        Heartbeat {
             name: self.settings.name.clone(),
             incarnation: self.incarnation,
             clock: Millis::now(),
@@ -334,9 +336,12 @@
                 Ok(work.clone())
             }
             Some(_) => {
-                Err(Failure::new(Code::ForeignToken, Ran::NotForwarded))
+                Err(Failure::new(Code::ForeignToken, Execution::NotForwarded))
             }
-            None => Err(Failure::new(Code::UnknownToken, Ran::OutcomeUnknown)),
+            None => Err(Failure::new(
+                Code::UnknownToken,
+                Execution::OutcomeUnknown,
+            )),
         }
     }
 
@@ -439,7 +444,8 @@
 
     fn lapse(&mut self, pace: Pace, now: Millis) {
         while let Some(item) = self.queue.lapsed(pace, now) {
-            let failure = Failure::new(Code::DeadlinePassed, Ran::NotRun);
+            let failure =
+                Failure::new(Code::DeadlinePassed, Execution::NotRun);
             self.give_up(&item.work, failure);
         }
     }
@@ -447,7 +453,7 @@
     /// Gives back what a lower limit leaves no time for.
     fn shed(&mut self, pace: Pace, now: Millis) {
         for item in self.queue.late(pace, now) {
-            let failure = Failure::new(Code::Overloaded, Ran::NotRun);
+            let failure = Failure::new(Code::Overloaded, Execution::NotRun);
             let wait = self.queue.back_off(pace);
             self.give_up(&item.work, failure.with_retry_after(wait));
         }
--- a/cowsliproad-agent/src/gate/submit.rs
+++ b/cowsliproad-agent/src/gate/submit.rs
@@ -10,8 +10,8 @@
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Ran},
-    wire::{Failure, Permit, Phase, Submit},
+    code::{Code, Execution},
+    wire::{Failure, Phase, Submit, SubmitMode},
 };
 use slog::{debug, info};
 
@@ -20,8 +20,11 @@
 
 /// The refusal of work that ends the targets that run it. The entry, which
 /// knows of all ends, says when to come back.
-const QUARANTINED: Failure =
-    Failure { code: Code::Quarantined, ran: Ran::NotRun, retry_after: None };
+const QUARANTINED: Failure = Failure {
+    code: Code::Quarantined,
+    ran: Execution::NotRun,
+    retry_after: None,
+};
 
 impl Gate {
     /// Takes work in, or finds what an earlier submission left of it.
@@ -63,7 +66,7 @@
     ) -> Result<Arc<Work>, Failure> {
         let ticket = self.open(text, submit)?;
         let leaving = inner.phase == Phase::Leaving;
-        let recalled = submit.permit == Permit::Recall;
+        let recalled = submit.permit == SubmitMode::ReportOnly;
         let verdict = if ticket.incarnation == self.incarnation {
             if leaving || recalled {
                 inner.register.burn(&ticket, now)
@@ -74,7 +77,10 @@
             let then = it.now(now);
             it.register.submit(&ticket, then)
         } else {
-            return Err(Failure::new(Code::TargetGone, Ran::OutcomeUnknown));
+            return Err(Failure::new(
+                Code::TargetGone,
+                Execution::OutcomeUnknown,
+            ));
         };
         match verdict {
             Verdict::Run => self.enqueue(inner, submit, now),
@@ -82,22 +88,23 @@
                 .works
                 .get(&ticket.request)
                 .cloned()
-                .ok_or(Failure::new(Code::AnswerDropped, Ran::Ran)),
+                .ok_or(Failure::new(Code::AnswerDropped, Execution::Ran)),
             Verdict::Burned if recalled => Err(QUARANTINED),
             Verdict::Burned if leaving => {
-                Err(Failure::new(Code::Leaving, Ran::NotRun))
+                Err(Failure::new(Code::Leaving, Execution::NotRun))
             }
             Verdict::Burned => {
-                Err(Failure::new(Code::TicketBurned, Ran::NotRun))
+                Err(Failure::new(Code::TicketBurned, Execution::NotRun))
             }
             Verdict::Expired => {
-                Err(Failure::new(Code::TicketExpired, Ran::NotRun))
-            }
-            Verdict::TooOld => {
-                Err(Failure::new(Code::TicketExpired, Ran::OutcomeUnknown))
+                Err(Failure::new(Code::TicketExpired, Execution::NotRun))
             }
+            Verdict::TooOld => Err(Failure::new(
+                Code::TicketExpired,
+                Execution::OutcomeUnknown,
+            )),
             Verdict::Full => {
-                Err(Failure::new(Code::RegisterFull, Ran::NotForwarded)
+                Err(Failure::new(Code::RegisterFull, Execution::NotForwarded)
                     .with_retry_after(Millis(1_000)))
             }
         }
@@ -115,7 +122,7 @@
             && let Some(keyed) = inner.keys.get(key)
         {
             if keyed.body != blake3::hash(&submit.body) {
-                return Err(Failure::new(Code::KeyReused, Ran::NotRun));
+                return Err(Failure::new(Code::KeyReused, Execution::NotRun));
             }
             let known = inner.works.get(&keyed.request);
             if let Some(work) = known.filter(|it| !has_failed(it)) {
@@ -125,14 +132,15 @@
         let known = inner.works.get(&submit.request);
         if let Some(work) = known.filter(|it| !has_failed(it)) {
             let own = work.organisation == submit.organisation;
-            let foreign = Failure::new(Code::ForeignToken, Ran::NotForwarded);
+            let foreign =
+                Failure::new(Code::ForeignToken, Execution::NotForwarded);
             return own.then(|| work.clone()).ok_or(foreign);
         }
-        if submit.permit == Permit::Recall {
+        if submit.permit == SubmitMode::ReportOnly {
             return Err(QUARANTINED);
         }
         if inner.phase == Phase::Leaving {
-            return Err(Failure::new(Code::Leaving, Ran::NotRun));
+            return Err(Failure::new(Code::Leaving, Execution::NotRun));
         }
         let work = self.enqueue(inner, submit, now)?;
         if let Some(key) = key {
@@ -161,12 +169,12 @@
         match inner.queue.push(item, pace, now) {
             Outcome::Queued => {}
             Outcome::Displaced(loser, wait) => {
-                let failure = Failure::new(Code::Shed, Ran::NotRun);
+                let failure = Failure::new(Code::Shed, Execution::NotRun);
                 inner.give_up(&loser.work, failure.with_retry_after(wait));
             }
             Outcome::Refused(_, wait) => {
                 inner.register.give_up(work.request);
-                return Err(Failure::new(Code::Overloaded, Ran::NotRun)
+                return Err(Failure::new(Code::Overloaded, Execution::NotRun)
                     .with_retry_after(wait));
             }
         }
@@ -176,7 +184,7 @@
     }
 
     fn open(&self, text: &[u8], submit: &Submit) -> Result<Ticket, Failure> {
-        let forged = Failure::new(Code::ForgedToken, Ran::NotForwarded);
+        let forged = Failure::new(Code::ForgedToken, Execution::NotForwarded);
         let text = std::str::from_utf8(text).map_err(|_| forged)?;
         let ticket =
             ticket::open(text, &self.ticket_key).map_err(|_| forged)?;
@@ -185,7 +193,10 @@
             && ticket.request_type == submit.request_type
             && ticket.request == submit.request;
         if !fits {
-            return Err(Failure::new(Code::ForeignToken, Ran::NotForwarded));
+            return Err(Failure::new(
+                Code::ForeignToken,
+                Execution::NotForwarded,
+            ));
         }
         Ok(ticket)
     }
--- a/cowsliproad-agent/src/links.rs
+++ b/cowsliproad-agent/src/links.rs
@@ -80,7 +80,7 @@
     fn beat_on(&self, mut open: MutexGuard<'_, Vec<Sender>>) {
         let news = self.gate.ends.take_news();
         self.gate.pace.take_news();
-        let beat = Frame::Beat(self.gate.beat(self.replica.next()));
+        let beat = Frame::Heartbeat(self.gate.beat(self.replica.next()));
         open.retain(|link| !link.is_closed());
         for link in open.iter() {
             // A full queue means that the peer will hear of us anyway.
@@ -93,7 +93,7 @@
 
     /// Asks every peer for the configuration that is lacking.
     pub fn pull(&self) {
-        let pull = Frame::Pull(self.replica.next());
+        let pull = Frame::PullConfig(self.replica.next());
         for link in self.lock().iter() {
             // A full queue means a busy peer; others are asked too.
             let _ = link.try_send(pull.clone());
@@ -199,14 +199,14 @@
                 let failure = self.links.gate.cancel(&cancel);
                 self.refuse(cancel.attempt, failure);
             }
-            Frame::Records(records) => {
+            Frame::ConfigRecords(records) => {
                 let answer = self.links.replica.records(&records);
                 self.answer(answer).await;
             }
-            Frame::Snapshot(snapshot) => {
+            Frame::ConfigSnapshot(snapshot) => {
                 self.links.replica.snapshot(&snapshot);
             }
-            Frame::Pull(next) => {
+            Frame::PullConfig(next) => {
                 let answer = self.links.replica.pull(next);
                 self.answer(answer).await;
             }
@@ -312,7 +312,7 @@
             let mut opened = pin!(self.opened.notified());
             opened.as_mut().enable();
             let acknowledged = self.acknowledged.load(Ordering::Acquire);
-            if sent < acknowledged + wire::WINDOW {
+            if sent < acknowledged + wire::SEND_WINDOW_BYTES {
                 return;
             }
             opened.await;
@@ -383,7 +383,7 @@
     async fn report_load(&self) {
         let beat = self.links.gate.beat(self.links.replica.next());
         if beat.phase == Phase::Serving && beat.load.count.is_multiple_of(4) {
-            let _ = self.sender.send(Frame::Beat(beat)).await;
+            let _ = self.sender.send(Frame::Heartbeat(beat)).await;
         }
     }
 }
--- a/cowsliproad-agent/src/replica.rs
+++ b/cowsliproad-agent/src/replica.rs
@@ -8,7 +8,7 @@
 
 use cowsliproad_config::{State, fold};
 use cowsliproad_kernel::sync::lock;
-use cowsliproad_kernel::wire::{Frame, Records, Snapshot};
+use cowsliproad_kernel::wire::{ConfigRecords, ConfigSnapshot, Frame};
 
 /// A folded configuration that only moves forward.
 #[derive(Debug)]
@@ -33,18 +33,18 @@
     }
 
     /// Folds records in; the answer asks for a snapshot after a gap.
-    pub fn records(&self, records: &Records) -> Option<Frame> {
+    pub fn records(&self, records: &ConfigRecords) -> Option<Frame> {
         let mut state = self.lock();
         for (offset, bytes) in (records.first..).zip(&records.records) {
             if let Err(gap) = state.apply(offset, bytes) {
-                return Some(Frame::Pull(gap.expected));
+                return Some(Frame::PullConfig(gap.expected));
             }
         }
         None
     }
 
     /// Takes over a state that is further on.
-    pub fn snapshot(&self, snapshot: &Snapshot) {
+    pub fn snapshot(&self, snapshot: &ConfigSnapshot) {
         let mut state = self.lock();
         if snapshot.next <= state.next() {
             return;
@@ -58,7 +58,7 @@
     pub fn pull(&self, next: u64) -> Option<Frame> {
         let state = self.lock();
         (state.next() > next).then(|| {
-            Frame::Snapshot(Snapshot {
+            Frame::ConfigSnapshot(ConfigSnapshot {
                 next: state.next(),
                 state: fold::encode_state(&state),
             })
--- a/cowsliproad-agent/src/settings.rs
+++ b/cowsliproad-agent/src/settings.rs
@@ -7,8 +7,8 @@
     clock::Millis,
     log::Level,
     plugin,
-    secret::{LENGTH, Secret},
-    settings::Check,
+    secret::{KEY_BYTES, Secret},
+    settings::Validate,
 };
 use serde::{Deserialize, Serialize};
 
@@ -94,7 +94,7 @@
     /// What `--print-default` shows.
     pub fn example() -> Settings {
         let target = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 8000);
-        let key = Secret([0; LENGTH]);
+        let key = Secret([0; KEY_BYTES]);
         let mut settings =
             Settings::new("target-1", "zone-1", target, "engine", key);
         settings.listen.set_port(7100);
@@ -135,8 +135,8 @@
     }
 }
 
-impl Check for Settings {
-    fn check(&self) -> Result<(), (&'static str, String)> {
+impl Validate for Settings {
+    fn validate(&self) -> Result<(), (&'static str, String)> {
         if self.name.is_empty() {
             return Err(("name", "the target's name".into()));
         }
--- a/cowsliproad-agent/src/work.rs
+++ b/cowsliproad-agent/src/work.rs
@@ -19,7 +19,9 @@
     clock::Millis,
     id,
     sync::lock,
-    wire::{Answer, Content, Failure, Format, Permit, Persistence, Submit},
+    wire::{
+        Answer, Content, Failure, Format, Persistence, Submit, SubmitMode,
+    },
 };
 use tokio::sync::Notify;
 
@@ -142,7 +144,7 @@
             persistence: Persistence::Keep,
             share: 1,
             body: Vec::new(),
-            permit: Permit::Recall,
+            permit: SubmitMode::ReportOnly,
         };
         let work = Work::new(&submit, Millis(0));
         match answer.result {
--- a/cowsliproad-bench/src/experiment/config.rs
+++ b/cowsliproad-bench/src/experiment/config.rs
@@ -21,7 +21,7 @@
 use cowsliproad_ctl::client::{Client, Error, Mode};
 use cowsliproad_entry::Shared;
 use cowsliproad_kernel::{
-    code::{Code, Ran},
+    code::{Code, Execution},
     id,
     plugin::inventory,
     sync::lock,
@@ -276,7 +276,7 @@
                     *last = value;
                 }
             }
-            Err(Error::Change { ran: Ran::NotRun, code, .. }) => {
+            Err(Error::Change { ran: Execution::NotRun, code, .. }) => {
                 match code {
                     Code::StaleBase => ledger.refused += 1,
                     _ => ledger.not_run += 1,
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -30,8 +30,8 @@
     id,
     plugin::inventory,
     wire::{
-        self, Answer, Beat, Content, Format, Frame, Load, Phase, Presence,
-        Urgency,
+        self, Answer, Content, Format, Frame, Heartbeat, Load, Phase,
+        Presence, Urgency,
     },
 };
 use cowsliproad_routing::choice;
@@ -261,7 +261,7 @@
 /// Size and decoding time of a load report.
 fn reports(figures: &mut Value) {
     let beat = |holds: usize| {
-        Frame::Beat(Beat {
+        Frame::Heartbeat(Heartbeat {
             name: "engine-12".into(),
             incarnation: id::Incarnation::random(),
             clock: Millis(86_400_000),
--- a/cowsliproad-ctl/src/client.rs
+++ b/cowsliproad-ctl/src/client.rs
@@ -9,7 +9,7 @@
     object::{Key, Kind},
 };
 use cowsliproad_kernel::{
-    code::{Code, Ran},
+    code::{Code, Execution},
     id,
 };
 use futures_util::{Stream, StreamExt};
@@ -28,7 +28,7 @@
         /// The result code.
         code: Code,
         /// Whether it took effect.
-        ran: Ran,
+        ran: Execution,
         /// What the entry added.
         detail: String,
     },
@@ -187,8 +187,8 @@
         return Ok(reply.revision);
     }
     let ran = match reply.ran.as_str() {
-        "NOT_RUN" => Ran::NotRun,
-        _ => Ran::OutcomeUnknown,
+        "NOT_RUN" => Execution::NotRun,
+        _ => Execution::OutcomeUnknown,
     };
     Err(Error::Change { code, ran, detail: reply.detail.to_string() })
 }
--- a/cowsliproad-direct/src/settings.rs
+++ b/cowsliproad-direct/src/settings.rs
@@ -2,7 +2,9 @@
 
 use std::net::SocketAddr;
 
-use cowsliproad_kernel::{Name, clock::Millis, log::Level, settings::Check};
+use cowsliproad_kernel::{
+    Name, clock::Millis, log::Level, settings::Validate,
+};
 use serde::{Deserialize, Serialize};
 
 /// All that an entry is told before it starts.
@@ -91,8 +93,8 @@
     }
 }
 
-impl Check for Settings {
-    fn check(&self) -> Result<(), (&'static str, String)> {
+impl Validate for Settings {
+    fn validate(&self) -> Result<(), (&'static str, String)> {
         if self.vm.is_empty() {
             return Err(("vm", "a name is needed".into()));
         }
--- a/cowsliproad-direct/tests/entry/harness.rs
+++ b/cowsliproad-direct/tests/entry/harness.rs
@@ -344,7 +344,7 @@
 
 /// Writes a settings file.
 pub fn write(file: &PathBuf, settings: &Settings) {
-    let text = cowsliproad_kernel::settings::print(settings);
+    let text = cowsliproad_kernel::settings::to_json(settings);
     fs::write(file, text).expect("a settings file");
 }
 
--- a/cowsliproad-entry/src/admin.rs
+++ b/cowsliproad-entry/src/admin.rs
@@ -15,7 +15,7 @@
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Ran},
+    code::{Code, Execution},
     id,
 };
 use cowsliproad_net::server::{AcceptHandle, Listener};
@@ -165,7 +165,7 @@
         if mode == message::Mode::DRY_RUN {
             let view = self.shared.published.load();
             return match view.state.dry_run(&change) {
-                Ok(()) => reply(Code::Ok, Ran::NotRun, 0, "dry run"),
+                Ok(()) => reply(Code::Ok, Execution::NotRun, 0, "dry run"),
                 Err(code) => refused(code, "dry run"),
             };
         }
@@ -187,7 +187,7 @@
             Some(verdict) => self.tell(command, verdict),
             None => reply(
                 Code::AppendUnknown,
-                Ran::OutcomeUnknown,
+                Execution::OutcomeUnknown,
                 0,
                 Code::AppendUnknown.text(),
             ),
@@ -220,7 +220,7 @@
             "command" => %command, "verdict" => ?verdict);
         match verdict {
             Verdict::Accepted(revision) => {
-                reply(Code::Ok, Ran::Ran, revision, "accepted")
+                reply(Code::Ok, Execution::Ran, revision, "accepted")
             }
             Verdict::Refused(code) => refused(code, ""),
         }
@@ -229,12 +229,12 @@
 
 fn refused(code: Code, detail: &str) -> Response<message::ChangeReply> {
     let detail = if detail.is_empty() { code.text() } else { detail };
-    reply(code, Ran::NotRun, 0, detail)
+    reply(code, Execution::NotRun, 0, detail)
 }
 
 fn reply(
     code: Code,
-    ran: Ran,
+    ran: Execution,
     revision: u64,
     detail: &str,
 ) -> Response<message::ChangeReply> {
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -16,7 +16,7 @@
 use cowsliproad_config::object::RequestType;
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Ran},
+    code::{Code, Execution},
     id,
     wire::{Cancel, Failure, Frame, Persistence, Phase, Urgency},
 };
@@ -264,7 +264,8 @@
         let holder = view.holder(&token.target, token.incarnation);
         let link = holder.and_then(|target| target.link.load_full());
         let gone = || {
-            let failure = Failure::new(Code::TargetGone, Ran::OutcomeUnknown);
+            let failure =
+                Failure::new(Code::TargetGone, Execution::OutcomeUnknown);
             Refused::new(failure)
         };
         let link = link.ok_or_else(gone)?;
@@ -352,7 +353,7 @@
         first.map_err(|wait| {
             let Some(wait) = wait else { return no_target() };
             let after = patience::spread_return(wait, rand::random());
-            let failure = Failure::new(Code::Overloaded, Ran::NotRun);
+            let failure = Failure::new(Code::Overloaded, Execution::NotRun);
             Refused::new(failure.with_retry_after(after))
         })
     }
@@ -391,7 +392,7 @@
         // The last tenth of the places is for urgent work.
         let most = if urgent { most } else { most - most / 10 };
         let full = self.shared.in_flight.load(Ordering::Relaxed) > most;
-        let ran = Ran::NotForwarded;
+        let ran = Execution::NotForwarded;
         if full {
             let failure = Failure::new(Code::Overloaded, ran);
             let failure = failure.with_retry_after(OVER_SHARE);
@@ -435,7 +436,8 @@
     fn ask_for_ticket(&self, checked: &Checked) -> Refused {
         match self.mint(checked) {
             Ok(ticket) => {
-                let failure = Failure::new(Code::TicketNeeded, Ran::NotRun);
+                let failure =
+                    Failure::new(Code::TicketNeeded, Execution::NotRun);
                 Refused { ticket: Some(ticket), ..Refused::new(failure) }
             }
             Err(refused) => refused,
@@ -517,7 +519,7 @@
             Some(Item::Bytes(_) | Item::Restart | Item::Done(_)) => {}
             None => {
                 let code = Code::TargetFailed;
-                return Err(Failure::new(code, Ran::OutcomeUnknown));
+                return Err(Failure::new(code, Execution::OutcomeUnknown));
             }
         }
     }
@@ -543,7 +545,8 @@
     let (response, failure) = answer::whole(forward).await;
     match failure {
         Some(failure) if failure.code == Code::TimedOut => {
-            let failure = Failure::new(Code::Accepted, Ran::OutcomeUnknown);
+            let failure =
+                Failure::new(Code::Accepted, Execution::OutcomeUnknown);
             let failure = failure.with_retry_after(NOT_YET);
             reply::problem(&failure, "the work is not finished yet")
         }
@@ -554,11 +557,11 @@
 /// A refusal of something the entry itself looked at, so that this attempt
 /// did not leave it.
 fn refused(code: Code, detail: &str) -> Refused {
-    let failure = Failure::new(code, Ran::NotForwarded);
+    let failure = Failure::new(code, Execution::NotForwarded);
     Refused { detail: detail.into(), ..Refused::new(failure) }
 }
 
 fn no_target() -> Refused {
-    let failure = Failure::new(Code::NoTarget, Ran::NotForwarded);
+    let failure = Failure::new(Code::NoTarget, Execution::NotForwarded);
     Refused::new(failure.with_retry_after(NOT_YET))
 }
--- a/cowsliproad-entry/src/control.rs
+++ b/cowsliproad-entry/src/control.rs
@@ -20,7 +20,7 @@
     Name,
     clock::Millis,
     id,
-    wire::{Frame, Records, Snapshot},
+    wire::{ConfigRecords, ConfigSnapshot, Frame},
 };
 use serde_bytes::ByteBuf;
 use slog::info;
@@ -41,9 +41,9 @@
 #[derive(Debug)]
 pub enum Event {
     /// Records of the log.
-    Records(Records),
+    Records(ConfigRecords),
     /// A peer's state.
-    Snapshot(Snapshot),
+    Snapshot(ConfigSnapshot),
     /// A peer asks for what follows an offset.
     Pull(u64, oneshot::Sender<Option<Frame>>),
     /// The VM list's states by name.
@@ -139,7 +139,7 @@
         }
     }
 
-    fn records(&mut self, records: Records) {
+    fn records(&mut self, records: ConfigRecords) {
         for (offset, bytes) in (records.first..).zip(records.records) {
             if offset < self.state.next() {
                 continue;
@@ -159,7 +159,7 @@
         }
     }
 
-    fn snapshot(&mut self, snapshot: &Snapshot) {
+    fn snapshot(&mut self, snapshot: &ConfigSnapshot) {
         if snapshot.next <= self.state.next() {
             return;
         }
@@ -180,9 +180,12 @@
         if next >= first {
             let skip = (next - first) as usize;
             let records = self.recent.iter().skip(skip).cloned().collect();
-            return Some(Frame::Records(Records { first: next, records }));
+            return Some(Frame::ConfigRecords(ConfigRecords {
+                first: next,
+                records,
+            }));
         }
-        Some(Frame::Snapshot(Snapshot {
+        Some(Frame::ConfigSnapshot(ConfigSnapshot {
             next: own,
             state: fold::encode_state(&self.state),
         }))
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -26,10 +26,11 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    code::{Code, Ran},
+    code::{Code, Execution},
     id,
     wire::{
-        Ack, End, Failure, Frame, Permit, Persistence, Reclaim, Submit, WINDOW,
+        Ack, End, Failure, Frame, Persistence, Reclaim, SEND_WINDOW_BYTES,
+        Submit, SubmitMode,
     },
 };
 use cowsliproad_relay::{AnswerAssembly, Progress};
@@ -291,12 +292,12 @@
     async fn submit(&mut self, target: Arc<Target>) {
         let Task::Work(order) = &self.task else { return };
         let permit = match quarantine::verdict(&self.shared, order) {
-            Verdict::Free => Permit::Run,
+            Verdict::Free => SubmitMode::Run,
             // What became of earlier submissions is still told.
             Verdict::Refused(_) | Verdict::Suspended(_)
                 if may_be_known(order) =>
             {
-                Permit::Recall
+                SubmitMode::ReportOnly
             }
             Verdict::Refused(after) | Verdict::Suspended(after) => {
                 let (shared, ran) = (&self.shared, self.ran());
@@ -358,7 +359,7 @@
 
     /// The attempt never left this entry.
     fn not_sent(&mut self, target: Arc<Target>) {
-        let failure = Failure::new(Code::LinkLost, Ran::NotForwarded);
+        let failure = Failure::new(Code::LinkLost, Execution::NotForwarded);
         match &self.task {
             // The next round looks for the ticket's process again.
             Task::Work(order) if order.ticket.is_some() => {}
@@ -446,8 +447,10 @@
             Progress::Broken => {
                 attempt.detach();
                 self.tried.push(attempt.target.name.clone());
-                let failure =
-                    Failure::new(Code::TargetFailed, Ran::OutcomeUnknown);
+                let failure = Failure::new(
+                    Code::TargetFailed,
+                    Execution::OutcomeUnknown,
+                );
                 self.after_failure(failure);
             }
         }
@@ -466,7 +469,7 @@
     fn acknowledge(&mut self) {
         let Some(attempt) = &mut self.current else { return };
         let reached = attempt.assembly.length();
-        if reached - attempt.acknowledged < WINDOW / 4 {
+        if reached - attempt.acknowledged < SEND_WINDOW_BYTES / 4 {
             return;
         }
         attempt.acknowledged = reached;
--- a/cowsliproad-entry/src/forward/failure.rs
+++ b/cowsliproad-entry/src/forward/failure.rs
@@ -5,7 +5,7 @@
 use cowsliproad_admission::{patience, quarantine::Verdict};
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Ran},
+    code::{Code, Execution},
     id,
     sync::lock,
     wire::{Failure, Frame, Reclaim},
@@ -25,7 +25,7 @@
     pub(super) fn time_out(&mut self, attempt: Attempt) {
         attempt.detach();
         self.maybe_ran = true;
-        let failure = Failure::new(Code::TimedOut, Ran::OutcomeUnknown);
+        let failure = Failure::new(Code::TimedOut, Execution::OutcomeUnknown);
         self.fail(failure.with_retry_after(ASK_AGAIN));
     }
 
@@ -49,7 +49,8 @@
             self.holder(&attempt.target.name, incarnation).await
         else {
             self.tried.push(attempt.target.name.clone());
-            let failure = Failure::new(Code::LinkLost, Ran::OutcomeUnknown);
+            let failure =
+                Failure::new(Code::LinkLost, Execution::OutcomeUnknown);
             return self.after_failure(failure);
         };
         let next = id::Attempt::random();
@@ -70,7 +71,7 @@
 
     /// Decides what follows a failed attempt.
     pub(super) fn after_failure(&mut self, failure: Failure) {
-        if matches!(failure.ran, Ran::Ran | Ran::OutcomeUnknown) {
+        if matches!(failure.ran, Execution::Ran | Execution::OutcomeUnknown) {
             self.maybe_ran = true;
         }
         if self.may_try_again(&failure) {
@@ -145,8 +146,12 @@
         self.ready.push_back(Item::Failed(failure));
     }
 
-    pub(super) fn ran(&self) -> Ran {
-        if self.maybe_ran { Ran::OutcomeUnknown } else { Ran::NotRun }
+    pub(super) fn ran(&self) -> Execution {
+        if self.maybe_ran {
+            Execution::OutcomeUnknown
+        } else {
+            Execution::NotRun
+        }
     }
 
     pub(super) fn earn(&self) {
@@ -166,7 +171,7 @@
     ) -> Failure {
         let view = self.shared.published.load();
         if is_gone(&view, &self.task, incarnation) {
-            return Failure::new(Code::TargetGone, Ran::OutcomeUnknown);
+            return Failure::new(Code::TargetGone, Execution::OutcomeUnknown);
         }
         unknown(Code::LinkLost)
     }
@@ -218,5 +223,5 @@
 }
 
 pub(super) fn unknown(code: Code) -> Failure {
-    Failure::new(code, Ran::OutcomeUnknown).with_retry_after(ASK_AGAIN)
+    Failure::new(code, Execution::OutcomeUnknown).with_retry_after(ASK_AGAIN)
 }
--- a/cowsliproad-entry/src/links.rs
+++ b/cowsliproad-entry/src/links.rs
@@ -8,7 +8,7 @@
 
 use cowsliproad_kernel::{
     clock::Millis,
-    wire::{Beat, Frame, Load, Presence, Role},
+    wire::{Frame, Heartbeat, Load, Presence, Role},
 };
 use cowsliproad_net::link::{self, Identity, Receiver, Sender};
 use slog::{debug, info};
@@ -66,7 +66,7 @@
     target: &Arc<Target>,
     sender: Sender,
     mut receiver: Receiver,
-    beat: Beat,
+    beat: Heartbeat,
 ) {
     let link = Arc::new(Link::new(sender.clone(), beat.incarnation));
     target.take_beat(beat.clone(), Millis::now());
@@ -75,7 +75,7 @@
     push.compare(shared, &sender, beat.offset).await;
     while let Some(frame) = receiver.recv().await {
         match frame {
-            Frame::Beat(beat) => {
+            Frame::Heartbeat(beat) => {
                 let offset = beat.offset;
                 target.take_beat(beat, Millis::now());
                 push.compare(shared, &sender, offset).await;
@@ -96,7 +96,9 @@
     frame: Frame,
 ) {
     match frame {
-        Frame::Records(_) | Frame::Snapshot(_) | Frame::Pull(_) => {
+        Frame::ConfigRecords(_)
+        | Frame::ConfigSnapshot(_)
+        | Frame::PullConfig(_) => {
             take_config(shared, sender, frame).await;
         }
         other => link.deliver(other),
@@ -105,13 +107,13 @@
 
 async fn take_config(shared: &Shared, sender: &Sender, frame: Frame) {
     match frame {
-        Frame::Records(records) => {
+        Frame::ConfigRecords(records) => {
             shared.control.tell(Event::Records(records)).await;
         }
-        Frame::Snapshot(snapshot) => {
+        Frame::ConfigSnapshot(snapshot) => {
             shared.control.tell(Event::Snapshot(snapshot)).await;
         }
-        Frame::Pull(next) => {
+        Frame::PullConfig(next) => {
             if let Some(frame) = shared.control.lacking(next).await {
                 // A link that broke is compared anew when it is back.
                 let _ = sender.send(frame).await;
@@ -143,7 +145,7 @@
         let own = shared.published.load().state.next();
         if offset > own {
             // A broken link is compared anew when it is back.
-            let _ = sender.send(Frame::Pull(own)).await;
+            let _ = sender.send(Frame::PullConfig(own)).await;
         }
         if offset >= own {
             self.behind_since = None;
@@ -212,7 +214,7 @@
     shared: &Arc<Shared>,
     sender: Sender,
     mut receiver: Receiver,
-    beat: Option<Beat>,
+    beat: Option<Heartbeat>,
 ) {
     let beats = tokio::spawn(beat_peer(shared.clone(), sender.clone()));
     let mut push = Push { delay: Millis(0), behind_since: None };
@@ -221,7 +223,7 @@
     }
     while let Some(frame) = receiver.recv().await {
         match frame {
-            Frame::Beat(beat) => {
+            Frame::Heartbeat(beat) => {
                 push.compare(shared, &sender, beat.offset).await;
             }
             other => take_config(shared, &sender, other).await,
@@ -231,7 +233,7 @@
 }
 
 async fn beat_peer(shared: Arc<Shared>, sender: Sender) {
-    while sender.send(Frame::Beat(beat_of(&shared))).await.is_ok() {
+    while sender.send(Frame::Heartbeat(beat_of(&shared))).await.is_ok() {
         sleep(BEAT).await;
     }
 }
@@ -244,14 +246,14 @@
         for target in shared.published.load().targets.values() {
             if let Some(link) = &*target.link.load() {
                 // A full queue keeps the link from falling silent anyway.
-                let _ = link.try_send(Frame::Beat(beat.clone()));
+                let _ = link.try_send(Frame::Heartbeat(beat.clone()));
             }
         }
     }
 }
 
-fn beat_of(shared: &Shared) -> Beat {
-    Beat {
+fn beat_of(shared: &Shared) -> Heartbeat {
+    Heartbeat {
         name: shared.settings.name.clone(),
         incarnation: shared.incarnation,
         clock: Millis::now(),
--- a/cowsliproad-entry/src/log.rs
+++ b/cowsliproad-entry/src/log.rs
@@ -15,7 +15,7 @@
 use cowsliproad_kernel::{
     clock::Millis,
     id,
-    wire::{Records, Snapshot},
+    wire::{ConfigRecords, ConfigSnapshot},
 };
 use cowsliproad_net::client::Error;
 use http::{Request, StatusCode};
@@ -115,7 +115,11 @@
     }
 }
 
-async fn read(shared: &Shared, from: u64, wait_ms: u64) -> Option<Records> {
+async fn read(
+    shared: &Shared,
+    from: u64,
+    wait_ms: u64,
+) -> Option<ConfigRecords> {
     let uri = format!(
         "http://{}/records?from={from}&wait_ms={wait_ms}",
         shared.settings.log_service
@@ -129,13 +133,13 @@
     let decoded = page.records.iter().map(|it| STANDARD.decode(it));
     let records: Result<Vec<_>, _> = decoded.collect();
     let records = records.ok()?.into_iter().map(ByteBuf::from).collect();
-    Some(Records { first: page.first, records })
+    Some(ConfigRecords { first: page.first, records })
 }
 
 /// Finds a snapshot when the records that come next have left the log. A
 /// peer or an agent may send one meanwhile, so a search that finds nothing
 /// is simply made again.
-async fn restore(shared: &Shared, mut page: Records) {
+async fn restore(shared: &Shared, mut page: ConfigRecords) {
     let oldest = page.first;
     warn!(shared.log, "log_trimmed"; "first" => oldest);
     while !page.records.is_empty() {
@@ -144,7 +148,7 @@
         if let Some(state) = usable.max_by_key(|it| it.next()) {
             let next = state.next();
             let state = fold::encode_state(&state);
-            let snapshot = Snapshot { next, state };
+            let snapshot = ConfigSnapshot { next, state };
             shared.control.tell(Event::Snapshot(snapshot)).await;
             return settle(shared, next).await;
         }
--- a/cowsliproad-entry/src/quarantine.rs
+++ b/cowsliproad-entry/src/quarantine.rs
@@ -8,7 +8,7 @@
 use cowsliproad_admission::quarantine::{Change, Verdict, Work};
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Ran},
+    code::{Code, Execution},
     gossip::Suspect,
     sync::lock,
     wire::Failure,
@@ -64,7 +64,7 @@
 pub fn refusal(
     shared: &Shared,
     order: &Order,
-    ran: Ran,
+    ran: Execution,
     after: Millis,
 ) -> Failure {
     info!(shared.log, "refused"; "request" => %order.request,
--- a/cowsliproad-entry/src/settings.rs
+++ b/cowsliproad-entry/src/settings.rs
@@ -6,8 +6,8 @@
     Name,
     clock::Millis,
     log::Level,
-    secret::{LENGTH, Secret},
-    settings::Check,
+    secret::{KEY_BYTES, Secret},
+    settings::Validate,
 };
 use serde::{Deserialize, Serialize};
 
@@ -117,7 +117,7 @@
             "zone-1",
             local(9000),
             local(9001),
-            Secret([0; LENGTH]),
+            Secret([0; KEY_BYTES]),
         );
         settings.http = local(8080);
         settings.admin = local(8081);
@@ -158,8 +158,8 @@
     }
 }
 
-impl Check for Settings {
-    fn check(&self) -> Result<(), (&'static str, String)> {
+impl Validate for Settings {
+    fn validate(&self) -> Result<(), (&'static str, String)> {
         if self.name.is_empty() {
             return Err(("name", "the name of the VM".into()));
         }
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -20,7 +20,9 @@
     code::Code,
     id,
     sync::lock,
-    wire::{Beat, Data, End, Failure, Frame, Load, Phase, Presence, Refusal},
+    wire::{
+        Data, End, Failure, Frame, Heartbeat, Load, Phase, Presence, Refusal,
+    },
 };
 use cowsliproad_net::link::{SendError, Sender};
 use cowsliproad_routing::{
@@ -54,7 +56,7 @@
 
 #[derive(Debug, Default)]
 struct Stats {
-    beat: Option<Beat>,
+    beat: Option<Heartbeat>,
     beat_at: Millis,
     sent_since: u32,
     done_since: u32,
@@ -150,7 +152,7 @@
     }
 
     /// Takes a heartbeat in.
-    pub fn take_beat(&self, beat: Beat, now: Millis) {
+    pub fn take_beat(&self, beat: Heartbeat, now: Millis) {
         let mut stats = lock(&self.stats);
         stats.health.stated(now, beat.cooldown);
         stats.beat = Some(beat);
@@ -160,7 +162,7 @@
     }
 
     /// The last heartbeat and when it came.
-    pub fn beat(&self) -> Option<(Beat, Millis)> {
+    pub fn beat(&self) -> Option<(Heartbeat, Millis)> {
         let stats = lock(&self.stats);
         stats.beat.clone().map(|beat| (beat, stats.beat_at))
     }
--- a/cowsliproad-kernel/src/code.rs
+++ b/cowsliproad-kernel/src/code.rs
@@ -9,7 +9,7 @@
 /// Whether a request ran, as far as the entry knows.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
-pub enum Ran {
+pub enum Execution {
     /// The request ran and its answer is complete.
     Ran,
     /// The request did not run, and will never run under this request
@@ -22,14 +22,14 @@
     OutcomeUnknown,
 }
 
-impl Ran {
+impl Execution {
     /// Returns the value that callers see.
     pub fn as_str(self) -> &'static str {
         match self {
-            Ran::Ran => "RAN",
-            Ran::NotRun => "NOT_RUN",
-            Ran::NotForwarded => "NOT_FORWARDED",
-            Ran::OutcomeUnknown => "OUTCOME_UNKNOWN",
+            Execution::Ran => "RAN",
+            Execution::NotRun => "NOT_RUN",
+            Execution::NotForwarded => "NOT_FORWARDED",
+            Execution::OutcomeUnknown => "OUTCOME_UNKNOWN",
         }
     }
 }
--- a/cowsliproad-kernel/src/secret.rs
+++ b/cowsliproad-kernel/src/secret.rs
@@ -5,11 +5,11 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 /// The length of a secret key.
-pub const LENGTH: usize = 32;
+pub const KEY_BYTES: usize = 32;
 
 /// A secret key that all entries and agents of one installation share.
 #[derive(Clone, Copy, Eq, PartialEq)]
-pub struct Secret(pub [u8; LENGTH]);
+pub struct Secret(pub [u8; KEY_BYTES]);
 
 impl Secret {
     /// Parses a key from 64 hexadecimal digits.
@@ -48,7 +48,7 @@
 /// Compares two authentication codes in constant time. Stopping at the first
 /// difference would reveal to an attacker how many bytes of a forged code are
 /// right.
-pub fn equal(left: &[u8], right: &[u8]) -> bool {
+pub fn constant_time_eq(left: &[u8], right: &[u8]) -> bool {
     let difference = left
         .iter()
         .zip(right)
--- a/cowsliproad-kernel/src/settings.rs
+++ b/cowsliproad-kernel/src/settings.rs
@@ -17,14 +17,14 @@
 }
 
 /// A settings type that can validate its values.
-pub trait Check {
+pub trait Validate {
     /// Checks the values, also against one another. Returns the path of the
     /// first invalid field and a description of valid values.
-    fn check(&self) -> Result<(), (&'static str, String)>;
+    fn validate(&self) -> Result<(), (&'static str, String)>;
 }
 
 /// Reads a settings file and validates it.
-pub fn read<T: Check + DeserializeOwned>(path: &Path) -> Result<T, Error> {
+pub fn read<T: Validate + DeserializeOwned>(path: &Path) -> Result<T, Error> {
     let file = path.display().to_string();
     let text = fs::read_to_string(path).map_err(|error| Error {
         file: file.clone(),
@@ -35,7 +35,7 @@
 }
 
 /// Parses settings and validates them; errors contain the name `file`.
-pub fn parse<T: Check + DeserializeOwned>(
+pub fn parse<T: Validate + DeserializeOwned>(
     file: &str,
     text: &str,
 ) -> Result<T, Error> {
@@ -53,7 +53,7 @@
         field: ".".into(),
         reason: error.to_string(),
     })?;
-    settings.check().map_err(|(field, reason)| Error {
+    settings.validate().map_err(|(field, reason)| Error {
         file: file.into(),
         field: field.into(),
         reason,
@@ -62,7 +62,7 @@
 }
 
 /// Formats settings as a settings file.
-pub fn print<T: Serialize>(settings: &T) -> String {
+pub fn to_json<T: Serialize>(settings: &T) -> String {
     serde_json::to_string_pretty(settings)
         .unwrap_or_else(|error| format!("can't encode settings: {error}"))
 }
--- a/cowsliproad-kernel/src/wire.rs
+++ b/cowsliproad-kernel/src/wire.rs
@@ -12,20 +12,20 @@
 use crate::{
     Name,
     clock::Millis,
-    code::{Code, Ran},
+    code::{Code, Execution},
     gossip::Suspect,
     id,
 };
 
 /// The largest websocket message that a link accepts.
-pub const MAX_MESSAGE: usize = 16 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
 /// Flow control: answer bytes that an agent may send before the entry
 /// acknowledges them.
-pub const WINDOW: u64 = 256 << 10;
+pub const SEND_WINDOW_BYTES: u64 = 256 << 10;
 
 /// The length of a BLAKE3 digest.
-pub const DIGEST: usize = 32;
+pub const DIGEST_BYTES: usize = 32;
 
 /// A message between an entry and an agent; each websocket message carries one
 /// frame.
@@ -42,7 +42,7 @@
     /// The listener accepts the dialling process and sends its first
     /// heartbeat.
     #[serde(rename = "we")]
-    Welcome(Beat),
+    Welcome(Heartbeat),
     /// The entry submits a request for the target.
     #[serde(rename = "su")]
     Submit(Box<Submit>),
@@ -72,17 +72,17 @@
     Refusal(Refusal),
     /// A heartbeat with the sender's load.
     #[serde(rename = "be")]
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// Configuration log records, in offset order and without a gap.
     #[serde(rename = "cr")]
-    Records(Records),
+    ConfigRecords(ConfigRecords),
     /// The configuration after all log records up to an offset were applied.
     #[serde(rename = "cs")]
-    Snapshot(Snapshot),
+    ConfigSnapshot(ConfigSnapshot),
     /// The sender requests the receiver's configuration, starting at this log
     /// offset.
     #[serde(rename = "cp")]
-    Pull(u64),
+    PullConfig(u64),
     /// Requests that are suspected of crashing the agent's target.
     #[serde(rename = "sp")]
     Suspects(Vec<Suspect>),
@@ -156,7 +156,7 @@
 
 /// A heartbeat.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The sender's name.
     #[serde(rename = "n")]
     pub name: Name,
@@ -273,21 +273,22 @@
     pub body: Vec<u8>,
     /// Whether the agent may run the request.
     #[serde(rename = "m", default)]
-    pub permit: Permit,
+    pub permit: SubmitMode,
 }
 
 /// Whether an agent may run a submitted request.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize,
 )]
-pub enum Permit {
+pub enum SubmitMode {
     /// Run the request, unless the agent accepted it before.
     #[default]
     Run,
     /// Only report the outcome, if the agent accepted the request before.
     /// Otherwise reject the request for good: it crashes the targets that run
     /// it.
-    Recall,
+    #[serde(rename = "Recall")]
+    ReportOnly,
 }
 
 /// What happens to a request when no caller waits for its answer any more.
@@ -407,7 +408,7 @@
     pub code: Code,
     /// Whether the request ran.
     #[serde(rename = "r")]
-    pub ran: Ran,
+    pub ran: Execution,
     /// How long the caller should wait before it retries.
     #[serde(rename = "w")]
     pub retry_after: Option<Millis>,
@@ -415,7 +416,7 @@
 
 /// Consecutive records of the configuration log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Records {
+pub struct ConfigRecords {
     /// The offset of the first record.
     pub first: u64,
     /// Encoded records, one for each offset.
@@ -424,7 +425,7 @@
 
 /// The configuration after all log records up to an offset were applied.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Snapshot {
+pub struct ConfigSnapshot {
     /// The offset after the last applied record.
     pub next: u64,
     /// The encoded configuration.
@@ -475,14 +476,14 @@
     /// The reason for the failure.
     pub code: Code,
     /// Whether the request ran.
-    pub ran: Ran,
+    pub ran: Execution,
     /// How long the caller should wait before it retries.
     pub retry_after: Option<Millis>,
 }
 
 impl Failure {
     /// Creates a failure without a retry delay.
-    pub fn new(code: Code, ran: Ran) -> Failure {
+    pub fn new(code: Code, ran: Execution) -> Failure {
         Failure { code, ran, retry_after: None }
     }
 
@@ -502,9 +503,10 @@
 
 /// Decodes a frame from CBOR; returns `None` for invalid bytes.
 pub fn decode(bytes: &[u8]) -> Option<Frame> {
-    ciborium::de::from_reader_with_recursion_limit(bytes, DEPTH).ok()
+    ciborium::de::from_reader_with_recursion_limit(bytes, MAX_NESTING_DEPTH)
+        .ok()
 }
 
 /// The deepest nesting that a valid frame can have; limits recursion on
 /// hostile input.
-const DEPTH: usize = 16;
+const MAX_NESTING_DEPTH: usize = 16;
--- a/cowsliproad-net/src/link.rs
+++ b/cowsliproad-net/src/link.rs
@@ -19,7 +19,7 @@
 
 use cowsliproad_kernel::{
     Name, secret,
-    wire::{self, Beat, Challenge, Frame, Hello, Role},
+    wire::{self, Challenge, Frame, Heartbeat, Hello, Role},
 };
 use futures_util::{
     SinkExt, StreamExt,
@@ -153,7 +153,7 @@
 pub async fn dial(
     address: SocketAddr,
     identity: &Identity,
-) -> Result<(Sender, Receiver, Beat), Error> {
+) -> Result<(Sender, Receiver, Heartbeat), Error> {
     timeout(DIAL_TIMEOUT, dial_handshake(address, identity))
         .await
         .unwrap_or(Err(Error::Timeout))
@@ -162,7 +162,7 @@
 async fn dial_handshake(
     address: SocketAddr,
     identity: &Identity,
-) -> Result<(Sender, Receiver, Beat), Error> {
+) -> Result<(Sender, Receiver, Heartbeat), Error> {
     let tcp =
         connect(address, identity.source).await.map_err(transport_error)?;
     tcp.set_nodelay(true).map_err(transport_error)?;
@@ -215,7 +215,7 @@
 pub async fn accept(
     tcp: TcpStream,
     key: &[u8; KEY_BYTES],
-    beat: Beat,
+    beat: Heartbeat,
 ) -> Result<(Sender, Receiver, Hello), Error> {
     timeout(DIAL_TIMEOUT, accept_handshake(tcp, key, beat))
         .await
@@ -225,7 +225,7 @@
 async fn accept_handshake(
     tcp: TcpStream,
     key: &[u8; KEY_BYTES],
-    beat: Beat,
+    beat: Heartbeat,
 ) -> Result<(Sender, Receiver, Hello), Error> {
     tcp.set_nodelay(true).map_err(transport_error)?;
     let mut socket = tokio_tungstenite::accept_async_with_config(
@@ -240,8 +240,10 @@
     let Frame::Hello(hello) = read_frame(&mut socket).await? else {
         return Err(Error::Protocol("expected a hello frame"));
     };
-    if !secret::equal(&hello.proof, &handshake_proof(key, &nonce, &hello.name))
-    {
+    if !secret::constant_time_eq(
+        &hello.proof,
+        &handshake_proof(key, &nonce, &hello.name),
+    ) {
         return Err(Error::WrongKey);
     }
     send_frame(&mut socket, &Frame::Welcome(beat)).await?;
@@ -253,8 +255,8 @@
 fn websocket_config() -> WebSocketConfig {
     WebSocketConfig::default()
         .read_buffer_size(READ_BUFFER_BYTES)
-        .max_message_size(Some(wire::MAX_MESSAGE))
-        .max_frame_size(Some(wire::MAX_MESSAGE))
+        .max_message_size(Some(wire::MAX_MESSAGE_BYTES))
+        .max_frame_size(Some(wire::MAX_MESSAGE_BYTES))
 }
 
 fn handshake_proof(
--- a/cowsliproad-net/src/program.rs
+++ b/cowsliproad-net/src/program.rs
@@ -11,7 +11,7 @@
 use clap::{Arg, ArgAction, Command, value_parser};
 use cowsliproad_kernel::{
     clock::Millis,
-    settings::{self, Check},
+    settings::{self, Validate},
 };
 use serde::{Serialize, de::DeserializeOwned};
 use tokio::signal::unix::{SignalKind, signal};
@@ -29,7 +29,7 @@
     example: &T,
 ) -> T
 where
-    T: Check + DeserializeOwned + Serialize,
+    T: Validate + DeserializeOwned + Serialize,
 {
     read_settings(name, about, example, None).1
 }
@@ -43,7 +43,7 @@
     variable: &str,
 ) -> (PathBuf, T)
 where
-    T: Check + DeserializeOwned + Serialize,
+    T: Validate + DeserializeOwned + Serialize,
 {
     let path = std::env::var_os(variable).map(PathBuf::from);
     read_settings(name, about, example, path)
@@ -56,11 +56,11 @@
     fallback: Option<PathBuf>,
 ) -> (PathBuf, T)
 where
-    T: Check + DeserializeOwned + Serialize,
+    T: Validate + DeserializeOwned + Serialize,
 {
     let matches = command_line(name, about).get_matches();
     if matches.get_flag("print-default") {
-        println!("{}", settings::print(example));
+        println!("{}", settings::to_json(example));
         process::exit(0);
     }
     let path = matches.get_one::<PathBuf>("settings").cloned().or(fallback);
@@ -106,7 +106,7 @@
 
 /// Reads the settings again on SIGHUP or when the file changes, and passes the
 /// result to `on_read`. Never returns. SIGHUP doesn't stop the process.
-pub async fn watch_settings<T: Check + DeserializeOwned>(
+pub async fn watch_settings<T: Validate + DeserializeOwned>(
     path: PathBuf,
     mut on_read: impl FnMut(Result<T, settings::Error>),
 ) {
--- a/cowsliproad-rank/src/settings.rs
+++ b/cowsliproad-rank/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::{IpAddr, SocketAddr};
 
-use cowsliproad_kernel::{Name, log::Level, settings::Check};
+use cowsliproad_kernel::{Name, log::Level, settings::Validate};
 use serde::{Deserialize, Serialize};
 
 /// All that an agent is told before it starts.
@@ -46,8 +46,8 @@
     }
 }
 
-impl Check for Settings {
-    fn check(&self) -> Result<(), (&'static str, String)> {
+impl Validate for Settings {
+    fn validate(&self) -> Result<(), (&'static str, String)> {
         if self.vm.is_empty() {
             return Err(("vm", "a name is needed".into()));
         }
--- a/cowsliproad-rank/tests/group/main.rs
+++ b/cowsliproad-rank/tests/group/main.rs
@@ -108,7 +108,7 @@
         };
         let name = format!("cowsliproad-{vm}.json");
         let file = std::env::temp_dir().join(name);
-        let text = cowsliproad_kernel::settings::print(&settings);
+        let text = cowsliproad_kernel::settings::to_json(&settings);
         fs::write(&file, text).expect("a settings file");
         Agent { child: spawn(&file), file }
     }
--- a/tests/processes/harness.rs
+++ b/tests/processes/harness.rs
@@ -243,7 +243,7 @@
         settings: &T,
     ) -> Program {
         let path = self.directory.join(format!("{name}.json"));
-        let text = cowsliproad_kernel::settings::print(settings);
+        let text = cowsliproad_kernel::settings::to_json(settings);
         fs::write(&path, text).expect("the settings are written");
         let path = path.display().to_string();
         Program::start(program, &["--settings".into(), path])
--- a/tests/properties/decoders.rs
+++ b/tests/properties/decoders.rs
@@ -8,8 +8,8 @@
         clock::Millis,
         id, settings,
         wire::{
-            self, Beat, Frame, Load, Permit, Persistence, Phase, Presence,
-            Submit, Urgency,
+            self, Frame, Heartbeat, Load, Persistence, Phase, Presence,
+            Submit, SubmitMode, Urgency,
         },
     },
 };
@@ -36,8 +36,8 @@
             share: 1,
             body,
             permit: match numbers[0] % 2 {
-                0 => Permit::Run,
-                _ => Permit::Recall,
+                0 => SubmitMode::Run,
+                _ => SubmitMode::ReportOnly,
             },
         })
 }
@@ -47,7 +47,7 @@
 
     #[test]
     fn frames_are_read_back(submit in submit(), load in any::<[u32; 4]>()) {
-        let beat = Beat {
+        let beat = Heartbeat {
             name: "x".into(),
             incarnation: id::Incarnation(submit.request.0),
             clock: submit.budget,
@@ -64,7 +64,7 @@
             holds: vec![id::Incarnation(1)],
             offset: 3,
         };
-        for frame in [Frame::Submit(Box::new(submit)), Frame::Beat(beat)] {
+        for frame in [Frame::Submit(Box::new(submit)), Frame::Heartbeat(beat)] {
             let bytes = wire::encode(&frame);
             prop_assert_eq!(wire::decode(&bytes), Some(frame));
         }
