--- a/cowsliproad-admission/src/quarantine.rs
+++ b/cowsliproad-admission/src/quarantine.rs
@@ -200,13 +200,13 @@
     /// Notes that a target ended under work.
     pub fn ended(&mut self, work: Work, end: End, now: Millis) -> Change {
         let seen = Suspect {
-            work: work.0,
-            ends: vec![end.0],
-            excused: Vec::new(),
-            proven: false,
-            idle: Millis(0),
-            refused: None,
-            suspended: None,
+            work_digest: work.0,
+            crashes: vec![end.0],
+            excused_crashes: Vec::new(),
+            survived: false,
+            since_last_seen: Millis(0),
+            rejected_for: None,
+            suspended_for: None,
         };
         self.learn(&seen, BROADCAST_TTL, now)
     }
@@ -245,11 +245,11 @@
         now: Millis,
     ) -> Change {
         let now = now + BEFORE;
-        let refused = told.refused.unwrap_or_default();
-        if told.idle >= SUSPECT_TTL || refused >= REJECT_TTL {
+        let refused = told.rejected_for.unwrap_or_default();
+        if told.since_last_seen >= SUSPECT_TTL || refused >= REJECT_TTL {
             return Change::None;
         }
-        let work = Work(told.work);
+        let work = Work(told.work_digest);
         if !self.cases.contains_key(&work) {
             self.make_room();
         }
@@ -258,7 +258,7 @@
             ends: BTreeSet::new(),
             excused: Vec::new(),
             proven: outlived,
-            seen: now - told.idle,
+            seen: now - told.since_last_seen,
             since: None,
             suspended_until: None,
             told_until: now,
@@ -268,19 +268,19 @@
             case.suspended_until = None;
             case.ends.clear();
         }
-        if now.since(case.seen) > told.idle + MAX_LATENCY {
-            case.seen = now - told.idle;
+        if now.since(case.seen) > told.since_last_seen + MAX_LATENCY {
+            case.seen = now - told.since_last_seen;
         }
         let before = (case.ends.len(), case.excused.len(), case.proven);
         // Whoever tells of proven work as of any other, or of an end that was
         // excused or none, hasn't heard it, and would soon refuse what
         // everybody sends.
-        let mut misses = case.proven && !told.proven;
-        case.proven |= told.proven;
-        for end in told.excused.iter().map(|it| End(*it)) {
+        let mut misses = case.proven && !told.survived;
+        case.proven |= told.survived;
+        for end in told.excused_crashes.iter().map(|it| End(*it)) {
             case.excuse(end);
         }
-        for end in told.ends.iter().map(|it| End(*it)) {
+        for end in told.crashes.iter().map(|it| End(*it)) {
             if let Some(heard) = self.lives.get_mut(&end) {
                 *heard = now;
             } else if case.excused.contains(&end) {
@@ -293,7 +293,7 @@
         // Once for each end: later words of it may have waited in a process
         // that stood still.
         let may_extend = after.0 > before.0 || case.suspended_until.is_none();
-        let suspends = may_extend && case.extend(told.suspended, now);
+        let suspends = may_extend && case.extend(told.suspended_for, now);
         let is_news = after != before || suspends;
         let is_passed_on =
             case.ends.len() >= PASSED_ON_ENDS || case.proven || suspends;
@@ -301,7 +301,7 @@
             case.told_until = case.told_until.max(now + telling);
         }
         let change = case.judge(now);
-        if let (Some(since), Some(_)) = (&mut case.since, told.refused) {
+        if let (Some(since), Some(_)) = (&mut case.since, told.rejected_for) {
             *since = (*since).min(now - refused);
         }
         match change {
@@ -413,7 +413,7 @@
         let kept = self.cases.iter().filter(|it| !it.1.is_over(now));
         let mut kept: Vec<Suspect> =
             kept.map(|it| it.1.suspect(*it.0, now)).collect();
-        kept.sort_by_key(|it| (Reverse(it.ends.len()), it.idle));
+        kept.sort_by_key(|it| (Reverse(it.crashes.len()), it.since_last_seen));
         kept.truncate(MAX_UPDATES);
         kept
     }
--- a/cowsliproad-admission/src/quarantine/case.rs
+++ b/cowsliproad-admission/src/quarantine/case.rs
@@ -99,13 +99,13 @@
 
     pub(super) fn suspect(&self, work: Work, now: Millis) -> Suspect {
         Suspect {
-            work: work.0,
-            ends: self.ends.iter().map(|it| it.0).collect(),
-            excused: self.excused.iter().map(|it| it.0).collect(),
-            proven: self.proven,
-            idle: now.since(self.seen),
-            refused: self.since.map(|it| now.since(it)),
-            suspended: self.suspension(now),
+            work_digest: work.0,
+            crashes: self.ends.iter().map(|it| it.0).collect(),
+            excused_crashes: self.excused.iter().map(|it| it.0).collect(),
+            survived: self.proven,
+            since_last_seen: now.since(self.seen),
+            rejected_for: self.since.map(|it| now.since(it)),
+            suspended_for: self.suspension(now),
         }
     }
 }
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -251,13 +251,13 @@
         Heartbeat {
             name: self.settings.name.clone(),
             incarnation: self.incarnation,
-            clock: Millis::now(),
+            sender_clock: Millis::now(),
             phase: inner.phase,
             load: inner.load(self.speed(&inner)),
             presence: self.ends.presence(),
             cooldown: self.pace.cooldown(Millis::now()),
-            holds: inner.inherited.keys().copied().collect(),
-            offset,
+            inherited_incarnations: inner.inherited.keys().copied().collect(),
+            next_config_offset: offset,
         }
     }
 
@@ -431,8 +431,8 @@
             running: self.running,
             slots: speed.slots,
             // Entries go by how fast the queue empties.
-            service_us: speed.effective_us(),
-            count: self.count,
+            mean_service_us: speed.effective_us(),
+            accepted_total: self.count,
         }
     }
 
--- a/cowsliproad-agent/src/gate/submit.rs
+++ b/cowsliproad-agent/src/gate/submit.rs
@@ -66,7 +66,7 @@
     ) -> Result<Arc<Work>, Failure> {
         let ticket = self.open(text, submit)?;
         let leaving = inner.phase == Phase::Leaving;
-        let recalled = submit.permit == SubmitMode::ReportOnly;
+        let recalled = submit.mode == SubmitMode::ReportOnly;
         let verdict = if ticket.incarnation == self.incarnation {
             if leaving || recalled {
                 inner.register.burn(&ticket, now)
@@ -116,7 +116,7 @@
         submit: &Submit,
         now: Millis,
     ) -> Result<Arc<Work>, Failure> {
-        let key = submit.key.as_ref();
+        let key = submit.idempotency_key.as_ref();
         let key = key.map(|it| (submit.organisation.clone(), it.clone()));
         if let Some(key) = &key
             && let Some(keyed) = inner.keys.get(key)
@@ -136,7 +136,7 @@
                 Failure::new(Code::ForeignToken, Execution::NotForwarded);
             return own.then(|| work.clone()).ok_or(foreign);
         }
-        if submit.permit == SubmitMode::ReportOnly {
+        if submit.mode == SubmitMode::ReportOnly {
             return Err(QUARANTINED);
         }
         if inner.phase == Phase::Leaving {
@@ -159,7 +159,7 @@
         let work = Arc::new(Work::new(submit, now));
         let item = Item {
             organisation: submit.organisation.clone(),
-            share: submit.share,
+            share: submit.queue_weight,
             urgency: submit.urgency,
             deadline: work.deadline,
             work: work.clone(),
--- a/cowsliproad-agent/src/links.rs
+++ b/cowsliproad-agent/src/links.rs
@@ -191,7 +191,7 @@
             Frame::Reclaim(reclaim) => self.reclaim(&reclaim),
             Frame::Ack(ack) => {
                 if let Some(listener) = self.attempts.get(&ack.attempt) {
-                    listener.window.open(ack.bytes);
+                    listener.window.open(ack.delivered_bytes);
                 }
             }
             Frame::Detach(attempt) => self.detach(attempt),
@@ -369,7 +369,7 @@
         match ending {
             Ending::Whole { format, length, digest } => Frame::End(End {
                 attempt: self.attempt,
-                sequence,
+                data_frames: sequence,
                 format,
                 length,
                 digest: digest.to_vec(),
@@ -382,7 +382,9 @@
     /// fresher reports than the heartbeat alone.
     async fn report_load(&self) {
         let beat = self.links.gate.beat(self.links.replica.next());
-        if beat.phase == Phase::Serving && beat.load.count.is_multiple_of(4) {
+        if beat.phase == Phase::Serving
+            && beat.load.accepted_total.is_multiple_of(4)
+        {
             let _ = self.sender.send(Frame::Heartbeat(beat)).await;
         }
     }
--- a/cowsliproad-agent/src/work.rs
+++ b/cowsliproad-agent/src/work.rs
@@ -114,13 +114,13 @@
             organisation: submit.organisation.clone(),
             request_type: submit.request_type.clone(),
             body: Bytes::from(submit.body.clone()),
-            deadline: now + submit.budget,
+            deadline: now + submit.time_left,
             repeat: match submit.ticket {
                 Some(_) => Repeat::Never,
                 None => Repeat::Allowed,
             },
             priority: submit.urgency as i64,
-            key: submit.key.clone(),
+            key: submit.idempotency_key.clone(),
             persistence: submit.persistence,
             progress: Mutex::new(Progress { bytes: Vec::new(), ending: None }),
             changed: Notify::new(),
@@ -138,13 +138,13 @@
             organisation: answer.organisation,
             request_type: "".into(),
             urgency: cowsliproad_kernel::wire::Urgency::Normal,
-            budget: Millis(0),
+            time_left: Millis(0),
             ticket: None,
-            key: None,
+            idempotency_key: None,
             persistence: Persistence::Keep,
-            share: 1,
+            queue_weight: 1,
             body: Vec::new(),
-            permit: SubmitMode::ReportOnly,
+            mode: SubmitMode::ReportOnly,
         };
         let work = Work::new(&submit, Millis(0));
         match answer.result {
--- a/cowsliproad-bench/src/experiment/limits.rs
+++ b/cowsliproad-bench/src/experiment/limits.rs
@@ -18,7 +18,7 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    gossip::{self, Ask, Datagram, Limit, Reply},
+    gossip::{self, Datagram, Limit, PermitReply, PermitRequest},
     plugin::inventory,
 };
 use cowsliproad_routing::{
@@ -481,23 +481,27 @@
     fn new() -> Sizes {
         let limit = Limit {
             target: "i-abaeb6c096".into(),
-            start: 0,
-            rate: Some(1.2),
+            target_start_unix_ms: 0,
+            requests_per_second: Some(1.2),
             age: Millis(1_234),
         };
         let number = u64::MAX;
         let none = Millis(0);
-        let ask = Ask {
-            number,
+        let ask = PermitRequest {
+            request_id: number,
             limit: limit.clone(),
-            patience: none,
-            relays: RELAYS,
+            max_wait: none,
+            forwards_left: RELAYS,
+        };
+        let reply = PermitReply {
+            request_id: number,
+            limit: limit.clone(),
+            granted: true,
+            wait: none,
         };
-        let reply =
-            Reply { number, limit: limit.clone(), given: true, after: none };
         Sizes {
-            question: gossip::encode(&Datagram::Ask(ask)).len(),
-            reply: gossip::encode(&Datagram::Reply(reply)).len(),
+            question: gossip::encode(&Datagram::PermitRequest(ask)).len(),
+            reply: gossip::encode(&Datagram::PermitReply(reply)).len(),
             told: gossip::encode(&limit).len(),
         }
     }
--- a/cowsliproad-bench/src/experiment/quarantine.rs
+++ b/cowsliproad-bench/src/experiment/quarantine.rs
@@ -380,7 +380,7 @@
         let now = Millis(self.now);
         let change = self.ledgers[entry].hear(suspect, now);
         if change != Change::None {
-            self.write(entry, Work(suspect.work));
+            self.write(entry, Work(suspect.work_digest));
         }
     }
 
@@ -399,8 +399,12 @@
         };
         let kept = self.log.get(&work);
         let same = |it: &Suspect| {
-            (&it.ends, &it.excused, it.proven)
-                == (&suspect.ends, &suspect.excused, suspect.proven)
+            (&it.crashes, &it.excused_crashes, it.survived)
+                == (
+                    &suspect.crashes,
+                    &suspect.excused_crashes,
+                    suspect.survived,
+                )
         };
         if kept.is_some_and(same) {
             return;
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -264,19 +264,21 @@
         Frame::Heartbeat(Heartbeat {
             name: "engine-12".into(),
             incarnation: id::Incarnation::random(),
-            clock: Millis(86_400_000),
+            sender_clock: Millis(86_400_000),
             phase: Phase::Serving,
             load: Load {
                 queued: 12,
                 running: 16,
                 slots: 16,
-                service_us: 81_234,
-                count: 1_234_567,
+                mean_service_us: 81_234,
+                accepted_total: 1_234_567,
             },
             cooldown: Millis(0),
             presence: Presence::Here,
-            holds: (0..holds).map(|_| id::Incarnation::random()).collect(),
-            offset: 123_456,
+            inherited_incarnations: (0..holds)
+                .map(|_| id::Incarnation::random())
+                .collect(),
+            next_config_offset: 123_456,
         })
     };
     let bytes = wire::encode(&beat(0));
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -17,7 +17,7 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    gossip::{self, Ask, Datagram, Limit, Reply},
+    gossip::{self, Datagram, Limit, PermitReply, PermitRequest},
 };
 use cowsliproad_platform::header;
 use cowsliproad_routing::{
@@ -88,7 +88,7 @@
 pub struct Limits {
     socket: Option<Rc<UdpSocket>>,
     limiters: HashMap<Name, (Start, limit::Limiter)>,
-    open: HashMap<u64, oneshot::Sender<Reply>>,
+    open: HashMap<u64, oneshot::Sender<PermitReply>>,
     /// Limits of targets that are not known yet, and when they were heard.
     early: HashMap<Name, (Limit, Millis)>,
     told: Millis,
@@ -279,8 +279,10 @@
             _ => return entry.give(target, owner, patience, now),
         };
         match ask(entry, other, target, patience, relays - 1).await {
-            Some(reply) if reply.given => return Verdict::Permit(reply.after),
-            Some(reply) => return Verdict::Later(reply.after),
+            Some(reply) if reply.granted => {
+                return Verdict::Permit(reply.wait);
+            }
+            Some(reply) => return Verdict::Later(reply.wait),
             None => {
                 let until = Millis::now() + MUTE_TTL;
                 entry.peers.borrow_mut().mute(other, until);
@@ -299,13 +301,18 @@
     target: &Target,
     patience: Millis,
     relays: u8,
-) -> Option<Reply> {
+) -> Option<PermitReply> {
     let number = rand::random();
     let limit = entry.current_limit(target, Millis::now());
-    let question = Ask { number, limit, patience, relays };
+    let question = PermitRequest {
+        request_id: number,
+        limit,
+        max_wait: patience,
+        forwards_left: relays,
+    };
     let (sender, reply) = oneshot::channel();
     entry.limits.borrow_mut().open.insert(number, sender);
-    entry.say(Datagram::Ask(question), other).await;
+    entry.say(Datagram::PermitRequest(question), other).await;
     let wait = Millis(REPLY_TIMEOUT.0 * (u64::from(relays) + 1));
     let reply = timeout(wait.duration(), reply).await;
     entry.limits.borrow_mut().open.remove(&number);
@@ -313,17 +320,18 @@
 }
 
 /// Answers another entry's question.
-pub fn answer(entry: &Rc<Entry>, ask: Ask, from: SocketAddr) {
+pub fn answer(entry: &Rc<Entry>, ask: PermitRequest, from: SocketAddr) {
     entry.hear_limit(&ask.limit, Millis::now());
     let entry = entry.clone();
-    let relays = ask.relays.min(RELAYS - 1);
+    let relays = ask.forwards_left.min(RELAYS - 1);
     tokio::task::spawn_local(async move {
         let target = entry.fleet.borrow().get(&ask.limit.target).cloned();
-        let same = target.filter(|it| it.start.0 == ask.limit.start);
+        let same =
+            target.filter(|it| it.start.0 == ask.limit.target_start_unix_ms);
         let (verdict, limit) = match same {
             Some(target) => {
                 let verdict =
-                    decide(&entry, &target, ask.patience, relays).await;
+                    decide(&entry, &target, ask.max_wait, relays).await;
                 (verdict, entry.current_limit(&target, Millis::now()))
             }
             // Its announcement has not come here yet.
@@ -333,8 +341,13 @@
             Verdict::Permit(after) => (true, after),
             Verdict::Later(after) => (false, after),
         };
-        let reply = Reply { number: ask.number, limit, given, after };
-        entry.say(Datagram::Reply(reply), from).await;
+        let reply = PermitReply {
+            request_id: ask.request_id,
+            limit,
+            granted: given,
+            wait: after,
+        };
+        entry.say(Datagram::PermitReply(reply), from).await;
     });
 }
 
@@ -369,12 +382,12 @@
 
     fn hear_limit(&self, limit: &Limit, now: Millis) {
         let start = self.fleet.borrow().get(&limit.target).map(|it| it.start);
-        if start != Some(Start(limit.start)) {
+        if start != Some(Start(limit.target_start_unix_ms)) {
             self.limits.borrow_mut().keep_early(limit, now);
             return;
         }
-        let rate = limit.rate.and_then(Rate::new);
-        if rate.is_none() != limit.rate.is_none() {
+        let rate = limit.requests_per_second.and_then(Rate::new);
+        if rate.is_none() != limit.requests_per_second.is_none() {
             return;
         }
         let report = Report { rate, age: limit.age };
@@ -477,9 +490,9 @@
     }
 
     /// Takes in the answer to a question.
-    pub fn hear_reply(&self, reply: Reply) {
+    pub fn hear_reply(&self, reply: PermitReply) {
         self.hear_limit(&reply.limit, Millis::now());
-        let open = self.limits.borrow_mut().open.remove(&reply.number);
+        let open = self.limits.borrow_mut().open.remove(&reply.request_id);
         if let Some(open) = open {
             // Whoever asked may have stopped waiting just now.
             let _ = open.send(reply);
@@ -500,8 +513,8 @@
 fn limit_of(target: &Target, report: Report) -> Limit {
     Limit {
         target: target.id.clone(),
-        start: target.start.0,
-        rate: report.rate.map(Rate::a_second),
+        target_start_unix_ms: target.start.0,
+        requests_per_second: report.rate.map(Rate::a_second),
         age: report.age,
     }
 }
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -117,7 +117,7 @@
     }
 
     fn hear(&mut self, digest: &Digest, now: Millis) -> bool {
-        self.newest = self.newest.max((digest.version, digest.address));
+        self.newest = self.newest.max((digest.config_version, digest.address));
         let known = self.known.get(&digest.address);
         let peer = Peer {
             vm: digest.vm.clone(),
@@ -254,16 +254,16 @@
     Digest {
         vm: entry.settings().vm.clone(),
         address: entry.settings().peer_address(),
-        version: entry.version(),
-        era: entry.rollbacks.era(),
-        read_ms: now.since(entry.readings.borrow().at()).0,
-        changed: entry.readings.borrow().changed().offset,
-        left,
+        config_version: entry.version(),
+        log_era: entry.rollbacks.era(),
+        targets_read_age_ms: now.since(entry.readings.borrow().at()).0,
+        last_change_offset: entry.readings.borrow().changed().offset,
+        departed: left,
         withdrawn,
         peers: entry.peers.borrow().known.keys().copied().collect(),
         zone: entry.settings().zone.clone(),
         suspects,
-        lives,
+        retracted_crashes: lives,
         limits: entry.limit_updates(update, now),
     }
 }
@@ -281,7 +281,7 @@
 
 /// Takes datagrams for ever.
 pub async fn listen(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; gossip::MAX_BYTES];
+    let mut buffer = vec![0; gossip::MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
             // An unreachable peer shows here; the next datagram may be good.
@@ -294,13 +294,17 @@
             }
             Some(Datagram::Load(load)) => {
                 agents::take_load(&entry, &load);
-                if load.list == 0 {
+                if load.list_id == 0 {
                     agents::introduce(&entry, &socket, load.target).await;
                 }
             }
-            Some(Datagram::Lost(lost)) => agents::take_lost(&entry, &lost),
-            Some(Datagram::Ask(ask)) => limits::answer(&entry, ask, from),
-            Some(Datagram::Reply(reply)) => entry.hear_reply(reply),
+            Some(Datagram::EngineExit(lost)) => {
+                agents::take_lost(&entry, &lost)
+            }
+            Some(Datagram::PermitRequest(ask)) => {
+                limits::answer(&entry, ask, from)
+            }
+            Some(Datagram::PermitReply(reply)) => entry.hear_reply(reply),
             None => warn!(entry.log, "strange_datagram"; "bytes" => length),
         }
     }
@@ -308,8 +312,8 @@
 
 async fn hear(entry: &Rc<Entry>, socket: &UdpSocket, heard: Digest) {
     let now = Millis::now();
-    entry.learn_era(heard.era, Source::Peer);
-    let left = heard.left.iter();
+    entry.learn_era(heard.log_era, Source::Peer);
+    let left = heard.departed.iter();
     let left = left.map(|it| (&it.0, Parting::ForGood(Start(it.1))));
     let withdrawn = heard.withdrawn.iter();
     let withdrawn =
@@ -319,10 +323,10 @@
         entry.changed(id, change, Source::Peer);
     }
     entry.heard_from(&heard.zone, now);
-    entry.hear_suspects(&heard.suspects, &heard.lives, now);
+    entry.hear_suspects(&heard.suspects, &heard.retracted_crashes, now);
     entry.hear_limits(&heard.limits, now);
-    let at = now - Millis(heard.read_ms);
-    let changed = Position::new(heard.era, heard.changed);
+    let at = now - Millis(heard.targets_read_age_ms);
+    let changed = Position::new(heard.log_era, heard.last_change_offset);
     entry.note_reading(at, changed, now);
     let (is_new, others) = {
         let mut peers = entry.peers.borrow_mut();
@@ -334,7 +338,7 @@
             "address" => %heard.address);
     }
     // One that starts waits for it.
-    let starts = heard.version == 0 && entry.version() > 0;
+    let starts = heard.config_version == 0 && entry.version() > 0;
     if is_new || starts {
         let own =
             gossip::encode(&Datagram::Digest(digest(entry, Update::All, now)));
@@ -342,8 +346,8 @@
             send(entry, socket, &own, other).await;
         }
     }
-    let behind = heard.version > entry.version()
-        || heard.version > 0 && !entry.is_ready()
+    let behind = heard.config_version > entry.version()
+        || heard.config_version > 0 && !entry.is_ready()
         || entry.readings.borrow().needs_peer();
     if behind && !entry.peers.borrow().fetching {
         entry.peers.borrow_mut().fetching = true;
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -7,7 +7,7 @@
 
 use cowsliproad_kernel::{
     clock::Millis,
-    gossip::{self, Load, Lost, Subscribe},
+    gossip::{self, EngineExit, Load, Subscribe},
     position::Era,
 };
 use cowsliproad_routing::{
@@ -27,7 +27,7 @@
 pub(super) async fn ask_agents(entry: &Entry, socket: &UdpSocket) {
     for whole in subscriptions(entry) {
         let named = Subscribe { targets: Vec::new(), ..whole.clone() };
-        let (list, targets) = (whole.list, whole.targets.clone());
+        let (list, targets) = (whole.list_id, whole.targets.clone());
         let (whole, named) = (gossip::encode(&whole), gossip::encode(&named));
         for target in targets {
             let agent = agent_of(entry, target);
@@ -72,27 +72,28 @@
 
 fn subscribe(engine: &Engine, targets: &[SocketAddr], era: Era) -> Subscribe {
     Subscribe {
-        list: gossip::list_of(targets),
+        list_id: gossip::target_list_id(targets),
         targets: targets.to_vec(),
-        sets: engine.sets as u16,
-        experts: engine.experts as u16,
-        places: engine.places as u16,
-        spare: engine.spare as u16,
-        copy_ms: engine.copy_time.0,
-        era,
+        layer_sets: engine.sets as u16,
+        experts_per_set: engine.experts as u16,
+        slots_per_set: engine.places as u16,
+        max_new_experts_per_set: engine.spare as u16,
+        expert_copy_ms: engine.copy_time.0,
+        log_era: era,
     }
 }
 
 /// Takes an agent's report in.
 pub(super) fn take_load(entry: &Entry, load: &Load) {
-    entry.lists.borrow_mut().insert(load.target, load.list);
+    entry.lists.borrow_mut().insert(load.target, load.list_id);
     let now = Millis::now();
-    let Some(target) = target_at(entry, load.target, load.start) else {
+    let Some(target) = target_at(entry, load.target, load.start_unix_ms)
+    else {
         return;
     };
     entry.heard_from(&target.zone, now);
-    entry.note_report(&target, Start(load.start), now);
-    if load.leaving && target.start == Start(load.start) {
+    entry.note_report(&target, Start(load.start_unix_ms), now);
+    if load.leaving && target.start == Start(load.start_unix_ms) {
         info!(entry.log, "target_leaving"; "target" => &*target.id,
             "source" => ?Source::Peer);
         return entry.note_left(&target);
@@ -107,10 +108,10 @@
     endpoint.lost = None;
     let group = Group {
         name: load.group.clone(),
-        epoch: load.epoch,
-        open: load.open,
-        step: load.step,
-        pace: load.pace,
+        epoch: load.group_epoch,
+        open: load.group_accepts_requests,
+        step: load.forward_pass,
+        pace: load.pace_percent,
         heard: now,
     };
     let after = stands(&group);
@@ -119,16 +120,19 @@
     endpoint.group = Some(group);
     drop(endpoint);
     if before != Some(after) {
-        info!(entry.log, "group"; "target" => &*id, "epoch" => load.epoch,
-            "open" => load.open, "step" => load.step, "pace" => load.pace);
+        info!(entry.log, "group"; "target" => &*id,
+            "epoch" => load.group_epoch,
+            "open" => load.group_accepts_requests,
+            "step" => load.forward_pass, "pace" => load.pace_percent);
         entry.tell_news();
     }
 }
 
 /// Takes in that an agent finds no process of its engine.
-pub(super) fn take_lost(entry: &Entry, lost: &Lost) {
+pub(super) fn take_lost(entry: &Entry, lost: &EngineExit) {
     let now = Millis::now();
-    let Some(target) = target_at(entry, lost.target, lost.start) else {
+    let Some(target) = target_at(entry, lost.target, lost.start_unix_ms)
+    else {
         return;
     };
     entry.heard_from(&target.zone, now);
--- a/cowsliproad-direct/src/peers/state.rs
+++ b/cowsliproad-direct/src/peers/state.rs
@@ -53,7 +53,7 @@
 /// Fetches a peer's state if the log doesn't bring it in time.
 pub(super) async fn catch_up(entry: &Rc<Entry>, heard: &Digest) {
     sleep(OWN_READ_DELAY.duration()).await;
-    let knows = entry.version() >= heard.version && entry.is_ready();
+    let knows = entry.version() >= heard.config_version && entry.is_ready();
     if knows && !entry.readings.borrow().needs_peer() {
         return;
     }
@@ -61,7 +61,7 @@
         hear_all(entry).await;
     }
     let (newest, ahead) = entry.peers.borrow().newest;
-    let ahead = (newest > heard.version).then_some(ahead);
+    let ahead = (newest > heard.config_version).then_some(ahead);
     for address in ahead.into_iter().chain([heard.address]) {
         if let Some(state) = fetch(entry, address).await {
             return take_state(entry, state);
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -187,7 +187,7 @@
 
     /// Notes that the log keeps so much of a piece of work.
     fn note_kept(&mut self, kept: &Suspect, now: Millis) {
-        let work = Work(kept.work);
+        let work = Work(kept.work_digest);
         if let Some(own) = self.ledger.suspect(work, now)
             && covers(kept, &own)
         {
@@ -336,13 +336,13 @@
     ) -> Change {
         let mut quarantine = self.quarantine.borrow_mut();
         let change = quarantine.ledger.hear(suspect, now);
-        for end in suspect.ends.iter().map(|it| End(*it)) {
+        for end in suspect.crashes.iter().map(|it| End(*it)) {
             if change != Change::None && !quarantine.ledger.took_back(end) {
                 quarantine.watch(end, now);
             }
         }
         drop(quarantine);
-        self.judged(Work(suspect.work), change, source);
+        self.judged(Work(suspect.work_digest), change, source);
         change
     }
 
@@ -430,16 +430,16 @@
     let now = Millis::now();
     let age = Millis(unix_now()).since(Millis(kept.at));
     let mut suspect = kept.suspect.clone();
-    match &mut suspect.refused {
+    match &mut suspect.rejected_for {
         // It may have come since, which is not written each time.
         Some(refused) => {
             *refused = *refused + age;
-            suspect.idle = Millis(0);
+            suspect.since_last_seen = Millis(0);
         }
-        None => suspect.idle = suspect.idle + age,
+        None => suspect.since_last_seen = suspect.since_last_seen + age,
     }
     let change = entry.hear_suspect(&suspect, now, Source::Log);
-    let work = Work(suspect.work);
+    let work = Work(suspect.work_digest);
     let mut quarantine = entry.quarantine.borrow_mut();
     quarantine.note_kept(&suspect, now);
     if quarantine.ledger.suspect(work, now).is_none() {
@@ -453,15 +453,16 @@
 /// Finds the work that the log should keep and lost.
 fn note_lost(entry: &Entry, kept: &[Kept]) {
     let now = Millis::now();
-    let kept = kept.iter().map(|it| (it.suspect.work, &it.suspect));
+    let kept = kept.iter().map(|it| (it.suspect.work_digest, &it.suspect));
     let kept: HashMap<u64, &Suspect> = kept.collect();
     let entries = entry.peers.borrow().entries() as u64;
     let others = Millis(REWRITE_DELAY_PER_ENTRY.0 * entries);
     let others = others.min(MAX_REWRITE_DELAY);
     let known = entry.quarantine.borrow().ledger.known(now);
-    let known = known.into_iter().filter(|it| it.ends.len() >= WRITTEN_ENDS);
+    let known =
+        known.into_iter().filter(|it| it.crashes.len() >= WRITTEN_ENDS);
     for suspect in known {
-        let work = Work(suspect.work);
+        let work = Work(suspect.work_digest);
         if kept.get(&work.0).is_some_and(|it| covers(it, &suspect)) {
             continue;
         }
@@ -480,11 +481,16 @@
 
 /// Whether what the log keeps of a piece of work says all that is known.
 fn covers(kept: &Suspect, own: &Suspect) -> bool {
-    let tells = |it: &u64| kept.ends.contains(it) || kept.excused.contains(it);
-    own.ends.iter().all(tells)
-        && own.excused.iter().all(|it| kept.excused.contains(it))
-        && kept.proven >= own.proven
-        && kept.refused.is_some() >= own.refused.is_some()
+    let tells = |it: &u64| {
+        kept.crashes.contains(it) || kept.excused_crashes.contains(it)
+    };
+    own.crashes.iter().all(tells)
+        && own
+            .excused_crashes
+            .iter()
+            .all(|it| kept.excused_crashes.contains(it))
+        && kept.survived >= own.survived
+        && kept.rejected_for.is_some() >= own.rejected_for.is_some()
 }
 
 /// Writes to the log what it has to keep, for ever.
@@ -535,7 +541,7 @@
     let suspect =
         entry.quarantine.borrow().ledger.suspect(work, Millis::now());
     // A suspension is over before others read it again.
-    let suspect = suspect.map(|it| Suspect { suspended: None, ..it });
+    let suspect = suspect.map(|it| Suspect { suspended_for: None, ..it });
     let kept = suspect.map(|suspect| Kept { suspect, at: unix_now() });
     kept.map(|it| gossip::encode(&it)).unwrap_or_default()
 }
--- a/cowsliproad-direct/tests/entry/group_crashes.rs
+++ b/cowsliproad-direct/tests/entry/group_crashes.rs
@@ -87,7 +87,8 @@
         for agents in &self.agents {
             agents.change(|loads| {
                 for load in loads {
-                    (load.epoch, load.open) = (epoch, open);
+                    (load.group_epoch, load.group_accepts_requests) =
+                        (epoch, open);
                 }
             });
         }
--- a/cowsliproad-direct/tests/entry/harness.rs
+++ b/cowsliproad-direct/tests/entry/harness.rs
@@ -17,7 +17,7 @@
 use cowsliproad_direct::settings::Settings;
 use cowsliproad_kernel::{
     clock::Millis,
-    gossip::{self, Datagram, Load, Lost},
+    gossip::{self, Datagram, EngineExit, Load},
 };
 use cowsliproad_net::client::{Client, Error};
 use cowsliproad_platform::{
@@ -351,7 +351,7 @@
 /// Tells an entry what an agent does: that its engine's process is gone.
 pub async fn tell_lost(target: SocketAddr, entry: SocketAddr) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
-    let lost = Datagram::Lost(Lost { target, start: 0 });
+    let lost = Datagram::EngineExit(EngineExit { target, start_unix_ms: 0 });
     let sent = socket.send_to(&gossip::encode(&lost), entry).await;
     sent.expect("it is sent");
 }
@@ -362,13 +362,13 @@
         target: target.address().expect("it listens"),
         running: 0,
         queued: 0,
-        pace: 100,
+        pace_percent: 100,
         group: "g".into(),
-        epoch: 1,
-        step: 1,
-        open: true,
-        list: 0,
-        start: 0,
+        group_epoch: 1,
+        forward_pass: 1,
+        group_accepts_requests: true,
+        list_id: 0,
+        start_unix_ms: 0,
         leaving: false,
     }
 }
--- a/cowsliproad-direct/tests/entry/leaving.rs
+++ b/cowsliproad-direct/tests/entry/leaving.rs
@@ -127,7 +127,11 @@
     let entry = plant.entry().await;
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
     let tell = async |start: u64| {
-        let load = Load { leaving: true, start, ..report(&targets[0]) };
+        let load = Load {
+            leaving: true,
+            start_unix_ms: start,
+            ..report(&targets[0])
+        };
         let bytes = gossip::encode(&Datagram::Load(load));
         let to = entry.settings.peer_address();
         socket.send_to(&bytes, to).await.expect("it is sent");
--- a/cowsliproad-direct/tests/entry/quarantine.rs
+++ b/cowsliproad-direct/tests/entry/quarantine.rs
@@ -373,7 +373,8 @@
     tokio::spawn(async move {
         loop {
             for target in &targets {
-                let load = Load { open: false, ..report(target) };
+                let load =
+                    Load { group_accepts_requests: false, ..report(target) };
                 let bytes = gossip::encode(&Datagram::Load(load));
                 let _ = socket.send_to(&bytes, to).await;
             }
--- a/cowsliproad-direct/tests/entry/streams.rs
+++ b/cowsliproad-direct/tests/entry/streams.rs
@@ -116,7 +116,7 @@
                 let loads = {
                     let mut loads = telling.loads.lock().expect("no panic");
                     if telling.going.load(Ordering::Relaxed) {
-                        loads.iter_mut().for_each(|it| it.step += 2);
+                        loads.iter_mut().for_each(|it| it.forward_pass += 2);
                     }
                     loads.clone()
                 };
@@ -174,7 +174,7 @@
     agents.change(|loads| {
         let slow = slow.address();
         let load = loads.iter_mut().find(|it| Some(it.target) == slow);
-        load.expect("it is listed").pace = 1_200;
+        load.expect("it is listed").pace_percent = 1_200;
     });
     until("the slow rank is left", async || slow.working() == 0).await;
     let body = answer.into_body().collect().await.expect("a whole stream");
@@ -190,7 +190,7 @@
     let one = plant.target_with(engine("i-1", 2)).await;
     let entry = plant.entry().await;
     let agents = Agents::start(&entry, &[&one]).await;
-    agents.change(|loads| loads[0].open = false);
+    agents.change(|loads| loads[0].group_accepts_requests = false);
     until("the entry knows", async || {
         let answer = entry.ask("/stream/a").await.expect("an answer");
         answer.status() == StatusCode::SERVICE_UNAVAILABLE
@@ -205,7 +205,9 @@
     assert!(after.is_some_and(|it| it > 0.3 && it < 1.0), "{after:?}");
     assert_eq!(one.arrivals(), before, "a broken group is asked nothing");
     let waiting = entry.ask("/stream/a");
-    agents.change(|loads| (loads[0].open, loads[0].epoch) = (true, 2));
+    agents.change(|loads| {
+        (loads[0].group_accepts_requests, loads[0].group_epoch) = (true, 2)
+    });
     let answer = waiting.await.expect("an answer");
     assert_eq!(numbers(answer.body()), (1..=20).collect::<Vec<_>>());
 }
@@ -266,7 +268,7 @@
     assert_eq!(one.arrivals() + two.arrivals(), before + 1);
     one.set(Fault::None);
     two.set(Fault::None);
-    agents.change(|loads| loads.iter_mut().for_each(|it| it.epoch = 2));
+    agents.change(|loads| loads.iter_mut().for_each(|it| it.group_epoch = 2));
     let answer = waiting.await.expect("no panic").expect("an answer");
     assert_eq!(numbers(answer.body()), (1..=20).collect::<Vec<_>>());
 }
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -332,7 +332,7 @@
             target: target.name.clone(),
             incarnation: beat.incarnation,
             request: id::Request::random(),
-            expiry: beat.clock + Millis::now().since(at) + LIFETIME,
+            expiry: beat.sender_clock + Millis::now().since(at) + LIFETIME,
         };
         info!(self.shared.log, "ticket";
             "request" => %ticket.request,
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -313,13 +313,13 @@
             organisation: order.organisation.clone(),
             request_type: order.request_type.name.clone(),
             urgency: order.request_type.urgency,
-            budget,
+            time_left: budget,
             ticket: order.ticket.as_ref().map(|it| it.0.clone().into_bytes()),
-            key: order.key.clone(),
+            idempotency_key: order.key.clone(),
             persistence: order.persistence,
-            share: order.share,
+            queue_weight: order.share,
             body: order.body.clone(),
-            permit,
+            mode: permit,
         };
         let request = order.request;
         self.attempts += 1;
@@ -411,7 +411,7 @@
         let clock = attempt
             .target
             .beat()
-            .map(|(beat, at)| beat.clock + Millis::now().since(at));
+            .map(|(beat, at)| beat.sender_clock + Millis::now().since(at));
         let token = match &self.task {
             Task::Work(order) => Ticket {
                 purpose: Purpose::Resume,
@@ -473,7 +473,10 @@
             return;
         }
         attempt.acknowledged = reached;
-        let ack = Ack { attempt: attempt.assembly.attempt(), bytes: reached };
+        let ack = Ack {
+            attempt: attempt.assembly.attempt(),
+            delivered_bytes: reached,
+        };
         let _ = attempt.link.try_send(Frame::Ack(ack));
     }
 }
--- a/cowsliproad-entry/src/links.rs
+++ b/cowsliproad-entry/src/links.rs
@@ -72,11 +72,11 @@
     target.take_beat(beat.clone(), Millis::now());
     target.link.store(Some(link.clone()));
     let mut push = Push::new(&shared.settings.name, &target.name);
-    push.compare(shared, &sender, beat.offset).await;
+    push.compare(shared, &sender, beat.next_config_offset).await;
     while let Some(frame) = receiver.recv().await {
         match frame {
             Frame::Heartbeat(beat) => {
-                let offset = beat.offset;
+                let offset = beat.next_config_offset;
                 target.take_beat(beat, Millis::now());
                 push.compare(shared, &sender, offset).await;
             }
@@ -219,12 +219,12 @@
     let beats = tokio::spawn(beat_peer(shared.clone(), sender.clone()));
     let mut push = Push { delay: Millis(0), behind_since: None };
     if let Some(beat) = beat {
-        push.compare(shared, &sender, beat.offset).await;
+        push.compare(shared, &sender, beat.next_config_offset).await;
     }
     while let Some(frame) = receiver.recv().await {
         match frame {
             Frame::Heartbeat(beat) => {
-                push.compare(shared, &sender, beat.offset).await;
+                push.compare(shared, &sender, beat.next_config_offset).await;
             }
             other => take_config(shared, &sender, other).await,
         }
@@ -256,13 +256,13 @@
     Heartbeat {
         name: shared.settings.name.clone(),
         incarnation: shared.incarnation,
-        clock: Millis::now(),
+        sender_clock: Millis::now(),
         phase: shared.phase(),
         load: Load::default(),
         cooldown: Millis(0),
         presence: Presence::Here,
-        holds: Vec::new(),
-        offset: shared.published.load().state.next(),
+        inherited_incarnations: Vec::new(),
+        next_config_offset: shared.published.load().state.next(),
     }
 }
 
--- a/cowsliproad-entry/src/quarantine.rs
+++ b/cowsliproad-entry/src/quarantine.rs
@@ -33,8 +33,8 @@
     let mut ledger = lock(&shared.quarantine);
     ledger.sweep(now);
     for suspect in suspects {
-        let work = Work(suspect.work).within(&target.service);
-        let suspect = Suspect { work: work.0, ..suspect };
+        let work = Work(suspect.work_digest).within(&target.service);
+        let suspect = Suspect { work_digest: work.0, ..suspect };
         let change = ledger.hear(&suspect, now);
         if matches!(change, Change::Refused | Change::Freed) {
             info!(shared.log, "work_judged"; "work" => %work,
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -175,7 +175,7 @@
         linked
             && beat.is_some_and(|it| {
                 it.incarnation == incarnation
-                    || it.holds.contains(&incarnation)
+                    || it.inherited_incarnations.contains(&incarnation)
             })
     }
 
@@ -264,7 +264,7 @@
             state,
             load: beat.map_or(Load::default(), |it| it.load),
             age: now.since(stats.beat_at),
-            offset: beat.map_or(0, |it| it.offset),
+            offset: beat.map_or(0, |it| it.next_config_offset),
         }
     }
 }
--- a/cowsliproad-kernel/src/gossip.rs
+++ b/cowsliproad-kernel/src/gossip.rs
@@ -35,14 +35,14 @@
 /// receives each list once, and later messages carry only its identifier:
 /// sending the lists of 72 engines to 72 agents from 31 entries every second
 /// made up nearly all traffic between availability zones.
-pub fn list_of(targets: &[SocketAddr]) -> u64 {
+pub fn target_list_id(targets: &[SocketAddr]) -> u64 {
     let mut hasher = DefaultHasher::new();
     targets.hash(&mut hasher);
     hasher.finish().max(1)
 }
 
 /// The largest datagram that is received.
-pub const MAX_BYTES: usize = 60_000;
+pub const MAX_DATAGRAM_BYTES: usize = 60_000;
 
 /// A datagram that an entry can receive.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -55,13 +55,13 @@
     Load(Load),
     /// The report of an agent that its engine's process is gone.
     #[serde(rename = "x")]
-    Lost(Lost),
+    EngineExit(EngineExit),
     /// The request of an entry for a permit to send to a rate-limited target.
     #[serde(rename = "p")]
-    Ask(Ask),
+    PermitRequest(PermitRequest),
     /// The reply to a request for a permit.
     #[serde(rename = "r")]
-    Reply(Reply),
+    PermitReply(PermitReply),
 }
 
 /// The gossip message that entries broadcast to one another.
@@ -76,22 +76,22 @@
     pub address: SocketAddr,
     /// The version of the configuration that the sender uses; 0 for none.
     #[serde(rename = "c")]
-    pub version: u64,
+    pub config_version: u64,
     /// The highest era of the platform's log that the sender has observed.
     #[serde(rename = "y", default)]
-    pub era: Era,
+    pub log_era: Era,
     /// The time since the targets were last read from the log in that era, by
     /// the sender or by an entry whose digests reached it, in milliseconds.
     #[serde(rename = "r")]
-    pub read_ms: u64,
+    pub targets_read_age_ms: u64,
     /// The highest log offset in that era at which the sender knows that the
     /// targets changed.
     #[serde(rename = "n")]
-    pub changed: u64,
+    pub last_change_offset: u64,
     /// Targets that the sender recently saw leave for good, each with its
     /// start time as a Unix millisecond.
     #[serde(rename = "l")]
-    pub left: Vec<(Name, u64)>,
+    pub departed: Vec<(Name, u64)>,
     /// Targets whose announcements recently expired or were deleted in the
     /// log, each with its start time as a Unix millisecond and the sequence
     /// number of its last announcement.
@@ -109,7 +109,7 @@
     pub suspects: Suspects,
     /// Identifiers of reported target crashes that turned out to be false.
     #[serde(rename = "b", default, skip_serializing_if = "Vec::is_empty")]
-    pub lives: Vec<u64>,
+    pub retracted_crashes: Vec<u64>,
     /// Rate limits of targets, including limits that were recently lifted.
     #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
     pub limits: Vec<Limit>,
@@ -124,11 +124,11 @@
     /// When the target started, as a Unix millisecond; 0 if the target doesn't
     /// report its start time.
     #[serde(rename = "b", default)]
-    pub start: u64,
+    pub target_start_unix_ms: u64,
     /// The limit in requests per second from all VMs together; `None` if the
     /// target states no limit.
     #[serde(rename = "r")]
-    pub rate: Option<f64>,
+    pub requests_per_second: Option<f64>,
     /// For how long the limit has been in force, in milliseconds.
     #[serde(rename = "i")]
     pub age: Millis,
@@ -136,38 +136,38 @@
 
 /// Asks another entry for a permit to send a request to a rate-limited target.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Ask {
+pub struct PermitRequest {
     /// Identifies the permit request; the reply repeats the same number.
     #[serde(rename = "n")]
-    pub number: u64,
+    pub request_id: u64,
     /// The target, with its limit as the asking entry knows it.
     #[serde(rename = "l")]
     pub limit: Limit,
     /// How long the caller's request can wait for the permit, in milliseconds.
     #[serde(rename = "w")]
-    pub patience: Millis,
+    pub max_wait: Millis,
     /// How many more times the permit request may be forwarded to another
     /// entry.
     #[serde(rename = "h")]
-    pub relays: u8,
+    pub forwards_left: u8,
 }
 
 /// The reply to a request for a permit.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Reply {
+pub struct PermitReply {
     /// Identifies the permit request that this is the reply to.
     #[serde(rename = "n")]
-    pub number: u64,
+    pub request_id: u64,
     /// The target, with its limit as the replying entry knows it.
     #[serde(rename = "l")]
     pub limit: Limit,
     /// Whether the permit is granted.
     #[serde(rename = "g")]
-    pub given: bool,
+    pub granted: bool,
     /// The wait in milliseconds until a granted permit may be used, or until a
     /// rejected permit request may be retried.
     #[serde(rename = "w")]
-    pub after: Millis,
+    pub wait: Millis,
 }
 
 fn nowhere() -> Name {
@@ -180,31 +180,31 @@
     /// Identifies the request's content: a digest of the sender, the path and
     /// the body.
     #[serde(rename = "w")]
-    pub work: u64,
+    pub work_digest: u64,
     /// Target crashes attributed to the request, each identified by a digest
     /// of the target's name and start time.
     #[serde(rename = "e")]
-    pub ends: Vec<u64>,
+    pub crashes: Vec<u64>,
     /// Crashes that no longer count against the request, because some target
     /// completed it after they happened.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
-    pub excused: Vec<u64>,
-    /// Whether some target is known to have completed the request without a
-    /// crash.
+    pub excused_crashes: Vec<u64>,
+    /// Whether some target is known to have survived the request, that is,
+    /// completed it without a crash.
     #[serde(rename = "s")]
-    pub proven: bool,
+    pub survived: bool,
     /// The time since the request was last received from a caller, in
     /// milliseconds.
     #[serde(rename = "i")]
-    pub idle: Millis,
+    pub since_last_seen: Millis,
     /// For how long the request has been rejected, in milliseconds; `None` if
     /// it is accepted.
     #[serde(rename = "r")]
-    pub refused: Option<Millis>,
+    pub rejected_for: Option<Millis>,
     /// How much longer the request is suspended, in milliseconds; `None` if it
     /// isn't.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
-    pub suspended: Option<Millis>,
+    pub suspended_for: Option<Millis>,
 }
 
 /// Asks an agent to send load reports to the entry that sends this.
@@ -214,28 +214,28 @@
     /// agent has reported that it has this list.
     #[serde(rename = "t")]
     pub targets: Vec<SocketAddr>,
-    /// The identifier of the list of engines; see [`list_of`].
+    /// The identifier of the list of engines; see [`target_list_id`].
     #[serde(rename = "l")]
-    pub list: u64,
+    pub list_id: u64,
     /// The number of sets of layers that have their own expert map.
     #[serde(rename = "s")]
-    pub sets: u16,
+    pub layer_sets: u16,
     /// The number of experts in each set of layers.
     #[serde(rename = "e")]
-    pub experts: u16,
+    pub experts_per_set: u16,
     /// The number of expert slots on each rank in each set of layers.
     #[serde(rename = "p")]
-    pub places: u16,
+    pub slots_per_set: u16,
     /// The number of experts in each set of layers that one map change may add
     /// to a rank.
     #[serde(rename = "n")]
-    pub spare: u16,
+    pub max_new_experts_per_set: u16,
     /// How long a rank takes to copy an expert, in milliseconds.
     #[serde(rename = "c")]
-    pub copy_ms: u64,
+    pub expert_copy_ms: u64,
     /// The highest era of the platform's log that the sender has observed.
     #[serde(rename = "y", default)]
-    pub era: Era,
+    pub log_era: Era,
 }
 
 /// An agent's report to entries on the state of its engine.
@@ -252,26 +252,26 @@
     pub queued: u32,
     /// How long the engine takes for its work, in percent of the usual time.
     #[serde(rename = "p")]
-    pub pace: u32,
+    pub pace_percent: u32,
     /// The name of the engine's group.
     #[serde(rename = "g")]
     pub group: Name,
     /// The number of the group's current formation.
     #[serde(rename = "e")]
-    pub epoch: u64,
+    pub group_epoch: u64,
     /// The number of the last forward pass that the engine began.
     #[serde(rename = "s")]
-    pub step: u64,
+    pub forward_pass: u64,
     /// Whether the engine's group accepts requests.
     #[serde(rename = "o")]
-    pub open: bool,
+    pub group_accepts_requests: bool,
     /// The identifier of the list of engines that the agent has; 0 for none.
     #[serde(rename = "l")]
-    pub list: u64,
+    pub list_id: u64,
     /// When the engine started, as a Unix millisecond; 0 if the engine doesn't
     /// report its start time.
     #[serde(rename = "b", default)]
-    pub start: u64,
+    pub start_unix_ms: u64,
     /// Whether the engine is draining, according to its last reply to the
     /// agent.
     #[serde(rename = "x", default, skip_serializing_if = "is_false")]
@@ -290,59 +290,63 @@
     /// Requests to which one crash is attributed, as concatenated digests
     /// keyed by the identifier of the crash.
     #[serde(rename = "o")]
-    once: Vec<(u64, ByteBuf)>,
+    single_crash: Vec<(u64, ByteBuf)>,
     /// All other suspected requests.
     #[serde(rename = "m")]
-    more: Vec<Suspect>,
+    others: Vec<Suspect>,
 }
 
 /// The encoded size of the digest that identifies a request.
-const WORK_BYTES: usize = 8;
+const WORK_DIGEST_BYTES: usize = 8;
 
 /// Whether nothing is known of a request but the crashes attributed to it.
-fn is_plain(suspect: &Suspect) -> bool {
-    !suspect.proven && suspect.refused.is_none() && suspect.suspended.is_none()
+fn has_only_crashes(suspect: &Suspect) -> bool {
+    !suspect.survived
+        && suspect.rejected_for.is_none()
+        && suspect.suspended_for.is_none()
 }
 
 impl Suspects {
     /// Encodes suspected requests compactly.
     pub fn pack(suspects: Vec<Suspect>) -> Suspects {
-        let mut once: BTreeMap<u64, ByteBuf> = BTreeMap::new();
-        let mut more = Vec::new();
+        let mut single_crash: BTreeMap<u64, ByteBuf> = BTreeMap::new();
+        let mut others = Vec::new();
         for suspect in suspects {
-            match suspect.ends[..] {
-                [end] if is_plain(&suspect) => {
-                    let works = once.entry(end).or_default();
-                    works.extend_from_slice(&suspect.work.to_be_bytes());
+            match suspect.crashes[..] {
+                [crash] if has_only_crashes(&suspect) => {
+                    let digests = single_crash.entry(crash).or_default();
+                    digests
+                        .extend_from_slice(&suspect.work_digest.to_be_bytes());
                 }
-                _ => more.push(suspect),
+                _ => others.push(suspect),
             }
         }
-        Suspects { once: once.into_iter().collect(), more }
+        Suspects { single_crash: single_crash.into_iter().collect(), others }
     }
 
     /// Whether there are no suspected requests.
     pub fn is_none(&self) -> bool {
-        self.once.is_empty() && self.more.is_empty()
+        self.single_crash.is_empty() && self.others.is_empty()
     }
 
     /// Decodes the suspected requests. A compactly encoded request counts as
     /// received just now, because it is broadcast for only a few seconds.
     pub fn unpack(&self) -> impl Iterator<Item = Suspect> {
-        let once = self.once.iter().flat_map(|(end, works)| {
-            works.chunks_exact(WORK_BYTES).map(|work| Suspect {
-                work: work
-                    .iter()
-                    .fold(0, |it, byte| it << 8 | u64::from(*byte)),
-                ends: vec![*end],
-                excused: Vec::new(),
-                proven: false,
-                idle: Millis(0),
-                refused: None,
-                suspended: None,
-            })
-        });
-        once.chain(self.more.iter().cloned())
+        let single_crash =
+            self.single_crash.iter().flat_map(|(crash, digests)| {
+                digests.chunks_exact(WORK_DIGEST_BYTES).map(|digest| Suspect {
+                    work_digest: digest
+                        .iter()
+                        .fold(0, |value, byte| value << 8 | u64::from(*byte)),
+                    crashes: vec![*crash],
+                    excused_crashes: Vec::new(),
+                    survived: false,
+                    since_last_seen: Millis(0),
+                    rejected_for: None,
+                    suspended_for: None,
+                })
+            });
+        single_crash.chain(self.others.iter().cloned())
     }
 }
 
@@ -350,12 +354,12 @@
 /// runs on the same VM and reports this only when no process listens on the
 /// engine's port, so a network failure is not mistaken for a crash.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Lost {
+pub struct EngineExit {
     /// The address at which the engine listened.
     #[serde(rename = "a")]
     pub target: SocketAddr,
     /// When the engine had started, as a Unix millisecond; 0 if the engine
     /// didn't report its start time.
     #[serde(rename = "b")]
-    pub start: u64,
+    pub start_unix_ms: u64,
 }
--- a/cowsliproad-kernel/src/wire.rs
+++ b/cowsliproad-kernel/src/wire.rs
@@ -165,7 +165,7 @@
     pub incarnation: id::Incarnation,
     /// The sender's monotonic clock.
     #[serde(rename = "t")]
-    pub clock: Millis,
+    pub sender_clock: Millis,
     /// Whether the sender accepts new requests.
     #[serde(rename = "p")]
     pub phase: Phase,
@@ -182,10 +182,10 @@
     /// Agent processes that handed their tickets over to the sender before
     /// they stopped.
     #[serde(rename = "h")]
-    pub holds: Vec<id::Incarnation>,
+    pub inherited_incarnations: Vec<id::Incarnation>,
     /// The next offset of the configuration log that the sender needs.
     #[serde(rename = "o")]
-    pub offset: u64,
+    pub next_config_offset: u64,
 }
 
 fn is_zero(time: &Millis) -> bool {
@@ -206,10 +206,10 @@
     pub slots: u32,
     /// The mean time that a request occupies a slot, in microseconds.
     #[serde(rename = "u")]
-    pub service_us: u32,
+    pub mean_service_us: u32,
     /// The number of requests accepted since the agent's process started.
     #[serde(rename = "c")]
-    pub count: u64,
+    pub accepted_total: u64,
 }
 
 /// The priority class of a request.
@@ -255,25 +255,25 @@
     pub urgency: Urgency,
     /// The time left until the request's deadline.
     #[serde(rename = "d")]
-    pub budget: Millis,
+    pub time_left: Millis,
     /// The ticket of a request that must not run twice.
     #[serde(rename = "t", with = "serde_bytes")]
     pub ticket: Option<Vec<u8>>,
     /// The caller's idempotency key.
     #[serde(rename = "i")]
-    pub key: Option<Name>,
+    pub idempotency_key: Option<Name>,
     /// Whether the request continues when no caller waits for its answer.
     #[serde(rename = "w")]
     pub persistence: Persistence,
     /// The organisation's weight in the fair queue.
     #[serde(rename = "h")]
-    pub share: u32,
+    pub queue_weight: u32,
     /// The request body.
     #[serde(rename = "b", with = "serde_bytes")]
     pub body: Vec<u8>,
     /// Whether the agent may run the request.
     #[serde(rename = "m", default)]
-    pub permit: SubmitMode,
+    pub mode: SubmitMode,
 }
 
 /// Whether an agent may run a submitted request.
@@ -339,7 +339,7 @@
     pub attempt: id::Attempt,
     /// The number of answer bytes forwarded to the caller so far.
     #[serde(rename = "n")]
-    pub bytes: u64,
+    pub delivered_bytes: u64,
 }
 
 /// The agent has recorded the request.
@@ -385,7 +385,7 @@
     pub attempt: id::Attempt,
     /// The number of data frames in the attempt.
     #[serde(rename = "s")]
-    pub sequence: u32,
+    pub data_frames: u32,
     /// The format of the answer.
     #[serde(rename = "f")]
     pub format: Format,
--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -202,8 +202,8 @@
         stop: impl Future<Output = ()>,
     ) -> io::Result<()> {
         let mut stop = std::pin::pin!(stop);
-        let mut from_entries = vec![0; gossip::MAX_BYTES];
-        let mut from_agents = vec![0; gossip::MAX_BYTES];
+        let mut from_entries = vec![0; gossip::MAX_DATAGRAM_BYTES];
+        let mut from_agents = vec![0; gossip::MAX_DATAGRAM_BYTES];
         let mut next = Instant::now();
         loop {
             // Words of others go first: one that was frozen learns that it
@@ -270,14 +270,14 @@
             return;
         };
         let now = Millis::now();
-        self.learn_era(asked.era);
+        self.learn_era(asked.log_era);
         if self.entries.insert(from, now).is_none() {
             info!(self.log, "entry_met"; "entry" => %from);
         }
         self.entries.retain(|_, heard| now.since(*heard) < FORGET_TIME);
         if !asked.targets.is_empty() {
             self.shape = Some(asked);
-        } else if asked.list != self.list() {
+        } else if asked.list_id != self.list() {
             // The next report says so, and the entry tells all again.
             self.last.load = Millis(0);
         }
@@ -326,7 +326,7 @@
             }
             Message::Choices(choices) => {
                 let shape = self.shape.as_ref();
-                let experts = shape.map_or(0, |it| it.experts.into());
+                let experts = shape.map_or(0, |it| it.experts_per_set.into());
                 if let Some(lead) = &mut self.lead {
                     lead.count(choices, experts);
                 }
@@ -392,7 +392,7 @@
 
     /// The list of engines that it knows; 0 for none.
     fn list(&self) -> u64 {
-        self.shape.as_ref().map_or(0, |it| it.list)
+        self.shape.as_ref().map_or(0, |it| it.list_id)
     }
 
     fn report(&self) -> Option<&Report> {
--- a/cowsliproad-rank/src/agent/words.rs
+++ b/cowsliproad-rank/src/agent/words.rs
@@ -4,7 +4,7 @@
 
 use cowsliproad_kernel::{
     clock::Millis,
-    gossip::{self, Datagram, Load, Lost},
+    gossip::{self, Datagram, EngineExit, Load},
 };
 use cowsliproad_mapswitch::order::{self, Aim, Standing};
 use slog::info;
@@ -35,13 +35,14 @@
             target: self.settings.engine,
             running: state.running,
             queued: state.queued,
-            pace: (state.pace * 100.0) as u32,
+            pace_percent: (state.pace * 100.0) as u32,
             group: state.group.clone().unwrap_or_else(|| "".into()),
-            epoch: report.map_or(0, |it| it.epoch.0),
-            step: report.map_or(0, |it| it.step),
-            open: report.is_none_or(|it| it.standing == Standing::Open),
-            list: self.list(),
-            start: state.start,
+            group_epoch: report.map_or(0, |it| it.epoch.0),
+            forward_pass: report.map_or(0, |it| it.step),
+            group_accepts_requests: report
+                .is_none_or(|it| it.standing == Standing::Open),
+            list_id: self.list(),
+            start_unix_ms: state.start,
             leaving: self.engine.is_leaving(),
         });
         self.say_to_entries(&load).await;
@@ -53,7 +54,11 @@
             return;
         };
         let target = self.settings.engine;
-        self.say_to_entries(&Datagram::Lost(Lost { target, start })).await;
+        self.say_to_entries(&Datagram::EngineExit(EngineExit {
+            target,
+            start_unix_ms: start,
+        }))
+        .await;
     }
 
     async fn say_to_entries(&self, word: &Datagram) {
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -306,16 +306,17 @@
         let Some(loads) = self.demand.loads() else { return };
         let shape_of_map = Shape {
             ranks: snapshots.len(),
-            experts: usize::from(shape.experts),
-            layers: usize::from(shape.sets),
-            slots: usize::from(shape.places),
+            experts: usize::from(shape.experts_per_set),
+            layers: usize::from(shape.layer_sets),
+            slots: usize::from(shape.slots_per_set),
         };
         let Some(present) = self.present(shape_of_map, snapshots) else {
             return;
         };
-        let config = live::Config::new(usize::from(shape.spare))
-            .with_burst(burst(Millis(shape.copy_ms)))
-            .with_price(self.price);
+        let config =
+            live::Config::new(usize::from(shape.max_new_experts_per_set))
+                .with_burst(burst(Millis(shape.expert_copy_ms)))
+                .with_price(self.price);
         let speeds: Vec<f64> = self.ranks.values().map(speed).collect();
         let plan = live::plan(shape_of_map, config, &present, &loads, &speeds);
         let Some(plan) = plan else {
--- a/cowsliproad-rank/tests/group/main.rs
+++ b/cowsliproad-rank/tests/group/main.rs
@@ -15,7 +15,9 @@
     time::{Duration, Instant},
 };
 
-use cowsliproad_kernel::gossip::{self, Datagram, Load, Lost, Subscribe};
+use cowsliproad_kernel::gossip::{
+    self, Datagram, EngineExit, Load, Subscribe,
+};
 use cowsliproad_platform::{SETTINGS_VARIABLE, log::COORDINATORS};
 use cowsliproad_platform_standin::{
     group::{self, Frozen, Group},
@@ -44,7 +46,7 @@
     log_address: SocketAddr,
     agents: Vec<Agent>,
     loads: Arc<std::sync::Mutex<Vec<Load>>>,
-    losts: Arc<std::sync::Mutex<Vec<Lost>>>,
+    losts: Arc<std::sync::Mutex<Vec<EngineExit>>>,
 }
 
 struct Agent {
@@ -118,14 +120,14 @@
         let own = SocketAddr::from((vm(self.net, 200), PEERS));
         let socket = Arc::new(UdpSocket::bind(own).await.expect("a socket"));
         let message = gossip::encode(&Subscribe {
-            list: gossip::list_of(&targets),
+            list_id: gossip::target_list_id(&targets),
             targets: targets.clone(),
-            sets: 2,
-            experts: EXPERTS as u16,
-            places: 6,
-            spare: 2,
-            copy_ms: 0,
-            era: Default::default(),
+            layer_sets: 2,
+            experts_per_set: EXPERTS as u16,
+            slots_per_set: 6,
+            max_new_experts_per_set: 2,
+            expert_copy_ms: 0,
+            log_era: Default::default(),
         });
         let asking = socket.clone();
         tokio::spawn(async move {
@@ -146,7 +148,7 @@
                     Some(Datagram::Load(load)) => {
                         loads.lock().expect("no panic").push(load);
                     }
-                    Some(Datagram::Lost(lost)) => {
+                    Some(Datagram::EngineExit(lost)) => {
                         losts.lock().expect("no panic").push(lost);
                     }
                     _ => {}
--- a/cowsliproad-rank/tests/lead.rs
+++ b/cowsliproad-rank/tests/lead.rs
@@ -43,13 +43,13 @@
         }
         let shape = Subscribe {
             targets: Vec::new(),
-            list: 1,
-            sets: 1,
-            experts: EXPERTS as u16,
-            places: 8,
-            spare: 2,
-            era: Default::default(),
-            copy_ms: 400,
+            list_id: 1,
+            layer_sets: 1,
+            experts_per_set: EXPERTS as u16,
+            slots_per_set: 8,
+            max_new_experts_per_set: 2,
+            log_era: Default::default(),
+            expert_copy_ms: 400,
         };
         self.lead.advance(Some(&shape), self.now);
     }
--- a/cowsliproad-relay/src/lib.rs
+++ b/cowsliproad-relay/src/lib.rs
@@ -145,7 +145,7 @@
 
     fn completeness(&self) -> Completeness {
         let Some(end) = &self.end else { return Completeness::Incomplete };
-        if self.next_sequence < end.sequence {
+        if self.next_sequence < end.data_frames {
             return Completeness::Incomplete;
         }
         let digest_matches = match &self.hasher {
@@ -154,7 +154,7 @@
         };
         if digest_matches
             && self.length == end.length
-            && self.next_sequence == end.sequence
+            && self.next_sequence == end.data_frames
         {
             Completeness::Complete
         } else {
--- a/cowsliproad-routing/src/score.rs
+++ b/cowsliproad-routing/src/score.rs
@@ -42,7 +42,7 @@
     /// The predicted time to the first token, in microseconds.
     pub fn first_token_us(&self) -> u64 {
         let slots = u64::from(self.load.slots.max(1));
-        let service = match u64::from(self.load.service_us) {
+        let service = match u64::from(self.load.mean_service_us) {
             0 => FIRST_GUESS_US,
             known => known,
         };
--- a/tests/properties/decoders.rs
+++ b/tests/properties/decoders.rs
@@ -29,13 +29,13 @@
             organisation: name.as_str().into(),
             request_type: "t".into(),
             urgency: Urgency::Normal,
-            budget: Millis(numbers[2]),
+            time_left: Millis(numbers[2]),
             ticket,
-            key: key.map(|it| it.as_str().into()),
+            idempotency_key: key.map(|it| it.as_str().into()),
             persistence: Persistence::Keep,
-            share: 1,
+            queue_weight: 1,
             body,
-            permit: match numbers[0] % 2 {
+            mode: match numbers[0] % 2 {
                 0 => SubmitMode::Run,
                 _ => SubmitMode::ReportOnly,
             },
@@ -50,19 +50,19 @@
         let beat = Heartbeat {
             name: "x".into(),
             incarnation: id::Incarnation(submit.request.0),
-            clock: submit.budget,
+            sender_clock: submit.time_left,
             phase: Phase::Leaving,
             load: Load {
                 queued: load[0],
                 running: load[1],
                 slots: load[2],
-                service_us: load[3],
-                count: 1,
+                mean_service_us: load[3],
+                accepted_total: 1,
             },
             cooldown: Millis(u64::from(load[0])),
             presence: Presence::Gone,
-            holds: vec![id::Incarnation(1)],
-            offset: 3,
+            inherited_incarnations: vec![id::Incarnation(1)],
+            next_config_offset: 3,
         };
         for frame in [Frame::Submit(Box::new(submit)), Frame::Heartbeat(beat)] {
             let bytes = wire::encode(&frame);
--- a/tests/properties/quarantine.rs
+++ b/tests/properties/quarantine.rs
@@ -236,13 +236,13 @@
     assert!(!is_refused(&other, innocent, NOW));
     // One who hasn't heard it tells of the end again.
     let late = Suspect {
-        work: innocent.0,
-        ends: vec![end(1).0],
-        excused: Vec::new(),
-        proven: false,
-        idle: Millis(0),
-        refused: None,
-        suspended: None,
+        work_digest: innocent.0,
+        crashes: vec![end(1).0],
+        excused_crashes: Vec::new(),
+        survived: false,
+        since_last_seen: Millis(0),
+        rejected_for: None,
+        suspended_for: None,
     };
     other.hear(&late, NOW + Millis(8_000));
     assert!(!is_refused(&other, innocent, NOW + Millis(8_000)));
@@ -355,8 +355,8 @@
     let told = ledger.updates(NOW);
     assert!(told.len() <= 512, "{}", told.len());
     let bytes = gossip::encode(&Suspects::pack(told.clone())).len();
-    assert!(bytes < gossip::MAX_BYTES / 3, "{bytes}");
-    assert_eq!(told[0].work, deadly.0);
+    assert!(bytes < gossip::MAX_DATAGRAM_BYTES / 3, "{bytes}");
+    assert_eq!(told[0].work_digest, deadly.0);
     assert!(ledger.cases() <= 4_096, "{}", ledger.cases());
     assert!(is_refused(&ledger, deadly, NOW));
 }
@@ -372,8 +372,8 @@
     let packed = gossip::encode(&Suspects::pack(told.clone()));
     let packed: Suspects = gossip::decode(&packed).expect("suspects");
     let mut unpacked: Vec<Suspect> = packed.unpack().collect();
-    told.sort_by_key(|it| it.work);
-    unpacked.sort_by_key(|it| it.work);
+    told.sort_by_key(|it| it.work_digest);
+    unpacked.sort_by_key(|it| it.work_digest);
     assert_eq!(told, unpacked);
 }
 
--- a/tests/properties/relay.rs
+++ b/tests/properties/relay.rs
@@ -21,7 +21,7 @@
     });
     let end = Frame::End(End {
         attempt,
-        sequence: pieces.len() as u32,
+        data_frames: pieces.len() as u32,
         format: Format::Text,
         length: whole.len() as u64,
         digest: blake3::hash(&whole).as_bytes().to_vec(),
--- a/tests/properties/routing.rs
+++ b/tests/properties/routing.rs
@@ -42,7 +42,13 @@
         slots in 1..64u32,
         service_us in 1..1_000_000u32,
     ) {
-        let load = Load { queued, running, slots, service_us, count: 0 };
+        let load = Load {
+            queued,
+            running,
+            slots,
+            mean_service_us: service_us,
+            accepted_total: 0,
+        };
         let less = Candidate { load, sent_since: sent, ..Candidate::default() };
         let more = Candidate { sent_since: sent + 1, ..less };
         prop_assert!(more.first_token_us() >= less.first_token_us());
