--- a/cowsliproad-agent/src/adapter.rs
+++ b/cowsliproad-agent/src/adapter.rs
@@ -10,7 +10,7 @@
 
 use cowsliproad_kernel::{
     plugin::{self, inventory},
-    wire::{Failure, Format},
+    wire::{AnswerFormat, Failure},
 };
 use tokio::runtime::Handle;
 
@@ -55,7 +55,7 @@
     fn call(
         &self,
         work: &Work,
-    ) -> impl Future<Output = Result<Format, Failure>> + Send;
+    ) -> impl Future<Output = Result<AnswerFormat, Failure>> + Send;
 }
 
 /// Starts taking work from a gate.
--- a/cowsliproad-agent/src/adapter/engine.rs
+++ b/cowsliproad-agent/src/adapter/engine.rs
@@ -11,7 +11,7 @@
     clock::Millis,
     code::{Code, Execution},
     plugin::inventory,
-    wire::{Failure, Format},
+    wire::{AnswerFormat, Failure},
 };
 use cowsliproad_net::client::Client;
 use http::{Request, Response, header};
@@ -64,7 +64,7 @@
         }
     }
 
-    async fn call(&self, work: &Work) -> Result<Format, Failure> {
+    async fn call(&self, work: &Work) -> Result<AnswerFormat, Failure> {
         tokio::select! {
             result = self.stream(work) => result,
             () = work.cancelled() => {
@@ -76,7 +76,7 @@
 }
 
 impl Engine {
-    async fn stream(&self, work: &Work) -> Result<Format, Failure> {
+    async fn stream(&self, work: &Work) -> Result<AnswerFormat, Failure> {
         let mut events = Events::default();
         let start = self.start(work)?;
         let mut response = self.head(start).await?;
@@ -85,7 +85,7 @@
                 break;
             }
             match self.read(response, work, &mut events).await? {
-                Reading::Done => return Ok(Format::Text),
+                Reading::Done => return Ok(AnswerFormat::Text),
                 Reading::Silent => break,
                 Reading::Broken => {
                     events.rest.clear();
--- a/cowsliproad-agent/src/adapter/plain.rs
+++ b/cowsliproad-agent/src/adapter/plain.rs
@@ -7,7 +7,7 @@
     clock::Millis,
     code::{Code, Execution},
     plugin::inventory,
-    wire::{Failure, Format},
+    wire::{AnswerFormat, Failure},
 };
 use cowsliproad_net::client::{Client, Error};
 use http::{Request, header};
@@ -50,7 +50,7 @@
         }
     }
 
-    async fn call(&self, work: &Work) -> Result<Format, Failure> {
+    async fn call(&self, work: &Work) -> Result<AnswerFormat, Failure> {
         let request = request(self.target, work)?;
         let patience = patience(work, self.silence);
         let sent = Millis::now();
@@ -69,7 +69,7 @@
             ));
         }
         work.append(response.body());
-        Ok(Format::Json)
+        Ok(AnswerFormat::Json)
     }
 }
 
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -28,7 +28,8 @@
     id,
     sync::lock,
     wire::{
-        Answer, Cancel, Failure, Handover, Heartbeat, Load, Phase, Reclaim,
+        AgentLoad, Answer, Cancel, Failure, Handover, Heartbeat, Phase,
+        Reclaim,
     },
 };
 use opentelemetry::{
@@ -229,7 +230,7 @@
     pub fn finish(
         &self,
         work: &Arc<Work>,
-        result: Result<cowsliproad_kernel::wire::Format, Failure>,
+        result: Result<cowsliproad_kernel::wire::AnswerFormat, Failure>,
         held: Duration,
     ) {
         let code = result.err().map_or(Code::Ok, |failure| failure.code);
@@ -315,8 +316,11 @@
             inner.works.insert(work.request, work);
         }
         if let Some(register) = register {
-            let inherited =
-                Inherited { register, clock: handover.clock, since: now };
+            let inherited = Inherited {
+                register,
+                clock: handover.sender_clock,
+                since: now,
+            };
             inner.inherited.insert(handover.incarnation, inherited);
         }
         inner.evict(&self.settings, now);
@@ -425,8 +429,8 @@
 }
 
 impl Inner {
-    fn load(&self, speed: Pace) -> Load {
-        Load {
+    fn load(&self, speed: Pace) -> AgentLoad {
+        AgentLoad {
             queued: self.queue.len() as u32,
             running: self.running,
             slots: speed.slots,
--- a/cowsliproad-agent/src/handover.rs
+++ b/cowsliproad-agent/src/handover.rs
@@ -136,10 +136,10 @@
     for chunk in chunks(&estate.answers) {
         let handover = Handover {
             incarnation: own,
-            clock: Millis(0),
+            sender_clock: Millis(0),
             tickets: Vec::new(),
             answers: chunk,
-            more: true,
+            has_more: true,
         };
         sender.send(Frame::Handover(Box::new(handover))).await.ok()?;
     }
@@ -149,10 +149,10 @@
         ciborium::into_writer(&sealed.register, &mut tickets).ok()?;
         let handover = Handover {
             incarnation: sealed.incarnation,
-            clock: sealed.clock,
+            sender_clock: sealed.clock,
             tickets,
             answers: Vec::new(),
-            more: index > 0,
+            has_more: index > 0,
         };
         sender.send(Frame::Handover(Box::new(handover))).await.ok()?;
     }
--- a/cowsliproad-agent/src/links.rs
+++ b/cowsliproad-agent/src/links.rs
@@ -19,8 +19,8 @@
     id,
     sync::lock,
     wire::{
-        self, Accepted, Data, End, Frame, Handover, Phase, Reclaim, Refusal,
-        Submit,
+        self, Accepted, AnswerData, AnswerEnd, Frame, Handover, Phase,
+        Reclaim, Refusal, Submit,
     },
 };
 use cowsliproad_net::link::{self, Receiver, Sender};
@@ -268,7 +268,7 @@
 
     async fn inherit(&self, handover: Handover) {
         let incarnation = handover.incarnation;
-        let more = handover.more;
+        let more = handover.has_more;
         let register = match handover.tickets.is_empty() {
             true => None,
             false => crate::handover::decode(&handover.tickets),
@@ -343,7 +343,7 @@
                 Piece::Bytes(bytes) => {
                     sent += bytes.len() as u64;
                     let attempt = self.attempt;
-                    let data = Data { attempt, sequence, bytes };
+                    let data = AnswerData { attempt, sequence, bytes };
                     sequence += 1;
                     if self.sender.send(Frame::Data(data)).await.is_err() {
                         return;
@@ -367,13 +367,15 @@
 
     fn ending(&self, ending: Ending, sequence: u32) -> Frame {
         match ending {
-            Ending::Whole { format, length, digest } => Frame::End(End {
-                attempt: self.attempt,
-                data_frames: sequence,
-                format,
-                length,
-                digest: digest.to_vec(),
-            }),
+            Ending::Whole { format, length, digest } => {
+                Frame::End(AnswerEnd {
+                    attempt: self.attempt,
+                    data_frames: sequence,
+                    format,
+                    length,
+                    digest: digest.to_vec(),
+                })
+            }
             Ending::Failed(failure) => refusal(self.attempt, failure),
         }
     }
--- a/cowsliproad-agent/src/replica.rs
+++ b/cowsliproad-agent/src/replica.rs
@@ -35,7 +35,7 @@
     /// Folds records in; the answer asks for a snapshot after a gap.
     pub fn records(&self, records: &ConfigRecords) -> Option<Frame> {
         let mut state = self.lock();
-        for (offset, bytes) in (records.first..).zip(&records.records) {
+        for (offset, bytes) in (records.first_offset..).zip(&records.records) {
             if let Err(gap) = state.apply(offset, bytes) {
                 return Some(Frame::PullConfig(gap.expected));
             }
@@ -46,7 +46,7 @@
     /// Takes over a state that is further on.
     pub fn snapshot(&self, snapshot: &ConfigSnapshot) {
         let mut state = self.lock();
-        if snapshot.next <= state.next() {
+        if snapshot.next_offset <= state.next() {
             return;
         }
         if let Some(other) = fold::decode_state(&snapshot.state) {
@@ -59,7 +59,7 @@
         let state = self.lock();
         (state.next() > next).then(|| {
             Frame::ConfigSnapshot(ConfigSnapshot {
-                next: state.next(),
+                next_offset: state.next(),
                 state: fold::encode_state(&state),
             })
         })
--- a/cowsliproad-agent/src/work.rs
+++ b/cowsliproad-agent/src/work.rs
@@ -20,7 +20,8 @@
     id,
     sync::lock,
     wire::{
-        Answer, Content, Failure, Format, Persistence, Submit, SubmitMode,
+        Answer, AnswerFormat, Content, Failure, Persistence, Submit,
+        SubmitMode,
     },
 };
 use tokio::sync::Notify;
@@ -76,7 +77,7 @@
     /// With a whole answer.
     Whole {
         /// How to read it.
-        format: Format,
+        format: AnswerFormat,
         /// Its length in bytes.
         length: u64,
         /// Its digest.
@@ -185,7 +186,7 @@
     }
 
     /// Ends the work. Only the first ending counts.
-    pub fn finish(&self, result: Result<Format, Failure>) {
+    pub fn finish(&self, result: Result<AnswerFormat, Failure>) {
         let mut progress = self.lock();
         if progress.ending.is_some() {
             return;
--- a/cowsliproad-bench/src/experiment/limits.rs
+++ b/cowsliproad-bench/src/experiment/limits.rs
@@ -18,7 +18,7 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    gossip::{self, Datagram, Limit, PermitReply, PermitRequest},
+    gossip::{self, Datagram, PermitReply, PermitRequest, RateLimit},
     plugin::inventory,
 };
 use cowsliproad_routing::{
@@ -479,7 +479,7 @@
 
 impl Sizes {
     fn new() -> Sizes {
-        let limit = Limit {
+        let limit = RateLimit {
             target: "i-abaeb6c096".into(),
             target_start_unix_ms: 0,
             requests_per_second: Some(1.2),
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -30,8 +30,8 @@
     id,
     plugin::inventory,
     wire::{
-        self, Answer, Content, Format, Frame, Heartbeat, Load, Phase,
-        Presence, Urgency,
+        self, AgentLoad, Answer, AnswerFormat, Content, Frame, Heartbeat,
+        Phase, Presence, Urgency,
     },
 };
 use cowsliproad_routing::choice;
@@ -266,7 +266,7 @@
             incarnation: id::Incarnation::random(),
             sender_clock: Millis(86_400_000),
             phase: Phase::Serving,
-            load: Load {
+            load: AgentLoad {
                 queued: 12,
                 running: 16,
                 slots: 16,
@@ -309,7 +309,7 @@
                     request: id::Request(index as u64),
                     organisation: "organisation".into(),
                     result: Ok(Content {
-                        format: Format::Json,
+                        format: AnswerFormat::Json,
                         bytes: vec![b'x'; 512],
                     }),
                 }))
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -17,7 +17,7 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    gossip::{self, Datagram, Limit, PermitReply, PermitRequest},
+    gossip::{self, Datagram, PermitReply, PermitRequest, RateLimit},
 };
 use cowsliproad_platform::header;
 use cowsliproad_routing::{
@@ -90,7 +90,7 @@
     limiters: HashMap<Name, (Start, limit::Limiter)>,
     open: HashMap<u64, oneshot::Sender<PermitReply>>,
     /// Limits of targets that are not known yet, and when they were heard.
-    early: HashMap<Name, (Limit, Millis)>,
+    early: HashMap<Name, (RateLimit, Millis)>,
     told: Millis,
 }
 
@@ -111,7 +111,7 @@
     }
 
     /// Keeps what was told of a target that isn't known yet.
-    fn keep_early(&mut self, limit: &Limit, now: Millis) {
+    fn keep_early(&mut self, limit: &RateLimit, now: Millis) {
         if self.early.len() >= MAX_UPDATES {
             self.early.retain(|_, it| now.since(it.1) < UNKNOWN_TTL);
         }
@@ -374,13 +374,13 @@
     }
 
     /// Takes in what another entry tells of limits.
-    pub fn hear_limits(&self, limits: &[Limit], now: Millis) {
+    pub fn hear_limits(&self, limits: &[RateLimit], now: Millis) {
         for limit in limits {
             self.hear_limit(limit, now);
         }
     }
 
-    fn hear_limit(&self, limit: &Limit, now: Millis) {
+    fn hear_limit(&self, limit: &RateLimit, now: Millis) {
         let start = self.fleet.borrow().get(&limit.target).map(|it| it.start);
         if start != Some(Start(limit.target_start_unix_ms)) {
             self.limits.borrow_mut().keep_early(limit, now);
@@ -401,7 +401,7 @@
         let early = self.limits.borrow_mut().early.remove(target);
         if let Some((limit, heard)) = early {
             let age = limit.age + now.since(heard);
-            self.hear_limit(&Limit { age, ..limit }, now);
+            self.hear_limit(&RateLimit { age, ..limit }, now);
         }
     }
 
@@ -432,7 +432,7 @@
     }
 
     /// What others are told of limits.
-    pub fn limit_updates(&self, which: Update, now: Millis) -> Vec<Limit> {
+    pub fn limit_updates(&self, which: Update, now: Millis) -> Vec<RateLimit> {
         let fleet = self.fleet.borrow();
         let told = |target: &Target| {
             let endpoint = self.known_endpoint(&target.id)?;
@@ -459,7 +459,7 @@
     }
 
     /// What is known of a target's limit.
-    fn current_limit(&self, target: &Target, now: Millis) -> Limit {
+    fn current_limit(&self, target: &Target, now: Millis) -> RateLimit {
         let report = self.endpoint(&target.id).borrow().limit.report(now);
         let never = Report { rate: None, age: Millis(u64::MAX) };
         limit_of(target, report.unwrap_or(never))
@@ -510,8 +510,8 @@
     }
 }
 
-fn limit_of(target: &Target, report: Report) -> Limit {
-    Limit {
+fn limit_of(target: &Target, report: Report) -> RateLimit {
+    RateLimit {
         target: target.id.clone(),
         target_start_unix_ms: target.start.0,
         requests_per_second: report.rate.map(Rate::a_second),
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -11,7 +11,7 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    gossip::{self, Datagram, Digest},
+    gossip::{self, Datagram, GossipDigest},
     position::Position,
 };
 use cowsliproad_routing::{
@@ -116,7 +116,7 @@
         self.known.len().max(self.seeds.len()) + 1
     }
 
-    fn hear(&mut self, digest: &Digest, now: Millis) -> bool {
+    fn hear(&mut self, digest: &GossipDigest, now: Millis) -> bool {
         self.newest = self.newest.max((digest.config_version, digest.address));
         let known = self.known.get(&digest.address);
         let peer = Peer {
@@ -238,7 +238,7 @@
     }
 }
 
-fn digest(entry: &Entry, update: Update, now: Millis) -> Digest {
+fn digest(entry: &Entry, update: Update, now: Millis) -> GossipDigest {
     let since = now - entry.rollbacks.departures(now).unwrap_or(DEPARTURE_TTL);
     let fleet = entry.fleet.borrow();
     let (suspects, lives) = entry.quarantine.borrow().updates(update, now);
@@ -251,7 +251,7 @@
             }
         }
     }
-    Digest {
+    GossipDigest {
         vm: entry.settings().vm.clone(),
         address: entry.settings().peer_address(),
         config_version: entry.version(),
@@ -310,7 +310,7 @@
     }
 }
 
-async fn hear(entry: &Rc<Entry>, socket: &UdpSocket, heard: Digest) {
+async fn hear(entry: &Rc<Entry>, socket: &UdpSocket, heard: GossipDigest) {
     let now = Millis::now();
     entry.learn_era(heard.log_era, Source::Peer);
     let left = heard.departed.iter();
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -7,7 +7,7 @@
 
 use cowsliproad_kernel::{
     clock::Millis,
-    gossip::{self, EngineExit, Load, Subscribe},
+    gossip::{self, EngineExit, EngineLoad, Subscribe},
     position::Era,
 };
 use cowsliproad_routing::{
@@ -84,7 +84,7 @@
 }
 
 /// Takes an agent's report in.
-pub(super) fn take_load(entry: &Entry, load: &Load) {
+pub(super) fn take_load(entry: &Entry, load: &EngineLoad) {
     entry.lists.borrow_mut().insert(load.target, load.list_id);
     let now = Millis::now();
     let Some(target) = target_at(entry, load.target, load.start_unix_ms)
--- a/cowsliproad-direct/src/peers/state.rs
+++ b/cowsliproad-direct/src/peers/state.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use cowsliproad_kernel::{
     clock::Millis,
-    gossip::{self, Digest},
+    gossip::{self, GossipDigest},
 };
 use cowsliproad_net::client::Client;
 use cowsliproad_platform::{catalog, log::Record};
@@ -51,7 +51,7 @@
 }
 
 /// Fetches a peer's state if the log doesn't bring it in time.
-pub(super) async fn catch_up(entry: &Rc<Entry>, heard: &Digest) {
+pub(super) async fn catch_up(entry: &Rc<Entry>, heard: &GossipDigest) {
     sleep(OWN_READ_DELAY.duration()).await;
     let knows = entry.version() >= heard.config_version && entry.is_ready();
     if knows && !entry.readings.borrow().needs_peer() {
--- a/cowsliproad-direct/tests/entry/harness.rs
+++ b/cowsliproad-direct/tests/entry/harness.rs
@@ -17,7 +17,7 @@
 use cowsliproad_direct::settings::Settings;
 use cowsliproad_kernel::{
     clock::Millis,
-    gossip::{self, Datagram, EngineExit, Load},
+    gossip::{self, Datagram, EngineExit, EngineLoad},
 };
 use cowsliproad_net::client::{Client, Error};
 use cowsliproad_platform::{
@@ -357,8 +357,8 @@
 }
 
 /// What an idle engine's agent reports.
-pub fn report(target: &Target) -> Load {
-    Load {
+pub fn report(target: &Target) -> EngineLoad {
+    EngineLoad {
         target: target.address().expect("it listens"),
         running: 0,
         queued: 0,
--- a/cowsliproad-direct/tests/entry/leaving.rs
+++ b/cowsliproad-direct/tests/entry/leaving.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use cowsliproad_kernel::gossip::{self, Datagram, Load};
+use cowsliproad_kernel::gossip::{self, Datagram, EngineLoad};
 use cowsliproad_platform_standin::target::{Config, Fault, Target};
 use http::StatusCode;
 use tokio::{net::UdpSocket, time::sleep};
@@ -127,7 +127,7 @@
     let entry = plant.entry().await;
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
     let tell = async |start: u64| {
-        let load = Load {
+        let load = EngineLoad {
             leaving: true,
             start_unix_ms: start,
             ..report(&targets[0])
--- a/cowsliproad-direct/tests/entry/quarantine.rs
+++ b/cowsliproad-direct/tests/entry/quarantine.rs
@@ -16,7 +16,7 @@
     time::{Duration, Instant},
 };
 
-use cowsliproad_kernel::gossip::{self, Datagram, Load};
+use cowsliproad_kernel::gossip::{self, Datagram, EngineLoad};
 use cowsliproad_platform::log::{QUARANTINE, TARGETS};
 use cowsliproad_platform_standin::{
     log::Fault,
@@ -373,8 +373,10 @@
     tokio::spawn(async move {
         loop {
             for target in &targets {
-                let load =
-                    Load { group_accepts_requests: false, ..report(target) };
+                let load = EngineLoad {
+                    group_accepts_requests: false,
+                    ..report(target)
+                };
                 let bytes = gossip::encode(&Datagram::Load(load));
                 let _ = socket.send_to(&bytes, to).await;
             }
--- a/cowsliproad-direct/tests/entry/streams.rs
+++ b/cowsliproad-direct/tests/entry/streams.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use cowsliproad_kernel::gossip::{self, Datagram, Load};
+use cowsliproad_kernel::gossip::{self, Datagram, EngineLoad};
 use cowsliproad_net::client::Client;
 use cowsliproad_platform::header;
 use cowsliproad_platform_standin::target::{Config, Fault, Target};
@@ -92,7 +92,7 @@
 
 /// What the agents of some targets tell an entry.
 pub struct Agents {
-    loads: Mutex<Vec<Load>>,
+    loads: Mutex<Vec<EngineLoad>>,
     /// Whether the group's passes go on.
     going: AtomicBool,
 }
@@ -131,7 +131,7 @@
     }
 
     /// Has them report something else.
-    pub fn change(&self, with: impl FnOnce(&mut Vec<Load>)) {
+    pub fn change(&self, with: impl FnOnce(&mut Vec<EngineLoad>)) {
         with(&mut self.loads.lock().expect("no panic"));
     }
 
--- a/cowsliproad-entry/src/answer.rs
+++ b/cowsliproad-entry/src/answer.rs
@@ -4,7 +4,7 @@
 use std::convert::Infallible;
 
 use bytes::Bytes;
-use cowsliproad_kernel::wire::{Failure, Format};
+use cowsliproad_kernel::wire::{AnswerFormat, Failure};
 use cowsliproad_net::{reply, server::SyncStream};
 use futures_util::stream;
 use http::{HeaderValue, StatusCode, header};
@@ -43,11 +43,11 @@
     (reply::text(StatusCode::INTERNAL_SERVER_ERROR, ""), None)
 }
 
-fn document(format: Format, bytes: Vec<u8>) -> String {
+fn document(format: AnswerFormat, bytes: Vec<u8>) -> String {
     let text = String::from_utf8_lossy(&bytes);
     match format {
-        Format::Json => text.into_owned(),
-        Format::Text => json!({ "text": text }).to_string(),
+        AnswerFormat::Json => text.into_owned(),
+        AnswerFormat::Text => json!({ "text": text }).to_string(),
     }
 }
 
@@ -149,8 +149,8 @@
                 let digest: String =
                     end.digest.iter().map(|it| format!("{it:02x}")).collect();
                 let format = match end.format {
-                    Format::Text => "text",
-                    Format::Json => "json",
+                    AnswerFormat::Text => "text",
+                    AnswerFormat::Json => "json",
                 };
                 let data = json!({
                     "length": end.length,
--- a/cowsliproad-entry/src/control.rs
+++ b/cowsliproad-entry/src/control.rs
@@ -140,7 +140,7 @@
     }
 
     fn records(&mut self, records: ConfigRecords) {
-        for (offset, bytes) in (records.first..).zip(records.records) {
+        for (offset, bytes) in (records.first_offset..).zip(records.records) {
             if offset < self.state.next() {
                 continue;
             }
@@ -160,7 +160,7 @@
     }
 
     fn snapshot(&mut self, snapshot: &ConfigSnapshot) {
-        if snapshot.next <= self.state.next() {
+        if snapshot.next_offset <= self.state.next() {
             return;
         }
         let Some(other) = fold::decode_state(&snapshot.state) else { return };
@@ -181,12 +181,12 @@
             let skip = (next - first) as usize;
             let records = self.recent.iter().skip(skip).cloned().collect();
             return Some(Frame::ConfigRecords(ConfigRecords {
-                first: next,
+                first_offset: next,
                 records,
             }));
         }
         Some(Frame::ConfigSnapshot(ConfigSnapshot {
-            next: own,
+            next_offset: own,
             state: fold::encode_state(&self.state),
         }))
     }
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -29,8 +29,8 @@
     code::{Code, Execution},
     id,
     wire::{
-        Ack, End, Failure, Frame, Persistence, Reclaim, SEND_WINDOW_BYTES,
-        Submit, SubmitMode,
+        Ack, AnswerEnd, Failure, Frame, Persistence, Reclaim,
+        SEND_WINDOW_BYTES, Submit, SubmitMode,
     },
 };
 use cowsliproad_relay::{AnswerAssembly, Progress};
@@ -78,7 +78,7 @@
     /// All bytes so far are to be discarded.
     Restart,
     /// The answer is whole.
-    Done(End),
+    Done(AnswerEnd),
     /// There is no answer.
     Failed(Failure),
 }
--- a/cowsliproad-entry/src/links.rs
+++ b/cowsliproad-entry/src/links.rs
@@ -8,7 +8,7 @@
 
 use cowsliproad_kernel::{
     clock::Millis,
-    wire::{Frame, Heartbeat, Load, Presence, Role},
+    wire::{AgentLoad, Frame, Heartbeat, Presence, Role},
 };
 use cowsliproad_net::link::{self, Identity, Receiver, Sender};
 use slog::{debug, info};
@@ -258,7 +258,7 @@
         incarnation: shared.incarnation,
         sender_clock: Millis::now(),
         phase: shared.phase(),
-        load: Load::default(),
+        load: AgentLoad::default(),
         cooldown: Millis(0),
         presence: Presence::Here,
         inherited_incarnations: Vec::new(),
--- a/cowsliproad-entry/src/log.rs
+++ b/cowsliproad-entry/src/log.rs
@@ -100,11 +100,11 @@
         note(&shared, page.is_some());
         match page {
             None => sleep(READ_AGAIN).await,
-            Some(page) if page.first > next => {
+            Some(page) if page.first_offset > next => {
                 restore(&shared, page).await;
             }
             Some(page) => {
-                let next = page.first + page.records.len() as u64;
+                let next = page.first_offset + page.records.len() as u64;
                 if !page.records.is_empty() {
                     shared.control.tell(Event::Records(page)).await;
                     settle(&shared, next).await;
@@ -133,14 +133,14 @@
     let decoded = page.records.iter().map(|it| STANDARD.decode(it));
     let records: Result<Vec<_>, _> = decoded.collect();
     let records = records.ok()?.into_iter().map(ByteBuf::from).collect();
-    Some(ConfigRecords { first: page.first, records })
+    Some(ConfigRecords { first_offset: page.first, records })
 }
 
 /// Finds a snapshot when the records that come next have left the log. A
 /// peer or an agent may send one meanwhile, so a search that finds nothing
 /// is simply made again.
 async fn restore(shared: &Shared, mut page: ConfigRecords) {
-    let oldest = page.first;
+    let oldest = page.first_offset;
     warn!(shared.log, "log_trimmed"; "first" => oldest);
     while !page.records.is_empty() {
         let states = page.records.iter().filter_map(|it| snapshot_in(it));
@@ -148,11 +148,11 @@
         if let Some(state) = usable.max_by_key(|it| it.next()) {
             let next = state.next();
             let state = fold::encode_state(&state);
-            let snapshot = ConfigSnapshot { next, state };
+            let snapshot = ConfigSnapshot { next_offset: next, state };
             shared.control.tell(Event::Snapshot(snapshot)).await;
             return settle(shared, next).await;
         }
-        let next = page.first + page.records.len() as u64;
+        let next = page.first_offset + page.records.len() as u64;
         match read(shared, next, 0).await {
             Some(following) => page = following,
             None => break,
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -21,7 +21,8 @@
     id,
     sync::lock,
     wire::{
-        Data, End, Failure, Frame, Heartbeat, Load, Phase, Presence, Refusal,
+        AgentLoad, AnswerData, AnswerEnd, Failure, Frame, Heartbeat, Phase,
+        Presence, Refusal,
     },
 };
 use cowsliproad_net::link::{SendError, Sender};
@@ -78,9 +79,9 @@
     /// The work was recorded under this request.
     Accepted(id::Request),
     /// A piece of the answer.
-    Data(Data),
+    Data(AnswerData),
     /// The end of the answer.
-    End(End),
+    End(AnswerEnd),
     /// The attempt ended without an answer.
     Refused(Failure),
     /// The link broke.
@@ -104,7 +105,7 @@
     /// `unreachable`, `ended`, `leaving`, `cooling`, `ejected` or `serving`.
     pub state: &'static str,
     /// The last load report.
-    pub load: Load,
+    pub load: AgentLoad,
     /// Its age.
     pub age: Millis,
     /// The configuration offset that the agent has folded up to.
@@ -206,7 +207,8 @@
     /// The predicted time to the first token there, in microseconds.
     pub fn score(&self, distance_us: u32) -> u64 {
         let stats = lock(&self.stats);
-        let load = stats.beat.as_ref().map_or(Load::default(), |it| it.load);
+        let load =
+            stats.beat.as_ref().map_or(AgentLoad::default(), |it| it.load);
         let candidate = Candidate {
             load,
             sent_since: stats.sent_since,
@@ -262,7 +264,7 @@
         let beat = stats.beat.as_ref();
         Status {
             state,
-            load: beat.map_or(Load::default(), |it| it.load),
+            load: beat.map_or(AgentLoad::default(), |it| it.load),
             age: now.since(stats.beat_at),
             offset: beat.map_or(0, |it| it.next_config_offset),
         }
--- a/cowsliproad-kernel/src/gossip.rs
+++ b/cowsliproad-kernel/src/gossip.rs
@@ -49,10 +49,10 @@
 pub enum Datagram {
     /// State that another entry broadcasts.
     #[serde(rename = "d")]
-    Digest(Digest),
+    Digest(GossipDigest),
     /// The load report of an engine, sent by its agent.
     #[serde(rename = "l")]
-    Load(Load),
+    Load(EngineLoad),
     /// The report of an agent that its engine's process is gone.
     #[serde(rename = "x")]
     EngineExit(EngineExit),
@@ -66,7 +66,7 @@
 
 /// The gossip message that entries broadcast to one another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Digest {
+pub struct GossipDigest {
     /// The name of the sender's VM.
     #[serde(rename = "v")]
     pub vm: Name,
@@ -112,12 +112,12 @@
     pub retracted_crashes: Vec<u64>,
     /// Rate limits of targets, including limits that were recently lifted.
     #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
-    pub limits: Vec<Limit>,
+    pub limits: Vec<RateLimit>,
 }
 
 /// The rate limit that a target last stated.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Limit {
+pub struct RateLimit {
     /// The name of the target.
     #[serde(rename = "t")]
     pub target: Name,
@@ -142,7 +142,7 @@
     pub request_id: u64,
     /// The target, with its limit as the asking entry knows it.
     #[serde(rename = "l")]
-    pub limit: Limit,
+    pub limit: RateLimit,
     /// How long the caller's request can wait for the permit, in milliseconds.
     #[serde(rename = "w")]
     pub max_wait: Millis,
@@ -160,7 +160,7 @@
     pub request_id: u64,
     /// The target, with its limit as the replying entry knows it.
     #[serde(rename = "l")]
-    pub limit: Limit,
+    pub limit: RateLimit,
     /// Whether the permit is granted.
     #[serde(rename = "g")]
     pub granted: bool,
@@ -240,7 +240,7 @@
 
 /// An agent's report to entries on the state of its engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Load {
+pub struct EngineLoad {
     /// The address at which the engine listens.
     #[serde(rename = "a")]
     pub target: SocketAddr,
--- a/cowsliproad-rank/src/agent/words.rs
+++ b/cowsliproad-rank/src/agent/words.rs
@@ -4,7 +4,7 @@
 
 use cowsliproad_kernel::{
     clock::Millis,
-    gossip::{self, Datagram, EngineExit, Load},
+    gossip::{self, Datagram, EngineExit, EngineLoad},
 };
 use cowsliproad_mapswitch::order::{self, Aim, Standing};
 use slog::info;
@@ -31,7 +31,7 @@
             return self.tell_loss().await;
         };
         let report = state.report.as_ref();
-        let load = Datagram::Load(Load {
+        let load = Datagram::Load(EngineLoad {
             target: self.settings.engine,
             running: state.running,
             queued: state.queued,
--- a/cowsliproad-rank/tests/group/main.rs
+++ b/cowsliproad-rank/tests/group/main.rs
@@ -16,7 +16,7 @@
 };
 
 use cowsliproad_kernel::gossip::{
-    self, Datagram, EngineExit, Load, Subscribe,
+    self, Datagram, EngineExit, EngineLoad, Subscribe,
 };
 use cowsliproad_platform::{SETTINGS_VARIABLE, log::COORDINATORS};
 use cowsliproad_platform_standin::{
@@ -45,7 +45,7 @@
     log: Arc<Log>,
     log_address: SocketAddr,
     agents: Vec<Agent>,
-    loads: Arc<std::sync::Mutex<Vec<Load>>>,
+    loads: Arc<std::sync::Mutex<Vec<EngineLoad>>>,
     losts: Arc<std::sync::Mutex<Vec<EngineExit>>>,
 }
 
--- a/cowsliproad-relay/src/lib.rs
+++ b/cowsliproad-relay/src/lib.rs
@@ -19,7 +19,7 @@
 
 use cowsliproad_kernel::{
     id,
-    wire::{Data, End},
+    wire::{AnswerData, AnswerEnd},
 };
 
 /// The largest number of data frames that are buffered while an earlier frame
@@ -51,7 +51,7 @@
     /// Boxed because a hasher is large and the assembly is moved often.
     hasher: Option<Box<blake3::Hasher>>,
     out_of_order: BTreeMap<u32, Vec<u8>>,
-    end: Option<End>,
+    end: Option<AnswerEnd>,
 }
 
 impl AnswerAssembly {
@@ -97,7 +97,7 @@
     }
 
     /// Processes a data frame.
-    pub fn push_data(&mut self, data: Data) -> Progress {
+    pub fn push_data(&mut self, data: AnswerData) -> Progress {
         if data.attempt != self.attempt || data.sequence < self.next_sequence {
             return Progress::Pending;
         }
@@ -126,7 +126,7 @@
     }
 
     /// Processes the end frame.
-    pub fn push_end(&mut self, end: End) -> Progress {
+    pub fn push_end(&mut self, end: AnswerEnd) -> Progress {
         if end.attempt != self.attempt {
             return Progress::Pending;
         }
@@ -139,7 +139,7 @@
     }
 
     /// Returns the end frame if it has arrived.
-    pub fn end_frame(&self) -> Option<&End> {
+    pub fn end_frame(&self) -> Option<&AnswerEnd> {
         self.end.as_ref()
     }
 
--- a/cowsliproad-routing/src/score.rs
+++ b/cowsliproad-routing/src/score.rs
@@ -5,13 +5,13 @@
 //! submissions and completions since the report. Without the correction all
 //! entries send to the target that looked idle until the next report comes.
 
-use cowsliproad_kernel::wire::Load;
+use cowsliproad_kernel::wire::AgentLoad;
 
 /// What an entry knows of one target.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Candidate {
     /// The last load report.
-    pub load: Load,
+    pub load: AgentLoad,
     /// Own submissions since that report.
     pub sent_since: u32,
     /// Own completions since that report.
--- a/tests/properties/decoders.rs
+++ b/tests/properties/decoders.rs
@@ -8,7 +8,7 @@
         clock::Millis,
         id, settings,
         wire::{
-            self, Frame, Heartbeat, Load, Persistence, Phase, Presence,
+            self, AgentLoad, Frame, Heartbeat, Persistence, Phase, Presence,
             Submit, SubmitMode, Urgency,
         },
     },
@@ -52,7 +52,7 @@
             incarnation: id::Incarnation(submit.request.0),
             sender_clock: submit.time_left,
             phase: Phase::Leaving,
-            load: Load {
+            load: AgentLoad {
                 queued: load[0],
                 running: load[1],
                 slots: load[2],
--- a/tests/properties/relay.rs
+++ b/tests/properties/relay.rs
@@ -3,7 +3,7 @@
 use cowsliproad::{
     kernel::{
         id::Attempt,
-        wire::{Data, End, Format, Frame},
+        wire::{AnswerData, AnswerEnd, AnswerFormat, Frame},
     },
     relay::{AnswerAssembly, Progress},
 };
@@ -13,16 +13,16 @@
     let attempt = Attempt(attempt);
     let whole = pieces.concat();
     let data = pieces.iter().enumerate().map(|(sequence, bytes)| {
-        Frame::Data(Data {
+        Frame::Data(AnswerData {
             attempt,
             sequence: sequence as u32,
             bytes: bytes.clone(),
         })
     });
-    let end = Frame::End(End {
+    let end = Frame::End(AnswerEnd {
         attempt,
         data_frames: pieces.len() as u32,
-        format: Format::Text,
+        format: AnswerFormat::Text,
         length: whole.len() as u64,
         digest: blake3::hash(&whole).as_bytes().to_vec(),
     });
@@ -126,7 +126,7 @@
         for frame in frames(2, &pieces[cut..]) {
             last = match frame {
                 Frame::Data(data) => assembly.push_data(data),
-                Frame::End(end) => assembly.push_end(End {
+                Frame::End(end) => assembly.push_end(AnswerEnd {
                     length: pieces.concat().len() as u64,
                     digest: digest(&pieces.concat()),
                     ..end
--- a/tests/properties/routing.rs
+++ b/tests/properties/routing.rs
@@ -1,7 +1,7 @@
 //! The choice of a target and the ejection of failing ones.
 
 use cowsliproad::{
-    kernel::{clock::Millis, wire::Load},
+    kernel::{clock::Millis, wire::AgentLoad},
     routing::{
         choice,
         health::{Admit, Config, Health},
@@ -42,7 +42,7 @@
         slots in 1..64u32,
         service_us in 1..1_000_000u32,
     ) {
-        let load = Load {
+        let load = AgentLoad {
             queued,
             running,
             slots,
