--- a/cowsliproad-agent/src/handover.rs
+++ b/cowsliproad-agent/src/handover.rs
@@ -107,7 +107,7 @@
         name: agent.settings.name.clone(),
         zone: agent.settings.zone.clone(),
         key: agent.settings.key.0,
-        source: None,
+        source_address: None,
     };
     let Ok((sender, mut receiver, beat)) =
         link::dial(peer.agent, &identity).await
--- a/cowsliproad-agent/src/links.rs
+++ b/cowsliproad-agent/src/links.rs
@@ -226,7 +226,7 @@
 
     fn reclaim(&mut self, reclaim: &Reclaim) {
         match self.links.gate.reclaim(reclaim) {
-            Ok(work) => self.listen(reclaim.attempt, work, reclaim.from),
+            Ok(work) => self.listen(reclaim.attempt, work, reclaim.first_byte),
             Err(failure) => self.refuse(reclaim.attempt, failure),
         }
     }
--- a/cowsliproad-bench/src/experiment/limits.rs
+++ b/cowsliproad-bench/src/experiment/limits.rs
@@ -483,7 +483,7 @@
             target: "i-abaeb6c096".into(),
             target_start_unix_ms: 0,
             requests_per_second: Some(1.2),
-            age: Millis(1_234),
+            in_force_for: Millis(1_234),
         };
         let number = u64::MAX;
         let none = Millis(0);
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -390,7 +390,7 @@
         if rate.is_none() != limit.requests_per_second.is_none() {
             return;
         }
-        let report = Report { rate, age: limit.age };
+        let report = Report { rate, age: limit.in_force_for };
         let endpoint = self.endpoint(&limit.target);
         let change = endpoint.borrow_mut().limit.hear(report, now);
         self.limit_changed(&limit.target, change, Source::Peer);
@@ -400,8 +400,8 @@
     pub fn recall_limit(&self, target: &str, now: Millis) {
         let early = self.limits.borrow_mut().early.remove(target);
         if let Some((limit, heard)) = early {
-            let age = limit.age + now.since(heard);
-            self.hear_limit(&RateLimit { age, ..limit }, now);
+            let age = limit.in_force_for + now.since(heard);
+            self.hear_limit(&RateLimit { in_force_for: age, ..limit }, now);
         }
     }
 
@@ -515,6 +515,6 @@
         target: target.id.clone(),
         target_start_unix_ms: target.start.0,
         requests_per_second: report.rate.map(Rate::a_second),
-        age: report.age,
+        in_force_for: report.age,
     }
 }
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -239,7 +239,7 @@
             attempt,
             request: token.request,
             organisation: token.organisation,
-            from,
+            first_byte: from,
         };
         let assembly = AnswerAssembly::starting_at(attempt, from);
         self.send(target, Frame::Reclaim(reclaim), assembly, token.request)
--- a/cowsliproad-entry/src/forward/failure.rs
+++ b/cowsliproad-entry/src/forward/failure.rs
@@ -62,7 +62,7 @@
             attempt: next,
             request: attempt.request,
             organisation,
-            from: attempt.assembly.length(),
+            first_byte: attempt.assembly.length(),
         };
         let assembly = attempt.assembly.resume(next);
         self.send(target, Frame::Reclaim(reclaim), assembly, attempt.request)
--- a/cowsliproad-entry/src/links.rs
+++ b/cowsliproad-entry/src/links.rs
@@ -272,7 +272,7 @@
         name: shared.settings.name.clone(),
         zone: shared.settings.zone.clone(),
         key: shared.settings.key.0,
-        source: shared.settings.source,
+        source_address: shared.settings.source,
     }
 }
 
--- a/cowsliproad-kernel/src/gossip.rs
+++ b/cowsliproad-kernel/src/gossip.rs
@@ -129,9 +129,9 @@
     /// target states no limit.
     #[serde(rename = "r")]
     pub requests_per_second: Option<f64>,
-    /// For how long the limit has been in force, in milliseconds.
+    /// For how long the rate limit has been in force, in milliseconds.
     #[serde(rename = "i")]
-    pub age: Millis,
+    pub in_force_for: Millis,
 }
 
 /// Asks another entry for a permit to send a request to a rate-limited target.
@@ -140,7 +140,8 @@
     /// Identifies the permit request; the reply repeats the same number.
     #[serde(rename = "n")]
     pub request_id: u64,
-    /// The target, with its limit as the asking entry knows it.
+    /// The target of the permit, with its rate limit as the asking entry knows
+    /// it.
     #[serde(rename = "l")]
     pub limit: RateLimit,
     /// How long the caller's request can wait for the permit, in milliseconds.
@@ -158,10 +159,11 @@
     /// Identifies the permit request that this is the reply to.
     #[serde(rename = "n")]
     pub request_id: u64,
-    /// The target, with its limit as the replying entry knows it.
+    /// The target of the permit, with its rate limit as the replying entry
+    /// knows it.
     #[serde(rename = "l")]
     pub limit: RateLimit,
-    /// Whether the permit is granted.
+    /// Whether the permit to send a request to the target is granted.
     #[serde(rename = "g")]
     pub granted: bool,
     /// The wait in milliseconds until a granted permit may be used, or until a
@@ -185,24 +187,24 @@
     /// of the target's name and start time.
     #[serde(rename = "e")]
     pub crashes: Vec<u64>,
-    /// Crashes that no longer count against the request, because some target
-    /// completed it after they happened.
+    /// Crashes that no longer count against the suspected request, because
+    /// some target completed it after they happened.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
     pub excused_crashes: Vec<u64>,
     /// Whether some target is known to have survived the request, that is,
     /// completed it without a crash.
     #[serde(rename = "s")]
     pub survived: bool,
-    /// The time since the request was last received from a caller, in
-    /// milliseconds.
+    /// The time since the suspected request was last received from a caller,
+    /// in milliseconds.
     #[serde(rename = "i")]
     pub since_last_seen: Millis,
-    /// For how long the request has been rejected, in milliseconds; `None` if
-    /// it is accepted.
+    /// For how long the suspected request has been rejected, in milliseconds;
+    /// `None` if it is accepted.
     #[serde(rename = "r")]
     pub rejected_for: Option<Millis>,
-    /// How much longer the request is suspended, in milliseconds; `None` if it
-    /// isn't.
+    /// For how much longer the suspected request is suspended, in
+    /// milliseconds; `None` if it isn't.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     pub suspended_for: Option<Millis>,
 }
@@ -211,7 +213,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Subscribe {
     /// The engines of the service, each with an agent on its VM. Empty if the
-    /// agent has reported that it has this list.
+    /// receiving agent has reported that it already has this list.
     #[serde(rename = "t")]
     pub targets: Vec<SocketAddr>,
     /// The identifier of the list of engines; see [`target_list_id`].
@@ -299,7 +301,8 @@
 /// The encoded size of the digest that identifies a request.
 const WORK_DIGEST_BYTES: usize = 8;
 
-/// Whether nothing is known of a request but the crashes attributed to it.
+/// Whether nothing is known of a suspected request but the crashes attributed
+/// to it.
 fn has_only_crashes(suspect: &Suspect) -> bool {
     !suspect.survived
         && suspect.rejected_for.is_none()
--- a/cowsliproad-kernel/src/wire.rs
+++ b/cowsliproad-kernel/src/wire.rs
@@ -285,8 +285,8 @@
     #[default]
     Run,
     /// Only report the outcome, if the agent accepted the request before.
-    /// Otherwise reject the request for good: it crashes the targets that run
-    /// it.
+    /// Otherwise reject the request for good, because it crashes the targets
+    /// that run it.
     #[serde(rename = "Recall")]
     ReportOnly,
 }
@@ -294,9 +294,10 @@
 /// What happens to a request when no caller waits for its answer any more.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Persistence {
-    /// The request continues, and its answer is stored.
+    /// The request continues without a caller, and its answer is stored.
     Keep,
-    /// The request is cancelled if it has not started.
+    /// The request is cancelled if it has not started when its last caller
+    /// leaves.
     Drop,
 }
 
@@ -312,9 +313,9 @@
     /// The organisation that asks for the answer.
     #[serde(rename = "o")]
     pub organisation: Name,
-    /// The first byte of the answer to send.
+    /// The offset of the first byte of the answer to send.
     #[serde(rename = "f")]
-    pub from: u64,
+    pub first_byte: u64,
 }
 
 /// The caller cancelled its request.
--- a/cowsliproad-net/src/hooked.rs
+++ b/cowsliproad-net/src/hooked.rs
@@ -62,7 +62,7 @@
 }
 
 impl<H: Hooks> HookedStream<H> {
-    /// Wraps a connection.
+    /// Wraps a TCP connection with hooks.
     pub fn new(stream: TcpStream, hooks: H) -> io::Result<HookedStream<H>> {
         if H::CLOSE_MODE == CloseMode::Reset {
             SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
--- a/cowsliproad-net/src/link.rs
+++ b/cowsliproad-net/src/link.rs
@@ -41,7 +41,7 @@
 /// The time limit for connecting and for the handshake.
 pub const DIAL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A link is closed if nothing was received for this time.
+/// The time without received frames after which a link is closed.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// The capacity of a link's queue of outgoing frames.
@@ -84,7 +84,7 @@
     /// The shared key.
     pub key: [u8; KEY_BYTES],
     /// The local address to dial from, for VMs with several addresses.
-    pub source: Option<IpAddr>,
+    pub source_address: Option<IpAddr>,
 }
 
 /// The sending half of a link.
@@ -112,12 +112,12 @@
 pub struct SendError;
 
 impl Sender {
-    /// Queues a frame, waiting while the queue is full.
+    /// Queues a frame for sending, waiting while the queue is full.
     pub async fn send(&self, frame: Frame) -> Result<(), SendError> {
         self.queue.send(frame).await.map_err(|_| SendError)
     }
 
-    /// Queues a frame, or fails if the queue is full.
+    /// Queues a frame for sending, or fails if the queue is full.
     pub fn try_send(&self, frame: Frame) -> Result<(), SendError> {
         self.queue.try_send(frame).map_err(|_| SendError)
     }
@@ -129,7 +129,8 @@
 }
 
 impl Receiver {
-    /// Returns the next frame, or `None` if the link is closed or timed out.
+    /// Returns the next received frame, or `None` if the link is closed or
+    /// timed out.
     pub async fn recv(&mut self) -> Option<Frame> {
         loop {
             let message = match &mut self.stream {
@@ -163,8 +164,9 @@
     address: SocketAddr,
     identity: &Identity,
 ) -> Result<(Sender, Receiver, Heartbeat), Error> {
-    let tcp =
-        connect(address, identity.source).await.map_err(transport_error)?;
+    let tcp = connect(address, identity.source_address)
+        .await
+        .map_err(transport_error)?;
     tcp.set_nodelay(true).map_err(transport_error)?;
     let (mut socket, _) = tokio_tungstenite::client_async_with_config(
         format!("ws://{address}/link"),
--- a/cowsliproad-net/src/server.rs
+++ b/cowsliproad-net/src/server.rs
@@ -44,8 +44,8 @@
 /// head and wait for the server.
 const MAX_PENDING_CONNECTIONS: usize = 1024;
 
-/// The size up to which an incomplete request head is waited for. Connections
-/// with a longer head are passed on as they are.
+/// The largest request head to wait for. A connection with a longer head is
+/// passed to the server at once.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 
 /// How often an incomplete request head is checked again.
@@ -58,22 +58,22 @@
 }
 
 impl AcceptHandle {
-    /// Creates a handle in the accepting state.
+    /// Creates a handle for a server that accepts connections.
     pub fn new() -> AcceptHandle {
         AcceptHandle { open: watch::Sender::new(true) }
     }
 
-    /// Stops accepting connections.
+    /// Stops the server from accepting connections.
     pub fn close(&self) {
         self.open.send_replace(false);
     }
 
-    /// Whether connections are accepted.
+    /// Whether the server accepts connections.
     pub fn is_open(&self) -> bool {
         *self.open.borrow()
     }
 
-    /// Waits until connections are no longer accepted.
+    /// Waits until the server has stopped accepting connections.
     pub async fn closed(&self) {
         let mut open = self.open.subscribe();
         // `self` owns the sender, so the wait can't fail.
@@ -94,7 +94,8 @@
 }
 
 impl Listener {
-    /// Binds an address and accepts connections until the handle is closed.
+    /// Binds an address and accepts connections until the accept handle is
+    /// closed.
     pub async fn bind(
         address: SocketAddr,
         accept_handle: &AcceptHandle,
@@ -102,7 +103,11 @@
         let socket = TcpListener::bind(address).await?;
         let address = socket.local_addr()?;
         let (sender, accepted) = mpsc::channel(MAX_PENDING_CONNECTIONS);
-        tokio::spawn(accept(socket, accept_handle.clone(), sender));
+        tokio::spawn(accept_connections(
+            socket,
+            accept_handle.clone(),
+            sender,
+        ));
         Ok(Listener { address, accepted })
     }
 
@@ -122,9 +127,9 @@
     async fn accept(&mut self) -> io::Result<Option<Conn>> {
         match self.accepted.recv().await {
             Some(stream) => Ok(Some(Conn::from(ConnStream::from(stream)))),
-            // Volo calls `accept` again at once when it returns, so after
-            // the handle is closed this never returns. The server's task is
-            // dropped with its program.
+            // Volo would call `accept` again as soon as it returned `None`,
+            // so `accept` never returns after the accept handle is closed.
+            // The server's task is dropped when its program ends.
             None => std::future::pending().await,
         }
     }
@@ -138,7 +143,7 @@
     }
 }
 
-async fn accept(
+async fn accept_connections(
     socket: TcpListener,
     accept_handle: AcceptHandle,
     sender: mpsc::Sender<TcpStream>,
@@ -198,8 +203,8 @@
     ) -> impl Future<Output = Response> + Send;
 }
 
-/// Serves a listener until the handle is closed. Connections that are already
-/// open are served until the runtime stops.
+/// Serves the requests of a listener until the accept handle is closed.
+/// Connections that are already open are served until the runtime stops.
 pub async fn serve<H: Handler>(
     listener: Listener,
     handler: Arc<H>,
@@ -266,7 +271,7 @@
 }
 
 impl<S: Stream> SyncStream<S> {
-    /// Wraps a stream.
+    /// Creates a `SyncStream` from a stream.
     pub fn new(stream: S) -> SyncStream<S> {
         SyncStream { inner: Mutex::new(Box::pin(stream)) }
     }
@@ -285,8 +290,7 @@
     }
 }
 
-/// Returns the number that the query string of a request contains under a
-/// name.
+/// Parses the value of the query parameter `name` as a number.
 pub fn query_number(request: &Request, name: &str) -> Option<u64> {
     let pairs = request.uri().query()?.split('&');
     let mut pairs = pairs.filter_map(|pair| pair.split_once('='));
