--- a/cowsliproad-kernel/src/clock.rs
+++ b/cowsliproad-kernel/src/clock.rs
@@ -71,6 +71,8 @@
     }
 }
 
+/// The first time that this process read the clock, from which [`Millis::now`]
+/// counts.
 fn process_start() -> Instant {
     static START: OnceLock<Instant> = OnceLock::new();
     *START.get_or_init(Instant::now)
--- a/cowsliproad-kernel/src/gossip.rs
+++ b/cowsliproad-kernel/src/gossip.rs
@@ -80,12 +80,13 @@
     /// The highest era of the platform's log that the sender has observed.
     #[serde(rename = "y", default)]
     pub log_era: Era,
-    /// The time since the targets were last read from the log in that era, by
-    /// the sender or by an entry whose digests reached it, in milliseconds.
+    /// The time since the targets were last read from the log in the era
+    /// `log_era`, by the sender or by an entry whose digests reached it, in
+    /// milliseconds.
     #[serde(rename = "r")]
     pub targets_read_age_ms: u64,
-    /// The highest log offset in that era at which the sender knows that the
-    /// targets changed.
+    /// The highest log offset in the era `log_era` at which the sender knows
+    /// that the targets changed.
     #[serde(rename = "n")]
     pub last_change_offset: u64,
     /// Targets that the sender recently saw leave for good, each with its
@@ -172,6 +173,7 @@
     pub wait: Millis,
 }
 
+/// The availability zone of a digest whose sender reports none.
 fn nowhere() -> Name {
     "".into()
 }
--- a/cowsliproad-net/src/program.rs
+++ b/cowsliproad-net/src/program.rs
@@ -86,7 +86,7 @@
 pub fn run(workers: usize, main: impl AsyncFnOnce(Threads) -> io::Result<()>) {
     let outcome = threads::run(workers, main);
     if let Err(error) = outcome.and_then(|outcome| outcome) {
-        eprintln!("can't run: {error}");
+        eprintln!("program failed: {error}");
         process::exit(1);
     }
 }
