--- a/cowsliproad-admission/src/quarantine.rs
+++ b/cowsliproad-admission/src/quarantine.rs
@@ -235,13 +235,13 @@
         now: Millis,
     ) -> QuarantineChange {
         let suspect = Suspect {
-            work: work.0,
-            ends: vec![crash.0],
-            excused: Vec::new(),
-            proven: false,
-            idle: Millis(0),
-            refused: None,
-            suspended: None,
+            work_digest: work.0,
+            crashes: vec![crash.0],
+            excused_crashes: Vec::new(),
+            survived: false,
+            since_last_seen: Millis(0),
+            rejected_for: None,
+            suspended_for: None,
         };
         self.merge_suspect(&suspect, BROADCAST_TTL, now)
     }
@@ -289,11 +289,11 @@
         now: Millis,
     ) -> QuarantineChange {
         let now = now + CLOCK_OFFSET;
-        let refused = suspect.refused.unwrap_or_default();
-        if suspect.idle >= SUSPECT_TTL || refused >= REJECT_TTL {
+        let refused = suspect.rejected_for.unwrap_or_default();
+        if suspect.since_last_seen >= SUSPECT_TTL || refused >= REJECT_TTL {
             return QuarantineChange::None;
         }
-        let work = WorkDigest(suspect.work);
+        let work = WorkDigest(suspect.work_digest);
         if !self.cases.contains_key(&work) {
             self.evict_if_full();
         }
@@ -302,7 +302,7 @@
             crashes: BTreeSet::new(),
             excused: Vec::new(),
             survived,
-            last_seen: now - suspect.idle,
+            last_seen: now - suspect.since_last_seen,
             refused_since: None,
             suspended_until: None,
             broadcast_until: now,
@@ -312,19 +312,21 @@
             case.suspended_until = None;
             case.crashes.clear();
         }
-        if now.since(case.last_seen) > suspect.idle + MAX_GOSSIP_DELAY {
-            case.last_seen = now - suspect.idle;
+        if now.since(case.last_seen)
+            > suspect.since_last_seen + MAX_GOSSIP_DELAY
+        {
+            case.last_seen = now - suspect.since_last_seen;
         }
         let before = (case.crashes.len(), case.excused.len(), case.survived);
         // A sender that doesn't report the survival, or still counts a crash
         // that was excused or retracted, has missed that update and would soon
         // refuse a request that every caller sends.
-        let mut missed_update = case.survived && !suspect.proven;
-        case.survived |= suspect.proven;
-        for crash in suspect.excused.iter().map(|it| CrashId(*it)) {
+        let mut missed_update = case.survived && !suspect.survived;
+        case.survived |= suspect.survived;
+        for crash in suspect.excused_crashes.iter().map(|it| CrashId(*it)) {
             case.excuse(crash);
         }
-        for crash in suspect.ends.iter().map(|it| CrashId(*it)) {
+        for crash in suspect.crashes.iter().map(|it| CrashId(*it)) {
             if let Some(reported_at) = self.retracted.get_mut(&crash) {
                 *reported_at = now;
             } else if case.excused.contains(&crash) {
@@ -338,7 +340,7 @@
         // the same crash may have been delayed in a stalled process.
         let may_extend = after.0 > before.0 || case.suspended_until.is_none();
         let suspends =
-            may_extend && case.extend_suspension(suspect.suspended, now);
+            may_extend && case.extend_suspension(suspect.suspended_for, now);
         let has_changed = after != before || suspends;
         let is_relayed = case.crashes.len() >= MIN_RELAY_CRASHES
             || case.survived
@@ -351,7 +353,7 @@
         }
         let change = case.update_refusal(now);
         if let (Some(since), Some(_)) =
-            (&mut case.refused_since, suspect.refused)
+            (&mut case.refused_since, suspect.rejected_for)
         {
             *since = (*since).min(now - refused);
         }
@@ -482,7 +484,8 @@
         let cases = self.cases.iter().filter(|it| !it.1.is_expired(now));
         let mut cases: Vec<Suspect> =
             cases.map(|it| it.1.suspect(*it.0, now)).collect();
-        cases.sort_by_key(|it| (Reverse(it.ends.len()), it.idle));
+        cases
+            .sort_by_key(|it| (Reverse(it.crashes.len()), it.since_last_seen));
         cases.truncate(MAX_BROADCAST_CASES);
         cases
     }
--- a/cowsliproad-admission/src/quarantine/case.rs
+++ b/cowsliproad-admission/src/quarantine/case.rs
@@ -115,13 +115,13 @@
     /// Returns the case as the gossip message that entries exchange.
     pub(super) fn suspect(&self, work: WorkDigest, now: Millis) -> Suspect {
         Suspect {
-            work: work.0,
-            ends: self.crashes.iter().map(|it| it.0).collect(),
-            excused: self.excused.iter().map(|it| it.0).collect(),
-            proven: self.survived,
-            idle: now.since(self.last_seen),
-            refused: self.refused_since.map(|it| now.since(it)),
-            suspended: self.suspension(now),
+            work_digest: work.0,
+            crashes: self.crashes.iter().map(|it| it.0).collect(),
+            excused_crashes: self.excused.iter().map(|it| it.0).collect(),
+            survived: self.survived,
+            since_last_seen: now.since(self.last_seen),
+            rejected_for: self.refused_since.map(|it| now.since(it)),
+            suspended_for: self.suspension(now),
         }
     }
 }
--- a/cowsliproad-admission/src/ticket.rs
+++ b/cowsliproad-admission/src/ticket.rs
@@ -91,7 +91,7 @@
     let split = bytes.len().checked_sub(MAC_BYTES).ok_or(InvalidToken)?;
     let (content, mac) = bytes.split_at(split);
     let expected_mac = blake3::keyed_hash(key, content);
-    if !secret::equal(mac, &expected_mac.as_bytes()[..MAC_BYTES]) {
+    if !secret::constant_time_eq(mac, &expected_mac.as_bytes()[..MAC_BYTES]) {
         return Err(InvalidToken);
     }
     ciborium::from_reader(content).map_err(|_| InvalidToken)
--- a/cowsliproad-agent/src/adapter/engine.rs
+++ b/cowsliproad-agent/src/adapter/engine.rs
@@ -9,9 +9,9 @@
 use bytes::Bytes;
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Ran},
+    code::{Code, Execution},
     plugin::inventory,
-    wire::{Failure, Format},
+    wire::{AnswerFormat, Failure},
 };
 use cowsliproad_net::client::Client;
 use http::{Request, Response, header};
@@ -64,19 +64,19 @@
         }
     }
 
-    async fn call(&self, work: &Work) -> Result<Format, Failure> {
+    async fn call(&self, work: &Work) -> Result<AnswerFormat, Failure> {
         tokio::select! {
             result = self.stream(work) => result,
             () = work.cancelled() => {
                 self.cancel(work).await;
-                Err(Failure::new(Code::Cancelled, Ran::OutcomeUnknown))
+                Err(Failure::new(Code::Cancelled, Execution::OutcomeUnknown))
             }
         }
     }
 }
 
 impl Engine {
-    async fn stream(&self, work: &Work) -> Result<Format, Failure> {
+    async fn stream(&self, work: &Work) -> Result<AnswerFormat, Failure> {
         let mut events = Events::default();
         let start = self.start(work)?;
         let mut response = self.head(start).await?;
@@ -85,7 +85,7 @@
                 break;
             }
             match self.read(response, work, &mut events).await? {
-                Reading::Done => return Ok(Format::Text),
+                Reading::Done => return Ok(AnswerFormat::Text),
                 Reading::Silent => break,
                 Reading::Broken => {
                     events.rest.clear();
@@ -98,14 +98,14 @@
                     let resumed = self.head(resume).await;
                     // It has begun, whatever became of the resumption.
                     response = resumed.map_err(|it| Failure {
-                        ran: Ran::OutcomeUnknown,
+                        ran: Execution::OutcomeUnknown,
                         ..it
                     })?;
                 }
             }
         }
         self.cancel(work).await;
-        Err(Failure::new(Code::TargetFailed, Ran::OutcomeUnknown))
+        Err(Failure::new(Code::TargetFailed, Execution::OutcomeUnknown))
     }
 
     async fn head(
@@ -114,7 +114,7 @@
     ) -> Result<Response<Incoming>, Failure> {
         let sent = Millis::now();
         let head = timeout(self.silence, self.client.send(request)).await;
-        let silent = Failure::new(Code::TimedOut, Ran::OutcomeUnknown);
+        let silent = Failure::new(Code::TimedOut, Execution::OutcomeUnknown);
         let head = head.map_err(|_| silent)?.map_err(plain::failure)?;
         self.pace.answered(head.status(), head.headers(), sent);
         Ok(head)
@@ -144,7 +144,7 @@
             if work.length() > MAX_ANSWER {
                 return Err(Failure::new(
                     Code::TargetFailed,
-                    Ran::OutcomeUnknown,
+                    Execution::OutcomeUnknown,
                 ));
             }
         }
@@ -156,14 +156,14 @@
         match work.repeat {
             Repeat::Never => Ok(self.silence),
             Repeat::Allowed if left.is_zero() => {
-                Err(Failure::new(Code::TimedOut, Ran::OutcomeUnknown))
+                Err(Failure::new(Code::TimedOut, Execution::OutcomeUnknown))
             }
             Repeat::Allowed => Ok(self.silence.min(left)),
         }
     }
 
     fn start(&self, work: &Work) -> Result<Request<Full<Bytes>>, Failure> {
-        let bad = Failure::new(Code::BadJson, Ran::NotRun);
+        let bad = Failure::new(Code::BadJson, Execution::NotRun);
         let mut body: Value =
             serde_json::from_slice(&work.body).map_err(|_| bad)?;
         let fields = body.as_object_mut().ok_or(bad)?;
@@ -185,7 +185,7 @@
         let target = self.target;
         Request::get(format!("http://{target}/v1/streams/{id}?from={from}"))
             .body(Full::default())
-            .map_err(|_| Failure::new(Code::BadRequest, Ran::NotRun))
+            .map_err(|_| Failure::new(Code::BadRequest, Execution::NotRun))
     }
 
     async fn cancel(&self, work: &Work) {
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -24,10 +24,13 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    code::{Code, Ran},
+    code::{Code, Execution},
     id,
     sync::lock,
-    wire::{Answer, Beat, Cancel, Failure, Handover, Load, Phase, Reclaim},
+    wire::{
+        AgentLoad, Answer, Cancel, Failure, Handover, Heartbeat, Phase,
+        Reclaim,
+    },
 };
 use opentelemetry::{
     KeyValue,
@@ -169,24 +172,24 @@
         let queued =
             inner.queue.remove_first(|it| it.request == cancel.request);
         if queued.is_some() {
-            let failure = Failure::new(Code::Cancelled, Ran::NotRun);
+            let failure = Failure::new(Code::Cancelled, Execution::NotRun);
             inner.give_up(&work, failure);
             return failure;
         }
         drop(inner);
         match (work.ending(), work.repeat) {
             (Some(Ending::Whole { .. }), _) => {
-                Failure::new(Code::Cancelled, Ran::Ran)
+                Failure::new(Code::Cancelled, Execution::Ran)
             }
             (Some(Ending::Failed(failure)), _) => failure,
             (None, Repeat::Allowed) => {
                 work.cancel();
-                Failure::new(Code::Cancelled, Ran::OutcomeUnknown)
+                Failure::new(Code::Cancelled, Execution::OutcomeUnknown)
             }
             // Work that must not be repeated is never broken off in its
             // middle, since nobody could say what the target did of it.
             (None, Repeat::Never) => {
-                Failure::new(Code::InProgress, Ran::OutcomeUnknown)
+                Failure::new(Code::InProgress, Execution::OutcomeUnknown)
             }
         }
     }
@@ -199,7 +202,7 @@
         let mut inner = self.lock();
         let queued = inner.queue.remove_first(|it| it.request == work.request);
         if let Some(item) = queued {
-            let failure = Failure::new(Code::Cancelled, Ran::NotRun);
+            let failure = Failure::new(Code::Cancelled, Execution::NotRun);
             inner.give_up(&item.work, failure);
         } else {
             work.cancel();
@@ -227,7 +230,7 @@
     pub fn finish(
         &self,
         work: &Arc<Work>,
-        result: Result<cowsliproad_kernel::wire::Format, Failure>,
+        result: Result<cowsliproad_kernel::wire::AnswerFormat, Failure>,
         held: Duration,
     ) {
         let code = result.err().map_or(Code::Ok, |failure| failure.code);
@@ -244,18 +247,18 @@
     }
 
     /// The present heartbeat.
-    pub fn beat(&self, offset: u64) -> Beat {
+    pub fn beat(&self, offset: u64) -> Heartbeat {
         let inner = self.lock();
-        Beat {
+        Heartbeat {
             name: self.settings.name.clone(),
             incarnation: self.incarnation,
-            clock: Millis::now(),
+            sender_clock: Millis::now(),
             phase: inner.phase,
             load: inner.load(self.speed(&inner)),
             presence: self.ends.presence(),
             cooldown: self.pace.cooldown(Millis::now()),
-            holds: inner.inherited.keys().copied().collect(),
-            offset,
+            inherited_incarnations: inner.inherited.keys().copied().collect(),
+            next_config_offset: offset,
         }
     }
 
@@ -317,8 +320,11 @@
             inner.works.insert(work.request, work);
         }
         if let Some(register) = register {
-            let inherited =
-                Inherited { register, clock: handover.clock, since: now };
+            let inherited = Inherited {
+                register,
+                clock: handover.sender_clock,
+                since: now,
+            };
             inner.inherited.insert(handover.incarnation, inherited);
         }
         inner.evict(&self.settings, now);
@@ -338,9 +344,12 @@
                 Ok(work.clone())
             }
             Some(_) => {
-                Err(Failure::new(Code::ForeignToken, Ran::NotForwarded))
+                Err(Failure::new(Code::ForeignToken, Execution::NotForwarded))
             }
-            None => Err(Failure::new(Code::UnknownToken, Ran::OutcomeUnknown)),
+            None => Err(Failure::new(
+                Code::UnknownToken,
+                Execution::OutcomeUnknown,
+            )),
         }
     }
 
@@ -424,14 +433,14 @@
 }
 
 impl Inner {
-    fn load(&self, speed: ServiceRate) -> Load {
-        Load {
+    fn load(&self, speed: ServiceRate) -> AgentLoad {
+        AgentLoad {
             queued: self.queue.len() as u32,
             running: self.running,
             slots: speed.slots,
             // Entries go by how fast the queue empties.
-            service_us: speed.effective_service_us(),
-            count: self.count,
+            mean_service_us: speed.effective_service_us(),
+            accepted_total: self.count,
         }
     }
 
@@ -443,7 +452,8 @@
 
     fn lapse(&mut self, pace: ServiceRate, now: Millis) {
         while let Some(item) = self.queue.remove_expired(pace, now) {
-            let failure = Failure::new(Code::DeadlinePassed, Ran::NotRun);
+            let failure =
+                Failure::new(Code::DeadlinePassed, Execution::NotRun);
             self.give_up(&item.work, failure);
         }
     }
@@ -451,7 +461,7 @@
     /// Gives back what a lower limit leaves no time for.
     fn shed(&mut self, pace: ServiceRate, now: Millis) {
         for item in self.queue.remove_late(pace, now) {
-            let failure = Failure::new(Code::Overloaded, Ran::NotRun);
+            let failure = Failure::new(Code::Overloaded, Execution::NotRun);
             let wait = self.queue.retry_after(pace);
             self.give_up(&item.work, failure.with_retry_after(wait));
         }
--- a/cowsliproad-agent/src/links.rs
+++ b/cowsliproad-agent/src/links.rs
@@ -19,8 +19,8 @@
     id,
     sync::lock,
     wire::{
-        self, Accepted, Data, End, Frame, Handover, Phase, Reclaim, Refusal,
-        Submit,
+        self, Accepted, AnswerData, AnswerEnd, Frame, Handover, Phase,
+        Reclaim, Refusal, Submit,
     },
 };
 use cowsliproad_net::link::{self, Receiver, Sender};
@@ -80,8 +80,8 @@
     fn beat_on(&self, mut open: MutexGuard<'_, Vec<Sender>>) {
         let news = self.gate.ends.take_news();
         self.gate.pace.take_news();
-        let beat = Frame::Beat(self.gate.beat(self.replica.next()));
-        open.retain(|link| !link.is_gone());
+        let beat = Frame::Heartbeat(self.gate.beat(self.replica.next()));
+        open.retain(|link| !link.is_closed());
         for link in open.iter() {
             // A full queue means that the peer will hear of us anyway.
             let _ = link.try_send(beat.clone());
@@ -93,7 +93,7 @@
 
     /// Asks every peer for the configuration that is lacking.
     pub fn pull(&self) {
-        let pull = Frame::Pull(self.replica.next());
+        let pull = Frame::PullConfig(self.replica.next());
         for link in self.lock().iter() {
             // A full queue means a busy peer; others are asked too.
             let _ = link.try_send(pull.clone());
@@ -191,7 +191,7 @@
             Frame::Reclaim(reclaim) => self.reclaim(&reclaim),
             Frame::Ack(ack) => {
                 if let Some(listener) = self.attempts.get(&ack.attempt) {
-                    listener.window.open(ack.bytes);
+                    listener.window.open(ack.delivered_bytes);
                 }
             }
             Frame::Detach(attempt) => self.detach(attempt),
@@ -199,14 +199,14 @@
                 let failure = self.links.gate.cancel(&cancel);
                 self.refuse(cancel.attempt, failure);
             }
-            Frame::Records(records) => {
+            Frame::ConfigRecords(records) => {
                 let answer = self.links.replica.records(&records);
                 self.answer(answer).await;
             }
-            Frame::Snapshot(snapshot) => {
+            Frame::ConfigSnapshot(snapshot) => {
                 self.links.replica.snapshot(&snapshot);
             }
-            Frame::Pull(next) => {
+            Frame::PullConfig(next) => {
                 let answer = self.links.replica.pull(next);
                 self.answer(answer).await;
             }
@@ -226,7 +226,7 @@
 
     fn reclaim(&mut self, reclaim: &Reclaim) {
         match self.links.gate.reclaim(reclaim) {
-            Ok(work) => self.listen(reclaim.attempt, work, reclaim.from),
+            Ok(work) => self.listen(reclaim.attempt, work, reclaim.first_byte),
             Err(failure) => self.refuse(reclaim.attempt, failure),
         }
     }
@@ -268,7 +268,7 @@
 
     async fn inherit(&self, handover: Handover) {
         let incarnation = handover.incarnation;
-        let more = handover.more;
+        let more = handover.has_more;
         let register = match handover.tickets.is_empty() {
             true => None,
             false => crate::handover::decode(&handover.tickets),
@@ -312,7 +312,7 @@
             let mut opened = pin!(self.opened.notified());
             opened.as_mut().enable();
             let acknowledged = self.acknowledged.load(Ordering::Acquire);
-            if sent < acknowledged + wire::WINDOW {
+            if sent < acknowledged + wire::SEND_WINDOW_BYTES {
                 return;
             }
             opened.await;
@@ -343,7 +343,7 @@
                 Piece::Bytes(bytes) => {
                     sent += bytes.len() as u64;
                     let attempt = self.attempt;
-                    let data = Data { attempt, sequence, bytes };
+                    let data = AnswerData { attempt, sequence, bytes };
                     sequence += 1;
                     if self.sender.send(Frame::Data(data)).await.is_err() {
                         return;
@@ -367,13 +367,15 @@
 
     fn ending(&self, ending: Ending, sequence: u32) -> Frame {
         match ending {
-            Ending::Whole { format, length, digest } => Frame::End(End {
-                attempt: self.attempt,
-                sequence,
-                format,
-                length,
-                digest: digest.to_vec(),
-            }),
+            Ending::Whole { format, length, digest } => {
+                Frame::End(AnswerEnd {
+                    attempt: self.attempt,
+                    data_frames: sequence,
+                    format,
+                    length,
+                    digest: digest.to_vec(),
+                })
+            }
             Ending::Failed(failure) => refusal(self.attempt, failure),
         }
     }
@@ -382,8 +384,10 @@
     /// fresher reports than the heartbeat alone.
     async fn report_load(&self) {
         let beat = self.links.gate.beat(self.links.replica.next());
-        if beat.phase == Phase::Serving && beat.load.count.is_multiple_of(4) {
-            let _ = self.sender.send(Frame::Beat(beat)).await;
+        if beat.phase == Phase::Serving
+            && beat.load.accepted_total.is_multiple_of(4)
+        {
+            let _ = self.sender.send(Frame::Heartbeat(beat)).await;
         }
     }
 }
--- a/cowsliproad-agent/src/work.rs
+++ b/cowsliproad-agent/src/work.rs
@@ -19,7 +19,10 @@
     clock::Millis,
     id,
     sync::lock,
-    wire::{Answer, Content, Failure, Format, Permit, Persistence, Submit},
+    wire::{
+        Answer, AnswerFormat, Content, Failure, Persistence, Submit,
+        SubmitMode,
+    },
 };
 use tokio::sync::Notify;
 
@@ -74,7 +77,7 @@
     /// With a whole answer.
     Whole {
         /// How to read it.
-        format: Format,
+        format: AnswerFormat,
         /// Its length in bytes.
         length: u64,
         /// Its digest.
@@ -112,13 +115,13 @@
             organisation: submit.organisation.clone(),
             request_type: submit.request_type.clone(),
             body: Bytes::from(submit.body.clone()),
-            deadline: now + submit.budget,
+            deadline: now + submit.time_left,
             repeat: match submit.ticket {
                 Some(_) => Repeat::Never,
                 None => Repeat::Allowed,
             },
             priority: submit.urgency as i64,
-            key: submit.key.clone(),
+            key: submit.idempotency_key.clone(),
             persistence: submit.persistence,
             progress: Mutex::new(Progress { bytes: Vec::new(), ending: None }),
             changed: Notify::new(),
@@ -136,13 +139,13 @@
             organisation: answer.organisation,
             request_type: "".into(),
             urgency: cowsliproad_kernel::wire::Urgency::Normal,
-            budget: Millis(0),
+            time_left: Millis(0),
             ticket: None,
-            key: None,
+            idempotency_key: None,
             persistence: Persistence::Keep,
-            share: 1,
+            queue_weight: 1,
             body: Vec::new(),
-            permit: Permit::Recall,
+            mode: SubmitMode::ReportOnly,
         };
         let work = Work::new(&submit, Millis(0));
         match answer.result {
@@ -183,7 +186,7 @@
     }
 
     /// Ends the work. Only the first ending counts.
-    pub fn finish(&self, result: Result<Format, Failure>) {
+    pub fn finish(&self, result: Result<AnswerFormat, Failure>) {
         let mut progress = self.lock();
         if progress.ending.is_some() {
             return;
--- a/cowsliproad-bench/src/experiment/quarantine.rs
+++ b/cowsliproad-bench/src/experiment/quarantine.rs
@@ -386,7 +386,7 @@
         let now = Millis(self.now);
         let change = self.ledgers[entry].merge(suspect, now);
         if change != QuarantineChange::None {
-            self.write(entry, WorkDigest(suspect.work));
+            self.write(entry, WorkDigest(suspect.work_digest));
         }
     }
 
@@ -405,8 +405,12 @@
         };
         let kept = self.log.get(&work);
         let same = |it: &Suspect| {
-            (&it.ends, &it.excused, it.proven)
-                == (&suspect.ends, &suspect.excused, suspect.proven)
+            (&it.crashes, &it.excused_crashes, it.survived)
+                == (
+                    &suspect.crashes,
+                    &suspect.excused_crashes,
+                    suspect.survived,
+                )
         };
         if kept.is_some_and(same) {
             return;
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -30,8 +30,8 @@
     id,
     plugin::inventory,
     wire::{
-        self, Answer, Beat, Content, Format, Frame, Load, Phase, Presence,
-        Urgency,
+        self, AgentLoad, Answer, AnswerFormat, Content, Frame, Heartbeat,
+        Phase, Presence, Urgency,
     },
 };
 use cowsliproad_routing::choice;
@@ -261,22 +261,24 @@
 /// Size and decoding time of a load report.
 fn reports(figures: &mut Value) {
     let beat = |holds: usize| {
-        Frame::Beat(Beat {
+        Frame::Heartbeat(Heartbeat {
             name: "engine-12".into(),
             incarnation: id::Incarnation::random(),
-            clock: Millis(86_400_000),
+            sender_clock: Millis(86_400_000),
             phase: Phase::Serving,
-            load: Load {
+            load: AgentLoad {
                 queued: 12,
                 running: 16,
                 slots: 16,
-                service_us: 81_234,
-                count: 1_234_567,
+                mean_service_us: 81_234,
+                accepted_total: 1_234_567,
             },
             cooldown: Millis(0),
             presence: Presence::Here,
-            holds: (0..holds).map(|_| id::Incarnation::random()).collect(),
-            offset: 123_456,
+            inherited_incarnations: (0..holds)
+                .map(|_| id::Incarnation::random())
+                .collect(),
+            next_config_offset: 123_456,
         })
     };
     let bytes = wire::encode(&beat(0));
@@ -307,7 +309,7 @@
                     request: id::Request(index as u64),
                     organisation: "organisation".into(),
                     result: Ok(Content {
-                        format: Format::Json,
+                        format: AnswerFormat::Json,
                         bytes: vec![b'x'; 512],
                     }),
                 }))
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -17,7 +17,7 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    gossip::{self, Ask, Datagram, Limit, Reply},
+    gossip::{self, Datagram, PermitReply, PermitRequest, RateLimit},
 };
 use cowsliproad_platform::header;
 use cowsliproad_routing::{
@@ -88,9 +88,9 @@
 pub struct Limits {
     socket: Option<Rc<UdpSocket>>,
     limiters: HashMap<Name, (Start, limit::Limiter)>,
-    open: HashMap<u64, oneshot::Sender<Reply>>,
+    open: HashMap<u64, oneshot::Sender<PermitReply>>,
     /// Limits of targets that are not known yet, and when they were heard.
-    early: HashMap<Name, (Limit, Millis)>,
+    early: HashMap<Name, (RateLimit, Millis)>,
     told: Millis,
 }
 
@@ -111,7 +111,7 @@
     }
 
     /// Keeps what was told of a target that isn't known yet.
-    fn keep_early(&mut self, limit: &Limit, now: Millis) {
+    fn keep_early(&mut self, limit: &RateLimit, now: Millis) {
         if self.early.len() >= MAX_UPDATES {
             self.early.retain(|_, it| now.since(it.1) < UNKNOWN_TTL);
         }
@@ -283,8 +283,8 @@
             _ => return entry.give(target, owner, patience, now),
         };
         match ask(entry, other, target, patience, relays - 1).await {
-            Some(it) if it.given => return PermitDecision::Permit(it.after),
-            Some(it) => return PermitDecision::Later(it.after),
+            Some(it) if it.granted => return PermitDecision::Permit(it.wait),
+            Some(it) => return PermitDecision::Later(it.wait),
             None => {
                 let until = Millis::now() + MUTE_TTL;
                 entry.peers.borrow_mut().mute(other, until);
@@ -303,13 +303,18 @@
     target: &Target,
     patience: Millis,
     relays: u8,
-) -> Option<Reply> {
+) -> Option<PermitReply> {
     let number = rand::random();
     let limit = entry.current_limit(target, Millis::now());
-    let question = Ask { number, limit, patience, relays };
+    let question = PermitRequest {
+        request_id: number,
+        limit,
+        max_wait: patience,
+        forwards_left: relays,
+    };
     let (sender, reply) = oneshot::channel();
     entry.limits.borrow_mut().open.insert(number, sender);
-    entry.say(Datagram::Ask(question), other).await;
+    entry.say(Datagram::PermitRequest(question), other).await;
     let wait = Millis(REPLY_TIMEOUT.0 * (u64::from(relays) + 1));
     let reply = timeout(wait.duration(), reply).await;
     entry.limits.borrow_mut().open.remove(&number);
@@ -317,17 +322,18 @@
 }
 
 /// Answers another entry's question.
-pub fn answer(entry: &Rc<Entry>, ask: Ask, from: SocketAddr) {
+pub fn answer(entry: &Rc<Entry>, ask: PermitRequest, from: SocketAddr) {
     entry.hear_limit(&ask.limit, Millis::now());
     let entry = entry.clone();
-    let relays = ask.relays.min(RELAYS - 1);
+    let relays = ask.forwards_left.min(RELAYS - 1);
     tokio::task::spawn_local(async move {
         let target = entry.fleet.borrow().get(&ask.limit.target).cloned();
-        let same = target.filter(|it| it.start.0 == ask.limit.start);
+        let same =
+            target.filter(|it| it.start.0 == ask.limit.target_start_unix_ms);
         let (verdict, limit) = match same {
             Some(target) => {
                 let verdict =
-                    decide(&entry, &target, ask.patience, relays).await;
+                    decide(&entry, &target, ask.max_wait, relays).await;
                 (verdict, entry.current_limit(&target, Millis::now()))
             }
             // Its announcement has not come here yet.
@@ -337,8 +343,13 @@
             PermitDecision::Permit(after) => (true, after),
             PermitDecision::Later(after) => (false, after),
         };
-        let reply = Reply { number: ask.number, limit, given, after };
-        entry.say(Datagram::Reply(reply), from).await;
+        let reply = PermitReply {
+            request_id: ask.request_id,
+            limit,
+            granted: given,
+            wait: after,
+        };
+        entry.say(Datagram::PermitReply(reply), from).await;
     });
 }
 
@@ -365,23 +376,23 @@
     }
 
     /// Takes in what another entry tells of limits.
-    pub fn hear_limits(&self, limits: &[Limit], now: Millis) {
+    pub fn hear_limits(&self, limits: &[RateLimit], now: Millis) {
         for limit in limits {
             self.hear_limit(limit, now);
         }
     }
 
-    fn hear_limit(&self, limit: &Limit, now: Millis) {
+    fn hear_limit(&self, limit: &RateLimit, now: Millis) {
         let start = self.fleet.borrow().get(&limit.target).map(|it| it.start);
-        if start != Some(Start(limit.start)) {
+        if start != Some(Start(limit.target_start_unix_ms)) {
             self.limits.borrow_mut().keep_early(limit, now);
             return;
         }
-        let rate = limit.rate.and_then(Rate::new);
-        if rate.is_none() != limit.rate.is_none() {
+        let rate = limit.requests_per_second.and_then(Rate::new);
+        if rate.is_none() != limit.requests_per_second.is_none() {
             return;
         }
-        let report = LimitReport { rate, age: limit.age };
+        let report = LimitReport { rate, age: limit.in_force_for };
         let endpoint = self.endpoint(&limit.target);
         let change = endpoint.borrow_mut().limit.merge_report(report, now);
         self.limit_changed(&limit.target, change, Source::Peer);
@@ -391,8 +402,8 @@
     pub fn recall_limit(&self, target: &str, now: Millis) {
         let early = self.limits.borrow_mut().early.remove(target);
         if let Some((limit, heard)) = early {
-            let age = limit.age + now.since(heard);
-            self.hear_limit(&Limit { age, ..limit }, now);
+            let age = limit.in_force_for + now.since(heard);
+            self.hear_limit(&RateLimit { in_force_for: age, ..limit }, now);
         }
     }
 
@@ -428,7 +439,7 @@
     }
 
     /// What others are told of limits.
-    pub fn limit_updates(&self, which: Update, now: Millis) -> Vec<Limit> {
+    pub fn limit_updates(&self, which: Update, now: Millis) -> Vec<RateLimit> {
         let fleet = self.fleet.borrow();
         let told = |target: &Target| {
             let endpoint = self.known_endpoint(&target.id)?;
@@ -455,7 +466,7 @@
     }
 
     /// What is known of a target's limit.
-    fn current_limit(&self, target: &Target, now: Millis) -> Limit {
+    fn current_limit(&self, target: &Target, now: Millis) -> RateLimit {
         let report = self.endpoint(&target.id).borrow().limit.report(now);
         let never = LimitReport { rate: None, age: Millis(u64::MAX) };
         limit_of(target, report.unwrap_or(never))
@@ -486,9 +497,9 @@
     }
 
     /// Takes in the answer to a question.
-    pub fn hear_reply(&self, reply: Reply) {
+    pub fn hear_reply(&self, reply: PermitReply) {
         self.hear_limit(&reply.limit, Millis::now());
-        let open = self.limits.borrow_mut().open.remove(&reply.number);
+        let open = self.limits.borrow_mut().open.remove(&reply.request_id);
         if let Some(open) = open {
             // Whoever asked may have stopped waiting just now.
             let _ = open.send(reply);
@@ -506,11 +517,11 @@
     }
 }
 
-fn limit_of(target: &Target, report: LimitReport) -> Limit {
-    Limit {
+fn limit_of(target: &Target, report: LimitReport) -> RateLimit {
+    RateLimit {
         target: target.id.clone(),
-        start: target.start.0,
-        rate: report.rate.map(Rate::per_second),
-        age: report.age,
+        target_start_unix_ms: target.start.0,
+        requests_per_second: report.rate.map(Rate::per_second),
+        in_force_for: report.age,
     }
 }
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -11,7 +11,7 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    gossip::{self, Datagram, Digest},
+    gossip::{self, Datagram, GossipDigest},
     position::Position,
 };
 use cowsliproad_routing::{
@@ -116,8 +116,8 @@
         self.known.len().max(self.seeds.len()) + 1
     }
 
-    fn hear(&mut self, digest: &Digest, now: Millis) -> bool {
-        self.newest = self.newest.max((digest.version, digest.address));
+    fn hear(&mut self, digest: &GossipDigest, now: Millis) -> bool {
+        self.newest = self.newest.max((digest.config_version, digest.address));
         let known = self.known.get(&digest.address);
         let peer = Peer {
             vm: digest.vm.clone(),
@@ -238,7 +238,7 @@
     }
 }
 
-fn digest(entry: &Entry, update: Update, now: Millis) -> Digest {
+fn digest(entry: &Entry, update: Update, now: Millis) -> GossipDigest {
     let since = now - entry.rollbacks.departures(now).unwrap_or(DEPARTURE_TTL);
     let fleet = entry.fleet.borrow();
     let (suspects, lives) = entry.quarantine.borrow().updates(update, now);
@@ -251,19 +251,19 @@
             }
         }
     }
-    Digest {
+    GossipDigest {
         vm: entry.settings().vm.clone(),
         address: entry.settings().peer_address(),
-        version: entry.version(),
-        era: entry.rollbacks.era(),
-        read_ms: now.since(entry.readings.borrow().at()).0,
-        changed: entry.readings.borrow().changed().offset,
-        left,
+        config_version: entry.version(),
+        log_era: entry.rollbacks.era(),
+        targets_read_age_ms: now.since(entry.readings.borrow().at()).0,
+        last_change_offset: entry.readings.borrow().changed().offset,
+        departed: left,
         withdrawn,
         peers: entry.peers.borrow().known.keys().copied().collect(),
         zone: entry.settings().zone.clone(),
         suspects,
-        lives,
+        retracted_crashes: lives,
         limits: entry.limit_updates(update, now),
     }
 }
@@ -281,7 +281,7 @@
 
 /// Takes datagrams for ever.
 pub async fn listen(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; gossip::MAX_BYTES];
+    let mut buffer = vec![0; gossip::MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
             // An unreachable peer shows here; the next datagram may be good.
@@ -294,22 +294,26 @@
             }
             Some(Datagram::Load(load)) => {
                 agents::take_load(&entry, &load);
-                if load.list == 0 {
+                if load.list_id == 0 {
                     agents::introduce(&entry, &socket, load.target).await;
                 }
             }
-            Some(Datagram::Lost(lost)) => agents::take_lost(&entry, &lost),
-            Some(Datagram::Ask(ask)) => limits::answer(&entry, ask, from),
-            Some(Datagram::Reply(reply)) => entry.hear_reply(reply),
+            Some(Datagram::EngineExit(lost)) => {
+                agents::take_lost(&entry, &lost)
+            }
+            Some(Datagram::PermitRequest(ask)) => {
+                limits::answer(&entry, ask, from)
+            }
+            Some(Datagram::PermitReply(reply)) => entry.hear_reply(reply),
             None => warn!(entry.log, "strange_datagram"; "bytes" => length),
         }
     }
 }
 
-async fn hear(entry: &Rc<Entry>, socket: &UdpSocket, heard: Digest) {
+async fn hear(entry: &Rc<Entry>, socket: &UdpSocket, heard: GossipDigest) {
     let now = Millis::now();
-    entry.learn_era(heard.era, Source::Peer);
-    let left = heard.left.iter();
+    entry.learn_era(heard.log_era, Source::Peer);
+    let left = heard.departed.iter();
     let left = left.map(|it| (&it.0, Parting::ForGood(Start(it.1))));
     let withdrawn = heard.withdrawn.iter();
     let withdrawn =
@@ -319,10 +323,10 @@
         entry.changed(id, change, Source::Peer);
     }
     entry.heard_from(&heard.zone, now);
-    entry.hear_suspects(&heard.suspects, &heard.lives, now);
+    entry.hear_suspects(&heard.suspects, &heard.retracted_crashes, now);
     entry.hear_limits(&heard.limits, now);
-    let at = now - Millis(heard.read_ms);
-    let changed = Position::new(heard.era, heard.changed);
+    let at = now - Millis(heard.targets_read_age_ms);
+    let changed = Position::new(heard.log_era, heard.last_change_offset);
     entry.note_reading(at, changed, now);
     let (is_new, others) = {
         let mut peers = entry.peers.borrow_mut();
@@ -334,7 +338,7 @@
             "address" => %heard.address);
     }
     // One that starts waits for it.
-    let starts = heard.version == 0 && entry.version() > 0;
+    let starts = heard.config_version == 0 && entry.version() > 0;
     if is_new || starts {
         let own =
             gossip::encode(&Datagram::Digest(digest(entry, Update::All, now)));
@@ -342,8 +346,8 @@
             send(entry, socket, &own, other).await;
         }
     }
-    let behind = heard.version > entry.version()
-        || heard.version > 0 && !entry.is_ready()
+    let behind = heard.config_version > entry.version()
+        || heard.config_version > 0 && !entry.is_ready()
         || entry.readings.borrow().needs_peer();
     if behind && !entry.peers.borrow().fetching {
         entry.peers.borrow_mut().fetching = true;
--- a/cowsliproad-direct/tests/entry/harness.rs
+++ b/cowsliproad-direct/tests/entry/harness.rs
@@ -17,7 +17,7 @@
 use cowsliproad_direct::settings::Settings;
 use cowsliproad_kernel::{
     clock::Millis,
-    gossip::{self, Datagram, Load, Lost},
+    gossip::{self, Datagram, EngineExit, EngineLoad},
 };
 use cowsliproad_net::client::{Client, Error};
 use cowsliproad_platform::{
@@ -344,31 +344,31 @@
 
 /// Writes a settings file.
 pub fn write(file: &PathBuf, settings: &Settings) {
-    let text = cowsliproad_kernel::settings::print(settings);
+    let text = cowsliproad_kernel::settings::to_json(settings);
     fs::write(file, text).expect("a settings file");
 }
 
 /// Tells an entry what an agent does: that its engine's process is gone.
 pub async fn tell_lost(target: SocketAddr, entry: SocketAddr) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
-    let lost = Datagram::Lost(Lost { target, start: 0 });
+    let lost = Datagram::EngineExit(EngineExit { target, start_unix_ms: 0 });
     let sent = socket.send_to(&gossip::encode(&lost), entry).await;
     sent.expect("it is sent");
 }
 
 /// What an idle engine's agent reports.
-pub fn report(target: &Target) -> Load {
-    Load {
+pub fn report(target: &Target) -> EngineLoad {
+    EngineLoad {
         target: target.address().expect("it listens"),
         running: 0,
         queued: 0,
-        pace: 100,
+        pace_percent: 100,
         group: "g".into(),
-        epoch: 1,
-        step: 1,
-        open: true,
-        list: 0,
-        start: 0,
+        group_epoch: 1,
+        forward_pass: 1,
+        group_accepts_requests: true,
+        list_id: 0,
+        start_unix_ms: 0,
         leaving: false,
     }
 }
--- a/cowsliproad-entry/src/admin.rs
+++ b/cowsliproad-entry/src/admin.rs
@@ -15,10 +15,10 @@
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Ran},
+    code::{Code, Execution},
     id,
 };
-use cowsliproad_net::server::{Door, Listener};
+use cowsliproad_net::server::{AcceptHandle, Listener};
 use futures_util::{Stream, stream};
 use slog::{info, warn};
 use tokio::time::{Instant, timeout_at};
@@ -40,13 +40,17 @@
     shared: Arc<Shared>,
 }
 
-/// Serves operators until the door is closed.
-pub async fn serve(shared: Arc<Shared>, listener: Listener, door: Door) {
+/// Serves operators until connections are no longer accepted.
+pub async fn serve(
+    shared: Arc<Shared>,
+    listener: Listener,
+    accept_handle: AcceptHandle,
+) {
     let log = shared.log.clone();
     let admin = message::AdminServer::new(Admin { shared });
     let service = ServiceBuilder::new(admin).build();
     let closed = async move {
-        door.closed().await;
+        accept_handle.closed().await;
         Ok(())
     };
     let server = Server::new().add_service(service);
@@ -161,7 +165,7 @@
         if mode == message::Mode::DRY_RUN {
             let view = self.shared.published.load();
             return match view.state.dry_run(&change) {
-                Ok(()) => reply(Code::Ok, Ran::NotRun, 0, "dry run"),
+                Ok(()) => reply(Code::Ok, Execution::NotRun, 0, "dry run"),
                 Err(code) => refused(code, "dry run"),
             };
         }
@@ -183,7 +187,7 @@
             Some(verdict) => self.tell(command, verdict),
             None => reply(
                 Code::AppendUnknown,
-                Ran::OutcomeUnknown,
+                Execution::OutcomeUnknown,
                 0,
                 Code::AppendUnknown.text(),
             ),
@@ -216,7 +220,7 @@
             "command" => %command, "verdict" => ?verdict);
         match verdict {
             Verdict::Accepted(revision) => {
-                reply(Code::Ok, Ran::Ran, revision, "accepted")
+                reply(Code::Ok, Execution::Ran, revision, "accepted")
             }
             Verdict::Refused(code) => refused(code, ""),
         }
@@ -225,12 +229,12 @@
 
 fn refused(code: Code, detail: &str) -> Response<message::ChangeReply> {
     let detail = if detail.is_empty() { code.text() } else { detail };
-    reply(code, Ran::NotRun, 0, detail)
+    reply(code, Execution::NotRun, 0, detail)
 }
 
 fn reply(
     code: Code,
-    ran: Ran,
+    ran: Execution,
     revision: u64,
     detail: &str,
 ) -> Response<message::ChangeReply> {
--- a/cowsliproad-entry/src/control.rs
+++ b/cowsliproad-entry/src/control.rs
@@ -20,7 +20,7 @@
     Name,
     clock::Millis,
     id,
-    wire::{Frame, Records, Snapshot},
+    wire::{ConfigRecords, ConfigSnapshot, Frame},
 };
 use serde_bytes::ByteBuf;
 use slog::info;
@@ -41,9 +41,9 @@
 #[derive(Debug)]
 pub enum Event {
     /// Records of the log.
-    Records(Records),
+    Records(ConfigRecords),
     /// A peer's state.
-    Snapshot(Snapshot),
+    Snapshot(ConfigSnapshot),
     /// A peer asks for what follows an offset.
     Pull(u64, oneshot::Sender<Option<Frame>>),
     /// The VM list's states by name.
@@ -139,8 +139,8 @@
         }
     }
 
-    fn records(&mut self, records: Records) {
-        for (offset, bytes) in (records.first..).zip(records.records) {
+    fn records(&mut self, records: ConfigRecords) {
+        for (offset, bytes) in (records.first_offset..).zip(records.records) {
             if offset < self.state.next() {
                 continue;
             }
@@ -159,8 +159,8 @@
         }
     }
 
-    fn snapshot(&mut self, snapshot: &Snapshot) {
-        if snapshot.next <= self.state.next() {
+    fn snapshot(&mut self, snapshot: &ConfigSnapshot) {
+        if snapshot.next_offset <= self.state.next() {
             return;
         }
         let Some(other) = fold::decode_state(&snapshot.state) else { return };
@@ -180,10 +180,13 @@
         if next >= first {
             let skip = (next - first) as usize;
             let records = self.recent.iter().skip(skip).cloned().collect();
-            return Some(Frame::Records(Records { first: next, records }));
+            return Some(Frame::ConfigRecords(ConfigRecords {
+                first_offset: next,
+                records,
+            }));
         }
-        Some(Frame::Snapshot(Snapshot {
-            next: own,
+        Some(Frame::ConfigSnapshot(ConfigSnapshot {
+            next_offset: own,
             state: fold::encode_state(&self.state),
         }))
     }
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -26,13 +26,14 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    code::{Code, Ran},
+    code::{Code, Execution},
     id,
     wire::{
-        Ack, End, Failure, Frame, Permit, Persistence, Reclaim, Submit, WINDOW,
+        Ack, AnswerEnd, Failure, Frame, Persistence, Reclaim,
+        SEND_WINDOW_BYTES, Submit, SubmitMode,
     },
 };
-use cowsliproad_relay::{Assembly, Step};
+use cowsliproad_relay::{AnswerAssembly, Progress};
 use tokio::{sync::mpsc, time::timeout};
 
 use crate::{
@@ -77,7 +78,7 @@
     /// All bytes so far are to be discarded.
     Restart,
     /// The answer is whole.
-    Done(End),
+    Done(AnswerEnd),
     /// There is no answer.
     Failed(Failure),
 }
@@ -141,7 +142,7 @@
     target: Arc<Target>,
     link: Arc<Link>,
     events: mpsc::UnboundedReceiver<Event>,
-    assembly: Assembly,
+    assembly: AnswerAssembly,
     request: id::Request,
     acknowledged: u64,
 }
@@ -238,9 +239,9 @@
             attempt,
             request: token.request,
             organisation: token.organisation,
-            from,
+            first_byte: from,
         };
-        let assembly = Assembly::tail(attempt, from);
+        let assembly = AnswerAssembly::starting_at(attempt, from);
         self.send(target, Frame::Reclaim(reclaim), assembly, token.request)
             .await;
     }
@@ -291,13 +292,13 @@
     async fn submit(&mut self, target: Arc<Target>) {
         let Task::Work(order) = &self.task else { return };
         let permit = match quarantine::verdict(&self.shared, order) {
-            QuarantineVerdict::Allowed => Permit::Run,
+            QuarantineVerdict::Allowed => SubmitMode::Run,
             // What became of earlier submissions is still told.
             QuarantineVerdict::Refused(_)
             | QuarantineVerdict::Suspended(_)
                 if may_be_known(order) =>
             {
-                Permit::Recall
+                SubmitMode::ReportOnly
             }
             QuarantineVerdict::Refused(after)
             | QuarantineVerdict::Suspended(after) => {
@@ -314,18 +315,18 @@
             organisation: order.organisation.clone(),
             request_type: order.request_type.name.clone(),
             urgency: order.request_type.urgency,
-            budget,
+            time_left: budget,
             ticket: order.ticket.as_ref().map(|it| it.0.clone().into_bytes()),
-            key: order.key.clone(),
+            idempotency_key: order.key.clone(),
             persistence: order.persistence,
-            share: order.share,
+            queue_weight: order.share,
             body: order.body.clone(),
-            permit,
+            mode: permit,
         };
         let request = order.request;
         self.attempts += 1;
         let frame = Frame::Submit(Box::new(submit));
-        let assembly = Assembly::new(attempt);
+        let assembly = AnswerAssembly::new(attempt);
         self.send(target, frame, assembly, request).await;
     }
 
@@ -333,7 +334,7 @@
         &mut self,
         target: Arc<Target>,
         frame: Frame,
-        assembly: Assembly,
+        assembly: AnswerAssembly,
         request: id::Request,
     ) {
         let Some(link) = target.link.load_full() else {
@@ -360,7 +361,7 @@
 
     /// The attempt never left this entry.
     fn not_sent(&mut self, target: Arc<Target>) {
-        let failure = Failure::new(Code::LinkLost, Ran::NotForwarded);
+        let failure = Failure::new(Code::LinkLost, Execution::NotForwarded);
         match &self.task {
             // The next round looks for the ticket's process again.
             Task::Work(order) if order.ticket.is_some() => {}
@@ -382,12 +383,12 @@
         match event {
             Event::Accepted(request) => self.accepted(attempt, request),
             Event::Data(data) => {
-                let step = attempt.assembly.data(data);
-                self.step(attempt, step);
+                let progress = attempt.assembly.push_data(data);
+                self.on_progress(attempt, progress);
             }
             Event::End(end) => {
-                let step = attempt.assembly.end(end);
-                self.step(attempt, step);
+                let progress = attempt.assembly.push_end(end);
+                self.on_progress(attempt, progress);
             }
             Event::Refused(failure) => {
                 attempt.end(outcome(&failure));
@@ -412,7 +413,7 @@
         let clock = attempt
             .target
             .beat()
-            .map(|(beat, at)| beat.clock + Millis::now().since(at));
+            .map(|(beat, at)| beat.sender_clock + Millis::now().since(at));
         let token = match &self.task {
             Task::Work(order) => Ticket {
                 purpose: Purpose::Resume,
@@ -429,27 +430,29 @@
         ticket::sign(&token, &self.shared.ticket_key)
     }
 
-    fn step(&mut self, attempt: Attempt, step: Step) {
-        match step {
-            Step::Nothing => self.current = Some(attempt),
-            Step::Bytes(bytes) => {
+    fn on_progress(&mut self, attempt: Attempt, progress: Progress) {
+        match progress {
+            Progress::Pending => self.current = Some(attempt),
+            Progress::Bytes(bytes) => {
                 self.give(bytes);
                 self.current = Some(attempt);
                 self.acknowledge();
             }
-            Step::Whole(bytes) => {
+            Progress::Complete(bytes) => {
                 self.give(bytes);
-                let end = attempt.assembly.ending().cloned();
+                let end = attempt.assembly.end_frame().cloned();
                 attempt.end(Outcome::Whole);
                 self.earn();
                 self.finished = true;
                 self.ready.extend(end.map(Item::Done));
             }
-            Step::Broken => {
+            Progress::Broken => {
                 attempt.detach();
                 self.tried.push(attempt.target.name.clone());
-                let failure =
-                    Failure::new(Code::TargetFailed, Ran::OutcomeUnknown);
+                let failure = Failure::new(
+                    Code::TargetFailed,
+                    Execution::OutcomeUnknown,
+                );
                 self.after_failure(failure);
             }
         }
@@ -468,11 +471,14 @@
     fn acknowledge(&mut self) {
         let Some(attempt) = &mut self.current else { return };
         let reached = attempt.assembly.length();
-        if reached - attempt.acknowledged < WINDOW / 4 {
+        if reached - attempt.acknowledged < SEND_WINDOW_BYTES / 4 {
             return;
         }
         attempt.acknowledged = reached;
-        let ack = Ack { attempt: attempt.assembly.attempt(), bytes: reached };
+        let ack = Ack {
+            attempt: attempt.assembly.attempt(),
+            delivered_bytes: reached,
+        };
         let _ = attempt.link.try_send(Frame::Ack(ack));
     }
 }
--- a/cowsliproad-entry/src/log.rs
+++ b/cowsliproad-entry/src/log.rs
@@ -15,7 +15,7 @@
 use cowsliproad_kernel::{
     clock::Millis,
     id,
-    wire::{Records, Snapshot},
+    wire::{ConfigRecords, ConfigSnapshot},
 };
 use cowsliproad_net::client::Error;
 use http::{Request, StatusCode};
@@ -100,11 +100,11 @@
         note(&shared, page.is_some());
         match page {
             None => sleep(READ_AGAIN).await,
-            Some(page) if page.first > next => {
+            Some(page) if page.first_offset > next => {
                 restore(&shared, page).await;
             }
             Some(page) => {
-                let next = page.first + page.records.len() as u64;
+                let next = page.first_offset + page.records.len() as u64;
                 if !page.records.is_empty() {
                     shared.control.tell(Event::Records(page)).await;
                     settle(&shared, next).await;
@@ -115,7 +115,11 @@
     }
 }
 
-async fn read(shared: &Shared, from: u64, wait_ms: u64) -> Option<Records> {
+async fn read(
+    shared: &Shared,
+    from: u64,
+    wait_ms: u64,
+) -> Option<ConfigRecords> {
     let uri = format!(
         "http://{}/records?from={from}&wait_ms={wait_ms}",
         shared.settings.log_service
@@ -129,14 +133,14 @@
     let decoded = page.records.iter().map(|it| STANDARD.decode(it));
     let records: Result<Vec<_>, _> = decoded.collect();
     let records = records.ok()?.into_iter().map(ByteBuf::from).collect();
-    Some(Records { first: page.first, records })
+    Some(ConfigRecords { first_offset: page.first, records })
 }
 
 /// Finds a snapshot when the records that come next have left the log. A
 /// peer or an agent may send one meanwhile, so a search that finds nothing
 /// is simply made again.
-async fn restore(shared: &Shared, mut page: Records) {
-    let oldest = page.first;
+async fn restore(shared: &Shared, mut page: ConfigRecords) {
+    let oldest = page.first_offset;
     warn!(shared.log, "log_trimmed"; "first" => oldest);
     while !page.records.is_empty() {
         let states = page.records.iter().filter_map(|it| snapshot_in(it));
@@ -144,11 +148,11 @@
         if let Some(state) = usable.max_by_key(|it| it.next()) {
             let next = state.next();
             let state = fold::encode_state(&state);
-            let snapshot = Snapshot { next, state };
+            let snapshot = ConfigSnapshot { next_offset: next, state };
             shared.control.tell(Event::Snapshot(snapshot)).await;
             return settle(shared, next).await;
         }
-        let next = page.first + page.records.len() as u64;
+        let next = page.first_offset + page.records.len() as u64;
         match read(shared, next, 0).await {
             Some(following) => page = following,
             None => break,
--- a/cowsliproad-entry/src/quarantine.rs
+++ b/cowsliproad-entry/src/quarantine.rs
@@ -10,7 +10,7 @@
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Ran},
+    code::{Code, Execution},
     gossip::Suspect,
     sync::lock,
     wire::Failure,
@@ -36,8 +36,9 @@
     let mut ledger = lock(&shared.quarantine);
     ledger.evict_expired(now);
     for suspect in suspects {
-        let work = WorkDigest(suspect.work).for_service(&target.service);
-        let suspect = Suspect { work: work.0, ..suspect };
+        let work =
+            WorkDigest(suspect.work_digest).for_service(&target.service);
+        let suspect = Suspect { work_digest: work.0, ..suspect };
         let change = ledger.merge(&suspect, now);
         if matches!(
             change,
@@ -70,7 +71,7 @@
 pub fn refusal(
     shared: &Shared,
     order: &Order,
-    ran: Ran,
+    ran: Execution,
     after: Millis,
 ) -> Failure {
     info!(shared.log, "refused"; "request" => %order.request,
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -20,9 +20,12 @@
     code::Code,
     id,
     sync::lock,
-    wire::{Beat, Data, End, Failure, Frame, Load, Phase, Presence, Refusal},
+    wire::{
+        AgentLoad, AnswerData, AnswerEnd, Failure, Frame, Heartbeat, Phase,
+        Presence, Refusal,
+    },
 };
-use cowsliproad_net::link::{Gone, Sender};
+use cowsliproad_net::link::{SendError, Sender};
 use cowsliproad_routing::{
     health::{self, Admit, Health},
     score::Candidate,
@@ -54,7 +57,7 @@
 
 #[derive(Debug, Default)]
 struct Stats {
-    beat: Option<Beat>,
+    beat: Option<Heartbeat>,
     beat_at: Millis,
     sent_since: u32,
     done_since: u32,
@@ -76,9 +79,9 @@
     /// The work was recorded under this request.
     Accepted(id::Request),
     /// A piece of the answer.
-    Data(Data),
+    Data(AnswerData),
     /// The end of the answer.
-    End(End),
+    End(AnswerEnd),
     /// The attempt ended without an answer.
     Refused(Failure),
     /// The link broke.
@@ -102,7 +105,7 @@
     /// `unreachable`, `ended`, `leaving`, `cooling`, `ejected` or `serving`.
     pub state: &'static str,
     /// The last load report.
-    pub load: Load,
+    pub load: AgentLoad,
     /// Its age.
     pub age: Millis,
     /// The configuration offset that the agent has folded up to.
@@ -150,7 +153,7 @@
     }
 
     /// Takes a heartbeat in.
-    pub fn take_beat(&self, beat: Beat, now: Millis) {
+    pub fn take_beat(&self, beat: Heartbeat, now: Millis) {
         let mut stats = lock(&self.stats);
         stats.health.stated(now, beat.cooldown);
         stats.beat = Some(beat);
@@ -160,7 +163,7 @@
     }
 
     /// The last heartbeat and when it came.
-    pub fn beat(&self) -> Option<(Beat, Millis)> {
+    pub fn beat(&self) -> Option<(Heartbeat, Millis)> {
         let stats = lock(&self.stats);
         stats.beat.clone().map(|beat| (beat, stats.beat_at))
     }
@@ -173,7 +176,7 @@
         linked
             && beat.is_some_and(|it| {
                 it.incarnation == incarnation
-                    || it.holds.contains(&incarnation)
+                    || it.inherited_incarnations.contains(&incarnation)
             })
     }
 
@@ -204,7 +207,8 @@
     /// The predicted time to the first token there, in microseconds.
     pub fn score(&self, distance_us: u32) -> u64 {
         let stats = lock(&self.stats);
-        let load = stats.beat.as_ref().map_or(Load::default(), |it| it.load);
+        let load =
+            stats.beat.as_ref().map_or(AgentLoad::default(), |it| it.load);
         let candidate = Candidate {
             load,
             sent_since: stats.sent_since,
@@ -260,9 +264,9 @@
         let beat = stats.beat.as_ref();
         Status {
             state,
-            load: beat.map_or(Load::default(), |it| it.load),
+            load: beat.map_or(AgentLoad::default(), |it| it.load),
             age: now.since(stats.beat_at),
-            offset: beat.map_or(0, |it| it.offset),
+            offset: beat.map_or(0, |it| it.next_config_offset),
         }
     }
 }
@@ -301,12 +305,12 @@
     }
 
     /// Sends a frame.
-    pub async fn send(&self, frame: Frame) -> Result<(), Gone> {
+    pub async fn send(&self, frame: Frame) -> Result<(), SendError> {
         self.sender.send(frame).await
     }
 
     /// Sends a frame if there is room.
-    pub fn try_send(&self, frame: Frame) -> Result<(), Gone> {
+    pub fn try_send(&self, frame: Frame) -> Result<(), SendError> {
         self.sender.try_send(frame)
     }
 
--- a/cowsliproad-net/src/hooked.rs
+++ b/cowsliproad-net/src/hooked.rs
@@ -1,7 +1,7 @@
-//! A connection that does a little more than pass bytes on.
+//! A TCP connection with hooks.
 //!
-//! What is read and written goes through unchanged; [`Hooks`] says what else
-//! is done on the way.
+//! Bytes that are read and written pass through unchanged. [`Hooks`] are
+//! called on reads and flushes and define how the connection is closed.
 
 use std::{
     io,
@@ -16,60 +16,62 @@
     net::TcpStream,
 };
 
-/// What is done beside passing bytes on. Nothing, unless it is said.
+/// Actions that a connection performs in addition to passing bytes on. By
+/// default there are none.
 pub trait Hooks: Unpin {
-    /// How a connection ends.
-    const ENDING: Ending = Ending::Orderly;
+    /// How the connection is closed.
+    const CLOSE_MODE: CloseMode = CloseMode::Graceful;
 
-    /// Notes that bytes came.
-    fn came(&mut self) {}
+    /// Called when bytes were read from the connection.
+    fn on_read(&mut self) {}
 
-    /// Bytes that go out before the next flush.
+    /// Returns bytes to send before the next flush.
     fn before_flush(&mut self) -> Vec<u8> {
         Vec::new()
     }
 }
 
-/// How a connection ends.
+/// How a connection is closed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ending {
-    /// What was written still arrives.
-    Orderly,
-    /// It is reset when it is dropped.
+pub enum CloseMode {
+    /// Close the connection gracefully: bytes that were written still arrive.
+    Graceful,
+    /// Reset the connection when it is dropped.
     Reset,
 }
 
-/// A connection with hooks.
+/// A TCP connection with hooks.
 #[derive(Debug)]
-pub struct Hooked<H> {
+pub struct HookedStream<H> {
     stream: TcpStream,
     hooks: H,
 }
 
-/// Ends a connection by a reset.
+/// Closes a connection by a TCP reset.
 ///
-/// A client that drops a connection has no use for its answer any more. Closed
-/// in good order, the other side may take it for one that has merely sent all
-/// that it had to say; and one that reads late, since its VM was frozen, finds
-/// a whole request to run. A reset discards what it has not read.
+/// A client that drops a connection no longer needs the response. After a
+/// graceful close, the server may believe that the client has only finished
+/// sending. A server that reads late because its VM was frozen would even find
+/// a complete request and run it. A reset discards bytes that the server has
+/// not read.
 #[derive(Clone, Copy, Debug)]
-pub struct Abrupt;
+pub struct ResetOnDrop;
 
-impl Hooks for Abrupt {
-    const ENDING: Ending = Ending::Reset;
+impl Hooks for ResetOnDrop {
+    const CLOSE_MODE: CloseMode = CloseMode::Reset;
 }
 
-impl<H: Hooks> Hooked<H> {
-    /// Takes a connection over.
-    pub fn new(stream: TcpStream, hooks: H) -> io::Result<Hooked<H>> {
-        if H::ENDING == Ending::Reset {
+impl<H: Hooks> HookedStream<H> {
+    /// Wraps a TCP connection with hooks.
+    pub fn new(stream: TcpStream, hooks: H) -> io::Result<HookedStream<H>> {
+        if H::CLOSE_MODE == CloseMode::Reset {
             SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
         }
-        Ok(Hooked { stream, hooks })
+        Ok(HookedStream { stream, hooks })
     }
 }
 
-impl<H: Hooks> AsyncRead for Hooked<H> {
+impl<H: Hooks> AsyncRead for HookedStream<H> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -78,13 +80,13 @@
         let before = buffer.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
         if buffer.filled().len() > before {
-            self.hooks.came();
+            self.hooks.on_read();
         }
         polled
     }
 }
 
-impl<H: Hooks> AsyncWrite for Hooked<H> {
+impl<H: Hooks> AsyncWrite for HookedStream<H> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -111,7 +113,7 @@
     ) -> Poll<io::Result<()>> {
         let tail = self.hooks.before_flush();
         if !tail.is_empty() {
-            // A few bytes fit into the empty buffer of a socket.
+            // The socket's send buffer is empty and has room for a few bytes.
             let _ = Pin::new(&mut self.stream).poll_write(context, &tail);
         }
         Pin::new(&mut self.stream).poll_flush(context)
@@ -121,11 +123,11 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<io::Result<()>> {
-        match H::ENDING {
-            Ending::Orderly => {
+        match H::CLOSE_MODE {
+            CloseMode::Graceful => {
                 Pin::new(&mut self.stream).poll_shutdown(context)
             }
-            Ending::Reset => Poll::Ready(Ok(())),
+            CloseMode::Reset => Poll::Ready(Ok(())),
         }
     }
 }
--- a/cowsliproad-net/src/server.rs
+++ b/cowsliproad-net/src/server.rs
@@ -1,10 +1,11 @@
-//! HTTP servers that stop when told to.
+//! HTTP servers with a graceful stop.
 //!
-//! The library's own graceful stop waits a fixed time and is bound to
-//! signals. A program here counts its requests in flight itself, and a
-//! [`Door`] ends the accepting. A connection reaches the library only when
-//! its first request head has arrived, so callers that dribble headers hold
-//! a socket for [`HEAD_TIMEOUT`] and no more.
+//! The graceful shutdown of the volo library waits a fixed time and is tied
+//! to signals. Instead, each program counts its own in-flight requests, and
+//! an [`AcceptHandle`] stops a server from accepting connections. A connection
+//! is passed to volo only once its first request head has arrived. A client
+//! that sends its headers slowly therefore occupies nothing but a socket, and
+//! for at most [`REQUEST_HEAD_TIMEOUT`].
 
 use std::{
     convert::Infallible,
@@ -36,74 +37,81 @@
     server::Server,
 };
 
-/// How long a connection may take to send its first request head.
-pub const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
+/// The time limit for a connection to send its first request head.
+pub const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Connections that may wait for their first request head.
-const MAX_PENDING: usize = 1024;
+/// The capacity of the queue of connections that have sent their first request
+/// head and wait for the server.
+const MAX_PENDING_CONNECTIONS: usize = 1024;
 
-/// The largest request head that is waited for, in bytes.
-const MAX_HEAD: usize = 16 << 10;
+/// The largest request head to wait for. A connection with a longer head is
+/// passed to the server at once.
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// How often an incomplete head is looked at again.
-const LOOK_AGAIN: Duration = Duration::from_millis(10);
+/// How often an incomplete request head is checked again.
+const HEAD_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Ends the accepting of connections.
+/// A handle that stops a server from accepting connections.
 #[derive(Clone, Debug)]
-pub struct Door {
+pub struct AcceptHandle {
     open: watch::Sender<bool>,
 }
 
-impl Door {
-    /// An open door.
-    pub fn new() -> Door {
-        Door { open: watch::Sender::new(true) }
+impl AcceptHandle {
+    /// Creates a handle for a server that accepts connections.
+    pub fn new() -> AcceptHandle {
+        AcceptHandle { open: watch::Sender::new(true) }
     }
 
-    /// Accepts no more connections.
+    /// Stops the server from accepting connections.
     pub fn close(&self) {
         self.open.send_replace(false);
     }
 
-    /// Whether connections are accepted.
+    /// Whether the server accepts connections.
     pub fn is_open(&self) -> bool {
         *self.open.borrow()
     }
 
-    /// Waits until the door is closed.
+    /// Waits until the server has stopped accepting connections.
     pub async fn closed(&self) {
         let mut open = self.open.subscribe();
-        // The sender lives as long as `self`, so waiting can't fail.
+        // `self` owns the sender, so the wait can't fail.
         let _ = open.wait_for(|open| !open).await;
     }
 }
 
-impl Default for Door {
-    fn default() -> Door {
-        Door::new()
+impl Default for AcceptHandle {
+    fn default() -> AcceptHandle {
+        AcceptHandle::new()
     }
 }
 
-/// A bound socket that volo accepts connections from.
+/// A bound socket from which volo accepts connections.
 pub struct Listener {
     address: SocketAddr,
     accepted: mpsc::Receiver<TcpStream>,
 }
 
 impl Listener {
-    /// Binds an address and starts accepting while the door is open.
+    /// Binds an address and accepts connections until the accept handle is
+    /// closed.
     pub async fn bind(
         address: SocketAddr,
-        door: &Door,
+        accept_handle: &AcceptHandle,
     ) -> io::Result<Listener> {
         let socket = TcpListener::bind(address).await?;
         let address = socket.local_addr()?;
-        let (sender, accepted) = mpsc::channel(MAX_PENDING);
-        tokio::spawn(accept(socket, door.clone(), sender));
+        let (sender, accepted) = mpsc::channel(MAX_PENDING_CONNECTIONS);
+        tokio::spawn(accept_connections(
+            socket,
+            accept_handle.clone(),
+            sender,
+        ));
         Ok(Listener { address, accepted })
     }
 
-    /// The bound address.
+    /// Returns the bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -119,8 +127,9 @@
     async fn accept(&mut self) -> io::Result<Option<Conn>> {
         match self.accepted.recv().await {
             Some(stream) => Ok(Some(Conn::from(ConnStream::from(stream)))),
-            // The library would ask again at once, so a closed door never
-            // answers. The server's task is dropped with its program.
+            // Volo would call `accept` again as soon as it returned `None`,
+            // so `accept` never returns after the accept handle is closed.
+            // The server's task is dropped when its program ends.
             None => std::future::pending().await,
         }
     }
@@ -134,40 +143,45 @@
     }
 }
 
-async fn accept(
+async fn accept_connections(
     socket: TcpListener,
-    door: Door,
+    accept_handle: AcceptHandle,
     sender: mpsc::Sender<TcpStream>,
 ) {
     loop {
         let stream = tokio::select! {
             accepted = socket.accept() => accepted,
-            () = door.closed() => return,
+            () = accept_handle.closed() => return,
         };
         match stream {
             Ok((stream, _)) => {
-                tokio::spawn(await_head(stream, sender.clone()));
+                tokio::spawn(pass_on_after_head(stream, sender.clone()));
             }
-            // Out of file descriptors, most likely: let some close.
-            Err(_) => sleep(LOOK_AGAIN).await,
+            // Most likely the process is out of file descriptors. Wait until
+            // other connections are closed.
+            Err(_) => sleep(HEAD_POLL_INTERVAL).await,
         }
     }
 }
 
-/// Passes a connection on when a whole request head is in its buffer.
-async fn await_head(stream: TcpStream, sender: mpsc::Sender<TcpStream>) {
-    let deadline = Instant::now() + HEAD_TIMEOUT;
-    let mut head = vec![0; MAX_HEAD];
+/// Passes a connection on once its socket buffer holds a complete request
+/// head.
+async fn pass_on_after_head(
+    stream: TcpStream,
+    sender: mpsc::Sender<TcpStream>,
+) {
+    let deadline = Instant::now() + REQUEST_HEAD_TIMEOUT;
+    let mut head = vec![0; MAX_HEAD_BYTES];
     loop {
         let peeked = timeout_at(deadline, stream.peek(&mut head)).await;
         let Ok(Ok(length)) = peeked else { return };
         if length == 0 {
             return;
         }
-        if is_complete(&head[..length]) {
+        if is_head_complete(&head[..length]) {
             break;
         }
-        sleep(LOOK_AGAIN).await;
+        sleep(HEAD_POLL_INTERVAL).await;
         if Instant::now() >= deadline {
             return;
         }
@@ -175,40 +189,41 @@
     let _ = sender.send(stream).await;
 }
 
-fn is_complete(head: &[u8]) -> bool {
-    head.len() == MAX_HEAD || head.windows(4).any(|end| end == b"\r\n\r\n")
+fn is_head_complete(head: &[u8]) -> bool {
+    head.len() == MAX_HEAD_BYTES
+        || head.windows(4).any(|end| end == b"\r\n\r\n")
 }
 
-/// What answers the requests of a server.
+/// Handles the requests of a server.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Returns the response to a request.
     fn handle(
         &self,
         request: Request,
     ) -> impl Future<Output = Response> + Send;
 }
 
-/// Serves a listener until the door is closed, and goes on serving the
-/// connections that it has for as long as the runtime lives.
+/// Serves the requests of a listener until the accept handle is closed.
+/// Connections that are already open are served until the runtime stops.
 pub async fn serve<H: Handler>(
     listener: Listener,
     handler: Arc<H>,
-    door: Door,
+    accept_handle: AcceptHandle,
 ) -> io::Result<()> {
-    let mut server = Server::new(App(handler));
+    let mut server = Server::new(HandlerService(handler));
     server.http1_config().set_max_headers(MAX_HEADERS);
     let server = server.register_shutdown_hook(move || {
-        Box::pin(async move { door.closed().await })
+        Box::pin(async move { accept_handle.closed().await })
     });
     server.run(listener).await.map_err(io::Error::other)
 }
 
-/// The most header lines of a request.
+/// The largest number of header lines in a request.
 const MAX_HEADERS: usize = 64;
 
-struct App<H>(Arc<H>);
+struct HandlerService<H>(Arc<H>);
 
-impl<H: Handler> Service<ServerContext, Request> for App<H> {
+impl<H: Handler> Service<ServerContext, Request> for HandlerService<H> {
     type Response = Response;
     type Error = Infallible;
 
@@ -221,42 +236,42 @@
     }
 }
 
-/// Why a body was not read.
+/// Why a request body could not be read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BodyError {
-    /// It is larger than allowed.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// It took too long.
-    Slow,
-    /// The caller stopped in its middle.
-    Cut,
+    /// The body did not arrive in time.
+    TimedOut,
+    /// The connection broke before the body was complete.
+    Incomplete,
 }
 
-/// Reads a whole body of at most `limit` bytes within `patience`.
+/// Reads a request body of at most `limit` bytes within `time_limit`.
 pub async fn read_body(
     body: Body,
     limit: usize,
-    patience: Duration,
+    time_limit: Duration,
 ) -> Result<Bytes, BodyError> {
-    match timeout(patience, Limited::new(body, limit).collect()).await {
-        Err(_) => Err(BodyError::Slow),
+    match timeout(time_limit, Limited::new(body, limit).collect()).await {
+        Err(_) => Err(BodyError::TimedOut),
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             Err(BodyError::TooLarge)
         }
-        Ok(Err(_)) => Err(BodyError::Cut),
+        Ok(Err(_)) => Err(BodyError::Incomplete),
     }
 }
 
-/// A stream that may be shared between threads, as a response body must be,
-/// although only one task ever polls it.
+/// Makes a stream `Sync`, as volo requires of response bodies, although only
+/// one task ever polls it.
 #[derive(Debug)]
 pub struct SyncStream<S> {
     inner: Mutex<Pin<Box<S>>>,
 }
 
 impl<S: Stream> SyncStream<S> {
-    /// Wraps a stream.
+    /// Creates a `SyncStream` from a stream.
     pub fn new(stream: S) -> SyncStream<S> {
         SyncStream { inner: Mutex::new(Box::pin(stream)) }
     }
@@ -275,7 +290,7 @@
     }
 }
 
-/// The number given for a name in the query of a request.
+/// Parses the value of the query parameter `name` as a number.
 pub fn query_number(request: &Request, name: &str) -> Option<u64> {
     let pairs = request.uri().query()?.split('&');
     let mut pairs = pairs.filter_map(|pair| pair.split_once('='));
--- a/cowsliproad-rank/tests/group/main.rs
+++ b/cowsliproad-rank/tests/group/main.rs
@@ -15,7 +15,9 @@
     time::{Duration, Instant},
 };
 
-use cowsliproad_kernel::gossip::{self, Datagram, Load, Lost, Subscribe};
+use cowsliproad_kernel::gossip::{
+    self, Datagram, EngineExit, EngineLoad, Subscribe,
+};
 use cowsliproad_platform::{SETTINGS_VARIABLE, log::COORDINATORS_TOPIC};
 use cowsliproad_platform_standin::{
     group::{self, Frozen, Group},
@@ -43,8 +45,8 @@
     log: Arc<Log>,
     log_address: SocketAddr,
     agents: Vec<Agent>,
-    loads: Arc<std::sync::Mutex<Vec<Load>>>,
-    losts: Arc<std::sync::Mutex<Vec<Lost>>>,
+    loads: Arc<std::sync::Mutex<Vec<EngineLoad>>>,
+    losts: Arc<std::sync::Mutex<Vec<EngineExit>>>,
 }
 
 struct Agent {
@@ -108,7 +110,7 @@
         };
         let name = format!("cowsliproad-{vm}.json");
         let file = std::env::temp_dir().join(name);
-        let text = cowsliproad_kernel::settings::print(&settings);
+        let text = cowsliproad_kernel::settings::to_json(&settings);
         fs::write(&file, text).expect("a settings file");
         Agent { child: spawn(&file), file }
     }
@@ -118,14 +120,14 @@
         let own = SocketAddr::from((vm(self.net, 200), PEERS));
         let socket = Arc::new(UdpSocket::bind(own).await.expect("a socket"));
         let message = gossip::encode(&Subscribe {
-            list: gossip::list_of(&targets),
+            list_id: gossip::target_list_id(&targets),
             targets: targets.clone(),
-            sets: 2,
-            experts: EXPERTS as u16,
-            places: 6,
-            spare: 2,
-            copy_ms: 0,
-            era: Default::default(),
+            layer_sets: 2,
+            experts_per_set: EXPERTS as u16,
+            slots_per_set: 6,
+            max_new_experts_per_set: 2,
+            expert_copy_ms: 0,
+            log_era: Default::default(),
         });
         let asking = socket.clone();
         tokio::spawn(async move {
@@ -146,7 +148,7 @@
                     Some(Datagram::Load(load)) => {
                         loads.lock().expect("no panic").push(load);
                     }
-                    Some(Datagram::Lost(lost)) => {
+                    Some(Datagram::EngineExit(lost)) => {
                         losts.lock().expect("no panic").push(lost);
                     }
                     _ => {}
--- a/cowsliproad-routing/src/score.rs
+++ b/cowsliproad-routing/src/score.rs
@@ -5,13 +5,13 @@
 //! submissions and completions since the report. Without the correction all
 //! entries send to the target that looked idle until the next report comes.
 
-use cowsliproad_kernel::wire::Load;
+use cowsliproad_kernel::wire::AgentLoad;
 
 /// What an entry knows of one target.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Candidate {
     /// The last load report.
-    pub load: Load,
+    pub load: AgentLoad,
     /// Own submissions since that report.
     pub sent_since: u32,
     /// Own completions since that report.
@@ -42,7 +42,7 @@
     /// The predicted time to the first token, in microseconds.
     pub fn first_token_us(&self) -> u64 {
         let slots = u64::from(self.load.slots.max(1));
-        let service = match u64::from(self.load.service_us) {
+        let service = match u64::from(self.load.mean_service_us) {
             0 => FIRST_GUESS_US,
             known => known,
         };
