--- a/cowsliproad-direct/tests/entry/answers.rs
+++ b/cowsliproad-direct/tests/entry/answers.rs
@@ -13,7 +13,7 @@
     let answer = entry.ask("/many/a?b=c").await.expect("an answer");
     assert_eq!(answer.status(), StatusCode::OK);
     assert_eq!(answer.body(), "whole answer of i-1");
-    let runs = target.runs();
+    let runs = target.executed_requests();
     assert_eq!(runs.len(), 1);
     assert_eq!(runs[0].request_line, "POST /many/a?b=c");
     assert_eq!(runs[0].body, "body");
@@ -35,7 +35,10 @@
     let answer = entry.ask_with("/many/a", "stolen", "").await;
     let answer = answer.expect("an answer");
     assert_eq!(answer.status(), StatusCode::UNAUTHORIZED);
-    assert_eq!((plain.runs().len(), model.runs().len()), (0, 1));
+    assert_eq!(
+        (plain.executed_requests().len(), model.executed_requests().len()),
+        (0, 1)
+    );
 }
 
 /// A call that must not be repeated meets a fault: its caller hears what is
@@ -49,7 +52,7 @@
     two.set_fault(fault);
     let answer = entry.ask("/once/a").await.expect("an answer");
     assert_eq!(answer.status(), status, "{fault:?}");
-    let ran = one.runs().len() + two.runs().len();
+    let ran = one.executed_requests().len() + two.executed_requests().len();
     assert_eq!(ran, runs, "{fault:?}");
 }
 
@@ -101,7 +104,7 @@
         assert_eq!(answer.status(), StatusCode::OK, "{fault:?}");
         let body = String::from_utf8_lossy(answer.body());
         assert!(body.starts_with("whole answer of i-"), "{fault:?}");
-        one.arrivals() > 0
+        one.arrival_count() > 0
     })
     .await;
 }
--- a/cowsliproad-direct/tests/entry/callers.rs
+++ b/cowsliproad-direct/tests/entry/callers.rs
@@ -45,8 +45,11 @@
     let two = head("/many/2", "Content-Length: 0\r\n");
     let read = exchange(&entry, &format!("{one}{two}")).await;
     assert_eq!(read.matches("HTTP/1.1 200").count(), 2, "{read}");
-    let lines: Vec<String> =
-        target.runs().into_iter().map(|it| it.request_line).collect();
+    let lines: Vec<String> = target
+        .executed_requests()
+        .into_iter()
+        .map(|it| it.request_line)
+        .collect();
     assert_eq!(lines, ["POST /many/1", "POST /many/2"]);
 }
 
@@ -59,7 +62,7 @@
     let bytes = format!("{head}3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
     let read = exchange(&entry, &bytes).await;
     assert!(read.starts_with("HTTP/1.1 200"), "{read}");
-    assert_eq!(target.runs()[0].body, "abcde");
+    assert_eq!(target.executed_requests()[0].body, "abcde");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -76,7 +79,11 @@
     let bytes = format!("{}{hidden}", head("/many/1", odd));
     let read = exchange(&entry, &bytes).await;
     assert!(read.starts_with("HTTP/1.1 400"), "{read}");
-    assert!(target.runs().is_empty(), "{:?}", target.runs());
+    assert!(
+        target.executed_requests().is_empty(),
+        "{:?}",
+        target.executed_requests()
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -91,7 +98,7 @@
     let wide = format!("X-Wide: {}\r\n", "x".repeat(40_000));
     let read = exchange(&entry, &head("/many/1", &wide)).await;
     assert!(read.starts_with("HTTP/1.1 431"), "{read}");
-    assert!(target.runs().is_empty());
+    assert!(target.executed_requests().is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -116,5 +123,5 @@
     let more = format!("{left}Content-Length: 10\r\n");
     let read = exchange(&entry, &head("/once/1", &more)).await;
     assert!(read.starts_with("HTTP/1.1 408"), "{read}");
-    assert!(target.runs().is_empty());
+    assert!(target.executed_requests().is_empty());
 }
--- a/cowsliproad-direct/tests/entry/connections.rs
+++ b/cowsliproad-direct/tests/entry/connections.rs
@@ -4,7 +4,7 @@
 
 use cowsliproad_net::client::Client;
 use cowsliproad_platform::header;
-use cowsliproad_platform_standin::target::{Config, Target};
+use cowsliproad_platform_standin::target::{Target, TargetConfig};
 use http::{HeaderValue, StatusCode};
 use http_body_util::BodyExt;
 use tokio::{io::AsyncReadExt, time::sleep};
@@ -20,7 +20,7 @@
         let answer = entry.ask("/many/a").await.expect("an answer");
         assert_eq!(answer.status(), StatusCode::OK);
     }
-    assert_eq!(target.connections().opened, 1);
+    assert_eq!(target.connection_counts().opened_count, 1);
 }
 
 /// A target that takes so many connections from all entries together.
@@ -28,8 +28,8 @@
     let mut plant = Plant::start().await;
     plant.catalog = plant.catalog.clone().with_max_connections("plain", most);
     plant.catalog.publish(&plant.log);
-    let config =
-        Config::new("i-1", "plain", "a").with_delay(Duration::from_millis(60));
+    let config = TargetConfig::new("i-1", "plain", "a")
+        .with_response_delay(Duration::from_millis(60));
     let target = plant.target_with(config).await;
     (plant, target)
 }
@@ -61,8 +61,8 @@
     let entries = plant.entries(MOST as usize).await;
     for path in ["/many/a", "/once/a"] {
         let good = at_once(&entries, path, 48).await;
-        let connections = target.connections();
-        let settled = connections.max_open_settled;
+        let connections = target.connection_counts();
+        let settled = connections.max_settled_open_count;
         assert!(settled <= MOST as usize, "{path}: {connections:?}");
         assert_eq!(good, 48, "{path}");
         // What must not be repeated takes no connection that idled for long.
@@ -77,8 +77,8 @@
     // Each has to know of the other before it knows its share.
     let entries = plant.entries(2).await;
     let good = at_once(&entries, "/many/a", 48).await;
-    let connections = target.connections();
-    assert!(connections.max_open <= MOST as usize, "{connections:?}");
+    let connections = target.connection_counts();
+    assert!(connections.max_open_count <= MOST as usize, "{connections:?}");
     // Whoever found no connection free waited for one.
     assert_eq!(good, 48);
 }
@@ -88,7 +88,7 @@
     const EVENTS: u64 = 800;
     const BYTES: usize = 64 << 10;
     let mut plant = Plant::start().await;
-    let config = Config::new("i-1", "model", "a")
+    let config = TargetConfig::new("i-1", "model", "a")
         .with_events(EVENTS, Duration::ZERO)
         .with_event_padding(BYTES);
     let target = plant.target_with(config).await;
--- a/cowsliproad-direct/tests/entry/cooldown_siege.rs
+++ b/cowsliproad-direct/tests/entry/cooldown_siege.rs
@@ -20,7 +20,7 @@
 use cowsliproad_platform::header;
 use cowsliproad_platform_standin::{
     log,
-    target::{self, Arrival, Config, Fault, Target},
+    target::{self, Arrival, Fault, Target, TargetConfig},
 };
 use http::StatusCode;
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -186,7 +186,7 @@
                 5 => self.lapse(place).await,
                 6 => self.restart(place).await,
                 _ => {
-                    place.target.borrow().set_leaving(Some("1"));
+                    place.target.borrow().set_leaving_header(Some("1"));
                     sleep(Duration::from_millis(500)).await;
                     self.restart(place).await;
                 }
@@ -268,10 +268,12 @@
         let log = target.arrival_log();
         let mut unwanted = Vec::new();
         for arrival in &log {
-            let Some(process) = asked.get(&arrival.request) else { continue };
+            let Some(process) = asked.get(&arrival.request_id) else {
+                continue;
+            };
             let breaks = |earlier: &Arrival| {
                 let since = earlier.arrived_at + ON_ITS_WAY;
-                let told = asked.get(&earlier.request);
+                let told = asked.get(&earlier.request_id);
                 let own = told == Some(process);
                 let stated = earlier.retry_after.as_deref();
                 let wait = STATED.iter().find(|it| Some(it.0) == stated);
@@ -280,7 +282,7 @@
                 let rests = own
                     && arrival.arrived_at > since
                     && arrival.arrived_at < until;
-                let left = earlier.leaving
+                let left = earlier.stated_leaving
                     && arrival.arrived_at
                         > if own { since } else { since + TOLD };
                 (rests || left)
@@ -311,9 +313,9 @@
         for place in &self.places {
             self.announce(Some(place), entries).await;
             for entry in entries {
-                let before = place.target.borrow().arrivals();
+                let before = place.target.borrow().arrival_count();
                 let answer = entry.ask("/many/a").await;
-                let arrivals = place.target.borrow().arrivals();
+                let arrivals = place.target.borrow().arrival_count();
                 let status = answer.ok().map(|it| it.status());
                 if status != Some(StatusCode::OK) || arrivals == before {
                     unused.push(entry.settings.vm.to_string());
@@ -345,9 +347,9 @@
     }
 }
 
-fn config(number: usize, start: u64) -> Config {
-    Config::new(&format!("i-{number}"), "plain", "a")
-        .with_delay(Duration::from_millis(5))
+fn config(number: usize, start: u64) -> TargetConfig {
+    TargetConfig::new(&format!("i-{number}"), "plain", "a")
+        .with_response_delay(Duration::from_millis(5))
         .with_start_time(start)
 }
 
--- a/cowsliproad-direct/tests/entry/cooldowns.rs
+++ b/cowsliproad-direct/tests/entry/cooldowns.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use cowsliproad_net::client::Client;
 use cowsliproad_platform::header;
-use cowsliproad_platform_standin::target::{Config, Fault, Target};
+use cowsliproad_platform_standin::target::{Fault, Target, TargetConfig};
 use http::{Response, StatusCode, header::RETRY_AFTER};
 use tokio::{task::JoinSet, time::sleep};
 
@@ -32,7 +32,7 @@
 async fn refuse_once(entry: &Entry, target: &Target, path: &str, value: &str) {
     target.set_retry_after(Some(value));
     target.set_fault(Fault::Refuse);
-    let before = target.arrivals();
+    let before = target.arrival_count();
     let mut asked = JoinSet::new();
     until("the target refuses a request", async || {
         let request = entry.request(path, KEY, "body");
@@ -40,7 +40,7 @@
             Client::new().call(request, 1 << 20, 8 * SECOND).await
         });
         sleep(Duration::from_millis(30)).await;
-        target.arrivals() > before
+        target.arrival_count() > before
     })
     .await;
     target.set_fault(Fault::None);
@@ -79,13 +79,13 @@
         let targets = plant.uneven_targets(service).await;
         let entry = plant.entry().await;
         refuse_once(&entry, &targets[0], path, "2").await;
-        let before = targets[0].arrivals();
+        let before = targets[0].arrival_count();
         let time = Duration::from_millis(1_800);
         let heard = load(&[&entry], path, PAUSE, time).await;
         assert_eq!((heard.refused, heard.other), (0, 0), "{path}: {heard:?}");
-        assert_eq!(targets[0].arrivals(), before, "{path}");
+        assert_eq!(targets[0].arrival_count(), before, "{path}");
         load(&[&entry], path, PAUSE, 2 * SECOND).await;
-        let got = targets[0].arrivals() - before;
+        let got = targets[0].arrival_count() - before;
         assert!(got >= 5, "{path}: it is left idle: {got}");
     }
 }
@@ -108,7 +108,7 @@
             let after = retry_after(&answer).expect("when to come back");
             assert!((2.0..=4.0).contains(&after), "{path}: {after}");
         }
-        assert_eq!(target.arrivals(), 1, "{path}");
+        assert_eq!(target.arrival_count(), 1, "{path}");
     }
 }
 
@@ -134,7 +134,7 @@
         assert!(begun.elapsed() < Duration::from_secs(10), "never refused");
     };
     assert!(after <= 0.5, "{after}");
-    assert_eq!(targets[0].arrivals(), 1);
+    assert_eq!(targets[0].arrival_count(), 1);
 }
 
 /// Guards against a second try that goes to a target within its Retry-After.
@@ -144,11 +144,11 @@
     let targets = plant.uneven_targets("plain").await;
     let entry = plant.entry().await;
     refuse_once(&entry, &targets[0], "/many/a", "3").await;
-    let before = targets[0].arrivals();
+    let before = targets[0].arrival_count();
     targets[1].set_fault(Fault::Failing);
     targets[2].set_fault(Fault::Slow(SECOND));
     load(&[&entry], "/many/a", PAUSE, SECOND).await;
-    assert_eq!(targets[0].arrivals(), before);
+    assert_eq!(targets[0].arrival_count(), before);
 }
 
 /// Guards against a stream that is resumed at a target within its Retry-After.
@@ -158,13 +158,13 @@
     let targets = plant.uneven_targets("model").await;
     let entry = plant.entry().await;
     refuse_once(&entry, &targets[0], "/stream/a", "3").await;
-    let before = targets[0].arrivals();
+    let before = targets[0].arrival_count();
     for _ in 0..10 {
         targets[1].set_fault(Fault::Cut);
         targets[2].set_fault(Fault::Cut);
         entry.ask("/stream/a").await.expect("a stream");
     }
-    assert_eq!(targets[0].arrivals(), before);
+    assert_eq!(targets[0].arrival_count(), before);
 }
 
 /// Guards against a success of an earlier request that ends a cooldown.
@@ -179,14 +179,14 @@
         let client = Client::new();
         client.call(request, 1 << 20, 4 * SECOND).await
     });
-    until("it is under way", async || target.arrivals() == 1).await;
+    until("it is under way", async || target.arrival_count() == 1).await;
     refuse_once(&entry, &target, "/once/a", "5").await;
-    assert_eq!(target.arrivals(), 2);
+    assert_eq!(target.arrival_count(), 2);
     let answer = asked.await.expect("no panic").expect("an answer");
     assert_eq!(answer.status(), StatusCode::OK);
     let heard = load(&[&entry], "/many/a", PAUSE, SECOND).await;
     assert_eq!((heard.good, heard.other), (0, 0), "{heard:?}");
-    assert_eq!(target.arrivals(), 2);
+    assert_eq!(target.arrival_count(), 2);
 }
 
 /// Guards against values that name no time and keep a target out of use.
@@ -235,15 +235,15 @@
         let targets = plant.uneven_targets("plain").await;
         let entry = plant.entry().await;
         refuse_once(&entry, &targets[0], "/many/a", &value).await;
-        let before = targets[0].arrivals();
+        let before = targets[0].arrival_count();
         let kept = Duration::from_millis(kept_ms);
         let heard = load(&[&entry], "/many/a", PAUSE, kept).await;
         assert_eq!((heard.refused, heard.other), (0, 0), "{value}: {heard:?}");
-        assert_eq!(targets[0].arrivals(), before, "{value}");
+        assert_eq!(targets[0].arrival_count(), before, "{value}");
         let Some(over_ms) = over_ms else { continue };
         let over = Duration::from_millis(over_ms) - kept + SECOND;
         load(&[&entry], "/many/a", PAUSE, over).await;
-        assert!(targets[0].arrivals() > before, "{value}: left idle");
+        assert!(targets[0].arrival_count() > before, "{value}: left idle");
     }
 }
 
@@ -253,8 +253,9 @@
     // Under its name at another address, and at its address by another name.
     for id in ["i-1", "i-2"] {
         let mut plant = Plant::start().await;
-        let config =
-            |id, start| Config::new(id, "plain", "a").with_start_time(start);
+        let config = |id, start| {
+            TargetConfig::new(id, "plain", "a").with_start_time(start)
+        };
         let first = plant.target_with(config("i-1", 1)).await;
         let entry = plant.entry().await;
         refuse_once(&entry, &first, "/many/a", "1e9").await;
@@ -263,7 +264,7 @@
         first.kill();
         let address = match id {
             "i-1" => plant.target_site().0,
-            _ => first.address().expect("an address"),
+            _ => first.listen_address().expect("an address"),
         };
         if id != "i-1" {
             first.withdraw(&plant.log);
@@ -285,7 +286,7 @@
             answer.status() == StatusCode::OK
         })
         .await;
-        assert!(next.arrivals() > 0);
+        assert!(next.arrival_count() > 0);
     }
 }
 
@@ -296,7 +297,7 @@
     let targets = plant.uneven_targets("plain").await;
     let entry = plant.entry().await;
     refuse_once(&entry, &targets[0], "/many/a", "6").await;
-    let before = targets[0].arrivals();
+    let before = targets[0].arrival_count();
     let knows = async |count: f64| {
         until("the entry knows so many targets", async || {
             entry.metric("targets").await == Some(count)
@@ -309,7 +310,7 @@
     knows(3.0).await;
     let heard = load(&[&entry], "/many/a", PAUSE, SECOND).await;
     assert_eq!((heard.refused, heard.other), (0, 0), "{heard:?}");
-    assert_eq!(targets[0].arrivals(), before);
+    assert_eq!(targets[0].arrival_count(), before);
 }
 
 /// Guards against a cooldown that is kept by entries that were not asked.
@@ -319,9 +320,9 @@
     let targets = plant.uneven_targets("plain").await;
     let entries = plant.entries(2).await;
     refuse_once(&entries[0], &targets[0], "/many/a", "3").await;
-    let before = targets[0].arrivals();
+    let before = targets[0].arrival_count();
     load(&entries[1..], "/many/a", PAUSE, SECOND).await;
-    let got = targets[0].arrivals() - before;
+    let got = targets[0].arrival_count() - before;
     assert!(got >= 20, "it is left idle: {got}");
 }
 
@@ -335,7 +336,7 @@
     for target in &targets {
         refuse_once(&entry, target, "/many/a", "3.5").await;
     }
-    let arrivals = || targets.iter().map(|it| it.arrivals()).sum::<u64>();
+    let arrivals = || targets.iter().map(|it| it.arrival_count()).sum::<u64>();
     let before = arrivals();
     for path in ["/once/a", "/many/a"] {
         let begun = Instant::now();
@@ -364,13 +365,13 @@
     let entry = plant.entry().await;
     refuse_once(&entry, &target, "/many/a", "0.8").await;
     let begun = Instant::now();
-    let before = target.arrivals();
+    let before = target.arrival_count();
     let answers = at_once(&entry, "/once/a", 30).await;
     for answer in &answers {
         assert_eq!(answer.status(), StatusCode::OK, "{answer:?}");
     }
     // The one that was refused is among them.
-    assert!((30..=32).contains(&(target.arrivals() - before)));
+    assert!((30..=32).contains(&(target.arrival_count() - before)));
     let mut times = target.arrival_times();
     times.retain(|it| *it >= begun);
     let first = times[0] - begun;
@@ -390,14 +391,14 @@
     load(&[&entry], "/many/a", PAUSE, SECOND).await;
     target.set_retry_after(Some("1.5"));
     target.set_fault(Fault::Refuse);
-    let begun = target.arrivals();
+    let begun = target.arrival_count();
     let callers = [&entry];
     let (_, quiet) =
         tokio::join!(load(&callers, "/many/a", PAUSE, 2 * SECOND), async {
-            until("it refuses", async || target.arrivals() > begun).await;
-            let before = target.arrivals();
+            until("it refuses", async || target.arrival_count() > begun).await;
+            let before = target.arrival_count();
             sleep(Duration::from_millis(1_400)).await;
-            target.arrivals() - before
+            target.arrival_count() - before
         });
     assert_eq!(quiet, 0);
 }
@@ -484,13 +485,13 @@
     let often = Duration::from_millis(2);
     let heard = load(&[&entry], "/many/a", often, 2 * SECOND).await;
     assert_eq!((heard.refused, heard.other), (0, 0), "{heard:?}");
-    let got = targets[0].arrivals();
+    let got = targets[0].arrival_count();
     assert!((5..=11).contains(&got), "{got} in 2 s");
     // Once it takes requests it gets its part at once.
     targets[0].set_fault(Fault::None);
     sleep(Duration::from_millis(200)).await;
     load(&[&entry], "/many/a", often, SECOND).await;
-    let got = targets[0].arrivals() - got;
+    let got = targets[0].arrival_count() - got;
     assert!(got >= 50, "it is left idle: {got}");
 }
 
@@ -516,7 +517,7 @@
     );
     let used = used() - before;
     let memory = entries.iter().map(Entry::memory).max().unwrap_or(0) >> 10;
-    let shed = targets[0].arrivals();
+    let shed = targets[0].arrival_count();
     println!(
         "served {} and {} that run once, refused {} and {}, other {}; shed \
          {shed}; processor {} ms, memory {memory} KB at most",
--- a/cowsliproad-direct/tests/entry/group_crashes.rs
+++ b/cowsliproad-direct/tests/entry/group_crashes.rs
@@ -6,7 +6,7 @@
 };
 
 use cowsliproad_net::client::Client;
-use cowsliproad_platform_standin::target::{Config, Target};
+use cowsliproad_platform_standin::target::{Target, TargetConfig};
 use futures_util::future::join_all;
 use http::{StatusCode, header::RETRY_AFTER};
 use tokio::time::sleep;
@@ -63,17 +63,17 @@
     }
 
     fn ended(&self) -> Vec<&Arc<Target>> {
-        self.ranks.iter().filter(|it| it.has_ended()).collect()
+        self.ranks.iter().filter(|it| it.process_has_ended()).collect()
     }
 
     /// Requests that came to any rank.
     fn arrivals(&self) -> u64 {
-        self.ranks.iter().map(|it| it.arrivals()).sum()
+        self.ranks.iter().map(|it| it.arrival_count()).sum()
     }
 
     /// Has a rank end by its agent's word.
     async fn lose(&self, rank: &Target) {
-        let address = rank.address().expect("it listened");
+        let address = rank.listen_address().expect("it listened");
         for agents in &self.agents {
             agents.change(|loads| loads.retain(|it| it.target != address));
         }
@@ -125,7 +125,7 @@
 }
 
 async fn rank(plant: &mut Plant, number: usize) -> Arc<Target> {
-    let config = Config::new(&format!("i-{number}"), "model", "a")
+    let config = TargetConfig::new(&format!("i-{number}"), "model", "a")
         .with_events(EVENTS, PAUSE)
         .with_crashing_body(POISON);
     plant.target_with(config).await
@@ -219,7 +219,7 @@
 async fn a_group_that_goes_on_is_used_whatever_is_said_of_a_rank() {
     let scene = Scene::start(4).await;
     for entry in &scene.entries {
-        let address = scene.ranks[0].address().expect("it listens");
+        let address = scene.ranks[0].listen_address().expect("it listens");
         tell_lost(address, entry.settings.peer_address()).await;
     }
     let told = Instant::now();
--- a/cowsliproad-direct/tests/entry/harness.rs
+++ b/cowsliproad-direct/tests/entry/harness.rs
@@ -24,9 +24,9 @@
     READINESS_PATH, SETTINGS_VARIABLE, header, log::TARGETS_TOPIC,
 };
 use cowsliproad_platform_standin::{
-    catalog::{Catalog, Kind},
+    catalog::{OperatorConfig, RouteKind},
     log::{self, Log},
-    target::{self, Announcement, Config, Target},
+    target::{self, Announcement, Target, TargetConfig},
 };
 use http::{Request, Response, StatusCode};
 use http_body_util::Full;
@@ -53,7 +53,7 @@
     net: (u8, u8),
     pub log: Arc<Log>,
     pub log_address: SocketAddr,
-    pub catalog: Catalog,
+    pub catalog: OperatorConfig,
     next: u8,
 }
 
@@ -86,13 +86,13 @@
                 Err(error) => panic!("a log: {error}"),
             }
         };
-        let mut catalog = Catalog::new()
+        let mut catalog = OperatorConfig::new()
             .with_service("plain")
             .with_service("model")
-            .with_route("/once/", Kind::Once, "plain", 4_000)
-            .with_route("/many/", Kind::Idempotent, "plain", 4_000)
-            .with_route("/many/model/", Kind::Idempotent, "model", 4_000)
-            .with_route("/stream/", Kind::Stream, "model", 8_000)
+            .with_route("/once/", RouteKind::Once, "plain", 4_000)
+            .with_route("/many/", RouteKind::Idempotent, "plain", 4_000)
+            .with_route("/many/model/", RouteKind::Idempotent, "model", 4_000)
+            .with_route("/stream/", RouteKind::Stream, "model", 8_000)
             .with_organisation("harju", &[KEY]);
         catalog.publish(&log);
         Plant { net, log, log_address, catalog, next: 1 }
@@ -111,12 +111,12 @@
 
     /// One more target.
     pub async fn target(&mut self, id: &str, service: &str) -> Arc<Target> {
-        let config = Config::new(id, service, "a");
+        let config = TargetConfig::new(id, service, "a");
         self.target_with(config).await
     }
 
     /// One more target of a kind.
-    pub async fn target_with(&mut self, config: Config) -> Arc<Target> {
+    pub async fn target_with(&mut self, config: TargetConfig) -> Arc<Target> {
         let (address, log) = self.target_site();
         target::start(address, config, &log).await.expect("a target")
     }
@@ -127,7 +127,8 @@
         for (id, pause) in [("i-1", 2), ("i-2", 20), ("i-3", 20)] {
             let pause = Duration::from_millis(pause);
             let events = if service == "model" { 4 } else { 0 };
-            let config = Config::new(id, service, "a").with_start_time(1);
+            let config =
+                TargetConfig::new(id, service, "a").with_start_time(1);
             let config = config.with_events(events, pause);
             targets.push(self.target_with(config).await);
         }
@@ -145,7 +146,7 @@
         let listener = TcpListener::bind(address).await.expect("a target");
         let announced = Announcement {
             service,
-            address,
+            listen_address: address,
             zone: "a",
             state: "ready",
             sequence: 1,
@@ -359,7 +360,7 @@
 /// What an idle engine's agent reports.
 pub fn report(target: &Target) -> Load {
     Load {
-        target: target.address().expect("it listens"),
+        target: target.listen_address().expect("it listens"),
         running: 0,
         queued: 0,
         pace: 100,
--- a/cowsliproad-direct/tests/entry/leaving.rs
+++ b/cowsliproad-direct/tests/entry/leaving.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cowsliproad_kernel::gossip::{self, Datagram, Load};
-use cowsliproad_platform_standin::target::{Config, Fault, Target};
+use cowsliproad_platform_standin::target::{Fault, Target, TargetConfig};
 use http::StatusCode;
 use tokio::{net::UdpSocket, time::sleep};
 
@@ -21,10 +21,10 @@
 
 /// Has a target answer one request of an entry.
 async fn answer_once(entry: &Entry, target: &Target, path: &str) {
-    let before = target.arrivals();
+    let before = target.arrival_count();
     until("the target answers a request", async || {
         entry.ask(path).await.expect("an answer");
-        target.arrivals() > before
+        target.arrival_count() > before
     })
     .await;
 }
@@ -44,17 +44,17 @@
         let mut plant = Plant::start().await;
         let targets = plant.uneven_targets(service).await;
         let entries = plant.entries(2).await;
-        targets[0].set_leaving(Some("1"));
+        targets[0].set_leaving_header(Some("1"));
         targets[0].set_fault(fault);
         answer_once(&entries[0], &targets[0], path).await;
-        let before = targets[0].arrivals();
+        let before = targets[0].arrival_count();
         let heard = load(&entries[..1], path, PAUSE, SECOND / 2).await;
         assert_eq!((heard.refused, heard.other), (0, 0), "{path}: {heard:?}");
-        assert_eq!(targets[0].arrivals(), before, "{path} {fault:?}");
+        assert_eq!(targets[0].arrival_count(), before, "{path} {fault:?}");
         // The other entry was told, though no request of its own was answered.
         sleep(TOLD).await;
         load(&entries, path, PAUSE, SECOND).await;
-        assert_eq!(targets[0].arrivals(), before, "{path} {fault:?}");
+        assert_eq!(targets[0].arrival_count(), before, "{path} {fault:?}");
     }
 }
 
@@ -62,15 +62,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_of_a_leaving_target_is_whole() {
     let mut plant = Plant::start().await;
-    let config = Config::new("i-1", "model", "a")
+    let config = TargetConfig::new("i-1", "model", "a")
         .with_events(20, Duration::from_millis(30));
     let target = plant.target_with(config).await;
     let entry = plant.entry().await;
-    target.set_leaving(Some("1"));
+    target.set_leaving_header(Some("1"));
     let answer = entry.ask("/stream/a").await.expect("a stream");
     assert_eq!(answer.status(), StatusCode::OK);
     assert_eq!(numbers(answer.body()), (1..=20).collect::<Vec<_>>());
-    assert_eq!(target.arrivals(), 1);
+    assert_eq!(target.arrival_count(), 1);
 }
 
 /// Guards against values other than 1 that take a target out of use.
@@ -80,7 +80,7 @@
     let target = plant.target("i-1", "plain").await;
     let entry = plant.entry().await;
     for value in ["0", "", "no", "false", "-1", "maybe", "11"] {
-        target.set_leaving(Some(value));
+        target.set_leaving_header(Some(value));
         for _ in 0..3 {
             let answer = entry.ask("/many/a").await.expect("an answer");
             assert_eq!(answer.status(), StatusCode::OK, "{value:?}");
@@ -94,21 +94,21 @@
 async fn a_successor_is_not_leaving() {
     let mut plant = Plant::start().await;
     let config =
-        |start| Config::new("i-1", "plain", "a").with_start_time(start);
+        |start| TargetConfig::new("i-1", "plain", "a").with_start_time(start);
     let first = plant.target_with(config(1)).await;
     let entry = plant.entry().await;
     first.set_fault(Fault::Slow(SECOND));
-    first.set_leaving(Some("1"));
+    first.set_leaving_header(Some("1"));
     let request = entry.request("/once/a", KEY, "body");
     let asked = tokio::spawn(async move {
         let client = cowsliproad_net::client::Client::new();
         client.call(request, 1 << 20, 4 * SECOND).await
     });
-    until("it is under way", async || first.arrivals() > 0).await;
+    until("it is under way", async || first.arrival_count() > 0).await;
     let next = plant.target_with(config(2)).await;
     until("the successor serves", async || {
         entry.ask("/many/a").await.expect("an answer");
-        next.arrivals() > 0
+        next.arrival_count() > 0
     })
     .await;
     let answer = asked.await.expect("no panic").expect("an answer");
@@ -117,7 +117,7 @@
         let answer = entry.ask("/many/a").await.expect("an answer");
         assert_eq!(answer.status(), StatusCode::OK);
     }
-    assert!(next.arrivals() >= 6);
+    assert!(next.arrival_count() >= 6);
 }
 
 /// Guards against an agent's word of its engine's leaving that is not read.
@@ -141,7 +141,7 @@
     assert_eq!(knows().await, Some(3.0));
     tell(1).await;
     until("it is out of use", async || knows().await == Some(2.0)).await;
-    let before = targets[0].arrivals();
+    let before = targets[0].arrival_count();
     load(&[&entry], "/stream/a", PAUSE, SECOND / 2).await;
-    assert_eq!(targets[0].arrivals(), before);
+    assert_eq!(targets[0].arrival_count(), before);
 }
--- a/cowsliproad-direct/tests/entry/limit_siege.rs
+++ b/cowsliproad-direct/tests/entry/limit_siege.rs
@@ -17,7 +17,7 @@
 use cowsliproad_net::client::Client;
 use cowsliproad_platform_standin::{
     log,
-    target::{Config, Target},
+    target::{Target, TargetConfig},
 };
 use http::StatusCode;
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -132,7 +132,8 @@
             let pause = if number == LIMITED { 25 } else { 5 };
             let pause = Duration::from_millis(pause);
             let id = format!("i-{number}");
-            let config = Config::new(&id, "plain", "a").with_delay(pause);
+            let config = TargetConfig::new(&id, "plain", "a")
+                .with_response_delay(pause);
             let target = plant.target_with(config).await;
             if number < LIMITED {
                 let stages = RefCell::new(Vec::new());
--- a/cowsliproad-direct/tests/entry/limits.rs
+++ b/cowsliproad-direct/tests/entry/limits.rs
@@ -19,7 +19,7 @@
 
 use cowsliproad_kernel::gossip::{self, Datagram};
 use cowsliproad_net::client::Client;
-use cowsliproad_platform_standin::target::{Config, Fault, Target};
+use cowsliproad_platform_standin::target::{Fault, Target, TargetConfig};
 use http::StatusCode;
 use rustix::process::Signal;
 use tokio::{
@@ -106,7 +106,8 @@
     let mut targets = Vec::new();
     for (id, pause) in [("i-1", 2), ("i-2", 15), ("i-3", 15)] {
         let pause = Duration::from_millis(pause);
-        let config = Config::new(id, "plain", "a").with_delay(pause);
+        let config =
+            TargetConfig::new(id, "plain", "a").with_response_delay(pause);
         targets.push(plant.target_with(config).await);
     }
     targets
@@ -192,10 +193,10 @@
         load(&entries, "/many/a", pause, time).await;
         targets[0].set_rate_limit(Some(value));
         load(&entries, "/many/a", pause, Duration::from_millis(1_300)).await;
-        let before = targets[0].arrivals();
+        let before = targets[0].arrival_count();
         let heard = load(&entries, "/many/a", pause, time * 2).await;
         assert_eq!((heard.refused, heard.other), (0, 0), "{value}: {heard:?}");
-        let got = targets[0].arrivals() - before;
+        let got = targets[0].arrival_count() - before;
         assert!(got >= 5, "{value:?} is believed: {got} of 40");
     }
 }
@@ -212,10 +213,10 @@
     let most = most_within(&targets[0], told, SPAN);
     assert!(most <= 1, "{most} in 4 s");
     targets[0].set_rate_limit(None);
-    let before = targets[0].arrivals();
+    let before = targets[0].arrival_count();
     load(&entries, "/many/a", pause, Duration::from_secs(9)).await;
     assert!(
-        targets[0].arrivals() > before + 10,
+        targets[0].arrival_count() > before + 10,
         "the limit outlives its word"
     );
 }
@@ -237,7 +238,7 @@
         let most = most_within(target, told, SPAN);
         assert!(most <= 9, "{most} in 4 s");
     }
-    let served: u64 = targets.iter().map(|it| it.arrivals()).sum();
+    let served: u64 = targets.iter().map(|it| it.arrival_count()).sum();
     assert_eq!(heard.good as u64, served, "{heard:?}");
     assert!(heard.good >= 3 * 2 * 7 * 8 / 10, "they are left idle: {heard:?}");
     // It is told when to come back, so it doesn't wait in vain.
@@ -253,7 +254,8 @@
     plant.catalog.publish(&plant.log);
     let limited = plant.target("i-1", "plain").await;
     let pause = Duration::from_millis(100);
-    let config = Config::new("i-2", "plain", "a").with_delay(pause);
+    let config =
+        TargetConfig::new("i-2", "plain", "a").with_response_delay(pause);
     plant.target_with(config).await;
     let entry = plant.entry().await;
     limited.set_rate_limit(Some("0"));
@@ -308,7 +310,7 @@
     load(&entries, "/many/a", pause, Duration::from_secs(6)).await;
     let most = most_within(&targets[0], told, SPAN);
     assert!(most <= 9, "{most} in 4 s");
-    assert!(targets[0].arrivals() >= 9, "it is left idle");
+    assert!(targets[0].arrival_count() >= 9, "it is left idle");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -316,7 +318,7 @@
     let mut plant = Plant::start().await;
     let mut ranks = Vec::new();
     for id in ["i-1", "i-2", "i-3", "i-4"] {
-        let config = Config::new(id, "model", "a")
+        let config = TargetConfig::new(id, "model", "a")
             .with_events(4, Duration::from_millis(10));
         ranks.push(plant.target_with(config).await);
     }
@@ -394,17 +396,17 @@
     for turn in 0..3 {
         entries[turn].signal(Signal::STOP);
         let others = [&entries[3], &entries[(turn + 1) % 3]];
-        let before = targets[0].arrivals();
+        let before = targets[0].arrival_count();
         load(&others, "/many/a", pause, time).await;
-        let got = targets[0].arrivals() - before;
+        let got = targets[0].arrival_count() - before;
         assert!(got >= 2, "it is left idle: {got} in 3 s");
         entries[turn].signal(Signal::CONT);
     }
     for _ in 0..3 {
         entries.remove(0);
-        let before = targets[0].arrivals();
+        let before = targets[0].arrival_count();
         load(&entries, "/many/a", pause, time).await;
-        let got = targets[0].arrivals() - before;
+        let got = targets[0].arrival_count() - before;
         assert!(got >= 1, "it is left idle: {got} in 3 s");
     }
     let most = most_within(&targets[0], told, SPAN);
--- a/cowsliproad-direct/tests/entry/news.rs
+++ b/cowsliproad-direct/tests/entry/news.rs
@@ -4,7 +4,7 @@
 
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_platform::log::{CONFIG_TOPIC, TARGETS_TOPIC};
-use cowsliproad_platform_standin::{catalog::Kind, log::Fault, target};
+use cowsliproad_platform_standin::{catalog::RouteKind, log::Fault, target};
 use http::StatusCode;
 
 use crate::harness::{Entry, KEY, Plant, until};
@@ -25,7 +25,7 @@
     let catalog = plant
         .catalog
         .clone()
-        .with_route("/new/", Kind::Idempotent, "plain", 1_000)
+        .with_route("/new/", RouteKind::Idempotent, "plain", 1_000)
         .without_route("/once/")
         .with_organisation("harju", &["key-2"]);
     plant.catalog = catalog;
@@ -51,7 +51,7 @@
     let two = plant.target("i-2", "plain").await;
     plant.catalog = plant.catalog.clone().with_route(
         "/new/",
-        Kind::Idempotent,
+        RouteKind::Idempotent,
         "plain",
         1_000,
     );
@@ -65,7 +65,7 @@
     .await;
     until("the new target serves", async || {
         status(&entry, "/new/", KEY).await;
-        two.arrivals() > 0
+        two.arrival_count() > 0
     })
     .await;
 }
@@ -93,9 +93,9 @@
     target.announce(&plant.log, "draining");
     let left = Instant::now();
     until("the leaving target gets nothing", async || {
-        let before = target.arrivals();
+        let before = target.arrival_count();
         status(&second, "/once/a", "key-2").await;
-        target.arrivals() == before
+        target.arrival_count() == before
     })
     .await;
     // One answer above waits for a target for up to its own patience.
@@ -111,11 +111,11 @@
     let entry = plant.entry().await;
     one.announce(&plant.log, "draining");
     tokio::time::sleep(BOUND).await;
-    let before = one.arrivals();
+    let before = one.arrival_count();
     for _ in 0..40 {
         assert_eq!(status(&entry, "/many/a", KEY).await, StatusCode::OK);
     }
-    assert_eq!(one.arrivals(), before);
+    assert_eq!(one.arrival_count(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -126,10 +126,10 @@
     let entry = plant.entry().await;
     // The log still lists the old incarnation at an address where another
     // listens now.
-    let address = new.address().expect("it listens");
+    let address = new.listen_address().expect("it listens");
     let entry_of_old = target::Announcement {
         service: "model",
-        address,
+        listen_address: address,
         zone: "a",
         state: "ready",
         sequence: 9,
@@ -145,7 +145,10 @@
             == StatusCode::SERVICE_UNAVAILABLE
     })
     .await;
-    assert_eq!((old.runs().len(), new.runs().len()), (0, 0));
+    assert_eq!(
+        (old.executed_requests().len(), new.executed_requests().len()),
+        (0, 0)
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -170,10 +173,10 @@
     let mut plant = Plant::start().await;
     plant.target("i-1", "plain").await;
     let entry = plant.entry().await;
-    let before = plant.log.calls();
+    let before = plant.log.call_count();
     let span = Duration::from_secs(3);
     tokio::time::sleep(span).await;
-    let calls = plant.log.calls() - before;
+    let calls = plant.log.call_count() - before;
     assert!(calls <= 2 * span.as_secs(), "{calls} calls");
     assert!(entry.settings.drain_ms > Millis(0));
 }
@@ -187,7 +190,7 @@
     for number in 0..3_000 {
         let prefix = format!("/big{number}/");
         catalog =
-            catalog.with_route(&prefix, Kind::Idempotent, "plain", 1_000);
+            catalog.with_route(&prefix, RouteKind::Idempotent, "plain", 1_000);
     }
     plant.catalog = catalog;
     plant.catalog.publish(&plant.log);
@@ -209,8 +212,8 @@
         .catalog
         .clone()
         .without_route("/once/")
-        .with_route("/once/", Kind::Once, "plain", 300)
-        .with_route("/new/", Kind::Once, "plain", 300);
+        .with_route("/once/", RouteKind::Once, "plain", 300)
+        .with_route("/new/", RouteKind::Once, "plain", 300);
     plant.catalog.publish(&plant.log);
     until("it is in force", async || {
         status(&entry, "/new/", KEY).await == StatusCode::OK
@@ -239,9 +242,9 @@
     lapsed.announce(&plant.log, "ready");
     for entry in [&first, &second] {
         until("it is used again", async || {
-            let before = lapsed.arrivals();
+            let before = lapsed.arrival_count();
             status(entry, "/many/a", KEY).await;
-            lapsed.arrivals() > before
+            lapsed.arrival_count() > before
         })
         .await;
     }
@@ -258,18 +261,18 @@
         entry.until_ready().await;
         entries.push(entry);
     }
-    let before = plant.log.calls();
+    let before = plant.log.call_count();
     let span = Duration::from_secs(4);
     tokio::time::sleep(span).await;
-    let calls = plant.log.calls() - before;
+    let calls = plant.log.call_count() - before;
     // One alone reads up to 1.7 times a second.
     assert!(calls <= 3 * span.as_secs(), "{calls} calls of five entries");
     let new = plant.target("i-2", "plain").await;
     for entry in entries.iter().chain([&first]) {
         until("the new target is used", async || {
-            let before = new.arrivals();
+            let before = new.arrival_count();
             status(entry, "/many/a", KEY).await;
-            new.arrivals() > before
+            new.arrival_count() > before
         })
         .await;
     }
@@ -280,13 +283,13 @@
     let mut plant = Plant::start().await;
     plant.target("i-1", "plain").await;
     let entry = plant.entry().await;
-    let before = plant.log.calls();
+    let before = plant.log.call_count();
     let begun = Instant::now();
     for number in 0..400 {
         let prefix = format!("/storm{number}/");
         plant.catalog = plant.catalog.clone().with_route(
             &prefix,
-            Kind::Idempotent,
+            RouteKind::Idempotent,
             "plain",
             1_000,
         );
@@ -298,7 +301,7 @@
     })
     .await;
     let seconds = begun.elapsed().as_secs() + 1;
-    let calls = plant.log.calls() - before;
+    let calls = plant.log.call_count() - before;
     // 20 for the configuration and 2 for the targets, each second.
     assert!(calls <= 22 * seconds, "{calls} calls in {seconds} s");
 }
--- a/cowsliproad-direct/tests/entry/numbers.rs
+++ b/cowsliproad-direct/tests/entry/numbers.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use cowsliproad_platform_standin::target::{Config, Target};
+use cowsliproad_platform_standin::target::{Target, TargetConfig};
 
 use crate::{harness::Plant, limits::load};
 
@@ -24,8 +24,8 @@
 ) -> usize {
     let mut plant = Plant::start().await;
     let target = plant.target("i-1", "plain").await;
-    let slow =
-        Config::new("i-2", "plain", "a").with_delay(Duration::from_millis(15));
+    let slow = TargetConfig::new("i-2", "plain", "a")
+        .with_response_delay(Duration::from_millis(15));
     plant.target_with(slow).await;
     let entries = plant.entries(2).await;
     tell(&target, Some(told));
@@ -34,10 +34,10 @@
     assert_eq!((heard.refused, heard.other), (0, 0), "{told}: {heard:?}");
     tell(&target, None);
     load(&entries, "/many/a", PAUSE, time).await;
-    let before = target.arrivals();
+    let before = target.arrival_count();
     let heard = load(&entries, "/many/a", PAUSE, Duration::from_secs(1)).await;
     assert_eq!((heard.refused, heard.other), (0, 0), "{told}: {heard:?}");
-    (target.arrivals() - before) as usize
+    (target.arrival_count() - before) as usize
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/cowsliproad-direct/tests/entry/processes.rs
+++ b/cowsliproad-direct/tests/entry/processes.rs
@@ -7,7 +7,7 @@
 };
 
 use cowsliproad_direct::settings::Settings;
-use cowsliproad_platform_standin::proxy::{Link, Proxy};
+use cowsliproad_platform_standin::proxy::{LinkState, Proxy};
 use rustix::process::Signal;
 use tokio::time::sleep;
 
@@ -125,10 +125,15 @@
 
     /// Changes the way of whichever entry is in a place to the log, for a
     /// time.
-    pub async fn disturb(&self, place: usize, link: Link, time: Duration) {
-        self.links[place].set_link(link);
+    pub async fn disturb(
+        &self,
+        place: usize,
+        link: LinkState,
+        time: Duration,
+    ) {
+        self.links[place].set_link_state(link);
         sleep(time).await;
-        self.links[place].set_link(Link::Up);
+        self.links[place].set_link_state(LinkState::Up);
     }
 
     /// Ends an entry by a signal and starts another one in its place.
--- a/cowsliproad-direct/tests/entry/quarantine.rs
+++ b/cowsliproad-direct/tests/entry/quarantine.rs
@@ -20,7 +20,7 @@
 use cowsliproad_platform::log::{QUARANTINE_TOPIC, TARGETS_TOPIC};
 use cowsliproad_platform_standin::{
     log::Fault,
-    target::{self, Config, Target},
+    target::{self, Target, TargetConfig},
 };
 use futures_util::future::join_all;
 use http::{StatusCode, header::RETRY_AFTER};
@@ -49,24 +49,24 @@
 
 /// What targets are asked for.
 #[derive(Clone, Copy)]
-enum Kind {
+enum RouteKind {
     Calls,
     Streams,
 }
 
 impl Scene {
-    async fn start(kind: Kind) -> Scene {
+    async fn start(kind: RouteKind) -> Scene {
         Scene::start_with(kind, 9).await
     }
 
-    async fn start_with(kind: Kind, number: usize) -> Scene {
+    async fn start_with(kind: RouteKind, number: usize) -> Scene {
         let mut plant = Plant::start().await;
         let mut targets = Vec::new();
         for number in 0..number {
             let id = format!("i-{number}");
             let config = match kind {
-                Kind::Calls => Config::new(&id, "plain", "a"),
-                Kind::Streams => Config::new(&id, "model", "a")
+                RouteKind::Calls => TargetConfig::new(&id, "plain", "a"),
+                RouteKind::Streams => TargetConfig::new(&id, "model", "a")
                     .with_events(20, Duration::from_millis(2)),
             };
             let config = config.with_crashing_body(DEADLY);
@@ -77,12 +77,12 @@
     }
 
     fn ended(&self) -> usize {
-        self.targets.iter().filter(|it| it.has_ended()).count()
+        self.targets.iter().filter(|it| it.process_has_ended()).count()
     }
 
     /// How often the work reached a target.
     fn reached(&self) -> usize {
-        let runs = self.targets.iter().flat_map(|it| it.runs());
+        let runs = self.targets.iter().flat_map(|it| it.executed_requests());
         runs.filter(|it| it.body == DEADLY).count()
     }
 
@@ -149,7 +149,7 @@
     answer.expect("an answer").status().as_u16()
 }
 
-async fn check(kind: Kind, path: &str) {
+async fn check(kind: RouteKind, path: &str) {
     let scene = Scene::start(kind).await;
     scene.end_three(path).await;
     sleep(BOUND).await;
@@ -158,17 +158,17 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_ends_its_targets_is_sent_to_no_more_of_them() {
-    check(Kind::Streams, "/stream/a").await;
+    check(RouteKind::Streams, "/stream/a").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_that_ends_its_targets_is_sent_to_no_more_of_them() {
-    check(Kind::Calls, "/many/a").await;
+    check(RouteKind::Calls, "/many/a").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn work_that_runs_once_and_ends_its_targets_is_sent_to_no_more() {
-    check(Kind::Calls, "/once/a").await;
+    check(RouteKind::Calls, "/once/a").await;
 }
 
 /// Callers leave before the target begins, and it goes on all the same and
@@ -179,7 +179,7 @@
     let mut plant = Plant::start().await;
     let mut targets = Vec::new();
     for number in 0..7 {
-        let config = Config::new(&format!("i-{number}"), "plain", "a")
+        let config = TargetConfig::new(&format!("i-{number}"), "plain", "a")
             .with_crashing_body(DEADLY)
             .with_crash_delay(Duration::from_millis(1_500));
         targets.push(plant.target_with(config).await);
@@ -203,7 +203,7 @@
 /// the same words of another caller, and the same words elsewhere.
 #[tokio::test(flavor = "multi_thread")]
 async fn what_looks_like_it_is_served() {
-    let mut scene = Scene::start(Kind::Calls).await;
+    let mut scene = Scene::start(RouteKind::Calls).await;
     scene.plant.target("i-well", "model").await;
     scene.plant.catalog =
         scene.plant.catalog.clone().with_organisation("kose", &["key-2"]);
@@ -235,7 +235,7 @@
     let mut targets = Vec::new();
     for number in 0..6 {
         let id = format!("i-{number}");
-        let config = Config::new(&id, "model", "a")
+        let config = TargetConfig::new(&id, "model", "a")
             .with_events(20, Duration::from_millis(100))
             .with_crashing_body(DEADLY);
         targets.push(plant.target_with(config).await);
@@ -253,7 +253,7 @@
     let deadly = async {
         sleep(Duration::from_millis(300)).await;
         let mut sent = 0;
-        while targets.iter().filter(|it| it.has_ended()).count() < 3 {
+        while targets.iter().filter(|it| it.process_has_ended()).count() < 3 {
             let entry = &entries[sent % 3];
             let _ = entry.ask_with("/stream/a", KEY, DEADLY).await;
             sent += 1;
@@ -284,10 +284,10 @@
         assert_eq!(status(entry, "/many/a", KEY, "common").await, 200);
     }
     // Whoever ran the last request mostly runs the next one too.
-    let ended = || targets.iter().filter(|it| it.has_ended()).count();
+    let ended = || targets.iter().filter(|it| it.process_has_ended()).count();
     let mut sent = 0;
     until("three targets are killed", async || {
-        let runs = || targets.iter().map(|it| it.runs().len());
+        let runs = || targets.iter().map(|it| it.executed_requests().len());
         let before: Vec<usize> = runs().collect();
         let entry = &entries[sent % 3];
         assert_eq!(status(entry, "/many/a", KEY, "common").await, 200);
@@ -312,7 +312,7 @@
 /// All entries are killed at once; those that start in their place know it.
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_that_all_start_anew_refuse_it() {
-    let mut scene = Scene::start(Kind::Calls).await;
+    let mut scene = Scene::start(RouteKind::Calls).await;
     scene.end_three("/many/a").await;
     for entry in &scene.entries {
         until_refused(entry, 1.0).await;
@@ -335,7 +335,7 @@
 /// joins later too.
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_tell_one_another_while_the_log_is_away() {
-    let mut scene = Scene::start(Kind::Calls).await;
+    let mut scene = Scene::start(RouteKind::Calls).await;
     scene.plant.log.set_fault(Fault::Silent);
     scene.end_three("/once/a").await;
     sleep(BOUND).await;
@@ -351,7 +351,7 @@
 /// Entries that don't reach one another know it from the log.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_log_tells_entries_that_do_not_reach_one_another() {
-    let mut scene = Scene::start(Kind::Calls).await;
+    let mut scene = Scene::start(RouteKind::Calls).await;
     let alone = Entry::start(scene.plant.settings(&[]));
     alone.until_ready().await;
     scene.end_three("/once/a").await;
@@ -366,7 +366,7 @@
 /// and hears why.
 #[tokio::test(flavor = "multi_thread")]
 async fn whoever_waits_with_it_is_answered_at_once() {
-    let scene = Scene::start(Kind::Streams).await;
+    let scene = Scene::start(RouteKind::Streams).await;
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
     let to = scene.entries[0].settings.peer_address();
     let targets = scene.targets.clone();
@@ -446,7 +446,7 @@
     let mut plant = Plant::start().await;
     let mut far = Vec::new();
     for number in 0..3 {
-        let config = Config::new(&format!("i-{number}"), "plain", "b");
+        let config = TargetConfig::new(&format!("i-{number}"), "plain", "b");
         far.push(plant.target_with(config).await);
     }
     let entries = entries(&mut plant).await;
@@ -456,7 +456,7 @@
     for entry in &entries {
         let _ = entry.ask_with("/once/a", KEY, "innocent").await;
     }
-    assert!(far.iter().all(|it| it.has_ended()));
+    assert!(far.iter().all(|it| it.process_has_ended()));
     sleep(BOUND).await;
     plant.target("i-near", "plain").await;
     for entry in &entries {
@@ -472,12 +472,13 @@
 /// was believed any more, and the work went on to the next.
 #[tokio::test(flavor = "multi_thread")]
 async fn targets_that_were_taken_for_ended_may_end_after_all() {
-    let scene = Scene::start_with(Kind::Calls, 4).await;
+    let scene = Scene::start_with(RouteKind::Calls, 4).await;
     let entry = &scene.entries[0];
     let to = entry.settings.peer_address();
     let lose = Duration::from_millis(100);
     let all_lost = async || {
-        for target in scene.targets.iter().filter_map(|it| it.address()) {
+        for target in scene.targets.iter().filter_map(|it| it.listen_address())
+        {
             tell_lost(target, to).await;
         }
     };
@@ -485,7 +486,8 @@
         .targets
         .iter()
         .for_each(|it| it.set_fault(target::Fault::LoseAnswer));
-    let have_run = || scene.targets.iter().all(|it| !it.runs().is_empty());
+    let have_run =
+        || scene.targets.iter().all(|it| !it.executed_requests().is_empty());
     let mut sent = 0;
     while !have_run() {
         let body = format!("innocent {sent}");
@@ -501,9 +503,9 @@
     .await;
     // Each answers somebody, which takes its end back.
     let before: Vec<usize> =
-        scene.targets.iter().map(|it| it.runs().len()).collect();
+        scene.targets.iter().map(|it| it.executed_requests().len()).collect();
     let answered = |(target, before): (&Arc<Target>, &usize)| {
-        target.runs().len() > *before
+        target.executed_requests().len() > *before
     };
     while !scene.targets.iter().zip(&before).all(answered) {
         let asked = (0..32).map(|number| async move {
@@ -520,7 +522,7 @@
 /// news of it. Only an answer to what was sent later says that they live.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_that_was_on_its_way_takes_no_end_back() {
-    let scene = Scene::start_with(Kind::Calls, 3).await;
+    let scene = Scene::start_with(RouteKind::Calls, 3).await;
     let entry = &scene.entries[0];
     let to = entry.settings.peer_address();
     let slow = target::Fault::Slow(Duration::from_millis(900));
@@ -534,7 +536,7 @@
     let ends = async {
         let on_their_way = || {
             let runs = scene.targets.iter().map(|it| {
-                let runs = it.runs();
+                let runs = it.executed_requests();
                 runs.iter().filter(|it| it.body == "on its way").count()
             });
             runs.sum::<usize>()
@@ -552,7 +554,7 @@
             for target in
                 scene.targets.iter().filter(|it| has_run(it, "suspect"))
             {
-                let Some(target) = target.address() else { continue };
+                let Some(target) = target.listen_address() else { continue };
                 tell_lost(target, to).await;
             }
         }
@@ -570,7 +572,7 @@
     let mut plant = Plant::start().await;
     let mut targets = Vec::new();
     for number in 0..5 {
-        let config = Config::new(&format!("i-{number}"), "model", "b")
+        let config = TargetConfig::new(&format!("i-{number}"), "model", "b")
             .with_events(5, Duration::from_millis(2));
         targets.push(plant.target_with(config).await);
     }
@@ -580,7 +582,7 @@
     tokio::spawn(async move {
         loop {
             for target in agents.iter().filter(|it| has_run(it, DEADLY)) {
-                let Some(target) = target.address() else { continue };
+                let Some(target) = target.listen_address() else { continue };
                 tell_lost(target, to).await;
             }
             sleep(Duration::from_millis(20)).await;
@@ -600,7 +602,7 @@
 }
 
 fn has_run(target: &Target, body: &str) -> bool {
-    target.runs().iter().any(|it| it.body == body)
+    target.executed_requests().iter().any(|it| it.body == body)
 }
 
 /// A target that has no room for another connection, so that one is made for
@@ -627,7 +629,7 @@
         }
         let said = target::Announcement {
             service: "plain",
-            address,
+            listen_address: address,
             zone: "a",
             state: "ready",
             sequence: 1,
--- a/cowsliproad-direct/tests/entry/rollback_siege.rs
+++ b/cowsliproad-direct/tests/entry/rollback_siege.rs
@@ -28,8 +28,8 @@
 };
 use cowsliproad_platform_standin::{
     log,
-    proxy::Link,
-    target::{self, Config, Target},
+    proxy::LinkState,
+    target::{self, Target, TargetConfig},
 };
 use http::StatusCode;
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -232,7 +232,9 @@
             let now = Instant::now();
             for place in &self.places {
                 let target = place.target.borrow();
-                if !target.has_ended() && place.silent_until.get() <= now {
+                if !target.process_has_ended()
+                    && place.silent_until.get() <= now
+                {
                     let is_leaving = place.leaving.get();
                     let state = if is_leaving { "draining" } else { "ready" };
                     target.announce(&self.plant.borrow().log, state);
@@ -331,11 +333,11 @@
             sleep(self.draw_time(100, 1_000)).await;
             let place = self.draw(self.processes.count());
             let link = match self.draw(5) {
-                0 => Link::Cut,
-                1 => Link::CutToServer,
-                2 => Link::CutFromServer,
-                3 => Link::Closed,
-                _ => Link::Slow(self.draw_time(20, 400)),
+                0 => LinkState::Cut,
+                1 => LinkState::CutToServer,
+                2 => LinkState::CutFromServer,
+                3 => LinkState::Closed,
+                _ => LinkState::Slow(self.draw_time(20, 400)),
             };
             let time = self.draw_time(100, 4_000);
             self.processes.disturb(place, link, time).await;
@@ -396,7 +398,11 @@
         let places = self.places.iter().map(|it| {
             let target = it.target.borrow();
             let silent = it.silent_until.get();
-            (target.address(), target.has_ended(), silent - self.begun)
+            (
+                target.listen_address(),
+                target.process_has_ended(),
+                silent - self.begun,
+            )
         });
         assert!(
             known.iter().all(|it| *it == TARGETS),
@@ -488,7 +494,7 @@
         for departure in departures.iter() {
             let deadline = self.deadline(departure);
             for arrival in departure.target.arrival_log() {
-                let Some(process) = asked.get(&arrival.request) else {
+                let Some(process) = asked.get(&arrival.request_id) else {
                     continue;
                 };
                 let at = arrival.arrived_at;
@@ -514,9 +520,9 @@
     plant.catalog.publish(&plant.log);
 }
 
-fn config(number: usize, start: u64) -> Config {
-    Config::new(&format!("i-{number}"), "plain", "a")
-        .with_delay(Duration::from_millis(5))
+fn config(number: usize, start: u64) -> TargetConfig {
+    TargetConfig::new(&format!("i-{number}"), "plain", "a")
+        .with_response_delay(Duration::from_millis(5))
         .with_start_time(start)
 }
 
--- a/cowsliproad-direct/tests/entry/rollbacks.rs
+++ b/cowsliproad-direct/tests/entry/rollbacks.rs
@@ -11,9 +11,9 @@
     CONFIG_TOPIC, QUARANTINE_TOPIC, TARGETS_TOPIC,
 };
 use cowsliproad_platform_standin::{
-    catalog::Kind,
+    catalog::RouteKind,
     log::Fault,
-    target::{Config, Target},
+    target::{Target, TargetConfig},
 };
 use http::StatusCode;
 use rustix::process::Signal;
@@ -44,10 +44,10 @@
 
 /// Waits until an entry has sent a request to a target.
 async fn until_used(entry: &Entry, target: &Target) {
-    let before = target.arrivals();
+    let before = target.arrival_count();
     until("the target is used", async || {
         entry.status("/many/a", KEY).await;
-        target.arrivals() > before
+        target.arrival_count() > before
     })
     .await;
 }
@@ -86,10 +86,10 @@
     })
     .await;
     assert!(back.elapsed() < BOUND, "{:?}", back.elapsed());
-    let before = two.arrivals();
+    let before = two.arrival_count();
     until("the new target is used", async || {
         entry.status("/many/a", "key-2").await;
-        two.arrivals() > before
+        two.arrival_count() > before
     })
     .await;
     assert!(back.elapsed() < BOUND, "{:?}", back.elapsed());
@@ -200,15 +200,15 @@
     let copy = Instant::now();
     one.announce(&plant.log, "draining");
     until("its leaving is known", async || {
-        let before = one.arrivals();
+        let before = one.arrival_count();
         for _ in 0..20 {
             first.status("/many/a", KEY).await;
         }
-        one.arrivals() == before
+        one.arrival_count() == before
     })
     .await;
     sleep(LEFT_TIME).await;
-    let before = one.arrivals();
+    let before = one.arrival_count();
     plant.log.roll_back(copy);
     // A request or a renewal makes the rollback known.
     renew(&plant, &two, 1);
@@ -222,7 +222,7 @@
         }
         sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!(one.arrivals(), before);
+    assert_eq!(one.arrival_count(), before);
 }
 
 /// Guards against the loss of targets that joined after the copy, and against
@@ -249,12 +249,12 @@
     renew(&plant, &lives, 1);
     until("the missing target is out of use", async || {
         renew(&plant, &lives, 1);
-        let before = gone.arrivals();
+        let before = gone.arrival_count();
         for _ in 0..20 {
             let answer = first.status("/many/a", KEY).await;
             assert_eq!(answer, Some(StatusCode::OK), "{:?}", back.elapsed());
         }
-        gone.arrivals() == before
+        gone.arrival_count() == before
     })
     .await;
     assert!(back.elapsed() < RETURN_TIME + BOUND, "{:?}", back.elapsed());
@@ -293,7 +293,7 @@
     let mut plant = Plant::start().await;
     plant.log.set_era(Some(1));
     let config =
-        |start| Config::new("i-1", "plain", "a").with_start_time(start);
+        |start| TargetConfig::new("i-1", "plain", "a").with_start_time(start);
     let mut target = plant.target_with(config(1)).await;
     let entries = plant.entries(7).await;
     for start in 2..5 {
@@ -401,12 +401,14 @@
     let mut targets: Vec<Arc<Target>> = Vec::new();
     for number in 0..6 {
         let id = format!("i-{number}");
-        let config = Config::new(&id, "plain", "a").with_crashing_body(DEADLY);
+        let config =
+            TargetConfig::new(&id, "plain", "a").with_crashing_body(DEADLY);
         targets.push(plant.target_with(config).await);
     }
     let entries = plant.entries(3).await;
     let copy = Instant::now();
-    let ended = || targets.iter().filter(|target| target.has_ended()).count();
+    let ended =
+        || targets.iter().filter(|target| target.process_has_ended()).count();
     let mut sent = 0;
     while ended() < 3 {
         assert!(sent < 9, "the work ends no target");
@@ -421,7 +423,7 @@
     plant.log.roll_back(copy);
     assert_eq!(plant.log.record_count(QUARANTINE_TOPIC), 0);
     // Those that still live renew theirs, which makes the rollback known.
-    let living = targets.iter().filter(|it| !it.has_ended());
+    let living = targets.iter().filter(|it| !it.process_has_ended());
     living.for_each(|it| renew(&plant, it, 1));
     until("the log keeps it again", async || {
         plant.log.record_count(QUARANTINE_TOPIC) > 0
@@ -467,7 +469,7 @@
         let path = format!("/new{round}/");
         plant.catalog = plant.catalog.clone().with_route(
             &path,
-            Kind::Idempotent,
+            RouteKind::Idempotent,
             "plain",
             1_000,
         );
@@ -520,11 +522,11 @@
 /// Calls that the log gets in a time, and in its busiest moment.
 async fn calls(plant: &Plant, time: Duration) -> (u64, u64) {
     let begun = Instant::now();
-    let first = plant.log.calls();
+    let first = plant.log.call_count();
     let (mut last, mut most) = (first, 0);
     while begun.elapsed() < time {
         sleep(Duration::from_millis(20)).await;
-        let now = plant.log.calls();
+        let now = plant.log.call_count();
         most = most.max(now - last);
         last = now;
     }
--- a/cowsliproad-direct/tests/entry/siege.rs
+++ b/cowsliproad-direct/tests/entry/siege.rs
@@ -20,7 +20,7 @@
 use cowsliproad_direct::settings::Settings;
 use cowsliproad_platform_standin::{
     log,
-    target::{self, Config, Target},
+    target::{self, Target, TargetConfig},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use rustix::process::Signal;
@@ -185,13 +185,13 @@
             sleep(Duration::from_millis(50)).await;
             for (number, place) in self.places.iter().enumerate() {
                 let ended = place.target.borrow().clone();
-                if !ended.has_ended() {
+                if !ended.process_has_ended() {
                     continue;
                 }
                 self.count(&ended);
                 sleep(DOWN).await;
                 ended.withdraw(&self.plant.log);
-                let Some(address) = ended.address() else { continue };
+                let Some(address) = ended.listen_address() else { continue };
                 let start = place.starts.get() + 1;
                 place.starts.set(start);
                 let config = config(self.shape, number, start);
@@ -206,7 +206,7 @@
     }
 
     fn count(&self, target: &Target) {
-        let runs = target.runs();
+        let runs = target.executed_requests();
         let deadly = runs.iter().filter(|it| it.body == DEADLY).count();
         self.reached.set(self.reached.get() + deadly);
     }
@@ -214,9 +214,12 @@
     /// How often the deadly work has reached targets.
     fn reached(&self) -> usize {
         let running = self.places.iter().map(|it| it.target.borrow().clone());
-        let running = running.filter(|it| !it.has_ended());
+        let running = running.filter(|it| !it.process_has_ended());
         let deadly = |it: &Arc<Target>| {
-            it.runs().iter().filter(|it| it.body == DEADLY).count()
+            it.executed_requests()
+                .iter()
+                .filter(|it| it.body == DEADLY)
+                .count()
         };
         self.reached.get() + running.map(|it| deadly(&it)).sum::<usize>()
     }
@@ -262,7 +265,7 @@
         let target = place.target.borrow().clone();
         target.set_fault(target::Fault::LoseAnswer);
         sleep(Duration::from_millis(50)).await;
-        let Some(target) = target.address() else { return };
+        let Some(target) = target.listen_address() else { return };
         for entry in &self.entries {
             let to =
                 entry.borrow().as_ref().map(|it| it.settings.peer_address());
@@ -316,10 +319,11 @@
     Entry::start_with(settings, file.expect("a log").into())
 }
 
-fn config(shape: Shape, number: usize, start: usize) -> Config {
-    let config = Config::new(&format!("i-{number}-{start}"), "plain", "a")
-        .with_delay(Duration::from_millis(15))
-        .with_crashing_body(DEADLY);
+fn config(shape: Shape, number: usize, start: usize) -> TargetConfig {
+    let config =
+        TargetConfig::new(&format!("i-{number}-{start}"), "plain", "a")
+            .with_response_delay(Duration::from_millis(15))
+            .with_crashing_body(DEADLY);
     match shape {
         Shape::Patient => config,
         Shape::Impatient => config.with_crash_delay(STUBBORN),
--- a/cowsliproad-direct/tests/entry/slowness.rs
+++ b/cowsliproad-direct/tests/entry/slowness.rs
@@ -28,7 +28,7 @@
     let entry = plant.entry().await;
     until("the slow target is used", async || {
         call(&entry).await;
-        slow.arrivals() > 0
+        slow.arrival_count() > 0
     })
     .await;
     (entry, slow)
@@ -46,10 +46,14 @@
     let mut plant = Plant::start().await;
     let (entry, slow) = slow_once(&mut plant).await;
     slow.set_fault(Fault::None);
-    let (begun, before) = (Instant::now(), slow.arrivals());
+    let (begun, before) = (Instant::now(), slow.arrival_count());
     // It has to get a fair part again, not only a request to measure it.
-    while slow.arrivals() < before + 20 {
-        assert!(begun.elapsed() < RETURN_TIME, "{}", slow.arrivals() - before);
+    while slow.arrival_count() < before + 20 {
+        assert!(
+            begun.elapsed() < RETURN_TIME,
+            "{}",
+            slow.arrival_count() - before
+        );
         call(&entry).await;
         sleep(GAP).await;
     }
@@ -60,13 +64,13 @@
 async fn a_target_that_stays_slow_is_seldom_used() {
     let mut plant = Plant::start().await;
     let (entry, slow) = slow_once(&mut plant).await;
-    let (begun, before) = (Instant::now(), slow.arrivals());
+    let (begun, before) = (Instant::now(), slow.arrival_count());
     let mut calls = 0;
     while begun.elapsed() < RETURN_TIME {
         call(&entry).await;
         calls += 1;
         sleep(GAP).await;
     }
-    let sent = slow.arrivals() - before;
+    let sent = slow.arrival_count() - before;
     assert!(sent * 50 < calls, "{sent} of {calls}");
 }
--- a/cowsliproad-direct/tests/entry/stop.rs
+++ b/cowsliproad-direct/tests/entry/stop.rs
@@ -6,7 +6,7 @@
 };
 
 use cowsliproad_net::client::Client;
-use cowsliproad_platform_standin::target::Config;
+use cowsliproad_platform_standin::target::TargetConfig;
 use http::StatusCode;
 use http_body_util::BodyExt;
 use rustix::process::Signal;
@@ -16,7 +16,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stopping_entry_finishes_its_streams_and_ends_well() {
     let mut plant = Plant::start().await;
-    let config = Config::new("i-1", "model", "a")
+    let config = TargetConfig::new("i-1", "model", "a")
         .with_events(20, Duration::from_millis(150));
     plant.target_with(config).await;
     let mut entry = plant.entry().await;
--- a/cowsliproad-direct/tests/entry/streams.rs
+++ b/cowsliproad-direct/tests/entry/streams.rs
@@ -11,7 +11,7 @@
 use cowsliproad_kernel::gossip::{self, Datagram, Load};
 use cowsliproad_net::client::Client;
 use cowsliproad_platform::header;
-use cowsliproad_platform_standin::target::{Config, Fault, Target};
+use cowsliproad_platform_standin::target::{Fault, Target, TargetConfig};
 use http::StatusCode;
 use http_body_util::BodyExt;
 use tokio::{net::UdpSocket, time::sleep};
@@ -19,8 +19,9 @@
 use crate::harness::{Entry, KEY, Plant, numbers, report, until};
 
 /// An engine that streams.
-fn engine(id: &str, pause: u64) -> Config {
-    Config::new(id, "model", "a").with_events(20, Duration::from_millis(pause))
+fn engine(id: &str, pause: u64) -> TargetConfig {
+    TargetConfig::new(id, "model", "a")
+        .with_events(20, Duration::from_millis(pause))
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -43,7 +44,7 @@
     until("a stream was cut and went on elsewhere", async || {
         let answer = entry.ask("/stream/a").await.expect("an answer");
         assert_eq!(numbers(answer.body()), (1..=20).collect::<Vec<_>>());
-        two.runs().iter().any(|it| it.resume_after == Some(2))
+        two.executed_requests().iter().any(|it| it.last_event_id == Some(2))
     })
     .await;
 }
@@ -152,7 +153,7 @@
     until("a stream fell silent and went on elsewhere", async || {
         let answer = entry.ask("/stream/a").await.expect("a whole stream");
         assert_eq!(numbers(answer.body()), (1..=20).collect::<Vec<_>>());
-        two.runs().iter().any(|it| it.resume_after == Some(3))
+        two.executed_requests().iter().any(|it| it.last_event_id == Some(3))
     })
     .await;
 }
@@ -172,7 +173,7 @@
     let (slow, well) =
         if one.in_flight_streams() > 0 { (&one, &two) } else { (&two, &one) };
     agents.change(|loads| {
-        let slow = slow.address();
+        let slow = slow.listen_address();
         let load = loads.iter_mut().find(|it| Some(it.target) == slow);
         load.expect("it is listed").pace = 1_200;
     });
@@ -182,7 +183,7 @@
     let ids = numbers(&body.to_bytes());
     assert_eq!(ids.last(), Some(&20));
     assert!(ids.windows(2).all(|it| it[1] == it[0] + 1), "{ids:?}");
-    assert_eq!(well.runs().len(), 1);
+    assert_eq!(well.executed_requests().len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -197,14 +198,14 @@
         answer.status() == StatusCode::SERVICE_UNAVAILABLE
     })
     .await;
-    let before = one.arrivals();
+    let before = one.arrival_count();
     let answer = entry.ask("/stream/a").await.expect("an answer");
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
     let after = answer.headers().get(http::header::RETRY_AFTER);
     let after = after.and_then(|it| it.to_str().ok()?.parse::<f64>().ok());
     // Of 4 s some 1.9 s are waited here; a third of the rest is left.
     assert!(after.is_some_and(|it| it > 0.3 && it < 1.0), "{after:?}");
-    assert_eq!(one.arrivals(), before, "a broken group is asked nothing");
+    assert_eq!(one.arrival_count(), before, "a broken group is asked nothing");
     let waiting = entry.ask("/stream/a");
     agents.change(|loads| (loads[0].open, loads[0].epoch) = (true, 2));
     let answer = waiting.await.expect("an answer");
@@ -222,19 +223,19 @@
     until("all are used", async || {
         let answer = entry.ask("/stream/a").await;
         assert!(answer.is_ok());
-        [&one, &two, &three].iter().all(|it| it.arrivals() > 0)
+        [&one, &two, &three].iter().all(|it| it.arrival_count() > 0)
     })
     .await;
-    let gone = three.address();
+    let gone = three.listen_address();
     agents.change(|loads| loads.retain(|it| Some(it.target) != gone));
     // Reports come ten times a second; silence is noticed after ten.
     sleep(Duration::from_millis(1_500)).await;
-    let before = three.arrivals();
+    let before = three.arrival_count();
     for _ in 0..20 {
         let answer = entry.ask("/stream/a").await;
         assert!(answer.is_ok());
     }
-    assert_eq!(three.arrivals(), before);
+    assert_eq!(three.arrival_count(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -246,13 +247,13 @@
     let agents = Agents::start(&entry, &[&one, &two]).await;
     until("both are used", async || {
         assert!(entry.ask("/stream/a").await.is_ok());
-        one.arrivals() > 0 && two.arrivals() > 0
+        one.arrival_count() > 0 && two.arrival_count() > 0
     })
     .await;
     // The agents have not noticed yet.
     one.set_fault(Fault::GroupBroken);
     two.set_fault(Fault::GroupBroken);
-    let before = one.arrivals() + two.arrivals();
+    let before = one.arrival_count() + two.arrival_count();
     let waiting = tokio::spawn({
         let request = entry.request("/stream/a", KEY, "");
         async move {
@@ -260,11 +261,13 @@
             client.call(request, 1 << 20, Duration::from_secs(10)).await
         }
     });
-    until("one refuses", async || one.arrivals() + two.arrivals() > before)
-        .await;
+    until("one refuses", async || {
+        one.arrival_count() + two.arrival_count() > before
+    })
+    .await;
     // A second rank would have been asked long before.
     sleep(Duration::from_millis(300)).await;
-    assert_eq!(one.arrivals() + two.arrivals(), before + 1);
+    assert_eq!(one.arrival_count() + two.arrival_count(), before + 1);
     one.set_fault(Fault::None);
     two.set_fault(Fault::None);
     agents.change(|loads| loads.iter_mut().for_each(|it| it.epoch = 2));
--- a/cowsliproad-rank/tests/group/main.rs
+++ b/cowsliproad-rank/tests/group/main.rs
@@ -18,7 +18,7 @@
 use cowsliproad_kernel::gossip::{self, Datagram, Load, Lost, Subscribe};
 use cowsliproad_platform::{SETTINGS_VARIABLE, log::COORDINATORS_TOPIC};
 use cowsliproad_platform_standin::{
-    group::{self, Frozen, Group},
+    group::{self, Group, VmState},
     log::{self, Log},
 };
 use cowsliproad_rank::settings::Settings;
@@ -158,8 +158,13 @@
     /// Waits until the demand is spread well, with no pass ever mixed.
     async fn until_balanced(&self) {
         let group = &self.group;
-        until("the map follows the demand", || group.skew() < 1.35).await;
-        assert_eq!(group.tally().mixed_passes, 0, "{:?}", group.tally());
+        until("the map follows the demand", || group.load_skew() < 1.35).await;
+        assert_eq!(
+            group.pass_counts().mixed_passes,
+            0,
+            "{:?}",
+            group.pass_counts()
+        );
     }
 
     fn signal(&self, agent: usize, signal: Signal) {
@@ -224,7 +229,7 @@
         plant.group.concentrate_demand(first);
         plant.until_balanced().await;
     }
-    assert!(plant.group.tally().map_changes >= 3);
+    assert!(plant.group.pass_counts().expert_map_changes >= 3);
     assert_eq!(
         plant.log.record_count(COORDINATORS_TOPIC),
         1,
@@ -235,7 +240,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_and_late_orders_mix_no_maps() {
     let plant = Plant::start().await;
-    plant.group.lose_every_nth_order(3);
+    plant.group.delay_every_nth_order(3);
     for first in [0, 7] {
         plant.group.concentrate_demand(first);
         plant.until_balanced().await;
@@ -259,11 +264,13 @@
     let plant = Plant::balanced().await;
     plant.group.concentrate_demand(8);
     plant.signal(0, Signal::STOP);
-    plant.group.set_frozen(0, Frozen::Yes);
-    let steps = plant.group.tally().passes;
-    until("the group goes on", || plant.group.tally().passes > steps + 100)
-        .await;
-    plant.group.set_frozen(0, Frozen::No);
+    plant.group.set_vm_state(0, VmState::Frozen);
+    let steps = plant.group.pass_counts().begun_passes;
+    until("the group goes on", || {
+        plant.group.pass_counts().begun_passes > steps + 100
+    })
+    .await;
+    plant.group.set_vm_state(0, VmState::Responsive);
     plant.signal(0, Signal::CONT);
     plant.until_balanced().await;
     assert!(
@@ -275,8 +282,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_group_that_forms_anew_is_balanced_again() {
     let plant = Plant::balanced().await;
-    plant.group.form_again();
-    assert!(plant.group.skew() > 1.35);
+    plant.group.start_new_epoch();
+    assert!(plant.group.load_skew() > 1.35);
     plant.until_balanced().await;
 }
 
@@ -306,8 +313,10 @@
     for agent in 0..usize::from(RANKS) {
         plant.group.concentrate_demand(3 * agent + 1);
         // Some passes later a change is most likely under way.
-        let turns =
-            || plant.group.tally().passes + plant.group.tally().held_turns;
+        let turns = || {
+            plant.group.pass_counts().begun_passes
+                + plant.group.pass_counts().held_back_intervals
+        };
         let begun = turns();
         until("the group goes on", || turns() > begun + 20).await;
         plant.signal(agent, Signal::TERM);
@@ -339,24 +348,29 @@
         plant.signal(agent, Signal::KILL);
         plant.agents[agent].restart();
     }
-    let steps = plant.group.tally().passes;
-    until("the group goes on", || plant.group.tally().passes > steps + 40)
-        .await;
+    let steps = plant.group.pass_counts().begun_passes;
+    until("the group goes on", || {
+        plant.group.pass_counts().begun_passes > steps + 40
+    })
+    .await;
     for first in [8, 13, 3, 10, 5] {
         plant.group.concentrate_demand(first);
-        let held = plant.group.tally().held_turns;
+        let held = plant.group.pass_counts().held_back_intervals;
         until("a change is made or the group is held", || {
-            plant.group.skew() < 1.35 || plant.group.tally().held_turns > held
+            plant.group.load_skew() < 1.35
+                || plant.group.pass_counts().held_back_intervals > held
         })
         .await;
     }
     plant.group.concentrate_demand(0);
     plant.signal(0, Signal::STOP);
-    plant.group.set_frozen(0, Frozen::Yes);
-    let steps = plant.group.tally().passes;
-    until("the group goes on", || plant.group.tally().passes > steps + 100)
-        .await;
-    plant.group.set_frozen(0, Frozen::No);
+    plant.group.set_vm_state(0, VmState::Frozen);
+    let steps = plant.group.pass_counts().begun_passes;
+    until("the group goes on", || {
+        plant.group.pass_counts().begun_passes > steps + 100
+    })
+    .await;
+    plant.group.set_vm_state(0, VmState::Responsive);
     plant.signal(0, Signal::CONT);
     plant.until_balanced().await;
 }
@@ -366,8 +380,8 @@
 async fn groups_of_one_service_keep_to_their_own_maps() {
     let (one, mut engines) = Plant::prepare().await;
     let (other, more) = Plant::prepare().await;
-    one.group.set_name("one");
-    other.group.set_name("other");
+    one.group.set_group_name("one");
+    other.group.set_group_name("other");
     engines.extend(more);
     one.ask(engines.clone()).await;
     other.ask(engines).await;
@@ -378,7 +392,8 @@
         other.until_balanced().await;
     }
     assert_eq!(
-        one.group.tally().mixed_passes + other.group.tally().mixed_passes,
+        one.group.pass_counts().mixed_passes
+            + other.group.pass_counts().mixed_passes,
         0
     );
 }
@@ -397,8 +412,8 @@
         engines.iter().all(|it| reports_of(*it) > 0)
     })
     .await;
-    plant.group.set_frozen(3, Frozen::Yes);
-    plant.group.kill(2);
+    plant.group.set_vm_state(3, VmState::Frozen);
+    plant.group.kill_rank(2);
     let losts = || plant.losts.lock().expect("no panic").clone();
     until("it is said, and said again", || losts().len() > 2).await;
     assert!(losts().iter().all(|it| it.target == engines[2]));
@@ -414,21 +429,23 @@
 async fn an_agent_calls_no_engine_within_its_retry_after() {
     let plant = Plant::balanced().await;
     for rank in 0..usize::from(RANKS) {
-        let before = plant.group.calls(rank);
+        let before = plant.group.call_count(rank);
         plant.group.set_retry_after(rank, Some("2.5"));
         // The group has a change of the map to see to.
         plant.group.concentrate_demand(4 * (rank + 1) % EXPERTS);
         sleep(Duration::from_millis(2_000)).await;
-        let calls = plant.group.calls(rank) - before;
+        let calls = plant.group.call_count(rank) - before;
         // Each agent may be turned away once. One call was under way.
         let most = u64::from(RANKS) + 1;
         assert!((1..=most).contains(&calls), "rank {rank}: {calls} calls");
         plant.group.set_retry_after(rank, None);
-        let before = plant.group.calls(rank);
-        until("it is called again", || plant.group.calls(rank) > before + 10)
-            .await;
+        let before = plant.group.call_count(rank);
+        until("it is called again", || {
+            plant.group.call_count(rank) > before + 10
+        })
+        .await;
     }
-    assert_eq!(plant.group.tally().mixed_passes, 0);
+    assert_eq!(plant.group.pass_counts().mixed_passes, 0);
 }
 
 /// Guards against a cooldown that outlives the process that asked for it.
@@ -446,16 +463,16 @@
     })
     .await;
     plant.group.set_retry_after(2, Some("1000000000"));
-    let before = plant.group.calls(2);
-    until("it is turned away", || plant.group.calls(2) > before).await;
+    let before = plant.group.call_count(2);
+    until("it is turned away", || plant.group.call_count(2) > before).await;
     sleep(Duration::from_millis(200)).await;
     assert!(!lost());
-    plant.group.kill(2);
+    plant.group.kill_rank(2);
     plant.group.set_retry_after(2, None);
     until("its end is told", lost).await;
-    let before = plant.group.calls(2);
-    plant.group.restart(2, engines[2]).await;
-    until("it is called", || plant.group.calls(2) > before + 3).await;
+    let before = plant.group.call_count(2);
+    plant.group.restart_rank(2, engines[2]).await;
+    until("it is called", || plant.group.call_count(2) > before + 3).await;
 }
 
 /// Guards against a leaving that only the engine's agent was told of.
--- a/cowsliproad-rank/tests/group/siege.rs
+++ b/cowsliproad-rank/tests/group/siege.rs
@@ -99,7 +99,7 @@
     plant.group.concentrate_demand(3);
     println!("seed {seed}: lines in {:?}", output(&plant.agents[0].file));
     plant.until_balanced().await;
-    let (numbers, tally) = (siege.numbers(), plant.group.tally());
+    let (numbers, tally) = (siege.numbers(), plant.group.pass_counts());
     println!(
         "seed {seed}: {} rollbacks, numbers {numbers:?}, {tally:?}",
         siege.rollbacks
