--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -158,7 +158,7 @@
             () = entry.rollbacks.after(era) => Err(Error::RolledBack),
         };
         entry.learn_era(self.client.era(), Source::Log);
-        let Page { next, records } = read?;
+        let Page { next_position: next, records } = read?;
         self.contact.good(entry);
         let scope = match self.next.replace(next) {
             None if self.has_read => Scope::All,
--- a/cowsliproad-rank/src/agent/orders.rs
+++ b/cowsliproad-rank/src/agent/orders.rs
@@ -144,7 +144,7 @@
             fence,
             plan: None,
             experts: None,
-            pace: state.pace as f32,
+            pace: state.slowdown_factor as f32,
             arms: Arms::InDoubt,
             seal: Seal::Unknown,
             report,
--- a/cowsliproad-rank/src/agent/readings.rs
+++ b/cowsliproad-rank/src/agent/readings.rs
@@ -43,7 +43,8 @@
         if known != Some((epoch, map)) {
             match self.engine.lists().await {
                 Ok(lists) => {
-                    self.experts = Some((epoch, lists.version, lists.experts));
+                    self.experts =
+                        Some((epoch, lists.map_version, lists.experts_by_set));
                 }
                 Err(error) => {
                     info!(self.log, "no_lists"; "error" => %error);
@@ -93,7 +94,7 @@
             return;
         }
         let choices = match self.engine.choices(experts).await {
-            Ok(choices) => (choices.epoch, choices.counts),
+            Ok(choices) => (choices.epoch, choices.selections_by_set),
             Err(error) => {
                 info!(self.log, "no_counts"; "error" => %error);
                 return;
--- a/cowsliproad-rank/src/agent/words.rs
+++ b/cowsliproad-rank/src/agent/words.rs
@@ -33,9 +33,9 @@
         let report = state.report.as_ref();
         let load = Datagram::Load(Load {
             target: self.settings.engine,
-            running: state.running,
-            queued: state.queued,
-            pace: (state.pace * 100.0) as u32,
+            running: state.running_requests,
+            queued: state.queued_requests,
+            pace: (state.slowdown_factor * 100.0) as u32,
             group: state.group.clone().unwrap_or_else(|| "".into()),
             epoch: report.map_or(0, |it| it.epoch.0),
             step: report.map_or(0, |it| it.step),
@@ -113,7 +113,10 @@
             fence: self.fence,
             plan: self.plan.as_ref().map(|it| it.version),
             experts: experts.map(|it| (it.1, it.2.clone())),
-            pace: self.state.as_ref().map_or(1.0, |it| it.pace as f32),
+            pace: self
+                .state
+                .as_ref()
+                .map_or(1.0, |it| it.slowdown_factor as f32),
             arms: self.arms(&report),
             seal: self.seal(&report),
             report,
