--- a/cowsliproad-direct/tests/entry/cooldown_siege.rs
+++ b/cowsliproad-direct/tests/entry/cooldown_siege.rs
@@ -20,7 +20,7 @@
 use cowsliproad_platform::header;
 use cowsliproad_platform_standin::{
     log,
-    target::{self, Arrival, Fault, Target, TargetConfig},
+    target::{self, ArrivedRequest, Fault, Target, TargetConfig},
 };
 use http::StatusCode;
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -197,7 +197,8 @@
             place.target.borrow().set_fault(Fault::None);
         }
         // A time that is never over ends with its target's process.
-        let forever = |it: &Arrival| it.retry_after.as_deref() == Some("1e9");
+        let forever =
+            |it: &ArrivedRequest| it.retry_after.as_deref() == Some("1e9");
         for place in &self.places {
             let asked =
                 place.target.borrow().arrival_log().iter().any(forever);
@@ -210,7 +211,7 @@
     /// A target's entry goes from the log, and is back.
     async fn lapse(&self, place: &Place) {
         let target = place.target.borrow().clone();
-        target.withdraw(&self.plant.borrow().log);
+        target.withdraw_announcement(&self.plant.borrow().log);
         sleep(Duration::from_millis(700)).await;
         if Arc::ptr_eq(&target, &place.target.borrow()) {
             target.announce(&self.plant.borrow().log, "ready");
@@ -263,7 +264,7 @@
 
     /// Requests that came to a target although its answers had asked for
     /// none.
-    fn unwanted(&self, target: &Target) -> Vec<Arrival> {
+    fn unwanted(&self, target: &Target) -> Vec<ArrivedRequest> {
         let asked = self.asked.borrow();
         let log = target.arrival_log();
         let mut unwanted = Vec::new();
@@ -271,7 +272,7 @@
             let Some(process) = asked.get(&arrival.request_id) else {
                 continue;
             };
-            let breaks = |earlier: &Arrival| {
+            let breaks = |earlier: &ArrivedRequest| {
                 let since = earlier.arrived_at + ON_ITS_WAY;
                 let told = asked.get(&earlier.request_id);
                 let own = told == Some(process);
@@ -333,7 +334,7 @@
             let plant = self.plant.borrow();
             match only {
                 Some(only) if std::ptr::eq(only, place) => {}
-                Some(_) => target.withdraw(&plant.log),
+                Some(_) => target.withdraw_announcement(&plant.log),
                 None => target.announce(&plant.log, "ready"),
             }
         }
@@ -360,7 +361,7 @@
     siege.announce(None, &entries).await;
     let unused = siege.unused(&entries).await;
     let targets = siege.targets.borrow();
-    let unwanted: Vec<Arrival> =
+    let unwanted: Vec<ArrivedRequest> =
         targets.iter().flat_map(|it| siege.unwanted(it)).collect();
     let memory = entries.iter().map(Entry::memory).max();
     println!(
--- a/cowsliproad-direct/tests/entry/cooldowns.rs
+++ b/cowsliproad-direct/tests/entry/cooldowns.rs
@@ -267,7 +267,7 @@
             _ => first.listen_address().expect("an address"),
         };
         if id != "i-1" {
-            first.withdraw(&plant.log);
+            first.withdraw_announcement(&plant.log);
         }
         let next = loop {
             let config = config(id, 2);
@@ -304,7 +304,7 @@
         })
         .await;
     };
-    targets[0].withdraw(&plant.log);
+    targets[0].withdraw_announcement(&plant.log);
     knows(2.0).await;
     targets[0].announce(&plant.log, "ready");
     knows(3.0).await;
--- a/cowsliproad-direct/tests/entry/limits.rs
+++ b/cowsliproad-direct/tests/entry/limits.rs
@@ -439,7 +439,7 @@
                 .await;
             }
         };
-        targets[0].withdraw(&plant.log);
+        targets[0].withdraw_announcement(&plant.log);
         known(2.0).await;
         targets[0].announce(&plant.log, "ready");
         known(3.0).await;
--- a/cowsliproad-direct/tests/entry/news.rs
+++ b/cowsliproad-direct/tests/entry/news.rs
@@ -236,7 +236,7 @@
     let settings = plant.settings(&[&first]);
     let second = Entry::start(settings);
     second.until_ready().await;
-    lapsed.withdraw(&plant.log);
+    lapsed.withdraw_announcement(&plant.log);
     // Each entry has seen it go and was told so by the other.
     tokio::time::sleep(BOUND).await;
     lapsed.announce(&plant.log, "ready");
--- a/cowsliproad-direct/tests/entry/rollbacks.rs
+++ b/cowsliproad-direct/tests/entry/rollbacks.rs
@@ -282,7 +282,7 @@
         let (written, back) = (written.elapsed(), back.elapsed());
         println!("used {written:?} after its entry, {back:?} after the copy");
         assert!(written < BOUND, "{written:?}");
-        joined.withdraw(&plant.log);
+        joined.withdraw_announcement(&plant.log);
     }
 }
 
--- a/cowsliproad-direct/tests/entry/siege.rs
+++ b/cowsliproad-direct/tests/entry/siege.rs
@@ -190,7 +190,7 @@
                 }
                 self.count(&ended);
                 sleep(DOWN).await;
-                ended.withdraw(&self.plant.log);
+                ended.withdraw_announcement(&self.plant.log);
                 let Some(address) = ended.listen_address() else { continue };
                 let start = place.starts.get() + 1;
                 place.starts.set(start);
