--- a/cowsliproad-direct/tests/entry/cooldown_siege.rs
+++ b/cowsliproad-direct/tests/entry/cooldown_siege.rs
@@ -20,7 +20,7 @@
 use cowsliproad_platform::header;
 use cowsliproad_platform_standin::{
     log,
-    target::{self, Arrival, Config, Fault, Target},
+    target::{self, ArrivedRequest, Fault, Target, TargetConfig},
 };
 use http::StatusCode;
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -186,7 +186,7 @@
                 5 => self.lapse(place).await,
                 6 => self.restart(place).await,
                 _ => {
-                    place.target.borrow().set_leaving(Some("1"));
+                    place.target.borrow().set_leaving_header(Some("1"));
                     sleep(Duration::from_millis(500)).await;
                     self.restart(place).await;
                 }
@@ -197,7 +197,8 @@
             place.target.borrow().set_fault(Fault::None);
         }
         // A time that is never over ends with its target's process.
-        let forever = |it: &Arrival| it.retry_after.as_deref() == Some("1e9");
+        let forever =
+            |it: &ArrivedRequest| it.retry_after.as_deref() == Some("1e9");
         for place in &self.places {
             let asked =
                 place.target.borrow().arrival_log().iter().any(forever);
@@ -210,7 +211,7 @@
     /// A target's entry goes from the log, and is back.
     async fn lapse(&self, place: &Place) {
         let target = place.target.borrow().clone();
-        target.withdraw(&self.plant.borrow().log);
+        target.withdraw_announcement(&self.plant.borrow().log);
         sleep(Duration::from_millis(700)).await;
         if Arc::ptr_eq(&target, &place.target.borrow()) {
             target.announce(&self.plant.borrow().log, "ready");
@@ -263,15 +264,17 @@
 
     /// Requests that came to a target although its answers had asked for
     /// none.
-    fn unwanted(&self, target: &Target) -> Vec<Arrival> {
+    fn unwanted(&self, target: &Target) -> Vec<ArrivedRequest> {
         let asked = self.asked.borrow();
         let log = target.arrival_log();
         let mut unwanted = Vec::new();
         for arrival in &log {
-            let Some(process) = asked.get(&arrival.request) else { continue };
-            let breaks = |earlier: &Arrival| {
+            let Some(process) = asked.get(&arrival.request_id) else {
+                continue;
+            };
+            let breaks = |earlier: &ArrivedRequest| {
                 let since = earlier.arrived_at + ON_ITS_WAY;
-                let told = asked.get(&earlier.request);
+                let told = asked.get(&earlier.request_id);
                 let own = told == Some(process);
                 let stated = earlier.retry_after.as_deref();
                 let wait = STATED.iter().find(|it| Some(it.0) == stated);
@@ -280,7 +283,7 @@
                 let rests = own
                     && arrival.arrived_at > since
                     && arrival.arrived_at < until;
-                let left = earlier.leaving
+                let left = earlier.stated_leaving
                     && arrival.arrived_at
                         > if own { since } else { since + TOLD };
                 (rests || left)
@@ -311,9 +314,9 @@
         for place in &self.places {
             self.announce(Some(place), entries).await;
             for entry in entries {
-                let before = place.target.borrow().arrivals();
+                let before = place.target.borrow().arrival_count();
                 let answer = entry.ask("/many/a").await;
-                let arrivals = place.target.borrow().arrivals();
+                let arrivals = place.target.borrow().arrival_count();
                 let status = answer.ok().map(|it| it.status());
                 if status != Some(StatusCode::OK) || arrivals == before {
                     unused.push(entry.settings.vm.to_string());
@@ -331,7 +334,7 @@
             let plant = self.plant.borrow();
             match only {
                 Some(only) if std::ptr::eq(only, place) => {}
-                Some(_) => target.withdraw(&plant.log),
+                Some(_) => target.withdraw_announcement(&plant.log),
                 None => target.announce(&plant.log, "ready"),
             }
         }
@@ -345,9 +348,9 @@
     }
 }
 
-fn config(number: usize, start: u64) -> Config {
-    Config::new(&format!("i-{number}"), "plain", "a")
-        .with_delay(Duration::from_millis(5))
+fn config(number: usize, start: u64) -> TargetConfig {
+    TargetConfig::new(&format!("i-{number}"), "plain", "a")
+        .with_response_delay(Duration::from_millis(5))
         .with_start_time(start)
 }
 
@@ -358,7 +361,7 @@
     siege.announce(None, &entries).await;
     let unused = siege.unused(&entries).await;
     let targets = siege.targets.borrow();
-    let unwanted: Vec<Arrival> =
+    let unwanted: Vec<ArrivedRequest> =
         targets.iter().flat_map(|it| siege.unwanted(it)).collect();
     let memory = entries.iter().map(Entry::memory).max();
     println!(
