--- a/cowsliproad-bench/src/experiment/routing.rs
+++ b/cowsliproad-bench/src/experiment/routing.rs
@@ -154,7 +154,8 @@
                 let unseen = usual.max(f64::from(sent)) * others;
                 let costs = costs(&own[entry], &ranks);
                 let draw = random.random();
-                pick::spread(&costs, 1.0, unseen, draw).unwrap_or_default()
+                pick::choose_by_cost(&costs, 1.0, unseen, draw)
+                    .unwrap_or_default()
             }
             Policy::AllKnowing => {
                 let now: Vec<f64> =
--- a/cowsliproad-direct/src/attempt.rs
+++ b/cowsliproad-direct/src/attempt.rs
@@ -32,7 +32,7 @@
 impl Attempt {
     /// Counts a request in.
     pub fn new(entry: &Rc<Entry>, call: &Call, choice: &Choice) -> Attempt {
-        choice.endpoint.borrow_mut().record.start();
+        choice.endpoint.borrow_mut().record.record_send();
         Attempt {
             entry: entry.clone(),
             choice: choice.clone(),
@@ -97,14 +97,14 @@
     pub fn success(&self) {
         let now = Millis::now();
         let took = now.since(self.began);
-        self.choice.endpoint.borrow_mut().record.success(took, now);
+        self.choice.endpoint.borrow_mut().record.record_success(took, now);
         self.outlived();
         self.entry.note_outlived(self.call.1, now);
     }
 
     /// Notes an answer that tells of a failure.
     pub fn failed(&self) {
-        self.choice.endpoint.borrow_mut().record.failure(Millis::now());
+        self.choice.endpoint.borrow_mut().record.record_failure(Millis::now());
         self.outlived();
     }
 
@@ -151,7 +151,7 @@
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        self.choice.endpoint.borrow_mut().record.end();
+        self.choice.endpoint.borrow_mut().record.record_completion();
         self.give_up();
     }
 }
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -23,7 +23,7 @@
     cooldown::Cooldowns,
     fleet::{self, Change, Fleet, Target},
     formation::Formation,
-    pick::Record,
+    pick::TargetStats,
     readings::{Found, Readings},
 };
 use rand::{SeedableRng, rngs::SmallRng};
@@ -76,7 +76,7 @@
 #[derive(Debug, Default)]
 pub struct Endpoint {
     /// How it fared.
-    pub record: Record,
+    pub record: TargetStats,
     /// Idle connections.
     pub pool: Pool,
     /// Open connections, busy ones and those being made included.
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -5,7 +5,7 @@
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_routing::{
     fleet::Target,
-    pick::{self, Candidate, Distance, Record, Usual},
+    pick::{self, Candidate, Locality, ServiceLatency, TargetStats},
 };
 
 use super::{Choice, Endpoint, Entry, Group, Recovery, groups::AGENT_TIMEOUT};
@@ -14,7 +14,7 @@
 pub struct Candidates {
     seen: Vec<Seen>,
     at: Millis,
-    usual: Usual,
+    usual: ServiceLatency,
     /// Requests of others that no report shows.
     unseen: f64,
     /// Requests a second that a target would get if all were sent as many.
@@ -88,16 +88,16 @@
 
 impl Candidates {
     /// The target with the least cost, or, where agents report, one of those
-    /// with little cost; see [`pick::spread`]. One that takes fewer requests
-    /// than its part is chosen whenever it costs no more, so that it gets what
-    /// it takes. `draw` is a random number from 0 to 1.
+    /// with little cost; see [`pick::choose_by_cost`]. One that takes fewer
+    /// requests than its part is chosen whenever it costs no more, so that it
+    /// gets what it takes. `draw` is a random number from 0 to 1.
     pub fn choose(&self, asks: Asks, draw: f64) -> Option<Choice> {
         let usable = self.seen.iter().filter(|it| self.is_usable(it, asks));
         let usable: Vec<&Choice> = usable.map(|it| &it.choice).collect();
         let costs: Vec<f64> = usable.iter().map(|it| it.cost).collect();
         let slots = usable.iter().map(|it| it.target.slots).max()?;
-        let step = self.usual.in_step() / f64::from(slots);
-        let place = pick::spread(&costs, step, self.unseen, draw)?;
+        let step = self.usual.lockstep_latency_ms() / f64::from(slots);
+        let place = pick::choose_by_cost(&costs, step, self.unseen, draw)?;
         let binds =
             |it: &Choice| it.limit.is_some_and(|it| it.a_second() < self.part);
         let scarce =
@@ -160,9 +160,9 @@
         };
         let heard = endpoints.iter().filter(|it| known(&it.1.borrow().group));
         let reported = heard.count() * 2 > endpoints.len();
-        let records: Vec<Record> =
+        let records: Vec<TargetStats> =
             endpoints.iter().map(|it| it.1.borrow().record).collect();
-        let usual = Usual::new(records.iter());
+        let usual = ServiceLatency::new(records.iter());
         let unseen =
             if reported { self.unseen(service, &records, now) } else { 0.0 };
         let targets = endpoints.len();
@@ -194,19 +194,20 @@
                 continue;
             }
             let near = target.zone == *zone;
-            let distance = if near { Distance::Near } else { Distance::Far };
-            let usual_ms = match group {
-                Some(_) => usual.in_step(),
-                None => usual.alone(&held.record, now),
+            let locality =
+                if near { Locality::SameZone } else { Locality::OtherZone };
+            let latency_ms = match group {
+                Some(_) => usual.lockstep_latency_ms(),
+                None => usual.target_latency_ms(&held.record, now),
             };
             let candidate = Candidate {
-                record: &held.record,
+                stats: &held.record,
                 slots: target.slots,
-                distance,
-                pace: group.map_or(100, |it| it.pace),
-                usual_ms,
+                locality,
+                service_time_percent: group.map_or(100, |it| it.pace),
+                latency_ms,
             };
-            let cost = pick::cost(&candidate, now);
+            let cost = pick::expected_cost_ms(&candidate, now);
             let limit = held.limit.rate();
             let needs = limit.filter(|it| !held.has_permit(*it, now));
             let free = needs.map(|_| held.full_until);
@@ -249,9 +250,15 @@
     /// Requests that other entries send to a service without a report that
     /// shows them. Entries see much the same, so they send what this one does:
     /// as often as usual, and in a moment what it sent in a moment.
-    fn unseen(&self, service: &str, records: &[Record], now: Millis) -> f64 {
+    fn unseen(
+        &self,
+        service: &str,
+        records: &[TargetStats],
+        now: Millis,
+    ) -> f64 {
         let others = (self.peers.borrow().entries() - 1) as f64;
-        let sent: u32 = records.iter().map(Record::unreported).sum();
+        let sent: u32 =
+            records.iter().map(TargetStats::sent_since_report).sum();
         let budgets = self.budgets.borrow();
         let usual = budgets.get(service);
         let usual = usual.map_or(0.0, |it| it.usual(UNSEEN_INTERVAL, now));
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -161,7 +161,7 @@
             | AttemptError::Broken(_) => true,
         };
         if is_failure {
-            self.endpoint.borrow_mut().record.failure(now);
+            self.endpoint.borrow_mut().record.record_failure(now);
         }
     }
 }
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -102,7 +102,9 @@
     let mut endpoint = endpoint.borrow_mut();
     let stands = |it: &Group| (it.epoch, it.open, it.pace / NEWS_PERCENT);
     let before = endpoint.group.as_ref().map(stands);
-    endpoint.record.report(load.running.saturating_add(load.queued), now);
+    endpoint
+        .record
+        .record_load_report(load.running.saturating_add(load.queued), now);
     endpoint.lived = Some(now);
     endpoint.lost = None;
     let group = Group {
--- a/cowsliproad-direct/src/stated.rs
+++ b/cowsliproad-direct/src/stated.rs
@@ -143,6 +143,10 @@
         (numbers.next(), numbers.next())
     {
         let requests = running.saturating_add(waiting);
-        choice.endpoint.borrow_mut().record.report(requests, Millis::now());
+        choice
+            .endpoint
+            .borrow_mut()
+            .record
+            .record_load_report(requests, Millis::now());
     }
 }
--- a/cowsliproad-routing/src/pick.rs
+++ b/cowsliproad-routing/src/pick.rs
@@ -1,314 +1,346 @@
-//! Which target a request goes to, from what an entry knows of each.
+//! Estimates the cost of sending a request to each target and chooses one.
 //!
-//! The cost of a target is the time that a request is expected to take
-//! there: its usual time, longer the more requests it has for each slot, and
-//! longer by its recent failures. A target is never shut out for good: its
-//! failures fade with [`FADING`], the best of bad ones is still used, and one
-//! whose usual time is longer than that of others is measured again by one
-//! request now and then; see [`Usual::alone`].
+//! The cost of a target is the time that a request is expected to take there:
+//! the target's average response time, increased by its requests per slot and
+//! by its recent failures. No target is excluded for good: failures decay with
+//! [`FAILURE_HALF_LIFE`], the best of several failing targets is still used,
+//! and a target that is slower than the others is probed with one request now
+//! and then; see [`ServiceLatency::target_latency_ms`].
 //!
-//! Requests at a target are the last report, corrected by what this entry
-//! sent and got back since. Two entries that see the same report would
-//! otherwise both send to the target that looked idle.
+//! The number of requests at a target is its last load report, corrected by
+//! the requests that this entry sent and completed since. Without the
+//! correction, two entries with the same report would both send to the target
+//! that looked idle.
 
 use cowsliproad_kernel::clock::Millis;
 
-/// The time in which a target's failures lose half of their weight. Targets
-/// that fail part of their requests do so for some seconds; a longer memory
-/// keeps well ones out of use, a shorter one probes the bad ones more often.
-const FADING: Millis = Millis(2_500);
+/// The time in which the failure count of a target halves. A target that fails
+/// part of its requests does so for some seconds: a longer half-life keeps
+/// recovered targets out of use, a shorter one probes failing targets more
+/// often.
+const FAILURE_HALF_LIFE: Millis = Millis(2_500);
 
-/// What one recent failure adds to the cost, as a share of the usual time.
-const FAILURE: f64 = 3.0;
+/// The cost that one recent failure of a target adds, as a multiple of the
+/// response time.
+const FAILURE_PENALTY: f64 = 3.0;
 
-/// The weight of a new time in the average of a target's times, where the
-/// average is new too.
-const WEIGHT: f64 = 0.2;
+/// The weight of a new sample in the moving average of a target's response
+/// times, when the previous sample was taken just before.
+const LATENCY_WEIGHT: f64 = 0.2;
 
-/// The time in which the average loses half of its own weight.
-const USUAL_FADING: Millis = Millis(2_500);
+/// The time in which the average of earlier response times loses half of its
+/// weight.
+const LATENCY_HALF_LIFE: Millis = Millis(2_500);
 
-/// What measuring a slow target again may cost callers, as a share of the
-/// time.
-const MEASURING_SHARE: f64 = 0.01;
+/// The largest share of the time that requests may lose to probes of a slow
+/// target.
+const MAX_PROBE_SHARE: f64 = 0.01;
 
-/// The longest time without a measurement.
-const MAX_MEASURING_INTERVAL: Millis = Millis(120_000);
+/// The longest time between two probes of a slow target.
+const MAX_PROBE_INTERVAL: Millis = Millis(120_000);
 
-/// The most requests that a target is believed to have. Ours have some ten
-/// slots and queue a few more.
-const MAX_REQUESTS: u32 = 10_000;
+/// The largest number of requests accepted in a load report. Targets have some
+/// ten slots and queue a few more requests.
+const MAX_REPORTED_REQUESTS: u32 = 10_000;
 
-/// For so long a report of a target's load holds: agents renew theirs twice
-/// in it.
+/// How long a load report counts in full. Agents send two reports within this
+/// time.
 const REPORT_TTL: Millis = Millis(1_000);
 
-/// The time in which the requests of an older report become half as many.
-const REPORT_FADING: Millis = Millis(500);
+/// The time in which the requests of an expired load report halve.
+const REPORT_HALF_LIFE: Millis = Millis(500);
 
-/// What another availability zone adds, in milliseconds: its way there and
-/// back, and what its bytes are charged.
-const FAR_MS: f64 = 4.0;
+/// The cost of a target in another availability zone, in milliseconds: the
+/// round trip and the charge for traffic between zones.
+const CROSS_ZONE_COST_MS: f64 = 4.0;
 
-/// The time taken for usual while no target of a service has answered, in
-/// milliseconds. It is large beside what another availability zone adds, so
-/// that a starting entry spreads its requests over all of them.
-pub const UNKNOWN_MS: f64 = 100.0;
+/// The response time assumed while no target of a service has answered, in
+/// milliseconds. The value is large compared with [`CROSS_ZONE_COST_MS`], so
+/// that an entry that has just started uses the targets of all availability
+/// zones.
+pub const DEFAULT_LATENCY_MS: f64 = 100.0;
 
-/// How a target has fared with this entry.
+/// Response times, failures and load of one target, as this entry sees them.
 #[derive(Clone, Copy, Debug)]
-pub struct Record {
-    usual_ms: f64,
-    /// When a request there last ended well or badly.
-    measured: Millis,
+pub struct TargetStats {
+    latency_ms: f64,
+    /// When a request to the target last succeeded or failed.
+    last_outcome_at: Millis,
     failures: f64,
-    faded: Millis,
-    reported: u32,
+    failures_decayed_at: Millis,
+    reported_requests: u32,
     reported_at: Millis,
-    sent: u32,
-    done: u32,
+    sent_since_report: u32,
+    completed_since_report: u32,
     in_flight: u32,
 }
 
-impl Record {
-    /// A target that nothing is known of.
-    pub fn new() -> Record {
-        Record {
-            usual_ms: 0.0,
-            measured: Millis(0),
+impl TargetStats {
+    /// Stats of a target that this entry has not used yet.
+    pub fn new() -> TargetStats {
+        TargetStats {
+            latency_ms: 0.0,
+            last_outcome_at: Millis(0),
             failures: 0.0,
-            faded: Millis(0),
-            reported: 0,
+            failures_decayed_at: Millis(0),
+            reported_requests: 0,
             reported_at: Millis(0),
-            sent: 0,
-            done: 0,
+            sent_since_report: 0,
+            completed_since_report: 0,
             in_flight: 0,
         }
     }
 
-    /// Notes a request on its way.
-    pub fn start(&mut self) {
+    /// Counts a request that is sent to the target.
+    pub fn record_send(&mut self) {
         self.in_flight += 1;
-        self.sent += 1;
+        self.sent_since_report += 1;
     }
 
-    /// Notes that a request is no longer there.
-    pub fn end(&mut self) {
+    /// Counts a request that has ended at the target, whatever its outcome.
+    pub fn record_completion(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.done += 1;
+        self.completed_since_report += 1;
     }
 
-    /// Takes a load report in, unless no target could have so many.
-    pub fn report(&mut self, requests: u32, now: Millis) {
-        if requests > MAX_REQUESTS {
+    /// Records a load report; ignores one above [`MAX_REPORTED_REQUESTS`].
+    pub fn record_load_report(&mut self, requests: u32, now: Millis) {
+        if requests > MAX_REPORTED_REQUESTS {
             return;
         }
-        self.reported = requests;
+        self.reported_requests = requests;
         self.reported_at = now;
-        self.sent = 0;
-        self.done = 0;
+        self.sent_since_report = 0;
+        self.completed_since_report = 0;
     }
 
-    /// Notes a good answer and the time that it took.
-    pub fn success(&mut self, took: Millis, now: Millis) {
-        self.fade(now);
+    /// Records a successful response and its latency.
+    pub fn record_success(&mut self, latency: Millis, now: Millis) {
+        self.decay_failures(now);
         self.failures *= 0.5;
-        let took = took.0 as f64;
-        let age = now.since(self.measured).0 as f64 / USUAL_FADING.0 as f64;
-        let weight = 1.0 - (1.0 - WEIGHT) * 0.5_f64.powf(age);
-        self.usual_ms = match self.usual_ms {
-            0.0 => took,
-            usual => usual + (took - usual) * weight,
+        let latency = latency.0 as f64;
+        let age = now.since(self.last_outcome_at).0 as f64
+            / LATENCY_HALF_LIFE.0 as f64;
+        let weight = 1.0 - (1.0 - LATENCY_WEIGHT) * 0.5_f64.powf(age);
+        self.latency_ms = match self.latency_ms {
+            0.0 => latency,
+            average => average + (latency - average) * weight,
         };
-        self.measured = now;
+        self.last_outcome_at = now;
     }
 
-    /// Notes a failure.
-    pub fn failure(&mut self, now: Millis) {
-        self.fade(now);
+    /// Records a failed request.
+    pub fn record_failure(&mut self, now: Millis) {
+        self.decay_failures(now);
         self.failures += 1.0;
-        self.measured = now;
+        self.last_outcome_at = now;
     }
 
-    /// The usual time of its answers in milliseconds, once there was one.
-    pub fn usual_ms(&self) -> Option<f64> {
-        (self.usual_ms > 0.0).then_some(self.usual_ms)
+    /// The average response time in milliseconds; `None` before the first
+    /// response.
+    pub fn latency_ms(&self) -> Option<f64> {
+        (self.latency_ms > 0.0).then_some(self.latency_ms)
     }
 
-    /// Requests there, as far as this entry can tell.
+    /// The estimated number of requests at the target, from all entries.
     pub fn occupancy(&self, now: Millis) -> u32 {
-        let known = self.lasting(now).saturating_add(self.sent);
-        let known = known.saturating_sub(self.done);
-        known.max(self.in_flight)
+        let estimate =
+            self.decayed_report(now).saturating_add(self.sent_since_report);
+        let estimate = estimate.saturating_sub(self.completed_since_report);
+        estimate.max(self.in_flight)
     }
 
-    /// What is left of the last report. Where no agent renews it, it comes
-    /// with answers alone: a target that looked busy would get none, and so
-    /// look busy for good.
-    fn lasting(&self, now: Millis) -> u32 {
+    /// The requests of the last load report, which decay after [`REPORT_TTL`].
+    /// Where no agent sends reports, they come with responses only: without
+    /// decay, a target that looked busy would get no requests and look busy
+    /// for good.
+    fn decayed_report(&self, now: Millis) -> u32 {
         let age = now.since(self.reported_at);
         if age <= REPORT_TTL {
-            return self.reported;
+            return self.reported_requests;
         }
-        let over = (age - REPORT_TTL).0 as f64 / REPORT_FADING.0 as f64;
-        (f64::from(self.reported) * 0.5_f64.powf(over)) as u32
+        let half_lives =
+            (age - REPORT_TTL).0 as f64 / REPORT_HALF_LIFE.0 as f64;
+        (f64::from(self.reported_requests) * 0.5_f64.powf(half_lives)) as u32
     }
 
-    /// Requests that this entry sent since the last report.
-    pub fn unreported(&self) -> u32 {
-        self.sent
+    /// Requests that this entry sent to the target since its last load report.
+    pub fn sent_since_report(&self) -> u32 {
+        self.sent_since_report
     }
 
-    /// Own requests there.
+    /// Requests of this entry that are in flight at the target.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Recent failures, faded.
-    pub fn failures(&self, now: Millis) -> f64 {
-        let age = now.since(self.faded).0 as f64 / FADING.0 as f64;
+    /// The number of recent failures, decayed to the time `now`.
+    pub fn decayed_failures(&self, now: Millis) -> f64 {
+        let age = now.since(self.failures_decayed_at).0 as f64
+            / FAILURE_HALF_LIFE.0 as f64;
         self.failures * 0.5_f64.powf(age)
     }
 
-    fn fade(&mut self, now: Millis) {
-        self.failures = self.failures(now);
-        self.faded = now;
+    fn decay_failures(&mut self, now: Millis) {
+        self.failures = self.decayed_failures(now);
+        self.failures_decayed_at = now;
     }
 }
 
-impl Default for Record {
-    fn default() -> Record {
-        Record::new()
+impl Default for TargetStats {
+    fn default() -> TargetStats {
+        TargetStats::new()
     }
 }
 
-/// A target to choose from.
+/// A target that may be chosen, with the inputs of its cost.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// How it fared.
-    pub record: &'a Record,
-    /// Requests that it runs at once.
+    /// The stats that this entry keeps of the target.
+    pub stats: &'a TargetStats,
+    /// The number of requests that the target runs at once.
     pub slots: u32,
-    /// Where it is.
-    pub distance: Distance,
-    /// How long its work takes, in percent of the usual.
-    pub pace: u32,
-    /// The usual time of an answer there, in milliseconds; see [`Usual`].
-    pub usual_ms: f64,
+    /// Whether the target is in the entry's availability zone.
+    pub locality: Locality,
+    /// The target's service time in percent of the normal one.
+    pub service_time_percent: u32,
+    /// The expected response time in milliseconds; see [`ServiceLatency`].
+    pub latency_ms: f64,
 }
 
-/// The usual times of a service's targets.
+/// The shortest and the mean response time among the targets of a service.
 #[derive(Clone, Copy, Debug)]
-pub struct Usual {
-    least: f64,
-    mean: f64,
+pub struct ServiceLatency {
+    min_ms: f64,
+    mean_ms: f64,
 }
 
-impl Usual {
-    /// What the records of a service's targets say.
-    pub fn new<'a>(records: impl Iterator<Item = &'a Record>) -> Usual {
-        let (mut least, mut sum, mut count) = (f64::INFINITY, 0.0, 0.0);
-        for time in records.filter_map(Record::usual_ms) {
-            least = least.min(time);
+impl ServiceLatency {
+    /// Aggregates the response times of a service's targets.
+    pub fn new<'a>(
+        targets: impl Iterator<Item = &'a TargetStats>,
+    ) -> ServiceLatency {
+        let (mut min_ms, mut sum, mut count) = (f64::INFINITY, 0.0, 0.0);
+        for time in targets.filter_map(TargetStats::latency_ms) {
+            min_ms = min_ms.min(time);
             sum += time;
             count += 1.0;
         }
         if count == 0.0 {
-            return Usual { least: UNKNOWN_MS, mean: UNKNOWN_MS };
+            return ServiceLatency {
+                min_ms: DEFAULT_LATENCY_MS,
+                mean_ms: DEFAULT_LATENCY_MS,
+            };
         }
-        Usual { least, mean: sum / count }
+        ServiceLatency { min_ms, mean_ms: sum / count }
     }
 
-    /// The usual time of a target that works by itself. One that never
-    /// answered is taken for as quick as the quickest, so that it is tried.
-    /// So is one that is due to be measured again, until a request is there:
-    /// only requests tell that a slow target is quick by now.
-    pub fn alone(&self, record: &Record, now: Millis) -> f64 {
-        match record.usual_ms() {
-            Some(usual) if !self.is_due(record, usual, now) => usual,
-            _ => self.least,
+    /// The expected response time of a target that is not part of a group. A
+    /// target without a response counts as fast as the fastest, so that it
+    /// gets a request. So does a target that is due for a probe, until a
+    /// request is in flight there: only a request can show that a slow target
+    /// has recovered.
+    pub fn target_latency_ms(&self, stats: &TargetStats, now: Millis) -> f64 {
+        match stats.latency_ms() {
+            Some(latency) if !self.is_probe_due(stats, latency, now) => {
+                latency
+            }
+            _ => self.min_ms,
         }
     }
 
-    /// Whether a target was left alone for so long that one slow answer is a
-    /// small share of the time.
-    fn is_due(&self, record: &Record, usual: f64, now: Millis) -> bool {
-        let interval = (usual - self.least) / MEASURING_SHARE;
-        let interval = interval.min(MAX_MEASURING_INTERVAL.0 as f64);
-        let age = now.since(record.measured).0 as f64;
-        record.in_flight == 0 && age > interval
+    /// Whether the last request to the target ended so long ago that one slow
+    /// response is at most [`MAX_PROBE_SHARE`] of the time.
+    fn is_probe_due(
+        &self,
+        stats: &TargetStats,
+        latency: f64,
+        now: Millis,
+    ) -> bool {
+        let interval = (latency - self.min_ms) / MAX_PROBE_SHARE;
+        let interval = interval.min(MAX_PROBE_INTERVAL.0 as f64);
+        let age = now.since(stats.last_outcome_at).0 as f64;
+        stats.in_flight == 0 && age > interval
     }
 
-    /// The usual time of a rank of a group. All ranks go in step, so what one
-    /// of them took longer was the length of its answers.
-    pub fn in_step(&self) -> f64 {
-        self.mean
+    /// The expected response time of a rank of a group. The ranks run in lock
+    /// step, so a rank with a longer average only had longer responses.
+    pub fn lockstep_latency_ms(&self) -> f64 {
+        self.mean_ms
     }
 }
 
-/// Where a target is, seen from an entry.
+/// Whether a target is in the same availability zone as the entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Distance {
-    /// In the same availability zone.
-    Near,
-    /// In another one.
-    Far,
+pub enum Locality {
+    /// The target is in the entry's availability zone.
+    SameZone,
+    /// The target is in another availability zone.
+    OtherZone,
 }
 
-/// Chooses among targets whose costs are known to several entries alike.
+/// Chooses a target at random, preferring low costs, when all entries see the
+/// same costs because they get the same load reports.
 ///
-/// All entries hear the same reports. If each sent to the least cost, all
-/// would send to the same targets until the next report. So each chooses as
-/// if all were to fill the targets up evenly: with `unseen` requests that
-/// others send before the next reports, a target gets as many of them as it
-/// lies below the level that they fill up to, and so often it is drawn.
+/// If every entry sent to the target with the least cost, all would use the
+/// same targets until the next report. So each entry chooses as if all entries
+/// together filled the targets up to an equal cost: of `unreported_requests`,
+/// which other entries send before the next reports, a target gets as many as
+/// fit between its cost and that level, and its probability is proportional to
+/// this number.
 ///
-/// `step` is what one more request adds to a target's cost, and `draw` is a
-/// random number from 0 to 1. Returns the place of the chosen cost.
-pub fn spread(
+/// `cost_per_request` is the cost that one more request adds to a target, and
+/// `draw` is a random number from 0 to 1. Returns the index of the chosen
+/// cost.
+pub fn choose_by_cost(
     costs: &[f64],
-    step: f64,
-    unseen: f64,
+    cost_per_request: f64,
+    unreported_requests: f64,
     draw: f64,
 ) -> Option<usize> {
     let mut order: Vec<usize> = (0..costs.len()).collect();
     order.sort_by(|a, b| costs[*a].total_cmp(&costs[*b]));
     let (mut sum, mut level, mut count) = (0.0, 0.0, 0);
-    for place in &order {
-        if count > 0 && costs[*place] >= level {
+    for index in &order {
+        if count > 0 && costs[*index] >= level {
             break;
         }
-        sum += costs[*place];
+        sum += costs[*index];
         count += 1;
-        level = (sum + step * (unseen + 1.0)) / f64::from(count);
+        level = (sum + cost_per_request * (unreported_requests + 1.0))
+            / f64::from(count);
     }
-    let below = &order[..count as usize];
-    let total: f64 = below.iter().map(|it| level - costs[*it]).sum();
-    let mut left = draw * total;
-    for place in below {
-        left -= level - costs[*place];
-        if left < 0.0 {
-            return Some(*place);
+    let candidates = &order[..count as usize];
+    let total: f64 = candidates.iter().map(|it| level - costs[*it]).sum();
+    let mut remaining = draw * total;
+    for index in candidates {
+        remaining -= level - costs[*index];
+        if remaining < 0.0 {
+            return Some(*index);
         }
     }
-    below.last().copied()
+    candidates.last().copied()
 }
 
-/// The cost of a target, in milliseconds.
-pub fn cost(candidate: &Candidate, now: Millis) -> f64 {
-    let record = candidate.record;
-    let usual =
-        candidate.usual_ms.max(1.0) * f64::from(candidate.pace.max(1)) / 100.0;
-    let ahead = f64::from(record.occupancy(now));
+/// The cost of sending a request to a target, in milliseconds.
+pub fn expected_cost_ms(candidate: &Candidate, now: Millis) -> f64 {
+    let stats = candidate.stats;
+    let latency = candidate.latency_ms.max(1.0)
+        * f64::from(candidate.service_time_percent.max(1))
+        / 100.0;
+    let requests = f64::from(stats.occupancy(now));
     let slots = f64::from(candidate.slots.max(1));
-    // Requests in one batch slow one another down before its slots are full;
-    // beyond them a request waits for one of the others to end.
-    let sharing = usual * ahead / slots;
-    let waiting = usual * (ahead + 1.0 - slots).max(0.0) / slots * 2.0;
-    let failing = (usual + FAR_MS) * FAILURE * record.failures(now);
-    let way = match candidate.distance {
-        Distance::Near => 0.0,
-        Distance::Far => FAR_MS,
+    // Requests of one batch slow one another down before all slots are in use;
+    // beyond that, a request waits for a slot to become free.
+    let sharing_cost = latency * requests / slots;
+    let waiting_cost =
+        latency * (requests + 1.0 - slots).max(0.0) / slots * 2.0;
+    let failure_cost = (latency + CROSS_ZONE_COST_MS)
+        * FAILURE_PENALTY
+        * stats.decayed_failures(now);
+    let zone_cost = match candidate.locality {
+        Locality::SameZone => 0.0,
+        Locality::OtherZone => CROSS_ZONE_COST_MS,
     };
-    usual + sharing + waiting + failing + way
+    latency + sharing_cost + waiting_cost + failure_cost + zone_cost
 }
--- a/tests/properties/direct.rs
+++ b/tests/properties/direct.rs
@@ -10,7 +10,7 @@
             Access, Builder, Kind, Organisation, Refusal, Route, Share,
         },
         formation::Formation,
-        pick::{self, Candidate, Distance, Record, Usual},
+        pick::{self, Candidate, Locality, ServiceLatency, TargetStats},
     },
 };
 use proptest::prelude::*;
@@ -64,17 +64,29 @@
     assert_eq!(at(1.0).as_deref(), Some("b"));
 }
 
-fn cost(record: &Record, distance: Distance, pace: u32, now: Millis) -> f64 {
-    let usual_ms = Usual::new([known()].iter()).alone(record, now);
-    let candidate = Candidate { record, slots: 8, distance, pace, usual_ms };
-    pick::cost(&candidate, now)
+fn cost(
+    stats: &TargetStats,
+    locality: Locality,
+    service_time_percent: u32,
+    now: Millis,
+) -> f64 {
+    let latency_ms =
+        ServiceLatency::new([known()].iter()).target_latency_ms(stats, now);
+    let candidate = Candidate {
+        stats,
+        slots: 8,
+        locality,
+        service_time_percent,
+        latency_ms,
+    };
+    pick::expected_cost_ms(&candidate, now)
 }
 
-/// A record with usual answers in 20 ms.
-fn known() -> Record {
-    let mut record = Record::new();
-    record.success(Millis(20), Millis(0));
-    record
+/// The stats of a target that answers in 20 ms.
+fn known() -> TargetStats {
+    let mut stats = TargetStats::new();
+    stats.record_success(Millis(20), Millis(0));
+    stats
 }
 
 /// Access and towing calls: a few a second, none of which may be sent to a
@@ -83,10 +95,11 @@
 fn one_failure_moves_the_next_call_elsewhere_and_is_forgiven() {
     let well = known();
     let mut failing = known();
-    failing.failure(Millis(100));
-    let near =
-        |record: &Record, now| cost(record, Distance::Near, 100, Millis(now));
-    let far = cost(&well, Distance::Far, 100, Millis(150));
+    failing.record_failure(Millis(100));
+    let near = |stats: &TargetStats, now| {
+        cost(stats, Locality::SameZone, 100, Millis(now))
+    };
+    let far = cost(&well, Locality::OtherZone, 100, Millis(150));
     assert!(near(&failing, 150) > far, "also a far one is better");
     let forgiven = near(&failing, 15_100) - near(&well, 15_100);
     assert!(forgiven < 4.0, "forgiven to {forgiven} ms");
@@ -94,10 +107,10 @@
 
 #[test]
 fn a_target_that_was_never_asked_is_tried() {
-    let (new, known) = (Record::new(), known());
+    let (new, known) = (TargetStats::new(), known());
     let now = Millis(0);
-    let new = cost(&new, Distance::Near, 100, now);
-    assert!(new <= cost(&known, Distance::Near, 100, now));
+    let new = cost(&new, Locality::SameZone, 100, now);
+    assert!(new <= cost(&known, Locality::SameZone, 100, now));
 }
 
 /// Guards against a target that is left idle for good after one slow answer,
@@ -106,21 +119,21 @@
 fn a_slow_target_is_measured_again_by_one_request_at_a_time() {
     let quick = known();
     for (took, interval) in [(21, 100), (120, 10_000), (1_020, 100_000)] {
-        let mut slow = Record::new();
-        slow.success(Millis(took), Millis(0));
-        let least = |record: &Record, now| {
-            let usual = Usual::new([quick, *record].iter());
-            usual.alone(record, Millis(now))
+        let mut slow = TargetStats::new();
+        slow.record_success(Millis(took), Millis(0));
+        let least = |stats: &TargetStats, now| {
+            let usual = ServiceLatency::new([quick, *stats].iter());
+            usual.target_latency_ms(stats, Millis(now))
         };
         assert_eq!(least(&slow, interval), took as f64);
         assert_eq!(least(&slow, interval + 1), 20.0);
-        slow.start();
+        slow.record_send();
         assert_eq!(least(&slow, interval + 1), took as f64);
-        slow.end();
+        slow.record_completion();
         let mut failed = slow;
-        failed.failure(Millis(interval + 1));
+        failed.record_failure(Millis(interval + 1));
         assert_eq!(least(&failed, 2 * interval), took as f64);
-        slow.success(Millis(20), Millis(60_000));
+        slow.record_success(Millis(20), Millis(60_000));
         assert!(least(&slow, 60_000) < 20.1, "the old time is forgotten");
     }
 }
@@ -128,20 +141,26 @@
 /// A group is back and some 200 requests go to its ranks at once.
 #[test]
 fn ranks_in_step_are_filled_evenly_whatever_their_answers_took() {
-    let (mut short, mut long) = (known(), Record::new());
-    long.success(Millis(60), Millis(0));
-    let usual_ms = Usual::new([short, long].iter()).in_step();
+    let (mut short, mut long) = (known(), TargetStats::new());
+    long.record_success(Millis(60), Millis(0));
+    let latency_ms =
+        ServiceLatency::new([short, long].iter()).lockstep_latency_ms();
     let now = Millis(0);
     for _ in 0..20 {
-        let cost = |record: &Record| {
-            let (distance, pace) = (Distance::Near, 100);
-            let candidate =
-                Candidate { record, slots: 12, distance, pace, usual_ms };
-            pick::cost(&candidate, now)
+        let cost = |stats: &TargetStats| {
+            let (locality, service_time_percent) = (Locality::SameZone, 100);
+            let candidate = Candidate {
+                stats,
+                slots: 12,
+                locality,
+                service_time_percent,
+                latency_ms,
+            };
+            pick::expected_cost_ms(&candidate, now)
         };
         let next =
             if cost(&short) <= cost(&long) { &mut short } else { &mut long };
-        next.start();
+        next.record_send();
     }
     assert_eq!((short.in_flight(), long.in_flight()), (10, 10));
 }
@@ -149,37 +168,37 @@
 #[test]
 fn a_slow_rank_gets_nothing_while_others_have_room() {
     let mut busy = known();
-    (0..7).for_each(|_| busy.start());
+    (0..7).for_each(|_| busy.record_send());
     let idle = known();
     let now = Millis(0);
-    let slow = cost(&idle, Distance::Near, 1_200, now);
-    assert!(slow > cost(&busy, Distance::Far, 100, now));
+    let slow = cost(&idle, Locality::SameZone, 1_200, now);
+    assert!(slow > cost(&busy, Locality::OtherZone, 100, now));
 }
 
 #[test]
 fn own_sends_since_a_report_count() {
-    let mut record = known();
+    let mut stats = known();
     let now = Millis(5_000);
-    record.report(3, now);
-    record.start();
-    record.start();
-    assert_eq!(record.occupancy(now), 5);
-    record.end();
-    assert_eq!(record.occupancy(now), 4);
-    record.report(9, now);
-    assert_eq!(record.occupancy(now), 9);
+    stats.record_load_report(3, now);
+    stats.record_send();
+    stats.record_send();
+    assert_eq!(stats.occupancy(now), 5);
+    stats.record_completion();
+    assert_eq!(stats.occupancy(now), 4);
+    stats.record_load_report(9, now);
+    assert_eq!(stats.occupancy(now), 9);
 }
 
 #[test]
 fn an_old_report_fades_and_own_requests_do_not() {
-    let mut record = known();
-    record.report(200, Millis(5_000));
-    record.start();
-    assert_eq!(record.occupancy(Millis(6_000)), 201);
-    assert_eq!(record.occupancy(Millis(6_500)), 101);
-    assert_eq!(record.occupancy(Millis(20_000)), 1);
-    record.report(u32::MAX, Millis(20_000));
-    assert_eq!(record.occupancy(Millis(20_000)), 1);
+    let mut stats = known();
+    stats.record_load_report(200, Millis(5_000));
+    stats.record_send();
+    assert_eq!(stats.occupancy(Millis(6_000)), 201);
+    assert_eq!(stats.occupancy(Millis(6_500)), 101);
+    assert_eq!(stats.occupancy(Millis(20_000)), 1);
+    stats.record_load_report(u32::MAX, Millis(20_000));
+    assert_eq!(stats.occupancy(Millis(20_000)), 1);
 }
 
 proptest! {
