--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -389,7 +389,7 @@
         let times = 50_000;
         let start = Instant::now();
         for _ in 0..times {
-            let found = choice::choose(count, &mut random, |index| {
+            let found = choice::choose_target(count, &mut random, |index| {
                 Some(targets[index].score(0))
             });
             black_box(found);
--- a/cowsliproad-direct/src/entry/groups.rs
+++ b/cowsliproad-direct/src/entry/groups.rs
@@ -24,7 +24,7 @@
         let mut formations = self.formations.borrow_mut();
         let new = Formation::new(epoch, open);
         let known = formations.entry(group.clone()).or_insert(new);
-        if known.learn(epoch, open) {
+        if known.update(epoch, open) {
             info!(self.log, "group_stands"; "group" => &**group,
                 "epoch" => epoch, "open" => open);
         }
@@ -46,7 +46,7 @@
     pub fn note_step(&self, group: &Name, epoch: u64, step: u64, now: Millis) {
         let mut formations = self.formations.borrow_mut();
         let Some(known) = formations.get_mut(group) else { return };
-        if known.step(epoch, step, now) {
+        if known.record_step(epoch, step, now) {
             info!(self.log, "group_goes_on"; "group" => &**group,
                 "epoch" => epoch, "step" => step);
         }
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -224,8 +224,10 @@
         entry.measure.knows_limits(entry.limits_known());
         // Some requests count cooldowns as longer.
         let over = now - MAX_STAGGER - PROBE_PERIOD;
-        entry.cooldowns.borrow_mut().sweep(over);
-        entry.measure.knows_cooling(entry.cooldowns.borrow().active(now));
+        entry.cooldowns.borrow_mut().remove_expired(over);
+        entry
+            .measure
+            .knows_cooling(entry.cooldowns.borrow().active_count(now));
         let joined = entry.joined.get();
         if round % ASK_EVERY == 0 || joined != asked {
             asked = joined;
--- a/cowsliproad-direct/src/stated.rs
+++ b/cowsliproad-direct/src/stated.rs
@@ -120,7 +120,7 @@
         target: &Target,
         now: Millis,
     ) -> Option<Millis> {
-        self.cooldowns.borrow().end(target, now)
+        self.cooldowns.borrow().active_until(target, now)
     }
 
     /// Waits until a target asks to be left alone.
--- a/cowsliproad-entry/src/choose.rs
+++ b/cowsliproad-entry/src/choose.rs
@@ -5,7 +5,7 @@
 use cowsliproad_kernel::{Name, clock::Millis};
 use cowsliproad_routing::{
     choice::{self, Choice},
-    health::Admit,
+    health::Admission,
 };
 use slog::info;
 
@@ -41,7 +41,7 @@
 ) -> Option<Choice> {
     let now = Millis::now();
     let targets = &service.targets;
-    let is_out = |target: &Target| target.admits(now) == Admit::No;
+    let is_out = |target: &Target| target.admits(now) == Admission::Deny;
     let believe = !service.ejections_doubted.load(Ordering::Relaxed);
     let score = |index: usize| {
         let target = &targets[index];
@@ -52,7 +52,7 @@
         let distance = if near { 0 } else { shared.settings.zone_us };
         Some(target.score(distance))
     };
-    choice::choose(targets.len(), &mut rand::rng(), score)
+    choice::choose_target(targets.len(), &mut rand::rng(), score)
 }
 
 fn is_usable(target: &Target, tried: &[Name], now: Millis) -> bool {
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -24,7 +24,7 @@
 };
 use cowsliproad_net::link::{Gone, Sender};
 use cowsliproad_routing::{
-    health::{self, Admit, Health},
+    health::{self, Admission, Health},
     score::Candidate,
 };
 use tokio::{sync::mpsc, task::AbortHandle};
@@ -152,7 +152,7 @@
     /// Takes a heartbeat in.
     pub fn take_beat(&self, beat: Beat, now: Millis) {
         let mut stats = lock(&self.stats);
-        stats.health.stated(now, beat.cooldown);
+        stats.health.set_retry_after(now, beat.cooldown);
         stats.beat = Some(beat);
         stats.beat_at = now;
         stats.sent_since = 0;
@@ -197,22 +197,22 @@
     }
 
     /// Whether health admits an attempt now.
-    pub fn admits(&self, now: Millis) -> Admit {
-        lock(&self.stats).health.peek(now)
+    pub fn admits(&self, now: Millis) -> Admission {
+        lock(&self.stats).health.peek_admission(now)
     }
 
     /// The predicted time to the first token there, in microseconds.
-    pub fn score(&self, distance_us: u32) -> u64 {
+    pub fn score(&self, zone_rtt_us: u32) -> u64 {
         let stats = lock(&self.stats);
         let load = stats.beat.as_ref().map_or(Load::default(), |it| it.load);
         let candidate = Candidate {
             load,
-            sent_since: stats.sent_since,
-            done_since: stats.done_since,
+            sent_since_report: stats.sent_since,
+            completed_since_report: stats.done_since,
             in_flight: stats.in_flight,
-            distance_us,
-            prefix_percent: 0,
-            prompt_us: 0,
+            zone_rtt_us,
+            cached_prompt_percent: 0,
+            prefill_us: 0,
         };
         candidate.first_token_us()
     }
@@ -232,11 +232,11 @@
         stats.done_since += 1;
         stats.in_flight = stats.in_flight.saturating_sub(1);
         match outcome {
-            Outcome::Whole => stats.health.success(),
+            Outcome::Whole => stats.health.record_success(),
             Outcome::Failed => {
                 let jitter = rand::random_range(0..100);
-                let config = health::Config::new();
-                stats.health.failure(&config, now, jitter);
+                let config = health::EjectionConfig::new();
+                stats.health.record_failure(&config, now, jitter);
             }
             Outcome::Neutral => {}
         }
--- a/cowsliproad-entry/src/view.rs
+++ b/cowsliproad-entry/src/view.rs
@@ -15,7 +15,7 @@
     object::{self, Backend},
 };
 use cowsliproad_kernel::{Name, clock::Millis, id};
-use cowsliproad_routing::health::{self, Admit};
+use cowsliproad_routing::health::{self, Admission};
 use tokio::sync::watch;
 
 use crate::target::Target;
@@ -121,14 +121,16 @@
 
     /// Counts each service's ejected targets anew.
     pub fn weigh_ejections(&self, now: Millis) {
-        let config = health::Config::new();
+        let config = health::EjectionConfig::new();
         for service in self.services.values() {
             let targets = &service.targets;
             // What targets asked for themselves is not doubted.
             let guessed = targets.iter().filter(|it| {
-                it.admits(now) == Admit::No && it.cooldown_end(now).is_none()
+                it.admits(now) == Admission::Deny
+                    && it.cooldown_end(now).is_none()
             });
-            let doubted = config.is_too_many(guessed.count(), targets.len());
+            let doubted =
+                config.exceeds_ejection_limit(guessed.count(), targets.len());
             service.ejections_doubted.store(doubted, Ordering::Relaxed);
         }
     }
--- a/cowsliproad-rank/src/agent/readings.rs
+++ b/cowsliproad-rank/src/agent/readings.rs
@@ -28,7 +28,8 @@
             }
             Err(error) => {
                 if self.state.take().is_some() {
-                    let cooldown = self.engine.cooldown().left(Millis::now());
+                    let cooldown =
+                        self.engine.cooldown().remaining(Millis::now());
                     info!(self.log, "engine_lost"; "error" => %error,
                         "cooldown" => cooldown.0);
                 }
--- a/cowsliproad-rank/src/engine.rs
+++ b/cowsliproad-rank/src/engine.rs
@@ -143,7 +143,7 @@
     /// shows in the connection that is kept.
     async fn keep_cooldown(&mut self) -> io::Result<()> {
         let now = Millis::now();
-        if self.cooldown.end(now).is_none() {
+        if self.cooldown.active_until(now).is_none() {
             return Ok(());
         }
         if self.connection.is_closed()
--- a/cowsliproad-routing/src/choice.rs
+++ b/cowsliproad-routing/src/choice.rs
@@ -1,58 +1,68 @@
-//! The best of a few sampled targets.
+//! Chooses the best of a few sampled targets.
 //!
-//! Sampling keeps the cost of a choice constant and keeps entries that see
-//! the same stale report from all sending to the same target.
+//! Sampling keeps the cost of a choice constant. It also prevents entries that
+//! see the same stale report from all sending to the same target.
 
 use rand::{Rng, seq::index};
 
-/// Targets looked at for one choice.
-pub const SAMPLES: usize = 4;
+/// The number of targets that are sampled for one choice.
+pub const SAMPLE_SIZE: usize = 4;
 
-/// The outcome of a choice: indices into the list of targets.
+/// The chosen target and the runner-up, as indices into the list of targets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Choice {
-    /// The target to use.
+    /// The index of the chosen target.
     pub chosen: usize,
-    /// The score it had, in microseconds.
+    /// The score of the chosen target, in microseconds.
     pub score_us: u64,
-    /// The next best that was looked at, with its score.
+    /// The sampled target with the second lowest score, and that score.
     pub runner_up: Option<(usize, u64)>,
 }
 
-/// Chooses among `count` targets the one with the lowest score.
+/// Chooses the target with the lowest score from a sample of `target_count`
+/// targets.
 ///
 /// `score` returns `None` for a target that may not be used now. When no
-/// sampled target may be used, all are looked at.
-pub fn choose<R: Rng>(
-    count: usize,
+/// sampled target may be used, all targets are considered.
+pub fn choose_target<R: Rng>(
+    target_count: usize,
     random: &mut R,
     mut score: impl FnMut(usize) -> Option<u64>,
 ) -> Option<Choice> {
-    if count <= SAMPLES {
-        return best(rotation(count, random), &mut score);
+    if target_count <= SAMPLE_SIZE {
+        return lowest_score(
+            rotated_indices(target_count, random),
+            &mut score,
+        );
     }
-    let sampled = index::sample(random, count, SAMPLES);
-    best(sampled.into_iter(), &mut score)
-        .or_else(|| best(rotation(count, random), &mut score))
+    let sampled = index::sample(random, target_count, SAMPLE_SIZE);
+    lowest_score(sampled.into_iter(), &mut score).or_else(|| {
+        lowest_score(rotated_indices(target_count, random), &mut score)
+    })
 }
 
-/// All indices from a random one on, so that ties fall evenly.
-fn rotation<R: Rng>(
-    count: usize,
+/// All indices in order, starting at a random one, so that ties are broken
+/// evenly.
+fn rotated_indices<R: Rng>(
+    target_count: usize,
     random: &mut R,
 ) -> impl Iterator<Item = usize> + use<R> {
-    let first = if count == 0 { 0 } else { random.random_range(0..count) };
-    (0..count).map(move |step| (first + step) % count)
+    let first = if target_count == 0 {
+        0
+    } else {
+        random.random_range(0..target_count)
+    };
+    (0..target_count).map(move |step| (first + step) % target_count)
 }
 
-fn best(
+fn lowest_score(
     indices: impl Iterator<Item = usize>,
     score: &mut impl FnMut(usize) -> Option<u64>,
 ) -> Option<Choice> {
-    let mut found: Option<Choice> = None;
+    let mut choice: Option<Choice> = None;
     for index in indices {
         let Some(score_us) = score(index) else { continue };
-        found = Some(match found {
+        choice = Some(match choice {
             None => Choice { chosen: index, score_us, runner_up: None },
             Some(it) if score_us < it.score_us => Choice {
                 chosen: index,
@@ -68,5 +78,5 @@
             },
         });
     }
-    found
+    choice
 }
--- a/cowsliproad-routing/src/formation.rs
+++ b/cowsliproad-routing/src/formation.rs
@@ -1,85 +1,89 @@
-//! Whether a lock-step group takes requests.
+//! Decides whether a lock-step group of ranks takes requests.
 //!
-//! A group is closed in the formation in which a rank called it broken, and
-//! opens in a later one. Its engines notice a crash only once they have waited
-//! for the rank that is gone, so an agent's word that a rank's process is gone
-//! halts the group at once. That word may be wrong: passes that go on, or
-//! some time without a break, end the halt.
+//! Each time a group forms it gets a new epoch. A group closes when a rank
+//! reports its formation broken, and opens again in a later formation. The
+//! engines of a group notice a crash only after waiting for the lost rank, so
+//! an agent's report that a rank's process is gone halts the group at once.
+//! That report may be wrong: the halt ends when the group's steps advance, or
+//! after [`HALT_TIMEOUT`] without a broken formation.
 
 use cowsliproad_kernel::clock::Millis;
 
-/// By then the engines of a group that waits for a rank have said so. An idle
-/// group begins no passes that could tell.
-const HALT_TTL: Millis = Millis(2_500);
+/// How long a halt lasts at most. Engines that wait for a lost rank report the
+/// formation broken within this time. An idle group runs no steps that could
+/// end the halt.
+const HALT_TIMEOUT: Millis = Millis(2_500);
 
-/// What a report may have taken on its way: one that came sooner after a
-/// rank's end may be from before it.
-const REPORT_LATENCY: Millis = Millis(100);
+/// The longest delay of a rank's report. A report that arrives sooner after
+/// the loss of a rank may have been sent before the loss.
+const MAX_REPORT_DELAY: Millis = Millis(100);
 
-/// Passes that ranks may report in turn though no new one has begun: the one
-/// under way when a rank ended.
-const HALTING_STEPS: u64 = 1;
+/// The number of steps that ranks may still report after the loss of a rank
+/// without starting a new one: the step that was in progress.
+const MAX_STEPS_AFTER_LOSS: u64 = 1;
 
-/// What is known of a group's newest formation.
+/// The state of a group's newest formation.
 #[derive(Clone, Copy, Debug)]
 pub struct Formation {
     epoch: u64,
     open: bool,
-    /// Whether it waits for a rank whose process is gone.
+    /// Set while the group may be waiting for a rank whose process is gone.
     halt: Option<Halt>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Halt {
-    at: Millis,
-    /// The pass that a rank reported first after that.
-    step: Option<u64>,
+    halted_at: Millis,
+    /// The first step that a rank reported after the halt.
+    first_step: Option<u64>,
 }
 
 impl Formation {
-    /// The first that is heard of a group.
+    /// The state of a group at the first report about it.
     pub fn new(epoch: u64, open: bool) -> Formation {
         Formation { epoch, open, halt: None }
     }
 
-    /// Takes in what a rank says. A group that is open is so at all ranks, and
-    /// stays broken for the rest of a formation. Returns whether that is new.
-    pub fn learn(&mut self, epoch: u64, open: bool) -> bool {
-        let broke = self.epoch == epoch && self.open && !open;
-        if epoch <= self.epoch && !broke {
+    /// Merges a rank's report. A group that one rank reports open is open at
+    /// all ranks, and a broken formation stays broken. Returns whether the
+    /// state changed.
+    pub fn update(&mut self, epoch: u64, open: bool) -> bool {
+        let breaks = self.epoch == epoch && self.open && !open;
+        if epoch <= self.epoch && !breaks {
             return false;
         }
         (self.epoch, self.open, self.halt) = (epoch, open, None);
         true
     }
 
-    /// Takes in that a rank's process is gone. Returns whether that halts the
-    /// group.
+    /// Halts the group because a rank's process is gone. Returns whether the
+    /// group was open in this epoch and is now halted.
     pub fn halt(&mut self, epoch: u64, now: Millis) -> bool {
         let halts = self.epoch == epoch && self.is_open(now);
         if halts {
-            self.halt = Some(Halt { at: now, step: None });
+            self.halt = Some(Halt { halted_at: now, first_step: None });
         }
         halts
     }
 
-    /// Takes in the pass that a rank is at. Returns whether a halted group goes
-    /// on.
-    pub fn step(&mut self, epoch: u64, step: u64, now: Millis) -> bool {
+    /// Records the step that a rank reports. Returns whether the step ends a
+    /// halt of the group.
+    pub fn record_step(&mut self, epoch: u64, step: u64, now: Millis) -> bool {
         let halt = self.halt.as_mut().filter(|_| self.epoch == epoch);
-        let halt = halt.filter(|it| now.since(it.at) >= REPORT_LATENCY);
+        let halt =
+            halt.filter(|it| now.since(it.halted_at) >= MAX_REPORT_DELAY);
         let Some(halt) = halt else { return false };
-        let first = *halt.step.get_or_insert(step);
-        let goes_on = step > first + HALTING_STEPS;
-        if goes_on {
+        let first_step = *halt.first_step.get_or_insert(step);
+        let resumes = step > first_step + MAX_STEPS_AFTER_LOSS;
+        if resumes {
             self.halt = None;
         }
-        goes_on
+        resumes
     }
 
     /// Whether the group takes requests.
     pub fn is_open(&self, now: Millis) -> bool {
-        let halted = |it: Halt| now.since(it.at) < HALT_TTL;
+        let halted = |it: Halt| now.since(it.halted_at) < HALT_TIMEOUT;
         self.open && !self.halt.is_some_and(halted)
     }
 }
--- a/cowsliproad-routing/src/health.rs
+++ b/cowsliproad-routing/src/health.rs
@@ -1,83 +1,99 @@
-//! Which targets are left out for a while, and when they are tried again.
+//! Ejects targets that fail repeatedly and decides when they are probed.
 //!
-//! A target that fails [`Config::failures`] times in a row is ejected. The
-//! back-off doubles with each ejection up to a bound and carries jitter, so
-//! that entries don't return at the same moment. Our own guess is probed with
-//! one request from half of its time on, and the first success ends it. A
-//! stated retry-after is taken as it stands: it is not probed early (the
-//! paper's provenance of cool-downs), and neither a success nor a failure of
-//! an earlier attempt changes it.
+//! A target that fails [`EjectionConfig::failures_to_eject`] times in a row is
+//! ejected. The backoff doubles with each ejection up to a bound and carries
+//! jitter, so that entries don't return to the target at the same moment. Such
+//! a backoff is an estimate: after half of its time the target is probed with
+//! one request, and the first success ends the ejection. A retry-after time
+//! that the target states itself is followed exactly: the target is not probed
+//! early, and neither a success nor a failure of an earlier attempt changes
+//! the time.
 //!
-//! A target can look attractive because it fails fast and so is always
-//! idle. Counting failures in a row, whatever their speed, takes it out.
+//! A target that fails fast is always idle and so looks attractive. Counting
+//! consecutive failures, whatever their speed, ejects it.
 
 use cowsliproad_kernel::clock::Millis;
 
 use crate::cooldown::Cooldown;
 
-/// Limits of ejection.
+/// Settings of ejection: failure threshold, backoff and share of targets.
 #[derive(Clone, Copy, Debug)]
-pub struct Config {
-    failures: u32,
-    first: Millis,
-    most: Millis,
-    percent: u32,
+pub struct EjectionConfig {
+    failures_to_eject: u32,
+    initial_backoff: Millis,
+    max_backoff: Millis,
+    max_ejected_percent: u32,
 }
 
-impl Config {
-    /// The usual limits.
-    pub fn new() -> Config {
-        Config {
-            failures: 3,
-            first: Millis(500),
-            most: Millis(30_000),
-            percent: 50,
+impl EjectionConfig {
+    /// The default settings of ejection.
+    pub fn new() -> EjectionConfig {
+        EjectionConfig {
+            failures_to_eject: 3,
+            initial_backoff: Millis(500),
+            max_backoff: Millis(30_000),
+            max_ejected_percent: 50,
         }
     }
 
-    /// Failures in a row until ejection.
-    pub fn with_failures(self, failures: u32) -> Config {
-        Config { failures, ..self }
+    /// Sets the number of consecutive failures that eject a target.
+    pub fn with_failures_to_eject(
+        self,
+        failures_to_eject: u32,
+    ) -> EjectionConfig {
+        EjectionConfig { failures_to_eject, ..self }
     }
 
-    /// The first and the longest back-off.
-    pub fn with_back_off(self, first: Millis, most: Millis) -> Config {
-        Config { first, most, ..self }
+    /// Sets the first and the longest backoff of an ejected target.
+    pub fn with_backoff(
+        self,
+        initial_backoff: Millis,
+        max_backoff: Millis,
+    ) -> EjectionConfig {
+        EjectionConfig { initial_backoff, max_backoff, ..self }
     }
 
-    /// The share of targets that may be ejected, in percent.
-    pub fn with_percent(self, percent: u32) -> Config {
-        Config { percent, ..self }
+    /// Sets the largest share of targets that may be ejected, in percent.
+    pub fn with_max_ejected_percent(
+        self,
+        max_ejected_percent: u32,
+    ) -> EjectionConfig {
+        EjectionConfig { max_ejected_percent, ..self }
     }
 
-    /// Whether so many ejected targets are too many to be believed.
-    pub fn is_too_many(&self, ejected: usize, count: usize) -> bool {
-        ejected * 100 > count * self.percent as usize
+    /// Whether `ejected` of `total` targets exceed the largest share. So many
+    /// ejections are not credible, and callers ignore them.
+    pub fn exceeds_ejection_limit(
+        &self,
+        ejected: usize,
+        total: usize,
+    ) -> bool {
+        ejected * 100 > total * self.max_ejected_percent as usize
     }
 }
 
-impl Default for Config {
-    fn default() -> Config {
-        Config::new()
+impl Default for EjectionConfig {
+    fn default() -> EjectionConfig {
+        EjectionConfig::new()
     }
 }
 
-/// Whether a target may get an attempt.
+/// Whether an attempt may be sent to a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Admit {
-    /// Like any other.
-    Yes,
-    /// One attempt, as a probe.
+pub enum Admission {
+    /// Attempts may be sent without a limit.
+    Allow,
+    /// One attempt may be sent to the ejected target, as a probe.
     Probe,
-    /// Not now.
-    No,
+    /// No attempt may be sent for now.
+    Deny,
 }
 
-/// The health of one target as one entry sees it.
+/// The health of one target, as one entry sees it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
-    failures: u32,
-    round: u32,
+    consecutive_failures: u32,
+    backoff_exponent: u32,
     ejection: Option<Ejection>,
     cooldown: Cooldown,
 }
@@ -85,89 +101,98 @@
 #[derive(Clone, Copy, Debug)]
 struct Ejection {
     until: Millis,
-    probe_at: Millis,
+    next_probe_at: Millis,
 }
 
-/// Rounds after which the back-off no longer doubles.
-const MAX_ROUND: u32 = 16;
+/// The number of ejections after which the backoff no longer doubles.
+const MAX_BACKOFF_EXPONENT: u32 = 16;
 
 impl Health {
-    /// A healthy target.
+    /// The state of a target without failures or a cooldown.
     pub fn new() -> Health {
         Health::default()
     }
 
-    /// Whether an attempt may go there; a probe is counted as taken.
-    pub fn admit(&mut self, now: Millis) -> Admit {
+    /// Decides whether an attempt may be sent to the target. An admitted probe
+    /// is counted as sent.
+    pub fn admit(&mut self, now: Millis) -> Admission {
         if self.cooldown_end(now).is_some() {
-            return Admit::No;
+            return Admission::Deny;
         }
         let Some(ejection) = &mut self.ejection else {
-            return Admit::Yes;
+            return Admission::Allow;
         };
-        if now < ejection.probe_at {
-            return Admit::No;
+        if now < ejection.next_probe_at {
+            return Admission::Deny;
         }
-        ejection.probe_at = ejection.until.max(now + PROBE_GAP);
-        Admit::Probe
+        ejection.next_probe_at = ejection.until.max(now + MIN_PROBE_INTERVAL);
+        Admission::Probe
     }
 
-    /// What [`Health::admit`] would say, without taking a probe.
-    pub fn peek(&self, now: Millis) -> Admit {
+    /// The result of [`Health::admit`], without counting a probe as sent.
+    pub fn peek_admission(&self, now: Millis) -> Admission {
         match &self.ejection {
-            _ if self.cooldown_end(now).is_some() => Admit::No,
-            None => Admit::Yes,
-            Some(ejection) if now < ejection.probe_at => Admit::No,
-            Some(_) => Admit::Probe,
+            _ if self.cooldown_end(now).is_some() => Admission::Deny,
+            None => Admission::Allow,
+            Some(ejection) if now < ejection.next_probe_at => Admission::Deny,
+            Some(_) => Admission::Probe,
         }
     }
 
-    /// Notes a whole answer.
-    pub fn success(&mut self) {
+    /// Records a complete response: ends an ejection, but not a cooldown.
+    pub fn record_success(&mut self) {
         *self = Health { cooldown: self.cooldown, ..Health::default() };
     }
 
-    /// Notes a failure; `jitter` is drawn from 0 to 99.
-    pub fn failure(&mut self, config: &Config, now: Millis, jitter: u64) {
-        self.failures += 1;
+    /// Records a failure; `jitter` is a random number from 0 to 99.
+    pub fn record_failure(
+        &mut self,
+        config: &EjectionConfig,
+        now: Millis,
+        jitter: u64,
+    ) {
+        self.consecutive_failures += 1;
         let probing = self.ejection.is_some();
-        if self.failures < config.failures && !probing {
+        if self.consecutive_failures < config.failures_to_eject && !probing {
             return;
         }
-        let bench = config.first.0 << self.round.min(MAX_ROUND);
-        let bench = bench.min(config.most.0);
-        let bench = bench + bench * jitter / 200;
-        self.round = (self.round + 1).min(MAX_ROUND);
+        let backoff_ms = config.initial_backoff.0
+            << self.backoff_exponent.min(MAX_BACKOFF_EXPONENT);
+        let backoff_ms = backoff_ms.min(config.max_backoff.0);
+        let backoff_ms = backoff_ms + backoff_ms * jitter / 200;
+        self.backoff_exponent =
+            (self.backoff_exponent + 1).min(MAX_BACKOFF_EXPONENT);
         self.ejection = Some(Ejection {
-            until: now + Millis(bench),
-            probe_at: now + Millis(bench / 2),
+            until: now + Millis(backoff_ms),
+            next_probe_at: now + Millis(backoff_ms / 2),
         });
     }
 
-    /// Notes for how long the target last asked to be left alone; zero for not
-    /// at all.
-    pub fn stated(&mut self, now: Millis, wait: Millis) {
-        let was_stated = self.cooldown != Cooldown::default();
+    /// Records the retry-after time that the target last stated; zero if the
+    /// target stated none.
+    pub fn set_retry_after(&mut self, now: Millis, retry_after: Millis) {
+        let had_cooldown = self.cooldown != Cooldown::default();
         self.cooldown = Cooldown::default();
-        if self.cooldown.extend(wait, now) {
-            let until = now + wait;
-            self.ejection = Some(Ejection { until, probe_at: until });
-        } else if was_stated {
-            // A target that started again asked for nothing.
+        if self.cooldown.extend(retry_after, now) {
+            let until = now + retry_after;
+            self.ejection = Some(Ejection { until, next_probe_at: until });
+        } else if had_cooldown {
+            // A restarted target states no time; the cooldown of the earlier
+            // process ends.
             self.ejection = None;
         }
     }
 
-    /// When the time ends for which the target asked to be left alone.
+    /// When the retry-after time of the target ends; `None` if it has none.
     pub fn cooldown_end(&self, now: Millis) -> Option<Millis> {
-        self.cooldown.end(now)
+        self.cooldown.active_until(now)
     }
 
-    /// Whether the target is left out.
+    /// Whether the target is ejected.
     pub fn is_ejected(&self) -> bool {
         self.ejection.is_some()
     }
 }
 
-/// The shortest time between two probes.
-const PROBE_GAP: Millis = Millis(200);
+/// The shortest time between two probes of an ejected target.
+const MIN_PROBE_INTERVAL: Millis = Millis(200);
--- a/cowsliproad-routing/src/score.rs
+++ b/cowsliproad-routing/src/score.rs
@@ -1,58 +1,61 @@
-//! The predicted time to the first token at a target.
+//! Predicts the time to the first token at a target.
 //!
-//! A load report is stale by the time it is used, and every entry sees the
-//! same one. An entry corrects it by what it knows for certain, its own
-//! submissions and completions since the report. Without the correction all
-//! entries send to the target that looked idle until the next report comes.
+//! A load report is stale by the time it is used, and every entry gets the
+//! same report. An entry corrects it by the requests that it sent and
+//! completed itself since the report. Without the correction, all entries send
+//! to the target that looked idle until the next report arrives.
 
 use cowsliproad_kernel::wire::Load;
 
-/// What an entry knows of one target.
+/// The inputs of the prediction for one target.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Candidate {
-    /// The last load report.
+    /// The last load report of the target.
     pub load: Load,
-    /// Own submissions since that report.
-    pub sent_since: u32,
-    /// Own completions since that report.
-    pub done_since: u32,
-    /// Own requests in flight there now.
+    /// Requests that this entry sent to the target since that report.
+    pub sent_since_report: u32,
+    /// Requests of this entry that the target completed since that report.
+    pub completed_since_report: u32,
+    /// Requests of this entry that are in flight at the target.
     pub in_flight: u32,
-    /// The round trip to its availability zone, in microseconds.
-    pub distance_us: u32,
-    /// The share of the prompt that its prefix cache likely holds, in
+    /// The round trip to the target's availability zone, in microseconds.
+    pub zone_rtt_us: u32,
+    /// The share of the prompt that the target's prefix cache likely holds, in
     /// percent.
-    pub prefix_percent: u32,
-    /// What reading the whole prompt anew would cost, in microseconds.
-    pub prompt_us: u32,
+    pub cached_prompt_percent: u32,
+    /// The time to process the whole prompt without a cached prefix, in
+    /// microseconds.
+    pub prefill_us: u32,
 }
 
-/// The service time assumed before the first report, in microseconds.
-const FIRST_GUESS_US: u64 = 50_000;
+/// The service time assumed before the first load report, in microseconds.
+const DEFAULT_SERVICE_US: u64 = 50_000;
 
 impl Candidate {
-    /// Requests at the target now, as far as this entry can tell.
+    /// The estimated number of requests at the target, from all entries.
     pub fn occupancy(&self) -> u64 {
         let reported = u64::from(self.load.queued + self.load.running);
-        let now = (reported + u64::from(self.sent_since))
-            .saturating_sub(u64::from(self.done_since));
-        now.max(u64::from(self.in_flight))
+        let estimate = (reported + u64::from(self.sent_since_report))
+            .saturating_sub(u64::from(self.completed_since_report));
+        estimate.max(u64::from(self.in_flight))
     }
 
     /// The predicted time to the first token, in microseconds.
     pub fn first_token_us(&self) -> u64 {
         let slots = u64::from(self.load.slots.max(1));
-        let service = match u64::from(self.load.service_us) {
-            0 => FIRST_GUESS_US,
+        let service_us = match u64::from(self.load.service_us) {
+            0 => DEFAULT_SERVICE_US,
             known => known,
         };
-        let ahead = self.occupancy();
-        let queue = (ahead + 1).saturating_sub(slots) * service / slots;
-        // Requests that share the target slow one another even before its
-        // slots are full, so an idle target goes before a busy one.
-        let sharing = ahead.min(slots) * service / slots / 8;
-        let miss = u64::from(100 - self.prefix_percent.min(100));
-        let prompt = u64::from(self.prompt_us) * miss / 100;
-        queue + sharing + prompt + u64::from(self.distance_us)
+        let occupancy = self.occupancy();
+        let queue_us =
+            (occupancy + 1).saturating_sub(slots) * service_us / slots;
+        // Requests at the same target slow one another down even before all
+        // slots are in use, so an idle target is preferred to a busy one.
+        let sharing_us = occupancy.min(slots) * service_us / slots / 8;
+        let uncached_percent =
+            u64::from(100 - self.cached_prompt_percent.min(100));
+        let prompt_us = u64::from(self.prefill_us) * uncached_percent / 100;
+        queue_us + sharing_us + prompt_us + u64::from(self.zone_rtt_us)
     }
 }
--- a/tests/properties/cooldown.rs
+++ b/tests/properties/cooldown.rs
@@ -42,10 +42,10 @@
             if wait > 0 {
                 end = end.max(at + wait);
             }
-            let kept = cooldown.end(Millis(at));
+            let kept = cooldown.active_until(Millis(at));
             prop_assert_eq!(kept, (end > at).then_some(Millis(end)));
         }
-        prop_assert_eq!(cooldown.end(Millis(end)), None);
+        prop_assert_eq!(cooldown.active_until(Millis(end)), None);
     }
 
     /// Only the start that stated a time is left alone.
@@ -55,9 +55,9 @@
     ) {
         let mut cooldowns = Cooldowns::new();
         cooldowns.extend(&target("i-1", first), Millis(wait), Millis(0));
-        let end = cooldowns.end(&target("i-1", second), Millis(0));
+        let end = cooldowns.active_until(&target("i-1", second), Millis(0));
         prop_assert_eq!(end.is_some(), first == second);
-        prop_assert_eq!(cooldowns.end(&target("i-2", first), Millis(0)), None);
+        prop_assert_eq!(cooldowns.active_until(&target("i-2", first), Millis(0)), None);
     }
 }
 
@@ -67,9 +67,9 @@
     let mut cooldowns = Cooldowns::new();
     cooldowns.extend(&target("i-1", 2), Millis(1_000), Millis(0));
     cooldowns.extend(&target("i-1", 1), Millis(9_000), Millis(0));
-    let end = cooldowns.end(&target("i-1", 2), Millis(0));
+    let end = cooldowns.active_until(&target("i-1", 2), Millis(0));
     assert_eq!(end, Some(Millis(1_000)));
-    assert_eq!(cooldowns.end(&target("i-1", 1), Millis(0)), None);
+    assert_eq!(cooldowns.active_until(&target("i-1", 1), Millis(0)), None);
 }
 
 #[test]
@@ -78,9 +78,11 @@
     for (id, wait) in [("i-1", 1_000), ("i-2", 2_000)] {
         cooldowns.extend(&target(id, 1), Millis(wait), Millis(0));
     }
-    cooldowns.sweep(Millis(1_500));
-    assert_eq!(cooldowns.active(Millis(0)), 1);
-    assert!(cooldowns.end(&target("i-2", 1), Millis(1_500)).is_some());
+    cooldowns.remove_expired(Millis(1_500));
+    assert_eq!(cooldowns.active_count(Millis(0)), 1);
+    assert!(
+        cooldowns.active_until(&target("i-2", 1), Millis(1_500)).is_some()
+    );
 }
 
 fn read(
--- a/tests/properties/direct.rs
+++ b/tests/properties/direct.rs
@@ -294,15 +294,15 @@
     assert!(!group.halt(1, now), "it is halted once");
     // Reports from before the end, and the pass that was under way.
     for (after, step) in [(50, 900), (150, 40), (200, 41), (900, 41)] {
-        assert!(!group.step(1, step, now + Millis(after)), "{after}");
+        assert!(!group.record_step(1, step, now + Millis(after)), "{after}");
     }
-    assert!(group.step(1, 42, now + Millis(1_000)));
+    assert!(group.record_step(1, 42, now + Millis(1_000)));
     assert!(group.is_open(now + Millis(1_000)));
     let mut group = halted(1);
-    assert!(group.learn(1, false));
+    assert!(group.update(1, false));
     assert!(!group.is_open(now + Millis(60_000)), "it broke");
-    assert!(!group.learn(1, true), "it stays broken in its formation");
-    assert!(group.learn(2, true));
+    assert!(!group.update(1, true), "it stays broken in its formation");
+    assert!(group.update(2, true));
     assert!(group.is_open(now));
     // A wrong word that nothing refuted doesn't hide a later one.
     let mut group = halted(1);
--- a/tests/properties/routing.rs
+++ b/tests/properties/routing.rs
@@ -4,7 +4,7 @@
     kernel::{clock::Millis, wire::Load},
     routing::{
         choice,
-        health::{Admit, Config, Health},
+        health::{Admission, EjectionConfig, Health},
         score::Candidate,
     },
 };
@@ -21,7 +21,7 @@
     ) {
         let mut random = StdRng::seed_from_u64(seed);
         let score = |index: usize| usable[index].then_some(index as u64);
-        let found = choice::choose(usable.len(), &mut random, score);
+        let found = choice::choose_target(usable.len(), &mut random, score);
         match found {
             Some(it) => {
                 prop_assert!(usable[it.chosen]);
@@ -43,8 +43,8 @@
         service_us in 1..1_000_000u32,
     ) {
         let load = Load { queued, running, slots, service_us, count: 0 };
-        let less = Candidate { load, sent_since: sent, ..Candidate::default() };
-        let more = Candidate { sent_since: sent + 1, ..less };
+        let less = Candidate { load, sent_since_report: sent, ..Candidate::default() };
+        let more = Candidate { sent_since_report: sent + 1, ..less };
         prop_assert!(more.first_token_us() >= less.first_token_us());
     }
 
@@ -54,38 +54,38 @@
         jitter in 0..100u64,
     ) {
         let most = Millis(10_000);
-        let config = Config::new().with_back_off(Millis(100), most);
+        let config = EjectionConfig::new().with_backoff(Millis(100), most);
         let mut health = Health::new();
         let mut now = Millis(0);
         for _ in 0..failures {
-            health.failure(&config, now, jitter);
+            health.record_failure(&config, now, jitter);
             now = now + Millis(1);
         }
         let later = now + most + most;
-        prop_assert_ne!(health.peek(later), Admit::No);
-        health.success();
-        prop_assert_eq!(health.peek(later), Admit::Yes);
+        prop_assert_ne!(health.peek_admission(later), Admission::Deny);
+        health.record_success();
+        prop_assert_eq!(health.peek_admission(later), Admission::Allow);
     }
 }
 
 #[test]
 fn a_target_that_fails_in_a_row_is_left_out_and_probed() {
-    let config = Config::new().with_failures(3);
+    let config = EjectionConfig::new().with_failures_to_eject(3);
     let mut health = Health::new();
     for _ in 0..2 {
-        health.failure(&config, Millis(0), 0);
+        health.record_failure(&config, Millis(0), 0);
     }
-    assert_eq!(health.admit(Millis(0)), Admit::Yes);
-    health.failure(&config, Millis(0), 0);
-    assert_eq!(health.admit(Millis(1)), Admit::No);
-    assert_eq!(health.admit(Millis(400)), Admit::Probe);
-    assert_eq!(health.admit(Millis(401)), Admit::No);
+    assert_eq!(health.admit(Millis(0)), Admission::Allow);
+    health.record_failure(&config, Millis(0), 0);
+    assert_eq!(health.admit(Millis(1)), Admission::Deny);
+    assert_eq!(health.admit(Millis(400)), Admission::Probe);
+    assert_eq!(health.admit(Millis(401)), Admission::Deny);
 }
 
 #[test]
 fn a_stated_time_is_not_probed_early() {
     let mut health = Health::new();
-    health.stated(Millis(0), Millis(1_000));
-    assert_eq!(health.admit(Millis(900)), Admit::No);
-    assert_eq!(health.admit(Millis(1_000)), Admit::Probe);
+    health.set_retry_after(Millis(0), Millis(1_000));
+    assert_eq!(health.admit(Millis(900)), Admission::Deny);
+    assert_eq!(health.admit(Millis(1_000)), Admission::Probe);
 }
