--- a/cowsliproad-bench/src/bin/cowsliproad-naive.rs
+++ b/cowsliproad-bench/src/bin/cowsliproad-naive.rs
@@ -24,7 +24,7 @@
 };
 use cowsliproad_routing::{
     catalog::Catalog,
-    fleet::{State, Target},
+    fleet::{Target, TargetState},
 };
 use http::{HeaderValue, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full, combinators::UnsyncBoxBody};
@@ -109,7 +109,7 @@
     let read = page.records.iter().filter_map(|record| {
         target::decode(&record.key, record.value.as_ref()?).ok()
     });
-    let ready = read.filter(|it| it.state == State::Ready);
+    let ready = read.filter(|it| it.state == TargetState::Ready);
     front.borrow_mut().targets = ready.map(|it| (it.id.clone(), it)).collect();
 }
 
--- a/cowsliproad-bench/src/experiment/limits.rs
+++ b/cowsliproad-bench/src/experiment/limits.rs
@@ -22,8 +22,8 @@
     plugin::inventory,
 };
 use cowsliproad_routing::{
-    fleet::{Start, State, Target},
-    owner::{self, Member, Owner, Presence},
+    fleet::{StartTime, Target, TargetState},
+    owner::{self, Liveness, Member, Owner},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IteratorRandom};
 use serde_json::{Value, json};
@@ -156,12 +156,12 @@
         (0..ZONES).map(|it| format!("zone-{it}").into()).collect();
     let target = Target {
         id: "i-1".into(),
-        start: Start(0),
+        start: StartTime(0),
         service: "model".into(),
         address: ([127, 0, 0, 1], 1).into(),
         zone: zones[1].clone(),
         slots: 12,
-        state: State::Ready,
+        state: TargetState::Ready,
         sequence: 1,
     };
     let mut fleet = Fleet {
@@ -367,8 +367,8 @@
     fn decide(&mut self, entry: usize, relays: u8) -> Verdict {
         for asked in 0..MAX_ASKED {
             let other = match self.owner(entry) {
-                Owner::Other(_) if asked > 0 && relays < RELAYS => break,
-                Owner::Other(other) if relays > 0 => other,
+                Owner::Remote(_) if asked > 0 && relays < RELAYS => break,
+                Owner::Remote(other) if relays > 0 => other,
                 owner => {
                     let substitute = owner == Owner::Substitute;
                     return self.give(entry, substitute);
@@ -393,26 +393,33 @@
     }
 
     fn owner(&self, entry: usize) -> Owner<usize> {
-        let member = |address: usize, presence| Member {
+        let member = |address: usize, liveness| Member {
             address,
             zone: &self.zones[address % ZONES],
-            presence,
+            liveness,
         };
         let known = &self.entries[entry].known;
-        let silence = owner::silence(known.len(), MAX_TOLD).0;
+        let silence = owner::silence_timeout(known.len(), MAX_TOLD).0;
         let others = known.iter().map(|(other, (heard, mute))| {
             let silent = self.now - heard >= silence || *mute > self.now;
-            let presence =
-                if silent { Presence::Silent } else { Presence::Heard };
-            member(*other, presence)
+            let liveness = if silent {
+                Liveness::Unresponsive
+            } else {
+                Liveness::Responsive
+            };
+            member(*other, liveness)
         });
-        owner::owner(&self.target, member(entry, Presence::Heard), others)
+        owner::choose_owner(
+            &self.target,
+            member(entry, Liveness::Responsive),
+            others,
+        )
     }
 
     fn give(&mut self, entry: usize, substitute: bool) -> Verdict {
         let now = Millis(self.now);
         let known = &self.entries[entry].known;
-        let silence = owner::silence(known.len(), MAX_TOLD).0;
+        let silence = owner::silence_timeout(known.len(), MAX_TOLD).0;
         let heard = known.values().filter(|it| self.now - it.0 < silence);
         let share = (heard.count() + 1) as f64 / (known.len() + 1) as f64;
         let entry = &mut self.entries[entry];
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -21,10 +21,10 @@
 use cowsliproad_routing::{
     catalog::Catalog,
     cooldown::Cooldowns,
-    fleet::{self, Change, Fleet, Target},
+    fleet::{Fleet, FleetConfig, Target, TargetChange},
     formation::Formation,
     pick::TargetStats,
-    readings::{Found, Readings},
+    readings::{Continuity, LogReads},
 };
 use rand::{SeedableRng, rngs::SmallRng};
 use slog::{Logger, info, warn};
@@ -183,7 +183,7 @@
     /// The lists of engines that agents know, by engine.
     pub lists: RefCell<HashMap<SocketAddr, u64>>,
     /// What is known of readings of the targets in the log.
-    pub readings: RefCell<Readings>,
+    pub readings: RefCell<LogReads>,
     /// Wakes the task that reads them.
     pub behind: Notify,
     /// Times that the log came back from an older copy.
@@ -220,13 +220,13 @@
     /// An entry that knows nothing yet.
     pub fn new(settings: Settings, log: Logger) -> Entry {
         let peers = Peers::new(&settings);
-        let readings = Readings::new(settings.heartbeat_ms);
+        let readings = LogReads::new(settings.heartbeat_ms);
         Entry {
             settings: RefCell::new(Rc::new(settings)),
             log,
             measure: Measure::new(),
             catalog: RefCell::new(None),
-            fleet: RefCell::new(Fleet::new(fleet::Config::new())),
+            fleet: RefCell::new(Fleet::new(FleetConfig::new())),
             patience: RefCell::new(HashMap::new()),
             refused: RefCell::new(HashSet::new()),
             announced: RefCell::new(HashMap::new()),
@@ -328,14 +328,14 @@
     }
 
     /// Notes what became of a target.
-    pub fn changed(&self, id: &str, change: Change, source: Source) {
+    pub fn changed(&self, id: &str, change: TargetChange, source: Source) {
         match change {
-            Change::None => return,
+            TargetChange::None => return,
             // Known here, but maybe not to other entries.
-            Change::Returned => return self.note_change(source),
-            Change::Joined | Change::Restarted => {
+            TargetChange::Returned => return self.note_change(source),
+            TargetChange::Joined | TargetChange::Restarted => {
                 self.note_change(source);
-                if change == Change::Restarted {
+                if change == TargetChange::Restarted {
                     info!(self.log, "target_restarted"; "target" => id,
                         "source" => ?source);
                     // Requests there, connections and what its agent said
@@ -353,7 +353,7 @@
                 drop(fleet);
                 self.recall_limit(id, Millis::now());
             }
-            Change::Left => {
+            TargetChange::Left => {
                 self.note_change(source);
                 info!(self.log, "target_left"; "target" => id,
                     "source" => ?source);
@@ -371,7 +371,7 @@
 
     /// Takes another entry's reading of the targets in.
     pub fn note_reading(&self, at: Millis, changed: Position, now: Millis) {
-        let found = self.readings.borrow_mut().hear(at, changed);
+        let found = self.readings.borrow_mut().merge_peer_read(at, changed);
         self.note_gap(found, now);
         if self.readings.borrow().is_behind() {
             self.behind.notify_one();
@@ -381,15 +381,15 @@
     /// Notes that the targets changed, so that other entries read too.
     fn note_change(&self, source: Source) {
         if source == Source::Log {
-            self.readings.borrow_mut().note_change();
+            self.readings.borrow_mut().record_change();
         }
     }
 
     /// Gives targets that may have lapsed unseen the time to come back.
-    pub fn note_gap(&self, found: Found, now: Millis) {
-        if found == Found::Gap {
+    pub fn note_gap(&self, found: Continuity, now: Millis) {
+        if found == Continuity::Gap {
             info!(self.log, "readings_resumed");
-            self.fleet.borrow_mut().regained(now);
+            self.fleet.borrow_mut().start_grace_period(now);
         }
     }
 
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -18,7 +18,7 @@
     log::{Client, Error, Page, Record},
     target,
 };
-use cowsliproad_routing::fleet::{Change, Start};
+use cowsliproad_routing::fleet::{StartTime, TargetChange};
 use rand::Rng;
 use slog::{info, warn};
 use tokio::time::sleep;
@@ -231,18 +231,20 @@
         match reader.read(&entry, Millis(0)).await {
             Ok(reading) => {
                 let now = Millis::now();
-                let found = entry.readings.borrow_mut().read(now, reading.end);
+                let found =
+                    entry.readings.borrow_mut().record_read(now, reading.end);
                 entry.note_gap(found, now);
                 take(&entry, &reading, now);
                 // What was back by then has been read.
-                let gone = entry.fleet.borrow_mut().tick(begun);
+                let gone =
+                    entry.fleet.borrow_mut().apply_due_withdrawals(begun);
                 note_gone(&entry, &gone);
                 // The others need not read.
                 entry.rumour.notify_one();
             }
             Err(error) => {
                 if !matches!(error, Error::Expired | Error::RolledBack) {
-                    entry.readings.borrow_mut().lost();
+                    entry.readings.borrow_mut().mark_log_unreachable();
                 }
                 reader.recover(&entry, &error).await;
             }
@@ -257,8 +259,8 @@
     let patience = jittered(period);
     loop {
         let now = Millis::now();
-        let wait = entry.readings.borrow().due_in(patience, now);
-        let lapse = entry.fleet.borrow().next_lapse();
+        let wait = entry.readings.borrow().next_read_in(patience, now);
+        let lapse = entry.fleet.borrow().next_withdrawal();
         let wait = lapse.map_or(wait, |at| wait.min(at.since(now)));
         if wait == Millis(0) {
             return;
@@ -276,7 +278,7 @@
     let news = records
         .iter()
         .map(|it| announce(entry, it, now, Source::Log))
-        .filter(|it| *it != Change::None)
+        .filter(|it| *it != TargetChange::None)
         .count();
     if reading.scope == Scope::New {
         return;
@@ -285,26 +287,28 @@
     if reading.scope == Scope::First {
         // Others told of the targets known so far, and the log may have come
         // back from a copy that lacks them.
-        entry.fleet.borrow_mut().regained(now);
+        entry.fleet.borrow_mut().start_grace_period(now);
     }
-    let listed: HashMap<&str, Start> =
+    let listed: HashMap<&str, StartTime> =
         records.iter().filter_map(start).collect();
-    let gone =
-        entry.fleet.borrow_mut().keep_only(|id| listed.get(id).copied(), now);
+    let gone = entry
+        .fleet
+        .borrow_mut()
+        .withdraw_unlisted(|id| listed.get(id).copied(), now);
     note_gone(entry, &gone);
 }
 
 /// Which start of a target a record is of. One of another writer may hide a
 /// target, and counts as its newest.
-fn start(record: &Record) -> Option<(&str, Start)> {
+fn start(record: &Record) -> Option<(&str, StartTime)> {
     let raw = record.value.as_ref()?;
     let start = target::decode(&record.key, raw).map(|it| it.start);
-    Some((&record.key, start.unwrap_or(Start(u64::MAX))))
+    Some((&record.key, start.unwrap_or(StartTime(u64::MAX))))
 }
 
 fn note_gone(entry: &Entry, gone: &[Name]) {
     for id in gone {
-        entry.changed(id, Change::Left, Source::Log);
+        entry.changed(id, TargetChange::Left, Source::Log);
     }
 }
 
@@ -314,7 +318,7 @@
     record: &Record,
     now: Millis,
     source: Source,
-) -> Change {
+) -> TargetChange {
     let change = match &record.value {
         None => entry.fleet.borrow_mut().withdraw(&record.key, now),
         Some(raw) => match target::decode(&record.key, raw) {
@@ -331,7 +335,7 @@
             // one that has that name.
             Err(error) => {
                 entry.refuse_target(&record.key, &error);
-                return Change::None;
+                return TargetChange::None;
             }
         },
     };
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -21,7 +21,7 @@
 };
 use cowsliproad_platform::header;
 use cowsliproad_routing::{
-    fleet::{Start, Target},
+    fleet::{StartTime, Target},
     owner::Owner,
 };
 use http::{HeaderMap, HeaderValue};
@@ -87,7 +87,7 @@
 #[derive(Default)]
 pub struct Limits {
     socket: Option<Rc<UdpSocket>>,
-    limiters: HashMap<Name, (Start, limit::Limiter)>,
+    limiters: HashMap<Name, (StartTime, limit::Limiter)>,
     open: HashMap<u64, oneshot::Sender<Reply>>,
     /// Limits of targets that are not known yet, and when they were heard.
     early: HashMap<Name, (Limit, Millis)>,
@@ -274,8 +274,8 @@
         let owner = entry.peers.borrow().owner(target, &zone, now);
         let other = match owner {
             // Whoever asked waits for one question more, not for two.
-            Owner::Other(_) if asked > 0 && relays < RELAYS => break,
-            Owner::Other(other) if relays > 0 => other,
+            Owner::Remote(_) if asked > 0 && relays < RELAYS => break,
+            Owner::Remote(other) if relays > 0 => other,
             _ => return entry.give(target, owner, patience, now),
         };
         match ask(entry, other, target, patience, relays - 1).await {
@@ -369,7 +369,7 @@
 
     fn hear_limit(&self, limit: &Limit, now: Millis) {
         let start = self.fleet.borrow().get(&limit.target).map(|it| it.start);
-        if start != Some(Start(limit.start)) {
+        if start != Some(StartTime(limit.start)) {
             self.limits.borrow_mut().keep_early(limit, now);
             return;
         }
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -15,8 +15,8 @@
     position::Position,
 };
 use cowsliproad_routing::{
-    fleet::{Parting, Start, Target},
-    owner::{self, Member, Owner, Presence},
+    fleet::{Departure, StartTime, Target},
+    owner::{self, Liveness, Member, Owner},
 };
 use rand::seq::IteratorRandom;
 use slog::{info, warn};
@@ -141,17 +141,17 @@
         let own = Member {
             address: self.own,
             zone: own_zone,
-            presence: Presence::Heard,
+            liveness: Liveness::Responsive,
         };
         let others = self.known.iter().map(|(address, peer)| {
             let silent = now.since(peer.heard) >= silence;
-            let presence = match silent || peer.mute_until > now {
-                true => Presence::Silent,
-                false => Presence::Heard,
+            let liveness = match silent || peer.mute_until > now {
+                true => Liveness::Unresponsive,
+                false => Liveness::Responsive,
             };
-            Member { address: *address, zone: &peer.zone, presence }
+            Member { address: *address, zone: &peer.zone, liveness }
         });
-        owner::owner(target, own, others)
+        owner::choose_owner(target, own, others)
     }
 
     /// Notes that an entry doesn't answer questions.
@@ -183,7 +183,7 @@
     }
 
     fn silence(&self) -> Millis {
-        owner::silence(self.known.len(), MAX_RECIPIENTS)
+        owner::silence_timeout(self.known.len(), MAX_RECIPIENTS)
     }
 
     /// Notes entries that others speak of.
@@ -245,10 +245,10 @@
     let fleet = entry.fleet.borrow();
     let (suspects, lives) = entry.quarantine.borrow().updates(update, now);
     let (mut left, mut withdrawn) = (Vec::new(), Vec::new());
-    for (id, parting) in fleet.left_since(since) {
-        match parting {
-            Parting::ForGood(start) => left.push((id.clone(), start.0)),
-            Parting::After(start, last) => {
+    for (id, departure) in fleet.departures_since(since) {
+        match departure {
+            Departure::Announced(start) => left.push((id.clone(), start.0)),
+            Departure::Withdrawn(start, last) => {
                 withdrawn.push((id.clone(), start.0, last));
             }
         }
@@ -258,8 +258,8 @@
         address: entry.settings().peer_address(),
         version: entry.version(),
         era: entry.rollbacks.era(),
-        read_ms: now.since(entry.readings.borrow().at()).0,
-        changed: entry.readings.borrow().changed().offset,
+        read_ms: now.since(entry.readings.borrow().last_read_at()).0,
+        changed: entry.readings.borrow().last_change().offset,
         left,
         withdrawn,
         peers: entry.peers.borrow().known.keys().copied().collect(),
@@ -312,12 +312,13 @@
     let now = Millis::now();
     entry.learn_era(heard.era, Source::Peer);
     let left = heard.left.iter();
-    let left = left.map(|it| (&it.0, Parting::ForGood(Start(it.1))));
+    let left = left.map(|it| (&it.0, Departure::Announced(StartTime(it.1))));
     let withdrawn = heard.withdrawn.iter();
-    let withdrawn =
-        withdrawn.map(|it| (&it.0, Parting::After(Start(it.1), it.2)));
-    for (id, parting) in left.chain(withdrawn) {
-        let change = entry.fleet.borrow_mut().hear_parting(id, parting, now);
+    let withdrawn = withdrawn
+        .map(|it| (&it.0, Departure::Withdrawn(StartTime(it.1), it.2)));
+    for (id, departure) in left.chain(withdrawn) {
+        let change =
+            entry.fleet.borrow_mut().merge_departure(id, departure, now);
         entry.changed(id, change, Source::Peer);
     }
     entry.heard_from(&heard.zone, now);
@@ -346,7 +347,7 @@
     }
     let behind = heard.version > entry.version()
         || heard.version > 0 && !entry.is_ready()
-        || entry.readings.borrow().needs_peer();
+        || entry.readings.borrow().needs_peer_state();
     if behind && !entry.peers.borrow().fetching {
         entry.peers.borrow_mut().fetching = true;
         let entry = entry.clone();
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -12,7 +12,7 @@
 };
 use cowsliproad_routing::{
     catalog::{Engine, Service},
-    fleet::{Start, Target},
+    fleet::{StartTime, Target},
 };
 use slog::info;
 use tokio::net::UdpSocket;
@@ -91,8 +91,8 @@
         return;
     };
     entry.heard_from(&target.zone, now);
-    entry.note_report(&target, Start(load.start), now);
-    if load.leaving && target.start == Start(load.start) {
+    entry.note_report(&target, StartTime(load.start), now);
+    if load.leaving && target.start == StartTime(load.start) {
         info!(entry.log, "target_leaving"; "target" => &*target.id,
             "source" => ?Source::Peer);
         return entry.note_left(&target);
--- a/cowsliproad-direct/src/peers/state.rs
+++ b/cowsliproad-direct/src/peers/state.rs
@@ -54,7 +54,7 @@
 pub(super) async fn catch_up(entry: &Rc<Entry>, heard: &Digest) {
     sleep(OWN_READ_DELAY.duration()).await;
     let knows = entry.version() >= heard.version && entry.is_ready();
-    if knows && !entry.readings.borrow().needs_peer() {
+    if knows && !entry.readings.borrow().needs_peer_state() {
         return;
     }
     if entry.catalog().is_none() {
@@ -97,7 +97,7 @@
     }
     // Own knowledge of the targets goes first, as long as the log tells more.
     let knows = entry.fleet.borrow().ready().next().is_some();
-    if knows && !entry.readings.borrow().needs_peer() {
+    if knows && !entry.readings.borrow().needs_peer_state() {
         return;
     }
     let now = Millis::now();
@@ -106,7 +106,7 @@
         let record = Record { key: announcement.id, value };
         follow::announce(entry, &record, now, Source::Peer);
     }
-    entry.readings.borrow_mut().merged();
+    entry.readings.borrow_mut().mark_caught_up();
 }
 
 /// The entry's state, for one that starts or is turned away by the log.
--- a/cowsliproad-direct/src/rollback.rs
+++ b/cowsliproad-direct/src/rollback.rs
@@ -106,7 +106,7 @@
             return;
         }
         self.rollbacks.era.send_replace(era);
-        self.readings.borrow_mut().enter(era);
+        self.readings.borrow_mut().enter_era(era);
         if !self.rollbacks.has_read.get() {
             return;
         }
@@ -114,7 +114,7 @@
         info!(self.log, "log_rolled_back"; "era" => era.0,
             "before" => before.0, "source" => ?source);
         self.measure.rolled_back();
-        self.fleet.borrow_mut().regained(now);
+        self.fleet.borrow_mut().start_grace_period(now);
         let unread = BTreeSet::from([OPERATORS, TARGETS, QUARANTINE]);
         *self.rollbacks.last.borrow_mut() = Some(Rollback { at: now, unread });
         self.behind.notify_one();
--- a/cowsliproad-direct/src/stated.rs
+++ b/cowsliproad-direct/src/stated.rs
@@ -48,7 +48,8 @@
     pub fn note_left(&self, target: &Target) {
         let (id, start) = (&target.id, target.start);
         let now = Millis::now();
-        let change = self.fleet.borrow_mut().leave(id, start, now);
+        let change =
+            self.fleet.borrow_mut().announce_departure(id, start, now);
         self.changed(id, change, Source::Own);
     }
 
--- a/cowsliproad-routing/src/cooldown.rs
+++ b/cowsliproad-routing/src/cooldown.rs
@@ -11,7 +11,7 @@
 
 use cowsliproad_kernel::{Name, clock::Millis};
 
-use crate::fleet::{Start, Target};
+use crate::fleet::{StartTime, Target};
 
 /// The largest number of stored cooldowns, at some 60 bytes each.
 const MAX_COOLDOWNS: usize = 16_384;
@@ -48,7 +48,7 @@
 /// The cooldowns of all targets, each with the start time of its process.
 #[derive(Clone, Debug, Default)]
 pub struct Cooldowns {
-    targets: HashMap<Name, (Start, Cooldown)>,
+    targets: HashMap<Name, (StartTime, Cooldown)>,
 }
 
 impl Cooldowns {
--- a/cowsliproad-routing/src/fleet.rs
+++ b/cowsliproad-routing/src/fleet.rs
@@ -1,20 +1,22 @@
-//! What an entry believes of the targets: which there are, where, and which
-//! may get new requests.
+//! An entry's view of the targets: which exist, where they are, and which take
+//! new requests.
 //!
-//! News comes from the platform's log, from other entries and from what the
-//! entry meets itself, in no certain order:
+//! Updates come from the platform's log, from other entries and from the
+//! entry's own requests, in any order:
 //!
-//! * an incarnation that was seen leaving stays so: an older entry of it, a
-//!   repeated one or a slow peer never brings it back;
-//! * a target may start again under its name. What was known of it, its
-//!   leaving included, was of an earlier [`Start`] and says nothing of this
-//!   one, and nothing that is said of the earlier one later counts;
-//! * a withdrawal counts at once while the log has been read without a gap.
-//!   After a gap it may be a lapse, since targets that couldn't renew their
-//!   entries drop out of the log too. Then the target stays in use for
-//!   [`Config::with_return_time`], in which a live one is back;
-//! * while the log is away nothing is withdrawn. What the entry meets itself
-//!   (another incarnation at the address) counts all the same.
+//! * An incarnation that announced its departure stays departed: neither an
+//!   old or repeated announcement nor a slow peer brings it back.
+//! * A target may restart under its name, with a later [`StartTime`]. State of
+//!   the earlier start, including its departure, doesn't apply to the later
+//!   one, and late updates about the earlier start are ignored.
+//! * A withdrawal takes effect at once while the log has been read without a
+//!   gap. After a gap the withdrawal may be an expiry, since targets that
+//!   couldn't renew their log entries drop out of the log too. Such a target
+//!   stays in use for [`FleetConfig::with_renewal_grace`], within which a live
+//!   target renews its log entry.
+//! * While the log is unreachable, no target is withdrawn. What the entry
+//!   observes itself (another incarnation at the address) takes effect all the
+//!   same.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -22,238 +24,257 @@
 
 /// Whether a target takes new requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum State {
-    /// It does.
+pub enum TargetState {
+    /// The target takes new requests.
     Ready,
-    /// It finishes what it has.
-    Leaving,
+    /// The target only finishes the requests that it has.
+    Draining,
 }
 
-/// Which of the starts under one name a target is of, by the time of the
-/// start; zero where targets don't state it.
+/// The time at which a target's process started, which distinguishes the
+/// processes under one name; zero where targets don't state it.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Start(pub u64);
+pub struct StartTime(pub u64);
 
-/// A target as it announced itself.
+/// A target as announced in the platform's log.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Target {
-    /// Its name.
+    /// The name of the target.
     pub id: Name,
-    /// Its start under that name.
-    pub start: Start,
-    /// The service that it belongs to.
+    /// The start of the target's process.
+    pub start: StartTime,
+    /// The service that the target belongs to.
     pub service: Name,
-    /// Where it listens.
+    /// The address that the target listens on.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// The availability zone of the target.
     pub zone: Name,
-    /// Requests that it runs at once.
+    /// The number of requests that the target runs at once.
     pub slots: u32,
-    /// Whether it takes new requests.
-    pub state: State,
-    /// Counts the announcements of this start.
+    /// Whether the target takes new requests.
+    pub state: TargetState,
+    /// The number of the announcement, counted from the target's start.
     pub sequence: u64,
 }
 
-/// How an incarnation left, as entries tell one another.
+/// How an incarnation of a target departed, as entries gossip it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Parting {
-    /// It said so. Only a later start is another matter.
-    ForGood(Start),
-    /// Its entry went after this announcement. It may have lapsed, and a
-    /// later announcement brings it back.
-    After(Start, u64),
+pub enum Departure {
+    /// The target announced its departure. Only a later start replaces it.
+    Announced(StartTime),
+    /// The target's log entry disappeared after the announcement with this
+    /// sequence number. The entry may just have expired, and a later
+    /// announcement restores the target.
+    Withdrawn(StartTime, u64),
 }
 
-/// What a piece of news changed.
+/// The effect of an update on a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Change {
-    /// Nothing.
+pub enum TargetChange {
+    /// The update changed nothing.
     None,
-    /// The target is new, or back.
+    /// The target is new, or has returned after its departure.
     Joined,
-    /// The target is new under a name that was known: nothing that was known
-    /// of it holds.
+    /// A new process of a known target started: what was known of the earlier
+    /// process no longer applies.
     Restarted,
-    /// The target gets nothing new from now on.
+    /// The target takes no new requests from now on.
     Left,
-    /// The target was about to count as gone, and is back.
+    /// A pending withdrawal of the target was cancelled.
     Returned,
 }
 
-/// Times of the fleet.
+/// Settings of the [`Fleet`].
 #[derive(Clone, Copy, Debug)]
-pub struct Config {
-    return_time: Millis,
+pub struct FleetConfig {
+    renewal_grace: Millis,
 }
 
-impl Config {
-    /// The usual times.
-    pub fn new() -> Config {
-        Config { return_time: RETURN_TIMEOUT }
+impl FleetConfig {
+    /// The default settings of the fleet.
+    pub fn new() -> FleetConfig {
+        FleetConfig { renewal_grace: RENEWAL_GRACE }
     }
 
-    /// How long after a gap a live target needs to be in the log again.
-    pub fn with_return_time(self, return_time: Millis) -> Config {
-        Config { return_time }
+    /// Sets how long after a gap in the reads of the log a live target may
+    /// take to renew its log entry.
+    pub fn with_renewal_grace(self, renewal_grace: Millis) -> FleetConfig {
+        FleetConfig { renewal_grace }
     }
 }
 
-impl Default for Config {
-    fn default() -> Config {
-        Config::new()
+impl Default for FleetConfig {
+    fn default() -> FleetConfig {
+        FleetConfig::new()
     }
 }
 
-/// Targets renew lapsed entries within about two seconds of the log's
-/// return, as its operators say; some more for the way to us.
-const RETURN_TIMEOUT: Millis = Millis(2_300);
+/// The default renewal grace. Targets renew expired log entries within about
+/// two seconds after the log returns, as its operators state; the rest allows
+/// for the delay until an entry reads them.
+const RENEWAL_GRACE: Millis = Millis(2_300);
 
-/// Incarnations whose leaving is remembered. One entry each is some 60 bytes.
-const REMEMBERED: usize = 2_048;
+/// The largest number of tombstones, at some 60 bytes each.
+const MAX_TOMBSTONES: usize = 2_048;
 
-/// The targets.
+/// The targets that take new requests, and tombstones of departed ones.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    config: Config,
-    targets: BTreeMap<Name, Belief>,
-    /// Incarnations that left, with their last sequence.
-    left: BTreeMap<Name, Departure>,
-    /// Until when a withdrawal may be a lapse.
-    doubtful_until: Millis,
+    config: FleetConfig,
+    targets: BTreeMap<Name, KnownTarget>,
+    /// Departed incarnations, with the last sequence number of each.
+    tombstones: BTreeMap<Name, Tombstone>,
+    /// Until when a withdrawal may be the expiry of a live target's log entry.
+    grace_until: Millis,
 }
 
 #[derive(Clone, Debug)]
-struct Belief {
+struct KnownTarget {
     target: Target,
-    /// When its withdrawal counts, if it was withdrawn.
-    lapsing: Option<Millis>,
+    /// When a pending withdrawal of the target takes effect.
+    withdrawal_due: Option<Millis>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Departure {
-    start: Start,
+struct Tombstone {
+    start: StartTime,
     sequence: u64,
-    at: Millis,
-    way: Way,
+    removed_at: Millis,
+    kind: DepartureKind,
 }
 
-/// How an incarnation left.
+/// How the incarnation of a tombstone departed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Way {
-    /// It said so: it never comes back.
+enum DepartureKind {
+    /// The target announced its departure: this incarnation never returns.
     Announced,
-    /// Its entry went; a later announcement brings it back.
+    /// The target's log entry disappeared; a later announcement restores the
+    /// target.
     Withdrawn,
 }
 
 impl Fleet {
-    /// No targets yet.
-    pub fn new(config: Config) -> Fleet {
+    /// A fleet without targets.
+    pub fn new(config: FleetConfig) -> Fleet {
         Fleet {
             config,
             targets: BTreeMap::new(),
-            left: BTreeMap::new(),
-            doubtful_until: Millis(0),
+            tombstones: BTreeMap::new(),
+            grace_until: Millis(0),
         }
     }
 
-    /// Takes an announcement in.
-    pub fn announce(&mut self, target: Target, now: Millis) -> Change {
-        if let Some(departure) = self.left.get(&target.id)
-            && (target.start < departure.start
-                || target.start == departure.start
-                    && (departure.way == Way::Announced
-                        || target.sequence <= departure.sequence))
+    /// Merges the announcement of a target; ignores an outdated one.
+    pub fn announce(&mut self, target: Target, now: Millis) -> TargetChange {
+        if let Some(tombstone) = self.tombstones.get(&target.id)
+            && (target.start < tombstone.start
+                || target.start == tombstone.start
+                    && (tombstone.kind == DepartureKind::Announced
+                        || target.sequence <= tombstone.sequence))
         {
-            return Change::None;
+            return TargetChange::None;
         }
-        let mut change = Change::Joined;
+        let mut change = TargetChange::Joined;
         if let Some(known) = self.targets.get_mut(&target.id) {
             let age = |it: &Target| (it.start, it.sequence);
             if age(&target) < age(&known.target) {
-                return Change::None;
+                return TargetChange::None;
             }
             if target.start > known.target.start {
-                change = Change::Restarted;
-            } else if target.state == State::Ready {
-                let lapsing = known.lapsing.take();
+                change = TargetChange::Restarted;
+            } else if target.state == TargetState::Ready {
+                let withdrawal_due = known.withdrawal_due.take();
                 known.target = target;
-                return lapsing.map_or(Change::None, |_| Change::Returned);
+                return withdrawal_due
+                    .map_or(TargetChange::None, |_| TargetChange::Returned);
             }
         }
-        if target.state == State::Leaving {
+        if target.state == TargetState::Draining {
             let (start, last) = (target.start, target.sequence);
-            return self.depart(&target.id, start, last, now, Way::Announced);
+            return self.record_departure(
+                &target.id,
+                start,
+                last,
+                now,
+                DepartureKind::Announced,
+            );
         }
-        self.left.remove(&target.id);
+        self.tombstones.remove(&target.id);
         let id = target.id.clone();
-        self.targets.insert(id, Belief { target, lapsing: None });
+        self.targets.insert(id, KnownTarget { target, withdrawal_due: None });
         change
     }
 
-    /// Notes that a start of a target leaves for good, as it said itself.
-    pub fn leave(&mut self, id: &str, start: Start, now: Millis) -> Change {
-        self.hear_parting(id, Parting::ForGood(start), now)
+    /// Records that a target announced its own departure.
+    pub fn announce_departure(
+        &mut self,
+        id: &str,
+        start: StartTime,
+        now: Millis,
+    ) -> TargetChange {
+        self.merge_departure(id, Departure::Announced(start), now)
     }
 
-    /// Takes a withdrawal from the log in.
-    pub fn withdraw(&mut self, id: &str, now: Millis) -> Change {
-        if now < self.doubtful_until {
+    /// Merges the removal of a target's log entry.
+    pub fn withdraw(&mut self, id: &str, now: Millis) -> TargetChange {
+        if now < self.grace_until {
             if let Some(known) = self.targets.get_mut(id) {
-                known.lapsing.get_or_insert(self.doubtful_until);
+                known.withdrawal_due.get_or_insert(self.grace_until);
             }
-            return Change::None;
+            return TargetChange::None;
         }
-        self.depart_known(id, now)
+        self.record_withdrawal(id, now)
     }
 
-    /// Withdraws all that a complete list does not hold. It tells the start of
-    /// those that it holds; an older one doesn't count.
-    pub fn keep_only(
+    /// Withdraws every target that a complete list of the log lacks. `listed`
+    /// returns the start of a listed target; a target that is listed with an
+    /// earlier start than the known one counts as missing.
+    pub fn withdraw_unlisted(
         &mut self,
-        listed: impl Fn(&str) -> Option<Start>,
+        listed: impl Fn(&str) -> Option<StartTime>,
         now: Millis,
     ) -> Vec<Name> {
         let is_missing = |it: &&Target| listed(&it.id) < Some(it.start);
         let missing: Vec<Name> =
             self.ready().filter(is_missing).map(|it| it.id.clone()).collect();
-        let left = |id: &Name| self.withdraw(id, now) == Change::Left;
+        let left = |id: &Name| self.withdraw(id, now) == TargetChange::Left;
         missing.into_iter().filter(left).collect()
     }
 
-    /// Notes that the log can be read again after a gap.
-    pub fn regained(&mut self, now: Millis) {
-        self.doubtful_until = now + self.config.return_time;
+    /// Starts the renewal grace, because the log can be read again after a
+    /// gap.
+    pub fn start_grace_period(&mut self, now: Millis) {
+        self.grace_until = now + self.config.renewal_grace;
     }
 
-    /// When the next withdrawal counts, unless its target is back by then.
-    pub fn next_lapse(&self) -> Option<Millis> {
-        self.targets.values().filter_map(|it| it.lapsing).min()
+    /// When the next pending withdrawal takes effect, unless it is cancelled.
+    pub fn next_withdrawal(&self) -> Option<Millis> {
+        self.targets.values().filter_map(|it| it.withdrawal_due).min()
     }
 
-    /// Lets withdrawals count whose time has come. What was announced by then
-    /// has to be known, so the log is read before.
-    pub fn tick(&mut self, now: Millis) -> Vec<Name> {
-        let due = |it: &Belief| it.lapsing.is_some_and(|at| at <= now);
+    /// Applies the withdrawals that are due and returns the removed targets.
+    /// An announcement cancels a withdrawal, so callers read the log first.
+    pub fn apply_due_withdrawals(&mut self, now: Millis) -> Vec<Name> {
+        let due =
+            |it: &KnownTarget| it.withdrawal_due.is_some_and(|at| at <= now);
         let gone: Vec<Name> = self
             .targets
             .iter()
-            .filter(|(_, belief)| due(belief))
+            .filter(|(_, target)| due(target))
             .map(|(id, _)| id.clone())
             .collect();
         for id in &gone {
-            self.depart_known(id, now);
+            self.record_withdrawal(id, now);
         }
         gone
     }
 
-    /// Whether new requests may go to an incarnation.
+    /// Whether new requests may be sent to an incarnation.
     pub fn is_ready(&self, id: &str) -> bool {
         self.targets.contains_key(id)
     }
 
-    /// A target that takes new requests.
+    /// The target with this name, if it takes new requests.
     pub fn get(&self, id: &str) -> Option<&Target> {
         self.targets.get(id).map(|it| &it.target)
     }
@@ -263,88 +284,108 @@
         self.targets.values().map(|it| &it.target)
     }
 
-    /// Incarnations that left since a moment, for other entries.
-    pub fn left_since(
+    /// The departures recorded since a point in time, for other entries.
+    pub fn departures_since(
         &self,
         since: Millis,
-    ) -> impl Iterator<Item = (&Name, Parting)> {
-        let fresh = move |it: &Departure| it.at >= since;
-        let fresh = self.left.iter().filter(move |it| fresh(it.1));
-        fresh.map(|(id, it)| match it.way {
-            Way::Announced => (id, Parting::ForGood(it.start)),
-            Way::Withdrawn => (id, Parting::After(it.start, it.sequence)),
+    ) -> impl Iterator<Item = (&Name, Departure)> {
+        let fresh = move |it: &Tombstone| it.removed_at >= since;
+        let fresh = self.tombstones.iter().filter(move |it| fresh(it.1));
+        fresh.map(|(id, it)| match it.kind {
+            DepartureKind::Announced => (id, Departure::Announced(it.start)),
+            DepartureKind::Withdrawn => {
+                (id, Departure::Withdrawn(it.start, it.sequence))
+            }
         })
     }
 
-    /// Takes in what another entry says of one that left. What it saw go
-    /// may be back since, as this one knows.
-    pub fn hear_parting(
+    /// Merges a departure that another entry reports; ignores it if this entry
+    /// knows a later announcement of the target.
+    pub fn merge_departure(
         &mut self,
         id: &str,
-        parting: Parting,
+        departure: Departure,
         now: Millis,
-    ) -> Change {
+    ) -> TargetChange {
         let known = self.targets.get(id).map(|it| &it.target);
-        let newer = |start: Start, last: u64| {
+        let newer = |start: StartTime, last: u64| {
             known.is_some_and(|it| (it.start, it.sequence) > (start, last))
         };
-        match parting {
-            Parting::ForGood(start) if newer(start, u64::MAX) => Change::None,
-            Parting::ForGood(start) => {
-                self.depart(id, start, 0, now, Way::Announced)
+        match departure {
+            Departure::Announced(start) if newer(start, u64::MAX) => {
+                TargetChange::None
             }
-            Parting::After(start, last) if newer(start, last) => Change::None,
-            Parting::After(start, last) => {
-                self.depart(id, start, last, now, Way::Withdrawn)
+            Departure::Announced(start) => self.record_departure(
+                id,
+                start,
+                0,
+                now,
+                DepartureKind::Announced,
+            ),
+            Departure::Withdrawn(start, last) if newer(start, last) => {
+                TargetChange::None
             }
+            Departure::Withdrawn(start, last) => self.record_departure(
+                id,
+                start,
+                last,
+                now,
+                DepartureKind::Withdrawn,
+            ),
         }
     }
 
-    /// Notes that the entry of a target went.
-    fn depart_known(&mut self, id: &str, now: Millis) -> Change {
-        self.depart(id, self.start_of(id), 0, now, Way::Withdrawn)
+    /// Records that the log entry of a target disappeared.
+    fn record_withdrawal(&mut self, id: &str, now: Millis) -> TargetChange {
+        self.record_departure(
+            id,
+            self.newest_start(id),
+            0,
+            now,
+            DepartureKind::Withdrawn,
+        )
     }
 
-    /// The newest start under a name that is known, of one that left too.
-    fn start_of(&self, id: &str) -> Start {
+    /// The newest known start under a name, including departed incarnations.
+    fn newest_start(&self, id: &str) -> StartTime {
         let known = self.targets.get(id).map(|it| it.target.start);
-        let left = self.left.get(id).map(|it| it.start);
+        let left = self.tombstones.get(id).map(|it| it.start);
         known.max(left).unwrap_or_default()
     }
 
-    fn depart(
+    fn record_departure(
         &mut self,
         id: &str,
-        start: Start,
+        start: StartTime,
         sequence: u64,
         now: Millis,
-        way: Way,
-    ) -> Change {
+        kind: DepartureKind,
+    ) -> TargetChange {
         let known = self.targets.remove(id);
         let same = known.as_ref().filter(|it| it.target.start == start);
         let before = same.map_or(0, |it| it.target.sequence);
         let sequence = sequence.max(before);
-        let departure = Departure { start, sequence, at: now, way };
-        let held = self.left.entry(id.into()).or_insert(departure);
-        if start > held.start {
-            *held = departure;
-        } else if start == held.start {
-            if way == Way::Announced {
-                held.way = way;
+        let tombstone = Tombstone { start, sequence, removed_at: now, kind };
+        let stored = self.tombstones.entry(id.into()).or_insert(tombstone);
+        if start > stored.start {
+            *stored = tombstone;
+        } else if start == stored.start {
+            if kind == DepartureKind::Announced {
+                stored.kind = kind;
             }
-            held.sequence = held.sequence.max(sequence);
+            stored.sequence = stored.sequence.max(sequence);
         }
-        self.forget();
-        if known.is_some() { Change::Left } else { Change::None }
+        self.evict_oldest_tombstone();
+        if known.is_some() { TargetChange::Left } else { TargetChange::None }
     }
 
-    fn forget(&mut self) {
-        if self.left.len() <= REMEMBERED {
+    fn evict_oldest_tombstone(&mut self) {
+        if self.tombstones.len() <= MAX_TOMBSTONES {
             return;
         }
-        let oldest = self.left.iter().min_by_key(|it| it.1.at);
+        let oldest = self.tombstones.iter().min_by_key(|it| it.1.removed_at);
         if let Some(id) = oldest.map(|it| it.0.clone()) {
-            self.left.remove(&id);
+            self.tombstones.remove(&id);
         }
     }
 }
--- a/cowsliproad-routing/src/lib.rs
+++ b/cowsliproad-routing/src/lib.rs
@@ -1,18 +1,19 @@
-//! Routing: which target an attempt goes to.
+//! Chooses the target of each attempt.
 //!
 //! * [`catalog`]: routes, services and organisations in force;
-//! * [`fleet`]: which targets there are;
+//! * [`fleet`]: which targets exist and take new requests;
 //! * [`formation`]: whether a lock-step group takes requests;
-//! * [`readings`]: when an entry reads them in the platform's log;
-//! * [`owner`]: which entry keeps the pace of a target with a limit;
-//! * [`pick`]: the target with the least expected time;
+//! * [`readings`]: when an entry reads the targets in the platform's log;
+//! * [`owner`]: which entry owns the rate limiter of a target;
+//! * [`pick`]: the target with the least expected cost;
 //! * [`score`]: the predicted time to the first token at a target;
 //! * [`choice`]: the best of a few sampled targets;
-//! * [`health`]: which targets are left out for a while;
-//! * [`cooldown`]: which asked to be left alone.
+//! * [`health`]: ejection of failing targets;
+//! * [`cooldown`]: retry-after times that targets stated.
 //!
-//! Cost doesn't depend on the number of targets, except when most of them
-//! are left out. All is pure: time and randomness are arguments.
+//! The cost of a choice by sampling doesn't depend on the number of targets,
+//! unless most targets are unusable. All functions are pure: time and
+//! randomness are arguments.
 
 #![forbid(unsafe_code)]
 
--- a/cowsliproad-routing/src/readings.rs
+++ b/cowsliproad-routing/src/readings.rs
@@ -1,147 +1,163 @@
-//! When an entry reads the targets in the platform's log, where all entries
-//! share their readings.
+//! Schedules reads of the targets in the platform's log. Entries share the
+//! results of their reads.
 //!
-//! Calls to the log are charged, and most readings bring nothing but signs of
-//! life. So an entry reads only when nobody is known to have read for a
-//! period, and tells the others at once. As each waits for another part of
-//! the period, one of them mostly reads for all. Whoever hears of a change
-//! that it has not read itself reads at once, since what a target says of
-//! itself stands in the log only.
+//! Calls to the log are charged, and most reads bring only heartbeats of
+//! targets. So an entry reads only when no entry is known to have read for an
+//! interval, and gossips its read at once. Since each entry waits for a
+//! different part of the interval, usually one entry reads for all. An entry
+//! that learns of a change that it has not read itself reads at once, since
+//! only the log holds the announcements of targets.
 //!
-//! An entry that hears nobody reads by itself, so nothing depends on others.
+//! An entry that receives no gossip reads by itself, so no entry depends on
+//! others.
 //!
-//! When the log comes back from an older copy, what was read in the era before
-//! counts no longer, and each entry reads all once more.
+//! When the log comes back from an older copy, a new era begins. Reads of the
+//! earlier era no longer count, and each entry reads the whole topic again.
 
 use cowsliproad_kernel::{
     clock::Millis,
     position::{Era, Position},
 };
 
-/// What is known of readings.
+/// The latest reads and changes of the targets in the log, by any entry.
 #[derive(Clone, Copy, Debug)]
-pub struct Readings {
-    /// Without a reading for longer, entries may have lapsed unseen.
-    gap: Millis,
-    /// When anybody read last in the newest era.
-    at: Millis,
-    /// Where the last change stands that is known of; its era is the newest.
-    changed: Position,
-    /// Up to where this entry has read.
-    position: Position,
-    contact: Contact,
+pub struct LogReads {
+    /// The longest time between two reads in which no target's log entry can
+    /// expire unnoticed.
+    max_read_gap: Millis,
+    /// When any entry last read the log in the newest era.
+    last_read_at: Millis,
+    /// The position of the last known change; its era is the newest.
+    last_change: Position,
+    /// The position in the log up to which this entry has read.
+    read_position: Position,
+    log_status: LogStatus,
 }
 
 /// Whether the log answers this entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Contact {
-    Good,
-    Lost,
+enum LogStatus {
+    Reachable,
+    Unreachable,
 }
 
-/// What a reading follows on.
+/// Whether log entries may have expired between two reads.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Found {
-    /// Another reading shortly before.
-    Unbroken,
-    /// A time in which entries may have lapsed.
+pub enum Continuity {
+    /// No log entry can have expired since the previous read.
+    Continuous,
+    /// Log entries may have expired since the previous read.
     Gap,
 }
 
-impl Readings {
-    /// Nothing read yet. A target's entry lapses after three heartbeats
-    /// without a sign of life, the first of which may lie before an outage:
-    /// in one shorter than two heartbeats none lapses.
-    pub fn new(heartbeat: Millis) -> Readings {
-        Readings {
-            gap: Millis(heartbeat.0 * 2),
-            at: Millis(0),
-            changed: Position::default(),
-            position: Position::default(),
-            contact: Contact::Good,
+impl LogReads {
+    /// A schedule without reads. A target's log entry expires after three
+    /// heartbeat intervals without a renewal, the first of which may lie
+    /// before an outage: in an outage shorter than two intervals, none
+    /// expires.
+    pub fn new(heartbeat: Millis) -> LogReads {
+        LogReads {
+            max_read_gap: Millis(heartbeat.0 * 2),
+            last_read_at: Millis(0),
+            last_change: Position::default(),
+            read_position: Position::default(),
+            log_status: LogStatus::Reachable,
         }
     }
 
-    /// When anybody read last.
-    pub fn at(&self) -> Millis {
-        self.at
+    /// When any entry last read the targets in the log.
+    pub fn last_read_at(&self) -> Millis {
+        self.last_read_at
     }
 
-    /// Where the last change stands that is known of.
-    pub fn changed(&self) -> Position {
-        self.changed
+    /// The position of the last known change of the targets.
+    pub fn last_change(&self) -> Position {
+        self.last_change
     }
 
-    /// Notes that the log is in an era.
-    pub fn enter(&mut self, era: Era) {
-        if era > self.changed.era {
-            self.changed = Position::start_of(era);
-            self.at = Millis(0);
+    /// Records that the log is in an era, and discards reads of earlier eras.
+    pub fn enter_era(&mut self, era: Era) {
+        if era > self.last_change.era {
+            self.last_change = Position::start_of(era);
+            self.last_read_at = Millis(0);
         }
     }
 
-    /// Takes another's reading in. One of an earlier era says nothing.
-    pub fn hear(&mut self, at: Millis, changed: Position) -> Found {
-        self.enter(changed.era);
-        if changed.era < self.changed.era {
-            return Found::Unbroken;
+    /// Merges a peer's read of the log; ignores a read of an earlier era.
+    pub fn merge_peer_read(
+        &mut self,
+        read_at: Millis,
+        last_change: Position,
+    ) -> Continuity {
+        self.enter_era(last_change.era);
+        if last_change.era < self.last_change.era {
+            return Continuity::Continuous;
         }
-        self.changed = self.changed.max(changed);
-        self.take(at)
+        self.last_change = self.last_change.max(last_change);
+        self.advance_last_read(read_at)
     }
 
-    /// Takes an own reading in, up to a position.
-    pub fn read(&mut self, at: Millis, position: Position) -> Found {
-        self.enter(position.era);
-        self.position = self.position.max(position);
-        self.contact = Contact::Good;
-        if position.era < self.changed.era {
-            return Found::Unbroken;
+    /// Records that this entry read the log up to a position.
+    pub fn record_read(
+        &mut self,
+        read_at: Millis,
+        position: Position,
+    ) -> Continuity {
+        self.enter_era(position.era);
+        self.read_position = self.read_position.max(position);
+        self.log_status = LogStatus::Reachable;
+        if position.era < self.last_change.era {
+            return Continuity::Continuous;
         }
-        self.take(at)
+        self.advance_last_read(read_at)
     }
 
-    /// Notes a change of the targets in what was read.
-    pub fn note_change(&mut self) {
-        self.changed = self.changed.max(self.position);
+    /// Records that the last read of the log brought a change of the targets.
+    pub fn record_change(&mut self) {
+        self.last_change = self.last_change.max(self.read_position);
     }
 
-    /// Notes that the log did not answer.
-    pub fn lost(&mut self) {
-        self.contact = Contact::Lost;
+    /// Records that the log did not answer.
+    pub fn mark_log_unreachable(&mut self) {
+        self.log_status = LogStatus::Unreachable;
     }
 
-    /// Notes that all that another entry knows was merged.
-    pub fn merged(&mut self) {
-        self.position = self.position.max(self.changed);
+    /// Records that the complete state of another entry was merged.
+    pub fn mark_caught_up(&mut self) {
+        self.read_position = self.read_position.max(self.last_change);
     }
 
-    /// Whether a change is known of that was not read.
+    /// Whether this entry has not read the last known change.
     pub fn is_behind(&self) -> bool {
-        self.changed > self.position
+        self.last_change > self.read_position
     }
 
-    /// Whether another entry has to tell, as the log doesn't.
-    pub fn needs_peer(&self) -> bool {
-        self.is_behind() && self.contact == Contact::Lost
+    /// Whether this entry needs the state of a peer, because it is behind and
+    /// the log does not answer.
+    pub fn needs_peer_state(&self) -> bool {
+        self.is_behind() && self.log_status == LogStatus::Unreachable
     }
 
-    /// How long until this entry has to read, if it lets others go first for
-    /// `patience`.
-    pub fn due_in(&self, patience: Millis, now: Millis) -> Millis {
-        if self.is_behind() || self.at == Millis(0) {
+    /// How long until this entry has to read the log, if it first leaves other
+    /// entries `interval` to read it.
+    pub fn next_read_in(&self, interval: Millis, now: Millis) -> Millis {
+        if self.is_behind() || self.last_read_at == Millis(0) {
             return Millis(0);
         }
-        (self.at + patience).since(now)
+        (self.last_read_at + interval).since(now)
     }
 
-    fn take(&mut self, at: Millis) -> Found {
-        if at <= self.at {
-            return Found::Unbroken;
+    fn advance_last_read(&mut self, read_at: Millis) -> Continuity {
+        if read_at <= self.last_read_at {
+            return Continuity::Continuous;
+        }
+        let is_first = self.last_read_at == Millis(0);
+        let elapsed = read_at.since(self.last_read_at);
+        self.last_read_at = read_at;
+        if !is_first && elapsed > self.max_read_gap {
+            Continuity::Gap
+        } else {
+            Continuity::Continuous
         }
-        let first = self.at == Millis(0);
-        let away = at.since(self.at);
-        self.at = at;
-        if !first && away > self.gap { Found::Gap } else { Found::Unbroken }
     }
 }
--- a/tests/properties/cooldown.rs
+++ b/tests/properties/cooldown.rs
@@ -6,7 +6,7 @@
     kernel::clock::Millis,
     routing::{
         cooldown::{Cooldown, Cooldowns},
-        fleet::{Start, State, Target},
+        fleet::{StartTime, Target, TargetState},
     },
 };
 use cowsliproad_net::retry_after::{self, RetryAfter};
@@ -16,12 +16,12 @@
 fn target(id: &str, start: u64) -> Target {
     Target {
         id: id.into(),
-        start: Start(start),
+        start: StartTime(start),
         service: "plain".into(),
         address: ([127, 0, 0, 1], 1).into(),
         zone: "a".into(),
         slots: 8,
-        state: State::Ready,
+        state: TargetState::Ready,
         sequence: 1,
     }
 }
--- a/tests/properties/fleet.rs
+++ b/tests/properties/fleet.rs
@@ -2,14 +2,17 @@
 
 use cowsliproad::{
     kernel::clock::Millis,
-    routing::fleet::{Change, Config, Fleet, Parting, Start, State, Target},
+    routing::fleet::{
+        Departure, Fleet, FleetConfig, StartTime, Target, TargetChange,
+        TargetState,
+    },
 };
 use proptest::prelude::*;
 
-const START: Start = Start(1_000);
-const LATER: Start = Start(2_000);
+const START: StartTime = StartTime(1_000);
+const LATER: StartTime = StartTime(2_000);
 
-fn target(sequence: u64, state: State) -> Target {
+fn target(sequence: u64, state: TargetState) -> Target {
     Target {
         id: "i-1".into(),
         start: START,
@@ -23,36 +26,36 @@
 }
 
 fn fleet() -> Fleet {
-    let mut fleet = Fleet::new(Config::new());
-    fleet.announce(target(1, State::Ready), Millis(0));
+    let mut fleet = Fleet::new(FleetConfig::new());
+    fleet.announce(target(1, TargetState::Ready), Millis(0));
     fleet
 }
 
 #[test]
 fn a_withdrawal_counts_at_once_while_the_log_is_read() {
     let mut fleet = fleet();
-    assert_eq!(fleet.withdraw("i-1", Millis(10)), Change::Left);
+    assert_eq!(fleet.withdraw("i-1", Millis(10)), TargetChange::Left);
     assert!(!fleet.is_ready("i-1"));
 }
 
 #[test]
 fn a_lapse_after_an_outage_is_given_two_seconds() {
     let mut fleet = fleet();
-    fleet.regained(Millis(10_000));
-    assert_eq!(fleet.withdraw("i-1", Millis(10_050)), Change::None);
-    assert!(fleet.tick(Millis(11_900)).is_empty());
+    fleet.start_grace_period(Millis(10_000));
+    assert_eq!(fleet.withdraw("i-1", Millis(10_050)), TargetChange::None);
+    assert!(fleet.apply_due_withdrawals(Millis(11_900)).is_empty());
     assert!(fleet.is_ready("i-1"));
-    fleet.announce(target(2, State::Ready), Millis(12_000));
-    assert!(fleet.tick(Millis(20_000)).is_empty());
+    fleet.announce(target(2, TargetState::Ready), Millis(12_000));
+    assert!(fleet.apply_due_withdrawals(Millis(20_000)).is_empty());
     assert!(fleet.is_ready("i-1"));
 }
 
 #[test]
 fn what_is_missing_two_seconds_after_an_outage_is_gone() {
     let mut fleet = fleet();
-    fleet.regained(Millis(10_000));
+    fleet.start_grace_period(Millis(10_000));
     fleet.withdraw("i-1", Millis(10_050));
-    assert_eq!(fleet.tick(Millis(12_400)), ["i-1".into()]);
+    assert_eq!(fleet.apply_due_withdrawals(Millis(12_400)), ["i-1".into()]);
     assert!(!fleet.is_ready("i-1"));
 }
 
@@ -60,13 +63,13 @@
 fn one_that_lapsed_comes_back_and_one_that_left_does_not() {
     let mut fleet = fleet();
     fleet.withdraw("i-1", Millis(10));
-    let old = fleet.announce(target(1, State::Ready), Millis(20));
-    assert_eq!(old, Change::None);
-    let back = fleet.announce(target(2, State::Ready), Millis(30));
-    assert_eq!(back, Change::Joined);
-    fleet.announce(target(3, State::Leaving), Millis(40));
-    let again = fleet.announce(target(4, State::Ready), Millis(50));
-    assert_eq!(again, Change::None);
+    let old = fleet.announce(target(1, TargetState::Ready), Millis(20));
+    assert_eq!(old, TargetChange::None);
+    let back = fleet.announce(target(2, TargetState::Ready), Millis(30));
+    assert_eq!(back, TargetChange::Joined);
+    fleet.announce(target(3, TargetState::Draining), Millis(40));
+    let again = fleet.announce(target(4, TargetState::Ready), Millis(50));
+    assert_eq!(again, TargetChange::None);
     assert!(!fleet.is_ready("i-1"));
 }
 
@@ -105,23 +108,23 @@
             let now = Millis(step as u64 * 400);
             match news {
                 News::Announce(sequence) => {
-                    fleet.announce(target(sequence, State::Ready), now);
+                    fleet.announce(target(sequence, TargetState::Ready), now);
                 }
                 News::Leaving(sequence) => {
                     let before = fleet.get("i-1").map(|it| it.sequence);
-                    fleet.announce(target(sequence, State::Leaving), now);
+                    fleet.announce(target(sequence, TargetState::Draining), now);
                     left |= before.is_some_and(|it| it <= sequence);
                 }
                 News::Withdraw => {
                     fleet.withdraw("i-1", now);
                 }
                 News::FromPeer => {
-                    fleet.leave("i-1", START, now);
+                    fleet.announce_departure("i-1", START, now);
                     left = true;
                 }
-                News::Regained => fleet.regained(now),
+                News::Regained => fleet.start_grace_period(now),
                 News::Tick => {
-                    fleet.tick(now);
+                    fleet.apply_due_withdrawals(now);
                 }
             }
             prop_assert!(!left || !fleet.is_ready("i-1"));
@@ -132,74 +135,88 @@
 #[test]
 fn what_another_entry_saw_go_comes_back_and_what_left_does_not() {
     let mut fleet = fleet();
-    let gone = fleet.hear_parting("i-1", Parting::After(START, 1), Millis(10));
-    assert_eq!(gone, Change::Left);
-    let back = fleet.announce(target(2, State::Ready), Millis(20));
-    assert_eq!(back, Change::Joined);
+    let gone = fleet.merge_departure(
+        "i-1",
+        Departure::Withdrawn(START, 1),
+        Millis(10),
+    );
+    assert_eq!(gone, TargetChange::Left);
+    let back = fleet.announce(target(2, TargetState::Ready), Millis(20));
+    assert_eq!(back, TargetChange::Joined);
     // The same word, heard again, is older than what is known here.
-    let again =
-        fleet.hear_parting("i-1", Parting::After(START, 1), Millis(30));
-    assert_eq!(again, Change::None);
-    fleet.hear_parting("i-1", Parting::ForGood(START), Millis(40));
-    let late = fleet.announce(target(3, State::Ready), Millis(50));
-    assert_eq!(late, Change::None);
-}
-
-fn restarted(sequence: u64, state: State) -> Target {
+    let again = fleet.merge_departure(
+        "i-1",
+        Departure::Withdrawn(START, 1),
+        Millis(30),
+    );
+    assert_eq!(again, TargetChange::None);
+    fleet.merge_departure("i-1", Departure::Announced(START), Millis(40));
+    let late = fleet.announce(target(3, TargetState::Ready), Millis(50));
+    assert_eq!(late, TargetChange::None);
+}
+
+fn restarted(sequence: u64, state: TargetState) -> Target {
     Target { start: LATER, ..target(sequence, state) }
 }
 
 #[test]
 fn one_that_left_may_start_again_under_its_name() {
     let mut fleet = fleet();
-    fleet.announce(target(7, State::Leaving), Millis(10));
-    let back = fleet.announce(restarted(1, State::Ready), Millis(20));
-    assert_eq!(back, Change::Joined);
+    fleet.announce(target(7, TargetState::Draining), Millis(10));
+    let back = fleet.announce(restarted(1, TargetState::Ready), Millis(20));
+    assert_eq!(back, TargetChange::Joined);
     assert!(fleet.is_ready("i-1"));
     // What is still said of the start before says nothing of this one.
-    fleet.announce(target(8, State::Leaving), Millis(30));
-    fleet.hear_parting("i-1", Parting::ForGood(START), Millis(40));
-    fleet.hear_parting("i-1", Parting::After(START, 9), Millis(50));
+    fleet.announce(target(8, TargetState::Draining), Millis(30));
+    fleet.merge_departure("i-1", Departure::Announced(START), Millis(40));
+    fleet.merge_departure("i-1", Departure::Withdrawn(START, 9), Millis(50));
     assert!(fleet.is_ready("i-1"));
     // It may leave in its turn.
-    fleet.hear_parting("i-1", Parting::ForGood(LATER), Millis(60));
+    fleet.merge_departure("i-1", Departure::Announced(LATER), Millis(60));
     assert!(!fleet.is_ready("i-1"));
-    fleet.announce(restarted(2, State::Ready), Millis(70));
+    fleet.announce(restarted(2, TargetState::Ready), Millis(70));
     assert!(!fleet.is_ready("i-1"));
 }
 
 #[test]
 fn one_that_starts_again_without_a_word_is_another() {
     let mut fleet = fleet();
-    fleet.announce(target(7, State::Ready), Millis(10));
-    let change = fleet.announce(restarted(1, State::Ready), Millis(20));
-    assert_eq!(change, Change::Restarted);
+    fleet.announce(target(7, TargetState::Ready), Millis(10));
+    let change = fleet.announce(restarted(1, TargetState::Ready), Millis(20));
+    assert_eq!(change, TargetChange::Restarted);
     let sequence = fleet.get("i-1").map(|it| it.sequence);
     assert_eq!(sequence, Some(1));
     // An entry of the start before that comes late.
-    let late = fleet.announce(target(8, State::Ready), Millis(30));
-    assert_eq!(late, Change::None);
+    let late = fleet.announce(target(8, TargetState::Ready), Millis(30));
+    assert_eq!(late, TargetChange::None);
     assert_eq!(fleet.get("i-1").map(|it| it.start), Some(LATER));
 }
 
 #[test]
 fn one_that_starts_again_leaving_is_not_used() {
     let mut fleet = fleet();
-    let change = fleet.announce(restarted(1, State::Leaving), Millis(20));
-    assert_eq!(change, Change::Left);
-    let old = fleet.announce(target(9, State::Ready), Millis(30));
-    assert_eq!(old, Change::None);
+    let change =
+        fleet.announce(restarted(1, TargetState::Draining), Millis(20));
+    assert_eq!(change, TargetChange::Left);
+    let old = fleet.announce(target(9, TargetState::Ready), Millis(30));
+    assert_eq!(old, TargetChange::None);
 }
 
 /// An answer of an earlier start that comes once the next one is known.
 #[test]
 fn a_start_that_leaves_takes_no_later_one_with_it() {
     let mut fleet = fleet();
-    let later = Target { start: LATER, ..target(1, State::Ready) };
-    assert_eq!(fleet.announce(later, Millis(10)), Change::Restarted);
-    assert_eq!(fleet.leave("i-1", START, Millis(20)), Change::None);
+    let later = Target { start: LATER, ..target(1, TargetState::Ready) };
+    assert_eq!(fleet.announce(later, Millis(10)), TargetChange::Restarted);
+    assert_eq!(
+        fleet.announce_departure("i-1", START, Millis(20)),
+        TargetChange::None
+    );
     assert!(fleet.is_ready("i-1"));
-    assert_eq!(fleet.leave("i-1", LATER, Millis(30)), Change::Left);
+    assert_eq!(
+        fleet.announce_departure("i-1", LATER, Millis(30)),
+        TargetChange::Left
+    );
     assert!(!fleet.is_ready("i-1"));
 }
 
@@ -208,16 +225,16 @@
 #[test]
 fn a_list_with_an_earlier_start_lacks_the_target() {
     let mut fleet = fleet();
-    let later = Target { start: LATER, ..target(1, State::Ready) };
+    let later = Target { start: LATER, ..target(1, TargetState::Ready) };
     fleet.announce(later.clone(), Millis(10));
-    fleet.regained(Millis(100));
-    let gone = fleet.keep_only(|_| Some(START), Millis(100));
+    fleet.start_grace_period(Millis(100));
+    let gone = fleet.withdraw_unlisted(|_| Some(START), Millis(100));
     assert!(gone.is_empty());
-    assert!(fleet.next_lapse().is_some());
+    assert!(fleet.next_withdrawal().is_some());
     let again = Target { sequence: 2, ..later };
     let back = fleet.announce(again, Millis(200));
-    assert_eq!(back, Change::Returned);
-    assert_eq!(fleet.next_lapse(), None);
-    assert!(fleet.keep_only(|_| Some(LATER), Millis(300)).is_empty());
-    assert_eq!(fleet.next_lapse(), None);
+    assert_eq!(back, TargetChange::Returned);
+    assert_eq!(fleet.next_withdrawal(), None);
+    assert!(fleet.withdraw_unlisted(|_| Some(LATER), Millis(300)).is_empty());
+    assert_eq!(fleet.next_withdrawal(), None);
 }
