--- a/cowsliproad-bench/src/bin/cowsliproad-naive.rs
+++ b/cowsliproad-bench/src/bin/cowsliproad-naive.rs
@@ -190,11 +190,11 @@
     let key = text(http::header::AUTHORIZATION)
         .and_then(|it| it.strip_prefix("Bearer "));
     let found = catalog
-        .find(host, head.uri.path(), key)
+        .find_route(host, head.uri.path(), key)
         .map_err(|_| StatusCode::NOT_FOUND)?;
     let mut random = rand::rng();
     let draw = rand::Rng::random(&mut random);
-    let service = found.route.draw(draw).ok_or(unknown)?;
+    let service = found.route.choose_service(draw).ok_or(unknown)?;
     let targets = front.targets.values();
     let target = targets
         .filter(|it| it.service == *service)
--- a/cowsliproad-direct/src/call.rs
+++ b/cowsliproad-direct/src/call.rs
@@ -225,7 +225,7 @@
         resume: Option<u64>,
     ) -> Result<Opened, AttemptError> {
         let reuse =
-            if self.route.repeats() { Reuse::Any } else { Reuse::Fresh };
+            if self.route.allows_resend() { Reuse::Any } else { Reuse::Fresh };
         if !self.sent.contains(&choice.target.id) {
             self.sent.push(choice.target.id.clone());
         }
@@ -315,7 +315,7 @@
     fn urgency(&self) -> u16 {
         let time = self.route.timeout.unwrap_or(DEFAULT_TIMEOUT);
         let waited = time.since(self.left());
-        let late = self.route.aim.is_some_and(|aim| waited > aim);
+        let late = self.route.latency_goal.is_some_and(|aim| waited > aim);
         let rank = u16::from(self.priority);
         let rank = if late { rank + LATE_RANKS } else { rank };
         rank.min(LAST_RANK)
@@ -324,9 +324,9 @@
     /// How long the next try may take.
     pub fn patience(&self) -> Millis {
         let left = self.left();
-        let last = self.sent.len() + 1 >= self.route.attempts as usize;
-        let Some(aim) = self.route.aim else { return left };
-        if last || !self.route.repeats() {
+        let last = self.sent.len() + 1 >= self.route.max_attempts as usize;
+        let Some(aim) = self.route.latency_goal else { return left };
+        if last || !self.route.allows_resend() {
             return left;
         }
         let first = Millis(aim.0 * FIRST_TRY_PERCENT / 100);
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -121,7 +121,7 @@
 
     /// Whether its route allows it to be sent to one more target.
     fn may_go_elsewhere(&self) -> bool {
-        self.sent.len() < self.route.attempts as usize
+        self.sent.len() < self.route.max_attempts as usize
     }
 
     /// Whether its caller's next try could be sent to a target now that this
@@ -189,7 +189,8 @@
 
     /// Whether a stream that nothing has run of is still worth its start.
     fn start(&self, entry: &Entry, now: Millis) -> Admission {
-        let (Some(silence), Some(aim)) = (self.route.silence, self.route.aim)
+        let (Some(silence), Some(aim)) =
+            (self.route.caller_idle_timeout, self.route.latency_goal)
         else {
             return Admission::Now;
         };
@@ -206,7 +207,8 @@
     /// stream that hears nothing for longer leaves and is lost; one that is
     /// answered just before comes back when it was told to.
     fn wait(&self, entry: &Entry) -> Millis {
-        let silence = self.route.silence.map(|it| it - ANSWER_LATENCY);
+        let silence =
+            self.route.caller_idle_timeout.map(|it| it - ANSWER_LATENCY);
         silence.unwrap_or(entry.settings().wait_ms)
     }
 
@@ -223,7 +225,7 @@
         ahead: Millis,
     ) -> Result<(Choice, Millis), Option<Shortage>> {
         let choose = |after| self.choose_after(entry, now, ahead, after);
-        if self.route.attempts > 1 || entry.cooldowns.borrow().is_empty() {
+        if self.route.max_attempts > 1 || entry.cooldowns.borrow().is_empty() {
             return choose(self.stagger);
         }
         let chosen = choose(self.stagger + PROBE_PERIOD);
--- a/cowsliproad-direct/src/call/failure.rs
+++ b/cowsliproad-direct/src/call/failure.rs
@@ -102,7 +102,7 @@
         if matches!(error, AttemptError::Broken(_)) {
             sleep(BREAK_DELAY.duration()).await;
         }
-        let again = self.sent.len() >= self.route.attempts as usize;
+        let again = self.sent.len() >= self.route.max_attempts as usize;
         let now = Millis::now();
         let cools = entry.cooldown_end(&choice.target, now).is_some();
         if again && !cools && matches!(error, AttemptError::Refused(_)) {
@@ -119,14 +119,15 @@
         choice: &Choice,
         why: &'static str,
     ) -> bool {
-        let safe = self.certainty == Certainty::NotRun || self.route.repeats();
-        let attempts = self.route.attempts as usize;
+        let safe =
+            self.certainty == Certainty::NotRun || self.route.allows_resend();
+        let attempts = self.route.max_attempts as usize;
         let room = self.runs < attempts && self.tries < attempts + SPARE_TRIES;
         let allowed = safe && room && self.left().0 > 0;
         self.next = RetryCost::Budget;
         info!(entry.log, "missed"; "request" => &*self.id,
             "target" => &*choice.target.id, "why" => why,
-            "repeats" => self.route.repeats(), "tries" => self.tries,
+            "repeats" => self.route.allows_resend(), "tries" => self.tries,
             "runs" => self.runs, "again" => allowed,
             "left" => self.left().0);
         allowed
@@ -180,7 +181,7 @@
     fn come_back(&self, entry: &Entry) -> Millis {
         // Callers wait for a third of what they have left at most.
         let longest = Millis(self.left().0 / 3);
-        if self.route.streams() {
+        if self.route.is_stream() {
             return longest;
         }
         let after = patience::spread_return(FULL_BACKOFF, entry.draw());
--- a/cowsliproad-direct/src/callers.rs
+++ b/cowsliproad-direct/src/callers.rs
@@ -16,7 +16,7 @@
     hooked::{Hooked, Hooks},
     program,
 };
-use cowsliproad_routing::catalog::Limits;
+use cowsliproad_routing::catalog::RequestLimits;
 use http::{HeaderValue, Request, Response, header};
 use hyper::{body::Incoming, server::conn::http1, service::service_fn};
 use hyper_util::rt::TokioIo;
@@ -151,7 +151,7 @@
             return;
         }
     };
-    let head = limits(&entry).header_bytes.max(MIN_HEAD_BYTES);
+    let head = limits(&entry).max_header_bytes.max(MIN_HEAD_BYTES);
     let mut serving = std::pin::pin!(
         http1::Builder::new()
             .max_buf_size(head)
@@ -200,21 +200,21 @@
     let limits = limits(entry);
     let now = Millis::now();
     let head = activity.head_since.get();
-    let late = |since: Millis| now.since(since) > limits.header_time;
+    let late = |since: Millis| now.since(since) > limits.header_timeout;
     if !busy && head.is_some_and(late) {
         return Verdict::Drop;
     }
     let idle = now.since(activity.idle_since.get());
     let spent =
-        !busy && head.is_none() && idle > limits.idle_time + IDLE_GRACE;
+        !busy && head.is_none() && idle > limits.idle_timeout + IDLE_GRACE;
     if spent || entry.phase.get() == Phase::Closing {
         return Verdict::End;
     }
     Verdict::Attempt
 }
 
-fn limits(entry: &Entry) -> Limits {
-    entry.catalog().map_or_else(Limits::new, |it| it.limits())
+fn limits(entry: &Entry) -> RequestLimits {
+    entry.catalog().map_or_else(RequestLimits::new, |it| it.limits())
 }
 
 /// Notes when the bytes of a head begin to come.
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -311,7 +311,7 @@
             return;
         }
         info!(self.log, "catalog_in_force"; "version" => catalog.version(),
-            "before" => before, "routes" => catalog.routes(),
+            "before" => before, "routes" => catalog.route_count(),
             "source" => ?source);
         *self.catalog.borrow_mut() = Some((Arc::new(catalog), raw));
         self.tell_news();
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -269,7 +269,7 @@
     fn connections(&self, service: &str) -> usize {
         let catalog = self.catalog.borrow();
         let service = catalog.as_ref().and_then(|it| it.0.service(service));
-        let Some(most) = service.and_then(|it| it.connections) else {
+        let Some(most) = service.and_then(|it| it.max_connections) else {
             return usize::MAX;
         };
         let entries = self.peers.borrow().entries();
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -11,7 +11,7 @@
     position::Era,
 };
 use cowsliproad_routing::{
-    catalog::{Engine, Service},
+    catalog::{EngineShape, Service},
     fleet::{StartTime, Target},
 };
 use slog::info;
@@ -70,15 +70,19 @@
     catalog.services().filter_map(subscription).collect()
 }
 
-fn subscribe(engine: &Engine, targets: &[SocketAddr], era: Era) -> Subscribe {
+fn subscribe(
+    engine: &EngineShape,
+    targets: &[SocketAddr],
+    era: Era,
+) -> Subscribe {
     Subscribe {
         list: gossip::list_of(targets),
         targets: targets.to_vec(),
-        sets: engine.sets as u16,
-        experts: engine.experts as u16,
-        places: engine.places as u16,
-        spare: engine.spare as u16,
-        copy_ms: engine.copy_time.0,
+        sets: engine.layer_sets as u16,
+        experts: engine.experts_per_set as u16,
+        places: engine.experts_per_rank as u16,
+        spare: engine.max_new_experts as u16,
+        copy_ms: engine.expert_copy_time.0,
         era,
     }
 }
--- a/cowsliproad-direct/src/receive.rs
+++ b/cowsliproad-direct/src/receive.rs
@@ -5,7 +5,9 @@
 use cowsliproad_admission::{patience::CallerTry, quarantine::Work};
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_platform::header;
-use cowsliproad_routing::catalog::{Catalog, Found, Organisation, Refusal};
+use cowsliproad_routing::catalog::{
+    Catalog, Organisation, RouteError, RouteMatch,
+};
 use http::{
     HeaderMap, HeaderName, HeaderValue, Response, StatusCode,
     header as standard, request,
@@ -48,7 +50,7 @@
     let left = left.unwrap_or(DEFAULT_TIMEOUT);
     let catalog = entry.catalog();
     let most =
-        catalog.as_ref().map_or(usize::MAX, |it| it.limits().body_bytes);
+        catalog.as_ref().map_or(usize::MAX, |it| it.limits().max_body_bytes);
     let body = timeout(left.duration(), Limited::new(body, most).collect());
     let body = match body.await {
         Ok(Ok(body)) => body.to_bytes(),
@@ -70,8 +72,8 @@
         return Err(reply::not_run("starting\n", STARTING_BACKOFF));
     };
     let found = find(&catalog, &head).map_err(refuse)?;
-    let Found { route, organisation } = found;
-    let Some(service) = route.draw(entry.draw()).cloned() else {
+    let RouteMatch { route, organisation } = found;
+    let Some(service) = route.choose_service(entry.draw()).cloned() else {
         return Err(reply::not_run(
             "the route has no service\n",
             FULL_BACKOFF,
@@ -92,7 +94,10 @@
     Ok(Call::new(head, body, target, time))
 }
 
-fn find(catalog: &Catalog, head: &request::Parts) -> Result<Found, Refusal> {
+fn find(
+    catalog: &Catalog,
+    head: &request::Parts,
+) -> Result<RouteMatch, RouteError> {
     let text = |name: HeaderName| {
         head.headers.get(name).and_then(|it| it.to_str().ok())
     };
@@ -101,15 +106,15 @@
         let (scheme, key) = it.split_once(' ')?;
         scheme.eq_ignore_ascii_case("bearer").then_some(key.trim())
     });
-    catalog.find(host, head.uri.path(), key)
+    catalog.find_route(host, head.uri.path(), key)
 }
 
-fn refuse(refusal: Refusal) -> Response<Body> {
+fn refuse(refusal: RouteError) -> Response<Body> {
     match refusal {
-        Refusal::NoRoute => {
+        RouteError::NoRoute => {
             reply::plain(StatusCode::NOT_FOUND, "no such route\n")
         }
-        Refusal::BadKey => {
+        RouteError::BadKey => {
             reply::plain(StatusCode::UNAUTHORIZED, "no such key\n")
         }
     }
--- a/cowsliproad-routing/src/catalog.rs
+++ b/cowsliproad-routing/src/catalog.rs
@@ -1,160 +1,164 @@
 //! The configuration in force: routes, services, organisations and limits.
 //!
-//! A [`Catalog`] is made once for each version and only read afterwards. A
-//! request finds its route by host and longest prefix: the routes of a host
-//! are kept from the longest prefix to the shortest, so the first that fits
-//! is the one.
+//! A [`Catalog`] is built once for each version of the configuration and is
+//! immutable. A request matches a route by its host and the longest path
+//! prefix: the routes of a host are sorted from the longest prefix to the
+//! shortest, so the first match is the right one.
 
 use std::{collections::HashMap, sync::Arc};
 
 use cowsliproad_kernel::{Name, clock::Millis};
 
-/// What may be repeated.
+/// Whether the requests of a route may be sent again, and whether they are
+/// answered by a stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Kind {
-    /// Any number of runs does what one does.
+pub enum RouteKind {
+    /// Running a request several times has the same effect as running it once.
     Idempotent,
-    /// One run at most.
-    Once,
-    /// A stream of events.
+    /// A request may run once at most.
+    NonIdempotent,
+    /// A request is answered by a stream of events.
     Stream(Resumption),
 }
 
-/// Whether a stream may go on at another target.
+/// Whether another target may continue a stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Resumption {
-    /// From the event after the last one delivered.
+    /// Another target may continue the stream after the last event delivered.
     Allowed,
-    /// Only its first target may run it.
+    /// Only the first target may run the stream.
     Never,
 }
 
-/// Who may use a route.
+/// Which callers may use a route.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Access {
-    /// Everybody.
+    /// Callers need no key.
     Public,
-    /// Holders of an organisation's key.
-    Keyed,
+    /// Callers need the key of an organisation.
+    KeyRequired,
 }
 
-/// A service's share of a route's requests.
+/// A service and its share of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Share {
-    /// The service.
+pub struct ServiceShare {
+    /// The service that gets the requests.
     pub service: Name,
-    /// Its weight beside the others'.
+    /// The weight of the service, relative to the weights of the other shares.
     pub weight: f64,
 }
 
-/// What is done with the requests of a host and prefix.
+/// The settings for the requests with a host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, for logs.
+    /// The name of the route, for logs.
     pub name: Name,
-    /// The host that callers name.
+    /// The host that requests name, without a port.
     pub host: Name,
-    /// The start of the paths that it takes.
-    pub prefix: Name,
-    /// What may be repeated.
-    pub kind: Kind,
-    /// The longest that a caller is kept waiting.
+    /// The prefix of the requests' paths.
+    pub path_prefix: Name,
+    /// Whether requests may be sent again.
+    pub kind: RouteKind,
+    /// The longest time that a caller waits for the response.
     pub timeout: Option<Millis>,
-    /// The time within which an answer is wanted.
-    pub aim: Option<Millis>,
-    /// How long callers of a stream stay without an event.
-    pub silence: Option<Millis>,
-    /// Rank, 0 first.
+    /// The time within which a response should arrive.
+    pub latency_goal: Option<Millis>,
+    /// How long a caller of a stream waits without an event before it leaves.
+    pub caller_idle_timeout: Option<Millis>,
+    /// The priority of requests; 0 comes first.
     pub priority: u8,
-    /// The services that it leads to.
-    pub shares: Vec<Share>,
-    /// Targets that one request may be sent to.
-    pub attempts: u32,
-    /// Who may use it.
+    /// The services that requests are split among.
+    pub shares: Vec<ServiceShare>,
+    /// The largest number of targets that one request may be sent to.
+    pub max_attempts: u32,
+    /// Which callers may use the route.
     pub access: Access,
 }
 
-/// A service.
+/// A service that routes send requests to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// The name of the service.
     pub name: Name,
-    /// Connections that one target takes from all entries together.
-    pub connections: Option<u32>,
-    /// The shape of its model engines, if it has such.
-    pub engine: Option<Engine>,
+    /// The largest number of connections to one target, from all entries
+    /// together.
+    pub max_connections: Option<u32>,
+    /// The expert layout of the service's model engines, if it runs any.
+    pub engine: Option<EngineShape>,
 }
 
-/// The shape of model engines whose ranks share experts.
+/// The expert layout of model engines whose ranks share experts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Engine {
-    /// Sets of layers with an expert map of their own.
-    pub sets: usize,
-    /// Experts in each set.
-    pub experts: usize,
-    /// Experts that a rank holds in each set.
-    pub places: usize,
-    /// Experts that are new to a rank in one map, at most, in each set.
-    pub spare: usize,
-    /// The time in which a rank copies an expert.
-    pub copy_time: Millis,
+pub struct EngineShape {
+    /// The number of sets of layers; each set has its own expert map.
+    pub layer_sets: usize,
+    /// The number of experts in each set of layers.
+    pub experts_per_set: usize,
+    /// The number of experts that a rank holds in each set of layers.
+    pub experts_per_rank: usize,
+    /// The largest number of experts that one map may add to a rank, in each
+    /// set of layers.
+    pub max_new_experts: usize,
+    /// The time that a rank needs to copy one expert.
+    pub expert_copy_time: Millis,
 }
 
-/// Who sends requests.
+/// A customer that sends requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Organisation {
-    /// Its name.
+    /// The name of the organisation.
     pub name: Name,
-    /// Its rank, which goes before the route's.
+    /// The priority of the organisation's requests, which overrides the
+    /// route's.
     pub priority: Option<u8>,
 }
 
-/// What callers may send and how long they may take.
+/// Limits on the size of requests and on the time to receive them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Limits {
-    /// Bytes of a request's head.
-    pub header_bytes: usize,
-    /// Bytes of a request's body.
-    pub body_bytes: usize,
-    /// The time for a request's head.
-    pub header_time: Millis,
-    /// The time that a connection may stay idle.
-    pub idle_time: Millis,
+pub struct RequestLimits {
+    /// The largest request head, in bytes.
+    pub max_header_bytes: usize,
+    /// The largest request body, in bytes.
+    pub max_body_bytes: usize,
+    /// The time within which a request's head must arrive.
+    pub header_timeout: Millis,
+    /// How long a connection may stay idle.
+    pub idle_timeout: Millis,
 }
 
-impl Limits {
-    /// The limits in force while a configuration names none.
-    pub fn new() -> Limits {
-        Limits {
-            header_bytes: 16 << 10,
-            body_bytes: 4 << 20,
-            header_time: Millis(5_000),
-            idle_time: Millis(60_000),
+impl RequestLimits {
+    /// The limits used when a configuration contains none.
+    pub fn new() -> RequestLimits {
+        RequestLimits {
+            max_header_bytes: 16 << 10,
+            max_body_bytes: 4 << 20,
+            header_timeout: Millis(5_000),
+            idle_timeout: Millis(60_000),
         }
     }
 }
 
-impl Default for Limits {
-    fn default() -> Limits {
-        Limits::new()
+impl Default for RequestLimits {
+    fn default() -> RequestLimits {
+        RequestLimits::new()
     }
 }
 
-/// Why a request has no route.
+/// The reason why a request matches no route.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Refusal {
-    /// No route takes the host and path.
+pub enum RouteError {
+    /// No route matches the host and path.
     NoRoute,
-    /// The route asks for a key, and this one is none.
+    /// The route requires a key, and the request has no valid key.
     BadKey,
 }
 
-/// Where a request goes and who sent it.
+/// The result of matching a request against the routes.
 #[derive(Clone, Debug)]
-pub struct Found {
-    /// The rule that it goes by.
+pub struct RouteMatch {
+    /// The route that matches the request.
     pub route: Arc<Route>,
-    /// The organisation whose key it carries.
+    /// The organisation whose key the request carries.
     pub organisation: Option<Arc<Organisation>>,
 }
 
@@ -162,144 +166,159 @@
 #[derive(Clone, Debug)]
 pub struct Catalog {
     version: u64,
-    hosts: HashMap<Name, Vec<Arc<Route>>>,
+    routes_by_host: HashMap<Name, Vec<Arc<Route>>>,
     services: HashMap<Name, Service>,
-    keys: HashMap<Box<str>, Arc<Organisation>>,
-    keyed: bool,
-    limits: Limits,
+    organisations_by_key: HashMap<Box<str>, Arc<Organisation>>,
+    requires_keys: bool,
+    limits: RequestLimits,
 }
 
 impl Catalog {
-    /// Its number. A higher one is newer.
+    /// The version number of the configuration. A higher number is newer.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// What callers may send.
-    pub fn limits(&self) -> Limits {
+    /// The limits on requests and connections.
+    pub fn limits(&self) -> RequestLimits {
         self.limits
     }
 
-    /// A service by name.
+    /// The service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// The services.
+    /// All services.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
 
     /// The number of routes.
-    pub fn routes(&self) -> usize {
-        self.hosts.values().map(Vec::len).sum()
+    pub fn route_count(&self) -> usize {
+        self.routes_by_host.values().map(Vec::len).sum()
     }
 
-    /// The route of a request and the organisation that sent it.
-    pub fn find(
+    /// Finds the route of a request and the organisation that sent it.
+    pub fn find_route(
         &self,
         host: &str,
         path: &str,
         key: Option<&str>,
-    ) -> Result<Found, Refusal> {
+    ) -> Result<RouteMatch, RouteError> {
         let name = host.rsplit_once(':').map_or(host, |it| it.0);
         let name = name.to_ascii_lowercase();
-        let routes = self.hosts.get(name.as_str()).ok_or(Refusal::NoRoute)?;
-        let fits = |route: &&Arc<Route>| path.starts_with(&*route.prefix);
-        let route = routes.iter().find(fits).ok_or(Refusal::NoRoute)?.clone();
-        let organisation = key.and_then(|key| self.keys.get(key)).cloned();
-        let open = !self.keyed || route.access == Access::Public;
-        if organisation.is_none() && !open {
-            return Err(Refusal::BadKey);
+        let routes = self
+            .routes_by_host
+            .get(name.as_str())
+            .ok_or(RouteError::NoRoute)?;
+        let matches =
+            |route: &&Arc<Route>| path.starts_with(&*route.path_prefix);
+        let route =
+            routes.iter().find(matches).ok_or(RouteError::NoRoute)?.clone();
+        let organisation =
+            key.and_then(|key| self.organisations_by_key.get(key)).cloned();
+        let is_public = !self.requires_keys || route.access == Access::Public;
+        if organisation.is_none() && !is_public {
+            return Err(RouteError::BadKey);
         }
-        Ok(Found { route, organisation })
+        Ok(RouteMatch { route, organisation })
     }
 }
 
-/// Collects a version of the configuration.
+/// Builds a [`Catalog`].
 #[derive(Debug)]
-pub struct Builder {
+pub struct CatalogBuilder {
     catalog: Catalog,
 }
 
-impl Builder {
-    /// A version without routes.
-    pub fn new(version: u64) -> Builder {
-        Builder {
+impl CatalogBuilder {
+    /// A version of the configuration without routes.
+    pub fn new(version: u64) -> CatalogBuilder {
+        CatalogBuilder {
             catalog: Catalog {
                 version,
-                hosts: HashMap::new(),
+                routes_by_host: HashMap::new(),
                 services: HashMap::new(),
-                keys: HashMap::new(),
-                keyed: false,
-                limits: Limits::new(),
+                organisations_by_key: HashMap::new(),
+                requires_keys: false,
+                limits: RequestLimits::new(),
             },
         }
     }
 
-    /// Adds a route.
-    pub fn route(&mut self, route: Route) {
+    /// Adds a route to the catalog.
+    pub fn add_route(&mut self, route: Route) {
         let host: Name = route.host.to_ascii_lowercase().into();
-        self.catalog.hosts.entry(host).or_default().push(Arc::new(route));
+        self.catalog
+            .routes_by_host
+            .entry(host)
+            .or_default()
+            .push(Arc::new(route));
     }
 
-    /// Adds a service.
-    pub fn service(&mut self, service: Service) {
+    /// Adds a service to the catalog.
+    pub fn add_service(&mut self, service: Service) {
         self.catalog.services.insert(service.name.clone(), service);
     }
 
-    /// Sets the limits.
-    pub fn limits(&mut self, limits: Limits) {
+    /// Sets the limits on requests and connections.
+    pub fn set_limits(&mut self, limits: RequestLimits) {
         self.catalog.limits = limits;
     }
 
-    /// Asks for keys on all routes that aren't public.
-    pub fn keyed(&mut self) {
-        self.catalog.keyed = true;
+    /// Requires keys on all routes that aren't public.
+    pub fn require_keys(&mut self) {
+        self.catalog.requires_keys = true;
     }
 
-    /// Adds an organisation with its keys.
-    pub fn organisation(
+    /// Adds an organisation and its keys.
+    pub fn add_organisation(
         &mut self,
         organisation: Organisation,
         keys: Vec<Box<str>>,
     ) {
         let organisation = Arc::new(organisation);
         for key in keys {
-            self.catalog.keys.insert(key, organisation.clone());
+            self.catalog
+                .organisations_by_key
+                .insert(key, organisation.clone());
         }
     }
 
-    /// The version as it will be used.
+    /// Sorts the routes and returns the catalog.
     pub fn build(mut self) -> Catalog {
-        for routes in self.catalog.hosts.values_mut() {
-            routes.sort_by_key(|it| std::cmp::Reverse(it.prefix.len()));
+        for routes in self.catalog.routes_by_host.values_mut() {
+            routes.sort_by_key(|it| std::cmp::Reverse(it.path_prefix.len()));
         }
         self.catalog
     }
 }
 
 impl Route {
-    /// Whether a request may be sent again after it may have run.
-    pub fn repeats(&self) -> bool {
+    /// Whether a request may be sent again when it may have run already.
+    pub fn allows_resend(&self) -> bool {
         match self.kind {
-            Kind::Idempotent | Kind::Stream(Resumption::Allowed) => true,
-            Kind::Once | Kind::Stream(Resumption::Never) => false,
+            RouteKind::Idempotent | RouteKind::Stream(Resumption::Allowed) => {
+                true
+            }
+            RouteKind::NonIdempotent
+            | RouteKind::Stream(Resumption::Never) => false,
         }
     }
 
-    /// Whether its answers are streams of events.
-    pub fn streams(&self) -> bool {
-        matches!(self.kind, Kind::Stream(_))
+    /// Whether responses are streams of events.
+    pub fn is_stream(&self) -> bool {
+        matches!(self.kind, RouteKind::Stream(_))
     }
 
-    /// The service that a draw from 0 to 1 falls on.
-    pub fn draw(&self, draw: f64) -> Option<&Name> {
+    /// The service that gets a request, by a random number `draw` from 0 to 1.
+    pub fn choose_service(&self, draw: f64) -> Option<&Name> {
         let total: f64 = self.shares.iter().map(|it| it.weight).sum();
-        let mut left = draw * total;
+        let mut remaining = draw * total;
         for share in &self.shares {
-            left -= share.weight;
-            if left < 0.0 {
+            remaining -= share.weight;
+            if remaining < 0.0 {
                 return Some(&share.service);
             }
         }
--- a/tests/properties/direct.rs
+++ b/tests/properties/direct.rs
@@ -7,7 +7,8 @@
     relay::events::Splitter,
     routing::{
         catalog::{
-            Access, Builder, Kind, Organisation, Refusal, Route, Share,
+            Access, CatalogBuilder, Organisation, Route, RouteError,
+            RouteKind, ServiceShare,
         },
         formation::Formation,
         pick::{self, Candidate, Locality, ServiceLatency, TargetStats},
@@ -19,45 +20,45 @@
     Route {
         name: prefix.into(),
         host: "Host.example".into(),
-        prefix: prefix.into(),
-        kind: Kind::Once,
+        path_prefix: prefix.into(),
+        kind: RouteKind::NonIdempotent,
         timeout: None,
-        aim: None,
-        silence: None,
+        latency_goal: None,
+        caller_idle_timeout: None,
         priority: 1,
         shares: vec![
-            Share { service: "a".into(), weight: 90.0 },
-            Share { service: "b".into(), weight: 10.0 },
+            ServiceShare { service: "a".into(), weight: 90.0 },
+            ServiceShare { service: "b".into(), weight: 10.0 },
         ],
-        attempts: 1,
+        max_attempts: 1,
         access,
     }
 }
 
 #[test]
 fn host_prefix_and_key_decide() {
-    let mut made = Builder::new(3);
-    made.route(route("/a/", Access::Keyed));
-    made.route(route("/a/b/", Access::Public));
-    made.keyed();
+    let mut made = CatalogBuilder::new(3);
+    made.add_route(route("/a/", Access::KeyRequired));
+    made.add_route(route("/a/b/", Access::Public));
+    made.require_keys();
     let harju = Organisation { name: "harju".into(), priority: None };
-    made.organisation(harju, vec!["key".into()]);
+    made.add_organisation(harju, vec!["key".into()]);
     let catalog = made.build();
     let find = |host: &str, path: &str, key: Option<&str>| {
-        catalog.find(host, path, key).map(|it| it.route.name.to_string())
+        catalog.find_route(host, path, key).map(|it| it.route.name.to_string())
     };
     let key = Some("key");
     assert_eq!(find("host.example:80", "/a/x", key), Ok("/a/".into()));
     assert_eq!(find("HOST.example", "/a/b/x", None), Ok("/a/b/".into()));
-    assert_eq!(find("host.example", "/a/bx", None), Err(Refusal::BadKey));
-    assert_eq!(find("host.example", "/ab", key), Err(Refusal::NoRoute));
-    assert_eq!(find("other", "/a/x", key), Err(Refusal::NoRoute));
+    assert_eq!(find("host.example", "/a/bx", None), Err(RouteError::BadKey));
+    assert_eq!(find("host.example", "/ab", key), Err(RouteError::NoRoute));
+    assert_eq!(find("other", "/a/x", key), Err(RouteError::NoRoute));
 }
 
 #[test]
 fn shares_of_a_route_are_kept() {
     let route = route("/a/", Access::Public);
-    let at = |draw: f64| route.draw(draw).map(|it| it.to_string());
+    let at = |draw: f64| route.choose_service(draw).map(|it| it.to_string());
     assert_eq!(at(0.0).as_deref(), Some("a"));
     assert_eq!(at(0.89).as_deref(), Some("a"));
     assert_eq!(at(0.91).as_deref(), Some("b"));
