--- a/cowsliproad-routing/src/fleet.rs
+++ b/cowsliproad-routing/src/fleet.rs
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Merges the announcement of a target; ignores an outdated one.
+    /// Merges the announcement of a target; ignores an outdated announcement.
     pub fn announce(&mut self, target: Target, now: Millis) -> TargetChange {
         if let Some(tombstone) = self.tombstones.get(&target.id)
             && (target.start < tombstone.start
--- a/cowsliproad-routing/src/formation.rs
+++ b/cowsliproad-routing/src/formation.rs
@@ -11,7 +11,7 @@
 
 /// How long a halt lasts at most. Engines that wait for a lost rank report the
 /// formation broken within this time. An idle group runs no steps that could
-/// end the halt.
+/// end the halt, so the halt of a group without a lost rank must time out.
 const HALT_TIMEOUT: Millis = Millis(2_500);
 
 /// The longest delay of a rank's report. A report that arrives sooner after
--- a/cowsliproad-routing/src/pick.rs
+++ b/cowsliproad-routing/src/pick.rs
@@ -36,7 +36,7 @@
 /// target.
 const MAX_PROBE_SHARE: f64 = 0.01;
 
-/// The longest time between two probes of a slow target.
+/// The longest time without a request after which a slow target is probed.
 const MAX_PROBE_INTERVAL: Millis = Millis(120_000);
 
 /// The largest number of requests accepted in a load report. Targets have some
@@ -103,7 +103,8 @@
         self.completed_since_report += 1;
     }
 
-    /// Records a load report; ignores one above [`MAX_REPORTED_REQUESTS`].
+    /// Records a load report; ignores a report of more requests than
+    /// [`MAX_REPORTED_REQUESTS`].
     pub fn record_load_report(&mut self, requests: u32, now: Millis) {
         if requests > MAX_REPORTED_REQUESTS {
             return;
@@ -151,9 +152,9 @@
     }
 
     /// The requests of the last load report, which decay after [`REPORT_TTL`].
-    /// Where no agent sends reports, they come with responses only: without
-    /// decay, a target that looked busy would get no requests and look busy
-    /// for good.
+    /// Where no agent sends reports, they arrive with the target's responses
+    /// only: without decay, a target that looked busy would get no requests
+    /// and look busy for good.
     fn decayed_report(&self, now: Millis) -> u32 {
         let age = now.since(self.reported_at);
         if age <= REPORT_TTL {
