--- a/cowsliproad-config/src/object.rs
+++ b/cowsliproad-config/src/object.rs
@@ -222,7 +222,7 @@
         let key = self.key();
         if key.name.split('/').any(|part| !is_valid_name(part)) {
             return Err(format!(
-                "name {:?}: must be 1 to 64 characters of a-z, 0-9, '-' and '_'",
+                "name {:?}: must be 1 to 64 characters a-z, 0-9, '-' or '_'",
                 key.name
             ));
         }
--- a/tests/properties/cooldown.rs
+++ b/tests/properties/cooldown.rs
@@ -57,7 +57,10 @@
         cooldowns.extend(&target("i-1", first), Millis(wait), Millis(0));
         let end = cooldowns.active_until(&target("i-1", second), Millis(0));
         prop_assert_eq!(end.is_some(), first == second);
-        prop_assert_eq!(cooldowns.active_until(&target("i-2", first), Millis(0)), None);
+        prop_assert_eq!(
+            cooldowns.active_until(&target("i-2", first), Millis(0)),
+            None
+        );
     }
 }
 
--- a/tests/properties/fleet.rs
+++ b/tests/properties/fleet.rs
@@ -112,7 +112,10 @@
                 }
                 News::Leaving(sequence) => {
                     let before = fleet.get("i-1").map(|it| it.sequence);
-                    fleet.announce(target(sequence, TargetState::Draining), now);
+                    fleet.announce(
+                        target(sequence, TargetState::Draining),
+                        now
+                    );
                     left |= before.is_some_and(|it| it <= sequence);
                 }
                 News::Withdraw => {
--- a/tests/properties/routing.rs
+++ b/tests/properties/routing.rs
@@ -43,7 +43,11 @@
         service_us in 1..1_000_000u32,
     ) {
         let load = Load { queued, running, slots, service_us, count: 0 };
-        let less = Candidate { load, sent_since_report: sent, ..Candidate::default() };
+        let less = Candidate {
+            load,
+            sent_since_report: sent,
+            ..Candidate::default()
+        };
         let more = Candidate { sent_since_report: sent + 1, ..less };
         prop_assert!(more.first_token_us() >= less.first_token_us());
     }
