--- a/cowsliproad-agent/src/replica.rs
+++ b/cowsliproad-agent/src/replica.rs
@@ -36,8 +36,8 @@
     pub fn records(&self, records: &Records) -> Option<Frame> {
         let mut state = self.lock();
         for (offset, bytes) in (records.first..).zip(&records.records) {
-            if let Err(gap) = state.apply(offset, bytes) {
-                return Some(Frame::Pull(gap.expected));
+            if let Err(gap) = state.apply_record(offset, bytes) {
+                return Some(Frame::Pull(gap.expected_offset));
             }
         }
         None
@@ -50,7 +50,7 @@
             return;
         }
         if let Some(other) = fold::decode_state(&snapshot.state) {
-            state.advance(other);
+            state.adopt_if_newer(other);
         }
     }
 
--- a/cowsliproad-bench/src/experiment/config.rs
+++ b/cowsliproad-bench/src/experiment/config.rs
@@ -16,7 +16,7 @@
 use cowsliproad_agent::replica::Replica;
 use cowsliproad_config::{
     Object,
-    object::{Key, Kind, Organisation},
+    object::{ObjectKey, ObjectKind, Organisation},
 };
 use cowsliproad_ctl::client::{Client, Error, Mode};
 use cowsliproad_entry::Shared;
@@ -84,7 +84,7 @@
         }
     }
 
-    fn revision(&self, key: &Key) -> u64 {
+    fn revision(&self, key: &ObjectKey) -> u64 {
         let of = |state: &cowsliproad_config::State| {
             state.get(key).map_or(0, |it| it.revision)
         };
@@ -94,7 +94,7 @@
         }
     }
 
-    fn value(&self, key: &Key) -> Option<u32> {
+    fn value(&self, key: &ObjectKey) -> Option<u32> {
         let of = |state: &cowsliproad_config::State| match state.get(key) {
             Some(it) => match &it.object {
                 Object::Organisation(it) => Some(it.max_in_flight),
@@ -120,9 +120,9 @@
     not_run: u64,
     unknown: u64,
     /// The last accepted revision and value of each object.
-    last: HashMap<Key, (u64, u32)>,
+    last: HashMap<ObjectKey, (u64, u32)>,
     /// Values that operators were told did not take effect.
-    denied: HashMap<Key, Vec<u32>>,
+    denied: HashMap<ObjectKey, Vec<u32>>,
 }
 
 struct Run {
@@ -207,7 +207,7 @@
             let operator = Operator {
                 run: run.clone(),
                 entries: entries.clone(),
-                key: Key::new(Kind::Organisation, &name),
+                key: ObjectKey::new(ObjectKind::Organisation, &name),
                 random,
                 value: index as u32 * 1_000_000 + 1,
             };
@@ -219,7 +219,7 @@
 struct Operator {
     run: Arc<Run>,
     entries: Vec<Client>,
-    key: Key,
+    key: ObjectKey,
     random: StdRng,
     value: u32,
 }
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -165,8 +165,8 @@
             let object = organisation(index);
             let change = Change::Put { base: 0, object };
             let command = id::Command::random();
-            let record = fold::encode(&Record { command, change });
-            let _ = state.apply(offset, &record);
+            let record = fold::encode_record(&Record { command, change });
+            let _ = state.apply_record(offset, &record);
         }
         let view = View::new(Arc::new(state), &View::default(), |it| {
             Arc::new(Target::new(it))
@@ -229,14 +229,14 @@
                 let object = organisation(index);
                 let change = Change::Put { base: 0, object };
                 let command = id::Command::random();
-                fold::encode(&Record { command, change })
+                fold::encode_record(&Record { command, change })
             })
             .collect();
         record_bytes = records[0].len();
         let mut state = State::new();
         let start = Instant::now();
         for (offset, record) in (1..).zip(&records) {
-            let _ = black_box(state.apply(offset, record));
+            let _ = black_box(state.apply_record(offset, record));
         }
         let taken = start.elapsed().as_micros() as f64;
         fold_us.push((count as f64, taken));
--- a/cowsliproad-config/src/fold.rs
+++ b/cowsliproad-config/src/fold.rs
@@ -1,4 +1,4 @@
-//! Folds log records into the configuration in force.
+//! Folds the records of the configuration log into the configuration in force.
 //!
 //! Invariant: the state after the record at offset `n` depends on the records
 //! up to `n` alone. A replica only moves forward: a record below
@@ -16,13 +16,13 @@
 use cowsliproad_kernel::{code::Code, id};
 use serde::{Deserialize, Serialize};
 
-use crate::object::{Key, Object};
+use crate::object::{Object, ObjectKey};
 
 /// The number of commands whose verdicts are kept. At 40,000 changes a day
 /// they cover the last nine hours, far longer than operators repeat a command.
 pub const MAX_VERDICTS: usize = 16_384;
 
-/// A record of the log.
+/// A record of the configuration log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Record {
     /// The operator's command that the record belongs to.
@@ -36,9 +36,10 @@
 pub enum Change {
     /// Creates or replaces an object.
     Put {
-        /// The revision that the operator saw; 0 if the object did not exist.
+        /// The revision of the object that the operator saw; 0 if the object
+        /// did not exist.
         base: u64,
-        /// The new object.
+        /// The object to store.
         object: Object,
     },
     /// Removes an object.
@@ -46,36 +47,37 @@
         /// The revision of the object that the operator saw.
         base: u64,
         /// The key of the object to remove.
-        key: Key,
+        key: ObjectKey,
     },
-    /// Carries the state folded up to an earlier offset.
+    /// Carries a snapshot of the state after an earlier record.
     Snapshot(Box<State>),
 }
 
-/// The result of folding a record.
+/// The result of applying the change of a record to the configuration.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Verdict {
-    /// The change took effect; the object has this revision.
+    /// The change took effect; the object now has this revision.
     Accepted(u64),
-    /// The change was refused with this code.
+    /// The change was refused with this result code.
     Refused(Code),
 }
 
 /// An object and its revision.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Versioned {
+pub struct VersionedObject {
     /// The offset of the record that last changed the object.
     pub revision: u64,
     /// The object at this revision.
     pub object: Object,
 }
 
-/// The folded configuration.
+/// The configuration that results from folding the records of the log up to an
+/// offset.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct State {
     next: u64,
     #[serde(with = "entries")]
-    objects: BTreeMap<Key, Versioned>,
+    objects: BTreeMap<ObjectKey, VersionedObject>,
     verdicts: VecDeque<(id::Command, Verdict)>,
 }
 
@@ -83,7 +85,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct OffsetGap {
     /// The offset of the first missing record.
-    pub expected: u64,
+    pub expected_offset: u64,
 }
 
 impl State {
@@ -93,45 +95,45 @@
         State { next: 1, objects: BTreeMap::new(), verdicts: VecDeque::new() }
     }
 
-    /// The offset after the last folded record.
+    /// The offset of the first record that has not been folded.
     pub fn next_offset(&self) -> u64 {
         self.next
     }
 
-    /// The object with a key.
-    pub fn get(&self, key: &Key) -> Option<&Versioned> {
+    /// The object with this key and its revision.
+    pub fn get(&self, key: &ObjectKey) -> Option<&VersionedObject> {
         self.objects.get(key)
     }
 
-    /// All objects in key order.
-    pub fn objects(&self) -> impl Iterator<Item = &Versioned> {
+    /// All objects of the configuration, in key order.
+    pub fn objects(&self) -> impl Iterator<Item = &VersionedObject> {
         self.objects.values()
     }
 
-    /// The verdict on a recent command, if it is still kept.
+    /// The verdict on a recent command, if the verdict is still kept.
     pub fn verdict(&self, command: id::Command) -> Option<Verdict> {
-        let known = self.verdicts.iter().rev();
-        known
+        let newest_first = self.verdicts.iter().rev();
+        newest_first
             .filter(|(id, _)| *id == command)
             .map(|(_, verdict)| *verdict)
             .next()
     }
 
-    /// Folds the record at an offset. Returns `Ok(None)` for a record that was
-    /// folded before or is not an operator's command.
-    pub fn apply(
+    /// Folds the encoded record at an offset. Returns `Ok(None)` for a record
+    /// that was folded before or is not an operator's command.
+    pub fn apply_record(
         &mut self,
         offset: u64,
-        bytes: &[u8],
+        record_bytes: &[u8],
     ) -> Result<Option<(id::Command, Verdict)>, OffsetGap> {
         if offset < self.next {
             return Ok(None);
         }
         if offset > self.next {
-            return Err(OffsetGap { expected: self.next });
+            return Err(OffsetGap { expected_offset: self.next });
         }
         self.next = offset + 1;
-        let Some(record) = decode(bytes) else {
+        let Some(record) = decode_record(record_bytes) else {
             return Ok(None);
         };
         if let Some(known) = self.verdict(record.command) {
@@ -144,7 +146,8 @@
         Ok(Some((record.command, verdict)))
     }
 
-    /// Checks whether a change would be accepted by the current state.
+    /// Checks whether the current state would accept a change; the error is
+    /// the code with which the state would refuse the change.
     pub fn dry_run(&self, change: &Change) -> Result<(), Code> {
         match change {
             Change::Put { base, object } => self.check_put(*base, object),
@@ -153,12 +156,13 @@
         }
     }
 
-    /// Adopts another state if more records were folded into it.
-    pub fn advance(&mut self, other: State) -> Progress {
-        if other.next <= self.next {
+    /// Replaces this state by a peer's state if more records were folded into
+    /// the peer's.
+    pub fn adopt_if_newer(&mut self, peer_state: State) -> Progress {
+        if peer_state.next <= self.next {
             return Progress::Unchanged;
         }
-        *self = other;
+        *self = peer_state;
         Progress::Advanced
     }
 
@@ -172,7 +176,7 @@
         }
         match change {
             Change::Put { object, .. } => {
-                let versioned = Versioned { revision: offset, object };
+                let versioned = VersionedObject { revision: offset, object };
                 self.objects.insert(versioned.object.key(), versioned);
             }
             Change::Delete { key, .. } => {
@@ -183,11 +187,15 @@
         Some(Verdict::Accepted(offset))
     }
 
-    fn check_put(&self, base: u64, object: &Object) -> Result<(), Code> {
+    fn check_put(
+        &self,
+        base_revision: u64,
+        object: &Object,
+    ) -> Result<(), Code> {
         if object.validate().is_err() {
             return Err(Code::BadObject);
         }
-        if self.revision(&object.key()) != base {
+        if self.object_revision(&object.key()) != base_revision {
             return Err(Code::StaleBase);
         }
         if !object
@@ -200,22 +208,27 @@
         Ok(())
     }
 
-    fn check_delete(&self, base: u64, key: &Key) -> Result<(), Code> {
-        let revision = self.revision(key);
+    fn check_delete(
+        &self,
+        base_revision: u64,
+        key: &ObjectKey,
+    ) -> Result<(), Code> {
+        let revision = self.object_revision(key);
         if revision == 0 {
             return Err(Code::NoSuchObject);
         }
-        if revision != base {
+        if revision != base_revision {
             return Err(Code::StaleBase);
         }
-        let depends = |it: &Versioned| it.object.dependencies().contains(key);
+        let depends =
+            |it: &VersionedObject| it.object.dependencies().contains(key);
         if self.objects.values().any(depends) {
             return Err(Code::InUse);
         }
         Ok(())
     }
 
-    fn revision(&self, key: &Key) -> u64 {
+    fn object_revision(&self, key: &ObjectKey) -> u64 {
         self.objects.get(key).map_or(0, |it| it.revision)
     }
 
@@ -233,22 +246,22 @@
     }
 }
 
-/// Whether a replica's state moved forward.
+/// Whether a replica replaced its state by a newer one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Progress {
-    /// The replica had already folded as many records.
+    /// The replica had already folded as many records, and kept its state.
     Unchanged,
     /// The replica adopted the newer state.
     Advanced,
 }
 
 /// Encodes a record for the log.
-pub fn encode(record: &Record) -> Vec<u8> {
+pub fn encode_record(record: &Record) -> Vec<u8> {
     to_cbor(record)
 }
 
-/// Decodes a record; `None` if the bytes are not a valid record.
-pub fn decode(bytes: &[u8]) -> Option<Record> {
+/// Decodes a record of the log; `None` if the bytes are not a valid record.
+pub fn decode_record(bytes: &[u8]) -> Option<Record> {
     ciborium::de::from_reader_with_recursion_limit(bytes, MAX_NESTING_DEPTH)
         .ok()
 }
@@ -264,7 +277,7 @@
         .ok()
 }
 
-/// The deepest nesting of values that a decoder accepts.
+/// The deepest nesting of CBOR values that a decoder accepts.
 const MAX_NESTING_DEPTH: usize = 32;
 
 fn to_cbor<T: Serialize>(value: &T) -> Vec<u8> {
@@ -274,16 +287,17 @@
     bytes
 }
 
-/// Serializes the objects as a list, because each object contains its key.
+/// Serializes the map of objects as a list, because each object contains its
+/// key.
 mod entries {
     use std::collections::BTreeMap;
 
     use serde::{Deserialize, Deserializer, Serializer};
 
-    use super::{Key, Versioned};
+    use super::{ObjectKey, VersionedObject};
 
     pub(super) fn serialize<S: Serializer>(
-        objects: &BTreeMap<Key, Versioned>,
+        objects: &BTreeMap<ObjectKey, VersionedObject>,
         to: S,
     ) -> Result<S::Ok, S::Error> {
         to.collect_seq(objects.values())
@@ -291,8 +305,8 @@
 
     pub(super) fn deserialize<'de, D: Deserializer<'de>>(
         from: D,
-    ) -> Result<BTreeMap<Key, Versioned>, D::Error> {
-        let list = Vec::<Versioned>::deserialize(from)?;
+    ) -> Result<BTreeMap<ObjectKey, VersionedObject>, D::Error> {
+        let list = Vec::<VersionedObject>::deserialize(from)?;
         Ok(list.into_iter().map(|it| (it.object.key(), it)).collect())
     }
 }
--- a/cowsliproad-config/src/lib.rs
+++ b/cowsliproad-config/src/lib.rs
@@ -1,5 +1,5 @@
 //! Configuration objects, and the fold that computes the configuration from
-//! the log.
+//! the records of the configuration log.
 //!
 //! Every replica folds the same records in offset order with the same
 //! function, so all replicas agree without communication. A record names the
--- a/cowsliproad-config/src/object.rs
+++ b/cowsliproad-config/src/object.rs
@@ -35,11 +35,12 @@
     /// BLAKE3 hashes, in hexadecimal, of the keys that the organisation's
     /// callers present.
     pub keys: Vec<Name>,
-    /// The weight of the organisation when capacity is short, at least 1.
+    /// The weight by which the organisation gets capacity when capacity is
+    /// short, at least 1.
     #[serde(default = "one")]
     pub share: u32,
-    /// The largest number of the organisation's requests in flight through
-    /// one entry.
+    /// The largest number of the organisation's requests in flight through one
+    /// entry process.
     #[serde(default = "many")]
     pub max_in_flight: u32,
 }
@@ -64,13 +65,13 @@
     pub backend: Backend,
 }
 
-/// Whether a request may run more than once.
+/// Whether the requests of a type may run more than once.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeat {
-    /// A request may safely run more than once.
+    /// A request of the type may safely run more than once.
     Repeatable,
-    /// A request must run at most once.
+    /// A request of the type must never run more than once.
     Never,
 }
 
@@ -78,16 +79,16 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestType {
-    /// The service that accepts the request type.
+    /// The name of the service that accepts the request type.
     pub service: Name,
     /// The name of the request type within the service.
     pub name: Name,
-    /// The urgency of the requests.
+    /// The urgency of the requests of this type.
     pub urgency: Urgency,
     /// The time after which the response is useless, in milliseconds from the
     /// request.
     pub deadline_ms: Millis,
-    /// Whether a request may run more than once.
+    /// Whether a request of this type may run more than once.
     pub repeat: Repeat,
     /// The organisations that may send the request type; all if empty.
     #[serde(default)]
@@ -103,11 +104,12 @@
 pub struct Target {
     /// The name of the target and of its VM.
     pub name: Name,
-    /// The service that the target belongs to.
+    /// The name of the service that the target belongs to.
     pub service: Name,
     /// The availability zone of the target.
     pub zone: Name,
-    /// The address at which the target's agent accepts links from entries.
+    /// The address at which the target's agent accepts links from entry
+    /// processes.
     #[serde(with = "address")]
     pub agent: SocketAddr,
 }
@@ -118,13 +120,16 @@
 pub struct Group {
     /// The name of the group.
     pub name: Name,
-    /// The service that the group belongs to.
+    /// The name of the service that the group belongs to.
     pub service: Name,
-    /// The targets that hold the group's ranks, starting with rank 0.
+    /// The names of the targets that hold the group's ranks, starting with
+    /// rank 0.
     pub ranks: Vec<Name>,
-    /// The cost of one unit of step-time skew between the ranks.
+    /// The weight of the step-time skew between the ranks in the cost of an
+    /// expert placement.
     pub skew_weight: f64,
-    /// The cost of moving one expert to another rank.
+    /// The weight of moving experts to other ranks in the cost of an expert
+    /// placement.
     pub move_weight: f64,
 }
 
@@ -132,11 +137,11 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drain {
-    /// The target to drain.
+    /// The name of the target to drain.
     pub target: Name,
 }
 
-/// The kind of an object.
+/// The kind of a configuration object.
 #[derive(
     Clone,
     Copy,
@@ -150,7 +155,7 @@
     Serialize,
 )]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum ObjectKind {
     /// The kind of an [`Organisation`].
     Organisation,
     /// The kind of a [`Service`].
@@ -165,59 +170,72 @@
     Drain,
 }
 
-/// The key that identifies an object.
+/// The key that identifies a configuration object.
 #[derive(
     Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
-pub struct Key {
-    /// The kind of the object.
-    pub kind: Kind,
-    /// The name of the object; `service/type` for a request type.
+pub struct ObjectKey {
+    /// The kind of the object that the key identifies.
+    pub kind: ObjectKind,
+    /// The name of the object that the key identifies; `service/type` for a
+    /// request type.
     pub name: Name,
 }
 
-impl Key {
+impl ObjectKey {
     /// Creates the key for a kind and a name.
-    pub fn new(kind: Kind, name: &str) -> Key {
-        Key { kind, name: name.into() }
+    pub fn new(kind: ObjectKind, name: &str) -> ObjectKey {
+        ObjectKey { kind, name: name.into() }
     }
 }
 
 impl Object {
     /// The key of the object.
-    pub fn key(&self) -> Key {
+    pub fn key(&self) -> ObjectKey {
         match self {
-            Object::Organisation(it) => Key::new(Kind::Organisation, &it.name),
-            Object::Service(it) => Key::new(Kind::Service, &it.name),
-            Object::RequestType(it) => Key::new(
-                Kind::RequestType,
+            Object::Organisation(it) => {
+                ObjectKey::new(ObjectKind::Organisation, &it.name)
+            }
+            Object::Service(it) => {
+                ObjectKey::new(ObjectKind::Service, &it.name)
+            }
+            Object::RequestType(it) => ObjectKey::new(
+                ObjectKind::RequestType,
                 &format!("{}/{}", it.service, it.name),
             ),
-            Object::Target(it) => Key::new(Kind::Target, &it.name),
-            Object::Group(it) => Key::new(Kind::Group, &it.name),
-            Object::Drain(it) => Key::new(Kind::Drain, &it.target),
+            Object::Target(it) => ObjectKey::new(ObjectKind::Target, &it.name),
+            Object::Group(it) => ObjectKey::new(ObjectKind::Group, &it.name),
+            Object::Drain(it) => ObjectKey::new(ObjectKind::Drain, &it.target),
         }
     }
 
-    /// The keys of the objects that must exist before this object.
-    pub fn dependencies(&self) -> Vec<Key> {
+    /// The keys of the objects that must exist before this object can be
+    /// created.
+    pub fn dependencies(&self) -> Vec<ObjectKey> {
         match self {
             Object::Organisation(_) | Object::Service(_) => Vec::new(),
             Object::RequestType(it) => {
-                vec![Key::new(Kind::Service, &it.service)]
+                vec![ObjectKey::new(ObjectKind::Service, &it.service)]
+            }
+            Object::Target(it) => {
+                vec![ObjectKey::new(ObjectKind::Service, &it.service)]
             }
-            Object::Target(it) => vec![Key::new(Kind::Service, &it.service)],
             Object::Group(it) => {
-                let service = Key::new(Kind::Service, &it.service);
-                let targets =
-                    it.ranks.iter().map(|rank| Key::new(Kind::Target, rank));
+                let service = ObjectKey::new(ObjectKind::Service, &it.service);
+                let targets = it
+                    .ranks
+                    .iter()
+                    .map(|rank| ObjectKey::new(ObjectKind::Target, rank));
                 std::iter::once(service).chain(targets).collect()
             }
-            Object::Drain(it) => vec![Key::new(Kind::Target, &it.target)],
+            Object::Drain(it) => {
+                vec![ObjectKey::new(ObjectKind::Target, &it.target)]
+            }
         }
     }
 
-    /// Checks the object by itself; the error says which field is invalid.
+    /// Checks the fields of the object, without regard to other objects; the
+    /// error says which field is invalid.
     pub fn validate(&self) -> Result<(), String> {
         let key = self.key();
         if key.name.split('/').any(|part| !is_valid_name(part)) {
@@ -249,48 +267,48 @@
     }
 }
 
-impl Kind {
+impl ObjectKind {
     /// All kinds, in the order in which objects can be created.
-    pub const ALL: [Kind; 6] = [
-        Kind::Organisation,
-        Kind::Service,
-        Kind::RequestType,
-        Kind::Target,
-        Kind::Group,
-        Kind::Drain,
+    pub const ALL: [ObjectKind; 6] = [
+        ObjectKind::Organisation,
+        ObjectKind::Service,
+        ObjectKind::RequestType,
+        ObjectKind::Target,
+        ObjectKind::Group,
+        ObjectKind::Drain,
     ];
 
-    /// The kind's name in JSON and in commands.
+    /// The name of the kind of object in JSON and in commands.
     pub fn as_str(self) -> &'static str {
         match self {
-            Kind::Organisation => "organisation",
-            Kind::Service => "service",
-            Kind::RequestType => "request_type",
-            Kind::Target => "target",
-            Kind::Group => "group",
-            Kind::Drain => "drain",
+            ObjectKind::Organisation => "organisation",
+            ObjectKind::Service => "service",
+            ObjectKind::RequestType => "request_type",
+            ObjectKind::Target => "target",
+            ObjectKind::Group => "group",
+            ObjectKind::Drain => "drain",
         }
     }
 }
 
-impl FromStr for Kind {
+impl FromStr for ObjectKind {
     type Err = String;
 
-    fn from_str(text: &str) -> Result<Kind, String> {
-        Kind::ALL
+    fn from_str(text: &str) -> Result<ObjectKind, String> {
+        ObjectKind::ALL
             .into_iter()
             .find(|kind| kind.as_str() == text)
             .ok_or_else(|| format!("unknown kind {text:?}"))
     }
 }
 
-impl fmt::Display for Key {
+impl fmt::Display for ObjectKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {}", self.kind.as_str(), self.name)
     }
 }
 
-/// The longest name of an object, in bytes.
+/// The longest name of a configuration object, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
 fn is_valid_name(text: &str) -> bool {
@@ -312,8 +330,9 @@
         .all(|weight| weight.is_finite() && *weight >= 0.0)
 }
 
-/// Serializes addresses as text in every codec. Serde buffers the fields of a
-/// tagged enum, and a binary address can't be read back from that buffer.
+/// Serializes socket addresses as text in every codec. Serde buffers the
+/// fields of a tagged enum, and a binary address can't be read back from that
+/// buffer.
 mod address {
     use std::net::SocketAddr;
 
--- a/cowsliproad-ctl/src/apply.rs
+++ b/cowsliproad-ctl/src/apply.rs
@@ -8,8 +8,8 @@
 
 use cowsliproad_config::{
     Object,
-    fold::Versioned,
-    object::{Key, Kind},
+    fold::VersionedObject,
+    object::{ObjectKey, ObjectKind},
 };
 use cowsliproad_kernel::{code::Code, id};
 
@@ -26,7 +26,7 @@
     /// The object changes; the old one has this revision.
     Replace(u64, Object),
     /// The object of this revision goes.
-    Delete(u64, Key),
+    Delete(u64, ObjectKey),
 }
 
 /// What becomes of objects that the file doesn't have.
@@ -41,13 +41,13 @@
 /// What has to change for the configuration to be as the file says.
 pub fn differences(
     wanted: &[Object],
-    present: &[Versioned],
+    present: &[VersionedObject],
     others: Others,
 ) -> Vec<Difference> {
-    let mut present: BTreeMap<Key, &Versioned> =
+    let mut present: BTreeMap<ObjectKey, &VersionedObject> =
         present.iter().map(|it| (it.object.key(), it)).collect();
     let mut found = Vec::new();
-    for kind in Kind::ALL {
+    for kind in ObjectKind::ALL {
         let of_kind = wanted.iter().filter(|it| it.key().kind == kind);
         for object in of_kind {
             match present.remove(&object.key()) {
--- a/cowsliproad-ctl/src/client.rs
+++ b/cowsliproad-ctl/src/client.rs
@@ -5,8 +5,8 @@
 use cowsliproad_admin::{convert, message};
 use cowsliproad_config::{
     Object,
-    fold::Versioned,
-    object::{Key, Kind},
+    fold::VersionedObject,
+    object::{ObjectKey, ObjectKind},
 };
 use cowsliproad_kernel::{
     code::{Code, Ran},
@@ -83,7 +83,7 @@
         &self,
         command: id::Command,
         base: u64,
-        key: &Key,
+        key: &ObjectKey,
         mode: Mode,
     ) -> Result<u64, Error> {
         let request = message::DeleteRequest {
@@ -97,7 +97,10 @@
     }
 
     /// Reads an object.
-    pub async fn get(&self, key: &Key) -> Result<Versioned, Error> {
+    pub async fn get(
+        &self,
+        key: &ObjectKey,
+    ) -> Result<VersionedObject, Error> {
         let request = message::GetRequest {
             kind: key.kind.as_str().into(),
             name: key.name.to_string().into(),
@@ -109,9 +112,9 @@
     /// last record in force.
     pub async fn list(
         &self,
-        kind: Option<Kind>,
-    ) -> Result<(u64, Vec<Versioned>), Error> {
-        let kind = kind.map_or("", Kind::as_str).into();
+        kind: Option<ObjectKind>,
+    ) -> Result<(u64, Vec<VersionedObject>), Error> {
+        let kind = kind.map_or("", ObjectKind::as_str).into();
         let request = message::ListRequest { kind };
         listing(self.calls.list(request).await?.into_inner())
     }
@@ -120,7 +123,7 @@
     pub async fn watch(
         &self,
     ) -> Result<
-        impl Stream<Item = Result<(u64, Vec<Versioned>), Error>> + use<'_>,
+        impl Stream<Item = Result<(u64, Vec<VersionedObject>), Error>> + use<'_>,
         Error,
     > {
         let request = message::WatchRequest {};
@@ -193,14 +196,16 @@
     Err(Error::Change { code, ran, detail: reply.detail.to_string() })
 }
 
-fn listing(reply: message::ListReply) -> Result<(u64, Vec<Versioned>), Error> {
+fn listing(
+    reply: message::ListReply,
+) -> Result<(u64, Vec<VersionedObject>), Error> {
     let objects: Result<Vec<_>, _> =
         reply.entries.into_iter().map(versioned).collect();
     Ok((reply.next, objects?))
 }
 
-fn versioned(entry: message::Entry) -> Result<Versioned, Error> {
+fn versioned(entry: message::Entry) -> Result<VersionedObject, Error> {
     let object = entry.object.ok_or(Error::Answer("no object".into()))?;
     let object = convert::from_message(object).map_err(Error::Answer)?;
-    Ok(Versioned { revision: entry.revision, object })
+    Ok(VersionedObject { revision: entry.revision, object })
 }
--- a/cowsliproad-ctl/src/main.rs
+++ b/cowsliproad-ctl/src/main.rs
@@ -7,8 +7,8 @@
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use cowsliproad_config::{
     Object,
-    fold::Versioned,
-    object::{Drain, Key, Kind},
+    fold::VersionedObject,
+    object::{Drain, ObjectKey, ObjectKind},
 };
 use cowsliproad_ctl::{
     apply::{self, Difference, Others},
@@ -91,7 +91,7 @@
     output: Output,
 ) -> Result<(), Error> {
     let kind = args.get_one::<String>("kind");
-    let kind = kind.map(|it| it.parse::<Kind>().map_err(Error::Answer));
+    let kind = kind.map(|it| it.parse::<ObjectKind>().map_err(Error::Answer));
     let (next, objects) = client.list(kind.transpose()?).await?;
     print_list(next, &objects, output);
     Ok(())
@@ -169,7 +169,7 @@
     output: Output,
 ) -> Result<(), Error> {
     let target = args.get_one::<String>("target").expect("it is required");
-    let key = Key::new(Kind::Drain, target);
+    let key = ObjectKey::new(ObjectKind::Drain, target);
     let present = client.get(&key).await?;
     let gone = Difference::Delete(present.revision, key);
     make(client, &[gone], Mode::Commit, output).await
@@ -199,7 +199,7 @@
     Ok(())
 }
 
-fn print_list(next: u64, objects: &[Versioned], output: Output) {
+fn print_list(next: u64, objects: &[VersionedObject], output: Output) {
     match output {
         Output::Json => say(&format!("{}\n", show::objects(next, objects))),
         Output::Table => {
@@ -218,10 +218,10 @@
     }
 }
 
-fn key(args: &ArgMatches) -> Result<Key, Error> {
+fn key(args: &ArgMatches) -> Result<ObjectKey, Error> {
     let kind = args.get_one::<String>("kind").expect("it is required");
     let name = args.get_one::<String>("name").expect("it is required");
-    Ok(Key::new(kind.parse().map_err(Error::Answer)?, name))
+    Ok(ObjectKey::new(kind.parse().map_err(Error::Answer)?, name))
 }
 
 fn mode(args: &ArgMatches) -> Mode {
--- a/cowsliproad-ctl/src/show.rs
+++ b/cowsliproad-ctl/src/show.rs
@@ -1,11 +1,11 @@
 //! Tables and JSON for operators.
 
 use cowsliproad_admin::message::StatusReply;
-use cowsliproad_config::fold::Versioned;
+use cowsliproad_config::fold::VersionedObject;
 use serde_json::{Value, json};
 
 /// One line for each object.
-pub fn table(objects: &[Versioned]) -> String {
+pub fn table(objects: &[VersionedObject]) -> String {
     let lines = objects.iter().map(|it| {
         let key = it.object.key();
         let fields = match json!(it.object) {
@@ -29,13 +29,13 @@
 }
 
 /// A JSON object for each object.
-pub fn objects(next: u64, objects: &[Versioned]) -> Value {
+pub fn objects(next: u64, objects: &[VersionedObject]) -> Value {
     let objects: Vec<Value> = objects.iter().map(object).collect();
     json!({ "next": next, "objects": objects })
 }
 
 /// An object with its revision.
-pub fn object(versioned: &Versioned) -> Value {
+pub fn object(versioned: &VersionedObject) -> Value {
     json!({ "revision": versioned.revision, "object": versioned.object })
 }
 
--- a/cowsliproad-ctl/tests/apply.rs
+++ b/cowsliproad-ctl/tests/apply.rs
@@ -2,8 +2,8 @@
 
 use cowsliproad_config::{
     Object,
-    fold::Versioned,
-    object::{Backend, Key, Kind, Service},
+    fold::VersionedObject,
+    object::{Backend, ObjectKey, ObjectKind, Service},
 };
 use cowsliproad_ctl::apply::{Difference, Others, differences};
 
@@ -11,14 +11,14 @@
     Object::Service(Service { name: name.into(), backend })
 }
 
-fn present() -> Vec<Versioned> {
+fn present() -> Vec<VersionedObject> {
     let same = service("same", Backend::Plain);
     let old = service("old", Backend::Plain);
     let other = service("other", Backend::Plain);
     vec![
-        Versioned { revision: 1, object: same },
-        Versioned { revision: 2, object: old },
-        Versioned { revision: 3, object: other },
+        VersionedObject { revision: 1, object: same },
+        VersionedObject { revision: 2, object: old },
+        VersionedObject { revision: 3, object: other },
     ]
 }
 
@@ -43,6 +43,7 @@
 #[test]
 fn pruning_deletes_the_rest() {
     let found = differences(&wanted(), &present(), Others::Prune);
-    let gone = Difference::Delete(3, Key::new(Kind::Service, "other"));
+    let gone =
+        Difference::Delete(3, ObjectKey::new(ObjectKind::Service, "other"));
     assert_eq!(found.last(), Some(&gone));
 }
--- a/cowsliproad-entry/src/admin.rs
+++ b/cowsliproad-entry/src/admin.rs
@@ -10,8 +10,8 @@
 use cowsliproad_admin::{convert, message};
 use cowsliproad_config::{
     State,
-    fold::{self, Change, Record, Verdict, Versioned},
-    object::{Key, Kind},
+    fold::{self, Change, Record, Verdict, VersionedObject},
+    object::{ObjectKey, ObjectKind},
 };
 use cowsliproad_kernel::{
     clock::Millis,
@@ -114,7 +114,7 @@
         let kind = request.into_inner().kind;
         let kind = match kind.is_empty() {
             true => None,
-            false => Some(kind.parse::<Kind>().map_err(|why| {
+            false => Some(kind.parse::<ObjectKind>().map_err(|why| {
                 Status::new(volo_grpc::Code::InvalidArgument, why)
             })?),
         };
@@ -169,7 +169,9 @@
             return self.tell(command, verdict);
         }
         let record = Record { command, change };
-        if fold::decode(&fold::encode(&record)).as_ref() != Some(&record) {
+        if fold::decode_record(&fold::encode_record(&record)).as_ref()
+            != Some(&record)
+        {
             // A record that replicas can't read would never get a verdict.
             return refused(Code::BadObject, "the object doesn't encode");
         }
@@ -243,18 +245,18 @@
     })
 }
 
-fn key(kind: &str, name: &str) -> Result<Key, String> {
-    Ok(Key::new(kind.parse()?, name))
+fn key(kind: &str, name: &str) -> Result<ObjectKey, String> {
+    Ok(ObjectKey::new(kind.parse()?, name))
 }
 
-fn entry(versioned: &Versioned) -> message::Entry {
+fn entry(versioned: &VersionedObject) -> message::Entry {
     message::Entry {
         revision: versioned.revision,
         object: Some(convert::to_message(&versioned.object)),
     }
 }
 
-fn listing(state: &State, kind: Option<Kind>) -> message::ListReply {
+fn listing(state: &State, kind: Option<ObjectKind>) -> message::ListReply {
     let wanted = state
         .objects()
         .filter(|it| kind.is_none_or(|kind| it.object.key().kind == kind));
--- a/cowsliproad-entry/src/control.rs
+++ b/cowsliproad-entry/src/control.rs
@@ -14,7 +14,7 @@
 use cowsliproad_config::{
     State,
     fold::{self, Change, Progress, Verdict},
-    object::{Key, Kind},
+    object::{ObjectKey, ObjectKind},
 };
 use cowsliproad_kernel::{
     Name,
@@ -144,7 +144,7 @@
             if offset < self.state.next_offset() {
                 continue;
             }
-            match self.state.apply(offset, &bytes) {
+            match self.state.apply_record(offset, &bytes) {
                 Ok(outcome) => {
                     self.log_verdict(offset, outcome);
                     self.note_snapshot(&bytes);
@@ -164,7 +164,7 @@
             return;
         }
         let Some(other) = fold::decode_state(&snapshot.state) else { return };
-        if self.state.advance(other) == Progress::Advanced {
+        if self.state.adopt_if_newer(other) == Progress::Advanced {
             self.recent.clear();
             info!(self.shared.log, "config_snapshot";
                 "next" => self.state.next_offset());
@@ -216,7 +216,7 @@
                 .filter(|it| it.address == declared.agent)
                 .filter(|it| it.service == declared.service)
                 .unwrap_or_else(|| self.open(declared));
-            let drain = Key::new(Kind::Drain, &declared.name);
+            let drain = ObjectKey::new(ObjectKind::Drain, &declared.name);
             let drained = self.state.get(&drain).is_some();
             target.drained.store(drained, Ordering::Relaxed);
             kept.insert(declared.name.clone(), target.clone());
@@ -245,7 +245,7 @@
         if bytes.len() < MIN_SNAPSHOT {
             return;
         }
-        let record = fold::decode(bytes).map(|record| record.change);
+        let record = fold::decode_record(bytes).map(|record| record.change);
         if let Some(Change::Snapshot(state)) = record {
             self.shared.published.set_snapshot(state.next_offset());
         }
--- a/cowsliproad-entry/src/log.rs
+++ b/cowsliproad-entry/src/log.rs
@@ -70,7 +70,7 @@
 
 /// Appends a record.
 pub async fn append(shared: &Shared, record: &Record) -> Append {
-    let body = Full::new(Bytes::from(fold::encode(record)));
+    let body = Full::new(Bytes::from(fold::encode_record(record)));
     let uri = format!("http://{}/records", shared.settings.log_service);
     let Ok(request) = Request::post(uri).body(body) else {
         return Append::NotDone;
@@ -158,7 +158,7 @@
 }
 
 fn snapshot_in(record: &[u8]) -> Option<Box<State>> {
-    match fold::decode(record)?.change {
+    match fold::decode_record(record)?.change {
         Change::Snapshot(state) => Some(state),
         _ => None,
     }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -5,7 +5,7 @@
 use cowsliproad_bench::plant::{Config, Plant};
 use cowsliproad_config::{
     Object,
-    object::{Key, Kind, Organisation},
+    object::{ObjectKey, ObjectKind, Organisation},
 };
 use cowsliproad_ctl::client::{Client, Mode};
 use cowsliproad_kernel::{code::Code, id};
@@ -20,8 +20,8 @@
     })
 }
 
-fn key() -> Key {
-    Key::new(Kind::Organisation, "new")
+fn key() -> ObjectKey {
+    ObjectKey::new(ObjectKind::Organisation, "new")
 }
 
 async fn plant() -> (Plant, Client) {
--- a/tests/properties/decoders.rs
+++ b/tests/properties/decoders.rs
@@ -73,7 +73,7 @@
     #[test]
     fn any_bytes_are_survived(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = wire::decode(&bytes);
-        let _ = fold::decode(&bytes);
+        let _ = fold::decode_record(&bytes);
         let _ = fold::decode_state(&bytes);
         let text = String::from_utf8_lossy(&bytes);
         let _ = ticket::open(&text, &[0; 32]);
@@ -103,5 +103,5 @@
     // Ten thousand nested arrays.
     let bytes = vec![0x81; 10_000];
     assert_eq!(wire::decode(&bytes), None);
-    assert_eq!(fold::decode(&bytes), None);
+    assert_eq!(fold::decode_record(&bytes), None);
 }
--- a/tests/properties/fold.rs
+++ b/tests/properties/fold.rs
@@ -4,10 +4,13 @@
     config::{
         Object, State,
         fold::{
-            Change, OffsetGap, Record, Verdict, decode, decode_state, encode,
-            encode_state,
+            Change, OffsetGap, Record, Verdict, decode_record, decode_state,
+            encode_record, encode_state,
+        },
+        object::{
+            Backend, Drain, ObjectKey, ObjectKind, Organisation, Service,
+            Target,
         },
-        object::{Backend, Drain, Key, Kind, Organisation, Service, Target},
     },
     kernel::{code::Code, id::Command},
 };
@@ -43,7 +46,9 @@
 fn change() -> impl Strategy<Value = Change> {
     prop_oneof![
         3 => (0..40u64, object())
-            .prop_map(|(base, object)| Change::Put { base, object }),
+            .prop_map(|(base, object)| {
+                Change::Put { base, object }
+            }),
         1 => (0..40u64, object()).prop_map(|(base, object)| {
             Change::Delete { base, key: object.key() }
         }),
@@ -53,7 +58,7 @@
 /// Records as a log holds them, some of them repeated or unreadable.
 fn records() -> impl Strategy<Value = Vec<Vec<u8>>> {
     let record = (0..30u64, change()).prop_map(|(command, change)| {
-        encode(&Record { command: Command(command), change })
+        encode_record(&Record { command: Command(command), change })
     });
     let garbage = prop::collection::vec(any::<u8>(), 0..40);
     prop::collection::vec(prop_oneof![9 => record, 1 => garbage], 1..60)
@@ -62,7 +67,7 @@
 fn fold(records: &[Vec<u8>]) -> State {
     let mut state = State::new();
     for (offset, record) in (1..).zip(records) {
-        state.apply(offset, record).expect("the offsets follow");
+        state.apply_record(offset, record).expect("the offsets follow");
     }
     state
 }
@@ -82,17 +87,17 @@
         let cut = cut.index(records.len());
         let peer = encode_state(&fold(&records[..cut]));
         let mut state = State::new();
-        state.advance(decode_state(&peer).expect("a state"));
+        state.adopt_if_newer(decode_state(&peer).expect("a state"));
         for (index, record) in records.iter().enumerate().skip(cut) {
             for repeat in &repeats {
                 let old = repeat.index(index + 1);
                 if old < index {
                     let before = state.clone();
-                    let _ = state.apply(old as u64 + 1, &records[old]);
+                    let _ = state.apply_record(old as u64 + 1, &records[old]);
                     prop_assert_eq!(&before, &state);
                 }
             }
-            state.apply(index as u64 + 1, record).expect("it follows");
+            state.apply_record(index as u64 + 1, record).expect("it follows");
         }
         prop_assert_eq!(state, expected);
     }
@@ -100,7 +105,7 @@
     #[test]
     fn a_record_is_read_back(command in any::<u64>(), change in change()) {
         let record = Record { command: Command(command), change };
-        prop_assert_eq!(decode(&encode(&record)), Some(record));
+        prop_assert_eq!(decode_record(&encode_record(&record)), Some(record));
     }
 
     #[test]
@@ -108,7 +113,9 @@
         let mut state = State::new();
         let mut verdicts = std::collections::HashMap::new();
         for (offset, record) in (1..).zip(&records) {
-            if let Ok(Some((command, verdict))) = state.apply(offset, record) {
+            if let Ok(Some((command, verdict))) =
+                state.apply_record(offset, record)
+            {
                 let first = *verdicts.entry(command).or_insert(verdict);
                 prop_assert_eq!(first, verdict);
             }
@@ -135,7 +142,7 @@
     ) {
         let mut state = fold(&records);
         let before = state.clone();
-        state.advance(fold(&records[..cut.index(records.len())]));
+        state.adopt_if_newer(fold(&records[..cut.index(records.len())]));
         prop_assert_eq!(state, before);
     }
 }
@@ -148,7 +155,8 @@
 fn put(state: &mut State, command: u64, base: u64, name: &str) -> Verdict {
     let change = Change::Put { base, object: service(name) };
     let record = Record { command: Command(command), change };
-    let outcome = state.apply(state.next_offset(), &encode(&record));
+    let outcome =
+        state.apply_record(state.next_offset(), &encode_record(&record));
     outcome.expect("no gap").expect("a command").1
 }
 
@@ -166,7 +174,7 @@
     let mut state = State::new();
     assert_eq!(put(&mut state, 1, 0, "a"), Verdict::Accepted(1));
     assert_eq!(put(&mut state, 1, 0, "a"), Verdict::Accepted(1));
-    let key = Key::new(Kind::Service, "a");
+    let key = ObjectKey::new(ObjectKind::Service, "a");
     assert_eq!(state.get(&key).map(|it| it.revision), Some(1));
 }
 
@@ -179,5 +187,8 @@
 #[test]
 fn a_gap_is_refused() {
     let mut state = State::new();
-    assert_eq!(state.apply(5, &[]), Err(OffsetGap { expected: 1 }));
+    assert_eq!(
+        state.apply_record(5, &[]),
+        Err(OffsetGap { expected_offset: 1 })
+    );
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -12,7 +12,7 @@
     },
     config::{
         Object, State,
-        fold::{Change, Record, encode},
+        fold::{Change, Record, encode_record},
         object::Organisation,
     },
     kernel::{clock::Millis, id, wire::Urgency},
@@ -97,7 +97,7 @@
         });
         let change = Change::Put { base, object };
         let command = id::Command(command);
-        self.log.push(encode(&Record { command, change }));
+        self.log.push(encode_record(&Record { command, change }));
         format!("offset {}", self.log.len())
     }
 
@@ -108,7 +108,8 @@
         let from = state.next_offset() as usize;
         let mut text = Vec::new();
         for offset in from..=to.min(self.log.len()) {
-            let verdict = state.apply(offset as u64, &self.log[offset - 1]);
+            let verdict =
+                state.apply_record(offset as u64, &self.log[offset - 1]);
             text.push(format!("{offset}: {verdict:?}"));
         }
         text.join("\n")
@@ -118,7 +119,7 @@
     fn take(&mut self, from: &str, by: &str) -> String {
         let state = self.replicas.get(from).cloned().unwrap_or_default();
         let own = self.replicas.entry(by.into()).or_default();
-        format!("{:?}, next {}", own.advance(state), own.next_offset())
+        format!("{:?}, next {}", own.adopt_if_newer(state), own.next_offset())
     }
 
     /// `propose VERSION boundary=N rank=N`: a member hears a proposal.
