--- a/cowsliproad-bench/src/experiment/limits.rs
+++ b/cowsliproad-bench/src/experiment/limits.rs
@@ -23,7 +23,7 @@
 };
 use cowsliproad_routing::{
     fleet::{StartTime, Target, TargetState},
-    owner::{self, Liveness, Member, Owner},
+    owner::{self, LimitOwner, Liveness, OwnerCandidate},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IteratorRandom};
 use serde_json::{Value, json};
@@ -162,7 +162,7 @@
         zone: zones[1].clone(),
         slots: 12,
         state: TargetState::Ready,
-        sequence: 1,
+        announcement_sequence: 1,
     };
     let mut fleet = Fleet {
         size,
@@ -367,10 +367,10 @@
     fn decide(&mut self, entry: usize, relays: u8) -> Verdict {
         for asked in 0..MAX_ASKED {
             let other = match self.owner(entry) {
-                Owner::Remote(_) if asked > 0 && relays < RELAYS => break,
-                Owner::Remote(other) if relays > 0 => other,
+                LimitOwner::Remote(_) if asked > 0 && relays < RELAYS => break,
+                LimitOwner::Remote(other) if relays > 0 => other,
                 owner => {
-                    let substitute = owner == Owner::Substitute;
+                    let substitute = owner == LimitOwner::Substitute;
                     return self.give(entry, substitute);
                 }
             };
@@ -392,8 +392,8 @@
         Verdict::Later(Millis(AGAIN_MS))
     }
 
-    fn owner(&self, entry: usize) -> Owner<usize> {
-        let member = |address: usize, liveness| Member {
+    fn owner(&self, entry: usize) -> LimitOwner<usize> {
+        let member = |address: usize, liveness| OwnerCandidate {
             address,
             zone: &self.zones[address % ZONES],
             liveness,
@@ -409,7 +409,7 @@
             };
             member(*other, liveness)
         });
-        owner::choose_owner(
+        owner::choose_limiter_owner(
             &self.target,
             member(entry, Liveness::Responsive),
             others,
--- a/cowsliproad-direct/src/call.rs
+++ b/cowsliproad-direct/src/call.rs
@@ -313,7 +313,7 @@
     /// goes behind those that can: after an outage the others would all be
     /// late too, for as long as the backlog lasts.
     fn urgency(&self) -> u16 {
-        let time = self.route.timeout.unwrap_or(DEFAULT_TIMEOUT);
+        let time = self.route.response_timeout.unwrap_or(DEFAULT_TIMEOUT);
         let waited = time.since(self.left());
         let late = self.route.latency_goal.is_some_and(|aim| waited > aim);
         let rank = u16::from(self.priority);
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -275,7 +275,7 @@
         info!(entry.log, "chosen"; "request" => &*self.id,
             "work" => %self.work,
             "target" => &*choice.target.id, "route" => &*self.route.name,
-            "cost" => choice.cost as u64, "at_target" => endpoint.record.occupancy(now),
+            "cost" => choice.cost as u64, "at_target" => endpoint.record.estimated_occupancy(now),
             "own" => endpoint.record.in_flight(), "report_age" => age,
             "limit" => choice.limit.map(|it| it.a_second()),
             "limit_age" => report.map(|it| it.age.0),
--- a/cowsliproad-direct/src/callers.rs
+++ b/cowsliproad-direct/src/callers.rs
@@ -214,7 +214,7 @@
 }
 
 fn limits(entry: &Entry) -> RequestLimits {
-    entry.catalog().map_or_else(RequestLimits::new, |it| it.limits())
+    entry.catalog().map_or_else(RequestLimits::new, |it| it.request_limits())
 }
 
 /// Notes when the bytes of a head begin to come.
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -24,7 +24,7 @@
     fleet::{Fleet, FleetConfig, Target, TargetChange},
     formation::Formation,
     pick::TargetStats,
-    readings::{Continuity, LogReads},
+    readings::{Continuity, LogReadSchedule},
 };
 use rand::{SeedableRng, rngs::SmallRng};
 use slog::{Logger, info, warn};
@@ -183,7 +183,7 @@
     /// The lists of engines that agents know, by engine.
     pub lists: RefCell<HashMap<SocketAddr, u64>>,
     /// What is known of readings of the targets in the log.
-    pub readings: RefCell<LogReads>,
+    pub readings: RefCell<LogReadSchedule>,
     /// Wakes the task that reads them.
     pub behind: Notify,
     /// Times that the log came back from an older copy.
@@ -220,7 +220,7 @@
     /// An entry that knows nothing yet.
     pub fn new(settings: Settings, log: Logger) -> Entry {
         let peers = Peers::new(&settings);
-        let readings = LogReads::new(settings.heartbeat_ms);
+        let readings = LogReadSchedule::new(settings.heartbeat_ms);
         Entry {
             settings: RefCell::new(Rc::new(settings)),
             log,
@@ -359,8 +359,12 @@
                     "source" => ?source);
                 self.endpoints.borrow_mut().remove(id);
                 self.limits.borrow_mut().forget(id);
-                let addresses: HashSet<SocketAddr> =
-                    self.fleet.borrow().ready().map(|it| it.address).collect();
+                let addresses: HashSet<SocketAddr> = self
+                    .fleet
+                    .borrow()
+                    .ready_targets()
+                    .map(|it| it.address)
+                    .collect();
                 self.lists.borrow_mut().retain(|it, _| addresses.contains(it));
                 self.announced.borrow_mut().remove(id);
                 self.rumour.notify_one();
@@ -373,7 +377,7 @@
     pub fn note_reading(&self, at: Millis, changed: Position, now: Millis) {
         let found = self.readings.borrow_mut().merge_peer_read(at, changed);
         self.note_gap(found, now);
-        if self.readings.borrow().is_behind() {
+        if self.readings.borrow().has_unread_change() {
             self.behind.notify_one();
         }
     }
@@ -381,7 +385,7 @@
     /// Notes that the targets changed, so that other entries read too.
     fn note_change(&self, source: Source) {
         if source == Source::Log {
-            self.readings.borrow_mut().record_change();
+            self.readings.borrow_mut().record_target_change();
         }
     }
 
@@ -389,7 +393,7 @@
     pub fn note_gap(&self, found: Continuity, now: Millis) {
         if found == Continuity::Gap {
             info!(self.log, "readings_resumed");
-            self.fleet.borrow_mut().start_grace_period(now);
+            self.fleet.borrow_mut().start_renewal_grace(now);
         }
     }
 
@@ -418,7 +422,7 @@
     pub fn is_ready(&self) -> bool {
         self.phase.get() == Phase::Serving
             && self.catalog.borrow().is_some()
-            && self.fleet.borrow().ready().next().is_some()
+            && self.fleet.borrow().ready_targets().next().is_some()
     }
 
     /// Takes in how long a caller of a route will wait, and says how long
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -5,7 +5,7 @@
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_routing::{
     fleet::Target,
-    pick::{self, Candidate, Locality, ServiceLatency, TargetStats},
+    pick::{self, Locality, ServiceLatency, TargetCandidate, TargetStats},
 };
 
 use super::{Choice, Endpoint, Entry, Group, Recovery, groups::AGENT_TIMEOUT};
@@ -149,7 +149,7 @@
         let fleet = self.fleet.borrow();
         let most = self.connections(service);
         let zone = &self.settings().zone;
-        let own = fleet.ready().filter(|it| &*it.service == service);
+        let own = fleet.ready_targets().filter(|it| &*it.service == service);
         let endpoints: Vec<(&Target, Rc<RefCell<Endpoint>>)> =
             own.map(|it| (it, self.endpoint(&it.id))).collect();
         // Where most agents report, a target whose agent is silent is not
@@ -200,7 +200,7 @@
                 Some(_) => usual.lockstep_latency_ms(),
                 None => usual.target_latency_ms(&held.record, now),
             };
-            let candidate = Candidate {
+            let candidate = TargetCandidate {
                 stats: &held.record,
                 slots: target.slots,
                 locality,
--- a/cowsliproad-direct/src/entry/groups.rs
+++ b/cowsliproad-direct/src/entry/groups.rs
@@ -24,7 +24,7 @@
         let mut formations = self.formations.borrow_mut();
         let new = Formation::new(epoch, open);
         let known = formations.entry(group.clone()).or_insert(new);
-        if known.update(epoch, open) {
+        if known.merge_rank_report(epoch, open) {
             info!(self.log, "group_stands"; "group" => &**group,
                 "epoch" => epoch, "open" => open);
         }
@@ -36,7 +36,7 @@
     pub fn note_lost_rank(&self, group: &Group, now: Millis) {
         let mut formations = self.formations.borrow_mut();
         let Some(known) = formations.get_mut(&group.name) else { return };
-        if known.halt(group.epoch, now) {
+        if known.halt_for_lost_rank(group.epoch, now) {
             info!(self.log, "group_halted"; "group" => &*group.name,
                 "epoch" => group.epoch);
         }
@@ -46,7 +46,7 @@
     pub fn note_step(&self, group: &Name, epoch: u64, step: u64, now: Millis) {
         let mut formations = self.formations.borrow_mut();
         let Some(known) = formations.get_mut(group) else { return };
-        if known.record_step(epoch, step, now) {
+        if known.record_reported_step(epoch, step, now) {
             info!(self.log, "group_goes_on"; "group" => &**group,
                 "epoch" => epoch, "step" => step);
         }
@@ -56,7 +56,7 @@
     pub(super) fn is_open(&self, group: &Group, now: Millis) -> bool {
         let formations = self.formations.borrow();
         let newest = formations.get(&group.name);
-        newest.map_or(group.open, |it| it.is_open(now))
+        newest.map_or(group.open, |it| it.accepts_requests(now))
     }
 
     /// Whether the agent beside a target spoke lately.
@@ -85,7 +85,9 @@
     ) {
         let (fleet, endpoints) =
             (self.fleet.borrow(), self.endpoints.borrow());
-        for target in fleet.ready().filter(|it| &*it.service == service) {
+        for target in
+            fleet.ready_targets().filter(|it| &*it.service == service)
+        {
             match endpoints.get(&target.id) {
                 Some(endpoint) => look(endpoint.borrow().group.as_ref()),
                 None => look(None),
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -231,8 +231,10 @@
         match reader.read(&entry, Millis(0)).await {
             Ok(reading) => {
                 let now = Millis::now();
-                let found =
-                    entry.readings.borrow_mut().record_read(now, reading.end);
+                let found = entry
+                    .readings
+                    .borrow_mut()
+                    .record_own_read(now, reading.end);
                 entry.note_gap(found, now);
                 take(&entry, &reading, now);
                 // What was back by then has been read.
@@ -259,7 +261,7 @@
     let patience = jittered(period);
     loop {
         let now = Millis::now();
-        let wait = entry.readings.borrow().next_read_in(patience, now);
+        let wait = entry.readings.borrow().time_until_next_read(patience, now);
         let lapse = entry.fleet.borrow().next_withdrawal();
         let wait = lapse.map_or(wait, |at| wait.min(at.since(now)));
         if wait == Millis(0) {
@@ -287,7 +289,7 @@
     if reading.scope == Scope::First {
         // Others told of the targets known so far, and the log may have come
         // back from a copy that lacks them.
-        entry.fleet.borrow_mut().start_grace_period(now);
+        entry.fleet.borrow_mut().start_renewal_grace(now);
     }
     let listed: HashMap<&str, StartTime> =
         records.iter().filter_map(start).collect();
@@ -320,12 +322,13 @@
     source: Source,
 ) -> TargetChange {
     let change = match &record.value {
-        None => entry.fleet.borrow_mut().withdraw(&record.key, now),
+        None => entry.fleet.borrow_mut().merge_withdrawal(&record.key, now),
         Some(raw) => match target::decode(&record.key, raw) {
             Ok(target) => {
                 let id = target.id.clone();
                 entry.note_announcement(&target, now);
-                let change = entry.fleet.borrow_mut().announce(target, now);
+                let change =
+                    entry.fleet.borrow_mut().merge_announcement(target, now);
                 if entry.fleet.borrow().is_ready(&id) {
                     entry.announced.borrow_mut().insert(id, raw.clone());
                 }
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -22,7 +22,7 @@
 use cowsliproad_platform::header;
 use cowsliproad_routing::{
     fleet::{StartTime, Target},
-    owner::Owner,
+    owner::LimitOwner,
 };
 use http::{HeaderMap, HeaderValue};
 use slog::{debug, info, warn};
@@ -274,8 +274,8 @@
         let owner = entry.peers.borrow().owner(target, &zone, now);
         let other = match owner {
             // Whoever asked waits for one question more, not for two.
-            Owner::Remote(_) if asked > 0 && relays < RELAYS => break,
-            Owner::Remote(other) if relays > 0 => other,
+            LimitOwner::Remote(_) if asked > 0 && relays < RELAYS => break,
+            LimitOwner::Remote(other) if relays > 0 => other,
             _ => return entry.give(target, owner, patience, now),
         };
         match ask(entry, other, target, patience, relays - 1).await {
@@ -432,7 +432,7 @@
             };
             is_told.then(|| limit_of(target, report))
         };
-        fleet.ready().filter_map(told).take(MAX_UPDATES).collect()
+        fleet.ready_targets().filter_map(told).take(MAX_UPDATES).collect()
     }
 
     /// Targets that name a limit.
@@ -442,7 +442,7 @@
             let endpoint = self.known_endpoint(&target.id);
             endpoint.is_some_and(|it| it.borrow().limit.rate().is_some())
         };
-        fleet.ready().filter(limited).count()
+        fleet.ready_targets().filter(limited).count()
     }
 
     /// What is known of a target's limit.
@@ -456,7 +456,7 @@
     fn give(
         &self,
         target: &Target,
-        owner: Owner<SocketAddr>,
+        owner: LimitOwner<SocketAddr>,
         patience: Millis,
         now: Millis,
     ) -> Verdict {
@@ -468,7 +468,7 @@
         let new = (target.start, limit::Limiter::new(rate, age, now));
         let mut limits = self.limits.borrow_mut();
         let kept = limits.limiters.entry(target.id.clone()).or_insert(new);
-        let stands_in = owner == Owner::Substitute;
+        let stands_in = owner == LimitOwner::Substitute;
         let stale = stands_in && kept.1.is_stale(share, now);
         if kept.0 != target.start || stale {
             *kept = new;
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -15,8 +15,8 @@
     position::Position,
 };
 use cowsliproad_routing::{
-    fleet::{Departure, StartTime, Target},
-    owner::{self, Liveness, Member, Owner},
+    fleet::{GossipedDeparture, StartTime, Target},
+    owner::{self, LimitOwner, Liveness, OwnerCandidate},
 };
 use rand::seq::IteratorRandom;
 use slog::{info, warn};
@@ -136,9 +136,9 @@
         target: &Target,
         own_zone: &Name,
         now: Millis,
-    ) -> Owner<SocketAddr> {
+    ) -> LimitOwner<SocketAddr> {
         let silence = self.silence();
-        let own = Member {
+        let own = OwnerCandidate {
             address: self.own,
             zone: own_zone,
             liveness: Liveness::Responsive,
@@ -149,9 +149,9 @@
                 true => Liveness::Unresponsive,
                 false => Liveness::Responsive,
             };
-            Member { address: *address, zone: &peer.zone, liveness }
+            OwnerCandidate { address: *address, zone: &peer.zone, liveness }
         });
-        owner::choose_owner(target, own, others)
+        owner::choose_limiter_owner(target, own, others)
     }
 
     /// Notes that an entry doesn't answer questions.
@@ -220,14 +220,16 @@
             send(&entry, &socket, &digest, peer).await;
         }
         let known = entry.peers.borrow().known.len();
-        entry.measure.knows(known, entry.fleet.borrow().ready().count());
+        entry
+            .measure
+            .knows(known, entry.fleet.borrow().ready_targets().count());
         entry.measure.knows_limits(entry.limits_known());
         // Some requests count cooldowns as longer.
         let over = now - MAX_STAGGER - PROBE_PERIOD;
         entry.cooldowns.borrow_mut().remove_expired(over);
-        entry
-            .measure
-            .knows_cooling(entry.cooldowns.borrow().active_count(now));
+        entry.measure.knows_cooling(
+            entry.cooldowns.borrow().active_cooldown_count(now),
+        );
         let joined = entry.joined.get();
         if round % ASK_EVERY == 0 || joined != asked {
             asked = joined;
@@ -247,8 +249,10 @@
     let (mut left, mut withdrawn) = (Vec::new(), Vec::new());
     for (id, departure) in fleet.departures_since(since) {
         match departure {
-            Departure::Announced(start) => left.push((id.clone(), start.0)),
-            Departure::Withdrawn(start, last) => {
+            GossipedDeparture::Announced(start) => {
+                left.push((id.clone(), start.0))
+            }
+            GossipedDeparture::Withdrawn(start, last) => {
                 withdrawn.push((id.clone(), start.0, last));
             }
         }
@@ -259,7 +263,7 @@
         version: entry.version(),
         era: entry.rollbacks.era(),
         read_ms: now.since(entry.readings.borrow().last_read_at()).0,
-        changed: entry.readings.borrow().last_change().offset,
+        changed: entry.readings.borrow().last_change_position().offset,
         left,
         withdrawn,
         peers: entry.peers.borrow().known.keys().copied().collect(),
@@ -312,10 +316,12 @@
     let now = Millis::now();
     entry.learn_era(heard.era, Source::Peer);
     let left = heard.left.iter();
-    let left = left.map(|it| (&it.0, Departure::Announced(StartTime(it.1))));
+    let left =
+        left.map(|it| (&it.0, GossipedDeparture::Announced(StartTime(it.1))));
     let withdrawn = heard.withdrawn.iter();
-    let withdrawn = withdrawn
-        .map(|it| (&it.0, Departure::Withdrawn(StartTime(it.1), it.2)));
+    let withdrawn = withdrawn.map(|it| {
+        (&it.0, GossipedDeparture::Withdrawn(StartTime(it.1), it.2))
+    });
     for (id, departure) in left.chain(withdrawn) {
         let change =
             entry.fleet.borrow_mut().merge_departure(id, departure, now);
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -11,7 +11,7 @@
     position::Era,
 };
 use cowsliproad_routing::{
-    catalog::{EngineShape, Service},
+    catalog::{ExpertLayout, Service},
     fleet::{StartTime, Target},
 };
 use slog::info;
@@ -62,8 +62,9 @@
     let Some(catalog) = entry.catalog() else { return Vec::new() };
     let fleet = entry.fleet.borrow();
     let subscription = |service: &Service| {
-        let engine = service.engine.as_ref()?;
-        let own = fleet.ready().filter(|it| it.service == service.name);
+        let engine = service.expert_layout.as_ref()?;
+        let own =
+            fleet.ready_targets().filter(|it| it.service == service.name);
         let targets: Vec<SocketAddr> = own.map(|it| it.address).collect();
         Some(subscribe(engine, &targets, entry.rollbacks.era()))
     };
@@ -71,7 +72,7 @@
 }
 
 fn subscribe(
-    engine: &EngineShape,
+    engine: &ExpertLayout,
     targets: &[SocketAddr],
     era: Era,
 ) -> Subscribe {
@@ -79,9 +80,9 @@
         list: gossip::list_of(targets),
         targets: targets.to_vec(),
         sets: engine.layer_sets as u16,
-        experts: engine.experts_per_set as u16,
+        experts: engine.experts_per_layer_set as u16,
         places: engine.experts_per_rank as u16,
-        spare: engine.max_new_experts as u16,
+        spare: engine.max_added_experts_per_map as u16,
         copy_ms: engine.expert_copy_time.0,
         era,
     }
@@ -160,5 +161,5 @@
         it.address == address
             && (start == 0 || it.start.0 == 0 || it.start.0 == start)
     };
-    entry.fleet.borrow().ready().find(|it| same(it)).cloned()
+    entry.fleet.borrow().ready_targets().find(|it| same(it)).cloned()
 }
--- a/cowsliproad-direct/src/peers/state.rs
+++ b/cowsliproad-direct/src/peers/state.rs
@@ -96,7 +96,7 @@
         Err(error) => warn!(entry.log, "catalog_refused"; "error" => %error),
     }
     // Own knowledge of the targets goes first, as long as the log tells more.
-    let knows = entry.fleet.borrow().ready().next().is_some();
+    let knows = entry.fleet.borrow().ready_targets().next().is_some();
     if knows && !entry.readings.borrow().needs_peer_state() {
         return;
     }
@@ -106,7 +106,7 @@
         let record = Record { key: announcement.id, value };
         follow::announce(entry, &record, now, Source::Peer);
     }
-    entry.readings.borrow_mut().mark_caught_up();
+    entry.readings.borrow_mut().record_merged_peer_state();
 }
 
 /// The entry's state, for one that starts or is turned away by the log.
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -283,10 +283,13 @@
         if now.since(ended.at) < READ_DELAY {
             return;
         }
-        let (first, at) =
-            *ended.announced.get_or_insert((target.sequence, now));
+        let (first, at) = *ended
+            .announced
+            .get_or_insert((target.announcement_sequence, now));
         drop(quarantine);
-        if target.sequence > first && now.since(at) >= MIN_RENEWAL_INTERVAL {
+        if target.announcement_sequence > first
+            && now.since(at) >= MIN_RENEWAL_INTERVAL
+        {
             self.note_lives(end, now, Source::Log);
         }
     }
--- a/cowsliproad-direct/src/receive.rs
+++ b/cowsliproad-direct/src/receive.rs
@@ -49,8 +49,9 @@
     let left = number(&head.headers, &header::TIME_LEFT).map(Millis);
     let left = left.unwrap_or(DEFAULT_TIMEOUT);
     let catalog = entry.catalog();
-    let most =
-        catalog.as_ref().map_or(usize::MAX, |it| it.limits().max_body_bytes);
+    let most = catalog
+        .as_ref()
+        .map_or(usize::MAX, |it| it.request_limits().max_body_bytes);
     let body = timeout(left.duration(), Limited::new(body, most).collect());
     let body = match body.await {
         Ok(Ok(body)) => body.to_bytes(),
@@ -79,7 +80,7 @@
             FULL_BACKOFF,
         ));
     };
-    let time = route.timeout.map_or(left, |it| it.min(left));
+    let time = route.response_timeout.map_or(left, |it| it.min(left));
     let headers = passed_on(&head.headers, organisation.as_deref());
     let rank = organisation.as_ref().and_then(|it| it.priority);
     let target = Destination {
--- a/cowsliproad-direct/src/rollback.rs
+++ b/cowsliproad-direct/src/rollback.rs
@@ -114,7 +114,7 @@
         info!(self.log, "log_rolled_back"; "era" => era.0,
             "before" => before.0, "source" => ?source);
         self.measure.rolled_back();
-        self.fleet.borrow_mut().start_grace_period(now);
+        self.fleet.borrow_mut().start_renewal_grace(now);
         let unread = BTreeSet::from([OPERATORS, TARGETS, QUARANTINE]);
         *self.rollbacks.last.borrow_mut() = Some(Rollback { at: now, unread });
         self.behind.notify_one();
--- a/cowsliproad-direct/src/stated.rs
+++ b/cowsliproad-direct/src/stated.rs
@@ -49,7 +49,7 @@
         let (id, start) = (&target.id, target.start);
         let now = Millis::now();
         let change =
-            self.fleet.borrow_mut().announce_departure(id, start, now);
+            self.fleet.borrow_mut().record_announced_departure(id, start, now);
         self.changed(id, change, Source::Own);
     }
 
@@ -87,7 +87,7 @@
         };
         let now = Millis::now();
         let before = self.cooldown_end(target, now);
-        if !self.cooldowns.borrow_mut().extend(target, wait, now) {
+        if !self.cooldowns.borrow_mut().apply_retry_after(target, wait, now) {
             return;
         }
         let mut endpoint = choice.endpoint.borrow_mut();
@@ -121,7 +121,7 @@
         target: &Target,
         now: Millis,
     ) -> Option<Millis> {
-        self.cooldowns.borrow().active_until(target, now)
+        self.cooldowns.borrow().cooldown_end(target, now)
     }
 
     /// Waits until a target asks to be left alone.
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -319,7 +319,7 @@
         let service = &checked.service;
         let found = choose::best(&self.shared, service, &[]);
         let target = match found {
-            Some(found) => service.targets[found.chosen].clone(),
+            Some(found) => service.targets[found.chosen_index].clone(),
             None => self.first_to_return(checked)?,
         };
         let (beat, at) = target.beat().ok_or_else(no_target)?;
--- a/cowsliproad-entry/src/choose.rs
+++ b/cowsliproad-entry/src/choose.rs
@@ -27,7 +27,7 @@
         return steered.cloned();
     }
     let found = best(shared, &order.service, tried);
-    let chosen = found.map(|it| &targets[it.chosen]);
+    let chosen = found.map(|it| &targets[it.chosen_index]);
     log(shared, order, chosen, "score", found);
     chosen.cloned()
 }
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -25,7 +25,7 @@
 use cowsliproad_net::link::{Gone, Sender};
 use cowsliproad_routing::{
     health::{self, Admission, Health},
-    score::Candidate,
+    score::TargetCandidate,
 };
 use tokio::{sync::mpsc, task::AbortHandle};
 
@@ -205,7 +205,7 @@
     pub fn score(&self, zone_rtt_us: u32) -> u64 {
         let stats = lock(&self.stats);
         let load = stats.beat.as_ref().map_or(Load::default(), |it| it.load);
-        let candidate = Candidate {
+        let candidate = TargetCandidate {
             load,
             sent_since_report: stats.sent_since,
             completed_since_report: stats.done_since,
@@ -214,7 +214,7 @@
             cached_prompt_percent: 0,
             prefill_us: 0,
         };
-        candidate.first_token_us()
+        candidate.predicted_first_token_us()
     }
 
     /// Notes that an attempt starts.
@@ -223,7 +223,7 @@
         stats.sent_since += 1;
         stats.in_flight += 1;
         // A probe is used up by the attempt that it admitted.
-        let _ = stats.health.admit(now);
+        let _ = stats.health.admit_attempt(now);
     }
 
     /// Notes how an attempt ended.
--- a/cowsliproad-rank/src/agent/orders.rs
+++ b/cowsliproad-rank/src/agent/orders.rs
@@ -233,8 +233,8 @@
         engine: &Engine,
     ) {
         let now = Millis::now();
-        self.distant.retain(|_, it| it.1.active_until(now).is_some());
-        if engine.cooldown().active_until(now).is_some() {
+        self.distant.retain(|_, it| it.1.cooldown_end(now).is_some());
+        if engine.cooldown().cooldown_end(now).is_some() {
             self.distant.insert(target, (epoch, engine.cooldown()));
         }
     }
--- a/cowsliproad-rank/src/engine.rs
+++ b/cowsliproad-rank/src/engine.rs
@@ -133,7 +133,7 @@
         let now = SystemTime::now;
         let stated = retry_after::read(answer.status(), headers, now);
         if let RetryAfter::Wait(wait) = stated {
-            self.cooldown.extend(wait, Millis::now());
+            self.cooldown.apply_retry_after(wait, Millis::now());
         }
         let leaving = headers.get(&header::LEAVING);
         self.leaving = leaving.is_some_and(header::says_yes);
@@ -143,7 +143,7 @@
     /// shows in the connection that is kept.
     async fn keep_cooldown(&mut self) -> io::Result<()> {
         let now = Millis::now();
-        if self.cooldown.active_until(now).is_none() {
+        if self.cooldown.cooldown_end(now).is_none() {
             return Ok(());
         }
         if self.connection.is_closed()
--- a/cowsliproad-routing/src/catalog.rs
+++ b/cowsliproad-routing/src/catalog.rs
@@ -32,47 +32,50 @@
 
 /// Which callers may use a route.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Access {
-    /// Callers need no key.
+pub enum RouteAccess {
+    /// Callers of the route need no key.
     Public,
-    /// Callers need the key of an organisation.
+    /// Callers of the route need the key of an organisation.
     KeyRequired,
 }
 
-/// A service and its share of a route's requests.
+/// One of the services that a route's requests are split among, and its share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceShare {
-    /// The service that gets the requests.
+    /// The name of the service that gets the requests.
     pub service: Name,
-    /// The weight of the service, relative to the weights of the other shares.
-    pub weight: f64,
+    /// The weight by which the service gets requests of the route, relative to
+    /// the weights of the route's other services.
+    pub relative_weight: f64,
 }
 
 /// The settings for the requests with a host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The name of the route, for logs.
+    /// The name of the route in log messages.
     pub name: Name,
-    /// The host that requests name, without a port.
+    /// The host that the route's requests are addressed to, without a port.
     pub host: Name,
-    /// The prefix of the requests' paths.
+    /// The prefix that the paths of the route's requests have.
     pub path_prefix: Name,
-    /// Whether requests may be sent again.
+    /// Whether the route's requests may be sent again, and whether they are
+    /// answered by a stream.
     pub kind: RouteKind,
     /// The longest time that a caller waits for the response.
-    pub timeout: Option<Millis>,
-    /// The time within which a response should arrive.
+    pub response_timeout: Option<Millis>,
+    /// The time within which the response to a request should arrive.
     pub latency_goal: Option<Millis>,
-    /// How long a caller of a stream waits without an event before it leaves.
+    /// How long a caller of a stream waits without an event before the caller
+    /// leaves.
     pub caller_idle_timeout: Option<Millis>,
-    /// The priority of requests; 0 comes first.
+    /// The priority of the route's requests; 0 is the highest priority.
     pub priority: u8,
-    /// The services that requests are split among.
-    pub shares: Vec<ServiceShare>,
+    /// The services that the route's requests are split among.
+    pub service_shares: Vec<ServiceShare>,
     /// The largest number of targets that one request may be sent to.
     pub max_attempts: u32,
     /// Which callers may use the route.
-    pub access: Access,
+    pub access: RouteAccess,
 }
 
 /// A service that routes send requests to.
@@ -80,25 +83,25 @@
 pub struct Service {
     /// The name of the service.
     pub name: Name,
-    /// The largest number of connections to one target, from all entries
-    /// together.
+    /// The largest number of connections to one target, from all entry
+    /// processes together.
     pub max_connections: Option<u32>,
     /// The expert layout of the service's model engines, if it runs any.
-    pub engine: Option<EngineShape>,
+    pub expert_layout: Option<ExpertLayout>,
 }
 
 /// The expert layout of model engines whose ranks share experts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct EngineShape {
+pub struct ExpertLayout {
     /// The number of sets of layers; each set has its own expert map.
     pub layer_sets: usize,
     /// The number of experts in each set of layers.
-    pub experts_per_set: usize,
+    pub experts_per_layer_set: usize,
     /// The number of experts that a rank holds in each set of layers.
     pub experts_per_rank: usize,
     /// The largest number of experts that one map may add to a rank, in each
     /// set of layers.
-    pub max_new_experts: usize,
+    pub max_added_experts_per_map: usize,
     /// The time that a rank needs to copy one expert.
     pub expert_copy_time: Millis,
 }
@@ -109,7 +112,7 @@
     /// The name of the organisation.
     pub name: Name,
     /// The priority of the organisation's requests, which overrides the
-    /// route's.
+    /// priority of the route.
     pub priority: Option<u8>,
 }
 
@@ -122,12 +125,12 @@
     pub max_body_bytes: usize,
     /// The time within which a request's head must arrive.
     pub header_timeout: Millis,
-    /// How long a connection may stay idle.
+    /// How long a caller's connection may stay idle.
     pub idle_timeout: Millis,
 }
 
 impl RequestLimits {
-    /// The limits used when a configuration contains none.
+    /// The request limits used when a configuration contains none.
     pub fn new() -> RequestLimits {
         RequestLimits {
             max_header_bytes: 16 << 10,
@@ -147,7 +150,7 @@
 /// The reason why a request matches no route.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouteError {
-    /// No route matches the host and path.
+    /// No route matches the host and path of the request.
     NoRoute,
     /// The route requires a key, and the request has no valid key.
     BadKey,
@@ -158,19 +161,21 @@
 pub struct RouteMatch {
     /// The route that matches the request.
     pub route: Arc<Route>,
-    /// The organisation whose key the request carries.
+    /// The organisation whose key the request carries; `None` if the request
+    /// carries no valid key.
     pub organisation: Option<Arc<Organisation>>,
 }
 
-/// One version of the configuration.
+/// The routes, services, organisations and limits of one version of the
+/// configuration.
 #[derive(Clone, Debug)]
 pub struct Catalog {
     version: u64,
     routes_by_host: HashMap<Name, Vec<Arc<Route>>>,
     services: HashMap<Name, Service>,
     organisations_by_key: HashMap<Box<str>, Arc<Organisation>>,
-    requires_keys: bool,
-    limits: RequestLimits,
+    requires_caller_keys: bool,
+    request_limits: RequestLimits,
 }
 
 impl Catalog {
@@ -180,8 +185,8 @@
     }
 
     /// The limits on requests and connections.
-    pub fn limits(&self) -> RequestLimits {
-        self.limits
+    pub fn request_limits(&self) -> RequestLimits {
+        self.request_limits
     }
 
     /// The service with this name.
@@ -189,17 +194,18 @@
         self.services.get(name)
     }
 
-    /// All services.
+    /// All services in the catalog.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
 
-    /// The number of routes.
+    /// The number of routes in the catalog.
     pub fn route_count(&self) -> usize {
         self.routes_by_host.values().map(Vec::len).sum()
     }
 
-    /// Finds the route of a request and the organisation that sent it.
+    /// Finds the route of a request and the organisation that sent the
+    /// request.
     pub fn find_route(
         &self,
         host: &str,
@@ -218,7 +224,8 @@
             routes.iter().find(matches).ok_or(RouteError::NoRoute)?.clone();
         let organisation =
             key.and_then(|key| self.organisations_by_key.get(key)).cloned();
-        let is_public = !self.requires_keys || route.access == Access::Public;
+        let is_public =
+            !self.requires_caller_keys || route.access == RouteAccess::Public;
         if organisation.is_none() && !is_public {
             return Err(RouteError::BadKey);
         }
@@ -233,7 +240,7 @@
 }
 
 impl CatalogBuilder {
-    /// A version of the configuration without routes.
+    /// Starts a catalog without routes, services and organisations.
     pub fn new(version: u64) -> CatalogBuilder {
         CatalogBuilder {
             catalog: Catalog {
@@ -241,8 +248,8 @@
                 routes_by_host: HashMap::new(),
                 services: HashMap::new(),
                 organisations_by_key: HashMap::new(),
-                requires_keys: false,
-                limits: RequestLimits::new(),
+                requires_caller_keys: false,
+                request_limits: RequestLimits::new(),
             },
         }
     }
@@ -263,16 +270,17 @@
     }
 
     /// Sets the limits on requests and connections.
-    pub fn set_limits(&mut self, limits: RequestLimits) {
-        self.catalog.limits = limits;
+    pub fn set_request_limits(&mut self, limits: RequestLimits) {
+        self.catalog.request_limits = limits;
     }
 
-    /// Requires keys on all routes that aren't public.
-    pub fn require_keys(&mut self) {
-        self.catalog.requires_keys = true;
+    /// Requires the key of an organisation from callers of all routes that
+    /// aren't public. Without this call, no route requires a key.
+    pub fn require_caller_keys(&mut self) {
+        self.catalog.requires_caller_keys = true;
     }
 
-    /// Adds an organisation and its keys.
+    /// Adds an organisation and the keys of its callers.
     pub fn add_organisation(
         &mut self,
         organisation: Organisation,
@@ -286,7 +294,7 @@
         }
     }
 
-    /// Sorts the routes and returns the catalog.
+    /// Sorts the routes by path prefix and returns the catalog.
     pub fn build(mut self) -> Catalog {
         for routes in self.catalog.routes_by_host.values_mut() {
             routes.sort_by_key(|it| std::cmp::Reverse(it.path_prefix.len()));
@@ -307,21 +315,22 @@
         }
     }
 
-    /// Whether responses are streams of events.
+    /// Whether the route's responses are streams of events.
     pub fn is_stream(&self) -> bool {
         matches!(self.kind, RouteKind::Stream(_))
     }
 
-    /// The service that gets a request, by a random number `draw` from 0 to 1.
-    pub fn choose_service(&self, draw: f64) -> Option<&Name> {
-        let total: f64 = self.shares.iter().map(|it| it.weight).sum();
-        let mut remaining = draw * total;
-        for share in &self.shares {
-            remaining -= share.weight;
+    /// The service that gets a request, by a random number from 0 to 1.
+    pub fn choose_service(&self, random_fraction: f64) -> Option<&Name> {
+        let total: f64 =
+            self.service_shares.iter().map(|it| it.relative_weight).sum();
+        let mut remaining = random_fraction * total;
+        for share in &self.service_shares {
+            remaining -= share.relative_weight;
             if remaining < 0.0 {
                 return Some(&share.service);
             }
         }
-        self.shares.last().map(|it| &it.service)
+        self.service_shares.last().map(|it| &it.service)
     }
 }
--- a/cowsliproad-routing/src/choice.rs
+++ b/cowsliproad-routing/src/choice.rs
@@ -1,48 +1,52 @@
 //! Chooses the best of a few sampled targets.
 //!
-//! Sampling keeps the cost of a choice constant. It also prevents entries that
-//! see the same stale report from all sending to the same target.
+//! Sampling keeps the cost of a choice constant. It also prevents entry
+//! processes that see the same stale report from all sending to the same
+//! target.
 
 use rand::{Rng, seq::index};
 
 /// The number of targets that are sampled for one choice.
 pub const SAMPLE_SIZE: usize = 4;
 
-/// The chosen target and the runner-up, as indices into the list of targets.
+/// The result of a choice: the chosen target and the runner-up, as indices
+/// into the list of targets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Choice {
     /// The index of the chosen target.
-    pub chosen: usize,
+    pub chosen_index: usize,
     /// The score of the chosen target, in microseconds.
     pub score_us: u64,
-    /// The sampled target with the second lowest score, and that score.
+    /// The index of the sampled target with the second lowest score, and that
+    /// score in microseconds.
     pub runner_up: Option<(usize, u64)>,
 }
 
 /// Chooses the target with the lowest score from a sample of `target_count`
 /// targets.
 ///
-/// `score` returns `None` for a target that may not be used now. When no
-/// sampled target may be used, all targets are considered.
+/// `score` returns the score of the target with an index in microseconds, or
+/// `None` for a target that may not be used now. When no sampled target may be
+/// used, all targets are considered.
 pub fn choose_target<R: Rng>(
     target_count: usize,
     random: &mut R,
     mut score: impl FnMut(usize) -> Option<u64>,
 ) -> Option<Choice> {
     if target_count <= SAMPLE_SIZE {
-        return lowest_score(
+        return choose_lowest_score(
             rotated_indices(target_count, random),
             &mut score,
         );
     }
     let sampled = index::sample(random, target_count, SAMPLE_SIZE);
-    lowest_score(sampled.into_iter(), &mut score).or_else(|| {
-        lowest_score(rotated_indices(target_count, random), &mut score)
+    choose_lowest_score(sampled.into_iter(), &mut score).or_else(|| {
+        choose_lowest_score(rotated_indices(target_count, random), &mut score)
     })
 }
 
-/// All indices in order, starting at a random one, so that ties are broken
-/// evenly.
+/// All indices of targets in order, starting at a random index, so that ties
+/// between scores are broken evenly.
 fn rotated_indices<R: Rng>(
     target_count: usize,
     random: &mut R,
@@ -55,7 +59,7 @@
     (0..target_count).map(move |step| (first + step) % target_count)
 }
 
-fn lowest_score(
+fn choose_lowest_score(
     indices: impl Iterator<Item = usize>,
     score: &mut impl FnMut(usize) -> Option<u64>,
 ) -> Option<Choice> {
@@ -63,11 +67,11 @@
     for index in indices {
         let Some(score_us) = score(index) else { continue };
         choice = Some(match choice {
-            None => Choice { chosen: index, score_us, runner_up: None },
+            None => Choice { chosen_index: index, score_us, runner_up: None },
             Some(it) if score_us < it.score_us => Choice {
-                chosen: index,
+                chosen_index: index,
                 score_us,
-                runner_up: Some((it.chosen, it.score_us)),
+                runner_up: Some((it.chosen_index, it.score_us)),
             },
             Some(it) => Choice {
                 runner_up: Some(match it.runner_up {
--- a/cowsliproad-routing/src/cooldown.rs
+++ b/cowsliproad-routing/src/cooldown.rs
@@ -19,36 +19,40 @@
 /// The cooldown of one target.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Cooldown {
-    until: Millis,
+    ends_at: Millis,
 }
 
 impl Cooldown {
-    /// Applies a stated retry-after time. Returns whether the cooldown now
-    /// lasts longer.
-    pub fn extend(&mut self, retry_after: Millis, now: Millis) -> bool {
-        let until = now + retry_after;
-        let extends = retry_after.0 > 0 && until > self.until;
+    /// Applies the retry-after time that a target stated. Returns whether the
+    /// cooldown now lasts longer.
+    pub fn apply_retry_after(
+        &mut self,
+        retry_after: Millis,
+        now: Millis,
+    ) -> bool {
+        let ends_at = now + retry_after;
+        let extends = retry_after.0 > 0 && ends_at > self.ends_at;
         if extends {
-            self.until = until;
+            self.ends_at = ends_at;
         }
         extends
     }
 
-    /// When the cooldown ends; `None` if it has ended.
-    pub fn active_until(&self, now: Millis) -> Option<Millis> {
-        (self.until > now).then_some(self.until)
+    /// When the cooldown ends; `None` if the cooldown has ended.
+    pub fn cooldown_end(&self, now: Millis) -> Option<Millis> {
+        (self.ends_at > now).then_some(self.ends_at)
     }
 
-    /// The remaining time of the cooldown; zero if it has ended.
-    pub fn remaining(&self, now: Millis) -> Millis {
-        self.until.since(now)
+    /// The remaining time of the cooldown; zero if the cooldown has ended.
+    pub fn remaining_time(&self, now: Millis) -> Millis {
+        self.ends_at.since(now)
     }
 }
 
 /// The cooldowns of all targets, each with the start time of its process.
 #[derive(Clone, Debug, Default)]
 pub struct Cooldowns {
-    targets: HashMap<Name, (StartTime, Cooldown)>,
+    by_target: HashMap<Name, (StartTime, Cooldown)>,
 }
 
 impl Cooldowns {
@@ -59,60 +63,62 @@
 
     /// Applies the retry-after time that a target stated. Returns whether the
     /// target's cooldown now lasts longer.
-    pub fn extend(
+    pub fn apply_retry_after(
         &mut self,
         target: &Target,
         retry_after: Millis,
         now: Millis,
     ) -> bool {
         let new = (target.start, Cooldown::default());
-        let stored = self.targets.entry(target.id.clone()).or_insert(new);
+        let stored = self.by_target.entry(target.id.clone()).or_insert(new);
         if stored.0 > target.start {
-            // A late response of an earlier process of this target.
+            // A late response of an earlier process of this target must not
+            // change the cooldown of the later process.
             return false;
         }
         if stored.0 < target.start {
             *stored = new;
         }
-        let extends = stored.1.extend(retry_after, now);
-        if self.targets.len() > MAX_COOLDOWNS {
-            self.evict_excess(now);
+        let extends = stored.1.apply_retry_after(retry_after, now);
+        if self.by_target.len() > MAX_COOLDOWNS {
+            self.evict_excess_cooldown(now);
         }
         extends
     }
 
-    /// When a target's cooldown ends; `None` if it has none.
-    pub fn active_until(
+    /// When a target's cooldown ends; `None` if the target has no cooldown.
+    pub fn cooldown_end(
         &self,
         target: &Target,
         now: Millis,
     ) -> Option<Millis> {
-        let (start, cooldown) = self.targets.get(&target.id)?;
-        (*start == target.start).then(|| cooldown.active_until(now))?
+        let (start, cooldown) = self.by_target.get(&target.id)?;
+        (*start == target.start).then(|| cooldown.cooldown_end(now))?
     }
 
     /// Whether no cooldowns are stored.
     pub fn is_empty(&self) -> bool {
-        self.targets.is_empty()
+        self.by_target.is_empty()
     }
 
     /// The number of targets with a cooldown that has not ended.
-    pub fn active_count(&self, now: Millis) -> usize {
-        let cooldowns = self.targets.values();
-        cooldowns.filter(|it| it.1.active_until(now).is_some()).count()
+    pub fn active_cooldown_count(&self, now: Millis) -> usize {
+        let cooldowns = self.by_target.values();
+        cooldowns.filter(|it| it.1.cooldown_end(now).is_some()).count()
     }
 
-    /// Removes the cooldowns that have ended by `now`.
+    /// Removes the cooldowns that have ended by the time `now`.
     pub fn remove_expired(&mut self, now: Millis) {
-        self.targets.retain(|_, it| it.1.active_until(now).is_some());
+        self.by_target.retain(|_, it| it.1.cooldown_end(now).is_some());
     }
 
-    fn evict_excess(&mut self, now: Millis) {
+    fn evict_excess_cooldown(&mut self, now: Millis) {
         self.remove_expired(now);
-        if self.targets.len() > MAX_COOLDOWNS {
-            let soonest = self.targets.iter().min_by_key(|it| it.1.1.until);
+        if self.by_target.len() > MAX_COOLDOWNS {
+            let soonest =
+                self.by_target.iter().min_by_key(|it| it.1.1.ends_at);
             if let Some(id) = soonest.map(|it| it.0.clone()) {
-                self.targets.remove(&id);
+                self.by_target.remove(&id);
             }
         }
     }
--- a/cowsliproad-routing/src/formation.rs
+++ b/cowsliproad-routing/src/formation.rs
@@ -5,18 +5,19 @@
 //! engines of a group notice a crash only after waiting for the lost rank, so
 //! an agent's report that a rank's process is gone halts the group at once.
 //! That report may be wrong: the halt ends when the group's steps advance, or
-//! after [`HALT_TIMEOUT`] without a broken formation.
+//! after [`MAX_HALT_DURATION`] without a broken formation.
 
 use cowsliproad_kernel::clock::Millis;
 
-/// How long a halt lasts at most. Engines that wait for a lost rank report the
-/// formation broken within this time. An idle group runs no steps that could
-/// end the halt, so the halt of a group without a lost rank must time out.
-const HALT_TIMEOUT: Millis = Millis(2_500);
+/// The longest time for which a group stays halted. Engines that wait for a
+/// lost rank report the formation broken within this time. An idle group runs
+/// no steps that could end the halt, so the halt of a group without a lost
+/// rank must time out.
+const MAX_HALT_DURATION: Millis = Millis(2_500);
 
-/// The longest delay of a rank's report. A report that arrives sooner after
-/// the loss of a rank may have been sent before the loss.
-const MAX_REPORT_DELAY: Millis = Millis(100);
+/// The longest delay of a rank's report of a step. A report that arrives
+/// sooner after the loss of a rank may have been sent before the loss.
+const MAX_STEP_REPORT_DELAY: Millis = Millis(100);
 
 /// The number of steps that ranks may still report after the loss of a rank
 /// without starting a new one: the step that was in progress.
@@ -26,7 +27,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Formation {
     epoch: u64,
-    open: bool,
+    accepts_requests: bool,
     /// Set while the group may be waiting for a rank whose process is gone.
     halt: Option<Halt>,
 }
@@ -34,46 +35,58 @@
 #[derive(Clone, Copy, Debug)]
 struct Halt {
     halted_at: Millis,
-    /// The first step that a rank reported after the halt.
-    first_step: Option<u64>,
+    /// The first step that a rank reported after the group was halted.
+    first_reported_step: Option<u64>,
 }
 
 impl Formation {
-    /// The state of a group at the first report about it.
-    pub fn new(epoch: u64, open: bool) -> Formation {
-        Formation { epoch, open, halt: None }
+    /// The state of a group after the first report of a rank.
+    pub fn new(epoch: u64, accepts_requests: bool) -> Formation {
+        Formation { epoch, accepts_requests, halt: None }
     }
 
-    /// Merges a rank's report. A group that one rank reports open is open at
-    /// all ranks, and a broken formation stays broken. Returns whether the
-    /// state changed.
-    pub fn update(&mut self, epoch: u64, open: bool) -> bool {
-        let breaks = self.epoch == epoch && self.open && !open;
+    /// Merges a rank's report whether the group accepts requests in an epoch.
+    /// A group that one rank reports open is open at all ranks, and a broken
+    /// formation stays broken. Returns whether the state changed.
+    pub fn merge_rank_report(
+        &mut self,
+        epoch: u64,
+        accepts_requests: bool,
+    ) -> bool {
+        let breaks =
+            self.epoch == epoch && self.accepts_requests && !accepts_requests;
         if epoch <= self.epoch && !breaks {
             return false;
         }
-        (self.epoch, self.open, self.halt) = (epoch, open, None);
+        (self.epoch, self.accepts_requests, self.halt) =
+            (epoch, accepts_requests, None);
         true
     }
 
     /// Halts the group because a rank's process is gone. Returns whether the
     /// group was open in this epoch and is now halted.
-    pub fn halt(&mut self, epoch: u64, now: Millis) -> bool {
-        let halts = self.epoch == epoch && self.is_open(now);
+    pub fn halt_for_lost_rank(&mut self, epoch: u64, now: Millis) -> bool {
+        let halts = self.epoch == epoch && self.accepts_requests(now);
         if halts {
-            self.halt = Some(Halt { halted_at: now, first_step: None });
+            self.halt =
+                Some(Halt { halted_at: now, first_reported_step: None });
         }
         halts
     }
 
     /// Records the step that a rank reports. Returns whether the step ends a
     /// halt of the group.
-    pub fn record_step(&mut self, epoch: u64, step: u64, now: Millis) -> bool {
+    pub fn record_reported_step(
+        &mut self,
+        epoch: u64,
+        step: u64,
+        now: Millis,
+    ) -> bool {
         let halt = self.halt.as_mut().filter(|_| self.epoch == epoch);
         let halt =
-            halt.filter(|it| now.since(it.halted_at) >= MAX_REPORT_DELAY);
+            halt.filter(|it| now.since(it.halted_at) >= MAX_STEP_REPORT_DELAY);
         let Some(halt) = halt else { return false };
-        let first_step = *halt.first_step.get_or_insert(step);
+        let first_step = *halt.first_reported_step.get_or_insert(step);
         let resumes = step > first_step + MAX_STEPS_AFTER_LOSS;
         if resumes {
             self.halt = None;
@@ -81,9 +94,9 @@
         resumes
     }
 
-    /// Whether the group takes requests.
-    pub fn is_open(&self, now: Millis) -> bool {
-        let halted = |it: Halt| now.since(it.halted_at) < HALT_TIMEOUT;
-        self.open && !self.halt.is_some_and(halted)
+    /// Whether the group takes requests now.
+    pub fn accepts_requests(&self, now: Millis) -> bool {
+        let halted = |it: Halt| now.since(it.halted_at) < MAX_HALT_DURATION;
+        self.accepts_requests && !self.halt.is_some_and(halted)
     }
 }
--- a/cowsliproad-routing/src/health.rs
+++ b/cowsliproad-routing/src/health.rs
@@ -2,12 +2,12 @@
 //!
 //! A target that fails [`EjectionConfig::failures_to_eject`] times in a row is
 //! ejected. The backoff doubles with each ejection up to a bound and carries
-//! jitter, so that entries don't return to the target at the same moment. Such
-//! a backoff is an estimate: after half of its time the target is probed with
-//! one request, and the first success ends the ejection. A retry-after time
-//! that the target states itself is followed exactly: the target is not probed
-//! early, and neither a success nor a failure of an earlier attempt changes
-//! the time.
+//! jitter, so that entry processes don't return to the target at the same
+//! moment. Such a backoff is an estimate: after half of its time the target is
+//! probed with one request, and the first success ends the ejection. A
+//! retry-after time that the target states itself is followed exactly: the
+//! target is not probed early, and neither a success nor a failure of an
+//! earlier attempt changes the time.
 //!
 //! A target that fails fast is always idle and so looks attractive. Counting
 //! consecutive failures, whatever their speed, ejects it.
@@ -61,14 +61,15 @@
         EjectionConfig { max_ejected_percent, ..self }
     }
 
-    /// Whether `ejected` of `total` targets exceed the largest share. So many
-    /// ejections are not credible, and callers ignore them.
+    /// Whether more targets are ejected than the largest share allows. So many
+    /// ejections are not credible, and callers of this function ignore them.
     pub fn exceeds_ejection_limit(
         &self,
-        ejected: usize,
-        total: usize,
+        ejected_targets: usize,
+        total_targets: usize,
     ) -> bool {
-        ejected * 100 > total * self.max_ejected_percent as usize
+        ejected_targets * 100
+            > total_targets * self.max_ejected_percent as usize
     }
 }
 
@@ -81,15 +82,15 @@
 /// Whether an attempt may be sent to a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// Attempts may be sent without a limit.
+    /// Attempts may be sent to the target without a limit.
     Allow,
     /// One attempt may be sent to the ejected target, as a probe.
     Probe,
-    /// No attempt may be sent for now.
+    /// No attempt may be sent to the target for now.
     Deny,
 }
 
-/// The health of one target, as one entry sees it.
+/// The health of one target, as one entry process sees it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     consecutive_failures: u32,
@@ -100,7 +101,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Ejection {
-    until: Millis,
+    ends_at: Millis,
     next_probe_at: Millis,
 }
 
@@ -108,14 +109,14 @@
 const MAX_BACKOFF_EXPONENT: u32 = 16;
 
 impl Health {
-    /// The state of a target without failures or a cooldown.
+    /// The health of a target without failures or a cooldown.
     pub fn new() -> Health {
         Health::default()
     }
 
     /// Decides whether an attempt may be sent to the target. An admitted probe
     /// is counted as sent.
-    pub fn admit(&mut self, now: Millis) -> Admission {
+    pub fn admit_attempt(&mut self, now: Millis) -> Admission {
         if self.cooldown_end(now).is_some() {
             return Admission::Deny;
         }
@@ -125,11 +126,13 @@
         if now < ejection.next_probe_at {
             return Admission::Deny;
         }
-        ejection.next_probe_at = ejection.until.max(now + MIN_PROBE_INTERVAL);
+        ejection.next_probe_at =
+            ejection.ends_at.max(now + MIN_PROBE_INTERVAL);
         Admission::Probe
     }
 
-    /// The result of [`Health::admit`], without counting a probe as sent.
+    /// The result that [`Health::admit_attempt`] would have, without counting
+    /// a probe as sent.
     pub fn peek_admission(&self, now: Millis) -> Admission {
         match &self.ejection {
             _ if self.cooldown_end(now).is_some() => Admission::Deny,
@@ -139,12 +142,15 @@
         }
     }
 
-    /// Records a complete response: ends an ejection, but not a cooldown.
+    /// Records a complete response of the target, which ends an ejection but
+    /// not a cooldown.
     pub fn record_success(&mut self) {
         *self = Health { cooldown: self.cooldown, ..Health::default() };
     }
 
-    /// Records a failure; `jitter` is a random number from 0 to 99.
+    /// Records a failed attempt, which may eject the target. `jitter` is a
+    /// random number from 0 to 99; the backoff is lengthened by half as many
+    /// percent.
     pub fn record_failure(
         &mut self,
         config: &EjectionConfig,
@@ -163,7 +169,7 @@
         self.backoff_exponent =
             (self.backoff_exponent + 1).min(MAX_BACKOFF_EXPONENT);
         self.ejection = Some(Ejection {
-            until: now + Millis(backoff_ms),
+            ends_at: now + Millis(backoff_ms),
             next_probe_at: now + Millis(backoff_ms / 2),
         });
     }
@@ -173,9 +179,9 @@
     pub fn set_retry_after(&mut self, now: Millis, retry_after: Millis) {
         let had_cooldown = self.cooldown != Cooldown::default();
         self.cooldown = Cooldown::default();
-        if self.cooldown.extend(retry_after, now) {
-            let until = now + retry_after;
-            self.ejection = Some(Ejection { until, next_probe_at: until });
+        if self.cooldown.apply_retry_after(retry_after, now) {
+            let ends_at = now + retry_after;
+            self.ejection = Some(Ejection { ends_at, next_probe_at: ends_at });
         } else if had_cooldown {
             // A restarted target states no time; the cooldown of the earlier
             // process ends.
@@ -183,9 +189,10 @@
         }
     }
 
-    /// When the retry-after time of the target ends; `None` if it has none.
+    /// When the retry-after time of the target ends; `None` if the target has
+    /// no cooldown.
     pub fn cooldown_end(&self, now: Millis) -> Option<Millis> {
-        self.cooldown.active_until(now)
+        self.cooldown.cooldown_end(now)
     }
 
     /// Whether the target is ejected.
--- a/cowsliproad-routing/src/lib.rs
+++ b/cowsliproad-routing/src/lib.rs
@@ -3,8 +3,9 @@
 //! * [`catalog`]: routes, services and organisations in force;
 //! * [`fleet`]: which targets exist and take new requests;
 //! * [`formation`]: whether a lock-step group takes requests;
-//! * [`readings`]: when an entry reads the targets in the platform's log;
-//! * [`owner`]: which entry owns the rate limiter of a target;
+//! * [`readings`]: when an entry process reads the targets in the platform's
+//!   log;
+//! * [`owner`]: which entry process owns the rate limiter of a target;
 //! * [`pick`]: the target with the least expected cost;
 //! * [`score`]: the predicted time to the first token at a target;
 //! * [`choice`]: the best of a few sampled targets;
--- a/cowsliproad-routing/src/owner.rs
+++ b/cowsliproad-routing/src/owner.rs
@@ -1,13 +1,14 @@
-//! Chooses the entry that owns the rate limiter of a target.
+//! Chooses the entry process that owns the rate limiter of a target.
 //!
-//! A target may limit the requests that it takes from all entries together.
-//! The owner of the target grants the permits for it. All entries choose the
-//! owner by the same rendezvous hash, so they exchange no messages about it.
-//! Entries in the target's availability zone have priority: an entry that is
-//! cut off from them usually can't reach the target either. Within the zone
-//! the hash gives each target a different owner. Entries that know different
-//! peers may choose different owners; an entry that knows a better owner
-//! forwards a permit request to it.
+//! A target may limit the requests that it takes from all entry processes
+//! together. The owner of the target grants the permits for it. All entry
+//! processes choose the owner by the same rendezvous hash, so they exchange no
+//! messages about it. Entry processes in the target's availability zone have
+//! priority: an entry process that is cut off from them usually can't reach
+//! the target either. Within the zone the hash gives each target a different
+//! owner. Entry processes that know different peers may choose different
+//! owners; an entry process that knows a better owner forwards a permit
+//! request to it.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -15,72 +16,77 @@
 
 use crate::fleet::Target;
 
-/// The entry that owns the rate limiter of a target.
+/// The entry process that owns the rate limiter of a target, as seen by the
+/// local entry process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Owner<A> {
-    /// The local entry.
+pub enum LimitOwner<A> {
+    /// The local entry process owns the rate limiter.
     Local,
-    /// The local entry, in place of an unresponsive entry with a higher
-    /// weight.
+    /// The local entry process owns the rate limiter in place of an
+    /// unresponsive entry process with a higher rendezvous weight.
     Substitute,
-    /// Another entry, with its address.
+    /// Another entry process, at this address, owns the rate limiter.
     Remote(A),
 }
 
-/// An entry that may own the rate limiter of a target.
+/// An entry process that may own the rate limiter of a target.
 #[derive(Clone, Copy, Debug)]
-pub struct Member<'a, A> {
-    /// The address of the entry.
+pub struct OwnerCandidate<'a, A> {
+    /// The address of the entry process.
     pub address: A,
-    /// The availability zone of the entry.
+    /// The availability zone of the entry process.
     pub zone: &'a Name,
-    /// Whether the entry sends digests and answers permit requests.
+    /// Whether the entry process sends digests and answers permit requests.
     pub liveness: Liveness,
 }
 
-/// Whether an entry can be asked for permits.
+/// Whether an entry process can be asked for permits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Liveness {
-    /// The entry sends digests and answers permit requests.
+    /// The entry process sends digests and answers permit requests.
     Responsive,
-    /// The entry may have stopped, be hanging or be cut off.
+    /// The entry process may have stopped, be hanging or be cut off.
     Unresponsive,
 }
 
-/// Chooses the owner of a target's rate limiter, as seen by the entry `own`.
-pub fn choose_owner<'a, A: Copy + Eq + Hash>(
+/// Chooses the owner of a target's rate limiter, as seen by the entry process
+/// `own_entry`.
+pub fn choose_limiter_owner<'a, A: Copy + Eq + Hash>(
     target: &Target,
-    own: Member<A>,
-    others: impl Iterator<Item = Member<'a, A>>,
-) -> Owner<A> {
-    let own_weight = rendezvous_weight(target, own.address, own.zone);
-    let mut owner = Owner::Local;
+    own_entry: OwnerCandidate<A>,
+    other_entries: impl Iterator<Item = OwnerCandidate<'a, A>>,
+) -> LimitOwner<A> {
+    let own_weight =
+        rendezvous_weight(target, own_entry.address, own_entry.zone);
+    let mut owner = LimitOwner::Local;
     let mut highest_weight = own_weight;
-    for other in others {
+    for other in other_entries {
         let weight = rendezvous_weight(target, other.address, other.zone);
         if weight <= own_weight {
             continue;
         }
         if other.liveness == Liveness::Unresponsive {
-            if owner == Owner::Local {
-                owner = Owner::Substitute;
+            if owner == LimitOwner::Local {
+                owner = LimitOwner::Substitute;
             }
         } else if weight > highest_weight {
             highest_weight = weight;
-            owner = Owner::Remote(other.address);
+            owner = LimitOwner::Remote(other.address);
         }
     }
     owner
 }
 
-/// How long an entry may be silent before it counts as unresponsive, if each
-/// entry sends digests to `fanout` of its `peer_count` peers at a time.
-pub fn silence_timeout(peer_count: usize, fanout: usize) -> Millis {
-    let rounds = (peer_count / fanout.max(1)).max(1) as u64;
+/// How long an entry process may send no digest before it counts as
+/// unresponsive, if each entry process sends digests to `digest_fanout` of its
+/// `peer_count` peers at a time.
+pub fn silence_timeout(peer_count: usize, digest_fanout: usize) -> Millis {
+    let rounds = (peer_count / digest_fanout.max(1)).max(1) as u64;
     Millis(BASE_SILENCE_TIMEOUT.0 * rounds)
 }
 
-/// The time of three missing digests, if each digest goes to all peers.
+/// The silence timeout if each digest goes to all peers; three digests are
+/// missing by then.
 const BASE_SILENCE_TIMEOUT: Millis = Millis(1_600);
 
 fn rendezvous_weight<A: Hash>(
--- a/cowsliproad-routing/src/pick.rs
+++ b/cowsliproad-routing/src/pick.rs
@@ -8,9 +8,9 @@
 //! and then; see [`ServiceLatency::target_latency_ms`].
 //!
 //! The number of requests at a target is its last load report, corrected by
-//! the requests that this entry sent and completed since. Without the
-//! correction, two entries with the same report would both send to the target
-//! that looked idle.
+//! the requests that this entry process sent and completed since. Without the
+//! correction, two entry processes with the same report would both send to the
+//! target that looked idle.
 
 use cowsliproad_kernel::clock::Millis;
 
@@ -39,12 +39,12 @@
 /// The longest time without a request after which a slow target is probed.
 const MAX_PROBE_INTERVAL: Millis = Millis(120_000);
 
-/// The largest number of requests accepted in a load report. Targets have some
-/// ten slots and queue a few more requests.
+/// The largest number of requests that a valid load report states. Targets
+/// have some ten slots and queue a few more requests.
 const MAX_REPORTED_REQUESTS: u32 = 10_000;
 
-/// How long a load report counts in full. Agents send two reports within this
-/// time.
+/// How long the requests of a load report count in full. Agents send two
+/// reports within this time.
 const REPORT_TTL: Millis = Millis(1_000);
 
 /// The time in which the requests of an expired load report halve.
@@ -56,17 +56,18 @@
 
 /// The response time assumed while no target of a service has answered, in
 /// milliseconds. The value is large compared with [`CROSS_ZONE_COST_MS`], so
-/// that an entry that has just started uses the targets of all availability
-/// zones.
+/// that an entry process that has just started uses the targets of all
+/// availability zones.
 pub const DEFAULT_LATENCY_MS: f64 = 100.0;
 
-/// Response times, failures and load of one target, as this entry sees them.
+/// Response times, failures and load of one target, as this entry process
+/// observes them.
 #[derive(Clone, Copy, Debug)]
 pub struct TargetStats {
-    latency_ms: f64,
+    mean_latency_ms: f64,
     /// When a request to the target last succeeded or failed.
     last_outcome_at: Millis,
-    failures: f64,
+    failure_count: f64,
     failures_decayed_at: Millis,
     reported_requests: u32,
     reported_at: Millis,
@@ -76,12 +77,12 @@
 }
 
 impl TargetStats {
-    /// Stats of a target that this entry has not used yet.
+    /// Stats of a target that this entry process has not used yet.
     pub fn new() -> TargetStats {
         TargetStats {
-            latency_ms: 0.0,
+            mean_latency_ms: 0.0,
             last_outcome_at: Millis(0),
-            failures: 0.0,
+            failure_count: 0.0,
             failures_decayed_at: Millis(0),
             reported_requests: 0,
             reported_at: Millis(0),
@@ -103,59 +104,61 @@
         self.completed_since_report += 1;
     }
 
-    /// Records a load report; ignores a report of more requests than
-    /// [`MAX_REPORTED_REQUESTS`].
-    pub fn record_load_report(&mut self, requests: u32, now: Millis) {
-        if requests > MAX_REPORTED_REQUESTS {
+    /// Records the number of requests at the target that a load report states;
+    /// ignores more than [`MAX_REPORTED_REQUESTS`].
+    pub fn record_load_report(&mut self, reported_requests: u32, now: Millis) {
+        if reported_requests > MAX_REPORTED_REQUESTS {
             return;
         }
-        self.reported_requests = requests;
+        self.reported_requests = reported_requests;
         self.reported_at = now;
         self.sent_since_report = 0;
         self.completed_since_report = 0;
     }
 
-    /// Records a successful response and its latency.
+    /// Records a successful response of the target and its latency.
     pub fn record_success(&mut self, latency: Millis, now: Millis) {
         self.decay_failures(now);
-        self.failures *= 0.5;
+        self.failure_count *= 0.5;
         let latency = latency.0 as f64;
         let age = now.since(self.last_outcome_at).0 as f64
             / LATENCY_HALF_LIFE.0 as f64;
         let weight = 1.0 - (1.0 - LATENCY_WEIGHT) * 0.5_f64.powf(age);
-        self.latency_ms = match self.latency_ms {
+        self.mean_latency_ms = match self.mean_latency_ms {
             0.0 => latency,
             average => average + (latency - average) * weight,
         };
         self.last_outcome_at = now;
     }
 
-    /// Records a failed request.
+    /// Records a failed request to the target.
     pub fn record_failure(&mut self, now: Millis) {
         self.decay_failures(now);
-        self.failures += 1.0;
+        self.failure_count += 1.0;
         self.last_outcome_at = now;
     }
 
-    /// The average response time in milliseconds; `None` before the first
-    /// response.
+    /// The average response time of the target in milliseconds; `None` before
+    /// the first response.
     pub fn latency_ms(&self) -> Option<f64> {
-        (self.latency_ms > 0.0).then_some(self.latency_ms)
+        (self.mean_latency_ms > 0.0).then_some(self.mean_latency_ms)
     }
 
-    /// The estimated number of requests at the target, from all entries.
-    pub fn occupancy(&self, now: Millis) -> u32 {
-        let estimate =
-            self.decayed_report(now).saturating_add(self.sent_since_report);
+    /// The estimated number of requests at the target, from all entry
+    /// processes.
+    pub fn estimated_occupancy(&self, now: Millis) -> u32 {
+        let estimate = self
+            .decayed_reported_requests(now)
+            .saturating_add(self.sent_since_report);
         let estimate = estimate.saturating_sub(self.completed_since_report);
         estimate.max(self.in_flight)
     }
 
-    /// The requests of the last load report, which decay after [`REPORT_TTL`].
-    /// Where no agent sends reports, they arrive with the target's responses
-    /// only: without decay, a target that looked busy would get no requests
-    /// and look busy for good.
-    fn decayed_report(&self, now: Millis) -> u32 {
+    /// The number of requests of the last load report, which decays after
+    /// [`REPORT_TTL`]. Where no agent sends reports, they arrive with the
+    /// target's responses only: without decay, a target that looked busy would
+    /// get no requests and look busy for good.
+    fn decayed_reported_requests(&self, now: Millis) -> u32 {
         let age = now.since(self.reported_at);
         if age <= REPORT_TTL {
             return self.reported_requests;
@@ -165,25 +168,26 @@
         (f64::from(self.reported_requests) * 0.5_f64.powf(half_lives)) as u32
     }
 
-    /// Requests that this entry sent to the target since its last load report.
+    /// Requests that this entry process sent to the target since its last load
+    /// report.
     pub fn sent_since_report(&self) -> u32 {
         self.sent_since_report
     }
 
-    /// Requests of this entry that are in flight at the target.
+    /// Requests of this entry process that are in flight at the target.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// The number of recent failures, decayed to the time `now`.
+    /// The number of recent failures of the target, decayed to the time `now`.
     pub fn decayed_failures(&self, now: Millis) -> f64 {
         let age = now.since(self.failures_decayed_at).0 as f64
             / FAILURE_HALF_LIFE.0 as f64;
-        self.failures * 0.5_f64.powf(age)
+        self.failure_count * 0.5_f64.powf(age)
     }
 
     fn decay_failures(&mut self, now: Millis) {
-        self.failures = self.decayed_failures(now);
+        self.failure_count = self.decayed_failures(now);
         self.failures_decayed_at = now;
     }
 }
@@ -196,24 +200,25 @@
 
 /// A target that may be chosen, with the inputs of its cost.
 #[derive(Clone, Copy, Debug)]
-pub struct Candidate<'a> {
-    /// The stats that this entry keeps of the target.
+pub struct TargetCandidate<'a> {
+    /// The stats that this entry process keeps of the target.
     pub stats: &'a TargetStats,
     /// The number of requests that the target runs at once.
     pub slots: u32,
-    /// Whether the target is in the entry's availability zone.
+    /// Whether the target is in the availability zone of the entry process.
     pub locality: Locality,
-    /// The target's service time in percent of the normal one.
+    /// The target's service time in percent of its normal service time.
     pub service_time_percent: u32,
-    /// The expected response time in milliseconds; see [`ServiceLatency`].
+    /// The expected response time of the target in milliseconds; see
+    /// [`ServiceLatency`].
     pub latency_ms: f64,
 }
 
 /// The shortest and the mean response time among the targets of a service.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceLatency {
-    min_ms: f64,
-    mean_ms: f64,
+    min_latency_ms: f64,
+    mean_latency_ms: f64,
 }
 
 impl ServiceLatency {
@@ -221,19 +226,20 @@
     pub fn new<'a>(
         targets: impl Iterator<Item = &'a TargetStats>,
     ) -> ServiceLatency {
-        let (mut min_ms, mut sum, mut count) = (f64::INFINITY, 0.0, 0.0);
+        let (mut min_latency_ms, mut sum, mut count) =
+            (f64::INFINITY, 0.0, 0.0);
         for time in targets.filter_map(TargetStats::latency_ms) {
-            min_ms = min_ms.min(time);
+            min_latency_ms = min_latency_ms.min(time);
             sum += time;
             count += 1.0;
         }
         if count == 0.0 {
             return ServiceLatency {
-                min_ms: DEFAULT_LATENCY_MS,
-                mean_ms: DEFAULT_LATENCY_MS,
+                min_latency_ms: DEFAULT_LATENCY_MS,
+                mean_latency_ms: DEFAULT_LATENCY_MS,
             };
         }
-        ServiceLatency { min_ms, mean_ms: sum / count }
+        ServiceLatency { min_latency_ms, mean_latency_ms: sum / count }
     }
 
     /// The expected response time of a target that is not part of a group. A
@@ -246,19 +252,20 @@
             Some(latency) if !self.is_probe_due(stats, latency, now) => {
                 latency
             }
-            _ => self.min_ms,
+            _ => self.min_latency_ms,
         }
     }
 
-    /// Whether the last request to the target ended so long ago that one slow
-    /// response is at most [`MAX_PROBE_SHARE`] of the time.
+    /// Whether the last request to the target ended so long ago that the extra
+    /// time of a slow response is at most [`MAX_PROBE_SHARE`] of the time
+    /// since.
     fn is_probe_due(
         &self,
         stats: &TargetStats,
-        latency: f64,
+        latency_ms: f64,
         now: Millis,
     ) -> bool {
-        let interval = (latency - self.min_ms) / MAX_PROBE_SHARE;
+        let interval = (latency_ms - self.min_latency_ms) / MAX_PROBE_SHARE;
         let interval = interval.min(MAX_PROBE_INTERVAL.0 as f64);
         let age = now.since(stats.last_outcome_at).0 as f64;
         stats.in_flight == 0 && age > interval
@@ -267,37 +274,37 @@
     /// The expected response time of a rank of a group. The ranks run in lock
     /// step, so a rank with a longer average only had longer responses.
     pub fn lockstep_latency_ms(&self) -> f64 {
-        self.mean_ms
+        self.mean_latency_ms
     }
 }
 
-/// Whether a target is in the same availability zone as the entry.
+/// Whether a target is in the same availability zone as the entry process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Locality {
-    /// The target is in the entry's availability zone.
+    /// The target is in the availability zone of the entry process.
     SameZone,
     /// The target is in another availability zone.
     OtherZone,
 }
 
-/// Chooses a target at random, preferring low costs, when all entries see the
-/// same costs because they get the same load reports.
+/// Chooses a target at random, preferring low costs, when all entry processes
+/// see the same costs because they get the same load reports.
 ///
-/// If every entry sent to the target with the least cost, all would use the
-/// same targets until the next report. So each entry chooses as if all entries
-/// together filled the targets up to an equal cost: of `unreported_requests`,
-/// which other entries send before the next reports, a target gets as many as
-/// fit between its cost and that level, and its probability is proportional to
-/// this number.
+/// If every entry process sent to the target with the least cost, all would
+/// use the same targets until the next report. So each entry process chooses
+/// as if all entry processes together filled the targets up to an equal cost:
+/// of `unreported_requests`, which other entry processes send before the next
+/// reports, a target gets as many as fit between its cost and that level, and
+/// its probability is proportional to this number.
 ///
 /// `cost_per_request` is the cost that one more request adds to a target, and
-/// `draw` is a random number from 0 to 1. Returns the index of the chosen
-/// cost.
+/// `random_fraction` is a random number from 0 to 1. Returns the index of the
+/// chosen target in `costs`.
 pub fn choose_by_cost(
     costs: &[f64],
     cost_per_request: f64,
     unreported_requests: f64,
-    draw: f64,
+    random_fraction: f64,
 ) -> Option<usize> {
     let mut order: Vec<usize> = (0..costs.len()).collect();
     order.sort_by(|a, b| costs[*a].total_cmp(&costs[*b]));
@@ -313,7 +320,7 @@
     }
     let candidates = &order[..count as usize];
     let total: f64 = candidates.iter().map(|it| level - costs[*it]).sum();
-    let mut remaining = draw * total;
+    let mut remaining = random_fraction * total;
     for index in candidates {
         remaining -= level - costs[*index];
         if remaining < 0.0 {
@@ -324,12 +331,12 @@
 }
 
 /// The cost of sending a request to a target, in milliseconds.
-pub fn expected_cost_ms(candidate: &Candidate, now: Millis) -> f64 {
+pub fn expected_cost_ms(candidate: &TargetCandidate, now: Millis) -> f64 {
     let stats = candidate.stats;
     let latency = candidate.latency_ms.max(1.0)
         * f64::from(candidate.service_time_percent.max(1))
         / 100.0;
-    let requests = f64::from(stats.occupancy(now));
+    let requests = f64::from(stats.estimated_occupancy(now));
     let slots = f64::from(candidate.slots.max(1));
     // Requests of one batch slow one another down before all slots are in use;
     // beyond that, a request waits for a slot to become free.
--- a/cowsliproad-routing/src/score.rs
+++ b/cowsliproad-routing/src/score.rs
@@ -1,22 +1,25 @@
 //! Predicts the time to the first token at a target.
 //!
-//! A load report is stale by the time it is used, and every entry gets the
-//! same report. An entry corrects it by the requests that it sent and
-//! completed itself since the report. Without the correction, all entries send
-//! to the target that looked idle until the next report arrives.
+//! A load report is stale by the time it is used, and every entry process gets
+//! the same report. An entry process corrects the report by the requests that
+//! it sent and completed itself since the report. Without the correction, all
+//! entry processes send to the target that looked idle until the next report
+//! arrives.
 
 use cowsliproad_kernel::wire::Load;
 
-/// The inputs of the prediction for one target.
+/// The inputs of the predicted time to the first token at one target.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Candidate {
+pub struct TargetCandidate {
     /// The last load report of the target.
     pub load: Load,
-    /// Requests that this entry sent to the target since that report.
+    /// Requests that this entry process sent to the target since the last load
+    /// report.
     pub sent_since_report: u32,
-    /// Requests of this entry that the target completed since that report.
+    /// Requests of this entry process that the target completed since the last
+    /// load report.
     pub completed_since_report: u32,
-    /// Requests of this entry that are in flight at the target.
+    /// Requests of this entry process that are in flight at the target.
     pub in_flight: u32,
     /// The round trip to the target's availability zone, in microseconds.
     pub zone_rtt_us: u32,
@@ -31,23 +34,24 @@
 /// The service time assumed before the first load report, in microseconds.
 const DEFAULT_SERVICE_US: u64 = 50_000;
 
-impl Candidate {
-    /// The estimated number of requests at the target, from all entries.
-    pub fn occupancy(&self) -> u64 {
+impl TargetCandidate {
+    /// The estimated number of requests at the target, from all entry
+    /// processes.
+    pub fn estimated_occupancy(&self) -> u64 {
         let reported = u64::from(self.load.queued + self.load.running);
         let estimate = (reported + u64::from(self.sent_since_report))
             .saturating_sub(u64::from(self.completed_since_report));
         estimate.max(u64::from(self.in_flight))
     }
 
-    /// The predicted time to the first token, in microseconds.
-    pub fn first_token_us(&self) -> u64 {
+    /// The predicted time to the first token at the target, in microseconds.
+    pub fn predicted_first_token_us(&self) -> u64 {
         let slots = u64::from(self.load.slots.max(1));
         let service_us = match u64::from(self.load.service_us) {
             0 => DEFAULT_SERVICE_US,
             known => known,
         };
-        let occupancy = self.occupancy();
+        let occupancy = self.estimated_occupancy();
         let queue_us =
             (occupancy + 1).saturating_sub(slots) * service_us / slots;
         // Requests at the same target slow one another down even before all
--- a/tests/properties/cooldown.rs
+++ b/tests/properties/cooldown.rs
@@ -22,7 +22,7 @@
         zone: "a".into(),
         slots: 8,
         state: TargetState::Ready,
-        sequence: 1,
+        announcement_sequence: 1,
     }
 }
 
@@ -38,14 +38,14 @@
         let mut cooldown = Cooldown::default();
         let mut end = 0;
         for (at, wait) in stated {
-            cooldown.extend(Millis(wait), Millis(at));
+            cooldown.apply_retry_after(Millis(wait), Millis(at));
             if wait > 0 {
                 end = end.max(at + wait);
             }
-            let kept = cooldown.active_until(Millis(at));
+            let kept = cooldown.cooldown_end(Millis(at));
             prop_assert_eq!(kept, (end > at).then_some(Millis(end)));
         }
-        prop_assert_eq!(cooldown.active_until(Millis(end)), None);
+        prop_assert_eq!(cooldown.cooldown_end(Millis(end)), None);
     }
 
     /// Only the start that stated a time is left alone.
@@ -54,11 +54,15 @@
         first in 0_u64..4, second in 0_u64..4, wait in 1_u64..1_000_000,
     ) {
         let mut cooldowns = Cooldowns::new();
-        cooldowns.extend(&target("i-1", first), Millis(wait), Millis(0));
-        let end = cooldowns.active_until(&target("i-1", second), Millis(0));
+        cooldowns.apply_retry_after(
+            &target("i-1", first),
+            Millis(wait),
+            Millis(0),
+        );
+        let end = cooldowns.cooldown_end(&target("i-1", second), Millis(0));
         prop_assert_eq!(end.is_some(), first == second);
         prop_assert_eq!(
-            cooldowns.active_until(&target("i-2", first), Millis(0)),
+            cooldowns.cooldown_end(&target("i-2", first), Millis(0)),
             None
         );
     }
@@ -68,23 +72,23 @@
 #[test]
 fn a_late_answer_of_an_earlier_start_takes_nothing_back() {
     let mut cooldowns = Cooldowns::new();
-    cooldowns.extend(&target("i-1", 2), Millis(1_000), Millis(0));
-    cooldowns.extend(&target("i-1", 1), Millis(9_000), Millis(0));
-    let end = cooldowns.active_until(&target("i-1", 2), Millis(0));
+    cooldowns.apply_retry_after(&target("i-1", 2), Millis(1_000), Millis(0));
+    cooldowns.apply_retry_after(&target("i-1", 1), Millis(9_000), Millis(0));
+    let end = cooldowns.cooldown_end(&target("i-1", 2), Millis(0));
     assert_eq!(end, Some(Millis(1_000)));
-    assert_eq!(cooldowns.active_until(&target("i-1", 1), Millis(0)), None);
+    assert_eq!(cooldowns.cooldown_end(&target("i-1", 1), Millis(0)), None);
 }
 
 #[test]
 fn what_is_over_is_forgotten_and_nothing_else() {
     let mut cooldowns = Cooldowns::new();
     for (id, wait) in [("i-1", 1_000), ("i-2", 2_000)] {
-        cooldowns.extend(&target(id, 1), Millis(wait), Millis(0));
+        cooldowns.apply_retry_after(&target(id, 1), Millis(wait), Millis(0));
     }
     cooldowns.remove_expired(Millis(1_500));
-    assert_eq!(cooldowns.active_count(Millis(0)), 1);
+    assert_eq!(cooldowns.active_cooldown_count(Millis(0)), 1);
     assert!(
-        cooldowns.active_until(&target("i-2", 1), Millis(1_500)).is_some()
+        cooldowns.cooldown_end(&target("i-2", 1), Millis(1_500)).is_some()
     );
 }
 
--- a/tests/properties/direct.rs
+++ b/tests/properties/direct.rs
@@ -7,28 +7,28 @@
     relay::events::Splitter,
     routing::{
         catalog::{
-            Access, CatalogBuilder, Organisation, Route, RouteError,
+            CatalogBuilder, Organisation, Route, RouteAccess, RouteError,
             RouteKind, ServiceShare,
         },
         formation::Formation,
-        pick::{self, Candidate, Locality, ServiceLatency, TargetStats},
+        pick::{self, Locality, ServiceLatency, TargetCandidate, TargetStats},
     },
 };
 use proptest::prelude::*;
 
-fn route(prefix: &str, access: Access) -> Route {
+fn route(prefix: &str, access: RouteAccess) -> Route {
     Route {
         name: prefix.into(),
         host: "Host.example".into(),
         path_prefix: prefix.into(),
         kind: RouteKind::NonIdempotent,
-        timeout: None,
+        response_timeout: None,
         latency_goal: None,
         caller_idle_timeout: None,
         priority: 1,
-        shares: vec![
-            ServiceShare { service: "a".into(), weight: 90.0 },
-            ServiceShare { service: "b".into(), weight: 10.0 },
+        service_shares: vec![
+            ServiceShare { service: "a".into(), relative_weight: 90.0 },
+            ServiceShare { service: "b".into(), relative_weight: 10.0 },
         ],
         max_attempts: 1,
         access,
@@ -38,9 +38,9 @@
 #[test]
 fn host_prefix_and_key_decide() {
     let mut made = CatalogBuilder::new(3);
-    made.add_route(route("/a/", Access::KeyRequired));
-    made.add_route(route("/a/b/", Access::Public));
-    made.require_keys();
+    made.add_route(route("/a/", RouteAccess::KeyRequired));
+    made.add_route(route("/a/b/", RouteAccess::Public));
+    made.require_caller_keys();
     let harju = Organisation { name: "harju".into(), priority: None };
     made.add_organisation(harju, vec!["key".into()]);
     let catalog = made.build();
@@ -57,7 +57,7 @@
 
 #[test]
 fn shares_of_a_route_are_kept() {
-    let route = route("/a/", Access::Public);
+    let route = route("/a/", RouteAccess::Public);
     let at = |draw: f64| route.choose_service(draw).map(|it| it.to_string());
     assert_eq!(at(0.0).as_deref(), Some("a"));
     assert_eq!(at(0.89).as_deref(), Some("a"));
@@ -73,7 +73,7 @@
 ) -> f64 {
     let latency_ms =
         ServiceLatency::new([known()].iter()).target_latency_ms(stats, now);
-    let candidate = Candidate {
+    let candidate = TargetCandidate {
         stats,
         slots: 8,
         locality,
@@ -150,7 +150,7 @@
     for _ in 0..20 {
         let cost = |stats: &TargetStats| {
             let (locality, service_time_percent) = (Locality::SameZone, 100);
-            let candidate = Candidate {
+            let candidate = TargetCandidate {
                 stats,
                 slots: 12,
                 locality,
@@ -183,11 +183,11 @@
     stats.record_load_report(3, now);
     stats.record_send();
     stats.record_send();
-    assert_eq!(stats.occupancy(now), 5);
+    assert_eq!(stats.estimated_occupancy(now), 5);
     stats.record_completion();
-    assert_eq!(stats.occupancy(now), 4);
+    assert_eq!(stats.estimated_occupancy(now), 4);
     stats.record_load_report(9, now);
-    assert_eq!(stats.occupancy(now), 9);
+    assert_eq!(stats.estimated_occupancy(now), 9);
 }
 
 #[test]
@@ -195,11 +195,11 @@
     let mut stats = known();
     stats.record_load_report(200, Millis(5_000));
     stats.record_send();
-    assert_eq!(stats.occupancy(Millis(6_000)), 201);
-    assert_eq!(stats.occupancy(Millis(6_500)), 101);
-    assert_eq!(stats.occupancy(Millis(20_000)), 1);
+    assert_eq!(stats.estimated_occupancy(Millis(6_000)), 201);
+    assert_eq!(stats.estimated_occupancy(Millis(6_500)), 101);
+    assert_eq!(stats.estimated_occupancy(Millis(20_000)), 1);
     stats.record_load_report(u32::MAX, Millis(20_000));
-    assert_eq!(stats.occupancy(Millis(20_000)), 1);
+    assert_eq!(stats.estimated_occupancy(Millis(20_000)), 1);
 }
 
 proptest! {
@@ -285,30 +285,36 @@
     let now = Millis(10_000);
     let halted = |epoch| {
         let mut group = Formation::new(1, true);
-        assert!(group.is_open(now));
-        assert_eq!(group.halt(epoch, now), epoch == 1);
+        assert!(group.accepts_requests(now));
+        assert_eq!(group.halt_for_lost_rank(epoch, now), epoch == 1);
         group
     };
-    assert!(halted(2).is_open(now), "a rank of another formation");
+    assert!(halted(2).accepts_requests(now), "a rank of another formation");
     let mut group = halted(1);
-    assert!(!group.is_open(now));
-    assert!(!group.halt(1, now), "it is halted once");
+    assert!(!group.accepts_requests(now));
+    assert!(!group.halt_for_lost_rank(1, now), "it is halted once");
     // Reports from before the end, and the pass that was under way.
     for (after, step) in [(50, 900), (150, 40), (200, 41), (900, 41)] {
-        assert!(!group.record_step(1, step, now + Millis(after)), "{after}");
+        assert!(
+            !group.record_reported_step(1, step, now + Millis(after)),
+            "{after}"
+        );
     }
-    assert!(group.record_step(1, 42, now + Millis(1_000)));
-    assert!(group.is_open(now + Millis(1_000)));
+    assert!(group.record_reported_step(1, 42, now + Millis(1_000)));
+    assert!(group.accepts_requests(now + Millis(1_000)));
     let mut group = halted(1);
-    assert!(group.update(1, false));
-    assert!(!group.is_open(now + Millis(60_000)), "it broke");
-    assert!(!group.update(1, true), "it stays broken in its formation");
-    assert!(group.update(2, true));
-    assert!(group.is_open(now));
+    assert!(group.merge_rank_report(1, false));
+    assert!(!group.accepts_requests(now + Millis(60_000)), "it broke");
+    assert!(
+        !group.merge_rank_report(1, true),
+        "it stays broken in its formation"
+    );
+    assert!(group.merge_rank_report(2, true));
+    assert!(group.accepts_requests(now));
     // A wrong word that nothing refuted doesn't hide a later one.
     let mut group = halted(1);
     let later = now + Millis(60_000);
-    assert!(group.is_open(later));
-    assert!(group.halt(1, later));
-    assert!(!group.is_open(later));
+    assert!(group.accepts_requests(later));
+    assert!(group.halt_for_lost_rank(1, later));
+    assert!(!group.accepts_requests(later));
 }
--- a/tests/properties/routing.rs
+++ b/tests/properties/routing.rs
@@ -5,7 +5,7 @@
     routing::{
         choice,
         health::{Admission, EjectionConfig, Health},
-        score::Candidate,
+        score::TargetCandidate,
     },
 };
 use proptest::prelude::*;
@@ -24,9 +24,9 @@
         let found = choice::choose_target(usable.len(), &mut random, score);
         match found {
             Some(it) => {
-                prop_assert!(usable[it.chosen]);
+                prop_assert!(usable[it.chosen_index]);
                 if let Some((second, score_us)) = it.runner_up {
-                    prop_assert!(usable[second] && second != it.chosen);
+                    prop_assert!(usable[second] && second != it.chosen_index);
                     prop_assert!(score_us >= it.score_us);
                 }
             }
@@ -43,13 +43,15 @@
         service_us in 1..1_000_000u32,
     ) {
         let load = Load { queued, running, slots, service_us, count: 0 };
-        let less = Candidate {
+        let less = TargetCandidate {
             load,
             sent_since_report: sent,
-            ..Candidate::default()
+            ..TargetCandidate::default()
         };
-        let more = Candidate { sent_since_report: sent + 1, ..less };
-        prop_assert!(more.first_token_us() >= less.first_token_us());
+        let more = TargetCandidate { sent_since_report: sent + 1, ..less };
+        prop_assert!(
+            more.predicted_first_token_us() >= less.predicted_first_token_us()
+        );
     }
 
     #[test]
@@ -79,17 +81,17 @@
     for _ in 0..2 {
         health.record_failure(&config, Millis(0), 0);
     }
-    assert_eq!(health.admit(Millis(0)), Admission::Allow);
+    assert_eq!(health.admit_attempt(Millis(0)), Admission::Allow);
     health.record_failure(&config, Millis(0), 0);
-    assert_eq!(health.admit(Millis(1)), Admission::Deny);
-    assert_eq!(health.admit(Millis(400)), Admission::Probe);
-    assert_eq!(health.admit(Millis(401)), Admission::Deny);
+    assert_eq!(health.admit_attempt(Millis(1)), Admission::Deny);
+    assert_eq!(health.admit_attempt(Millis(400)), Admission::Probe);
+    assert_eq!(health.admit_attempt(Millis(401)), Admission::Deny);
 }
 
 #[test]
 fn a_stated_time_is_not_probed_early() {
     let mut health = Health::new();
     health.set_retry_after(Millis(0), Millis(1_000));
-    assert_eq!(health.admit(Millis(900)), Admission::Deny);
-    assert_eq!(health.admit(Millis(1_000)), Admission::Probe);
+    assert_eq!(health.admit_attempt(Millis(900)), Admission::Deny);
+    assert_eq!(health.admit_attempt(Millis(1_000)), Admission::Probe);
 }
