--- a/cowsliproad-admin/src/convert.rs
+++ b/cowsliproad-admin/src/convert.rs
@@ -15,8 +15,8 @@
         Object::Organisation(it) => {
             Kind::Organisation(message::Organisation {
                 name: text(&it.name),
-                keys: texts(&it.keys),
-                share: it.share,
+                keys: texts(&it.key_hashes),
+                share: it.capacity_weight,
                 max_in_flight: it.max_in_flight,
             })
         }
@@ -40,21 +40,21 @@
                 Repeat::Repeatable => message::Repeat::REPEATABLE,
                 Repeat::Never => message::Repeat::NEVER,
             },
-            senders: texts(&it.senders),
-            max_body: it.max_body,
+            senders: texts(&it.allowed_organisations),
+            max_body: it.max_body_bytes,
         }),
         Object::Target(it) => Kind::Target(message::Target {
             name: text(&it.name),
             service: text(&it.service),
             zone: text(&it.zone),
-            agent: it.agent.to_string().into(),
+            agent: it.agent_address.to_string().into(),
         }),
         Object::Group(it) => Kind::Group(message::Group {
             name: text(&it.name),
             service: text(&it.service),
             ranks: texts(&it.ranks),
-            skew_weight: it.skew_weight,
-            move_weight: it.move_weight,
+            skew_weight: it.step_skew_weight,
+            move_weight: it.expert_move_weight,
         }),
         Object::Drain(it) => {
             Kind::Drain(message::Drain { target: text(&it.target) })
@@ -69,8 +69,8 @@
     Ok(match kind {
         Kind::Organisation(it) => Object::Organisation(Organisation {
             name: name(&it.name),
-            keys: names(&it.keys),
-            share: it.share,
+            key_hashes: names(&it.keys),
+            capacity_weight: it.share,
             max_in_flight: it.max_in_flight,
         }),
         Kind::Service(it) => Object::Service(Service {
@@ -83,14 +83,14 @@
             urgency: urgency(it.urgency)?,
             deadline_ms: Millis(it.deadline_ms),
             repeat: repeat(it.repeat)?,
-            senders: names(&it.senders),
-            max_body: it.max_body,
+            allowed_organisations: names(&it.senders),
+            max_body_bytes: it.max_body,
         }),
         Kind::Target(it) => Object::Target(Target {
             name: name(&it.name),
             service: name(&it.service),
             zone: name(&it.zone),
-            agent: it.agent.parse().map_err(|_| {
+            agent_address: it.agent.parse().map_err(|_| {
                 format!("agent {:?}: an IP address and a port", it.agent)
             })?,
         }),
@@ -98,8 +98,8 @@
             name: name(&it.name),
             service: name(&it.service),
             ranks: names(&it.ranks),
-            skew_weight: it.skew_weight,
-            move_weight: it.move_weight,
+            step_skew_weight: it.skew_weight,
+            expert_move_weight: it.move_weight,
         }),
         Kind::Drain(it) => Object::Drain(Drain { target: name(&it.target) }),
     })
--- a/cowsliproad-agent/src/handover.rs
+++ b/cowsliproad-agent/src/handover.rs
@@ -110,7 +110,7 @@
         source: None,
     };
     let Ok((sender, mut receiver, beat)) =
-        link::dial(peer.agent, &identity).await
+        link::dial(peer.agent_address, &identity).await
     else {
         return false;
     };
--- a/cowsliproad-bench/src/experiment/config.rs
+++ b/cowsliproad-bench/src/experiment/config.rs
@@ -243,8 +243,8 @@
         self.value += 1;
         let object = Object::Organisation(Organisation {
             name: self.key.name.clone(),
-            keys: Vec::new(),
-            share: 1,
+            key_hashes: Vec::new(),
+            capacity_weight: 1,
             max_in_flight: self.value,
         });
         let command = id::Command::random();
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -149,8 +149,8 @@
     let hash = blake3::hash(&index.to_le_bytes()).to_hex();
     Object::Organisation(Organisation {
         name: format!("organisation-{index}").as_str().into(),
-        keys: vec![hash.as_str().into()],
-        share: 1,
+        key_hashes: vec![hash.as_str().into()],
+        capacity_weight: 1,
         max_in_flight: 100,
     })
 }
@@ -163,7 +163,7 @@
         let mut state = State::new();
         for (offset, index) in (1..).zip(0..count) {
             let object = organisation(index);
-            let change = Change::Put { base: 0, object };
+            let change = Change::Put { base_revision: 0, object };
             let command = id::Command::random();
             let record = fold::encode_record(&Record { command, change });
             let _ = state.apply_record(offset, &record);
@@ -227,7 +227,7 @@
         let records: Vec<Vec<u8>> = (0..count)
             .map(|index| {
                 let object = organisation(index);
-                let change = Change::Put { base: 0, object };
+                let change = Change::Put { base_revision: 0, object };
                 let command = id::Command::random();
                 fold::encode_record(&Record { command, change })
             })
@@ -408,7 +408,7 @@
         name: format!("target-{index}").as_str().into(),
         service: "service".into(),
         zone: "zone".into(),
-        agent: crate::plant::ANY,
+        agent_address: crate::plant::ANY,
     })
 }
 
--- a/cowsliproad-bench/src/plant.rs
+++ b/cowsliproad-bench/src/plant.rs
@@ -220,7 +220,7 @@
                 name: site.name.as_str().into(),
                 service: site.service.into(),
                 zone: zone_name(site.zone).as_str().into(),
-                agent: site.address,
+                agent_address: site.address,
             }));
         }
         objects
--- a/cowsliproad-bench/src/workload.rs
+++ b/cowsliproad-bench/src/workload.rs
@@ -190,8 +190,8 @@
         let hash = blake3::hash(key(name).as_bytes()).to_hex();
         objects.push(Object::Organisation(Organisation {
             name: (*name).into(),
-            keys: vec![hash.as_str().into()],
-            share: if index < 2 { 4 } else { 1 },
+            key_hashes: vec![hash.as_str().into()],
+            capacity_weight: if index < 2 { 4 } else { 1 },
             max_in_flight: 10_000,
         }));
     }
@@ -207,8 +207,8 @@
             urgency: kind.urgency,
             deadline_ms: kind.deadline,
             repeat: kind.repeat,
-            senders: Vec::new(),
-            max_body: 64 << 10,
+            allowed_organisations: Vec::new(),
+            max_body_bytes: 64 << 10,
         }));
     }
     objects
--- a/cowsliproad-config/src/fold.rs
+++ b/cowsliproad-config/src/fold.rs
@@ -38,14 +38,16 @@
     Put {
         /// The revision of the object that the operator saw; 0 if the object
         /// did not exist.
-        base: u64,
+        #[serde(rename = "base")]
+        base_revision: u64,
         /// The object to store.
         object: Object,
     },
     /// Removes an object.
     Delete {
         /// The revision of the object that the operator saw.
-        base: u64,
+        #[serde(rename = "base")]
+        base_revision: u64,
         /// The key of the object to remove.
         key: ObjectKey,
     },
@@ -75,8 +77,9 @@
 /// offset.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct State {
-    next: u64,
-    #[serde(with = "entries")]
+    #[serde(rename = "next")]
+    next_offset: u64,
+    #[serde(with = "object_list")]
     objects: BTreeMap<ObjectKey, VersionedObject>,
     verdicts: VecDeque<(id::Command, Verdict)>,
 }
@@ -92,12 +95,16 @@
     /// The state before the first record, which has offset 1. Offset 0 is
     /// never used, so that revision 0 can mean "no object".
     pub fn new() -> State {
-        State { next: 1, objects: BTreeMap::new(), verdicts: VecDeque::new() }
+        State {
+            next_offset: 1,
+            objects: BTreeMap::new(),
+            verdicts: VecDeque::new(),
+        }
     }
 
     /// The offset of the first record that has not been folded.
     pub fn next_offset(&self) -> u64 {
-        self.next
+        self.next_offset
     }
 
     /// The object with this key and its revision.
@@ -126,13 +133,13 @@
         offset: u64,
         record_bytes: &[u8],
     ) -> Result<Option<(id::Command, Verdict)>, OffsetGap> {
-        if offset < self.next {
+        if offset < self.next_offset {
             return Ok(None);
         }
-        if offset > self.next {
-            return Err(OffsetGap { expected_offset: self.next });
+        if offset > self.next_offset {
+            return Err(OffsetGap { expected_offset: self.next_offset });
         }
-        self.next = offset + 1;
+        self.next_offset = offset + 1;
         let Some(record) = decode_record(record_bytes) else {
             return Ok(None);
         };
@@ -150,8 +157,12 @@
     /// the code with which the state would refuse the change.
     pub fn dry_run(&self, change: &Change) -> Result<(), Code> {
         match change {
-            Change::Put { base, object } => self.check_put(*base, object),
-            Change::Delete { base, key } => self.check_delete(*base, key),
+            Change::Put { base_revision, object } => {
+                self.check_put(*base_revision, object)
+            }
+            Change::Delete { base_revision, key } => {
+                self.check_delete(*base_revision, key)
+            }
             Change::Snapshot(_) => Ok(()),
         }
     }
@@ -159,7 +170,7 @@
     /// Replaces this state by a peer's state if more records were folded into
     /// the peer's.
     pub fn adopt_if_newer(&mut self, peer_state: State) -> Progress {
-        if peer_state.next <= self.next {
+        if peer_state.next_offset <= self.next_offset {
             return Progress::Unchanged;
         }
         *self = peer_state;
@@ -289,7 +300,7 @@
 
 /// Serializes the map of objects as a list, because each object contains its
 /// key.
-mod entries {
+mod object_list {
     use std::collections::BTreeMap;
 
     use serde::{Deserialize, Deserializer, Serializer};
--- a/cowsliproad-config/src/object.rs
+++ b/cowsliproad-config/src/object.rs
@@ -34,14 +34,15 @@
     pub name: Name,
     /// BLAKE3 hashes, in hexadecimal, of the keys that the organisation's
     /// callers present.
-    pub keys: Vec<Name>,
+    #[serde(rename = "keys")]
+    pub key_hashes: Vec<Name>,
     /// The weight by which the organisation gets capacity when capacity is
     /// short, at least 1.
-    #[serde(default = "one")]
-    pub share: u32,
+    #[serde(rename = "share", default = "default_capacity_weight")]
+    pub capacity_weight: u32,
     /// The largest number of the organisation's requests in flight through one
     /// entry process.
-    #[serde(default = "many")]
+    #[serde(default = "default_max_in_flight")]
     pub max_in_flight: u32,
 }
 
@@ -91,11 +92,11 @@
     /// Whether a request of this type may run more than once.
     pub repeat: Repeat,
     /// The organisations that may send the request type; all if empty.
-    #[serde(default)]
-    pub senders: Vec<Name>,
+    #[serde(rename = "senders", default)]
+    pub allowed_organisations: Vec<Name>,
     /// The largest request body, in bytes.
-    #[serde(default = "body")]
-    pub max_body: u32,
+    #[serde(rename = "max_body", default = "default_max_body_bytes")]
+    pub max_body_bytes: u32,
 }
 
 /// A back end with its agent.
@@ -110,8 +111,8 @@
     pub zone: Name,
     /// The address at which the target's agent accepts links from entry
     /// processes.
-    #[serde(with = "address")]
-    pub agent: SocketAddr,
+    #[serde(rename = "agent", with = "address")]
+    pub agent_address: SocketAddr,
 }
 
 /// An expert-parallel group of targets.
@@ -127,10 +128,12 @@
     pub ranks: Vec<Name>,
     /// The weight of the step-time skew between the ranks in the cost of an
     /// expert placement.
-    pub skew_weight: f64,
+    #[serde(rename = "skew_weight")]
+    pub step_skew_weight: f64,
     /// The weight of moving experts to other ranks in the cost of an expert
     /// placement.
-    pub move_weight: f64,
+    #[serde(rename = "move_weight")]
+    pub expert_move_weight: f64,
 }
 
 /// An operator's order to drain a target: the target gets no new requests.
@@ -245,10 +248,12 @@
             ));
         }
         match self {
-            Object::Organisation(it) if it.share == 0 => {
+            Object::Organisation(it) if it.capacity_weight == 0 => {
                 Err("share: must be at least 1".into())
             }
-            Object::Organisation(it) if !it.keys.iter().all(is_key_hash) => {
+            Object::Organisation(it)
+                if !it.key_hashes.iter().all(is_key_hash) =>
+            {
                 Err("keys: must be BLAKE3 hashes of 64 hexadecimal digits"
                     .into())
             }
@@ -325,7 +330,7 @@
 }
 
 fn has_valid_weights(group: &Group) -> bool {
-    [group.skew_weight, group.move_weight]
+    [group.step_skew_weight, group.expert_move_weight]
         .iter()
         .all(|weight| weight.is_finite() && *weight >= 0.0)
 }
@@ -354,14 +359,14 @@
     }
 }
 
-fn one() -> u32 {
+fn default_capacity_weight() -> u32 {
     1
 }
 
-fn many() -> u32 {
+fn default_max_in_flight() -> u32 {
     10_000
 }
 
-fn body() -> u32 {
+fn default_max_body_bytes() -> u32 {
     64 << 10
 }
--- a/cowsliproad-entry/src/admin.rs
+++ b/cowsliproad-entry/src/admin.rs
@@ -72,7 +72,7 @@
         if let Err(why) = object.validate() {
             return Ok(refused(Code::BadObject, &why));
         }
-        let change = Change::Put { base: request.base, object };
+        let change = Change::Put { base_revision: request.base, object };
         let command = id::Command(request.command);
         Ok(self.change(command, change, request.mode).await)
     }
@@ -86,7 +86,7 @@
             Ok(key) => key,
             Err(why) => return Ok(refused(Code::BadObject, &why)),
         };
-        let change = Change::Delete { base: request.base, key };
+        let change = Change::Delete { base_revision: request.base, key };
         let command = id::Command(request.command);
         Ok(self.change(command, change, request.mode).await)
     }
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -200,7 +200,7 @@
                 .as_ref()
                 .map_or_else(id::Request::random, |it| it.1.request),
             organisation: checked.organisation.declared.name.clone(),
-            share: checked.organisation.declared.share,
+            share: checked.organisation.declared.capacity_weight,
             service: checked.service.clone(),
             request_type: checked.request_type.clone(),
             ticket,
@@ -375,7 +375,7 @@
             .get(kind)
             .cloned()
             .ok_or_else(|| refused(Code::UnknownType, ""))?;
-        let senders = &request_type.senders;
+        let senders = &request_type.allowed_organisations;
         let name = &organisation.declared.name;
         if !senders.is_empty() && !senders.contains(name) {
             return Err(refused(Code::NotAllowed, ""));
@@ -462,7 +462,7 @@
         request: Request,
         request_type: &RequestType,
     ) -> Result<Vec<u8>, Refused> {
-        let limit = request_type.max_body as usize;
+        let limit = request_type.max_body_bytes as usize;
         let patience = self.shared.settings.body_ms.duration();
         let body = request.into_body();
         let body = server::read_body(body, limit, patience).await;
--- a/cowsliproad-entry/src/control.rs
+++ b/cowsliproad-entry/src/control.rs
@@ -213,7 +213,7 @@
         let view = View::new(state, &old, |declared| {
             let target = known
                 .remove(&declared.name)
-                .filter(|it| it.address == declared.agent)
+                .filter(|it| it.address == declared.agent_address)
                 .filter(|it| it.service == declared.service)
                 .unwrap_or_else(|| self.open(declared));
             let drain = ObjectKey::new(ObjectKind::Drain, &declared.name);
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -116,7 +116,7 @@
             name: declared.name.clone(),
             service: declared.service.clone(),
             zone: declared.zone.clone(),
-            address: declared.agent,
+            address: declared.agent_address,
             link: ArcSwapOption::empty(),
             drained: AtomicBool::new(false),
             vm_leaving: AtomicBool::new(false),
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -14,8 +14,8 @@
 fn organisation(share: u32) -> Object {
     Object::Organisation(Organisation {
         name: "new".into(),
-        keys: Vec::new(),
-        share,
+        key_hashes: Vec::new(),
+        capacity_weight: share,
         max_in_flight: 5,
     })
 }
--- a/tests/processes/harness.rs
+++ b/tests/processes/harness.rs
@@ -205,7 +205,7 @@
                     name: site.settings.name.clone(),
                     service: site.service.into(),
                     zone: site.settings.zone.clone(),
-                    agent: site.settings.listen,
+                    agent_address: site.settings.listen,
                 },
             ));
         }
--- a/tests/properties/fold.rs
+++ b/tests/properties/fold.rs
@@ -22,8 +22,8 @@
         (name(), 1..4u32).prop_map(|(name, share)| {
             Object::Organisation(Organisation {
                 name: name.into(),
-                keys: Vec::new(),
-                share,
+                key_hashes: Vec::new(),
+                capacity_weight: share,
                 max_in_flight: 10,
             })
         }),
@@ -36,7 +36,7 @@
                 name: name.into(),
                 service: service.into(),
                 zone: "z".into(),
-                agent: ([127, 0, 0, 1], port).into(),
+                agent_address: ([127, 0, 0, 1], port).into(),
             })
         }),
         name().prop_map(|name| Object::Drain(Drain { target: name.into() })),
@@ -47,10 +47,10 @@
     prop_oneof![
         3 => (0..40u64, object())
             .prop_map(|(base, object)| {
-                Change::Put { base, object }
+                Change::Put { base_revision: base, object }
             }),
         1 => (0..40u64, object()).prop_map(|(base, object)| {
-            Change::Delete { base, key: object.key() }
+            Change::Delete { base_revision: base, key: object.key() }
         }),
     ]
 }
@@ -153,7 +153,7 @@
 }
 
 fn put(state: &mut State, command: u64, base: u64, name: &str) -> Verdict {
-    let change = Change::Put { base, object: service(name) };
+    let change = Change::Put { base_revision: base, object: service(name) };
     let record = Record { command: Command(command), change };
     let outcome =
         state.apply_record(state.next_offset(), &encode_record(&record));
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -91,11 +91,11 @@
     fn append(&mut self, command: u64, base: u64, share: u32) -> String {
         let object = Object::Organisation(Organisation {
             name: "harju".into(),
-            keys: Vec::new(),
-            share,
+            key_hashes: Vec::new(),
+            capacity_weight: share,
             max_in_flight: 1,
         });
-        let change = Change::Put { base, object };
+        let change = Change::Put { base_revision: base, object };
         let command = id::Command(command);
         self.log.push(encode_record(&Record { command, change }));
         format!("offset {}", self.log.len())
