--- a/cowsliproad-bench/src/experiment/switch.rs
+++ b/cowsliproad-bench/src/experiment/switch.rs
@@ -10,9 +10,9 @@
 
 use cowsliproad_kernel::{clock::Millis, plugin::inventory};
 use cowsliproad_mapswitch::order::{
-    Absent, Arms, Config, Coordinator, Directive, Epoch, Event, Experts,
-    Follows, Order, Report, Seal, Snapshot, Version, due, due_at_holder,
-    seals,
+    ArmOrders, Config, Coordinator, Directive, Epoch, Event, Experts,
+    MissingRanks, ObeyedCoordinator, Order, Report, SealStatus, Snapshot,
+    Version, hold_order, next_order, sealed_step,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
@@ -119,12 +119,13 @@
     /// What the coordinator sees of all ranks, whose agents have heard its
     /// word.
     fn snapshots(&self, word: &Directive) -> Vec<Snapshot> {
-        let seal = seals(word).map_or(Seal::Unheard, Seal::Heard);
+        let seal = sealed_step(word)
+            .map_or(SealStatus::NotReceived, SealStatus::Received);
         let snapshot = |report: &Report| Snapshot {
             report: report.clone(),
-            arms: Arms::Answered,
+            arms: ArmOrders::Answered,
             seal,
-            follows: Follows::Us,
+            obeys: ObeyedCoordinator::This,
         };
         self.ranks.iter().map(snapshot).collect()
     }
@@ -148,12 +149,12 @@
         let word = coordinator.directive();
         for rank in 0..usize::from(ranks) {
             let report = &group.ranks[rank];
-            let holds = due_at_holder(&word, report);
+            let holds = hold_order(&word, report);
             let every = if holds.is_some() { HOLDER_MS } else { LOOK_MS };
             if now % every != rank as u64 % every {
                 continue;
             }
-            let own = due(&word, report, Some((newest, &plan)));
+            let own = next_order(&word, report, Some((newest, &plan)));
             let Some(order) = holds.or(own) else { continue };
             score.orders += 1;
             if random.random_bool(lost) {
@@ -164,18 +165,19 @@
             }
         }
         let snapshots = group.snapshots(&word);
-        match coordinator.advance(&snapshots, Absent::Nobody, Millis(now)) {
+        match coordinator.advance(&snapshots, MissingRanks::None, Millis(now))
+        {
             Event::Changed(_) => {
                 score.changes += 1;
                 score.times.push(now - begun);
                 rest = now + REST_MS;
             }
-            Event::GivenUp(_) => rest = now + REST_MS,
+            Event::Abandoned(_) => rest = now + REST_MS,
             _ => {}
         }
-        if coordinator.is_resting() && now >= rest {
+        if coordinator.is_idle() && now >= rest {
             begun = now;
-            newest = coordinator.begin(&snapshots, Millis(now));
+            newest = coordinator.begin_plan(&snapshots, Millis(now));
         }
     }
     score.times.sort_unstable();
--- a/cowsliproad-mapswitch/src/lib.rs
+++ b/cowsliproad-mapswitch/src/lib.rs
@@ -99,7 +99,7 @@
 
 /// Whether the next step can be run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Step {
+pub enum NextStep {
     /// With this map.
     Run(Version),
     /// Not before the verdict on this proposal is known.
@@ -161,30 +161,30 @@
     }
 
     /// Whether and with which map the next step can be run.
-    pub fn next(&self) -> Step {
+    pub fn next_step(&self) -> NextStep {
         match &self.pending {
             Some(ballot) if self.step >= ballot.proposal.boundary => {
-                Step::Hold(ballot.proposal)
+                NextStep::Hold(ballot.proposal)
             }
-            _ => Step::Run(self.map),
+            _ => NextStep::Run(self.map),
         }
     }
 
     /// Runs the next step, unless it has to hold.
-    pub fn run(&mut self) -> Option<Version> {
-        match self.next() {
-            Step::Run(map) => {
+    pub fn run_step(&mut self) -> Option<Version> {
+        match self.next_step() {
+            NextStep::Run(map) => {
                 self.step += 1;
                 // A verdict that is known already takes effect here.
                 self.settle();
                 Some(map)
             }
-            Step::Hold(_) => None,
+            NextStep::Hold(_) => None,
         }
     }
 
     /// Votes on a proposal, or repeats the vote.
-    pub fn ask(&mut self, proposal: Proposal, weights: Weights) -> Vote {
+    pub fn vote(&mut self, proposal: Proposal, weights: Weights) -> Vote {
         if let Some(vote) = self.cast.get(&proposal) {
             return *vote;
         }
@@ -205,7 +205,7 @@
     }
 
     /// Takes a message in; the answer, if any, goes to all members.
-    pub fn take(
+    pub fn handle(
         &mut self,
         message: Message,
         weights: Weights,
@@ -215,7 +215,7 @@
                 if proposal.generation != self.generation {
                     return None;
                 }
-                let vote = self.ask(proposal, weights);
+                let vote = self.vote(proposal, weights);
                 Some(Message::Cast(proposal, self.rank, vote))
             }
             Message::Cast(proposal, rank, vote) => {
@@ -231,13 +231,13 @@
     }
 
     /// What to ask the others while a verdict is open.
-    pub fn question(&self) -> Option<Message> {
+    pub fn vote_request(&self) -> Option<Message> {
         let ballot = self.pending.as_ref()?;
         Some(Message::Ask(ballot.proposal))
     }
 
     /// Moves on to a newer generation, whose first step is 0.
-    pub fn move_on(&mut self, generation: Generation, map: Version) {
+    pub fn join_generation(&mut self, generation: Generation, map: Version) {
         if generation > self.generation {
             *self = Member::new(self.rank, self.ranks, generation, map);
         }
--- a/cowsliproad-mapswitch/src/order.rs
+++ b/cowsliproad-mapswitch/src/order.rs
@@ -47,7 +47,9 @@
 use serde::{Deserialize, Serialize};
 
 pub use crate::Version;
-pub use coordinator::{Config, Coordinator, Event, FARTHEST, VERSIONS};
+pub use coordinator::{
+    Config, Coordinator, Event, MAX_BOUNDARY_LEAD, VERSIONS_PER_COORDINATOR,
+};
 
 mod coordinator;
 pub mod fence;
@@ -73,7 +75,7 @@
 
 /// Whether a group takes requests.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub enum Standing {
+pub enum GroupState {
     /// It does.
     Open,
     /// A rank is missing.
@@ -90,7 +92,7 @@
     /// The ranks of its group.
     pub ranks: u16,
     /// Whether the group takes requests.
-    pub standing: Standing,
+    pub standing: GroupState,
     /// The last pass that was begun.
     pub step: u64,
     /// The map in use.
@@ -110,7 +112,7 @@
             epoch,
             rank,
             ranks,
-            standing: Standing::Open,
+            standing: GroupState::Open,
             step: 0,
             map: Version(0),
             prepared: None,
@@ -137,7 +139,7 @@
 
 /// What an engine said of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum OrderResult {
     /// Begun or done.
     Taken,
     /// It doesn't fit the engine's state.
@@ -148,7 +150,7 @@
 
 /// Whether an agent can vouch for what its reports don't show.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub enum Arms {
+pub enum ArmOrders {
     /// Each *arm* that it gave was answered.
     Answered,
     /// One may still be carried out, or the agent began too lately to know.
@@ -157,20 +159,22 @@
 
 /// What a rank's agent knows of the coordinator's own rank.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub enum Seal {
+pub enum SealStatus {
     /// It was not told that this rank arms.
-    Unheard,
+    #[serde(rename = "Unheard")]
+    NotReceived,
     /// It was told that this rank arms for this pass.
-    Heard(u64),
+    #[serde(rename = "Heard")]
+    Received(u64),
     /// The agent began too lately to know.
     Unknown,
 }
 
 /// Whose word a rank obeys.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum Follows {
+pub enum ObeyedCoordinator {
     /// This coordinator's, and no older one's any more.
-    Us,
+    This,
     /// Perhaps another's: its agent has not heard of this coordinator.
     Another,
 }
@@ -181,18 +185,18 @@
     /// The report.
     pub report: Report,
     /// The orders that it may not show yet.
-    pub arms: Arms,
+    pub arms: ArmOrders,
     /// Whether its agent heard that the coordinator's rank arms.
-    pub seal: Seal,
+    pub seal: SealStatus,
     /// Whose word it obeys.
-    pub follows: Follows,
+    pub obeys: ObeyedCoordinator,
 }
 
 /// Which ranks a coordinator doesn't hear from.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum Absent {
+pub enum MissingRanks {
     /// None.
-    Nobody,
+    None,
     /// The one that led before with this fencing number, and no other.
     Predecessor(u64),
     /// Any other.
@@ -253,7 +257,7 @@
 /// What an agent has to order of its own engine, given what the engine last
 /// reported. Called again after each report, so that a lost order is
 /// repeated and a fulfilled one is not.
-pub fn due(
+pub fn next_order(
     directive: &Directive,
     report: &Report,
     plan: Option<(Version, &Arc<Experts>)>,
@@ -298,7 +302,7 @@
 }
 
 /// The pass for which a coordinator's word says that its own rank arms.
-pub fn seals(directive: &Directive) -> Option<u64> {
+pub fn sealed_step(directive: &Directive) -> Option<u64> {
     match directive.aim {
         Aim::Sealed { step, .. } => Some(step),
         Aim::Armed { step, except: None, .. } => Some(step),
@@ -307,7 +311,7 @@
 }
 
 /// What the coordinator has to order at the holder, from afar.
-pub fn due_at_holder(directive: &Directive, report: &Report) -> Option<Order> {
+pub fn hold_order(directive: &Directive, report: &Report) -> Option<Order> {
     let Aim::Held { step, holder } = directive.aim else { return None };
     let due = report.rank == holder
         && report.epoch == directive.epoch
--- a/cowsliproad-mapswitch/src/order/coordinator.rs
+++ b/cowsliproad-mapswitch/src/order/coordinator.rs
@@ -4,8 +4,8 @@
 use cowsliproad_kernel::clock::Millis;
 
 use super::{
-    Absent, Aim, Arms, Directive, Epoch, Follows, Report, Seal, Snapshot,
-    Version,
+    Aim, ArmOrders, Directive, Epoch, MissingRanks, ObeyedCoordinator, Report,
+    SealStatus, Snapshot, Version,
 };
 
 /// Times and distances of a change.
@@ -22,7 +22,7 @@
     }
 
     /// How many passes ahead the boundary is set, at least and at most.
-    pub fn with_lead(self, least: u64, most: u64) -> Config {
+    pub fn with_boundary_lead(self, least: u64, most: u64) -> Config {
         Config { lead: (least, most), ..self }
     }
 }
@@ -36,10 +36,10 @@
 /// The boundary is set as far ahead as arming lately took, within these
 /// bounds, so that the group doesn't stand while orders go unanswered. With
 /// half of them lost arming takes some 200 ms.
-const LEAD: (u64, u64) = (2, FARTHEST);
+const LEAD: (u64, u64) = (2, MAX_BOUNDARY_LEAD);
 
 /// The most passes between an *arm* and its boundary.
-pub const FARTHEST: u64 = 10;
+pub const MAX_BOUNDARY_LEAD: u64 = 10;
 
 /// Hold, arm and go take 30 to 60 ms together when each order is answered,
 /// and what is known of the group's pass is up to 30 ms old.
@@ -51,7 +51,7 @@
 /// Versions of one coordinator. A rank refuses a version that isn't higher
 /// than all that it has had, also in formations that nobody remembers. So
 /// each coordinator counts from its fencing number on.
-pub const VERSIONS: u64 = 10_000;
+pub const VERSIONS_PER_COORDINATOR: u64 = 10_000;
 
 /// What a coordinator is doing.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
@@ -73,11 +73,11 @@
     /// All ranks have changed.
     Changed(Version),
     /// A plan was given up before anything was armed.
-    GivenUp(Version),
+    Abandoned(Version),
     /// A change that another coordinator began is completed.
-    TakenUp(Version),
+    Resumed(Version),
     /// A change that another coordinator began is called off.
-    CalledOff(Version),
+    Cancelled(Version),
     /// The group formed anew; all is forgotten.
     Reset(Epoch),
 }
@@ -176,7 +176,7 @@
     }
 
     /// Whether a new plan may begin.
-    pub fn is_resting(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.phase == Phase::Resting
     }
 
@@ -199,10 +199,14 @@
     }
 
     /// Begins a plan; all ranks have reported.
-    pub fn begin(&mut self, snapshots: &[Snapshot], now: Millis) -> Version {
+    pub fn begin_plan(
+        &mut self,
+        snapshots: &[Snapshot],
+        now: Millis,
+    ) -> Version {
         let newest = snapshots.iter().map(|it| newest(&it.report)).max();
         let known = newest.unwrap_or(self.newest).max(self.newest);
-        let own = self.fence * VERSIONS;
+        let own = self.fence * VERSIONS_PER_COORDINATOR;
         let version = Version(own.max(known.0 + 1));
         self.newest = version;
         self.phase = Phase::Preparing { version, since: now };
@@ -212,7 +216,7 @@
 
     /// Gives a plan up that no rank was told to hold or arm for, and says
     /// whether there was one. Ranks may go on copying for it without harm.
-    pub fn drop_plan(&mut self) -> Option<Version> {
+    pub fn abandon_plan(&mut self) -> Option<Version> {
         let Phase::Preparing { version, .. } = self.phase else { return None };
         self.phase = Phase::Resting;
         Some(version)
@@ -222,7 +226,7 @@
     pub fn advance(
         &mut self,
         snapshots: &[Snapshot],
-        absent: Absent,
+        absent: MissingRanks,
         now: Millis,
     ) -> Event {
         let Some(first) = snapshots.first() else { return Event::None };
@@ -238,15 +242,15 @@
             return Event::Reset(epoch);
         }
         match (self.phase, absent) {
-            (Phase::Resting, Absent::Nobody) => self.tidy(snapshots),
-            (Phase::Resting, Absent::Predecessor(fence)) => {
+            (Phase::Resting, MissingRanks::None) => self.tidy(snapshots),
+            (Phase::Resting, MissingRanks::Predecessor(fence)) => {
                 self.call_off(snapshots, fence)
             }
             // Not forward again, even if all have reported: an agent may still
             // act on the word to disarm.
             (
                 Phase::Disarming { step },
-                Absent::Predecessor(_) | Absent::Nobody,
+                MissingRanks::Predecessor(_) | MissingRanks::None,
             ) => self.disarm(snapshots, step),
             (Phase::Releasing { version, step }, _) => {
                 self.release(snapshots, version, step)
@@ -254,7 +258,9 @@
             (Phase::Preparing { version, since }, _) => {
                 self.prepare(snapshots, absent, version, since, now)
             }
-            (_, Absent::Predecessor(_) | Absent::Others) => Event::None,
+            (_, MissingRanks::Predecessor(_) | MissingRanks::Others) => {
+                Event::None
+            }
             (Phase::Holding { version, step, holder }, _) => {
                 self.hold(snapshots, version, step, holder)
             }
@@ -274,7 +280,7 @@
         let armed = snapshots.iter().find_map(|it| it.report.armed);
         if let Some((version, step)) = armed {
             self.phase = Phase::Arming { version, step, except: None };
-            return Event::TakenUp(version);
+            return Event::Resumed(version);
         }
         let Some(step) = snapshots.iter().find_map(|it| it.report.held) else {
             return Event::None;
@@ -305,13 +311,14 @@
         let missing =
             snapshots.iter().any(unarmed) || is_unsealed(snapshots, step);
         let latest = snapshots.iter().map(|it| newest(&it.report)).max();
-        let own = latest.is_some_and(|it| it.0 / VERSIONS == predecessor);
+        let own = latest
+            .is_some_and(|it| it.0 / VERSIONS_PER_COORDINATOR == predecessor);
         if !certain || !missing || !own {
             return Event::None;
         }
         let version = armed.map_or(snapshots[0].report.map, |it| it.0);
         self.phase = Phase::Disarming { step };
-        Event::CalledOff(version)
+        Event::Cancelled(version)
     }
 
     fn disarm(&mut self, snapshots: &[Snapshot], step: u64) -> Event {
@@ -327,13 +334,13 @@
     fn prepare(
         &mut self,
         snapshots: &[Snapshot],
-        absent: Absent,
+        absent: MissingRanks,
         version: Version,
         since: Millis,
         now: Millis,
     ) -> Event {
         let has = |it: &Snapshot| it.report.prepared == Some(version);
-        if absent == Absent::Nobody && snapshots.iter().all(has) {
+        if absent == MissingRanks::None && snapshots.iter().all(has) {
             self.pace.arm(last(snapshots), now);
             let step = self.boundary(snapshots);
             let holder = self.holder(snapshots);
@@ -342,7 +349,7 @@
         }
         if now.since(since) > self.copy_timeout {
             self.phase = Phase::Resting;
-            return Event::GivenUp(version);
+            return Event::Abandoned(version);
         }
         Event::None
     }
@@ -388,7 +395,7 @@
         // One that obeys another's word could be disarmed yet.
         let done = |it: &Snapshot| {
             it.report.armed == Some((version, step))
-                && it.follows == Follows::Us
+                && it.obeys == ObeyedCoordinator::This
                 || it.report.map == version
         };
         if snapshots.iter().all(done) {
@@ -407,8 +414,8 @@
         let holder = self.holder(snapshots);
         let vouches = |it: &Snapshot| {
             it.report.rank == holder
-                && it.seal == Seal::Heard(step)
-                && it.follows == Follows::Us
+                && it.seal == SealStatus::Received(step)
+                && it.obeys == ObeyedCoordinator::This
         };
         if snapshots.iter().any(vouches) {
             self.phase = Phase::Arming { version, step, except: None };
@@ -441,7 +448,8 @@
 /// Whether nothing can happen at a rank that its report doesn't show, but by
 /// this coordinator's word.
 fn is_certain(snapshot: &Snapshot) -> bool {
-    snapshot.arms == Arms::Answered && snapshot.follows == Follows::Us
+    snapshot.arms == ArmOrders::Answered
+        && snapshot.obeys == ObeyedCoordinator::This
 }
 
 /// Whether the holder, the first of the ranks beside that of a coordinator
@@ -449,9 +457,9 @@
 fn is_unsealed(snapshots: &[Snapshot], step: u64) -> bool {
     let holder = snapshots.iter().min_by_key(|it| it.report.rank);
     holder.is_some_and(|it| match it.seal {
-        Seal::Unheard => true,
-        Seal::Heard(at) => at != step,
-        Seal::Unknown => false,
+        SealStatus::NotReceived => true,
+        SealStatus::Received(at) => at != step,
+        SealStatus::Unknown => false,
     })
 }
 
--- a/cowsliproad-mapswitch/src/order/fence.rs
+++ b/cowsliproad-mapswitch/src/order/fence.rs
@@ -11,7 +11,7 @@
 
 use cowsliproad_kernel::position::{Era, Position};
 
-use super::VERSIONS;
+use super::VERSIONS_PER_COORDINATOR;
 
 /// Numbers of one era. A log that gives out one a second does so for half a
 /// year.
@@ -19,11 +19,11 @@
 
 /// Eras whose numbers leave room for the versions of maps, which count from
 /// the number on.
-const ERAS: u64 = u64::MAX / VERSIONS / NUMBERS;
+const ERAS: u64 = u64::MAX / VERSIONS_PER_COORDINATOR / NUMBERS;
 
 /// The fencing number of whoever appended the record at a place; never 0, and
 /// none where numbers have run out.
-pub fn number(record: Position) -> Option<u64> {
+pub fn fencing_number(record: Position) -> Option<u64> {
     let Position { era, offset } = record;
     let fits = era.0 < ERAS && offset < NUMBERS - 1;
     fits.then(|| era.0 * NUMBERS + offset + 1)
--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -17,7 +17,7 @@
     position::{Era, Position},
 };
 use cowsliproad_mapswitch::order::{
-    self, Aim, Directive, Epoch, Report, Standing,
+    self, Aim, Directive, Epoch, GroupState, Report,
 };
 use cowsliproad_platform::engine::State;
 use cowsliproad_routing::cooldown::Cooldown;
@@ -380,7 +380,7 @@
     }
 
     fn note_seal(&mut self, word: &Directive) {
-        if let Some(step) = order::seals(word) {
+        if let Some(step) = order::sealed_step(word) {
             self.sealed = Some((word.epoch, step));
         }
     }
@@ -399,7 +399,7 @@
         self.state.as_ref()?.report.as_ref()
     }
 
-    fn standing(&self) -> Option<(Epoch, Standing)> {
+    fn standing(&self) -> Option<(Epoch, GroupState)> {
         self.report().map(|it| (it.epoch, it.standing))
     }
 
--- a/cowsliproad-rank/src/agent/chair.rs
+++ b/cowsliproad-rank/src/agent/chair.rs
@@ -7,7 +7,7 @@
     clock::Millis,
     position::{Era, Position},
 };
-use cowsliproad_mapswitch::order::{Aim, Directive, Standing, fence};
+use cowsliproad_mapswitch::order::{Aim, Directive, GroupState, fence};
 use cowsliproad_platform::log::{COORDINATORS, Client};
 use slog::{Logger, info, warn};
 
@@ -39,7 +39,7 @@
         if let Some(record) = record {
             self.learn_era(record.era);
         }
-        let Some(fence) = record.and_then(fence::number) else {
+        let Some(fence) = record.and_then(fence::fencing_number) else {
             info!(self.log, "no_fencing_number"; "record" => ?record);
             return;
         };
@@ -62,7 +62,7 @@
     /// Whether the group is open and nobody has led it for too long.
     pub(super) fn misses_coordinator(&self, now: Millis) -> bool {
         let Some(report) = self.report() else { return false };
-        if report.standing == Standing::Broken || self.shape.is_none() {
+        if report.standing == GroupState::Broken || self.shape.is_none() {
             return false;
         }
         let busy = |it: &Directive| it.aim != Aim::Rest;
--- a/cowsliproad-rank/src/agent/orders.rs
+++ b/cowsliproad-rank/src/agent/orders.rs
@@ -5,7 +5,8 @@
 
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_mapswitch::order::{
-    self, Aim, Arms, Directive, Epoch, FARTHEST, Report, Seal, Verdict,
+    self, Aim, ArmOrders, Directive, Epoch, MAX_BOUNDARY_LEAD, OrderResult,
+    Report, SealStatus,
 };
 use cowsliproad_routing::cooldown::Cooldown;
 use slog::info;
@@ -31,7 +32,7 @@
         let plan = plan.filter(|it| it.epoch == word.epoch);
         let plan = plan.map(|it| (it.version, &it.experts));
         let Some(due) =
-            self.report().and_then(|it| order::due(&word, it, plan))
+            self.report().and_then(|it| order::next_order(&word, it, plan))
         else {
             return false;
         };
@@ -44,16 +45,16 @@
         let given = self.engine.order(&due, word.epoch, word.fence).await;
         let name = name(&due);
         match given {
-            Ok(Verdict::Taken) => {
+            Ok(OrderResult::Taken) => {
                 self.last.taken = Some((word, Millis::now()));
                 info!(self.log, "order_taken"; "order" => name,
                     "aim" => ?word.aim);
             }
-            Ok(Verdict::Unfit) => {
+            Ok(OrderResult::Unfit) => {
                 info!(self.log, "order_refused"; "order" => name,
                     "aim" => ?word.aim, "report" => ?self.report());
             }
-            Ok(Verdict::Fenced) => {
+            Ok(OrderResult::Fenced) => {
                 info!(self.log, "order_fenced"; "order" => name,
                     "fence" => word.fence);
                 self.word = None;
@@ -130,13 +131,13 @@
             }
             _ => None,
         };
-        let due = order::due(&word, &report, plan).or(again);
+        let due = order::next_order(&word, &report, plan).or(again);
         let mut fence = 0;
         if let Some(due) = due {
             match self.order_from_afar(&mut engine, target, &due, word).await {
-                Some(Verdict::Fenced) => return,
-                Some(Verdict::Taken) => fence = word.fence,
-                Some(Verdict::Unfit) | None => {}
+                Some(OrderResult::Fenced) => return,
+                Some(OrderResult::Taken) => fence = word.fence,
+                Some(OrderResult::Unfit) | None => {}
             }
         }
         let status = Status {
@@ -145,8 +146,8 @@
             plan: None,
             experts: None,
             pace: state.pace as f32,
-            arms: Arms::InDoubt,
-            seal: Seal::Unknown,
+            arms: ArmOrders::InDoubt,
+            seal: SealStatus::Unknown,
             report,
         };
         if let Some(lead) = &mut self.lead {
@@ -157,11 +158,12 @@
 
     /// Whether an *arm* of this agent, or of its process before this one, may
     /// still be carried out. Those for passes that were begun can't, and the
-    /// process before ordered none for passes farther than [`FARTHEST`] from
-    /// the first that this one saw. Without that bound a group whose
-    /// coordinator froze stood for 3.9 s: five agents had been restarted two
-    /// seconds before, and nothing could be called off for thirteen.
-    pub(super) fn arms(&self, report: &Report) -> Arms {
+    /// process before ordered none for passes farther than
+    /// [`MAX_BOUNDARY_LEAD`] from the first that this one saw. Without that
+    /// bound a group whose coordinator froze stood for 3.9 s: five agents had
+    /// been restarted two seconds before, and nothing could be called off for
+    /// thirteen.
+    pub(super) fn arms(&self, report: &Report) -> ArmOrders {
         let now = Millis::now();
         let recent = |at: Millis| now.since(at) < LATE_TIME;
         let open = self.last.unanswered_arm.is_some_and(|arm| {
@@ -170,23 +172,29 @@
                 && recent(arm.at)
         });
         let inherited = recent(self.begun) && self.inherits(report);
-        if open || inherited { Arms::InDoubt } else { Arms::Answered }
+        if open || inherited {
+            ArmOrders::InDoubt
+        } else {
+            ArmOrders::Answered
+        }
     }
 
     /// Whether the group is still at the passes that the process before this
     /// one had to do with.
     fn inherits(&self, report: &Report) -> bool {
         self.first.is_none_or(|(epoch, step)| {
-            epoch == report.epoch && report.step <= step + FARTHEST
+            epoch == report.epoch && report.step <= step + MAX_BOUNDARY_LEAD
         })
     }
 
     /// Whether it heard that the coordinator's rank arms, as far as it knows.
-    pub(super) fn seal(&self, report: &Report) -> Seal {
+    pub(super) fn seal(&self, report: &Report) -> SealStatus {
         match self.sealed {
-            Some((epoch, step)) if epoch == report.epoch => Seal::Heard(step),
-            _ if self.inherits(report) => Seal::Unknown,
-            _ => Seal::Unheard,
+            Some((epoch, step)) if epoch == report.epoch => {
+                SealStatus::Received(step)
+            }
+            _ if self.inherits(report) => SealStatus::Unknown,
+            _ => SealStatus::NotReceived,
         }
     }
 
@@ -247,12 +255,12 @@
         target: SocketAddr,
         due: &order::Order,
         word: Directive,
-    ) -> Option<Verdict> {
+    ) -> Option<OrderResult> {
         let given = engine.order(due, word.epoch, word.fence).await.ok();
         self.note_distant(target, word.epoch, engine);
         info!(self.log, "order_from_afar"; "order" => name(due),
             "aim" => ?word.aim, "target" => %target, "outcome" => ?given);
-        if given == Some(Verdict::Fenced) {
+        if given == Some(OrderResult::Fenced) {
             self.step_down(word.fence);
         }
         given
--- a/cowsliproad-rank/src/agent/words.rs
+++ b/cowsliproad-rank/src/agent/words.rs
@@ -6,7 +6,7 @@
     clock::Millis,
     gossip::{self, Datagram, Load, Lost},
 };
-use cowsliproad_mapswitch::order::{self, Aim, Standing};
+use cowsliproad_mapswitch::order::{self, Aim, GroupState};
 use slog::info;
 
 use super::{Agent, Ended, send};
@@ -39,7 +39,7 @@
             group: state.group.clone().unwrap_or_else(|| "".into()),
             epoch: report.map_or(0, |it| it.epoch.0),
             step: report.map_or(0, |it| it.step),
-            open: report.is_none_or(|it| it.standing == Standing::Open),
+            open: report.is_none_or(|it| it.standing == GroupState::Open),
             list: self.list(),
             start: state.start,
             leaving: self.engine.is_leaving(),
--- a/cowsliproad-rank/src/engine.rs
+++ b/cowsliproad-rank/src/engine.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use cowsliproad_kernel::clock::Millis;
-use cowsliproad_mapswitch::order::{Epoch, Order, Verdict};
+use cowsliproad_mapswitch::order::{Epoch, Order, OrderResult};
 use cowsliproad_net::{
     client::Error,
     retry_after::{self, RetryAfter},
@@ -97,7 +97,7 @@
         order: &Order,
         epoch: Epoch,
         fence: u64,
-    ) -> io::Result<Verdict> {
+    ) -> io::Result<OrderResult> {
         let request = engine::order(order, epoch, fence);
         let (status, _) = self.call_within(ORDER_TIME, request).await?;
         Ok(engine::verdict(status))
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -9,8 +9,8 @@
 
 use cowsliproad_kernel::{clock::Millis, gossip::Subscribe};
 use cowsliproad_mapswitch::order::{
-    Absent, Config, Coordinator, Directive, Event, Experts, Follows, Order,
-    Snapshot, Standing, Version, due_at_holder,
+    Config, Coordinator, Directive, Event, Experts, GroupState, MissingRanks,
+    ObeyedCoordinator, Order, Snapshot, Version, hold_order,
 };
 use cowsliproad_placement::{
     bound,
@@ -175,16 +175,16 @@
         let absent = self.absent(shape, now);
         let event = self.coordinator.advance(&snapshots, absent, now);
         self.note(event);
-        if absent != Absent::Nobody {
+        if absent != MissingRanks::None {
             return;
         }
         self.sample(now);
         self.drop_overtaken();
-        let is_open = |it: &Snapshot| it.report.standing == Standing::Open;
+        let is_open = |it: &Snapshot| it.report.standing == GroupState::Open;
         let open = snapshots.iter().all(is_open);
         let due = now.since(self.planned) >= PLAN_TIME;
         if let Some(shape) = shape
-            && self.coordinator.is_resting()
+            && self.coordinator.is_idle()
             && self.directive().epoch == snapshots[0].report.epoch
             && open
             && due
@@ -204,34 +204,34 @@
     /// What a status says. An agent that has not heard of this coordinator
     /// may yet do what another told it.
     fn snapshot(&self, status: &Status) -> Snapshot {
-        let follows = if status.fence >= self.fence() {
-            Follows::Us
+        let obeys = if status.fence >= self.fence() {
+            ObeyedCoordinator::This
         } else {
-            Follows::Another
+            ObeyedCoordinator::Another
         };
         let (report, seal) = (status.report.clone(), status.seal);
-        Snapshot { report, arms: status.arms, seal, follows }
+        Snapshot { report, arms: status.arms, seal, obeys }
     }
 
     /// Who of the group is missing among them.
-    fn absent(&self, shape: Option<&Subscribe>, now: Millis) -> Absent {
+    fn absent(&self, shape: Option<&Subscribe>, now: Millis) -> MissingRanks {
         let fresh = |it: &&(Status, Millis)| now.since(it.1) < FRESH;
         let fresh: Vec<&Status> =
             self.ranks.values().filter(fresh).map(|it| &it.0).collect();
         let ranks = fresh.first().map_or(0, |it| it.report.ranks);
         if ranks > 0 && fresh.len() == usize::from(ranks) {
-            return Absent::Nobody;
+            return MissingRanks::None;
         }
         let Some((vm, fence)) = self.predecessor else {
-            return Absent::Others;
+            return MissingRanks::Others;
         };
         let known =
             shape.is_some_and(|it| it.targets.iter().any(|it| it.ip() == vm));
         let only = fresh.len() + 1 == usize::from(ranks);
         if only && known && !fresh.iter().any(|it| it.agent.ip() == vm) {
-            Absent::Predecessor(fence)
+            MissingRanks::Predecessor(fence)
         } else {
-            Absent::Others
+            MissingRanks::Others
         }
     }
 
@@ -239,7 +239,7 @@
     pub fn hold(&self) -> Option<(IpAddr, Order)> {
         let word = self.directive();
         self.ranks.values().find_map(|(status, _)| {
-            let order = due_at_holder(&word, &status.report)?;
+            let order = hold_order(&word, &status.report)?;
             Some((status.agent.ip(), order))
         })
     }
@@ -251,14 +251,14 @@
                 info!(self.log, "map_changed"; "version" => version.0);
                 self.used = self.plan.clone();
             }
-            Event::GivenUp(version) => {
+            Event::Abandoned(version) => {
                 info!(self.log, "plan_given_up"; "version" => version.0);
                 self.drop_plan();
             }
-            Event::TakenUp(version) => {
+            Event::Resumed(version) => {
                 info!(self.log, "change_taken_up"; "version" => version.0);
             }
-            Event::CalledOff(version) => {
+            Event::Cancelled(version) => {
                 info!(self.log, "change_called_off"; "version" => version.0);
             }
             Event::Reset(epoch) => {
@@ -276,7 +276,7 @@
         if self.demand.shifted() < self.planned {
             return;
         }
-        if let Some(version) = self.coordinator.drop_plan() {
+        if let Some(version) = self.coordinator.abandon_plan() {
             info!(self.log, "plan_overtaken"; "version" => version.0);
             self.drop_plan();
         }
@@ -321,7 +321,7 @@
         let Some(plan) = plan else {
             return;
         };
-        let version = self.coordinator.begin(snapshots, now);
+        let version = self.coordinator.begin_plan(snapshots, now);
         let ideal = ideal_time(&loads, &speeds);
         let bound = bound::step_time(shape_of_map, &loads, &speeds) / ideal;
         info!(self.log, "map_planned"; "version" => version.0,
--- a/cowsliproad-rank/src/wire.rs
+++ b/cowsliproad-rank/src/wire.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 
 use cowsliproad_kernel::Name;
-use cowsliproad_mapswitch::order::{Arms, Directive, Report, Seal, Version};
+use cowsliproad_mapswitch::order::{
+    ArmOrders, Directive, Report, SealStatus, Version,
+};
 use serde::{Deserialize, Serialize};
 
 use crate::plan::Sheet;
@@ -51,10 +53,10 @@
     pub report: Report,
     /// What the agent vouches for beside it.
     #[serde(rename = "o")]
-    pub arms: Arms,
+    pub arms: ArmOrders,
     /// Whether it heard that the coordinator's rank arms.
     #[serde(rename = "l")]
-    pub seal: Seal,
+    pub seal: SealStatus,
     /// How many times as long as usual its engine's work takes.
     #[serde(rename = "t")]
     pub pace: f32,
@@ -74,8 +76,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct News {
     report: Report,
-    arms: Arms,
-    seal: Seal,
+    arms: ArmOrders,
+    seal: SealStatus,
     fence: u64,
     plan: Option<Version>,
 }
--- a/cowsliproad-rank/tests/lead.rs
+++ b/cowsliproad-rank/tests/lead.rs
@@ -2,7 +2,9 @@
 //! to it, and its word is what is looked at.
 
 use cowsliproad_kernel::{clock::Millis, gossip::Subscribe};
-use cowsliproad_mapswitch::order::{Aim, Arms, Epoch, Report, Seal, Version};
+use cowsliproad_mapswitch::order::{
+    Aim, ArmOrders, Epoch, Report, SealStatus, Version,
+};
 use cowsliproad_rank::{
     lead::{Lead, Start},
     wire::{Choices, Status},
@@ -63,8 +65,8 @@
             plan: None,
             experts: Some((Version(0), vec![dealt.collect()])),
             pace: 1.0,
-            arms: Arms::Answered,
-            seal: Seal::Unheard,
+            arms: ArmOrders::Answered,
+            seal: SealStatus::NotReceived,
             report,
         }
     }
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -145,7 +145,8 @@
 #[test]
 fn no_number_is_had_twice() {
     let (is_broken, worlds) = explore(|record, known| {
-        fence::is_unique(record, known).then(|| fence::number(record))?
+        fence::is_unique(record, known)
+            .then(|| fence::fencing_number(record))?
     });
     assert!(!is_broken);
     assert!(worlds > 10_000, "{worlds}");
@@ -159,15 +160,18 @@
 
 #[test]
 fn an_era_that_was_unknown_before_the_call_is_not_enough() {
-    assert!(explore(|record, _| fence::number(record)).0);
+    assert!(explore(|record, _| fence::fencing_number(record)).0);
 }
 
 #[test]
 fn numbers_that_ran_out_are_none() {
     let at = |era, offset| Position::new(Era(era), offset);
-    assert_eq!(fence::number(at(0, 0)), Some(1));
-    assert!(fence::number(at(1, 0)) > fence::number(at(0, 1_000_000)));
-    assert_eq!(fence::number(at(0, u64::MAX)), None);
-    assert_eq!(fence::number(at(u64::MAX, 0)), None);
-    assert_eq!(fence::number(at(0, 1 << 24)), None);
+    assert_eq!(fence::fencing_number(at(0, 0)), Some(1));
+    assert!(
+        fence::fencing_number(at(1, 0))
+            > fence::fencing_number(at(0, 1_000_000))
+    );
+    assert_eq!(fence::fencing_number(at(0, u64::MAX)), None);
+    assert_eq!(fence::fencing_number(at(u64::MAX, 0)), None);
+    assert_eq!(fence::fencing_number(at(0, 1 << 24)), None);
 }
--- a/tests/mapswitch/main.rs
+++ b/tests/mapswitch/main.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
 use cowsliproad::mapswitch::{
-    Generation, Member, Message, Proposal, Step, Version, Weights,
+    Generation, Member, Message, NextStep, Proposal, Version, Weights,
 };
 
 /// Steps that a member runs in a generation.
@@ -103,7 +103,7 @@
             return None;
         }
         let place = (member.generation(), member.step());
-        let map = member.run()?;
+        let map = member.run_step()?;
         let first = *next.used.entry(place).or_insert(map);
         assert_eq!(first, map, "two maps in step {place:?}: {self:?}");
         Some(next)
@@ -124,7 +124,7 @@
         if member.generation() == SECOND {
             return None;
         }
-        member.move_on(SECOND, OLD);
+        member.join_generation(SECOND, OLD);
         Some(next)
     }
 
@@ -136,7 +136,7 @@
     ) -> Option<World> {
         let mut next = self.clone();
         let member = next.members[rank].as_mut()?;
-        next.network.extend(member.take(message, weights));
+        next.network.extend(member.handle(message, weights));
         Some(next)
     }
 
@@ -218,7 +218,7 @@
     world = world.crash(2).expect("the first crash");
     let held = world.clone().run_fairly();
     let member = held.members[0].as_ref().expect("alive");
-    assert_eq!(member.next(), Step::Hold(PROPOSALS[0]));
+    assert_eq!(member.next_step(), NextStep::Hold(PROPOSALS[0]));
     for rank in 0..2 {
         world = world.renew(rank).expect("alive");
     }
@@ -230,9 +230,9 @@
 #[test]
 fn a_member_that_moved_on_takes_nothing_of_the_old_generation() {
     let mut member = Member::new(0, 3, FIRST, OLD);
-    member.move_on(SECOND, OLD);
+    member.join_generation(SECOND, OLD);
     let ask = Message::Ask(PROPOSALS[0]);
-    assert_eq!(member.take(ask, Weights::Loaded), None);
-    member.move_on(FIRST, Version(9));
+    assert_eq!(member.handle(ask, Weights::Loaded), None);
+    member.join_generation(FIRST, Version(9));
     assert_eq!(member.generation(), SECOND);
 }
--- a/tests/order/main.rs
+++ b/tests/order/main.rs
@@ -16,8 +16,9 @@
 use cowsliproad::{
     kernel::clock::Millis,
     mapswitch::order::{
-        self, Absent, Aim, Arms, Config, Coordinator, Directive, Epoch,
-        Follows, Order, Report, Seal, Snapshot, Standing, VERSIONS, Version,
+        self, Aim, ArmOrders, Config, Coordinator, Directive, Epoch,
+        GroupState, MissingRanks, ObeyedCoordinator, Order, Report,
+        SealStatus, Snapshot, VERSIONS_PER_COORDINATOR, Version,
     },
 };
 
@@ -29,7 +30,7 @@
 const SECOND: u16 = 0;
 
 /// The first map of the first coordinator.
-const FIRST_MAP: u64 = VERSIONS;
+const FIRST_MAP: u64 = VERSIONS_PER_COORDINATOR;
 
 /// Worlds that a scope may have; a larger one would take too long.
 const MAX_WORLDS: usize = 600_000;
@@ -138,13 +139,13 @@
         let report = |rank| Report::new(EPOCH, rank, RANKS);
         let snapshot = |rank| Snapshot {
             report: report(rank),
-            arms: Arms::Answered,
-            seal: Seal::Unheard,
-            follows: Follows::Us,
+            arms: ArmOrders::Answered,
+            seal: SealStatus::NotReceived,
+            obeys: ObeyedCoordinator::This,
         };
         let snapshots: Vec<Snapshot> = (0..RANKS).map(snapshot).collect();
-        first.coordinator.advance(&snapshots, Absent::Nobody, Millis(0));
-        first.coordinator.begin(&snapshots, Millis(0));
+        first.coordinator.advance(&snapshots, MissingRanks::None, Millis(0));
+        first.coordinator.begin_plan(&snapshots, Millis(0));
         World {
             step: 0,
             mixed: false,
@@ -165,7 +166,7 @@
             epoch: EPOCH,
             rank,
             ranks: RANKS,
-            standing: Standing::Open,
+            standing: GroupState::Open,
             step: self.step,
             map: Version(engine.map),
             prepared: engine.prepared.map(Version),
@@ -174,14 +175,14 @@
         }
     }
 
-    fn arms(&self, rank: u16) -> Arms {
+    fn arms(&self, rank: u16) -> ArmOrders {
         let step = self.agents[usize::from(rank)].unanswered;
-        if step > self.step { Arms::InDoubt } else { Arms::Answered }
+        if step > self.step { ArmOrders::InDoubt } else { ArmOrders::Answered }
     }
 
-    fn seal(&self, rank: u16) -> Seal {
+    fn seal(&self, rank: u16) -> SealStatus {
         let sealed = self.agents[usize::from(rank)].sealed;
-        sealed.map_or(Seal::Unheard, Seal::Heard)
+        sealed.map_or(SealStatus::NotReceived, SealStatus::Received)
     }
 
     fn is_out_of_reach(&self, rank: u16) -> bool {
@@ -270,7 +271,7 @@
             let mut world = self.clone();
             let agent = &mut world.agents[usize::from(rank)];
             agent.fence = word.fence;
-            agent.sealed = order::seals(&word).or(agent.sealed);
+            agent.sealed = order::sealed_step(&word).or(agent.sealed);
             // Other words give an agent nothing to do.
             agent.word = match word.aim {
                 Aim::Armed { .. }
@@ -293,7 +294,8 @@
             Aim::Prepared(version) => Some((version, &experts)),
             _ => None,
         };
-        let Some(due) = order::due(&word, &self.report(rank), plan) else {
+        let Some(due) = order::next_order(&word, &self.report(rank), plan)
+        else {
             return;
         };
         let due = plain(&due);
@@ -331,7 +333,7 @@
             report: self.report(rank),
             arms: self.arms(rank),
             seal: self.seal(rank),
-            follows: Follows::Another,
+            obeys: ObeyedCoordinator::Another,
         };
         for index in 0..self.chairs.len() {
             if index == 0 && self.frozen {
@@ -365,7 +367,7 @@
         };
         let all = snapshots.len() == usize::from(RANKS);
         if all {
-            self.look_at(index, &snapshots, Absent::Nobody, scope, worlds);
+            self.look_at(index, &snapshots, MissingRanks::None, scope, worlds);
         }
         // A successor may take its predecessor to be gone, rightly or not.
         let others: Vec<Snapshot> = snapshots
@@ -374,7 +376,7 @@
             .cloned()
             .collect();
         if index == 1 && others.len() + 1 == usize::from(RANKS) {
-            let absent = Absent::Predecessor(1);
+            let absent = MissingRanks::Predecessor(1);
             self.look_at(index, &others, absent, scope, worlds);
         }
     }
@@ -389,7 +391,7 @@
                 report: self.report(rank),
                 arms: self.arms(rank),
                 seal: self.seal(rank),
-                follows: follows(agent.fence, fence),
+                obeys: obeys(agent.fence, fence),
             }
         };
         in_reach.map(snapshot).collect()
@@ -399,7 +401,7 @@
         &self,
         index: usize,
         snapshots: &[Snapshot],
-        absent: Absent,
+        absent: MissingRanks,
         scope: &Scope,
         worlds: &mut Vec<World>,
     ) {
@@ -408,10 +410,10 @@
         coordinator.advance(snapshots, absent, Millis(0));
         let plans = index == 0
             && self.planned < scope.plans
-            && coordinator.is_resting()
+            && coordinator.is_idle()
             && coordinator.directive().epoch == EPOCH;
         if plans {
-            coordinator.begin(snapshots, Millis(0));
+            coordinator.begin_plan(snapshots, Millis(0));
             world.planned += 1;
         }
         if world != *self {
@@ -428,7 +430,7 @@
         let word = self.chairs[index].coordinator.directive();
         for rank in 0..RANKS {
             let report = self.report(rank);
-            let due = order::due_at_holder(&word, &report);
+            let due = order::hold_order(&word, &report);
             if let Some(due) = due
                 && !self.is_out_of_reach(rank)
             {
@@ -505,7 +507,7 @@
         let fence = self.coordinator.fence();
         let snapshot = |(snapshot, known): &(Snapshot, u64)| {
             let mut snapshot = snapshot.clone();
-            snapshot.follows = follows(*known, fence);
+            snapshot.obeys = obeys(*known, fence);
             snapshot
         };
         self.seen.values().map(snapshot).collect()
@@ -513,14 +515,18 @@
 }
 
 fn chair(fence: u64, rank: u16) -> Chair {
-    let config = Config::new().with_lead(2, 2);
+    let config = Config::new().with_boundary_lead(2, 2);
     let coordinator = Coordinator::new(config, fence, rank);
     Chair { coordinator, seen: BTreeMap::new() }
 }
 
 /// Whose word an agent that knows one fencing number obeys.
-fn follows(known: u64, fence: u64) -> Follows {
-    if known >= fence { Follows::Us } else { Follows::Another }
+fn obeys(known: u64, fence: u64) -> ObeyedCoordinator {
+    if known >= fence {
+        ObeyedCoordinator::This
+    } else {
+        ObeyedCoordinator::Another
+    }
 }
 
 fn plain(order: &Order) -> Plain {
@@ -631,30 +637,30 @@
 }
 
 /// What the successor of a frozen coordinator sees: all others are armed.
-fn left_by_a_frozen(seal: Seal) -> Vec<Snapshot> {
+fn left_by_a_frozen(seal: SealStatus) -> Vec<Snapshot> {
     let snapshot = |rank| Snapshot {
         report: Report {
             epoch: EPOCH,
             rank,
             ranks: RANKS,
-            standing: Standing::Open,
+            standing: GroupState::Open,
             step: 1,
             map: Version(0),
             prepared: Some(Version(FIRST_MAP)),
             armed: Some((Version(FIRST_MAP), 3)),
             held: (rank == SECOND).then_some(3),
         },
-        arms: Arms::Answered,
+        arms: ArmOrders::Answered,
         seal,
-        follows: Follows::Us,
+        obeys: ObeyedCoordinator::This,
     };
     (0..RANKS).filter(|it| *it != FIRST).map(snapshot).collect()
 }
 
-fn aim_of_a_successor(seal: Seal, predecessor: u64) -> Aim {
+fn aim_of_a_successor(seal: SealStatus, predecessor: u64) -> Aim {
     let mut successor = chair(2, SECOND).coordinator;
     let snapshots = left_by_a_frozen(seal);
-    let absent = Absent::Predecessor(predecessor);
+    let absent = MissingRanks::Predecessor(predecessor);
     for _ in 0..2 {
         successor.advance(&snapshots, absent, Millis(0));
     }
@@ -663,14 +669,14 @@
 
 #[test]
 fn a_change_whose_coordinator_froze_before_its_rank_armed_is_called_off() {
-    assert_eq!(aim_of_a_successor(Seal::Unheard, 1), Aim::Disarmed);
-    assert_eq!(aim_of_a_successor(Seal::Heard(2), 1), Aim::Disarmed);
+    assert_eq!(aim_of_a_successor(SealStatus::NotReceived, 1), Aim::Disarmed);
+    assert_eq!(aim_of_a_successor(SealStatus::Received(2), 1), Aim::Disarmed);
 }
 
 #[test]
 fn one_whose_coordinator_may_have_armed_is_waited_for() {
-    assert_eq!(aim_of_a_successor(Seal::Heard(3), 1), Aim::Rest);
-    assert_eq!(aim_of_a_successor(Seal::Unknown, 1), Aim::Rest);
+    assert_eq!(aim_of_a_successor(SealStatus::Received(3), 1), Aim::Rest);
+    assert_eq!(aim_of_a_successor(SealStatus::Unknown, 1), Aim::Rest);
     // That one had taken the change over from another.
-    assert_eq!(aim_of_a_successor(Seal::Unheard, 7), Aim::Rest);
+    assert_eq!(aim_of_a_successor(SealStatus::NotReceived, 7), Aim::Rest);
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -130,7 +130,7 @@
             boundary,
         };
         let ask = Message::Ask(proposal);
-        let answer = self.group[rank].take(ask, Weights::Loaded);
+        let answer = self.group[rank].handle(ask, Weights::Loaded);
         self.network.extend(answer);
         format!("{answer:?}")
     }
@@ -138,9 +138,9 @@
     /// `deliver rank=N`: a member gets all votes so far.
     fn deliver(&mut self, rank: usize) -> String {
         for message in self.network.clone() {
-            self.group[rank].take(message, Weights::Loaded);
+            self.group[rank].handle(message, Weights::Loaded);
         }
-        format!("{:?}", self.group[rank].next())
+        format!("{:?}", self.group[rank].next_step())
     }
 }
 
@@ -214,7 +214,7 @@
             }
             "step" => {
                 let rank = number(args.take_key("rank"), 0)?;
-                format!("{:?}", self.group[rank].run())
+                format!("{:?}", self.group[rank].run_step())
             }
             "deliver" => {
                 let rank = number(args.take_key("rank"), 0)?;
@@ -222,7 +222,7 @@
             }
             "renew" => {
                 let rank = number(args.take_key("rank"), 0)?;
-                self.group[rank].move_on(Generation(2), Version(0));
+                self.group[rank].join_generation(Generation(2), Version(0));
                 String::new()
             }
             other => return Err(format!("no command {other}").into()),
