--- a/cowsliproad-bench/src/experiment/pace/group.rs
+++ b/cowsliproad-bench/src/experiment/pace/group.rs
@@ -240,7 +240,7 @@
             own_then: vec![0.0; plant.entries],
             waiting: vec![VecDeque::new(); plant.entries],
             likes,
-            map: Map::dealt(plant.shape),
+            map: Map::round_robin(plant.shape),
             change: None,
             total: vec![vec![0; experts]; layers],
             demand: Demand::new(),
@@ -425,7 +425,7 @@
         let now = Millis(self.now as u64);
         if self.now - self.counted >= maps.count_ms {
             self.counted = self.now;
-            self.demand.add(now, self.total.clone());
+            self.demand.record(now, self.total.clone());
         }
         if stuck {
             self.change = None;
@@ -434,7 +434,7 @@
         let overtaken = |it: &Change| {
             maps.drops == Drops::Overtaken
                 && it.boundary.is_none()
-                && self.demand.shifted().0 as f64 > it.planned
+                && self.demand.shifted_at().0 as f64 > it.planned
         };
         if self.change.as_ref().is_some_and(overtaken) {
             self.change = None;
@@ -454,14 +454,14 @@
         let Some(loads) = self.demand.loads() else { return };
         let shape = self.plant.shape;
         let config = live::Config::new(self.plant.spare)
-            .with_burst(maps.burst)
-            .with_price(maps.price);
+            .with_max_new_per_rank(maps.burst)
+            .with_copy_cost(maps.price);
         let speeds = vec![1.0; shape.ranks];
         let plan = live::plan(shape, config, &self.map, &loads, &speeds);
         let Some(plan) = plan else { return };
         let most = (0..shape.ranks as u16).map(|rank| {
             let layers = self.map.layers.iter().zip(&plan.map.layers);
-            let news = layers.map(|(old, new)| old.missing_at(rank, new));
+            let news = layers.map(|(old, new)| old.added_at(rank, new));
             news.sum::<usize>()
         });
         let most = most.max().unwrap_or_default() as f64;
--- a/cowsliproad-bench/src/experiment/placement.rs
+++ b/cowsliproad-bench/src/experiment/placement.rs
@@ -243,10 +243,10 @@
         let truth = world.loads();
         let ideal = ideal_time(&truth, &world.speeds);
         score.skews.push(map.step_time(&truth, &world.speeds) / ideal);
-        let least = bound::step_time(shape, &truth, &world.speeds);
+        let least = bound::min_step_time(shape, &truth, &world.speeds);
         score.bounds.push(least / ideal);
         let counts = world.measured(&truth);
-        loads.add(&counts);
+        loads.record(&counts);
         for (old, new) in speeds.iter_mut().zip(world.measured_speeds()) {
             *old += (new - *old) * 0.3;
         }
@@ -268,7 +268,7 @@
     let mut map = pack::pack(shape, truth, speeds);
     let mut loads = Loads::new();
     for _ in 0..READY {
-        loads.add(truth);
+        loads.record(truth);
     }
     let config = Config::new().with_move_weight(0.0).with_threshold(0.0);
     for _ in 0..POLISH {
@@ -317,7 +317,7 @@
     for (old, new) in old.layers.iter().zip(&new.layers) {
         for (rank, loaded) in loaded.iter_mut().enumerate() {
             let held = new.held(rank as u16).iter();
-            *loaded += held.filter(|it| !old.has(rank as u16, **it)).count();
+            *loaded += held.filter(|it| !old.holds(rank as u16, **it)).count();
         }
     }
     let most = loaded.into_iter().max().unwrap_or(0) as f64;
--- a/cowsliproad-placement/src/bound.rs
+++ b/cowsliproad-placement/src/bound.rs
@@ -12,7 +12,7 @@
 const ROUNDS: usize = 50;
 
 /// A time of a step that no map can beat.
-pub fn step_time(shape: Shape, loads: &[Vec<f64>], speeds: &[f64]) -> f64 {
+pub fn min_step_time(shape: Shape, loads: &[Vec<f64>], speeds: &[f64]) -> f64 {
     loads.iter().map(|loads| layer(shape, loads, speeds)).sum()
 }
 
--- a/cowsliproad-placement/src/demand.rs
+++ b/cowsliproad-placement/src/demand.rs
@@ -2,7 +2,7 @@
 //!
 //! Ranks report how often their requests chose each expert since they
 //! started. The demand is what was added over the last moments: over
-//! [`LONG`] as long as it stays alike, so that chance averages out, and since
+//! [`MAX_WINDOW`] as long as it stays alike, so that chance averages out, and since
 //! the shift right after it shifted, so that a new demand counts at once.
 //!
 //! A shift is looked for in spans of several lengths. A large one shows in
@@ -16,14 +16,14 @@
 use cowsliproad_kernel::clock::Millis;
 
 /// The span that demand is taken over while it is steady.
-pub const LONG: Millis = Millis(2_000);
+pub const MAX_WINDOW: Millis = Millis(2_000);
 
 /// Spans that tell a shift, and the share of the demand that must have gone
 /// elsewhere in each. Where nothing shifted, counts of a tenth of a second
 /// differ by 0.2 at most from those of the seconds before, and those of a
 /// quarter by 0.13, as requests with other likes come and go; a shift of
 /// half of what is liked moves 0.33 and more.
-pub const SPANS: [(Millis, f64); 3] =
+pub const SHIFT_WINDOWS: [(Millis, f64); 3] =
     [(Millis(50), 0.3), (Millis(100), 0.25), (Millis(250), 0.15)];
 
 /// Counts by set and expert.
@@ -34,7 +34,7 @@
 pub struct Demand {
     samples: VecDeque<(Millis, Counts)>,
     /// Demand before this moment is of another kind.
-    shifted: Millis,
+    shifted_at: Millis,
 }
 
 impl Demand {
@@ -44,7 +44,7 @@
     }
 
     /// Takes the sums over all ranks in.
-    pub fn add(&mut self, now: Millis, counts: Counts) {
+    pub fn record(&mut self, now: Millis, counts: Counts) {
         if let Some((_, last)) = self.samples.back()
             && !grew(last, &counts)
         {
@@ -55,11 +55,13 @@
             return;
         }
         self.samples.push_back((now, counts));
-        while self.samples.len() > 2 && now.since(self.samples[1].0) >= LONG {
+        while self.samples.len() > 2
+            && now.since(self.samples[1].0) >= MAX_WINDOW
+        {
             self.samples.pop_front();
         }
         if let Some(at) = self.shift() {
-            self.shifted = at;
+            self.shifted_at = at;
         }
     }
 
@@ -73,8 +75,8 @@
     }
 
     /// When the demand last shifted; zero before it ever did.
-    pub fn shifted(&self) -> Millis {
-        self.shifted
+    pub fn shifted_at(&self) -> Millis {
+        self.shifted_at
     }
 
     /// When the demand shifted, if the newest counts show that it did.
@@ -90,7 +92,7 @@
             }
             (self.differs(split)? > least).then_some(split)
         };
-        let earliest = SPANS.iter().find_map(shows)?;
+        let earliest = SHIFT_WINDOWS.iter().find_map(shows)?;
         let splits = earliest..self.samples.len() - 1;
         let differs = |split: &usize| self.differs(*split).unwrap_or(0.0);
         let by_difference =
@@ -116,7 +118,7 @@
 
     /// The first sample of the present demand.
     fn first(&self) -> usize {
-        let since = |it: &(Millis, Counts)| it.0 >= self.shifted;
+        let since = |it: &(Millis, Counts)| it.0 >= self.shifted_at;
         self.samples.iter().position(since).unwrap_or(self.samples.len())
     }
 }
--- a/cowsliproad-placement/src/live.rs
+++ b/cowsliproad-placement/src/live.rs
@@ -11,7 +11,7 @@
 //!
 //! A rank copies one expert after the other, and the map waits for the rank
 //! with the most. Where a copy takes long, a map therefore brings each rank
-//! no more than [`Config::with_burst`] over all layers: the layer that is
+//! no more than [`Config::with_max_new_per_rank`] over all layers: the layer that is
 //! farthest from balance goes first, and the rest follows in the next map.
 //! On ranks that need 0.4 s for an expert, and a demand that moves every
 //! 4 s, the first map is in force after one copy rather than three.
@@ -44,17 +44,17 @@
     }
 
     /// At most so many new experts for a rank in all layers of one map.
-    pub fn with_burst(self, burst: usize) -> Config {
+    pub fn with_max_new_per_rank(self, burst: usize) -> Config {
         Config { burst, ..self }
     }
 
     /// What a copy costs, as a share of the mean load of a rank.
-    pub fn with_price(self, price: f64) -> Config {
+    pub fn with_copy_cost(self, price: f64) -> Config {
         Config { price, ..self }
     }
 
     /// What a layer has to save, as a share of its longest time.
-    pub fn with_threshold(self, threshold: f64) -> Config {
+    pub fn with_min_layer_saving(self, threshold: f64) -> Config {
         Config { threshold, ..self }
     }
 }
@@ -182,7 +182,7 @@
             return;
         };
         self.search.make(change, taken);
-        let copies = self.search.present.missing(&self.search.layer);
+        let copies = self.search.present.added_copies(&self.search.layer);
         let saving = self.before - self.search.longest();
         let worth = saving - self.price * self.mean * copies as f64;
         if worth > self.value {
--- a/cowsliproad-placement/src/live/search.rs
+++ b/cowsliproad-placement/src/live/search.rs
@@ -90,7 +90,7 @@
                 consider(self, drop, &mut best);
             }
             for to in ranks.clone() {
-                if to == from || self.layer.has(to, expert) {
+                if to == from || self.layer.holds(to, expert) {
                     continue;
                 }
                 if self.room(to, expert, taken) == 0 {
@@ -122,7 +122,7 @@
             if self.layer.hosts(other).len() > 1 {
                 consider(Kind::Copy, Some(other));
             }
-            let comes_back = !self.layer.has(from, other)
+            let comes_back = !self.layer.holds(from, other)
                 && self.room(from, other, taken) > 0;
             if comes_back {
                 consider(Kind::Swap, Some(other));
@@ -132,7 +132,7 @@
 
     /// How many more new experts a rank may get, if this one is new to it.
     fn room(&self, rank: Rank, expert: Expert, taken: &[usize]) -> usize {
-        if self.present.has(rank, expert) {
+        if self.present.holds(rank, expert) {
             return usize::MAX;
         }
         let here = self.spare.saturating_sub(self.news(rank));
@@ -141,7 +141,7 @@
 
     /// What is new to a rank in this layer.
     fn news(&self, rank: Rank) -> usize {
-        self.present.missing_at(rank, &self.layer)
+        self.present.added_at(rank, &self.layer)
     }
 
     /// By how much a change lowers the sum of powers.
--- a/cowsliproad-placement/src/load.rs
+++ b/cowsliproad-placement/src/load.rs
@@ -33,7 +33,7 @@
     }
 
     /// Takes the counts of an interval in.
-    pub fn add(&mut self, counts: &Counts) {
+    pub fn record(&mut self, counts: &Counts) {
         let half = &mut self.halves[(self.samples % 2) as usize];
         self.samples += 1;
         if half.is_empty() {
@@ -53,12 +53,12 @@
     }
 
     /// The average that a plan is made on: the fresher one.
-    pub fn fresh(&self) -> &Counts {
+    pub fn planning_average(&self) -> &Counts {
         &self.halves[((self.samples + 1) % 2) as usize]
     }
 
     /// The average that a plan is checked on.
-    pub fn check(&self) -> &Counts {
+    pub fn validation_average(&self) -> &Counts {
         &self.halves[(self.samples % 2) as usize]
     }
 
--- a/cowsliproad-placement/src/map.rs
+++ b/cowsliproad-placement/src/map.rs
@@ -60,13 +60,13 @@
     }
 
     /// Whether a rank holds an expert.
-    pub fn has(&self, rank: Rank, expert: Expert) -> bool {
+    pub fn holds(&self, rank: Rank, expert: Expert) -> bool {
         self.held(rank).contains(&expert)
     }
 
     /// Gives an expert to a rank that does not hold it.
     pub fn add(&mut self, rank: Rank, expert: Expert) {
-        debug_assert!(!self.has(rank, expert));
+        debug_assert!(!self.holds(rank, expert));
         self.held[usize::from(rank)].push(expert);
         self.hosts[usize::from(expert)].push(rank);
     }
@@ -78,10 +78,10 @@
     }
 
     /// The time that each rank needs.
-    pub fn times(&self, loads: &[f64], speeds: &[f64]) -> Vec<f64> {
+    pub fn rank_times(&self, loads: &[f64], speeds: &[f64]) -> Vec<f64> {
         let mut times = vec![0.0; self.held.len()];
         for (expert, hosts) in self.hosts.iter().enumerate() {
-            let each = share(loads[expert], hosts, speeds);
+            let each = time_per_host(loads[expert], hosts, speeds);
             for host in hosts {
                 times[usize::from(*host)] += each;
             }
@@ -90,20 +90,20 @@
     }
 
     /// The time that the slowest rank needs.
-    pub fn longest(&self, loads: &[f64], speeds: &[f64]) -> f64 {
-        self.times(loads, speeds).into_iter().fold(0.0, f64::max)
+    pub fn slowest_time(&self, loads: &[f64], speeds: &[f64]) -> f64 {
+        self.rank_times(loads, speeds).into_iter().fold(0.0, f64::max)
     }
 
     /// Copies that `other` has and this layer hasn't.
-    pub fn missing(&self, other: &Layer) -> usize {
+    pub fn added_copies(&self, other: &Layer) -> usize {
         let ranks = 0..self.held.len() as Rank;
-        ranks.map(|rank| self.missing_at(rank, other)).sum()
+        ranks.map(|rank| self.added_at(rank, other)).sum()
     }
 
     /// Those of one rank.
-    pub fn missing_at(&self, rank: Rank, other: &Layer) -> usize {
+    pub fn added_at(&self, rank: Rank, other: &Layer) -> usize {
         let theirs = other.held(rank).iter();
-        theirs.filter(|it| !self.has(rank, **it)).count()
+        theirs.filter(|it| !self.holds(rank, **it)).count()
     }
 
     /// Whether each expert is held and no rank holds too many.
@@ -120,7 +120,7 @@
 impl Map {
     /// The map in which experts are dealt to ranks in turn, with nothing held
     /// twice.
-    pub fn dealt(shape: Shape) -> Map {
+    pub fn round_robin(shape: Shape) -> Map {
         let mut layer = Layer::new(shape);
         for expert in 0..shape.experts {
             layer.add((expert % shape.ranks) as Rank, expert as Expert);
@@ -143,7 +143,7 @@
                     if rank >= shape.ranks || !known {
                         return None;
                     }
-                    if !layer.has(rank as Rank, expert) {
+                    if !layer.holds(rank as Rank, expert) {
                         layer.add(rank as Rank, expert);
                     }
                 }
@@ -164,19 +164,19 @@
     /// The time of a step: each layer waits for its slowest rank.
     pub fn step_time(&self, loads: &[Vec<f64>], speeds: &[f64]) -> f64 {
         let layers = self.layers.iter().zip(loads);
-        layers.map(|(layer, loads)| layer.longest(loads, speeds)).sum()
+        layers.map(|(layer, loads)| layer.slowest_time(loads, speeds)).sum()
     }
 
     /// Copies to be moved to come from this map to another.
     pub fn moves_to(&self, other: &Map) -> usize {
         let pairs = self.layers.iter().zip(&other.layers);
-        pairs.map(|(own, theirs)| own.missing(theirs)).sum()
+        pairs.map(|(own, theirs)| own.added_copies(theirs)).sum()
     }
 }
 
 /// The time that an expert costs each of its hosts: its tokens go to them
 /// in proportion to their speed, so all need equally long.
-pub fn share(load: f64, hosts: &[Rank], speeds: &[f64]) -> f64 {
+pub fn time_per_host(load: f64, hosts: &[Rank], speeds: &[f64]) -> f64 {
     let speed: f64 = hosts.iter().map(|it| speeds[usize::from(*it)]).sum();
     load / speed
 }
--- a/cowsliproad-placement/src/pack.rs
+++ b/cowsliproad-placement/src/pack.rs
@@ -7,12 +7,12 @@
 
 /// Packs every layer.
 pub fn pack(shape: Shape, loads: &[Vec<f64>], speeds: &[f64]) -> Map {
-    let layers = loads.iter().map(|loads| layer(shape, loads, speeds));
+    let layers = loads.iter().map(|loads| pack_layer(shape, loads, speeds));
     Map { layers: layers.collect() }
 }
 
 /// Packs one layer.
-pub fn layer(shape: Shape, loads: &[f64], speeds: &[f64]) -> Layer {
+pub fn pack_layer(shape: Shape, loads: &[f64], speeds: &[f64]) -> Layer {
     let copies = copies(shape, loads);
     let mut order: Vec<(f64, Expert)> = Vec::new();
     for (expert, count) in copies.iter().enumerate() {
@@ -27,7 +27,7 @@
     for (weight, expert) in order {
         let free = (0..shape.ranks).filter(|rank| {
             let rank = *rank as Rank;
-            layer.held(rank).len() < shape.slots && !layer.has(rank, expert)
+            layer.held(rank).len() < shape.slots && !layer.holds(rank, expert)
         });
         let at = |rank: usize| (done[rank] + weight) / speeds[rank];
         let best = free.min_by(|a, b| at(*a).total_cmp(&at(*b)));
--- a/cowsliproad-placement/src/plan.rs
+++ b/cowsliproad-placement/src/plan.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     load::Loads,
-    map::{Expert, Layer, Map, Rank, Shape, share},
+    map::{Expert, Layer, Map, Rank, Shape, time_per_host},
 };
 
 /// What a group's operators weigh.
@@ -22,7 +22,7 @@
 pub struct Config {
     skew_weight: f64,
     move_weight: f64,
-    most_moves: usize,
+    max_moves: usize,
     threshold: f64,
 }
 
@@ -32,7 +32,7 @@
         Config {
             skew_weight: 1.0,
             move_weight: 1.0,
-            most_moves: usize::MAX,
+            max_moves: usize::MAX,
             threshold: 0.02,
         }
     }
@@ -49,8 +49,8 @@
 
     /// Copies that one plan may move, from the bytes a second that leave
     /// serving alone.
-    pub fn with_most_moves(self, most_moves: usize) -> Config {
-        Config { most_moves, ..self }
+    pub fn with_max_moves(self, max_moves: usize) -> Config {
+        Config { max_moves, ..self }
     }
 
     /// The share of a layer's time that a plan has to save in it.
@@ -109,7 +109,8 @@
         / config.skew_weight.max(f64::MIN_POSITIVE);
     let mut changes: Vec<Change> = (0..shape.layers)
         .filter_map(|index| {
-            let (fresh, check) = (loads.fresh(), loads.check());
+            let (fresh, check) =
+                (loads.planning_average(), loads.validation_average());
             let layer = &present.layers[index];
             improve(
                 layer,
@@ -126,7 +127,7 @@
     let mut map = present.clone();
     let (mut moves, mut saving) = (0, 0.0);
     for change in changes {
-        if moves + change.moves > config.most_moves {
+        if moves + change.moves > config.max_moves {
             continue;
         }
         moves += change.moves;
@@ -158,18 +159,18 @@
     price: f64,
     config: &Config,
 ) -> Option<Change> {
-    let before = present.longest(fresh, speeds);
+    let before = present.slowest_time(fresh, speeds);
     let mut layer = present.clone();
-    let mut times = layer.times(fresh, speeds);
+    let mut times = layer.rank_times(fresh, speeds);
     let mut best: Option<(f64, Change)> = None;
     let tries = (present.ranks() * 3 / 2).clamp(TRIES.0, TRIES.1);
     for _ in 0..tries {
         let Some(step) = relieve(&layer, &times, fresh, speeds) else { break };
         step.make(&mut layer);
-        times = layer.times(fresh, speeds);
+        times = layer.rank_times(fresh, speeds);
         let after = times.iter().copied().fold(0.0, f64::max);
         let saving = before - after;
-        let moves = present.missing(&layer);
+        let moves = present.added_copies(&layer);
         let value = saving - price * moves as f64;
         if value > best.as_ref().map_or(0.0, |it| it.0) {
             let layer = layer.clone();
@@ -180,8 +181,8 @@
     let (_, change) = best?;
     // The other half had no say in the choice, so what noise made look good
     // looks no better there.
-    let before = present.longest(check, speeds);
-    let saving = before - change.layer.longest(check, speeds);
+    let before = present.slowest_time(check, speeds);
+    let saving = before - change.layer.slowest_time(check, speeds);
     let saving = saving.min(change.saving);
     let pays = saving > price * change.moves as f64;
     let enough = saving > config.threshold * before;
@@ -244,7 +245,7 @@
     let mut best: Option<(f64, Step)> = None;
     for &expert in layer.held(slowest) {
         for &to in quick {
-            if to == slowest || layer.has(to, expert) {
+            if to == slowest || layer.holds(to, expert) {
                 continue;
             }
             for step in scene.steps(slowest, expert, to) {
@@ -288,7 +289,7 @@
             if self.layer.hosts(other).len() > 1 {
                 steps.push(Step::Copy { expert, to, other });
             }
-            if !self.layer.has(from, other) {
+            if !self.layer.holds(from, other) {
                 steps.push(Step::Swap { from, expert, to, other });
             }
         }
@@ -303,7 +304,7 @@
         let spare = held.filter(|it| layer.hosts(**it).len() > 1);
         let light = || {
             let held = quick.iter().flat_map(|rank| layer.held(*rank));
-            held.filter(|it| !layer.has(slowest, **it))
+            held.filter(|it| !layer.holds(slowest, **it))
         };
         spare
             .flat_map(|&other| {
@@ -350,7 +351,7 @@
                 }
                 let mut time =
                     self.times[usize::from(host)] + other_new - other_old;
-                if self.layer.has(host, expert) {
+                if self.layer.holds(host, expert) {
                     time += new - old;
                 }
                 longest = longest.max(time);
@@ -358,7 +359,7 @@
         }
         for &host in self.layer.hosts(expert) {
             let shared =
-                other.is_some_and(|other| self.layer.has(host, other));
+                other.is_some_and(|other| self.layer.holds(host, other));
             let extra = if shared { other_new - other_old } else { 0.0 };
             let time = self.times[usize::from(host)] + new - old + extra;
             longest = longest.max(time);
@@ -390,7 +391,7 @@
         let hosts = self.layer.hosts(expert);
         let load = self.loads[usize::from(expert)];
         if added.is_empty() && out.is_none() {
-            return share(load, hosts, self.speeds);
+            return time_per_host(load, hosts, self.speeds);
         }
         let speed = |rank: &Rank| self.speeds[usize::from(*rank)];
         let stay = hosts.iter().filter(|it| Some(**it) != out);
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -273,7 +273,7 @@
     /// for it. Its copies would be waited for, and its map be out of date when
     /// it comes.
     fn drop_overtaken(&mut self) {
-        if self.demand.shifted() < self.planned {
+        if self.demand.shifted_at() < self.planned {
             return;
         }
         if let Some(version) = self.coordinator.abandon_plan() {
@@ -293,7 +293,7 @@
             return;
         }
         self.sampled = now;
-        self.demand.add(now, self.total.clone());
+        self.demand.record(now, self.total.clone());
     }
 
     /// Begins a better map if there is one.
@@ -314,8 +314,8 @@
             return;
         };
         let config = live::Config::new(usize::from(shape.spare))
-            .with_burst(burst(Millis(shape.copy_ms)))
-            .with_price(self.price);
+            .with_max_new_per_rank(burst(Millis(shape.copy_ms)))
+            .with_copy_cost(self.price);
         let speeds: Vec<f64> = self.ranks.values().map(speed).collect();
         let plan = live::plan(shape_of_map, config, &present, &loads, &speeds);
         let Some(plan) = plan else {
@@ -323,7 +323,8 @@
         };
         let version = self.coordinator.begin_plan(snapshots, now);
         let ideal = ideal_time(&loads, &speeds);
-        let bound = bound::step_time(shape_of_map, &loads, &speeds) / ideal;
+        let bound =
+            bound::min_step_time(shape_of_map, &loads, &speeds) / ideal;
         info!(self.log, "map_planned"; "version" => version.0,
             "skew" => format!("{:.3}", plan.before),
             "expected" => format!("{:.3}", plan.after),
--- a/tests/properties/live.rs
+++ b/tests/properties/live.rs
@@ -4,7 +4,7 @@
 use cowsliproad::{
     kernel::clock::Millis,
     placement::{
-        demand::{Demand, LONG, SPANS},
+        demand::{Demand, MAX_WINDOW, SHIFT_WINDOWS},
         live::{self, Config},
         map::{Map, Shape},
     },
@@ -35,7 +35,7 @@
         assert!(new.is_valid(SHAPE));
         for rank in 0..SHAPE.ranks as u16 {
             let fresh =
-                new.held(rank).iter().filter(|it| !old.has(rank, **it));
+                new.held(rank).iter().filter(|it| !old.holds(rank, **it));
             assert!(fresh.count() <= SPARE, "too many new at rank {rank}");
         }
     }
@@ -44,7 +44,7 @@
 #[test]
 fn three_maps_bring_the_first_map_near_balance() {
     let (loads, speeds) = (liked(0), vec![1.0; SHAPE.ranks]);
-    let mut map = Map::dealt(SHAPE);
+    let mut map = Map::round_robin(SHAPE);
     assert!(skew(&map, &loads, &speeds) > 2.5);
     for _ in 0..3 {
         let plan =
@@ -60,7 +60,7 @@
 fn a_slow_rank_is_relieved_of_its_experts() {
     let loads = liked(0);
     let mut speeds = vec![1.0; SHAPE.ranks];
-    let mut map = Map::dealt(SHAPE);
+    let mut map = Map::round_robin(SHAPE);
     for _ in 0..3 {
         let config = Config::new(SPARE);
         if let Some(plan) = live::plan(SHAPE, config, &map, &loads, &speeds) {
@@ -84,7 +84,7 @@
 fn an_even_demand_moves_nothing() {
     let loads = vec![vec![100.0; SHAPE.experts]; SHAPE.layers];
     let speeds = vec![1.0; SHAPE.ranks];
-    let map = Map::dealt(SHAPE);
+    let map = Map::round_robin(SHAPE);
     let plan = live::plan(SHAPE, Config::new(SPARE), &map, &loads, &speeds);
     assert!(plan.is_none());
 }
@@ -95,7 +95,7 @@
     let at = |rank: u16| {
         layers().map(move |(old, new)| {
             let held = new.held(rank).iter();
-            held.filter(|it| !old.has(rank, **it)).count()
+            held.filter(|it| !old.holds(rank, **it)).count()
         })
     };
     (0..SHAPE.ranks as u16).map(|rank| at(rank).sum()).collect()
@@ -107,10 +107,10 @@
 #[test]
 fn a_map_waits_for_one_copy_at_each_rank_where_copies_take_long() {
     let (loads, speeds) = (liked(0), vec![1.0; SHAPE.ranks]);
-    let mut map = Map::dealt(SHAPE);
+    let mut map = Map::round_robin(SHAPE);
     let mut skews = vec![skew(&map, &loads, &speeds)];
     for _ in 0..6 {
-        let config = Config::new(SPARE).with_burst(1);
+        let config = Config::new(SPARE).with_max_new_per_rank(1);
         let plan = live::plan(SHAPE, config, &map, &loads, &speeds);
         let Some(plan) = plan else { break };
         check_step(&map, &plan.map);
@@ -136,9 +136,9 @@
         for (loads, times) in &likes {
             add(&mut total, &counts(loads, *times));
         }
-        demand.add(Millis(1_000 + 50 * round), total.clone());
+        demand.record(Millis(1_000 + 50 * round), total.clone());
     }
-    assert_eq!(demand.shifted(), Millis(0));
+    assert_eq!(demand.shifted_at(), Millis(0));
 }
 
 #[test]
@@ -149,13 +149,13 @@
         let now = Millis(1_000 + 50 * round);
         let loads = if round <= 40 { liked(0) } else { liked(20) };
         add(&mut total, &counts(&loads, 10));
-        demand.add(now, total.clone());
+        demand.record(now, total.clone());
         if round <= 40 {
-            assert_eq!(demand.shifted(), Millis(0));
+            assert_eq!(demand.shifted_at(), Millis(0));
         }
     }
     // What was counted before it is not planned for any more.
-    assert_eq!(demand.shifted(), Millis(1_000 + 50 * 40));
+    assert_eq!(demand.shifted_at(), Millis(1_000 + 50 * 40));
 }
 
 fn add(total: &mut [Vec<u64>], new: &[Vec<u64>]) {
@@ -178,12 +178,12 @@
     let mut demand = Demand::new();
     let mut total = counts(&before, 0);
     let mut now = Millis(0);
-    let step = Millis(SPANS[0].0.0 / 2);
+    let step = Millis(SHIFT_WINDOWS[0].0.0 / 2);
     let mut grow = |demand: &mut Demand, loads: &[Vec<f64>], now: Millis| {
         add(&mut total, &counts(loads, 1));
-        demand.add(now, total.clone());
+        demand.record(now, total.clone());
     };
-    while now < LONG {
+    while now < MAX_WINDOW {
         grow(&mut demand, &before, now);
         now = now + step;
     }
@@ -193,7 +193,7 @@
     }
     let seen = demand.loads().expect("there are counts");
     let speeds = vec![1.0; SHAPE.ranks];
-    let mut map = Map::dealt(SHAPE);
+    let mut map = Map::round_robin(SHAPE);
     for _ in 0..3 {
         let config = Config::new(SPARE);
         if let Some(plan) = live::plan(SHAPE, config, &map, &seen, &speeds) {
@@ -218,12 +218,12 @@
         for rank in slow {
             speeds[rank] = 0.2;
         }
-        let mut map = Map::dealt(SHAPE);
+        let mut map = Map::round_robin(SHAPE);
         for turn in turns {
             // Each layer likes others.
             let layer = |it| liked(turn + 13 * it).swap_remove(0);
             let loads: Vec<_> = (0..SHAPE.layers).map(layer).collect();
-            let config = Config::new(SPARE).with_burst(burst);
+            let config = Config::new(SPARE).with_max_new_per_rank(burst);
             let plan = live::plan(SHAPE, config, &map, &loads, &speeds);
             let Some(plan) = plan else { continue };
             check_step(&map, &plan.map);
--- a/tests/properties/placement.rs
+++ b/tests/properties/placement.rs
@@ -28,7 +28,7 @@
 fn loads(counts: &[Counts]) -> Loads {
     let mut loads = Loads::new();
     for counts in counts {
-        loads.add(counts);
+        loads.record(counts);
     }
     loads
 }
@@ -46,7 +46,7 @@
         let map = pack::pack(SHAPE, &counts, &speeds);
         prop_assert!(is_valid(&map));
         let time = map.step_time(&counts, &speeds);
-        let least = bound::step_time(SHAPE, &counts, &speeds);
+        let least = bound::min_step_time(SHAPE, &counts, &speeds);
         prop_assert!(time >= least * 0.999_999, "{time} {least}");
         prop_assert!(least >= ideal_time(&counts, &speeds) * 0.999_999);
     }
@@ -60,7 +60,7 @@
         let present = pack::pack(SHAPE, &counts(seed), &speeds);
         let now = counts(seed ^ 1);
         let loads = loads(&vec![now.clone(); 6]);
-        let config = Config::new().with_most_moves(most_moves);
+        let config = Config::new().with_max_moves(most_moves);
         if let Some(plan) =
             plan::plan(SHAPE, config, &present, &loads, &speeds)
         {
@@ -83,7 +83,7 @@
             for count in noisy.iter_mut().flatten() {
                 *count *= random.random_range(0.97..1.03);
             }
-            loads.add(&noisy);
+            loads.record(&noisy);
             let config = Config::new();
             let plan =
                 plan::plan(SHAPE, config, &present, &loads, &speeds);
