--- a/cowsliproad-mapswitch/src/lib.rs
+++ b/cowsliproad-mapswitch/src/lib.rs
@@ -1,31 +1,33 @@
-//! How all ranks of a group change to a new expert map in the same step.
+//! Switches all ranks of a group to a new expert map in the same step.
 //!
-//! The coordinator proposes a map with the step from which it is to be used,
-//! the boundary. A [`Member`] votes once for each proposal, and its vote is
-//! for good:
+//! The coordinator proposes a map together with its boundary, the first step
+//! that uses the map. A [`Member`] votes once on each proposal, and the vote
+//! is final:
 //!
-//! * yes only while it has not reached the boundary and has the map's
-//!   weights, and from then on it holds at the boundary until it knows the
-//!   verdict;
-//! * no in every other case, also when it is asked about a proposal that it
-//!   has not heard of.
+//! * yes only while the member has not reached the boundary and has loaded
+//!   the map's weights; from then on it holds at the boundary until it knows
+//!   the decision;
+//! * no in every other case, also when another member asks for a vote on a
+//!   proposal that this one has not received.
 //!
-//! The verdict is "commit" exactly when all members voted yes. It follows
-//! from the votes alone, so any member can establish it by asking the
-//! others, and the coordinator is not needed after it has proposed. No two
-//! members can use different maps in a step: if one uses the new map, all
-//! voted yes, so every other holds at the boundary until it learns the same.
+//! The decision is "commit" exactly when all members voted yes. It follows
+//! from the votes alone, so any member can establish it by asking the other
+//! members, and the coordinator is not needed after it has proposed. No two
+//! members can use different maps in one step: if one member uses the new
+//! map, all voted yes, so every other member holds at the boundary until it
+//! learns the same decision.
 //!
-//! A member that died leaves those that voted yes holding. They are freed by
-//! a new generation, which comes through the platform's log and whose number
-//! is the offset of its record. Steps belong to a generation; a member that
-//! has moved on takes no message of the old one, so a paused member or
-//! coordinator of it can do no harm.
+//! When a member crashes, the members that voted yes keep holding. A new
+//! generation releases them: it is announced through the platform's log, and
+//! its number is the offset of its log record. Steps belong to a generation.
+//! A member that has joined a newer generation ignores messages of the old
+//! one, so a paused member or coordinator of the old generation can do no
+//! harm.
 //!
-//! Weighed and not chosen: a coordinator's word (two maps when it dies
-//! between two members), a lease on coordination (it can lapse while its
-//! holder is paused), and a quorum (a member outside it would go on with the
-//! old map).
+//! Rejected alternatives: a decision by the coordinator (two maps if it
+//! crashes between notifying two members), a coordinator lease (it can expire
+//! while its holder is paused), and a quorum (a member outside the quorum
+//! would continue with the old map).
 
 #![forbid(unsafe_code)]
 
@@ -35,14 +37,15 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The place of a member in its group.
+/// The index of a member within its group.
 pub type Rank = u8;
 
-/// A generation: the offset of the log record that made it.
+/// A generation of a group, numbered by the offset of the log record that
+/// started it.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Generation(pub u64);
 
-/// An expert map, named by whoever planned it.
+/// The version number of an expert map, assigned by its planner.
 #[derive(
     Clone,
     Copy,
@@ -57,69 +60,72 @@
 )]
 pub struct Version(pub u64);
 
-/// A proposal to change maps.
+/// A proposal to switch a group to a new expert map.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Proposal {
-    /// The generation that it is for.
+    /// The generation for which the proposal is valid.
     pub generation: Generation,
-    /// The map that it replaces.
+    /// The version of the map to be replaced.
     pub base: Version,
-    /// The new map.
+    /// The version of the new map.
     pub version: Version,
-    /// The first step of the new map.
+    /// The first step that uses the new map.
     pub boundary: u64,
 }
 
-/// A vote.
+/// A member's final vote on a proposal.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Vote {
-    /// The member will use the new map from the boundary if all do.
+    /// The member will use the new map from the boundary on if all members
+    /// vote yes.
     Yes,
-    /// It never will.
+    /// The member will never use the proposed map.
     No,
 }
 
-/// What members say to one another.
+/// A message between members of a group.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Message {
-    /// Vote on this.
+    /// Asks the receiver to vote on a proposal.
     Ask(Proposal),
-    /// A member's vote.
+    /// Tells the receiver how a member voted.
     Cast(Proposal, Rank, Vote),
 }
 
-/// Whether the weights of a proposed map are loaded.
+/// Whether a member has loaded the weights of a proposed map.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Weights {
-    /// Beside the old ones, ready for use.
+    /// The new weights are ready for use, beside the old ones.
     Loaded,
-    /// Not, or not in time.
+    /// The new weights are not loaded, or were not loaded in time.
     Missing,
 }
 
-/// Whether the next step can be run.
+/// Whether a member can run its next step.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NextStep {
-    /// With this map.
+    /// The step can run with this map.
     Run(Version),
-    /// Not before the verdict on this proposal is known.
+    /// The step must wait until the decision on this proposal is known.
     Hold(Proposal),
 }
 
-/// One member of a group in one generation.
+/// The voting state of one member of a group in one generation.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Member {
     rank: Rank,
-    ranks: Rank,
+    rank_count: Rank,
     generation: Generation,
     map: Version,
     step: u64,
-    /// Own votes, which are for good.
-    cast: BTreeMap<Proposal, Vote>,
-    /// What is known of all votes on the proposal that it voted yes on.
-    pending: Option<Ballot>,
+    /// The member's own votes, which are final.
+    votes_cast: BTreeMap<Proposal, Vote>,
+    /// The votes received so far on the undecided proposal for which this
+    /// member voted yes.
+    undecided: Option<Ballot>,
 }
 
+/// The votes received on one proposal, by rank.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 struct Ballot {
     proposal: Proposal,
@@ -127,42 +133,42 @@
 }
 
 impl Member {
-    /// A member at the first step of a generation.
+    /// Creates a member at the first step of a generation.
     pub fn new(
         rank: Rank,
-        ranks: Rank,
+        rank_count: Rank,
         generation: Generation,
         map: Version,
     ) -> Member {
         Member {
             rank,
-            ranks,
+            rank_count,
             generation,
             map,
             step: 0,
-            cast: BTreeMap::new(),
-            pending: None,
+            votes_cast: BTreeMap::new(),
+            undecided: None,
         }
     }
 
-    /// Its generation.
+    /// The member's current generation.
     pub fn generation(&self) -> Generation {
         self.generation
     }
 
-    /// The number of its next step.
+    /// The number of the member's next step.
     pub fn step(&self) -> u64 {
         self.step
     }
 
-    /// The map in use.
+    /// The version of the map in use.
     pub fn map(&self) -> Version {
         self.map
     }
 
-    /// Whether and with which map the next step can be run.
+    /// Returns whether the next step can run, and with which map.
     pub fn next_step(&self) -> NextStep {
-        match &self.pending {
+        match &self.undecided {
             Some(ballot) if self.step >= ballot.proposal.boundary => {
                 NextStep::Hold(ballot.proposal)
             }
@@ -170,41 +176,42 @@
         }
     }
 
-    /// Runs the next step, unless it has to hold.
+    /// Runs the next step and returns its map, or `None` if the member must
+    /// hold.
     pub fn run_step(&mut self) -> Option<Version> {
         match self.next_step() {
             NextStep::Run(map) => {
                 self.step += 1;
-                // A verdict that is known already takes effect here.
-                self.settle();
+                // A decision made before the boundary takes effect at it.
+                self.apply_decision();
                 Some(map)
             }
             NextStep::Hold(_) => None,
         }
     }
 
-    /// Votes on a proposal, or repeats the vote.
+    /// Votes on a proposal, or repeats an earlier vote on it.
     pub fn vote(&mut self, proposal: Proposal, weights: Weights) -> Vote {
-        if let Some(vote) = self.cast.get(&proposal) {
+        if let Some(vote) = self.votes_cast.get(&proposal) {
             return *vote;
         }
-        let fits = proposal.generation == self.generation
+        let acceptable = proposal.generation == self.generation
             && proposal.base == self.map
             && self.step < proposal.boundary
-            && self.pending.is_none()
+            && self.undecided.is_none()
             && weights == Weights::Loaded;
-        let vote = if fits { Vote::Yes } else { Vote::No };
-        self.forget_lapsed();
-        self.cast.insert(proposal, vote);
+        let vote = if acceptable { Vote::Yes } else { Vote::No };
+        self.drop_expired_no_votes();
+        self.votes_cast.insert(proposal, vote);
         if vote == Vote::Yes {
             let votes = BTreeMap::from([(self.rank, vote)]);
-            self.pending = Some(Ballot { proposal, votes });
-            self.settle();
+            self.undecided = Some(Ballot { proposal, votes });
+            self.apply_decision();
         }
         vote
     }
 
-    /// Takes a message in; the answer, if any, goes to all members.
+    /// Handles a message. The reply, if any, is to be sent to all members.
     pub fn handle(
         &mut self,
         message: Message,
@@ -219,53 +226,56 @@
                 Some(Message::Cast(proposal, self.rank, vote))
             }
             Message::Cast(proposal, rank, vote) => {
-                if let Some(ballot) = &mut self.pending
+                if let Some(ballot) = &mut self.undecided
                     && ballot.proposal == proposal
                 {
                     ballot.votes.insert(rank, vote);
-                    self.settle();
+                    self.apply_decision();
                 }
                 None
             }
         }
     }
 
-    /// What to ask the others while a verdict is open.
+    /// The vote request to send to the other members while a proposal is
+    /// undecided.
     pub fn vote_request(&self) -> Option<Message> {
-        let ballot = self.pending.as_ref()?;
+        let ballot = self.undecided.as_ref()?;
         Some(Message::Ask(ballot.proposal))
     }
 
-    /// Moves on to a newer generation, whose first step is 0.
+    /// Joins a newer generation at its step 0; an older one is ignored.
     pub fn join_generation(&mut self, generation: Generation, map: Version) {
         if generation > self.generation {
-            *self = Member::new(self.rank, self.ranks, generation, map);
+            *self = Member::new(self.rank, self.rank_count, generation, map);
         }
     }
 
-    /// Applies the verdict once it is known and due.
-    fn settle(&mut self) {
-        let Some(ballot) = &self.pending else { return };
-        let refused = ballot.votes.values().any(|vote| *vote == Vote::No);
-        if refused {
-            self.pending = None;
+    /// Drops the pending proposal once any member voted no, or switches maps
+    /// at the boundary once all voted yes.
+    fn apply_decision(&mut self) {
+        let Some(ballot) = &self.undecided else { return };
+        let any_no = ballot.votes.values().any(|vote| *vote == Vote::No);
+        if any_no {
+            self.undecided = None;
             return;
         }
-        let all = ballot.votes.len() == usize::from(self.ranks);
+        let all = ballot.votes.len() == usize::from(self.rank_count);
         if all && self.step >= ballot.proposal.boundary {
             let proposal = ballot.proposal;
             self.map = proposal.version;
-            self.pending = None;
-            // All voted yes on this, so all have settled what came before,
-            // and nobody will ask for it again.
-            self.cast = BTreeMap::from([(proposal, Vote::Yes)]);
+            self.undecided = None;
+            // All members voted yes on this proposal, so all have decided
+            // every earlier one, and nobody will ask for those votes again.
+            self.votes_cast = BTreeMap::from([(proposal, Vote::Yes)]);
         }
     }
 
-    /// Drops noes past their boundary: a new vote would be no again.
-    fn forget_lapsed(&mut self) {
+    /// Drops no votes on proposals whose boundary has passed: a repeated vote
+    /// on such a proposal would be no again.
+    fn drop_expired_no_votes(&mut self) {
         let step = self.step;
-        self.cast.retain(|proposal, vote| {
+        self.votes_cast.retain(|proposal, vote| {
             *vote == Vote::Yes || proposal.boundary > step
         });
     }
--- a/cowsliproad-mapswitch/src/order.rs
+++ b/cowsliproad-mapswitch/src/order.rs
@@ -1,46 +1,49 @@
-//! How a group changes its map where its engines only take orders.
+//! Switches the expert map of a group whose engines only execute orders.
 //!
-//! Such engines don't vote: they obey, don't compare maps, and may carry an
-//! order out seconds after it went unanswered. What they do say truthfully
-//! is their own state. So a change goes by reports alone, and an order
-//! without an answer counts as neither done nor undone:
+//! Such engines don't vote or compare maps. An engine may execute an order
+//! seconds after the order went unanswered, but it reports its own state
+//! truthfully. So a switch advances by reports alone, and an unanswered order
+//! counts as neither executed nor lost:
 //!
-//! 1. *prepare*: every rank copies what is new to it, until all report so;
-//! 2. *hold*: one rank, the holder, is told to stop the group before the
-//!    boundary step, until it reports so;
-//! 3. *arm*: every rank is told to change at the boundary, until **all**
-//!    report so, the coordinator's own rank last. The hold is what makes a
-//!    late or lost order harmless: the group stands until it is made good;
-//! 4. *go*: the hold is released. As the boundary lies some passes ahead, a
-//!    group without trouble never stands.
+//! 1. *prepare*: every rank copies the experts that are new to it, until all
+//!    ranks report that they have them;
+//! 2. *hold*: one rank, the holder, is ordered to stop the group before the
+//!    boundary step, until it reports the hold;
+//! 3. *arm*: every rank is ordered to switch at the boundary, until **all**
+//!    ranks report that they are armed; the coordinator's own rank arms last.
+//!    The hold makes a late or lost *arm* harmless: the group waits at the
+//!    boundary until the *arm* has been repeated;
+//! 4. *go*: the hold is released. The boundary lies some passes ahead, so a
+//!    group without faults never waits.
 //!
-//! An *arm* that nobody reports may still be carried out, so with all ranks
-//! in reach a change is completed forward, or ended by the group forming
-//! anew, which clears everything. A hold that nobody accounts for, say a
-//! late one, is released.
+//! An *arm* that no rank reports may still be executed later. So while all
+//! ranks are reachable, a switch is always completed, unless the group forms
+//! again, which clears all state. A hold that belongs to no switch, for
+//! example one that was executed late, is released.
 //!
-//! A coordinator may freeze with the hold in place, and its VM with its rank
-//! is out of reach then. So the holder is another rank, ordered from afar:
-//! its own agent can release it. The successor may call the change off when
-//! only the former coordinator is missing and its rank can't be armed. That
-//! one arms last, and only once the holder's agent says that it has heard so
-//! (the *seal*): while another rank is not armed, or the holder has heard no
-//! seal and obeys the successor, it never will be. What is armed is disarmed
-//! first; an *arm* without an answer forbids it, since it may yet land. A
-//! change that the former coordinator had itself taken over is not called
-//! off: its rank may have been armed by another's word. Without the seal a
-//! coordinator that froze as the others armed kept its group for the 4 s
-//! that its VM stood still.
+//! A coordinator may freeze while the hold is in place, and its VM and rank
+//! are then unreachable. So the holder is another rank, which the coordinator
+//! orders over the network and whose own agent can release the hold. The
+//! successor may cancel the switch only if the former coordinator alone is
+//! missing and its rank can't be armed. That rank arms last, and only after
+//! the holder's agent has confirmed the announcement of it (the *seal*). If
+//! any other rank is not armed, or if the holder has received no seal and
+//! obeys the successor, the former coordinator's rank can never be armed.
+//! Armed ranks are disarmed first. An unanswered *arm* forbids cancelling, as
+//! it may still be executed. A switch that the former coordinator had itself
+//! taken over is not cancelled either: an earlier coordinator's directive may
+//! have armed its rank. Without the seal, a coordinator that froze while the
+//! other ranks armed blocked its group for the 4 s that its VM was frozen.
 //!
-//! A [`Coordinator`] keeps nothing that it could not read from the reports,
-//! so its successor goes on where it stopped. Each has a fencing number;
-//! engines and agents refuse lower ones, so one that was frozen and wakes
-//! does nothing.
+//! A [`Coordinator`] keeps no state that it could not read from the reports,
+//! so its successor continues where it stopped. Each coordinator has a
+//! fencing number. Engines and agents refuse lower numbers, so a coordinator
+//! that wakes after it was replaced has no effect.
 //!
-//! Weighed and not chosen: arming without a hold, far ahead (an order that
-//! is lost and carried out late mixes maps); disarming when an *arm* is
-//! overdue (the late one may land after it); a hold at every rank (each is
-//! one more order that has to be released).
+//! Rejected alternatives: arming far ahead without a hold (a lost order that
+//! is executed late mixes maps), disarming when an *arm* is overdue (the late
+//! *arm* may be executed after the *disarm*), and a hold at every rank (each
+//! hold is one more order that has to be released).
 
 use std::sync::Arc;
 
@@ -54,8 +57,8 @@
 mod coordinator;
 pub mod fence;
 
-/// A formation of a group. A new one starts with the first map and nothing
-/// prepared, armed or held.
+/// Numbers the formations of a group. A new formation starts with the first
+/// map and nothing prepared, armed or held.
 #[derive(
     Clone,
     Copy,
@@ -70,43 +73,44 @@
 )]
 pub struct Epoch(pub u64);
 
-/// The experts of every rank, by set and rank.
+/// The experts of an expert map, by layer and rank.
 pub type Experts = Vec<Vec<Vec<u16>>>;
 
-/// Whether a group takes requests.
+/// Whether a group accepts requests.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum GroupState {
-    /// It does.
+    /// The group is complete and accepts requests.
     Open,
-    /// A rank is missing.
+    /// A rank is missing, so the group accepts no requests.
     Broken,
 }
 
-/// What an engine says of itself.
+/// The state that an engine reports of its rank.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Report {
-    /// The formation that all else is of.
+    /// The group formation to which the report belongs.
     pub epoch: Epoch,
-    /// Its place.
+    /// The index of the reporting rank.
     pub rank: u16,
-    /// The ranks of its group.
+    /// The number of ranks in the group.
     pub ranks: u16,
-    /// Whether the group takes requests.
+    /// Whether the group accepts requests.
     pub standing: GroupState,
-    /// The last pass that was begun.
+    /// The last forward pass that the group began.
     pub step: u64,
-    /// The map in use.
+    /// The version of the map in use.
     pub map: Version,
-    /// The newest map whose experts it has.
+    /// The newest map whose experts the rank has copied.
     pub prepared: Option<Version>,
-    /// The map that it will change to, and at which pass.
+    /// The map to which the rank will switch, and the pass at which it
+    /// switches.
     pub armed: Option<(Version, u64)>,
-    /// The pass that it keeps the group from beginning.
+    /// The pass before which this rank holds the group.
     pub held: Option<u64>,
 }
 
 impl Report {
-    /// A rank of a group that has just formed.
+    /// Creates the report of a rank whose group has just formed.
     pub fn new(epoch: Epoch, rank: u16, ranks: u16) -> Report {
         Report {
             epoch,
@@ -122,141 +126,148 @@
     }
 }
 
-/// An order to an engine.
+/// An order to an engine, as part of a switch of maps.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Order {
-    /// Copy what is new in this map.
+    /// Copy the experts that this map newly assigns to the rank.
     Prepare(Version, Arc<Experts>),
-    /// Change to this map as this pass begins.
+    /// Switch to this map at the start of this pass.
     Arm(Version, u64),
-    /// Don't change to this map.
+    /// Cancel the armed switch to this map.
     Disarm(Version),
-    /// Don't begin this pass.
+    /// Hold the group before this pass.
     Hold(u64),
-    /// Begin this pass.
+    /// Release the hold before this pass.
     Go(u64),
 }
 
-/// What an engine said of an order.
+/// An engine's answer to an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderResult {
-    /// Begun or done.
+    /// The engine is executing the order or has executed it.
     Taken,
-    /// It doesn't fit the engine's state.
+    /// The engine refused the order, which doesn't fit its state.
     Unfit,
-    /// A higher fencing number was seen.
+    /// The engine refused the order because it has seen a higher fencing
+    /// number.
     Fenced,
 }
 
-/// Whether an agent can vouch for what its reports don't show.
+/// Whether a rank may still execute an *arm* order that its report doesn't
+/// show.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum ArmOrders {
-    /// Each *arm* that it gave was answered.
+    /// Every *arm* order that the agent sent was answered.
     Answered,
-    /// One may still be carried out, or the agent began too lately to know.
+    /// An unanswered *arm* order may still be executed, or the agent started
+    /// too recently to know.
     InDoubt,
 }
 
-/// What a rank's agent knows of the coordinator's own rank.
+/// Whether a rank's agent has received the seal: the announcement that the
+/// coordinator's own rank arms.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum SealStatus {
-    /// It was not told that this rank arms.
+    /// The agent has received no seal.
     #[serde(rename = "Unheard")]
     NotReceived,
-    /// It was told that this rank arms for this pass.
+    /// The agent has received the seal for a switch at this pass.
     #[serde(rename = "Heard")]
     Received(u64),
-    /// The agent began too lately to know.
+    /// The agent started too recently to know.
     Unknown,
 }
 
-/// Whose word a rank obeys.
+/// Whose directives a rank's agent obeys.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum ObeyedCoordinator {
-    /// This coordinator's, and no older one's any more.
+    /// The agent obeys this coordinator and refuses every earlier one.
     This,
-    /// Perhaps another's: its agent has not heard of this coordinator.
+    /// The agent may still obey an earlier coordinator: it has received no
+    /// directive from this one.
     Another,
 }
 
-/// An engine's report and what is known beside it.
+/// A rank's report with what its agent knows beyond the report.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Snapshot {
-    /// The report.
+    /// The state that the engine reported.
     pub report: Report,
-    /// The orders that it may not show yet.
+    /// Whether an *arm* order that the report doesn't show may still be
+    /// executed.
     pub arms: ArmOrders,
-    /// Whether its agent heard that the coordinator's rank arms.
+    /// Whether the rank's agent has received the seal.
     pub seal: SealStatus,
-    /// Whose word it obeys.
+    /// Whose directives the rank's agent obeys.
     pub obeys: ObeyedCoordinator,
 }
 
-/// Which ranks a coordinator doesn't hear from.
+/// The ranks from which a coordinator has no recent report.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum MissingRanks {
-    /// None.
+    /// All ranks have reported.
     None,
-    /// The one that led before with this fencing number, and no other.
+    /// Only the rank of the former coordinator, which had this fencing
+    /// number, is missing.
     Predecessor(u64),
-    /// Any other.
+    /// Any other rank is missing.
     Others,
 }
 
-/// What all ranks are to bring about.
+/// The state that a coordinator wants all ranks to reach.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum Aim {
-    /// Nothing.
+    /// No switch is in progress.
     Rest,
-    /// All have the experts of this map.
+    /// All ranks have copied the experts of this map.
     Prepared(Version),
-    /// A rank keeps the group from beginning this pass. The coordinator
-    /// orders it from afar.
+    /// One rank, the holder, holds the group before this pass. The coordinator
+    /// sends the *hold* order to its engine over the network.
     Held {
-        /// The pass.
+        /// The pass that the group must not begin.
         step: u64,
-        /// The rank.
+        /// The rank that holds the group.
         holder: u16,
     },
-    /// All change to this map at this pass, but for one rank as yet.
+    /// All ranks but `except` are armed to switch to this map at this pass.
     Armed {
-        /// The map.
+        /// The new map.
         version: Version,
-        /// The pass.
+        /// The first pass that uses the new map.
         step: u64,
-        /// The coordinator's rank, until all others are armed.
+        /// The coordinator's rank, until all other ranks are armed.
         except: Option<u16>,
     },
-    /// As before, and the coordinator's rank is the next to arm: whoever
-    /// hears this says so.
+    /// All other ranks are armed and the coordinator's rank arms next. Each
+    /// agent confirms that it has received this announcement.
     Sealed {
-        /// The map.
+        /// The new map.
         version: Version,
-        /// The pass.
+        /// The first pass that uses the new map.
         step: u64,
         /// The coordinator's rank.
         except: u16,
     },
-    /// None is to change.
+    /// No rank is armed.
     Disarmed,
-    /// No rank keeps the group from beginning this pass.
+    /// No rank holds the group before this pass.
     Released(u64),
 }
 
-/// The coordinator's word to all agents.
+/// The instruction that a coordinator sends to all agents.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Directive {
     /// The coordinator's fencing number.
     pub fence: u64,
-    /// The formation that it is for.
+    /// The group formation for which the directive is valid.
     pub epoch: Epoch,
-    /// What is to be brought about.
+    /// The state that all ranks have to reach.
     pub aim: Aim,
 }
 
-/// What an agent has to order of its own engine, given what the engine last
-/// reported. Called again after each report, so that a lost order is
-/// repeated and a fulfilled one is not.
+/// Returns the order that an agent has to send to its own engine, given the
+/// engine's last report. Called again after each report, so that a lost order
+/// is repeated and an executed order is not.
 pub fn next_order(
     directive: &Directive,
     report: &Report,
@@ -268,18 +279,18 @@
     match directive.aim {
         Aim::Rest => None,
         Aim::Prepared(version) => {
-            let has = report.prepared == Some(version);
-            let fits = report.armed.is_none() && report.map < version;
-            let (known, experts) = plan?;
-            (!has && fits && known == version)
+            let is_prepared = report.prepared == Some(version);
+            let is_acceptable = report.armed.is_none() && report.map < version;
+            let (planned, experts) = plan?;
+            (!is_prepared && is_acceptable && planned == version)
                 .then(|| Order::Prepare(version, experts.clone()))
         }
         Aim::Held { .. } => None,
         Aim::Armed { version, step, except } => {
-            arm(report, version, step, except)
+            arm_order(report, version, step, except)
         }
         Aim::Sealed { version, step, except } => {
-            arm(report, version, step, Some(except))
+            arm_order(report, version, step, Some(except))
         }
         Aim::Disarmed => report.armed.map(|it| Order::Disarm(it.0)),
         Aim::Released(step) => {
@@ -288,20 +299,23 @@
     }
 }
 
-fn arm(
+/// Returns the *arm* order unless the rank is armed, is past the pass or is
+/// the exempt rank.
+fn arm_order(
     report: &Report,
     version: Version,
     step: u64,
     except: Option<u16>,
 ) -> Option<Order> {
-    let due = report.armed != Some((version, step))
+    let is_due = report.armed != Some((version, step))
         && report.map < version
         && report.step < step
         && except != Some(report.rank);
-    due.then_some(Order::Arm(version, step))
+    is_due.then_some(Order::Arm(version, step))
 }
 
-/// The pass for which a coordinator's word says that its own rank arms.
+/// Returns the pass of the switch for which a directive announces that the
+/// coordinator's own rank arms.
 pub fn sealed_step(directive: &Directive) -> Option<u64> {
     match directive.aim {
         Aim::Sealed { step, .. } => Some(step),
@@ -310,12 +324,13 @@
     }
 }
 
-/// What the coordinator has to order at the holder, from afar.
+/// Returns the *hold* order if the coordinator has to send it to the engine
+/// of this report.
 pub fn hold_order(directive: &Directive, report: &Report) -> Option<Order> {
     let Aim::Held { step, holder } = directive.aim else { return None };
-    let due = report.rank == holder
+    let is_due = report.rank == holder
         && report.epoch == directive.epoch
         && report.held != Some(step)
         && report.step < step;
-    due.then_some(Order::Hold(step))
+    is_due.then_some(Order::Hold(step))
 }
--- a/cowsliproad-mapswitch/src/order/fence.rs
+++ b/cowsliproad-mapswitch/src/order/fence.rs
@@ -1,36 +1,37 @@
-//! Fencing numbers from places in a log.
+//! Derives fencing numbers from positions of log records.
 //!
-//! Each coordinator appends a record and takes its number from the record's
-//! place. Numbers grow with the offset and, as a log that comes back from an
-//! older copy gives offsets out again, with the era before it.
+//! Each coordinator appends a record to the log and derives its fencing number
+//! from the record's position. Numbers grow with the offset. They also grow
+//! with the log's era, because a log that is restored from an older copy
+//! assigns the same offsets again.
 //!
-//! A place names one record only if the log was in its era all the time from
-//! the call to the answer: a record that was appended before the rollback may
-//! be answered after it, and its offset is given out once more. So the era
-//! has to be known before the call.
+//! A position identifies one record only if the log stayed in one era from the
+//! append call to its answer: a record that was appended before a rollback may
+//! be acknowledged after it, and its offset is then assigned a second time. So
+//! the appender has to know the era before the call.
 
 use cowsliproad_kernel::position::{Era, Position};
 
 use super::VERSIONS_PER_COORDINATOR;
 
-/// Numbers of one era. A log that gives out one a second does so for half a
-/// year.
-const NUMBERS: u64 = 1 << 24;
+/// The fencing numbers reserved for one era of the log: enough for half a year
+/// at one number a second.
+const NUMBERS_PER_ERA: u64 = 1 << 24;
 
-/// Eras whose numbers leave room for the versions of maps, which count from
-/// the number on.
-const ERAS: u64 = u64::MAX / VERSIONS_PER_COORDINATOR / NUMBERS;
+/// The number of eras whose fencing numbers can be multiplied by
+/// [`VERSIONS_PER_COORDINATOR`] without overflow.
+const MAX_ERAS: u64 = u64::MAX / VERSIONS_PER_COORDINATOR / NUMBERS_PER_ERA;
 
-/// The fencing number of whoever appended the record at a place; never 0, and
-/// none where numbers have run out.
+/// Returns the fencing number of the coordinator that appended a record. It is
+/// never 0, and `None` once the numbers are exhausted.
 pub fn fencing_number(record: Position) -> Option<u64> {
     let Position { era, offset } = record;
-    let fits = era.0 < ERAS && offset < NUMBERS - 1;
-    fits.then(|| era.0 * NUMBERS + offset + 1)
+    let is_in_range = era.0 < MAX_ERAS && offset < NUMBERS_PER_ERA - 1;
+    is_in_range.then(|| era.0 * NUMBERS_PER_ERA + offset + 1)
 }
 
-/// Whether a record's place names it alone, for one who knew the log to be in
-/// an era before it was appended.
-pub fn is_unique(record: Position, known: Era) -> bool {
-    record.era == known
+/// Returns whether a record's position identifies it uniquely, given the era
+/// that the appender knew before the append call.
+pub fn is_unique(record: Position, era_before_call: Era) -> bool {
+    record.era == era_before_call
 }
