--- a/cowsliproad-placement/src/bound.rs
+++ b/cowsliproad-placement/src/bound.rs
@@ -1,38 +1,40 @@
-//! A time that no map can beat.
+//! A lower bound on the step time over all expert maps.
 //!
-//! Two facts hold for every map of a layer that is done in time `t`. All
-//! ranks together do at most `t` times their speeds. And a copy of an expert
-//! does at most `t` times the fastest speed, so an expert needs so many
-//! copies, and all copies have to fit into the slots. The least `t` that
-//! both allow is a lower bound, though not always one that can be reached.
+//! Two conditions hold for every map under which a layer finishes in time `t`.
+//! The total load is at most `t` times the sum of the ranks' speeds. And one
+//! copy of an expert processes at most `t` times the fastest speed, which
+//! gives a minimum number of copies for each expert, and all copies have to
+//! fit into the slots. The least `t` that meets both conditions is a lower
+//! bound, which not every load can reach.
 
 use crate::map::Shape;
 
-/// Halvings of the interval that the bound is searched in.
-const ROUNDS: usize = 50;
+/// The number of bisections of the interval that contains the bound.
+const BISECTIONS: usize = 50;
 
-/// A time of a step that no map can beat.
+/// Returns a lower bound on the step time over all maps of this shape.
 pub fn min_step_time(shape: Shape, loads: &[Vec<f64>], speeds: &[f64]) -> f64 {
-    loads.iter().map(|loads| layer(shape, loads, speeds)).sum()
+    loads.iter().map(|loads| min_layer_time(shape, loads, speeds)).sum()
 }
 
-fn layer(shape: Shape, loads: &[f64], speeds: &[f64]) -> f64 {
+/// Returns a lower bound on the time of one layer.
+fn min_layer_time(shape: Shape, loads: &[f64], speeds: &[f64]) -> f64 {
     let fastest = speeds.iter().copied().fold(0.0, f64::max);
     let total: f64 = loads.iter().sum();
-    let spread = total / speeds.iter().sum::<f64>();
+    let balanced = total / speeds.iter().sum::<f64>();
     let slots = (shape.ranks * shape.slots) as f64;
-    let fits = |time: f64| {
+    let is_feasible = |time: f64| {
         let copies =
             loads.iter().map(|load| (load / (time * fastest)).ceil().max(1.0));
         copies.sum::<f64>() <= slots
     };
-    let (mut low, mut high) = (spread, spread + total);
-    if fits(low) {
+    let (mut low, mut high) = (balanced, balanced + total);
+    if is_feasible(low) {
         return low;
     }
-    for _ in 0..ROUNDS {
+    for _ in 0..BISECTIONS {
         let middle = (low + high) / 2.0;
-        if fits(middle) {
+        if is_feasible(middle) {
             high = middle;
         } else {
             low = middle;
--- a/cowsliproad-placement/src/demand.rs
+++ b/cowsliproad-placement/src/demand.rs
@@ -1,56 +1,59 @@
-//! What is demanded of each expert now, from counts that only grow.
+//! Estimates the current demand for each expert from cumulative counts.
 //!
-//! Ranks report how often their requests chose each expert since they
-//! started. The demand is what was added over the last moments: over
-//! [`MAX_WINDOW`] as long as it stays alike, so that chance averages out, and since
-//! the shift right after it shifted, so that a new demand counts at once.
+//! Ranks report how often their requests have chosen each expert since the
+//! rank started. The demand is the recent increase of these counts: over
+//! [`MAX_WINDOW`] while the distribution is stable, so that sampling noise
+//! averages out, and since the last shift after the distribution has shifted,
+//! so that a new demand counts at once.
 //!
-//! A shift is looked for in spans of several lengths. A large one shows in
-//! the tokens of two passes; a small one only once many requests have been
-//! averaged, since each has likes of its own. Within the span that showed
-//! it, the shift is taken to be where the two sides differ most: what was
-//! counted before it would otherwise be planned for too.
+//! Shifts are detected in windows of several lengths. A large shift shows in
+//! the tokens of two passes. A small shift shows only in the average of many
+//! requests, because each request prefers different experts. Within the window
+//! that shows a shift, the shift is placed where the demand before and after
+//! differs most. Otherwise, plans would still include counts from before it.
 
 use std::collections::VecDeque;
 
 use cowsliproad_kernel::clock::Millis;
 
-/// The span that demand is taken over while it is steady.
+/// The window over which a stable demand is averaged.
 pub const MAX_WINDOW: Millis = Millis(2_000);
 
-/// Spans that tell a shift, and the share of the demand that must have gone
-/// elsewhere in each. Where nothing shifted, counts of a tenth of a second
-/// differ by 0.2 at most from those of the seconds before, and those of a
-/// quarter by 0.13, as requests with other likes come and go; a shift of
-/// half of what is liked moves 0.33 and more.
+/// The windows in which shifts are detected, each with the share of the demand
+/// that must have moved to other experts. Without a shift, the counts of 100 ms
+/// differ from those of the seconds before by up to 0.2, and the counts of
+/// 250 ms by up to 0.13, as requests that prefer other experts come and go. A
+/// shift of half of the preferred experts moves 0.33 and more.
 pub const SHIFT_WINDOWS: [(Millis, f64); 3] =
     [(Millis(50), 0.3), (Millis(100), 0.25), (Millis(250), 0.15)];
 
-/// Counts by set and expert.
+/// Cumulative counts by layer and expert.
 pub type Counts = Vec<Vec<u64>>;
 
-/// The counts of a group's last moments.
+/// The recent counts of a group, from which its demand is estimated.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
     samples: VecDeque<(Millis, Counts)>,
-    /// Demand before this moment is of another kind.
+    /// When the demand last shifted; earlier samples are not part of the
+    /// current demand.
     shifted_at: Millis,
 }
 
 impl Demand {
-    /// No counts yet.
+    /// Creates an estimator without samples.
     pub fn new() -> Demand {
         Demand::default()
     }
 
-    /// Takes the sums over all ranks in.
+    /// Adds a sample: the cumulative counts summed over all ranks.
     pub fn record(&mut self, now: Millis, counts: Counts) {
         if let Some((_, last)) = self.samples.back()
-            && !grew(last, &counts)
+            && !is_monotonic(last, &counts)
         {
             self.samples.clear();
         }
-        // A group that stands still tells nothing new of what is liked.
+        // Counts that don't grow, as in a stopped group, say nothing about the
+        // demand.
         if self.samples.back().is_some_and(|it| it.1 == counts) {
             return;
         }
@@ -60,51 +63,58 @@
         {
             self.samples.pop_front();
         }
-        if let Some(at) = self.shift() {
+        if let Some(at) = self.detect_shift() {
             self.shifted_at = at;
         }
     }
 
-    /// The demand by set and expert, or `None` before there is enough.
+    /// Returns the demand by layer and expert, or `None` without enough
+    /// samples.
     pub fn loads(&self) -> Option<Vec<Vec<f64>>> {
         let (_, newest) = self.samples.back()?;
-        let first = self.samples.get(self.first()).or(self.samples.front())?;
-        let loads = difference(newest, &first.1);
+        let oldest = self
+            .samples
+            .get(self.first_current_sample())
+            .or(self.samples.front())?;
+        let loads = increase(newest, &oldest.1);
         let counted: f64 = loads.iter().flatten().sum();
         (counted > 0.0).then_some(loads)
     }
 
-    /// When the demand last shifted; zero before it ever did.
+    /// Returns when the demand last shifted, or zero before the first shift.
     pub fn shifted_at(&self) -> Millis {
         self.shifted_at
     }
 
-    /// When the demand shifted, if the newest counts show that it did.
-    fn shift(&self) -> Option<Millis> {
+    /// Returns when the demand shifted, if the newest sample shows a shift.
+    fn detect_shift(&self) -> Option<Millis> {
         let (now, _) = self.samples.back()?;
-        let shows = |&(span, least): &(Millis, f64)| {
-            let old = |it: &(Millis, Counts)| now.since(it.0) >= span;
+        let find_split = |&(window, min_share): &(Millis, f64)| {
+            let old = |it: &(Millis, Counts)| now.since(it.0) >= window;
             let split = self.samples.iter().rposition(old)?;
-            // Little was counted before, and differs by chance.
-            let before = self.samples.get(self.first())?.0;
-            if self.samples[split].0.since(before) < span {
+            // Samples of less than a window before the split have few counts,
+            // which differ by chance.
+            let before = self.samples.get(self.first_current_sample())?.0;
+            if self.samples[split].0.since(before) < window {
                 return None;
             }
-            (self.differs(split)? > least).then_some(split)
+            (self.moved_share(split)? > min_share).then_some(split)
         };
-        let earliest = SHIFT_WINDOWS.iter().find_map(shows)?;
+        let earliest = SHIFT_WINDOWS.iter().find_map(find_split)?;
         let splits = earliest..self.samples.len() - 1;
-        let differs = |split: &usize| self.differs(*split).unwrap_or(0.0);
-        let by_difference =
-            |a: &usize, b: &usize| differs(a).total_cmp(&differs(b));
-        let split = splits.max_by(by_difference)?;
+        let moved_share =
+            |split: &usize| self.moved_share(*split).unwrap_or(0.0);
+        let by_moved_share =
+            |a: &usize, b: &usize| moved_share(a).total_cmp(&moved_share(b));
+        let split = splits.max_by(by_moved_share)?;
         Some(self.samples[split].0)
     }
 
-    /// The share of the demand that went elsewhere after a sample, less what
-    /// may have by chance; `None` if there is nothing to compare.
-    fn differs(&self, split: usize) -> Option<f64> {
-        let first = self.first();
+    /// Returns the share of the demand that moved to other experts after a
+    /// sample, less the expected sampling noise; `None` if there is no
+    /// earlier sample to compare.
+    fn moved_share(&self, split: usize) -> Option<f64> {
+        let first = self.first_current_sample();
         if split <= first {
             return None;
         }
@@ -112,18 +122,23 @@
         let (_, middle) = &self.samples[split];
         let (_, oldest) = self.samples.get(first)?;
         let (after, before) =
-            (difference(newest, middle), difference(middle, oldest));
-        Some(distance(&after, &before) - chance(&after) - chance(&before))
+            (increase(newest, middle), increase(middle, oldest));
+        Some(
+            variation_distance(&after, &before)
+                - sampling_noise(&after)
+                - sampling_noise(&before),
+        )
     }
 
-    /// The first sample of the present demand.
-    fn first(&self) -> usize {
+    /// Returns the index of the first sample of the current demand.
+    fn first_current_sample(&self) -> usize {
         let since = |it: &(Millis, Counts)| it.0 >= self.shifted_at;
         self.samples.iter().position(since).unwrap_or(self.samples.len())
     }
 }
 
-fn grew(old: &Counts, new: &Counts) -> bool {
+/// Returns whether no count decreased and the layout is the same.
+fn is_monotonic(old: &Counts, new: &Counts) -> bool {
     old.len() == new.len()
         && old.iter().zip(new).all(|(old, new)| {
             old.len() == new.len()
@@ -131,7 +146,8 @@
         })
 }
 
-fn difference(new: &Counts, old: &Counts) -> Vec<Vec<f64>> {
+/// Returns the increase from the old to the new counts.
+fn increase(new: &Counts, old: &Counts) -> Vec<Vec<f64>> {
     let rows = new.iter().zip(old);
     rows.map(|(new, old)| {
         let pairs = new.iter().zip(old);
@@ -140,28 +156,30 @@
     .collect()
 }
 
-/// The share of the demand that differs, the mean over all sets.
-fn distance(a: &[Vec<f64>], b: &[Vec<f64>]) -> f64 {
-    let sets = a.iter().zip(b).map(|(a, b)| {
+/// Returns the total variation distance between two demands, averaged over all
+/// layers.
+fn variation_distance(a: &[Vec<f64>], b: &[Vec<f64>]) -> f64 {
+    let layers = a.iter().zip(b).map(|(a, b)| {
         let (sum_a, sum_b): (f64, f64) = (a.iter().sum(), b.iter().sum());
         let pairs = a.iter().zip(b);
-        let differs: f64 = pairs
+        let difference: f64 = pairs
             .map(|(a, b)| (a / sum_a.max(1.0) - b / sum_b.max(1.0)).abs())
             .sum();
-        differs / 2.0
+        difference / 2.0
     });
-    sets.sum::<f64>() / a.len().max(1) as f64
+    layers.sum::<f64>() / a.len().max(1) as f64
 }
 
-/// The distance by which counts of one demand differ by chance, at most: that
-/// of as many independent choices, spread over all experts alike.
-fn chance(loads: &[Vec<f64>]) -> f64 {
-    let sets = loads.iter().map(|loads| {
+/// Returns the most by which counts of one demand are expected to deviate from
+/// it by chance: the deviation of as many independent choices that are spread
+/// evenly over all experts.
+fn sampling_noise(loads: &[Vec<f64>]) -> f64 {
+    let layers = loads.iter().map(|loads| {
         let counted = loads.iter().sum::<f64>().max(1.0);
         MEAN_DEVIATION / 2.0 * (loads.len() as f64 / counted).sqrt()
     });
-    sets.sum::<f64>() / loads.len().max(1) as f64
+    layers.sum::<f64>() / loads.len().max(1) as f64
 }
 
-/// The mean deviation of a count in units of its standard deviation.
+/// The mean absolute deviation of a count, in standard deviations.
 const MEAN_DEVIATION: f64 = 0.8;
--- a/cowsliproad-placement/src/lib.rs
+++ b/cowsliproad-placement/src/lib.rs
@@ -1,23 +1,25 @@
-//! The expert map of a group, and when to change it.
+//! Plans the expert map of a group: which rank holds which experts.
 //!
-//! Every rank of a group waits for the slowest in each layer, so a step takes
-//! the sum over layers of the longest time that any rank needs. A
-//! [`map::Map`] says which ranks hold which experts in each layer; a popular
-//! expert may be held by several, which share its tokens in proportion to
-//! their speed.
+//! In each layer, every rank of a group waits for the slowest one, so the time
+//! of a step is the sum over all layers of the slowest rank's time. A
+//! [`map::Map`] says which ranks hold which experts in each layer. A popular
+//! expert may be held by several ranks, which share its tokens in proportion
+//! to their speed.
 //!
-//! * [`map`]: the map and the time of a step under it;
-//! * [`load`]: smoothed token counts, kept twice so that noise shows;
-//! * [`pack`]: a map from nothing;
-//! * [`plan`]: few moves from the present map that pay for themselves;
-//! * [`demand`]: what is demanded now, from counts that only grow;
-//! * [`growth`]: what counts grew by, in a byte for each expert;
-//! * [`live`]: small steps towards balance, every second;
-//! * [`bound`]: a time that no map can beat.
+//! * [`map`]: the expert map and the time of a step under it;
+//! * [`load`]: smoothed token counts in two independent averages, so that noise
+//!   can be told from imbalance;
+//! * [`pack`]: computes a map from scratch;
+//! * [`plan`]: plans a few moves from the present map whose saving exceeds
+//!   their cost;
+//! * [`demand`]: estimates the current demand from cumulative counts;
+//! * [`growth`]: encodes the growth of counts in one byte for each expert;
+//! * [`live`]: plans small changes towards balance, every second;
+//! * [`bound`]: a lower bound on the step time over all maps.
 //!
-//! Weighed and not chosen: repacking from nothing at intervals (it moves
-//! nearly every expert for the last percent of balance), and a solver (too
-//! slow at 256 × 256 × 61 within 3.4% of a core).
+//! Rejected alternatives: repacking from scratch at intervals (it moves nearly
+//! every expert for the last percent of balance), and a solver (too slow at 256
+//! × 256 × 61 within 3.4% of a core).
 
 #![forbid(unsafe_code)]
 
--- a/cowsliproad-placement/src/live.rs
+++ b/cowsliproad-placement/src/live.rs
@@ -1,93 +1,107 @@
-//! Small steps towards balance, for groups whose map may change every second
-//! but only by a few experts at each rank.
+//! Plans small changes towards balance, for groups whose map may change every
+//! second, but only by a few experts at each rank.
 //!
-//! From the present layer, the most loaded rank is relieved again and again
-//! by the change that lowers a steep sum over all ranks' loads most: the sum
-//! of their eighth powers, which is nearly their maximum but also tells
-//! apart changes that leave the maximum as it is. Of all the layers on this
-//! way the one is kept whose saving in the longest time, less the price of
-//! its copies, is best. A layer that saves too little stays as it is, so
-//! noise moves nothing.
+//! A local search starts from the present layer. It repeatedly relieves the
+//! most loaded rank by the change that most lowers the sum of the eighth powers
+//! of all ranks' times. This sum is nearly determined by the maximum, but it
+//! also ranks changes that leave the maximum unchanged. Of all layers visited,
+//! the search keeps the one that saves most of the slowest rank's time after
+//! the cost of its copies. A layer that saves too little stays unchanged, so
+//! noise moves no experts.
 //!
-//! A rank copies one expert after the other, and the map waits for the rank
-//! with the most. Where a copy takes long, a map therefore brings each rank
-//! no more than [`Config::with_max_new_per_rank`] over all layers: the layer that is
-//! farthest from balance goes first, and the rest follows in the next map.
-//! On ranks that need 0.4 s for an expert, and a demand that moves every
-//! 4 s, the first map is in force after one copy rather than three.
+//! A rank copies one expert after the other, and a new map waits for the rank
+//! with the most copies. Where a copy takes long, a map therefore assigns each
+//! rank at most [`Config::with_max_new_per_rank`] new experts over all layers.
+//! The least balanced layer is changed first, and the other layers follow in
+//! the next maps. On ranks that need 0.4 s to copy an expert, with a demand
+//! that shifts every 4 s, the first map is in force after one copy instead of
+//! three.
 //!
-//! Weighed and not chosen: packing from nothing and walking there (it moves
-//! some four times as many experts), and looking at the longest time alone
-//! (the search ends at the first tie between two ranks).
+//! Rejected alternatives: packing from scratch and moving to that map step by
+//! step (it moves some four times as many experts), and minimizing only the
+//! slowest rank's time (the search ends at the first tie between two ranks).
 
-use self::search::{Search, times};
+use self::search::{CandidateLayer, rank_times};
 use crate::map::{Layer, Map, Shape};
 
 mod search;
 
-/// What the operators weigh.
+/// The operators' settings for changing a group's map in small steps.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    spare: usize,
-    burst: usize,
-    price: f64,
-    threshold: f64,
-    least: f64,
+    max_new_per_layer: usize,
+    max_new_per_rank: usize,
+    copy_cost: f64,
+    min_layer_saving: f64,
+    min_total_saving: f64,
 }
 
 impl Config {
-    /// At most `spare` new experts for a rank and layer in one map.
-    pub fn new(spare: usize) -> Config {
-        let burst = usize::MAX;
-        let (price, threshold, least) = (PRICE, THRESHOLD, LEAST);
-        Config { spare, burst, price, threshold, least }
+    /// Creates settings that allow at most `max_new_per_layer` new experts for
+    /// each rank and layer in one map.
+    pub fn new(max_new_per_layer: usize) -> Config {
+        let max_new_per_rank = usize::MAX;
+        let (copy_cost, min_layer_saving, min_total_saving) =
+            (COPY_COST, MIN_LAYER_SAVING, MIN_TOTAL_SAVING);
+        Config {
+            max_new_per_layer,
+            max_new_per_rank,
+            copy_cost,
+            min_layer_saving,
+            min_total_saving,
+        }
     }
 
-    /// At most so many new experts for a rank in all layers of one map.
-    pub fn with_max_new_per_rank(self, burst: usize) -> Config {
-        Config { burst, ..self }
+    /// Sets the maximum number of new experts for each rank over all layers of
+    /// one map.
+    pub fn with_max_new_per_rank(self, max_new_per_rank: usize) -> Config {
+        Config { max_new_per_rank, ..self }
     }
 
-    /// What a copy costs, as a share of the mean load of a rank.
-    pub fn with_copy_cost(self, price: f64) -> Config {
-        Config { price, ..self }
+    /// Sets the cost of a copy as a share of the mean load of a rank.
+    pub fn with_copy_cost(self, copy_cost: f64) -> Config {
+        Config { copy_cost, ..self }
     }
 
-    /// What a layer has to save, as a share of its longest time.
-    pub fn with_min_layer_saving(self, threshold: f64) -> Config {
-        Config { threshold, ..self }
+    /// Sets the minimum saving of a changed layer, as a share of its slowest
+    /// rank's time.
+    pub fn with_min_layer_saving(self, min_layer_saving: f64) -> Config {
+        Config { min_layer_saving, ..self }
     }
 }
 
-/// A copy takes 15% of the pace for as long as it lasts and is charged. Played
-/// against shifts every 4 s, 0.03 moved a third of the experts that 0.006 did,
-/// at the same pace: what it leaves out is the last percents of balance.
-const PRICE: f64 = 0.03;
+/// The cost of a copy, as a share of the mean load of a rank. A copy slows
+/// serving by 15% while it runs, and it is charged for. With a demand that
+/// shifts every 4 s, 0.03 moves a third of the experts that 0.006 does at the
+/// same serving speed: it only gives up the last few percent of balance.
+const COPY_COST: f64 = 0.03;
 
-/// Counts of half a second differ by some 2% by chance.
-const THRESHOLD: f64 = 0.03;
+/// The minimum saving of a changed layer, as a share of its slowest rank's
+/// time. Counts of 500 ms differ by some 2% by chance.
+const MIN_LAYER_SAVING: f64 = 0.03;
 
-/// What all layers together have to save, as a share of the step time. Each
-/// change is a risk to the pace while orders go unanswered.
-const LEAST: f64 = 0.04;
+/// The minimum saving of all changed layers together, as a share of the step
+/// time. Each change of map risks slowing the group while orders go unanswered.
+const MIN_TOTAL_SAVING: f64 = 0.04;
 
-/// Changes tried in a layer. A rank takes a few experts, and few need to.
-const TRIES: usize = 32;
+/// The maximum number of changes tried in a layer. A rank may receive only a
+/// few experts, and only a few ranks need to.
+const MAX_TRIES: usize = 32;
 
-/// A better map.
+/// A new map with its cost and its expected step time.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The map.
+    /// The new map.
     pub map: Map,
-    /// Copies to be moved.
+    /// The number of copies to be moved.
     pub moves: usize,
-    /// Step time before, in units of the ideal one.
+    /// The step time under the present map, relative to perfect balance.
     pub before: f64,
-    /// Step time expected.
+    /// The expected step time under the new map, relative to perfect balance.
     pub after: f64,
 }
 
-/// Plans from the present map; `None` if nothing pays.
+/// Plans a change of the present map; `None` if no change saves enough.
 pub fn plan(
     shape: Shape,
     config: Config,
@@ -95,20 +109,20 @@
     loads: &[Vec<f64>],
     speeds: &[f64],
 ) -> Option<Plan> {
-    let (map, moves) = walk(shape, config, present, loads, speeds);
+    let (map, moves) = search_layers(shape, config, present, loads, speeds);
     if moves == 0 {
         return None;
     }
     let ideal = crate::map::ideal_time(loads, speeds);
-    let time = |map: &Map| step_time(map, loads, speeds) / ideal;
-    let (before, after) = (time(present), time(&map));
-    let pays = before - after > config.least * before;
-    pays.then_some(Plan { moves, before, after, map })
+    let relative_time = |map: &Map| step_time(map, loads, speeds) / ideal;
+    let (before, after) = (relative_time(present), relative_time(&map));
+    let saves_enough = before - after > config.min_total_saving * before;
+    saves_enough.then_some(Plan { moves, before, after, map })
 }
 
-/// The best map on the way to balance, and its copies. The layer that is
-/// farthest from it takes each next step.
-fn walk(
+/// Returns the best map found by local search, and the number of its copies.
+/// Each change is made in the layer that is least balanced at that point.
+fn search_layers(
     shape: Shape,
     config: Config,
     present: &Map,
@@ -116,21 +130,23 @@
     speeds: &[f64],
 ) -> (Map, usize) {
     let layers = present.layers.iter().zip(loads);
-    let mut walks: Vec<Walk> = layers
-        .map(|(layer, loads)| Walk::new(shape, config, layer, loads, speeds))
+    let mut searches: Vec<LayerSearch> = layers
+        .map(|(layer, loads)| {
+            LayerSearch::new(shape, config, layer, loads, speeds)
+        })
         .collect();
-    let mut taken = vec![0; shape.ranks];
-    while let Some(walk) = walks
+    let mut new_by_rank = vec![0; shape.ranks];
+    while let Some(search) = searches
         .iter_mut()
-        .filter(|it| it.tries < TRIES)
+        .filter(|it| it.tries < MAX_TRIES)
         .max_by(|a, b| a.skew().total_cmp(&b.skew()))
     {
-        walk.step(&mut taken);
+        search.step(&mut new_by_rank);
     }
     let mut map = present.clone();
     let mut moves = 0;
-    for (layer, walk) in map.layers.iter_mut().zip(walks) {
-        if let Some((better, copies)) = walk.best {
+    for (layer, search) in map.layers.iter_mut().zip(searches) {
+        if let Some((better, copies)) = search.best {
             *layer = better;
             moves += copies;
         }
@@ -138,65 +154,80 @@
     (map, moves)
 }
 
-/// A layer's way to balance.
-struct Walk<'a> {
-    search: Search<'a>,
-    price: f64,
-    /// The longest time at the start.
+/// A local search for a better assignment of one layer.
+struct LayerSearch<'a> {
+    candidate: CandidateLayer<'a>,
+    copy_cost: f64,
+    /// The slowest rank's time in the present layer.
     before: f64,
-    mean: f64,
-    /// The best layer so far and its copies.
+    /// The mean load of a rank.
+    mean_load: f64,
+    /// The best layer visited so far and the number of its copies.
     best: Option<(Layer, usize)>,
-    /// What it saves beyond its price; the least that counts, at first.
-    value: f64,
+    /// The saving of the best layer less the cost of its copies; initially the
+    /// minimum saving.
+    best_value: f64,
     tries: usize,
 }
 
-impl<'a> Walk<'a> {
+impl<'a> LayerSearch<'a> {
     fn new(
         shape: Shape,
         config: Config,
         present: &'a Layer,
         loads: &'a [f64],
         speeds: &'a [f64],
-    ) -> Walk<'a> {
-        let search = Search::new(shape, config, present, loads, speeds);
-        let before = search.longest();
-        let mean = loads.iter().sum::<f64>() / shape.ranks as f64;
-        let (price, value) = (config.price, config.threshold * before);
-        // A layer that nothing is asked of stays as it is.
-        let tries = if mean > 0.0 { 0 } else { TRIES };
-        Walk { search, price, before, mean, best: None, value, tries }
+    ) -> LayerSearch<'a> {
+        let candidate =
+            CandidateLayer::new(shape, config, present, loads, speeds);
+        let before = candidate.slowest_time();
+        let mean_load = loads.iter().sum::<f64>() / shape.ranks as f64;
+        let (copy_cost, best_value) =
+            (config.copy_cost, config.min_layer_saving * before);
+        // A layer without load stays unchanged.
+        let tries = if mean_load > 0.0 { 0 } else { MAX_TRIES };
+        LayerSearch {
+            candidate,
+            copy_cost,
+            before,
+            mean_load,
+            best: None,
+            best_value,
+            tries,
+        }
     }
 
+    /// Returns the slowest rank's time relative to the mean load of a rank.
     fn skew(&self) -> f64 {
-        self.search.longest() / self.mean
+        self.candidate.slowest_time() / self.mean_load
     }
 
-    /// Relieves the most loaded rank once. `taken` is what each rank gets
-    /// anew in all layers.
-    fn step(&mut self, taken: &mut [usize]) {
+    /// Applies the change that best relieves the most loaded rank.
+    /// `new_by_rank` counts the new experts of each rank over all layers.
+    fn step(&mut self, new_by_rank: &mut [usize]) {
         self.tries += 1;
-        let Some(change) = self.search.relief(taken) else {
-            self.tries = TRIES;
+        let Some(change) = self.candidate.best_change(new_by_rank) else {
+            self.tries = MAX_TRIES;
             return;
         };
-        self.search.make(change, taken);
-        let copies = self.search.present.added_copies(&self.search.layer);
-        let saving = self.before - self.search.longest();
-        let worth = saving - self.price * self.mean * copies as f64;
-        if worth > self.value {
-            self.value = worth;
-            self.best = Some((self.search.layer.clone(), copies));
+        self.candidate.apply(change, new_by_rank);
+        let copies =
+            self.candidate.present.added_copies(&self.candidate.layer);
+        let saving = self.before - self.candidate.slowest_time();
+        let value = saving - self.copy_cost * self.mean_load * copies as f64;
+        if value > self.best_value {
+            self.best_value = value;
+            self.best = Some((self.candidate.layer.clone(), copies));
         }
     }
 }
 
-/// The time of a step: each layer waits for its slowest rank.
+/// Returns the time of a step if the hosts of an expert share its load evenly:
+/// the sum over all layers of the slowest rank's time.
 pub fn step_time(map: &Map, loads: &[Vec<f64>], speeds: &[f64]) -> f64 {
     let layers = map.layers.iter().zip(loads);
-    let longest = |(layer, loads): (&Layer, &Vec<f64>)| {
-        times(layer, loads, speeds).into_iter().fold(0.0, f64::max)
+    let slowest_time = |(layer, loads): (&Layer, &Vec<f64>)| {
+        rank_times(layer, loads, speeds).into_iter().fold(0.0, f64::max)
     };
-    layers.map(longest).sum()
+    layers.map(slowest_time).sum()
 }
--- a/cowsliproad-placement/src/live/search.rs
+++ b/cowsliproad-placement/src/live/search.rs
@@ -1,82 +1,99 @@
-//! The change of a layer that relieves its most loaded rank best.
+//! Finds the change of a layer that best relieves its most loaded rank.
 
 use super::Config;
 use crate::map::{Expert, Layer, Rank, Shape};
 
-/// The power of the loads that are summed.
-const POWER: i32 = 8;
+/// The exponent of the ranks' times in the sum that the search minimizes.
+const TIME_EXPONENT: i32 = 8;
 
-/// A change of a layer.
+/// A change of the hosts of one or two experts of a layer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Change {
-    /// The rank that is relieved.
+    /// The rank to be relieved.
     from: Rank,
-    /// The expert that another rank gets.
+    /// The expert to be copied, moved, swapped or dropped.
     expert: Expert,
-    /// That rank; for a drop the rank itself.
+    /// The rank that receives the expert; for a drop, the relieved rank.
     to: Rank,
-    /// The expert whose place it takes there, if none is free.
+    /// The expert whose slot is reused at the receiving rank, if it has no free
+    /// slot.
     other: Option<Expert>,
     kind: Kind,
 }
 
+/// How a change treats the hosts of its experts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Kind {
-    /// Both ranks hold it afterwards.
+    /// Both ranks hold the expert afterwards.
     Copy,
-    /// Only the other rank does.
+    /// Only the receiving rank holds the expert afterwards.
     Move,
-    /// As a move, and the other expert comes back for it.
+    /// The two ranks exchange one expert each.
     Swap,
-    /// The rank gives up an expert that others hold too.
+    /// The relieved rank gives up an expert that other ranks hold too.
     Drop,
 }
 
-/// The time of each rank. Hosts of an expert share its work evenly, whatever
-/// their speed.
-pub(super) fn times(layer: &Layer, loads: &[f64], speeds: &[f64]) -> Vec<f64> {
-    let mut times = vec![0.0; speeds.len()];
+/// Returns the time of each rank in a layer. The hosts of an expert share its
+/// load evenly, whatever their speed.
+pub(super) fn rank_times(
+    layer: &Layer,
+    loads: &[f64],
+    speeds: &[f64],
+) -> Vec<f64> {
+    let mut rank_times = vec![0.0; speeds.len()];
     for (expert, load) in loads.iter().enumerate() {
         let hosts = layer.hosts(expert as Expert);
         for host in hosts {
             let rank = usize::from(*host);
-            times[rank] += load / hosts.len() as f64 / speeds[rank];
+            rank_times[rank] += load / hosts.len() as f64 / speeds[rank];
         }
     }
-    times
+    rank_times
 }
 
-pub(super) struct Search<'a> {
+/// A layer under local search, with the times of its ranks.
+pub(super) struct CandidateLayer<'a> {
     shape: Shape,
-    spare: usize,
-    burst: usize,
+    max_new_per_layer: usize,
+    max_new_per_rank: usize,
     pub(super) present: &'a Layer,
     loads: &'a [f64],
     speeds: &'a [f64],
     pub(super) layer: Layer,
-    times: Vec<f64>,
+    rank_times: Vec<f64>,
 }
 
-impl<'a> Search<'a> {
+impl<'a> CandidateLayer<'a> {
     pub(super) fn new(
         shape: Shape,
         config: Config,
         present: &'a Layer,
         loads: &'a [f64],
         speeds: &'a [f64],
-    ) -> Search<'a> {
-        let times = times(present, loads, speeds);
+    ) -> CandidateLayer<'a> {
+        let rank_times = rank_times(present, loads, speeds);
         let layer = present.clone();
-        let Config { spare, burst, .. } = config;
-        Search { shape, spare, burst, present, loads, speeds, layer, times }
+        let Config { max_new_per_layer, max_new_per_rank, .. } = config;
+        CandidateLayer {
+            shape,
+            max_new_per_layer,
+            max_new_per_rank,
+            present,
+            loads,
+            speeds,
+            layer,
+            rank_times,
+        }
     }
 
-    pub(super) fn longest(&self) -> f64 {
-        self.times.iter().copied().fold(0.0, f64::max)
+    /// Returns the slowest rank's time.
+    pub(super) fn slowest_time(&self) -> f64 {
+        self.rank_times.iter().copied().fold(0.0, f64::max)
     }
 
-    /// The change that relieves the most loaded rank best.
-    pub(super) fn relief(&self, taken: &[usize]) -> Option<Change> {
+    /// Returns the change that best relieves the most loaded rank.
+    pub(super) fn best_change(&self, new_by_rank: &[usize]) -> Option<Change> {
         let ranks = 0..self.shape.ranks as Rank;
         let by_time =
             |a: &Rank, b: &Rank| self.time(*a).total_cmp(&self.time(*b));
@@ -93,21 +110,28 @@
                 if to == from || self.layer.holds(to, expert) {
                     continue;
                 }
-                if self.room(to, expert, taken) == 0 {
+                if self.remaining_new_experts(to, expert, new_by_rank) == 0 {
                     continue;
                 }
-                self.try_changes(from, expert, to, taken, &mut best);
+                self.consider_changes_to(
+                    from,
+                    expert,
+                    to,
+                    new_by_rank,
+                    &mut best,
+                );
             }
         }
         best.map(|it| it.1)
     }
 
-    fn try_changes(
+    /// Considers every change that brings `expert` to rank `to`.
+    fn consider_changes_to(
         &self,
         from: Rank,
         expert: Expert,
         to: Rank,
-        taken: &[usize],
+        new_by_rank: &[usize],
         best: &mut Option<(f64, Change)>,
     ) {
         let mut consider = |kind, other| {
@@ -122,57 +146,69 @@
             if self.layer.hosts(other).len() > 1 {
                 consider(Kind::Copy, Some(other));
             }
-            let comes_back = !self.layer.holds(from, other)
-                && self.room(from, other, taken) > 0;
-            if comes_back {
+            let can_return = !self.layer.holds(from, other)
+                && self.remaining_new_experts(from, other, new_by_rank) > 0;
+            if can_return {
                 consider(Kind::Swap, Some(other));
             }
         }
     }
 
-    /// How many more new experts a rank may get, if this one is new to it.
-    fn room(&self, rank: Rank, expert: Expert, taken: &[usize]) -> usize {
+    /// Returns how many more new experts a rank may receive; no limit applies
+    /// to an expert that the rank holds in the present map.
+    fn remaining_new_experts(
+        &self,
+        rank: Rank,
+        expert: Expert,
+        new_by_rank: &[usize],
+    ) -> usize {
         if self.present.holds(rank, expert) {
             return usize::MAX;
         }
-        let here = self.spare.saturating_sub(self.news(rank));
-        here.min(self.burst.saturating_sub(taken[usize::from(rank)]))
+        let in_layer =
+            self.max_new_per_layer.saturating_sub(self.new_experts(rank));
+        in_layer.min(
+            self.max_new_per_rank
+                .saturating_sub(new_by_rank[usize::from(rank)]),
+        )
     }
 
-    /// What is new to a rank in this layer.
-    fn news(&self, rank: Rank) -> usize {
+    /// Returns the number of experts that are new to a rank in this layer.
+    fn new_experts(&self, rank: Rank) -> usize {
         self.present.added_at(rank, &self.layer)
     }
 
-    /// By how much a change lowers the sum of powers.
+    /// Returns by how much a change lowers the sum of the powers of all ranks'
+    /// times.
     fn gain(&self, change: Change) -> f64 {
-        let mut deltas = Deltas::new(self.speeds);
+        let mut deltas = TimeDeltas::new(self.speeds);
         let hosts = self.layer.hosts(change.expert);
         let load = self.loads[usize::from(change.expert)];
         let old = load / hosts.len() as f64;
-        let leaves = change.kind != Kind::Copy;
-        let comes = change.kind != Kind::Drop;
-        let count = hosts.len() + usize::from(comes) - usize::from(leaves);
+        let is_removed = change.kind != Kind::Copy;
+        let is_added = change.kind != Kind::Drop;
+        let count =
+            hosts.len() + usize::from(is_added) - usize::from(is_removed);
         let new = load / count as f64;
         for &host in hosts {
-            let stays = !(leaves && host == change.from);
+            let stays = !(is_removed && host == change.from);
             deltas.add(host, if stays { new - old } else { -old });
         }
-        if comes {
+        if is_added {
             deltas.add(change.to, new);
         }
         if let Some(other) = change.other {
             let hosts = self.layer.hosts(other);
             let load = self.loads[usize::from(other)];
             let old = load / hosts.len() as f64;
-            let back = change.kind == Kind::Swap;
-            let count = hosts.len() - usize::from(!back);
+            let is_swap = change.kind == Kind::Swap;
+            let count = hosts.len() - usize::from(!is_swap);
             let new = load / count as f64;
             for &host in hosts {
-                let leaves = host == change.to;
-                deltas.add(host, if leaves { -old } else { new - old });
+                let is_removed = host == change.to;
+                deltas.add(host, if is_removed { -old } else { new - old });
             }
-            if back {
+            if is_swap {
                 deltas.add(change.from, new);
             }
         }
@@ -180,26 +216,28 @@
             .iter()
             .map(|(rank, delta)| {
                 let time = self.time(rank);
-                time.powi(POWER) - (time + delta).max(0.0).powi(POWER)
+                time.powi(TIME_EXPONENT)
+                    - (time + delta).max(0.0).powi(TIME_EXPONENT)
             })
             .sum()
     }
 
-    pub(super) fn make(&mut self, change: Change, taken: &mut [usize]) {
+    /// Applies a change and updates the counts of new experts by rank.
+    pub(super) fn apply(&mut self, change: Change, new_by_rank: &mut [usize]) {
         let Change { from, to, .. } = change;
-        // A drop has one rank on both sides.
+        // For a drop, `from` and `to` are the same rank.
         let ranks = &[from, to][usize::from(from == to)..];
         for &rank in ranks {
-            taken[usize::from(rank)] -= self.news(rank);
+            new_by_rank[usize::from(rank)] -= self.new_experts(rank);
         }
-        self.rearrange(change);
+        self.update_layer(change);
         for &rank in ranks {
-            taken[usize::from(rank)] += self.news(rank);
+            new_by_rank[usize::from(rank)] += self.new_experts(rank);
         }
-        self.times = times(&self.layer, self.loads, self.speeds);
+        self.rank_times = rank_times(&self.layer, self.loads, self.speeds);
     }
 
-    fn rearrange(&mut self, change: Change) {
+    fn update_layer(&mut self, change: Change) {
         let Change { from, expert, to, other, kind } = change;
         if let Some(other) = other {
             self.layer.remove(to, other);
@@ -216,37 +254,37 @@
     }
 
     fn time(&self, rank: Rank) -> f64 {
-        self.times[usize::from(rank)]
+        self.rank_times[usize::from(rank)]
     }
 }
 
-/// Keeps the change with the most gain.
+/// Replaces the best change if this one has a larger gain.
 fn consider(
-    search: &Search,
+    candidate: &CandidateLayer,
     change: Change,
     best: &mut Option<(f64, Change)>,
 ) {
-    let gain = search.gain(change);
+    let gain = candidate.gain(change);
     if gain > best.as_ref().map_or(0.0, |it| it.0) {
         *best = Some((gain, change));
     }
 }
 
-/// What a change does to the times of the few ranks that it touches.
-struct Deltas<'a> {
+/// The differences that a change makes to the times of the ranks it affects.
+struct TimeDeltas<'a> {
     speeds: &'a [f64],
     ranks: Vec<(Rank, f64)>,
 }
 
-impl Deltas<'_> {
-    fn new(speeds: &[f64]) -> Deltas<'_> {
-        Deltas { speeds, ranks: Vec::with_capacity(8) }
+impl TimeDeltas<'_> {
+    fn new(speeds: &[f64]) -> TimeDeltas<'_> {
+        TimeDeltas { speeds, ranks: Vec::with_capacity(8) }
     }
 
     fn add(&mut self, rank: Rank, load: f64) {
         let delta = load / self.speeds[usize::from(rank)];
         match self.ranks.iter_mut().find(|it| it.0 == rank) {
-            Some(known) => known.1 += delta,
+            Some(entry) => entry.1 += delta,
             None => self.ranks.push((rank, delta)),
         }
     }
--- a/cowsliproad-placement/src/load.rs
+++ b/cowsliproad-placement/src/load.rs
@@ -1,70 +1,72 @@
-//! Smoothed token counts, kept twice.
+//! Smoothed token counts in two independent averages.
 //!
-//! Counts of successive intervals go in turn into one of two averages. What
-//! looks like an imbalance in one and is none in the other is noise. A plan
-//! is made on one and has to pay for itself on both.
+//! The counts of successive intervals go alternately into two averages. An
+//! imbalance that shows in only one average is noise. A plan is made on one
+//! average, and its saving has to exceed its cost on both.
 
-/// The weight of a new count in its average.
-const WEIGHT: f64 = 0.35;
+/// The weight of a new count in its moving average.
+const NOISE_WEIGHT: f64 = 0.35;
 
-/// Counts before the first plan.
-const ENOUGH: u64 = 6;
+/// The number of recorded intervals required before the first plan.
+const MIN_SAMPLES: u64 = 6;
 
-/// The weight of a new count that no noise explains.
+/// The weight of a new count that differs too much to be noise.
 const JUMP_WEIGHT: f64 = 0.9;
 
-/// Standard deviations of a count beyond which it is a jump, not noise.
-const JUMP: f64 = 5.0;
+/// The difference of a new count from its average, in standard deviations,
+/// beyond which the count is a jump and not noise.
+const MIN_JUMP_DEVIATIONS: f64 = 5.0;
 
-/// Counts by layer and expert.
+/// Token counts by layer and expert.
 pub type Counts = Vec<Vec<f64>>;
 
-/// The counts of a group.
+/// The smoothed token counts of a group, in two averages.
 #[derive(Clone, Debug, Default)]
 pub struct Loads {
-    halves: [Counts; 2],
+    averages: [Counts; 2],
     samples: u64,
 }
 
 impl Loads {
-    /// No counts yet.
+    /// Creates averages without counts.
     pub fn new() -> Loads {
         Loads::default()
     }
 
-    /// Takes the counts of an interval in.
+    /// Adds the counts of one interval to the average whose turn it is.
     pub fn record(&mut self, counts: &Counts) {
-        let half = &mut self.halves[(self.samples % 2) as usize];
+        let average = &mut self.averages[(self.samples % 2) as usize];
         self.samples += 1;
-        if half.is_empty() {
-            half.clone_from(counts);
+        if average.is_empty() {
+            average.clone_from(counts);
             return;
         }
-        for (old, new) in half.iter_mut().zip(counts) {
+        for (old, new) in average.iter_mut().zip(counts) {
             for (old, new) in old.iter_mut().zip(new) {
                 *old += (new - *old) * weight(*old, *new);
             }
         }
     }
 
-    /// Whether both averages rest on enough counts to tell noise apart.
+    /// Returns whether both averages contain enough counts to tell noise from
+    /// imbalance.
     pub fn is_ready(&self) -> bool {
-        self.samples >= ENOUGH
+        self.samples >= MIN_SAMPLES
     }
 
-    /// The average that a plan is made on: the fresher one.
+    /// Returns the average on which a plan is made: the one updated last.
     pub fn planning_average(&self) -> &Counts {
-        &self.halves[((self.samples + 1) % 2) as usize]
+        &self.averages[((self.samples + 1) % 2) as usize]
     }
 
-    /// The average that a plan is checked on.
+    /// Returns the average on which a plan is validated.
     pub fn validation_average(&self) -> &Counts {
-        &self.halves[(self.samples % 2) as usize]
+        &self.averages[(self.samples % 2) as usize]
     }
 
-    /// The mean of both.
+    /// Returns the mean of the two averages.
     pub fn mean(&self) -> Counts {
-        let pairs = self.halves[0].iter().zip(&self.halves[1]);
+        let pairs = self.averages[0].iter().zip(&self.averages[1]);
         pairs
             .map(|(a, b)| {
                 a.iter().zip(b).map(|(a, b)| (a + b) / 2.0).collect()
@@ -73,9 +75,14 @@
     }
 }
 
-/// Counts are noisy like a Poisson variable. What lies far outside of that,
-/// a new menu for example, counts almost in full at once.
+/// Returns the weight of a new count in its average. Counts vary like a Poisson
+/// variable. A jump far beyond that variation, such as a restaurant's new menu,
+/// replaces the average almost completely.
 fn weight(old: f64, new: f64) -> f64 {
-    let noise = old.max(1.0).sqrt();
-    if (new - old).abs() > JUMP * noise { JUMP_WEIGHT } else { WEIGHT }
+    let deviation = old.max(1.0).sqrt();
+    if (new - old).abs() > MIN_JUMP_DEVIATIONS * deviation {
+        JUMP_WEIGHT
+    } else {
+        NOISE_WEIGHT
+    }
 }
--- a/cowsliproad-placement/src/map.rs
+++ b/cowsliproad-placement/src/map.rs
@@ -1,25 +1,25 @@
-//! The expert map and the time of a step under it.
+//! The expert map of a group, and the time of a step under a map.
 
-/// A rank of a group.
+/// The index of a rank within its group.
 pub type Rank = u16;
 
-/// An expert of a layer.
+/// The index of an expert within its layer.
 pub type Expert = u16;
 
-/// The sizes of a group.
+/// The dimensions of a group's expert map.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Shape {
-    /// Ranks.
+    /// The number of ranks.
     pub ranks: usize,
-    /// Experts in each layer.
+    /// The number of experts in each layer.
     pub experts: usize,
-    /// Layers.
+    /// The number of layers.
     pub layers: usize,
-    /// Experts that a rank can hold in each layer.
+    /// The number of experts that a rank can hold in each layer.
     pub slots: usize,
 }
 
-/// Where the experts of one layer are.
+/// The assignment of one layer's experts to ranks.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Layer {
     /// The experts that each rank holds, by rank.
@@ -28,15 +28,15 @@
     hosts: Vec<Vec<Rank>>,
 }
 
-/// Where the experts of all layers are.
+/// The expert map: the assignment of all layers' experts to ranks.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Map {
-    /// The layers.
+    /// The assignment of experts to ranks in each layer.
     pub layers: Vec<Layer>,
 }
 
 impl Layer {
-    /// A layer in which no rank holds anything.
+    /// Creates a layer in which no rank holds an expert.
     pub fn new(shape: Shape) -> Layer {
         Layer {
             held: vec![Vec::with_capacity(shape.slots); shape.ranks],
@@ -44,82 +44,86 @@
         }
     }
 
-    /// The number of ranks.
+    /// Returns the number of ranks.
     pub fn ranks(&self) -> usize {
         self.held.len()
     }
 
-    /// The experts that a rank holds.
+    /// Returns the experts that a rank holds.
     pub fn held(&self, rank: Rank) -> &[Expert] {
         &self.held[usize::from(rank)]
     }
 
-    /// The ranks that hold an expert.
+    /// Returns the ranks that hold an expert.
     pub fn hosts(&self, expert: Expert) -> &[Rank] {
         &self.hosts[usize::from(expert)]
     }
 
-    /// Whether a rank holds an expert.
+    /// Returns whether a rank holds an expert.
     pub fn holds(&self, rank: Rank, expert: Expert) -> bool {
         self.held(rank).contains(&expert)
     }
 
-    /// Gives an expert to a rank that does not hold it.
+    /// Adds a copy of an expert to a rank that does not hold it.
     pub fn add(&mut self, rank: Rank, expert: Expert) {
         debug_assert!(!self.holds(rank, expert));
         self.held[usize::from(rank)].push(expert);
         self.hosts[usize::from(expert)].push(rank);
     }
 
-    /// Takes an expert from a rank.
+    /// Removes a rank's copy of an expert.
     pub fn remove(&mut self, rank: Rank, expert: Expert) {
         self.held[usize::from(rank)].retain(|it| *it != expert);
         self.hosts[usize::from(expert)].retain(|it| *it != rank);
     }
 
-    /// The time that each rank needs.
+    /// Returns the time that each rank needs for this layer.
     pub fn rank_times(&self, loads: &[f64], speeds: &[f64]) -> Vec<f64> {
-        let mut times = vec![0.0; self.held.len()];
+        let mut rank_times = vec![0.0; self.held.len()];
         for (expert, hosts) in self.hosts.iter().enumerate() {
-            let each = time_per_host(loads[expert], hosts, speeds);
+            let time = time_per_host(loads[expert], hosts, speeds);
             for host in hosts {
-                times[usize::from(*host)] += each;
+                rank_times[usize::from(*host)] += time;
             }
         }
-        times
+        rank_times
     }
 
-    /// The time that the slowest rank needs.
+    /// Returns the time that the slowest rank needs for this layer.
     pub fn slowest_time(&self, loads: &[f64], speeds: &[f64]) -> f64 {
         self.rank_times(loads, speeds).into_iter().fold(0.0, f64::max)
     }
 
-    /// Copies that `other` has and this layer hasn't.
+    /// Returns the number of copies to be added for this layer to become
+    /// `other`.
     pub fn added_copies(&self, other: &Layer) -> usize {
         let ranks = 0..self.held.len() as Rank;
         ranks.map(|rank| self.added_at(rank, other)).sum()
     }
 
-    /// Those of one rank.
+    /// Returns the number of experts that `other` newly assigns to a rank.
     pub fn added_at(&self, rank: Rank, other: &Layer) -> usize {
-        let theirs = other.held(rank).iter();
-        theirs.filter(|it| !self.holds(rank, **it)).count()
+        let others = other.held(rank).iter();
+        others.filter(|it| !self.holds(rank, **it)).count()
     }
 
-    /// Whether each expert is held and no rank holds too many.
+    /// Returns whether every expert has a host and no rank holds more experts
+    /// than it has slots.
     pub fn is_valid(&self, shape: Shape) -> bool {
-        let placed = self.hosts.iter().all(|hosts| !hosts.is_empty());
-        let fits = self.held.iter().all(|held| held.len() <= shape.slots);
-        let agrees = self.held.iter().enumerate().all(|(rank, held)| {
-            held.iter().all(|it| self.hosts(*it).contains(&(rank as Rank)))
-        });
-        placed && fits && agrees
+        let all_hosted = self.hosts.iter().all(|hosts| !hosts.is_empty());
+        let is_within_slots =
+            self.held.iter().all(|held| held.len() <= shape.slots);
+        let is_consistent =
+            self.held.iter().enumerate().all(|(rank, held)| {
+                held.iter().all(|it| self.hosts(*it).contains(&(rank as Rank)))
+            });
+        all_hosted && is_within_slots && is_consistent
     }
 }
 
 impl Map {
-    /// The map in which experts are dealt to ranks in turn, with nothing held
-    /// twice.
+    /// Returns the map that assigns experts to ranks in round-robin order,
+    /// one copy each.
     pub fn round_robin(shape: Shape) -> Map {
         let mut layer = Layer::new(shape);
         for expert in 0..shape.experts {
@@ -128,8 +132,8 @@
         Map { layers: vec![layer; shape.layers] }
     }
 
-    /// A map from the experts of each rank, by layer; `None` unless it is
-    /// one of this shape.
+    /// Builds a map from the experts held, by layer and rank; `None` if they
+    /// don't make a valid map of this shape.
     pub fn from_experts(
         shape: Shape,
         experts: &[Vec<Vec<Expert>>],
@@ -139,8 +143,8 @@
             let mut layer = Layer::new(shape);
             for (rank, held) in ranks.iter().enumerate() {
                 for &expert in held {
-                    let known = usize::from(expert) < shape.experts;
-                    if rank >= shape.ranks || !known {
+                    let is_known = usize::from(expert) < shape.experts;
+                    if rank >= shape.ranks || !is_known {
                         return None;
                     }
                     if !layer.holds(rank as Rank, expert) {
@@ -150,38 +154,41 @@
             }
             layers.push(layer);
         }
-        let fits = layers.len() == shape.layers
+        let is_valid = layers.len() == shape.layers
             && layers.iter().all(|it| it.is_valid(shape));
-        fits.then_some(Map { layers })
+        is_valid.then_some(Map { layers })
     }
 
-    /// The experts of each rank, by layer.
+    /// Returns the experts held, by layer and rank.
     pub fn experts(&self) -> Vec<Vec<Vec<Expert>>> {
         let layers = self.layers.iter();
         layers.map(|layer| layer.held.clone()).collect()
     }
 
-    /// The time of a step: each layer waits for its slowest rank.
+    /// Returns the time of a step: the sum over all layers of the slowest
+    /// rank's time.
     pub fn step_time(&self, loads: &[Vec<f64>], speeds: &[f64]) -> f64 {
         let layers = self.layers.iter().zip(loads);
         layers.map(|(layer, loads)| layer.slowest_time(loads, speeds)).sum()
     }
 
-    /// Copies to be moved to come from this map to another.
+    /// Returns the number of copies to be moved to switch from this map to
+    /// another.
     pub fn moves_to(&self, other: &Map) -> usize {
         let pairs = self.layers.iter().zip(&other.layers);
-        pairs.map(|(own, theirs)| own.added_copies(theirs)).sum()
+        pairs.map(|(own, others)| own.added_copies(others)).sum()
     }
 }
 
-/// The time that an expert costs each of its hosts: its tokens go to them
-/// in proportion to their speed, so all need equally long.
+/// Returns the time that an expert takes on each of its hosts. Its tokens are
+/// shared in proportion to the hosts' speeds, so all hosts take the same time.
 pub fn time_per_host(load: f64, hosts: &[Rank], speeds: &[f64]) -> f64 {
     let speed: f64 = hosts.iter().map(|it| speeds[usize::from(*it)]).sum();
     load / speed
 }
 
-/// The time of a step if all work were spread over all ranks by speed.
+/// Returns the time of a step under perfect balance: all load shared by all
+/// ranks in proportion to their speed.
 pub fn ideal_time(loads: &[Vec<f64>], speeds: &[f64]) -> f64 {
     let speed: f64 = speeds.iter().sum();
     loads.iter().flatten().sum::<f64>() / speed
--- a/cowsliproad-placement/src/plan.rs
+++ b/cowsliproad-placement/src/plan.rs
@@ -1,23 +1,25 @@
-//! Few moves from the present map that pay for themselves.
+//! Plans a few moves from the present map whose saving exceeds their cost.
 //!
-//! In each layer the slowest rank is relieved again and again, by one of
-//! three moves: a copy of one of its experts takes the place of a copy that
-//! can be spared on a rank with time to spare; one of its experts changes
-//! places with a lighter one; or it gives up a copy of an expert that others
-//! hold too, for a copy of a lighter one. Only the best prefix of these moves is kept: the one
-//! whose saving over the horizon, weighed by `skew_weight`, exceeds its
-//! copies, weighed by `move_weight`, by most. All this looks at one half of
-//! the counts. The other half then has to show the saving as well, or the
-//! layer stays: noise differs between the halves, so it causes no moves.
-//! Then layers are taken by value for each
-//! copy until the copies that one plan may move are used up.
+//! In each layer, the slowest rank is relieved repeatedly by one of three
+//! moves: a copy of one of its experts replaces a dispensable copy on a rank
+//! with idle time; one of its experts is swapped with a lighter one; or a
+//! lighter expert replaces a copy of an expert that other ranks hold too. Only
+//! the best prefix of these moves is kept: the prefix whose saving over the
+//! horizon, weighted by `skew_weight`, exceeds the cost of its copies, weighted
+//! by `move_weight`, by most.
+//!
+//! The moves are chosen on one of the two averages of the counts. The other
+//! average has to show the saving too, or the layer stays unchanged. Noise
+//! differs between the averages, so noise causes no moves. Finally, layers are
+//! changed in order of their saving per copy, up to the copies that one plan
+//! may move.
 
 use crate::{
     load::Loads,
     map::{Expert, Layer, Map, Rank, Shape, time_per_host},
 };
 
-/// What a group's operators weigh.
+/// The operators' settings for planning a group's map.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     skew_weight: f64,
@@ -27,7 +29,7 @@
 }
 
 impl Config {
-    /// Equal weights.
+    /// Returns settings that weigh saved step time and moved copies equally.
     pub fn new() -> Config {
         Config {
             skew_weight: 1.0,
@@ -37,23 +39,24 @@
         }
     }
 
-    /// What a unit of step time saved is worth.
+    /// Sets the weight of saved step time.
     pub fn with_skew_weight(self, skew_weight: f64) -> Config {
         Config { skew_weight, ..self }
     }
 
-    /// What moving one copy costs.
+    /// Sets the weight of moved copies.
     pub fn with_move_weight(self, move_weight: f64) -> Config {
         Config { move_weight, ..self }
     }
 
-    /// Copies that one plan may move, from the bytes a second that leave
-    /// serving alone.
+    /// Sets the maximum number of copies that one plan may move. It follows
+    /// from the transfer rate that doesn't slow down serving.
     pub fn with_max_moves(self, max_moves: usize) -> Config {
         Config { max_moves, ..self }
     }
 
-    /// The share of a layer's time that a plan has to save in it.
+    /// Sets the share of a layer's time that a change of the layer has to
+    /// save.
     pub fn with_threshold(self, threshold: f64) -> Config {
         Config { threshold, ..self }
     }
@@ -65,33 +68,34 @@
     }
 }
 
-/// A new map and what it takes.
+/// A new map with its cost and its expected saving.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The map to switch to.
+    /// The new map.
     pub map: Map,
-    /// Copies to be moved.
+    /// The number of copies to be moved.
     pub moves: usize,
-    /// The share of the step time that it is expected to save.
+    /// The share of the step time that the new map is expected to save.
     pub saving: f64,
 }
 
-/// What a move of one copy costs as a share of a mean layer's time, at
-/// equal weights: with the usual interval a saving of this size is earned
-/// back before the popularity has drifted.
-const MOVE_PRICE: f64 = 0.002;
+/// The cost of moving one copy at equal weights, as a share of the mean layer
+/// time. With the default interval, a saving of this size repays the move
+/// before the popularity of experts has drifted.
+const MOVE_COST: f64 = 0.002;
 
-/// Slow ranks that relief is looked for.
-const SLOW: usize = 6;
+/// The number of slow ranks to try to relieve for each move.
+const MAX_SLOW_RANKS: usize = 6;
 
-/// Moves tried in a layer, at least and at most; in between, three for two
-/// ranks.
-const TRIES: (usize, usize) = (32, 400);
+/// The minimum and maximum number of moves tried in a layer. Between these
+/// bounds, three moves are tried for every two ranks.
+const MIN_MAX_TRIES: (usize, usize) = (32, 400);
 
-/// Ranks with time to spare that are looked at for each move.
-const CANDIDATES: usize = 12;
+/// The number of fast ranks considered as receivers of each move.
+const MAX_RECEIVERS: usize = 12;
 
-/// Plans moves from the present map; `None` when none pays.
+/// Plans moves from the present map; `None` if no moves save more than they
+/// cost.
 pub fn plan(
     shape: Shape,
     config: Config,
@@ -104,26 +108,27 @@
     }
     let mean = loads.mean();
     let total = present.step_time(&mean, speeds);
-    let price = config.move_weight * MOVE_PRICE * total
+    let move_cost = config.move_weight * MOVE_COST * total
         / shape.layers as f64
         / config.skew_weight.max(f64::MIN_POSITIVE);
-    let mut changes: Vec<Change> = (0..shape.layers)
+    let mut changes: Vec<LayerChange> = (0..shape.layers)
         .filter_map(|index| {
-            let (fresh, check) =
+            let (planning_loads, validation_loads) =
                 (loads.planning_average(), loads.validation_average());
             let layer = &present.layers[index];
-            improve(
+            improve_layer(
                 layer,
-                &fresh[index],
-                &check[index],
+                &planning_loads[index],
+                &validation_loads[index],
                 speeds,
-                price,
+                move_cost,
                 &config,
             )
-            .map(|found| Change { index, ..found })
+            .map(|change| LayerChange { index, ..change })
         })
         .collect();
-    changes.sort_by(|a, b| b.worth().total_cmp(&a.worth()));
+    changes
+        .sort_by(|a, b| b.saving_per_copy().total_cmp(&a.saving_per_copy()));
     let mut map = present.clone();
     let (mut moves, mut saving) = (0, 0.0);
     for change in changes {
@@ -137,214 +142,236 @@
     (moves > 0).then(|| Plan { map, moves, saving: saving / total })
 }
 
-/// A better layer.
-struct Change {
+/// A change of one layer that saves more than it costs.
+struct LayerChange {
     index: usize,
     layer: Layer,
     moves: usize,
     saving: f64,
 }
 
-impl Change {
-    fn worth(&self) -> f64 {
+impl LayerChange {
+    /// Returns the saved time per moved copy.
+    fn saving_per_copy(&self) -> f64 {
         self.saving / self.moves as f64
     }
 }
 
-fn improve(
+/// Returns the best change of a layer, chosen by `loads` and confirmed by
+/// `validation_loads`.
+fn improve_layer(
     present: &Layer,
-    fresh: &[f64],
-    check: &[f64],
+    loads: &[f64],
+    validation_loads: &[f64],
     speeds: &[f64],
-    price: f64,
+    move_cost: f64,
     config: &Config,
-) -> Option<Change> {
-    let before = present.slowest_time(fresh, speeds);
+) -> Option<LayerChange> {
+    let before = present.slowest_time(loads, speeds);
     let mut layer = present.clone();
-    let mut times = layer.rank_times(fresh, speeds);
-    let mut best: Option<(f64, Change)> = None;
-    let tries = (present.ranks() * 3 / 2).clamp(TRIES.0, TRIES.1);
+    let mut times = layer.rank_times(loads, speeds);
+    let mut best: Option<(f64, LayerChange)> = None;
+    let tries =
+        (present.ranks() * 3 / 2).clamp(MIN_MAX_TRIES.0, MIN_MAX_TRIES.1);
     for _ in 0..tries {
-        let Some(step) = relieve(&layer, &times, fresh, speeds) else { break };
-        step.make(&mut layer);
-        times = layer.rank_times(fresh, speeds);
+        let Some(it) = find_move(&layer, &times, loads, speeds) else { break };
+        it.apply(&mut layer);
+        times = layer.rank_times(loads, speeds);
         let after = times.iter().copied().fold(0.0, f64::max);
         let saving = before - after;
         let moves = present.added_copies(&layer);
-        let value = saving - price * moves as f64;
+        let value = saving - move_cost * moves as f64;
         if value > best.as_ref().map_or(0.0, |it| it.0) {
             let layer = layer.clone();
-            let change = Change { index: 0, layer, moves, saving };
+            let change = LayerChange { index: 0, layer, moves, saving };
             best = Some((value, change));
         }
     }
     let (_, change) = best?;
-    // The other half had no say in the choice, so what noise made look good
-    // looks no better there.
-    let before = present.slowest_time(check, speeds);
-    let saving = before - change.layer.slowest_time(check, speeds);
+    // The validation average did not influence the choice, so a saving that
+    // was only noise doesn't show there.
+    let before = present.slowest_time(validation_loads, speeds);
+    let saving = before - change.layer.slowest_time(validation_loads, speeds);
     let saving = saving.min(change.saving);
-    let pays = saving > price * change.moves as f64;
-    let enough = saving > config.threshold * before;
-    (pays && enough).then_some(Change { saving, ..change })
+    let exceeds_cost = saving > move_cost * change.moves as f64;
+    let exceeds_threshold = saving > config.threshold * before;
+    (exceeds_cost && exceeds_threshold)
+        .then_some(LayerChange { saving, ..change })
 }
 
-/// One move in a layer.
+/// A move that changes the hosts of one or two experts of a layer.
 #[derive(Clone, Copy, Debug)]
-enum Step {
-    /// `from` gives `expert` to `to`, in exchange for `other`.
+enum Move {
+    /// Rank `from` gives `expert` to rank `to` in exchange for `other`.
     Swap { from: Rank, expert: Expert, to: Rank, other: Expert },
-    /// `to` holds a further copy of `expert` in place of `other`.
+    /// Rank `to` gets an additional copy of `expert` in place of `other`.
     Copy { expert: Expert, to: Rank, other: Expert },
-    /// `to` holds a further copy of `expert` in a free slot.
+    /// Rank `to` gets an additional copy of `expert` in a free slot.
     Fill { expert: Expert, to: Rank },
 }
 
-impl Step {
-    fn make(self, layer: &mut Layer) {
+impl Move {
+    fn apply(self, layer: &mut Layer) {
         match self {
-            Step::Swap { from, expert, to, other } => {
+            Move::Swap { from, expert, to, other } => {
                 layer.remove(from, expert);
                 layer.remove(to, other);
                 layer.add(from, other);
                 layer.add(to, expert);
             }
-            Step::Copy { expert, to, other } => {
+            Move::Copy { expert, to, other } => {
                 layer.remove(to, other);
                 layer.add(to, expert);
             }
-            Step::Fill { expert, to } => layer.add(to, expert),
+            Move::Fill { expert, to } => layer.add(to, expert),
         }
     }
 }
 
-/// Relieves the slowest rank, or when nothing helps it, the next slowest,
-/// which may open a way for the slowest.
-fn relieve(
+/// Returns a move that relieves the slowest rank. If no move does, relieves
+/// the next slowest ranks, which may make a move for the slowest possible.
+fn find_move(
     layer: &Layer,
     times: &[f64],
     loads: &[f64],
     speeds: &[f64],
-) -> Option<Step> {
+) -> Option<Move> {
     let mut ranks: Vec<Rank> = (0..times.len() as Rank).collect();
     let by_time = |a: &Rank, b: &Rank| {
         times[usize::from(*a)].total_cmp(&times[usize::from(*b)])
     };
     ranks.sort_unstable_by(by_time);
-    let quick = &ranks[..CANDIDATES.min(ranks.len())];
-    let scene = Scene { layer, times, loads, speeds };
-    let slow = ranks.iter().rev().take(SLOW);
-    slow.into_iter().find_map(|rank| relieve_rank(&scene, *rank, quick))
+    let fast_ranks = &ranks[..MAX_RECEIVERS.min(ranks.len())];
+    let state = LayerState { layer, times, loads, speeds };
+    let slow = ranks.iter().rev().take(MAX_SLOW_RANKS);
+    slow.into_iter()
+        .find_map(|rank| find_move_for_rank(&state, *rank, fast_ranks))
 }
 
-/// The move that leaves the ranks it touches with the shortest longest time,
-/// if that is shorter than the rank's own.
-fn relieve_rank(scene: &Scene, slowest: Rank, quick: &[Rank]) -> Option<Step> {
-    let layer = scene.layer;
-    let longest = scene.times[usize::from(slowest)];
-    let mut best: Option<(f64, Step)> = None;
-    for &expert in layer.held(slowest) {
-        for &to in quick {
-            if to == slowest || layer.holds(to, expert) {
+/// Returns the move with the lowest maximum time among the ranks that it
+/// affects, if that maximum is lower than the slow rank's time.
+fn find_move_for_rank(
+    state: &LayerState,
+    slow_rank: Rank,
+    fast_ranks: &[Rank],
+) -> Option<Move> {
+    let layer = state.layer;
+    let longest = state.times[usize::from(slow_rank)];
+    let mut best: Option<(f64, Move)> = None;
+    for &expert in layer.held(slow_rank) {
+        for &to in fast_ranks {
+            if to == slow_rank || layer.holds(to, expert) {
                 continue;
             }
-            for step in scene.steps(slowest, expert, to) {
-                let time = scene.longest_after(step);
+            for candidate in state.moves_between(slow_rank, expert, to) {
+                let time = state.max_time_after(candidate);
                 let limit = best.as_ref().map_or(longest, |it| it.0);
-                if time < limit * IMPROVEMENT {
-                    best = Some((time, step));
+                if time < limit * IMPROVEMENT_FACTOR {
+                    best = Some((time, candidate));
                 }
             }
         }
     }
-    for step in scene.trades(slowest, quick) {
-        let time = scene.longest_after(step);
+    for candidate in state.replacements(slow_rank, fast_ranks) {
+        let time = state.max_time_after(candidate);
         let limit = best.as_ref().map_or(longest, |it| it.0);
-        if time < limit * IMPROVEMENT {
-            best = Some((time, step));
+        if time < limit * IMPROVEMENT_FACTOR {
+            best = Some((time, candidate));
         }
     }
     best.map(|it| it.1)
 }
 
-/// A move has to be better by this much, so that rounding makes none.
-const IMPROVEMENT: f64 = 1.0 - 1e-6;
+/// A move must lower the maximum time below this fraction of the best so far,
+/// so that rounding errors cause no moves.
+const IMPROVEMENT_FACTOR: f64 = 1.0 - 1e-6;
 
-struct Scene<'a> {
+/// A layer with its loads and the times of its ranks.
+struct LayerState<'a> {
     layer: &'a Layer,
     times: &'a [f64],
     loads: &'a [f64],
     speeds: &'a [f64],
 }
 
-impl Scene<'_> {
-    fn steps(&self, from: Rank, expert: Expert, to: Rank) -> Vec<Step> {
+impl LayerState<'_> {
+    /// Returns the moves that bring `expert` from one rank to another.
+    fn moves_between(
+        &self,
+        from: Rank,
+        expert: Expert,
+        to: Rank,
+    ) -> Vec<Move> {
         let held = self.layer.held(to);
-        let mut steps = Vec::with_capacity(2 * held.len() + 1);
+        let mut moves = Vec::with_capacity(2 * held.len() + 1);
         let slots = self.layer.held(from).len().max(held.len());
         if held.len() < slots {
-            steps.push(Step::Fill { expert, to });
+            moves.push(Move::Fill { expert, to });
         }
         for &other in held {
             if self.layer.hosts(other).len() > 1 {
-                steps.push(Step::Copy { expert, to, other });
+                moves.push(Move::Copy { expert, to, other });
             }
             if !self.layer.holds(from, other) {
-                steps.push(Step::Swap { from, expert, to, other });
+                moves.push(Move::Swap { from, expert, to, other });
             }
         }
-        steps
+        moves
     }
 
-    /// What the slowest rank could hold in place of an expert that others
-    /// hold too.
-    fn trades(&self, slowest: Rank, quick: &[Rank]) -> Vec<Step> {
+    /// Returns the moves that replace an expert of a slow rank, which other
+    /// ranks hold too, by an expert of a fast rank.
+    fn replacements(&self, slow_rank: Rank, fast_ranks: &[Rank]) -> Vec<Move> {
         let layer = self.layer;
-        let held = layer.held(slowest).iter();
-        let spare = held.filter(|it| layer.hosts(**it).len() > 1);
-        let light = || {
-            let held = quick.iter().flat_map(|rank| layer.held(*rank));
-            held.filter(|it| !layer.holds(slowest, **it))
+        let held = layer.held(slow_rank).iter();
+        let dispensable = held.filter(|it| layer.hosts(**it).len() > 1);
+        let fast_rank_experts = || {
+            let held = fast_ranks.iter().flat_map(|rank| layer.held(*rank));
+            held.filter(|it| !layer.holds(slow_rank, **it))
         };
-        spare
+        dispensable
             .flat_map(|&other| {
-                light().map(move |&expert| Step::Copy {
+                fast_rank_experts().map(move |&expert| Move::Copy {
                     expert,
-                    to: slowest,
+                    to: slow_rank,
                     other,
                 })
             })
             .collect()
     }
 
-    /// The longest time among the ranks that a move touches.
-    fn longest_after(&self, step: Step) -> f64 {
-        match step {
-            Step::Fill { expert, to } => self.after_copy(expert, to, None),
-            Step::Copy { expert, to, other } => {
-                self.after_copy(expert, to, Some(other))
+    /// Returns the maximum time among the ranks that a move affects.
+    fn max_time_after(&self, candidate: Move) -> f64 {
+        match candidate {
+            Move::Fill { expert, to } => {
+                self.max_time_after_copy(expert, to, None)
+            }
+            Move::Copy { expert, to, other } => {
+                self.max_time_after_copy(expert, to, Some(other))
             }
-            Step::Swap { from, expert, to, other } => {
-                self.after_swap(from, expert, to, other)
+            Move::Swap { from, expert, to, other } => {
+                self.max_time_after_swap(from, expert, to, other)
             }
         }
     }
 
-    fn after_copy(
+    /// Returns the maximum time among the affected ranks after a copy of
+    /// `expert` is added to a rank, in place of `other` if given.
+    fn max_time_after_copy(
         &self,
         expert: Expert,
         to: Rank,
         other: Option<Expert>,
     ) -> f64 {
-        let old = self.each(expert, &[], None);
-        let new = self.each(expert, &[to], None);
-        let mut at_to = self.times[usize::from(to)] + new;
+        let old = self.time_per_host(expert, &[], None);
+        let new = self.time_per_host(expert, &[to], None);
+        let mut time_at_to = self.times[usize::from(to)] + new;
         let mut longest: f64 = 0.0;
         let (mut other_old, mut other_new) = (0.0, 0.0);
         if let Some(other) = other {
-            other_old = self.each(other, &[], None);
-            other_new = self.each(other, &[], Some(to));
-            at_to -= other_old;
+            other_old = self.time_per_host(other, &[], None);
+            other_new = self.time_per_host(other, &[], Some(to));
+            time_at_to -= other_old;
             for &host in self.layer.hosts(other) {
                 if host == to {
                     continue;
@@ -364,30 +391,41 @@
             let time = self.times[usize::from(host)] + new - old + extra;
             longest = longest.max(time);
         }
-        longest.max(at_to)
+        longest.max(time_at_to)
     }
 
-    fn after_swap(
+    /// Returns the approximate maximum time of two ranks after they swap
+    /// experts.
+    fn max_time_after_swap(
         &self,
         from: Rank,
         expert: Expert,
         to: Rank,
         other: Expert,
     ) -> f64 {
-        // The hosts of either expert change by one; with equal speeds the
-        // shares stay, and a small error elsewhere is seen when the times
-        // are worked out anew after the move.
-        let mine = self.each(expert, &[], None);
-        let theirs = self.each(other, &[], None);
-        let mine_there = self.each(expert, &[to], Some(from));
-        let theirs_here = self.each(other, &[from], Some(to));
-        let at_from = self.times[usize::from(from)] - mine + theirs_here;
-        let at_to = self.times[usize::from(to)] - theirs + mine_there;
-        at_from.max(at_to)
+        // Each expert changes one of its hosts. With equal speeds, the shares
+        // of the other hosts stay the same. With unequal speeds, their times
+        // are off by a small error until all times are recomputed after the
+        // move.
+        let expert_time = self.time_per_host(expert, &[], None);
+        let other_time = self.time_per_host(other, &[], None);
+        let expert_time_at_to = self.time_per_host(expert, &[to], Some(from));
+        let other_time_at_from = self.time_per_host(other, &[from], Some(to));
+        let time_at_from =
+            self.times[usize::from(from)] - expert_time + other_time_at_from;
+        let time_at_to =
+            self.times[usize::from(to)] - other_time + expert_time_at_to;
+        time_at_from.max(time_at_to)
     }
 
-    /// What an expert costs each host, with hosts added or one left out.
-    fn each(&self, expert: Expert, added: &[Rank], out: Option<Rank>) -> f64 {
+    /// Returns the time that an expert takes on each host if hosts are added or
+    /// one host is left out.
+    fn time_per_host(
+        &self,
+        expert: Expert,
+        added: &[Rank],
+        out: Option<Rank>,
+    ) -> f64 {
         let hosts = self.layer.hosts(expert);
         let load = self.loads[usize::from(expert)];
         if added.is_empty() && out.is_none() {
