--- a/tests/mapswitch/main.rs
+++ b/tests/mapswitch/main.rs
@@ -1,10 +1,10 @@
-//! The switch of expert maps, explored completely in a small scope.
+//! Explores every reachable state of a small group that switches expert maps.
 //!
-//! Three members, in two scopes: two competing proposals, as of a stale
-//! coordinator; and one proposal with a crash and a new generation. Messages
-//! stay in the network for ever and may be taken in at any time, any number
-//! of times or never, which covers loss, delay, duplicates, reordering and
-//! pauses.
+//! The group has three members. One scenario has two competing proposals, one
+//! of which is from a stale coordinator; the other has one proposal, a crash
+//! and a new generation. Messages stay in the network and may be delivered at
+//! any time, any number of times or never, which covers loss, delay,
+//! duplicates, reordering and pauses.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
@@ -12,104 +12,112 @@
     Generation, Member, Message, NextStep, Proposal, Version, Weights,
 };
 
-/// Steps that a member runs in a generation.
+/// The number of steps that a member runs in one generation.
 const LAST_STEP: u64 = 2;
 
-/// More worlds than a scope has; a larger one would take too long.
-const MAX_WORLDS: usize = 600_000;
+/// Exceeds the number of states in each scenario; a larger scenario would take
+/// too long.
+const MAX_STATES: usize = 600_000;
 
-const OLD: Version = Version(0);
-const FIRST: Generation = Generation(1);
-const SECOND: Generation = Generation(2);
+const OLD_MAP: Version = Version(0);
+const FIRST_GENERATION: Generation = Generation(1);
+const SECOND_GENERATION: Generation = Generation(2);
 
-/// The coordinator's proposal and one of a paused, stale coordinator.
+/// The current coordinator's proposal and a paused, stale coordinator's
+/// proposal.
 const PROPOSALS: [Proposal; 2] = [
     Proposal {
-        generation: FIRST,
-        base: OLD,
+        generation: FIRST_GENERATION,
+        base: OLD_MAP,
         version: Version(1),
         boundary: 1,
     },
     Proposal {
-        generation: FIRST,
-        base: OLD,
+        generation: FIRST_GENERATION,
+        base: OLD_MAP,
         version: Version(2),
         boundary: 1,
     },
 ];
 
-/// What may happen.
+/// The events that may happen in an exploration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Scope {
-    /// Two proposals and late weights.
+enum Scenario {
+    /// Two competing proposals, and weights that load late.
     TwoProposals,
     /// One proposal, a crash and a new generation.
-    CrashAndRenewal,
+    CrashAndNewGeneration,
 }
 
+/// The state of the group and of the network between its members.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-struct World {
-    /// The members that are alive.
+struct SystemState {
+    /// The members by rank; `None` for a member that crashed.
     members: Vec<Option<Member>>,
     network: BTreeSet<Message>,
-    /// The map that each step was run with.
-    used: BTreeMap<(Generation, u64), Version>,
+    /// The map with which each step was run.
+    used_maps: BTreeMap<(Generation, u64), Version>,
 }
 
-impl World {
-    fn new(scope: Scope) -> World {
-        let count = match scope {
-            Scope::TwoProposals => 2,
-            Scope::CrashAndRenewal => 1,
+impl SystemState {
+    fn new(scenario: Scenario) -> SystemState {
+        let count = match scenario {
+            Scenario::TwoProposals => 2,
+            Scenario::CrashAndNewGeneration => 1,
         };
         let proposals = PROPOSALS.into_iter().take(count);
-        let member = |rank| Some(Member::new(rank, 3, FIRST, OLD));
-        World {
+        let member =
+            |rank| Some(Member::new(rank, 3, FIRST_GENERATION, OLD_MAP));
+        SystemState {
             members: (0..3).map(member).collect(),
             network: proposals.map(Message::Ask).collect(),
-            used: BTreeMap::new(),
+            used_maps: BTreeMap::new(),
         }
     }
 
-    /// All worlds that one event leads to.
-    fn successors(&self, scope: Scope) -> Vec<World> {
-        let mut found = Vec::new();
+    /// Returns all states that one event leads to.
+    fn successors(&self, scenario: Scenario) -> Vec<SystemState> {
+        let mut successors = Vec::new();
         for rank in 0..self.members.len() {
             if self.members[rank].is_none() {
                 continue;
             }
-            found.extend(self.step(rank));
-            if scope == Scope::CrashAndRenewal {
-                found.extend(self.crash(rank));
-                found.extend(self.renew(rank));
+            successors.extend(self.step(rank));
+            if scenario == Scenario::CrashAndNewGeneration {
+                successors.extend(self.crash(rank));
+                successors.extend(self.join_next_generation(rank));
             }
             for message in &self.network {
-                found.extend(self.deliver(rank, *message, Weights::Loaded));
-                let late = scope == Scope::TwoProposals
+                successors.extend(self.deliver(
+                    rank,
+                    *message,
+                    Weights::Loaded,
+                ));
+                let may_load_late = scenario == Scenario::TwoProposals
                     && matches!(message, Message::Ask(_));
-                if late {
+                if may_load_late {
                     let missing = Weights::Missing;
-                    found.extend(self.deliver(rank, *message, missing));
+                    successors.extend(self.deliver(rank, *message, missing));
                 }
             }
         }
-        found
+        successors
     }
 
-    fn step(&self, rank: usize) -> Option<World> {
+    fn step(&self, rank: usize) -> Option<SystemState> {
         let mut next = self.clone();
         let member = next.members[rank].as_mut()?;
         if member.step() >= LAST_STEP {
             return None;
         }
-        let place = (member.generation(), member.step());
+        let step = (member.generation(), member.step());
         let map = member.run_step()?;
-        let first = *next.used.entry(place).or_insert(map);
-        assert_eq!(first, map, "two maps in step {place:?}: {self:?}");
+        let first_map = *next.used_maps.entry(step).or_insert(map);
+        assert_eq!(first_map, map, "two maps in step {step:?}: {self:?}");
         Some(next)
     }
 
-    fn crash(&self, rank: usize) -> Option<World> {
+    fn crash(&self, rank: usize) -> Option<SystemState> {
         if self.members.iter().any(Option::is_none) {
             return None;
         }
@@ -118,13 +126,13 @@
         Some(next)
     }
 
-    fn renew(&self, rank: usize) -> Option<World> {
+    fn join_next_generation(&self, rank: usize) -> Option<SystemState> {
         let mut next = self.clone();
         let member = next.members[rank].as_mut()?;
-        if member.generation() == SECOND {
+        if member.generation() == SECOND_GENERATION {
             return None;
         }
-        member.join_generation(SECOND, OLD);
+        member.join_generation(SECOND_GENERATION, OLD_MAP);
         Some(next)
     }
 
@@ -133,15 +141,16 @@
         rank: usize,
         message: Message,
         weights: Weights,
-    ) -> Option<World> {
+    ) -> Option<SystemState> {
         let mut next = self.clone();
         let member = next.members[rank].as_mut()?;
         next.network.extend(member.handle(message, weights));
         Some(next)
     }
 
-    /// Delivers everything to everyone until nothing changes, then steps.
-    fn run_fairly(mut self) -> World {
+    /// Delivers every message to every member and runs their steps, until the
+    /// state no longer changes.
+    fn run_fairly(mut self) -> SystemState {
         loop {
             let before = self.clone();
             for rank in 0..self.members.len() {
@@ -159,80 +168,89 @@
     }
 }
 
-/// Every world that can be reached.
-fn explore(scope: Scope) -> HashSet<World> {
-    let mut seen = HashSet::from([World::new(scope)]);
-    let mut open = VecDeque::from([World::new(scope)]);
-    while let Some(world) = open.pop_front() {
-        assert!(seen.len() < MAX_WORLDS, "the scope is too large");
-        for next in world.successors(scope) {
-            if seen.insert(next.clone()) {
-                open.push_back(next);
+/// Returns every reachable state of a scenario.
+fn explore(scenario: Scenario) -> HashSet<SystemState> {
+    let mut visited = HashSet::from([SystemState::new(scenario)]);
+    let mut unexplored = VecDeque::from([SystemState::new(scenario)]);
+    while let Some(state) = unexplored.pop_front() {
+        assert!(
+            visited.len() < MAX_STATES,
+            "the scenario has too many states"
+        );
+        for next in state.successors(scenario) {
+            if visited.insert(next.clone()) {
+                unexplored.push_back(next);
             }
         }
     }
-    seen
+    visited
 }
 
-fn check(scope: Scope) {
-    let worlds = explore(scope);
-    eprintln!("{scope:?}: {} worlds", worlds.len());
-    // A scope so small that it shows nothing would pass as well.
-    assert!(worlds.len() > 5_000, "{} worlds", worlds.len());
-    let committed = worlds
+/// Checks that no step uses two maps, that the proposed map is used in some
+/// state, and that no member of a complete group is blocked in any state.
+fn check(scenario: Scenario) {
+    let states = explore(scenario);
+    eprintln!("{scenario:?}: {} states", states.len());
+    // A scenario with too few states would pass without showing anything.
+    assert!(states.len() > 5_000, "{} states", states.len());
+    let committed = states
         .iter()
-        .any(|world| world.used.values().any(|map| *map == Version(1)));
-    assert!(committed, "no world uses the proposed map");
-    for world in &worlds {
-        let whole = world.members.iter().all(Option::is_some);
+        .any(|state| state.used_maps.values().any(|map| *map == Version(1)));
+    assert!(committed, "no state uses the proposed map");
+    for state in &states {
+        let is_complete = state.members.iter().all(Option::is_some);
         let generations: HashSet<Generation> =
-            world.members.iter().flatten().map(Member::generation).collect();
-        if !whole || generations.len() > 1 {
+            state.members.iter().flatten().map(Member::generation).collect();
+        if !is_complete || generations.len() > 1 {
             continue;
         }
-        let end = world.clone().run_fairly();
-        for member in end.members.iter().flatten() {
-            assert_eq!(member.step(), LAST_STEP, "stuck: {world:?}");
+        let end_state = state.clone().run_fairly();
+        for member in end_state.members.iter().flatten() {
+            assert_eq!(
+                member.step(),
+                LAST_STEP,
+                "a member is blocked: {state:?}"
+            );
         }
     }
 }
 
 #[test]
-fn competing_proposals_mix_no_maps_and_leave_nobody_stuck() {
-    check(Scope::TwoProposals);
+fn competing_proposals_mix_no_maps_and_block_no_member() {
+    check(Scenario::TwoProposals);
 }
 
 #[test]
 fn a_crash_and_a_new_generation_mix_no_maps() {
-    check(Scope::CrashAndRenewal);
+    check(Scenario::CrashAndNewGeneration);
 }
 
 #[test]
-fn a_crash_leaves_the_others_free_in_a_new_generation() {
-    let mut world = World::new(Scope::CrashAndRenewal);
+fn a_new_generation_releases_members_held_by_a_crash() {
+    let mut state = SystemState::new(Scenario::CrashAndNewGeneration);
     let ask = Message::Ask(PROPOSALS[0]);
     for rank in 0..2 {
-        world = world.deliver(rank, ask, Weights::Loaded).expect("alive");
-        world = world.step(rank).expect("before the boundary");
+        state = state.deliver(rank, ask, Weights::Loaded).expect("alive");
+        state = state.step(rank).expect("before the boundary");
     }
-    world = world.crash(2).expect("the first crash");
-    let held = world.clone().run_fairly();
-    let member = held.members[0].as_ref().expect("alive");
+    state = state.crash(2).expect("the first crash");
+    let held_state = state.clone().run_fairly();
+    let member = held_state.members[0].as_ref().expect("alive");
     assert_eq!(member.next_step(), NextStep::Hold(PROPOSALS[0]));
     for rank in 0..2 {
-        world = world.renew(rank).expect("alive");
+        state = state.join_next_generation(rank).expect("alive");
     }
-    let end = world.run_fairly();
-    let member = end.members[0].as_ref().expect("alive");
+    let end_state = state.run_fairly();
+    let member = end_state.members[0].as_ref().expect("alive");
     assert_eq!(member.step(), LAST_STEP);
 }
 
 #[test]
-fn a_member_that_moved_on_takes_nothing_of_the_old_generation() {
-    let mut member = Member::new(0, 3, FIRST, OLD);
-    member.join_generation(SECOND, OLD);
+fn a_member_ignores_messages_of_an_older_generation() {
+    let mut member = Member::new(0, 3, FIRST_GENERATION, OLD_MAP);
+    member.join_generation(SECOND_GENERATION, OLD_MAP);
     let ask = Message::Ask(PROPOSALS[0]);
     assert_eq!(member.handle(ask, Weights::Loaded), None);
-    member.join_generation(FIRST, Version(9));
-    assert_eq!(member.generation(), SECOND);
+    member.join_generation(FIRST_GENERATION, Version(9));
+    assert_eq!(member.generation(), SECOND_GENERATION);
 }
--- a/tests/order/main.rs
+++ b/tests/order/main.rs
@@ -1,11 +1,13 @@
-//! The change of maps by orders, explored completely in small scopes.
+//! Explores every reachable state of a small group whose maps are switched by
+//! orders.
 //!
-//! Three ranks with an agent each. Orders may be lost, carried out at any
-//! later time and any number of times; words of coordinators may be heard
-//! late, again or never; what a coordinator has seen of a rank may be old;
-//! a coordinator's VM may freeze and wake at any point, and a successor may
-//! take over at any point, rightly or not. In every world that can come of
-//! it, no pass begins with two maps, and any hold can still be released.
+//! The group has three ranks with an agent each. An order may be lost, or
+//! executed at any later time and any number of times. A coordinator's
+//! directive may be received late, repeatedly or never, and a coordinator's
+//! snapshot of a rank may be outdated. A coordinator's VM may freeze and wake
+//! at any time, and a successor may take over at any time, even if the
+//! coordinator is alive. In every reachable state, no pass begins with two
+//! maps, and every hold can still be released.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, VecDeque},
@@ -25,37 +27,39 @@
 const RANKS: u16 = 3;
 const EPOCH: Epoch = Epoch(1);
 
-/// The rank beside the first coordinator, and beside its successor.
-const FIRST: u16 = 1;
-const SECOND: u16 = 0;
+/// The ranks beside the first coordinator and beside its successor.
+const FIRST_RANK: u16 = 1;
+const SUCCESSOR_RANK: u16 = 0;
 
-/// The first map of the first coordinator.
-const FIRST_MAP: u64 = VERSIONS_PER_COORDINATOR;
+/// The version of the first coordinator's first map.
+const FIRST_VERSION: u64 = VERSIONS_PER_COORDINATOR;
 
-/// Worlds that a scope may have; a larger one would take too long.
-const MAX_WORLDS: usize = 600_000;
+/// The maximum number of states in a scenario; a larger scenario would take too
+/// long.
+const MAX_STATES: usize = 600_000;
 
-/// What may happen.
+/// The limits of one exploration.
 #[derive(Clone, Copy)]
-struct Scope {
-    /// Passes that are begun.
-    steps: u64,
-    /// Orders that may be lost or late.
-    late: usize,
-    /// Plans that the first coordinator makes.
+struct Scenario {
+    /// The number of passes that the group may begin.
+    passes: u64,
+    /// The number of orders that may be lost or late.
+    late_orders: usize,
+    /// The number of plans that the first coordinator makes.
     plans: u64,
     takeover: Takeover,
-    snapshots: Sights,
+    snapshots: SnapshotAge,
 }
 
-/// How old what a coordinator looks at may be. With old snapshots the scopes
-/// with a takeover have too many worlds.
+/// Whether a coordinator's snapshots may be outdated. Scenarios with both
+/// outdated snapshots and a takeover have too many states.
 #[derive(Clone, Copy, Eq, PartialEq)]
-enum Sights {
+enum SnapshotAge {
     Any,
     Fresh,
 }
 
+/// Whether the first coordinator may freeze and a successor may take over.
 #[derive(Clone, Copy, Eq, PartialEq)]
 enum Takeover {
     Never,
@@ -75,31 +79,32 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct Agent {
     fence: u64,
-    word: Option<Directive>,
-    /// The pass of its last unanswered *arm*.
-    unanswered: u64,
-    /// The pass for which it heard that the coordinator's rank arms.
+    directive: Option<Directive>,
+    /// The pass of the agent's last unanswered *arm* order.
+    unanswered_arm: u64,
+    /// The pass for which the agent has received the seal.
     sealed: Option<u64>,
 }
 
-/// A coordinator and what it saw last of each rank.
+/// A coordinator, with the last snapshot and fencing number that it has of each
+/// rank.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-struct Chair {
+struct CoordinatorView {
     coordinator: Coordinator,
-    seen: BTreeMap<u16, (Snapshot, u64)>,
+    snapshots_by_rank: BTreeMap<u16, (Snapshot, u64)>,
 }
 
-/// An order that went unanswered.
+/// An unanswered order, which may be executed later.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-struct Late {
+struct LateOrder {
     rank: u16,
-    order: Plain,
+    order: PlainOrder,
     fence: u64,
 }
 
-/// An order as it can be compared.
+/// An order that can be compared and hashed.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-enum Plain {
+enum PlainOrder {
     Prepare(u64),
     Arm(u64, u64),
     Disarm(u64),
@@ -108,34 +113,36 @@
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-struct World {
+struct SystemState {
     step: u64,
-    mixed: bool,
+    is_mixed: bool,
     engines: Vec<Engine>,
     agents: Vec<Agent>,
-    chairs: Vec<Chair>,
+    views: Vec<CoordinatorView>,
     /// Whether the first coordinator's VM is frozen.
-    frozen: bool,
-    froze: bool,
-    late: BTreeSet<Late>,
-    lost: usize,
-    planned: u64,
+    is_frozen: bool,
+    /// Whether that VM has ever been frozen.
+    has_frozen: bool,
+    late_orders: BTreeSet<LateOrder>,
+    orders_lost: usize,
+    plans_made: u64,
 }
 
-impl World {
-    fn new() -> World {
-        // Preparing is done: its orders change no pass.
+impl SystemState {
+    fn new() -> SystemState {
+        // All ranks have prepared the first map already, as *prepare* orders
+        // affect no pass.
         let engine = Engine {
             map: 0,
-            prepared: Some(FIRST_MAP),
-            newest: FIRST_MAP,
+            prepared: Some(FIRST_VERSION),
+            newest: FIRST_VERSION,
             armed: None,
             held: None,
             fence: 0,
         };
-        let (word, sealed) = (None, None);
-        let agent = Agent { fence: 0, word, unanswered: 0, sealed };
-        let mut first = chair(1, FIRST);
+        let (directive, sealed) = (None, None);
+        let agent = Agent { fence: 0, directive, unanswered_arm: 0, sealed };
+        let mut first = new_view(1, FIRST_RANK);
         let report = |rank| Report::new(EPOCH, rank, RANKS);
         let snapshot = |rank| Snapshot {
             report: report(rank),
@@ -146,17 +153,17 @@
         let snapshots: Vec<Snapshot> = (0..RANKS).map(snapshot).collect();
         first.coordinator.advance(&snapshots, MissingRanks::None, Millis(0));
         first.coordinator.begin_plan(&snapshots, Millis(0));
-        World {
+        SystemState {
             step: 0,
-            mixed: false,
+            is_mixed: false,
             engines: vec![engine; RANKS.into()],
             agents: vec![agent; RANKS.into()],
-            chairs: vec![first],
-            frozen: false,
-            froze: false,
-            late: BTreeSet::new(),
-            lost: 0,
-            planned: 1,
+            views: vec![first],
+            is_frozen: false,
+            has_frozen: false,
+            late_orders: BTreeSet::new(),
+            orders_lost: 0,
+            plans_made: 1,
         }
     }
 
@@ -176,7 +183,7 @@
     }
 
     fn arms(&self, rank: u16) -> ArmOrders {
-        let step = self.agents[usize::from(rank)].unanswered;
+        let step = self.agents[usize::from(rank)].unanswered_arm;
         if step > self.step { ArmOrders::InDoubt } else { ArmOrders::Answered }
     }
 
@@ -185,45 +192,45 @@
         sealed.map_or(SealStatus::NotReceived, SealStatus::Received)
     }
 
-    fn is_out_of_reach(&self, rank: u16) -> bool {
-        self.frozen && rank == FIRST
+    fn is_unreachable(&self, rank: u16) -> bool {
+        self.is_frozen && rank == FIRST_RANK
     }
 
-    /// All worlds that may come next.
-    fn next(&self, scope: &Scope) -> Vec<World> {
-        let mut worlds = Vec::new();
-        self.pass(scope, &mut worlds);
-        self.land_late(&mut worlds);
+    /// Returns all states that one event leads to.
+    fn successors(&self, scenario: &Scenario) -> Vec<SystemState> {
+        let mut states = Vec::new();
+        self.begin_pass(scenario, &mut states);
+        self.execute_late(&mut states);
         for rank in 0..RANKS {
-            if self.is_out_of_reach(rank) {
+            if self.is_unreachable(rank) {
                 continue;
             }
-            self.hear(rank, &mut worlds);
-            self.obey(rank, scope, &mut worlds);
-            if scope.snapshots == Sights::Any {
-                self.tell(rank, &mut worlds);
+            self.receive_directive(rank, &mut states);
+            self.send_next_order(rank, scenario, &mut states);
+            if scenario.snapshots == SnapshotAge::Any {
+                self.send_snapshot(rank, &mut states);
             }
         }
-        for chair in 0..self.chairs.len() {
-            if chair == 0 && self.frozen {
+        for view in 0..self.views.len() {
+            if view == 0 && self.is_frozen {
                 continue;
             }
-            self.look(chair, scope, &mut worlds);
-            self.order_hold(chair, scope, &mut worlds);
+            self.advance_coordinator(view, scenario, &mut states);
+            self.send_hold(view, scenario, &mut states);
         }
-        self.freeze(scope, &mut worlds);
-        worlds
+        self.freeze_or_take_over(scenario, &mut states);
+        states
     }
 
-    fn pass(&self, scope: &Scope, worlds: &mut Vec<World>) {
+    fn begin_pass(&self, scenario: &Scenario, states: &mut Vec<SystemState>) {
         let next = self.step + 1;
         let held = self.engines.iter().any(|it| it.held == Some(next));
-        if held || next > scope.steps {
+        if held || next > scenario.passes {
             return;
         }
-        let mut world = self.clone();
-        world.step = next;
-        for engine in &mut world.engines {
+        let mut state = self.clone();
+        state.step = next;
+        for engine in &mut state.engines {
             if let Some((map, step)) = engine.armed
                 && step == next
             {
@@ -232,102 +239,108 @@
                 engine.prepared = None;
             }
         }
-        let map = world.engines[0].map;
-        world.mixed = world.engines.iter().any(|it| it.map != map);
-        // Orders for passes that were begun can do nothing any more.
-        world.late.retain(|it| match it.order {
-            Plain::Arm(_, step) | Plain::Hold(step) | Plain::Go(step) => {
-                step > next
-            }
-            Plain::Prepare(_) | Plain::Disarm(_) => true,
+        let map = state.engines[0].map;
+        state.is_mixed = state.engines.iter().any(|it| it.map != map);
+        // Orders for passes that have begun no longer have an effect.
+        state.late_orders.retain(|it| match it.order {
+            PlainOrder::Arm(_, step)
+            | PlainOrder::Hold(step)
+            | PlainOrder::Go(step) => step > next,
+            PlainOrder::Prepare(_) | PlainOrder::Disarm(_) => true,
         });
-        worlds.push(world);
+        states.push(state);
     }
 
-    /// Late orders land, or it is too late for them.
-    fn land_late(&self, worlds: &mut Vec<World>) {
-        if !self.late.is_empty() {
-            let mut world = self.clone();
-            world.late.clear();
-            for agent in &mut world.agents {
-                agent.unanswered = 0;
+    /// Executes each late order, or drops all of them as expired.
+    fn execute_late(&self, states: &mut Vec<SystemState>) {
+        if !self.late_orders.is_empty() {
+            let mut state = self.clone();
+            state.late_orders.clear();
+            for agent in &mut state.agents {
+                agent.unanswered_arm = 0;
             }
-            worlds.push(world);
+            states.push(state);
         }
-        for late in &self.late {
-            let mut world = self.clone();
-            world.carry_out(late.rank, late.order, late.fence);
-            worlds.push(world);
+        for late in &self.late_orders {
+            let mut state = self.clone();
+            state.execute(late.rank, late.order, late.fence);
+            states.push(state);
         }
     }
 
-    fn hear(&self, rank: u16, worlds: &mut Vec<World>) {
-        for chair in &self.chairs {
-            let word = chair.coordinator.directive();
+    fn receive_directive(&self, rank: u16, states: &mut Vec<SystemState>) {
+        for view in &self.views {
+            let directive = view.coordinator.directive();
             let agent = &self.agents[usize::from(rank)];
-            if word.fence < agent.fence {
+            if directive.fence < agent.fence {
                 continue;
             }
-            let mut world = self.clone();
-            let agent = &mut world.agents[usize::from(rank)];
-            agent.fence = word.fence;
-            agent.sealed = order::sealed_step(&word).or(agent.sealed);
-            // Other words give an agent nothing to do.
-            agent.word = match word.aim {
+            let mut state = self.clone();
+            let agent = &mut state.agents[usize::from(rank)];
+            agent.fence = directive.fence;
+            agent.sealed = order::sealed_step(&directive).or(agent.sealed);
+            // Other directives require no action of the agent.
+            agent.directive = match directive.aim {
                 Aim::Armed { .. }
                 | Aim::Sealed { .. }
                 | Aim::Disarmed
-                | Aim::Released(_) => Some(word),
+                | Aim::Released(_) => Some(directive),
                 Aim::Rest | Aim::Prepared(_) | Aim::Held { .. } => None,
             };
-            if world != *self {
-                worlds.push(world);
+            if state != *self {
+                states.push(state);
             }
         }
     }
 
-    fn obey(&self, rank: u16, scope: &Scope, worlds: &mut Vec<World>) {
+    fn send_next_order(
+        &self,
+        rank: u16,
+        scenario: &Scenario,
+        states: &mut Vec<SystemState>,
+    ) {
         let agent = &self.agents[usize::from(rank)];
-        let Some(word) = agent.word else { return };
+        let Some(directive) = agent.directive else { return };
         let experts = Arc::new(Vec::new());
-        let plan = match word.aim {
+        let plan = match directive.aim {
             Aim::Prepared(version) => Some((version, &experts)),
             _ => None,
         };
-        let Some(due) = order::next_order(&word, &self.report(rank), plan)
+        let Some(order) =
+            order::next_order(&directive, &self.report(rank), plan)
         else {
             return;
         };
-        let due = plain(&due);
-        self.give(rank, due, word.fence, scope, worlds);
+        let order = plain_order(&order);
+        self.send_order(rank, order, directive.fence, scenario, states);
     }
 
-    /// An order that is answered, or goes unanswered.
-    fn give(
+    /// Sends an order, which is executed and answered, or goes unanswered.
+    fn send_order(
         &self,
         rank: u16,
-        due: Plain,
+        sent_order: PlainOrder,
         fence: u64,
-        scope: &Scope,
-        worlds: &mut Vec<World>,
+        scenario: &Scenario,
+        states: &mut Vec<SystemState>,
     ) {
-        let mut world = self.clone();
-        world.carry_out(rank, due, fence);
-        worlds.push(world);
-        if self.lost >= scope.late {
+        let mut state = self.clone();
+        state.execute(rank, sent_order, fence);
+        states.push(state);
+        if self.orders_lost >= scenario.late_orders {
             return;
         }
-        let mut world = self.clone();
-        world.lost += 1;
-        world.late.insert(Late { rank, order: due, fence });
-        if let Plain::Arm(_, step) = due {
-            world.agents[usize::from(rank)].unanswered = step;
+        let mut state = self.clone();
+        state.orders_lost += 1;
+        state.late_orders.insert(LateOrder { rank, order: sent_order, fence });
+        if let PlainOrder::Arm(_, step) = sent_order {
+            state.agents[usize::from(rank)].unanswered_arm = step;
         }
-        worlds.push(world);
+        states.push(state);
     }
 
-    /// A rank's agent tells a coordinator how its engine stands.
-    fn tell(&self, rank: u16, worlds: &mut Vec<World>) {
+    /// Sends a rank's snapshot to each coordinator.
+    fn send_snapshot(&self, rank: u16, states: &mut Vec<SystemState>) {
         let agent = &self.agents[usize::from(rank)];
         let snapshot = Snapshot {
             report: self.report(rank),
@@ -335,56 +348,71 @@
             seal: self.seal(rank),
             obeys: ObeyedCoordinator::Another,
         };
-        for index in 0..self.chairs.len() {
-            if index == 0 && self.frozen {
+        for index in 0..self.views.len() {
+            if index == 0 && self.is_frozen {
                 continue;
             }
-            let told = (snapshot.clone(), agent.fence);
-            let seen = self.chairs[index].seen.get(&rank);
-            // A report that shows another pass and nothing else is news only
-            // together with another rank's.
-            let same = |it: &(Snapshot, u64)| {
+            let reported = (snapshot.clone(), agent.fence);
+            let previous = self.views[index].snapshots_by_rank.get(&rank);
+            // Skip a report whose only difference is a later pass: the pass
+            // of all stored snapshots is updated with the next report.
+            let is_unchanged = |it: &(Snapshot, u64)| {
                 let mut old = it.clone();
                 old.0.report.step = self.step;
-                old == told
+                old == reported
             };
-            if seen.is_some_and(same) {
+            if previous.is_some_and(is_unchanged) {
                 continue;
             }
-            let mut world = self.clone();
-            world.chairs[index].seen.insert(rank, told);
-            for (snapshot, _) in world.chairs[index].seen.values_mut() {
+            let mut state = self.clone();
+            state.views[index].snapshots_by_rank.insert(rank, reported);
+            for (snapshot, _) in
+                state.views[index].snapshots_by_rank.values_mut()
+            {
                 snapshot.report.step = self.step;
             }
-            worlds.push(world);
+            states.push(state);
         }
     }
 
-    fn look(&self, index: usize, scope: &Scope, worlds: &mut Vec<World>) {
-        let snapshots = match scope.snapshots {
-            Sights::Any => self.chairs[index].snapshots(),
-            Sights::Fresh => self.fresh(index),
+    /// Lets a coordinator act on its snapshots.
+    fn advance_coordinator(
+        &self,
+        index: usize,
+        scenario: &Scenario,
+        states: &mut Vec<SystemState>,
+    ) {
+        let snapshots = match scenario.snapshots {
+            SnapshotAge::Any => self.views[index].snapshots(),
+            SnapshotAge::Fresh => self.current_snapshots(index),
         };
-        let all = snapshots.len() == usize::from(RANKS);
-        if all {
-            self.look_at(index, &snapshots, MissingRanks::None, scope, worlds);
+        let is_complete = snapshots.len() == usize::from(RANKS);
+        if is_complete {
+            self.advance_with(
+                index,
+                &snapshots,
+                MissingRanks::None,
+                scenario,
+                states,
+            );
         }
-        // A successor may take its predecessor to be gone, rightly or not.
+        // A successor may assume that its predecessor is gone, even if it is
+        // alive.
         let others: Vec<Snapshot> = snapshots
             .iter()
-            .filter(|it| it.report.rank != FIRST)
+            .filter(|it| it.report.rank != FIRST_RANK)
             .cloned()
             .collect();
         if index == 1 && others.len() + 1 == usize::from(RANKS) {
-            let absent = MissingRanks::Predecessor(1);
-            self.look_at(index, &others, absent, scope, worlds);
+            let missing = MissingRanks::Predecessor(1);
+            self.advance_with(index, &others, missing, scenario, states);
         }
     }
 
-    /// What all ranks in reach would say now.
-    fn fresh(&self, index: usize) -> Vec<Snapshot> {
-        let fence = self.chairs[index].coordinator.fence();
-        let in_reach = (0..RANKS).filter(|it| !self.is_out_of_reach(*it));
+    /// Returns up-to-date snapshots of all reachable ranks.
+    fn current_snapshots(&self, index: usize) -> Vec<Snapshot> {
+        let fence = self.views[index].coordinator.fence();
+        let reachable = (0..RANKS).filter(|it| !self.is_unreachable(*it));
         let snapshot = |rank: u16| {
             let agent = &self.agents[usize::from(rank)];
             Snapshot {
@@ -394,73 +422,85 @@
                 obeys: obeys(agent.fence, fence),
             }
         };
-        in_reach.map(snapshot).collect()
+        reachable.map(snapshot).collect()
     }
 
-    fn look_at(
+    fn advance_with(
         &self,
         index: usize,
         snapshots: &[Snapshot],
-        absent: MissingRanks,
-        scope: &Scope,
-        worlds: &mut Vec<World>,
+        missing: MissingRanks,
+        scenario: &Scenario,
+        states: &mut Vec<SystemState>,
     ) {
-        let mut world = self.clone();
-        let coordinator = &mut world.chairs[index].coordinator;
-        coordinator.advance(snapshots, absent, Millis(0));
-        let plans = index == 0
-            && self.planned < scope.plans
+        let mut state = self.clone();
+        let coordinator = &mut state.views[index].coordinator;
+        coordinator.advance(snapshots, missing, Millis(0));
+        let may_plan = index == 0
+            && self.plans_made < scenario.plans
             && coordinator.is_idle()
             && coordinator.directive().epoch == EPOCH;
-        if plans {
+        if may_plan {
             coordinator.begin_plan(snapshots, Millis(0));
-            world.planned += 1;
+            state.plans_made += 1;
         }
-        if world != *self {
-            worlds.push(world);
+        if state != *self {
+            states.push(state);
         }
     }
 
-    fn order_hold(
+    fn send_hold(
         &self,
         index: usize,
-        scope: &Scope,
-        worlds: &mut Vec<World>,
+        scenario: &Scenario,
+        states: &mut Vec<SystemState>,
     ) {
-        let word = self.chairs[index].coordinator.directive();
+        let directive = self.views[index].coordinator.directive();
         for rank in 0..RANKS {
             let report = self.report(rank);
-            let due = order::hold_order(&word, &report);
-            if let Some(due) = due
-                && !self.is_out_of_reach(rank)
+            let order = order::hold_order(&directive, &report);
+            if let Some(order) = order
+                && !self.is_unreachable(rank)
             {
-                self.give(rank, plain(&due), word.fence, scope, worlds);
+                self.send_order(
+                    rank,
+                    plain_order(&order),
+                    directive.fence,
+                    scenario,
+                    states,
+                );
             }
         }
     }
 
-    fn freeze(&self, scope: &Scope, worlds: &mut Vec<World>) {
-        if scope.takeover == Takeover::Never {
+    fn freeze_or_take_over(
+        &self,
+        scenario: &Scenario,
+        states: &mut Vec<SystemState>,
+    ) {
+        if scenario.takeover == Takeover::Never {
             return;
         }
-        if !self.froze {
-            let mut world = self.clone();
-            (world.frozen, world.froze) = (true, true);
-            worlds.push(world);
+        if !self.has_frozen {
+            let mut state = self.clone();
+            (state.is_frozen, state.has_frozen) = (true, true);
+            states.push(state);
         }
-        if self.frozen {
-            let mut world = self.clone();
-            world.frozen = false;
-            worlds.push(world);
+        if self.is_frozen {
+            let mut state = self.clone();
+            state.is_frozen = false;
+            states.push(state);
         }
-        if self.chairs.len() == 1 {
-            let mut world = self.clone();
-            world.chairs.push(chair(2, SECOND));
-            worlds.push(world);
+        if self.views.len() == 1 {
+            let mut state = self.clone();
+            state.views.push(new_view(2, SUCCESSOR_RANK));
+            states.push(state);
         }
     }
 
-    fn carry_out(&mut self, rank: u16, order: Plain, fence: u64) {
+    /// Executes an order at a rank's engine, unless the engine has seen a
+    /// higher fencing number.
+    fn execute(&mut self, rank: u16, order: PlainOrder, fence: u64) {
         let step = self.step;
         let engine = &mut self.engines[usize::from(rank)];
         if fence < engine.fence {
@@ -468,176 +508,185 @@
         }
         engine.fence = fence;
         match order {
-            Plain::Prepare(map) => {
+            PlainOrder::Prepare(map) => {
                 if map > engine.newest && engine.armed.is_none() {
                     engine.newest = map;
                     engine.prepared = Some(map);
                 }
             }
-            Plain::Arm(map, at) => {
-                if engine.prepared == Some(map) && at > step {
-                    engine.armed = Some((map, at));
+            PlainOrder::Arm(map, pass) => {
+                if engine.prepared == Some(map) && pass > step {
+                    engine.armed = Some((map, pass));
                 }
             }
-            Plain::Disarm(map) => {
+            PlainOrder::Disarm(map) => {
                 if engine.armed.is_some_and(|it| it.0 == map) {
                     engine.armed = None;
                 }
             }
-            Plain::Hold(at) => {
-                if at > step {
-                    engine.held = Some(at);
+            PlainOrder::Hold(pass) => {
+                if pass > step {
+                    engine.held = Some(pass);
                 }
             }
-            Plain::Go(at) => {
-                if engine.held == Some(at) {
+            PlainOrder::Go(pass) => {
+                if engine.held == Some(pass) {
                     engine.held = None;
                 }
             }
         }
     }
 
-    fn is_free(&self) -> bool {
-        self.engines.iter().all(|it| it.held.is_none_or(|at| at <= self.step))
+    /// Returns whether no engine holds the group before a future pass.
+    fn is_released(&self) -> bool {
+        self.engines
+            .iter()
+            .all(|it| it.held.is_none_or(|pass| pass <= self.step))
     }
 }
 
-impl Chair {
+impl CoordinatorView {
     fn snapshots(&self) -> Vec<Snapshot> {
         let fence = self.coordinator.fence();
-        let snapshot = |(snapshot, known): &(Snapshot, u64)| {
+        let snapshot = |(snapshot, known_fence): &(Snapshot, u64)| {
             let mut snapshot = snapshot.clone();
-            snapshot.obeys = obeys(*known, fence);
+            snapshot.obeys = obeys(*known_fence, fence);
             snapshot
         };
-        self.seen.values().map(snapshot).collect()
+        self.snapshots_by_rank.values().map(snapshot).collect()
     }
 }
 
-fn chair(fence: u64, rank: u16) -> Chair {
+fn new_view(fence: u64, rank: u16) -> CoordinatorView {
     let config = Config::new().with_boundary_lead(2, 2);
     let coordinator = Coordinator::new(config, fence, rank);
-    Chair { coordinator, seen: BTreeMap::new() }
+    CoordinatorView { coordinator, snapshots_by_rank: BTreeMap::new() }
 }
 
-/// Whose word an agent that knows one fencing number obeys.
-fn obeys(known: u64, fence: u64) -> ObeyedCoordinator {
-    if known >= fence {
+/// Returns whose directives an agent obeys, from the fencing number that it
+/// knows and the coordinator's.
+fn obeys(known_fence: u64, fence: u64) -> ObeyedCoordinator {
+    if known_fence >= fence {
         ObeyedCoordinator::This
     } else {
         ObeyedCoordinator::Another
     }
 }
 
-fn plain(order: &Order) -> Plain {
+fn plain_order(order: &Order) -> PlainOrder {
     match order {
-        Order::Prepare(version, _) => Plain::Prepare(version.0),
-        Order::Arm(version, step) => Plain::Arm(version.0, *step),
-        Order::Disarm(version) => Plain::Disarm(version.0),
-        Order::Hold(step) => Plain::Hold(*step),
-        Order::Go(step) => Plain::Go(*step),
+        Order::Prepare(version, _) => PlainOrder::Prepare(version.0),
+        Order::Arm(version, step) => PlainOrder::Arm(version.0, *step),
+        Order::Disarm(version) => PlainOrder::Disarm(version.0),
+        Order::Hold(step) => PlainOrder::Hold(*step),
+        Order::Go(step) => PlainOrder::Go(*step),
     }
 }
 
-fn hash(world: &World) -> u128 {
+fn hash(state: &SystemState) -> u128 {
     let half = |seed: u8| {
         let mut hasher = DefaultHasher::new();
         seed.hash(&mut hasher);
-        world.hash(&mut hasher);
+        state.hash(&mut hasher);
         u128::from(hasher.finish())
     };
     half(1) << 64 | half(2)
 }
 
-/// Explores a scope. No world may be mixed, and from each one must lead a
-/// way to one in which nothing is held.
-fn check(scope: Scope) {
-    // Worlds are kept as 128 bits of their hash: among a few million the
-    // chance that two share them is below one in 10^24.
+/// Explores a scenario. Checks that no pass of any state has two maps, and that
+/// a state without a hold can be reached from every state.
+fn check(scenario: Scenario) {
+    // States are stored as 128-bit hashes. Among a few million states, the
+    // probability of a collision is below 10^-24.
     let mut numbers: HashMap<u128, u32> = HashMap::new();
-    let mut comes_from: Vec<Vec<u32>> = vec![Vec::new()];
-    let mut free = vec![true];
+    let mut predecessors: Vec<Vec<u32>> = vec![Vec::new()];
+    let mut is_released = vec![true];
     let mut changed = false;
-    let mut queue = VecDeque::from([(World::new(), 0)]);
-    numbers.insert(hash(&World::new()), 0);
-    while let Some((world, number)) = queue.pop_front() {
-        for next in world.next(&scope) {
-            assert!(!next.mixed, "two maps in one pass: {next:#?}");
-            changed |= next.engines.iter().all(|it| it.map == FIRST_MAP);
-            let count = numbers.len() as u32;
-            let known = *numbers.entry(hash(&next)).or_insert(count);
-            if known == count {
-                assert!(numbers.len() < MAX_WORLDS, "too large a scope");
-                comes_from.push(Vec::new());
-                free.push(next.is_free());
-                queue.push_back((next, count));
+    let mut queue = VecDeque::from([(SystemState::new(), 0)]);
+    numbers.insert(hash(&SystemState::new()), 0);
+    while let Some((state, number)) = queue.pop_front() {
+        for next in state.successors(&scenario) {
+            assert!(!next.is_mixed, "two maps in one pass: {next:#?}");
+            changed |= next.engines.iter().all(|it| it.map == FIRST_VERSION);
+            let next_number = numbers.len() as u32;
+            let found = *numbers.entry(hash(&next)).or_insert(next_number);
+            if found == next_number {
+                assert!(
+                    numbers.len() < MAX_STATES,
+                    "the scenario has too many states"
+                );
+                predecessors.push(Vec::new());
+                is_released.push(next.is_released());
+                queue.push_back((next, next_number));
             }
-            comes_from[known as usize].push(number);
+            predecessors[found as usize].push(number);
         }
     }
-    assert!(changed, "no change was ever made");
-    let mut can: Vec<bool> = free.clone();
-    let mut reached: VecDeque<u32> =
-        (0..free.len() as u32).filter(|it| free[*it as usize]).collect();
+    assert!(changed, "no state has completed a switch");
+    let mut can_be_released: Vec<bool> = is_released.clone();
+    let mut reached: VecDeque<u32> = (0..is_released.len() as u32)
+        .filter(|it| is_released[*it as usize])
+        .collect();
     while let Some(number) = reached.pop_front() {
-        for before in &comes_from[number as usize] {
-            if !can[*before as usize] {
-                can[*before as usize] = true;
-                reached.push_back(*before);
+        for predecessor in &predecessors[number as usize] {
+            if !can_be_released[*predecessor as usize] {
+                can_be_released[*predecessor as usize] = true;
+                reached.push_back(*predecessor);
             }
         }
     }
-    let stuck = can.iter().filter(|it| !**it).count();
-    assert_eq!(stuck, 0, "worlds that are held for ever");
-    println!("{} worlds", numbers.len());
+    let never_released = can_be_released.iter().filter(|it| !**it).count();
+    assert_eq!(never_released, 0, "states whose hold can never be released");
+    println!("{} states", numbers.len());
 }
 
 #[test]
-fn lost_and_late_orders_mix_no_maps_and_hold_nothing_for_ever() {
-    check(Scope {
-        steps: 3,
-        late: 2,
+fn lost_and_late_orders_neither_mix_maps_nor_block() {
+    check(Scenario {
+        passes: 3,
+        late_orders: 2,
         plans: 1,
         takeover: Takeover::Never,
-        snapshots: Sights::Any,
+        snapshots: SnapshotAge::Any,
     });
 }
 
 #[test]
-fn two_changes_in_a_row_do_not_meet_each_others_late_orders() {
-    check(Scope {
-        steps: 4,
-        late: 1,
+fn late_orders_do_not_affect_the_next_switch() {
+    check(Scenario {
+        passes: 4,
+        late_orders: 1,
         plans: 2,
         takeover: Takeover::Never,
-        snapshots: Sights::Any,
+        snapshots: SnapshotAge::Any,
     });
 }
 
 #[test]
 fn a_frozen_coordinator_and_its_successor_mix_no_maps() {
-    check(Scope {
-        steps: 3,
-        late: 0,
+    check(Scenario {
+        passes: 3,
+        late_orders: 0,
         plans: 1,
         takeover: Takeover::Once,
-        snapshots: Sights::Fresh,
+        snapshots: SnapshotAge::Fresh,
     });
 }
 
 #[test]
-fn a_takeover_beside_a_late_order_mixes_no_maps() {
-    check(Scope {
-        steps: 2,
-        late: 1,
+fn a_takeover_with_a_late_order_mixes_no_maps() {
+    check(Scenario {
+        passes: 2,
+        late_orders: 1,
         plans: 1,
         takeover: Takeover::Once,
-        snapshots: Sights::Fresh,
+        snapshots: SnapshotAge::Fresh,
     });
 }
 
-/// What the successor of a frozen coordinator sees: all others are armed.
-fn left_by_a_frozen(seal: SealStatus) -> Vec<Snapshot> {
+/// Returns the snapshots of a frozen coordinator's successor, in which all
+/// reachable ranks are armed.
+fn snapshots_after_freeze(seal: SealStatus) -> Vec<Snapshot> {
     let snapshot = |rank| Snapshot {
         report: Report {
             epoch: EPOCH,
@@ -646,37 +695,38 @@
             standing: GroupState::Open,
             step: 1,
             map: Version(0),
-            prepared: Some(Version(FIRST_MAP)),
-            armed: Some((Version(FIRST_MAP), 3)),
-            held: (rank == SECOND).then_some(3),
+            prepared: Some(Version(FIRST_VERSION)),
+            armed: Some((Version(FIRST_VERSION), 3)),
+            held: (rank == SUCCESSOR_RANK).then_some(3),
         },
         arms: ArmOrders::Answered,
         seal,
         obeys: ObeyedCoordinator::This,
     };
-    (0..RANKS).filter(|it| *it != FIRST).map(snapshot).collect()
+    (0..RANKS).filter(|it| *it != FIRST_RANK).map(snapshot).collect()
 }
 
-fn aim_of_a_successor(seal: SealStatus, predecessor: u64) -> Aim {
-    let mut successor = chair(2, SECOND).coordinator;
-    let snapshots = left_by_a_frozen(seal);
-    let absent = MissingRanks::Predecessor(predecessor);
+/// Returns the aim of a successor whose holder has this seal status.
+fn successor_aim(seal: SealStatus, predecessor: u64) -> Aim {
+    let mut successor = new_view(2, SUCCESSOR_RANK).coordinator;
+    let snapshots = snapshots_after_freeze(seal);
+    let missing = MissingRanks::Predecessor(predecessor);
     for _ in 0..2 {
-        successor.advance(&snapshots, absent, Millis(0));
+        successor.advance(&snapshots, missing, Millis(0));
     }
     successor.directive().aim
 }
 
 #[test]
-fn a_change_whose_coordinator_froze_before_its_rank_armed_is_called_off() {
-    assert_eq!(aim_of_a_successor(SealStatus::NotReceived, 1), Aim::Disarmed);
-    assert_eq!(aim_of_a_successor(SealStatus::Received(2), 1), Aim::Disarmed);
+fn a_switch_is_cancelled_if_the_frozen_rank_is_not_armed() {
+    assert_eq!(successor_aim(SealStatus::NotReceived, 1), Aim::Disarmed);
+    assert_eq!(successor_aim(SealStatus::Received(2), 1), Aim::Disarmed);
 }
 
 #[test]
-fn one_whose_coordinator_may_have_armed_is_waited_for() {
-    assert_eq!(aim_of_a_successor(SealStatus::Received(3), 1), Aim::Rest);
-    assert_eq!(aim_of_a_successor(SealStatus::Unknown, 1), Aim::Rest);
-    // That one had taken the change over from another.
-    assert_eq!(aim_of_a_successor(SealStatus::NotReceived, 7), Aim::Rest);
+fn a_switch_is_kept_if_the_frozen_rank_may_be_armed() {
+    assert_eq!(successor_aim(SealStatus::Received(3), 1), Aim::Rest);
+    assert_eq!(successor_aim(SealStatus::Unknown, 1), Aim::Rest);
+    // The predecessor had taken the switch over from an earlier coordinator.
+    assert_eq!(successor_aim(SealStatus::NotReceived, 7), Aim::Rest);
 }
