--- a/cowsliproad-bench/src/experiment/pace/group.rs
+++ b/cowsliproad-bench/src/experiment/pace/group.rs
@@ -461,7 +461,7 @@
         let Some(plan) = plan else { return };
         let most = (0..shape.ranks as u16).map(|rank| {
             let layers = self.map.layers.iter().zip(&plan.map.layers);
-            let news = layers.map(|(old, new)| old.added_at(rank, new));
+            let news = layers.map(|(old, new)| old.added_copies_at(rank, new));
             news.sum::<usize>()
         });
         let most = most.max().unwrap_or_default() as f64;
--- a/cowsliproad-bench/src/experiment/placement.rs
+++ b/cowsliproad-bench/src/experiment/placement.rs
@@ -270,7 +270,8 @@
     for _ in 0..READY {
         loads.record(truth);
     }
-    let config = Config::new().with_move_weight(0.0).with_threshold(0.0);
+    let config =
+        Config::new().with_move_weight(0.0).with_min_layer_saving(0.0);
     for _ in 0..POLISH {
         match plan::plan(shape, config, &map, &loads, speeds) {
             Some(better) => map = better.map,
@@ -298,7 +299,7 @@
             .then(|| pack::pack(shape, &loads.mean(), speeds)),
         Policy::Greedy => {
             let config =
-                Config::new().with_move_weight(0.0).with_threshold(0.0);
+                Config::new().with_move_weight(0.0).with_min_layer_saving(0.0);
             plan::plan(shape, config, map, loads, speeds).map(|it| it.map)
         }
         Policy::Planner(skew, moves) => {
--- a/cowsliproad-placement/src/live.rs
+++ b/cowsliproad-placement/src/live.rs
@@ -71,9 +71,9 @@
 }
 
 /// The cost of a copy, as a share of the mean load of a rank. A copy slows
-/// serving by 15% while it runs, and it is charged for. With a demand that
-/// shifts every 4 s, 0.03 moves a third of the experts that 0.006 does at the
-/// same serving speed: it only gives up the last few percent of balance.
+/// serving by 15% while it runs, and every copy is charged for. With a demand
+/// that shifts every 4 s, 0.03 moves a third of the experts that 0.006 does at
+/// the same serving speed. Only the last few percent of balance are given up.
 const COPY_COST: f64 = 0.03;
 
 /// The minimum saving of a changed layer, as a share of its slowest rank's
@@ -96,9 +96,9 @@
     /// The number of copies to be moved.
     pub moves: usize,
     /// The step time under the present map, relative to perfect balance.
-    pub before: f64,
+    pub relative_time_before: f64,
     /// The expected step time under the new map, relative to perfect balance.
-    pub after: f64,
+    pub relative_time_after: f64,
 }
 
 /// Plans a change of the present map; `None` if no change saves enough.
@@ -115,9 +115,16 @@
     }
     let ideal = crate::map::ideal_time(loads, speeds);
     let relative_time = |map: &Map| step_time(map, loads, speeds) / ideal;
-    let (before, after) = (relative_time(present), relative_time(&map));
-    let saves_enough = before - after > config.min_total_saving * before;
-    saves_enough.then_some(Plan { moves, before, after, map })
+    let (relative_time_before, relative_time_after) =
+        (relative_time(present), relative_time(&map));
+    let saves_enough = relative_time_before - relative_time_after
+        > config.min_total_saving * relative_time_before;
+    saves_enough.then_some(Plan {
+        moves,
+        relative_time_before,
+        relative_time_after,
+        map,
+    })
 }
 
 /// Returns the best map found by local search, and the number of its copies.
@@ -141,7 +148,7 @@
         .filter(|it| it.tries < MAX_TRIES)
         .max_by(|a, b| a.skew().total_cmp(&b.skew()))
     {
-        search.step(&mut new_by_rank);
+        search.relieve_once(&mut new_by_rank);
     }
     let mut map = present.clone();
     let mut moves = 0;
@@ -159,7 +166,7 @@
     candidate: CandidateLayer<'a>,
     copy_cost: f64,
     /// The slowest rank's time in the present layer.
-    before: f64,
+    initial_time: f64,
     /// The mean load of a rank.
     mean_load: f64,
     /// The best layer visited so far and the number of its copies.
@@ -180,16 +187,16 @@
     ) -> LayerSearch<'a> {
         let candidate =
             CandidateLayer::new(shape, config, present, loads, speeds);
-        let before = candidate.slowest_time();
+        let initial_time = candidate.slowest_time();
         let mean_load = loads.iter().sum::<f64>() / shape.ranks as f64;
         let (copy_cost, best_value) =
-            (config.copy_cost, config.min_layer_saving * before);
+            (config.copy_cost, config.min_layer_saving * initial_time);
         // A layer without load stays unchanged.
         let tries = if mean_load > 0.0 { 0 } else { MAX_TRIES };
         LayerSearch {
             candidate,
             copy_cost,
-            before,
+            initial_time,
             mean_load,
             best: None,
             best_value,
@@ -204,7 +211,7 @@
 
     /// Applies the change that best relieves the most loaded rank.
     /// `new_by_rank` counts the new experts of each rank over all layers.
-    fn step(&mut self, new_by_rank: &mut [usize]) {
+    fn relieve_once(&mut self, new_by_rank: &mut [usize]) {
         self.tries += 1;
         let Some(change) = self.candidate.best_change(new_by_rank) else {
             self.tries = MAX_TRIES;
@@ -213,7 +220,7 @@
         self.candidate.apply(change, new_by_rank);
         let copies =
             self.candidate.present.added_copies(&self.candidate.layer);
-        let saving = self.before - self.candidate.slowest_time();
+        let saving = self.initial_time - self.candidate.slowest_time();
         let value = saving - self.copy_cost * self.mean_load * copies as f64;
         if value > self.best_value {
             self.best_value = value;
--- a/cowsliproad-placement/src/live/search.rs
+++ b/cowsliproad-placement/src/live/search.rs
@@ -175,7 +175,7 @@
 
     /// Returns the number of experts that are new to a rank in this layer.
     fn new_experts(&self, rank: Rank) -> usize {
-        self.present.added_at(rank, &self.layer)
+        self.present.added_copies_at(rank, &self.layer)
     }
 
     /// Returns by how much a change lowers the sum of the powers of all ranks'
--- a/cowsliproad-placement/src/map.rs
+++ b/cowsliproad-placement/src/map.rs
@@ -98,11 +98,11 @@
     /// `other`.
     pub fn added_copies(&self, other: &Layer) -> usize {
         let ranks = 0..self.held.len() as Rank;
-        ranks.map(|rank| self.added_at(rank, other)).sum()
+        ranks.map(|rank| self.added_copies_at(rank, other)).sum()
     }
 
     /// Returns the number of experts that `other` newly assigns to a rank.
-    pub fn added_at(&self, rank: Rank, other: &Layer) -> usize {
+    pub fn added_copies_at(&self, rank: Rank, other: &Layer) -> usize {
         let others = other.held(rank).iter();
         others.filter(|it| !self.holds(rank, **it)).count()
     }
--- a/cowsliproad-placement/src/plan.rs
+++ b/cowsliproad-placement/src/plan.rs
@@ -25,7 +25,7 @@
     skew_weight: f64,
     move_weight: f64,
     max_moves: usize,
-    threshold: f64,
+    min_layer_saving: f64,
 }
 
 impl Config {
@@ -35,7 +35,7 @@
             skew_weight: 1.0,
             move_weight: 1.0,
             max_moves: usize::MAX,
-            threshold: 0.02,
+            min_layer_saving: 0.02,
         }
     }
 
@@ -57,8 +57,8 @@
 
     /// Sets the share of a layer's time that a change of the layer has to
     /// save.
-    pub fn with_threshold(self, threshold: f64) -> Config {
-        Config { threshold, ..self }
+    pub fn with_min_layer_saving(self, min_layer_saving: f64) -> Config {
+        Config { min_layer_saving, ..self }
     }
 }
 
@@ -194,7 +194,7 @@
     let saving = before - change.layer.slowest_time(validation_loads, speeds);
     let saving = saving.min(change.saving);
     let exceeds_cost = saving > move_cost * change.moves as f64;
-    let exceeds_threshold = saving > config.threshold * before;
+    let exceeds_threshold = saving > config.min_layer_saving * before;
     (exceeds_cost && exceeds_threshold)
         .then_some(LayerChange { saving, ..change })
 }
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -326,8 +326,8 @@
         let bound =
             bound::min_step_time(shape_of_map, &loads, &speeds) / ideal;
         info!(self.log, "map_planned"; "version" => version.0,
-            "skew" => format!("{:.3}", plan.before),
-            "expected" => format!("{:.3}", plan.after),
+            "skew" => format!("{:.3}", plan.relative_time_before),
+            "expected" => format!("{:.3}", plan.relative_time_after),
             "bound" => format!("{bound:.3}"),
             "slowest" => speeds.iter().copied().fold(1.0, f64::min),
             "copies" => plan.moves, "step" => snapshots[0].report.step,
--- a/tests/properties/placement.rs
+++ b/tests/properties/placement.rs
@@ -102,7 +102,8 @@
 fn settled(truth: &Counts, speeds: &[f64]) -> Map {
     let mut map = pack::pack(SHAPE, truth, speeds);
     let loads = loads(&vec![truth.clone(); 6]);
-    let config = Config::new().with_move_weight(0.0).with_threshold(0.0);
+    let config =
+        Config::new().with_move_weight(0.0).with_min_layer_saving(0.0);
     while let Some(better) = plan::plan(SHAPE, config, &map, &loads, speeds) {
         map = better.map;
     }
