--- a/cowsliproad-mapswitch/src/lib.rs
+++ b/cowsliproad-mapswitch/src/lib.rs
@@ -182,7 +182,7 @@
         match self.next_step() {
             NextStep::Run(map) => {
                 self.step += 1;
-                // A decision made before the boundary takes effect at it.
+                // A decision that is already known takes effect at the boundary.
                 self.apply_decision();
                 Some(map)
             }
@@ -201,7 +201,7 @@
             && self.undecided.is_none()
             && weights == Weights::Loaded;
         let vote = if acceptable { Vote::Yes } else { Vote::No };
-        self.drop_expired_no_votes();
+        self.forget_expired_rejections();
         self.votes_cast.insert(proposal, vote);
         if vote == Vote::Yes {
             let votes = BTreeMap::from([(self.rank, vote)]);
@@ -237,14 +237,15 @@
         }
     }
 
-    /// The vote request to send to the other members while a proposal is
-    /// undecided.
+    /// Returns the vote request to send to the other members while a proposal
+    /// is undecided.
     pub fn vote_request(&self) -> Option<Message> {
         let ballot = self.undecided.as_ref()?;
         Some(Message::Ask(ballot.proposal))
     }
 
-    /// Joins a newer generation at its step 0; an older one is ignored.
+    /// Joins a newer generation at step 0; ignores a generation that is not
+    /// newer.
     pub fn join_generation(&mut self, generation: Generation, map: Version) {
         if generation > self.generation {
             *self = Member::new(self.rank, self.rank_count, generation, map);
@@ -271,9 +272,9 @@
         }
     }
 
-    /// Drops no votes on proposals whose boundary has passed: a repeated vote
-    /// on such a proposal would be no again.
-    fn drop_expired_no_votes(&mut self) {
+    /// Forgets rejected proposals whose boundary has passed: if asked again,
+    /// the member would still vote no.
+    fn forget_expired_rejections(&mut self) {
         let step = self.step;
         self.votes_cast.retain(|proposal, vote| {
             *vote == Vote::Yes || proposal.boundary > step
--- a/cowsliproad-mapswitch/src/order.rs
+++ b/cowsliproad-mapswitch/src/order.rs
@@ -57,7 +57,7 @@
 mod coordinator;
 pub mod fence;
 
-/// Numbers the formations of a group. A new formation starts with the first
+/// The number of a group's formation. A new formation starts with the first
 /// map and nothing prepared, armed or held.
 #[derive(
     Clone,
@@ -174,7 +174,8 @@
     /// The agent has received the seal for a switch at this pass.
     #[serde(rename = "Heard")]
     Received(u64),
-    /// The agent started too recently to know.
+    /// The agent started too recently to know whether its previous process
+    /// had received the seal.
     Unknown,
 }
 
@@ -210,7 +211,7 @@
     /// Only the rank of the former coordinator, which had this fencing
     /// number, is missing.
     Predecessor(u64),
-    /// Any other rank is missing.
+    /// Another rank is missing, or more than one rank.
     Others,
 }
 
@@ -235,7 +236,8 @@
         version: Version,
         /// The first pass that uses the new map.
         step: u64,
-        /// The coordinator's rank, until all other ranks are armed.
+        /// The coordinator's rank, which must not arm yet; `None` once all
+        /// other ranks are armed.
         except: Option<u16>,
     },
     /// All other ranks are armed and the coordinator's rank arms next. Each
@@ -245,7 +247,7 @@
         version: Version,
         /// The first pass that uses the new map.
         step: u64,
-        /// The coordinator's rank.
+        /// The coordinator's rank, which must not arm yet.
         except: u16,
     },
     /// No rank is armed.
@@ -299,8 +301,8 @@
     }
 }
 
-/// Returns the *arm* order unless the rank is armed, is past the pass or is
-/// the exempt rank.
+/// Returns the *arm* order for a rank, unless the rank is already armed, uses
+/// the map, has passed the boundary or is the exempt rank.
 fn arm_order(
     report: &Report,
     version: Version,
--- a/cowsliproad-mapswitch/src/order/coordinator.rs
+++ b/cowsliproad-mapswitch/src/order/coordinator.rs
@@ -98,7 +98,7 @@
     rank: u16,
     epoch: Epoch,
     /// The newest map version that this coordinator planned.
-    newest: Version,
+    newest_planned: Version,
     phase: Phase,
     timings: Timings,
 }
@@ -177,7 +177,7 @@
             fence,
             rank,
             epoch: Epoch(0),
-            newest: Version(0),
+            newest_planned: Version(0),
             phase: Phase::Idle,
             timings: Timings::new(),
         }
@@ -220,10 +220,11 @@
     ) -> Version {
         let newest =
             snapshots.iter().map(|it| newest_version(&it.report)).max();
-        let known = newest.unwrap_or(self.newest).max(self.newest);
+        let known =
+            newest.unwrap_or(self.newest_planned).max(self.newest_planned);
         let own = self.fence * VERSIONS_PER_COORDINATOR;
         let version = Version(own.max(known.0 + 1));
-        self.newest = version;
+        self.newest_planned = version;
         self.phase = Phase::Preparing { version, since: now };
         self.timings.start_counting(latest_step(snapshots), now);
         version
@@ -394,8 +395,8 @@
             + self.timings.expected_arming_passes().clamp(min, max)
     }
 
-    /// Returns the rank that is to hold the group: the lowest rank beside the
-    /// coordinator's own.
+    /// Returns the rank that is to hold the group: the lowest rank other than
+    /// the coordinator's own.
     fn choose_holder(&self, snapshots: &[Snapshot]) -> u16 {
         let ranks = snapshots.iter().map(|it| it.report.rank);
         ranks.filter(|it| *it != self.rank).min().unwrap_or(self.rank)
@@ -504,7 +505,7 @@
 }
 
 /// Returns whether the holder has not received the seal of an unreachable
-/// coordinator. The holder is the lowest rank beside that coordinator's.
+/// coordinator. The holder is the lowest rank other than that coordinator's.
 fn lacks_seal(snapshots: &[Snapshot], step: u64) -> bool {
     let holder = snapshots.iter().min_by_key(|it| it.report.rank);
     holder.is_some_and(|it| match it.seal {
--- a/cowsliproad-placement/src/demand.rs
+++ b/cowsliproad-placement/src/demand.rs
@@ -76,7 +76,7 @@
             .samples
             .get(self.first_current_sample())
             .or(self.samples.front())?;
-        let loads = increase(newest, &oldest.1);
+        let loads = count_increase(newest, &oldest.1);
         let counted: f64 = loads.iter().flatten().sum();
         (counted > 0.0).then_some(loads)
     }
@@ -92,8 +92,8 @@
         let find_split = |&(window, min_share): &(Millis, f64)| {
             let old = |it: &(Millis, Counts)| now.since(it.0) >= window;
             let split = self.samples.iter().rposition(old)?;
-            // Samples of less than a window before the split have few counts,
-            // which differ by chance.
+            // If the samples before the split cover less than a window, their
+            // counts are few and differ by chance.
             let before = self.samples.get(self.first_current_sample())?.0;
             if self.samples[split].0.since(before) < window {
                 return None;
@@ -122,7 +122,7 @@
         let (_, middle) = &self.samples[split];
         let (_, oldest) = self.samples.get(first)?;
         let (after, before) =
-            (increase(newest, middle), increase(middle, oldest));
+            (count_increase(newest, middle), count_increase(middle, oldest));
         Some(
             variation_distance(&after, &before)
                 - sampling_noise(&after)
@@ -146,8 +146,8 @@
         })
 }
 
-/// Returns the increase from the old to the new counts.
-fn increase(new: &Counts, old: &Counts) -> Vec<Vec<f64>> {
+/// Returns the increase of each count from the old to the new sample.
+fn count_increase(new: &Counts, old: &Counts) -> Vec<Vec<f64>> {
     let rows = new.iter().zip(old);
     rows.map(|(new, old)| {
         let pairs = new.iter().zip(old);
--- a/tests/order/main.rs
+++ b/tests/order/main.rs
@@ -70,7 +70,7 @@
 struct Engine {
     map: u64,
     prepared: Option<u64>,
-    newest: u64,
+    newest_prepared: u64,
     armed: Option<(u64, u64)>,
     held: Option<u64>,
     fence: u64,
@@ -121,7 +121,7 @@
     views: Vec<CoordinatorView>,
     /// Whether the first coordinator's VM is frozen.
     is_frozen: bool,
-    /// Whether that VM has ever been frozen.
+    /// Whether the first coordinator's VM has ever been frozen.
     has_frozen: bool,
     late_orders: BTreeSet<LateOrder>,
     orders_lost: usize,
@@ -130,12 +130,12 @@
 
 impl SystemState {
     fn new() -> SystemState {
-        // All ranks have prepared the first map already, as *prepare* orders
-        // affect no pass.
+        // All ranks start with the first map prepared. *Prepare* orders affect
+        // no pass, so their delivery is not explored.
         let engine = Engine {
             map: 0,
             prepared: Some(FIRST_VERSION),
-            newest: FIRST_VERSION,
+            newest_prepared: FIRST_VERSION,
             armed: None,
             held: None,
             fence: 0,
@@ -251,7 +251,8 @@
         states.push(state);
     }
 
-    /// Executes each late order, or drops all of them as expired.
+    /// Adds the states in which one late order is executed, and the state in
+    /// which all late orders have expired.
     fn execute_late(&self, states: &mut Vec<SystemState>) {
         if !self.late_orders.is_empty() {
             let mut state = self.clone();
@@ -279,7 +280,7 @@
             let agent = &mut state.agents[usize::from(rank)];
             agent.fence = directive.fence;
             agent.sealed = order::sealed_step(&directive).or(agent.sealed);
-            // Other directives require no action of the agent.
+            // Directives with other aims require no action of the agent.
             agent.directive = match directive.aim {
                 Aim::Armed { .. }
                 | Aim::Sealed { .. }
@@ -396,8 +397,8 @@
                 states,
             );
         }
-        // A successor may assume that its predecessor is gone, even if it is
-        // alive.
+        // A successor may assume that its predecessor is gone, even if the
+        // predecessor is alive.
         let others: Vec<Snapshot> = snapshots
             .iter()
             .filter(|it| it.report.rank != FIRST_RANK)
@@ -509,8 +510,8 @@
         engine.fence = fence;
         match order {
             PlainOrder::Prepare(map) => {
-                if map > engine.newest && engine.armed.is_none() {
-                    engine.newest = map;
+                if map > engine.newest_prepared && engine.armed.is_none() {
+                    engine.newest_prepared = map;
                     engine.prepared = Some(map);
                 }
             }
