--- a/cowsliproad-mapswitch/src/lib.rs
+++ b/cowsliproad-mapswitch/src/lib.rs
@@ -182,7 +182,8 @@
         match self.next_step() {
             NextStep::Run(map) => {
                 self.step += 1;
-                // A decision that is already known takes effect at the boundary.
+                // A decision that is already known takes effect at the
+                // boundary.
                 self.apply_decision();
                 Some(map)
             }
--- a/cowsliproad-mapswitch/src/order/coordinator.rs
+++ b/cowsliproad-mapswitch/src/order/coordinator.rs
@@ -45,9 +45,9 @@
 /// The maximum number of passes between an *arm* order and its boundary.
 pub const MAX_BOUNDARY_LEAD: u64 = 10;
 
-/// The minimum arming time to plan for. *Hold*, *arm* and *go* together take 30
-/// to 60 ms when every order is answered, and the reported pass is up to 30 ms
-/// old.
+/// The minimum arming time to plan for. *Hold*, *arm* and *go* together take
+/// 30 to 60 ms when every order is answered, and the reported pass is up to 30
+/// ms old.
 const MIN_ARMING_TIME: Millis = Millis(90);
 
 /// How long the ranks may copy experts before the plan is abandoned.
--- a/cowsliproad-placement/src/demand.rs
+++ b/cowsliproad-placement/src/demand.rs
@@ -20,8 +20,8 @@
 pub const MAX_WINDOW: Millis = Millis(2_000);
 
 /// The windows in which shifts are detected, each with the share of the demand
-/// that must have moved to other experts. Without a shift, the counts of 100 ms
-/// differ from those of the seconds before by up to 0.2, and the counts of
+/// that must have moved to other experts. Without a shift, the counts of 100
+/// ms differ from those of the seconds before by up to 0.2, and the counts of
 /// 250 ms by up to 0.13, as requests that prefer other experts come and go. A
 /// shift of half of the preferred experts moves 0.33 and more.
 pub const SHIFT_WINDOWS: [(Millis, f64); 3] =
--- a/cowsliproad-placement/src/growth.rs
+++ b/cowsliproad-placement/src/growth.rs
@@ -1,9 +1,9 @@
 //! Encodes the growth of counts in one byte for each expert.
 //!
-//! A coordinator receives the counts of all ranks several times a second. A sum
-//! over many ranks needs no exact numbers: each growth is rounded to a 255th of
-//! the largest, an error below the sampling noise of the demand, and takes a
-//! quarter of the bytes.
+//! A coordinator receives the counts of all ranks several times a second. A
+//! sum over many ranks needs no exact numbers: each growth is rounded to a
+//! 255th of the largest, an error below the sampling noise of the demand, and
+//! takes a quarter of the bytes.
 
 use crate::demand::Counts;
 
--- a/cowsliproad-placement/src/lib.rs
+++ b/cowsliproad-placement/src/lib.rs
@@ -7,8 +7,8 @@
 //! to their speed.
 //!
 //! * [`map`]: the expert map and the time of a step under it;
-//! * [`load`]: smoothed token counts in two independent averages, so that noise
-//!   can be told from imbalance;
+//! * [`load`]: smoothed token counts in two independent averages, which show
+//!   whether an imbalance is noise;
 //! * [`pack`]: computes a map from scratch;
 //! * [`plan`]: plans a few moves from the present map whose saving exceeds
 //!   their cost;
@@ -18,8 +18,8 @@
 //! * [`bound`]: a lower bound on the step time over all maps.
 //!
 //! Rejected alternatives: repacking from scratch at intervals (it moves nearly
-//! every expert for the last percent of balance), and a solver (too slow at 256
-//! × 256 × 61 within 3.4% of a core).
+//! every expert for the last percent of balance), and a solver (too slow at
+//! 256 × 256 × 61 within 3.4% of a core).
 
 #![forbid(unsafe_code)]
 
--- a/cowsliproad-placement/src/live.rs
+++ b/cowsliproad-placement/src/live.rs
@@ -2,12 +2,12 @@
 //! second, but only by a few experts at each rank.
 //!
 //! A local search starts from the present layer. It repeatedly relieves the
-//! most loaded rank by the change that most lowers the sum of the eighth powers
-//! of all ranks' times. This sum is nearly determined by the maximum, but it
-//! also ranks changes that leave the maximum unchanged. Of all layers visited,
-//! the search keeps the one that saves most of the slowest rank's time after
-//! the cost of its copies. A layer that saves too little stays unchanged, so
-//! noise moves no experts.
+//! most loaded rank by the change that most lowers the sum of the eighth
+//! powers of all ranks' times. This sum is nearly determined by the maximum,
+//! but it also ranks changes that leave the maximum unchanged. Of all layers
+//! visited, the search keeps the one that saves most of the slowest rank's
+//! time after the cost of its copies. A layer that saves too little stays
+//! unchanged, so noise moves no experts.
 //!
 //! A rank copies one expert after the other, and a new map waits for the rank
 //! with the most copies. Where a copy takes long, a map therefore assigns each
@@ -81,7 +81,8 @@
 const MIN_LAYER_SAVING: f64 = 0.03;
 
 /// The minimum saving of all changed layers together, as a share of the step
-/// time. Each change of map risks slowing the group while orders go unanswered.
+/// time. Each change of map risks slowing the group while orders go
+/// unanswered.
 const MIN_TOTAL_SAVING: f64 = 0.04;
 
 /// The maximum number of changes tried in a layer. A rank may receive only a
--- a/cowsliproad-placement/src/live/search.rs
+++ b/cowsliproad-placement/src/live/search.rs
@@ -15,8 +15,8 @@
     expert: Expert,
     /// The rank that receives the expert; for a drop, the relieved rank.
     to: Rank,
-    /// The expert whose slot is reused at the receiving rank, if it has no free
-    /// slot.
+    /// The expert whose slot is reused at the receiving rank, if it has no
+    /// free slot.
     other: Option<Expert>,
     kind: Kind,
 }
--- a/cowsliproad-placement/src/load.rs
+++ b/cowsliproad-placement/src/load.rs
@@ -75,9 +75,9 @@
     }
 }
 
-/// Returns the weight of a new count in its average. Counts vary like a Poisson
-/// variable. A jump far beyond that variation, such as a restaurant's new menu,
-/// replaces the average almost completely.
+/// Returns the weight of a new count in its average. Counts vary like a
+/// Poisson variable. A jump far beyond that variation, such as a restaurant's
+/// new menu, replaces the average almost completely.
 fn weight(old: f64, new: f64) -> f64 {
     let deviation = old.max(1.0).sqrt();
     if (new - old).abs() > MIN_JUMP_DEVIATIONS * deviation {
--- a/cowsliproad-placement/src/plan.rs
+++ b/cowsliproad-placement/src/plan.rs
@@ -5,8 +5,8 @@
 //! with idle time; one of its experts is swapped with a lighter one; or a
 //! lighter expert replaces a copy of an expert that other ranks hold too. Only
 //! the best prefix of these moves is kept: the prefix whose saving over the
-//! horizon, weighted by `skew_weight`, exceeds the cost of its copies, weighted
-//! by `move_weight`, by most.
+//! horizon, weighted by `skew_weight`, exceeds the cost of its copies,
+//! weighted by `move_weight`, by most.
 //!
 //! The moves are chosen on one of the two averages of the counts. The other
 //! average has to show the saving too, or the layer stays unchanged. Noise
@@ -418,8 +418,8 @@
         time_at_from.max(time_at_to)
     }
 
-    /// Returns the time that an expert takes on each host if hosts are added or
-    /// one host is left out.
+    /// Returns the time that an expert takes on each host if hosts are added
+    /// or one host is left out.
     fn time_per_host(
         &self,
         expert: Expert,
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -1,12 +1,12 @@
-//! Explores how crash-inducing and harmless requests interact on the ranks of a
-//! small lock-step group: which requests run together, which of them have begun
-//! to answer when the group crashes, and when suspensions expire.
+//! Explores how crash-inducing and harmless requests interact on the ranks of
+//! a small lock-step group: which requests run together, which of them have
+//! begun to answer when the group crashes, and when suspensions expire.
 //!
-//! Checks the guarantees of the suspension. A crash-inducing request crashes the
-//! group at most three times: once, again after 30 s, and a last time after
-//! another 60 s. A request that some target has survived is not suspended for a
-//! crash of the requests beside it, and is refused only after as many crashes as
-//! a proven request is allowed.
+//! Checks the guarantees of the suspension. A crash-inducing request crashes
+//! the group at most three times: once, again after 30 s, and a last time
+//! after another 60 s. A request that some target has survived is not
+//! suspended for a crash of the requests beside it, and is refused only after
+//! as many crashes as a proven request is allowed.
 
 use std::collections::BTreeSet;
 
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -23,8 +23,8 @@
 
 const MAX_ROLLBACKS: u64 = 2;
 
-/// Derives a fencing number from a record's position and the era that the agent
-/// knew before its call; `None` if the agent must not use the record.
+/// Derives a fencing number from a record's position and the era that the
+/// agent knew before its call; `None` if the agent must not use the record.
 type NumberRule = fn(Position, Era) -> Option<u64>;
 
 /// An append call that has not been answered.
--- a/tests/order/main.rs
+++ b/tests/order/main.rs
@@ -34,8 +34,8 @@
 /// The version of the first coordinator's first map.
 const FIRST_VERSION: u64 = VERSIONS_PER_COORDINATOR;
 
-/// The maximum number of states in a scenario; a larger scenario would take too
-/// long.
+/// The maximum number of states in a scenario; a larger scenario would take
+/// too long.
 const MAX_STATES: usize = 600_000;
 
 /// The limits of one exploration.
@@ -86,8 +86,8 @@
     sealed: Option<u64>,
 }
 
-/// A coordinator, with the last snapshot and fencing number that it has of each
-/// rank.
+/// A coordinator, with the last snapshot and fencing number that it has of
+/// each rank.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct CoordinatorView {
     coordinator: Coordinator,
@@ -594,8 +594,8 @@
     half(1) << 64 | half(2)
 }
 
-/// Explores a scenario. Checks that no pass of any state has two maps, and that
-/// a state without a hold can be reached from every state.
+/// Explores a scenario. Checks that no pass of any state has two maps, and
+/// that a state without a hold can be reached from every state.
 fn check(scenario: Scenario) {
     // States are stored as 128-bit hashes. Among a few million states, the
     // probability of a collision is below 10^-24.
