--- a/cowsliproad-bench/src/experiment/switch.rs
+++ b/cowsliproad-bench/src/experiment/switch.rs
@@ -10,9 +10,9 @@
 
 use cowsliproad_kernel::{clock::Millis, plugin::inventory};
 use cowsliproad_mapswitch::order::{
-    ArmOrders, Config, Coordinator, Directive, Epoch, Event, Experts,
-    MissingRanks, ObeyedCoordinator, Order, Report, SealStatus, Snapshot,
-    Version, hold_order, next_order, sealed_step,
+    ArmOrders, Coordinator, CoordinatorConfig, Directive, Epoch, Experts,
+    MissingRanks, ObeyedCoordinator, Order, RankSnapshot, Report, SealStatus,
+    SwitchEvent, Version, coordinator_arm_step, due_hold_order, next_order,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
@@ -118,10 +118,10 @@
 
     /// What the coordinator sees of all ranks, whose agents have heard its
     /// word.
-    fn snapshots(&self, word: &Directive) -> Vec<Snapshot> {
-        let seal = sealed_step(word)
+    fn snapshots(&self, word: &Directive) -> Vec<RankSnapshot> {
+        let seal = coordinator_arm_step(word)
             .map_or(SealStatus::NotReceived, SealStatus::Received);
-        let snapshot = |report: &Report| Snapshot {
+        let snapshot = |report: &Report| RankSnapshot {
             report: report.clone(),
             arms: ArmOrders::Answered,
             seal,
@@ -134,7 +134,7 @@
 fn play(ranks: u16, lost: f64, seconds: u64, seed: u64) -> Score {
     let mut random = StdRng::seed_from_u64(seed);
     let mut group = Group::new(ranks);
-    let mut coordinator = Coordinator::new(Config::new(), 1, 0);
+    let mut coordinator = Coordinator::new(CoordinatorConfig::new(), 1, 0);
     let mut score = Score::default();
     let plan = Arc::new(Experts::new());
     let (mut newest, mut begun, mut rest) = (Version(0), 0, 0);
@@ -149,7 +149,7 @@
         let word = coordinator.directive();
         for rank in 0..usize::from(ranks) {
             let report = &group.ranks[rank];
-            let holds = hold_order(&word, report);
+            let holds = due_hold_order(&word, report);
             let every = if holds.is_some() { HOLDER_MS } else { LOOK_MS };
             if now % every != rank as u64 % every {
                 continue;
@@ -167,12 +167,12 @@
         let snapshots = group.snapshots(&word);
         match coordinator.advance(&snapshots, MissingRanks::None, Millis(now))
         {
-            Event::Changed(_) => {
+            SwitchEvent::Changed(_) => {
                 score.changes += 1;
                 score.times.push(now - begun);
                 rest = now + REST_MS;
             }
-            Event::Abandoned(_) => rest = now + REST_MS,
+            SwitchEvent::Abandoned(_) => rest = now + REST_MS,
             _ => {}
         }
         if coordinator.is_idle() && now >= rest {
--- a/cowsliproad-mapswitch/src/lib.rs
+++ b/cowsliproad-mapswitch/src/lib.rs
@@ -5,8 +5,8 @@
 //! is final:
 //!
 //! * yes only while the member has not reached the boundary and has loaded
-//!   the map's weights; from then on it holds at the boundary until it knows
-//!   the decision;
+//!   the map's weights; from then on it holds (runs no step) at the boundary
+//!   until it knows the decision;
 //! * no in every other case, also when another member asks for a vote on a
 //!   proposal that this one has not received.
 //!
@@ -69,15 +69,15 @@
     pub base: Version,
     /// The version of the new map.
     pub version: Version,
-    /// The first step that uses the new map.
+    /// The boundary: the first step that uses the new map.
     pub boundary: u64,
 }
 
 /// A member's final vote on a proposal.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Vote {
-    /// The member will use the new map from the boundary on if all members
-    /// vote yes.
+    /// The member will use the new map from the proposal's boundary on if all
+    /// members vote yes.
     Yes,
     /// The member will never use the proposed map.
     No,
@@ -87,21 +87,21 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Message {
     /// Asks the receiver to vote on a proposal.
-    Ask(Proposal),
-    /// Tells the receiver how a member voted.
-    Cast(Proposal, Rank, Vote),
+    VoteRequest(Proposal),
+    /// Tells the receiver how the member of this rank voted on a proposal.
+    VoteCast(Proposal, Rank, Vote),
 }
 
 /// Whether a member has loaded the weights of a proposed map.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Weights {
+pub enum WeightsStatus {
     /// The new weights are ready for use, beside the old ones.
     Loaded,
     /// The new weights are not loaded, or were not loaded in time.
     Missing,
 }
 
-/// Whether a member can run its next step.
+/// Whether a member of a group can run its next step.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NextStep {
     /// The step can run with this map.
@@ -122,7 +122,7 @@
     votes_cast: BTreeMap<Proposal, Vote>,
     /// The votes received so far on the undecided proposal for which this
     /// member voted yes.
-    undecided: Option<Ballot>,
+    undecided_ballot: Option<Ballot>,
 }
 
 /// The votes received on one proposal, by rank.
@@ -147,7 +147,7 @@
             map,
             step: 0,
             votes_cast: BTreeMap::new(),
-            undecided: None,
+            undecided_ballot: None,
         }
     }
 
@@ -161,14 +161,14 @@
         self.step
     }
 
-    /// The version of the map in use.
+    /// The version of the expert map that the member uses.
     pub fn map(&self) -> Version {
         self.map
     }
 
-    /// Returns whether the next step can run, and with which map.
+    /// Returns whether the member's next step can run, and with which map.
     pub fn next_step(&self) -> NextStep {
-        match &self.undecided {
+        match &self.undecided_ballot {
             Some(ballot) if self.step >= ballot.proposal.boundary => {
                 NextStep::Hold(ballot.proposal)
             }
@@ -176,14 +176,14 @@
         }
     }
 
-    /// Runs the next step and returns its map, or `None` if the member must
-    /// hold.
+    /// Runs the member's next step and returns its map, or `None` if the step
+    /// must wait for the decision on a proposal.
     pub fn run_step(&mut self) -> Option<Version> {
         match self.next_step() {
             NextStep::Run(map) => {
                 self.step += 1;
-                // A decision that is already known takes effect at the
-                // boundary.
+                // If all members are known to have voted yes, the member
+                // switches maps when it reaches the proposal's boundary.
                 self.apply_decision();
                 Some(map)
             }
@@ -192,42 +192,47 @@
     }
 
     /// Votes on a proposal, or repeats an earlier vote on it.
-    pub fn vote(&mut self, proposal: Proposal, weights: Weights) -> Vote {
+    pub fn vote(
+        &mut self,
+        proposal: Proposal,
+        weights: WeightsStatus,
+    ) -> Vote {
         if let Some(vote) = self.votes_cast.get(&proposal) {
             return *vote;
         }
         let acceptable = proposal.generation == self.generation
             && proposal.base == self.map
             && self.step < proposal.boundary
-            && self.undecided.is_none()
-            && weights == Weights::Loaded;
+            && self.undecided_ballot.is_none()
+            && weights == WeightsStatus::Loaded;
         let vote = if acceptable { Vote::Yes } else { Vote::No };
         self.forget_expired_rejections();
         self.votes_cast.insert(proposal, vote);
         if vote == Vote::Yes {
             let votes = BTreeMap::from([(self.rank, vote)]);
-            self.undecided = Some(Ballot { proposal, votes });
+            self.undecided_ballot = Some(Ballot { proposal, votes });
             self.apply_decision();
         }
         vote
     }
 
-    /// Handles a message. The reply, if any, is to be sent to all members.
-    pub fn handle(
+    /// Handles a message of another member. The returned reply, if any, is to
+    /// be sent to all members.
+    pub fn handle_message(
         &mut self,
         message: Message,
-        weights: Weights,
+        weights: WeightsStatus,
     ) -> Option<Message> {
         match message {
-            Message::Ask(proposal) => {
+            Message::VoteRequest(proposal) => {
                 if proposal.generation != self.generation {
                     return None;
                 }
                 let vote = self.vote(proposal, weights);
-                Some(Message::Cast(proposal, self.rank, vote))
+                Some(Message::VoteCast(proposal, self.rank, vote))
             }
-            Message::Cast(proposal, rank, vote) => {
-                if let Some(ballot) = &mut self.undecided
+            Message::VoteCast(proposal, rank, vote) => {
+                if let Some(ballot) = &mut self.undecided_ballot
                     && ballot.proposal == proposal
                 {
                     ballot.votes.insert(rank, vote);
@@ -241,8 +246,8 @@
     /// Returns the vote request to send to the other members while a proposal
     /// is undecided.
     pub fn vote_request(&self) -> Option<Message> {
-        let ballot = self.undecided.as_ref()?;
-        Some(Message::Ask(ballot.proposal))
+        let ballot = self.undecided_ballot.as_ref()?;
+        Some(Message::VoteRequest(ballot.proposal))
     }
 
     /// Joins a newer generation at step 0; ignores a generation that is not
@@ -256,25 +261,26 @@
     /// Drops the pending proposal once any member voted no, or switches maps
     /// at the boundary once all voted yes.
     fn apply_decision(&mut self) {
-        let Some(ballot) = &self.undecided else { return };
+        let Some(ballot) = &self.undecided_ballot else { return };
         let any_no = ballot.votes.values().any(|vote| *vote == Vote::No);
         if any_no {
-            self.undecided = None;
+            self.undecided_ballot = None;
             return;
         }
         let all = ballot.votes.len() == usize::from(self.rank_count);
         if all && self.step >= ballot.proposal.boundary {
             let proposal = ballot.proposal;
             self.map = proposal.version;
-            self.undecided = None;
+            self.undecided_ballot = None;
             // All members voted yes on this proposal, so all have decided
-            // every earlier one, and nobody will ask for those votes again.
+            // every earlier proposal, and no member will ask again for votes
+            // on earlier proposals.
             self.votes_cast = BTreeMap::from([(proposal, Vote::Yes)]);
         }
     }
 
-    /// Forgets rejected proposals whose boundary has passed: if asked again,
-    /// the member would still vote no.
+    /// Forgets rejected proposals whose boundary has passed: the member would
+    /// reject them again.
     fn forget_expired_rejections(&mut self) {
         let step = self.step;
         self.votes_cast.retain(|proposal, vote| {
--- a/cowsliproad-mapswitch/src/order.rs
+++ b/cowsliproad-mapswitch/src/order.rs
@@ -51,14 +51,15 @@
 
 pub use crate::Version;
 pub use coordinator::{
-    Config, Coordinator, Event, MAX_BOUNDARY_LEAD, VERSIONS_PER_COORDINATOR,
+    Coordinator, CoordinatorConfig, MAX_BOUNDARY_LEAD, SwitchEvent,
+    VERSIONS_PER_COORDINATOR,
 };
 
 mod coordinator;
 pub mod fence;
 
 /// The number of a group's formation. A new formation starts with the first
-/// map and nothing prepared, armed or held.
+/// map, and no rank has prepared a map, is armed to switch or holds the group.
 #[derive(
     Clone,
     Copy,
@@ -96,16 +97,17 @@
     pub ranks: u16,
     /// Whether the group accepts requests.
     pub standing: GroupState,
-    /// The last forward pass that the group began.
+    /// The number of the last forward pass that the group began.
     pub step: u64,
-    /// The version of the map in use.
+    /// The version of the expert map that the rank uses.
     pub map: Version,
     /// The newest map whose experts the rank has copied.
     pub prepared: Option<Version>,
     /// The map to which the rank will switch, and the pass at which it
     /// switches.
     pub armed: Option<(Version, u64)>,
-    /// The pass before which this rank holds the group.
+    /// The pass before which this rank holds the group: the group doesn't
+    /// begin the pass until the hold is released.
     pub held: Option<u64>,
 }
 
@@ -133,11 +135,11 @@
     Prepare(Version, Arc<Experts>),
     /// Switch to this map at the start of this pass.
     Arm(Version, u64),
-    /// Cancel the armed switch to this map.
+    /// Cancel the switch to this map for which the rank is armed.
     Disarm(Version),
-    /// Hold the group before this pass.
+    /// Hold the group: don't begin this pass until a *go* order.
     Hold(u64),
-    /// Release the hold before this pass.
+    /// Release the hold of the group before this pass.
     Go(u64),
 }
 
@@ -157,10 +159,10 @@
 /// show.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum ArmOrders {
-    /// Every *arm* order that the agent sent was answered.
+    /// Every *arm* order that the rank's agent sent was answered.
     Answered,
-    /// An unanswered *arm* order may still be executed, or the agent started
-    /// too recently to know.
+    /// An unanswered *arm* order may still be executed, or the rank's agent
+    /// started too recently to know.
     InDoubt,
 }
 
@@ -168,45 +170,50 @@
 /// coordinator's own rank arms.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum SealStatus {
-    /// The agent has received no seal.
+    /// The agent has received no announcement that the coordinator's rank
+    /// arms.
     #[serde(rename = "Unheard")]
     NotReceived,
-    /// The agent has received the seal for a switch at this pass.
+    /// The agent has received the announcement that the coordinator's rank
+    /// arms for a switch at this pass.
     #[serde(rename = "Heard")]
     Received(u64),
     /// The agent started too recently to know whether its previous process
-    /// had received the seal.
+    /// had received the announcement that the coordinator's rank arms.
     Unknown,
 }
 
-/// Whose directives a rank's agent obeys.
+/// Which coordinator's directives a rank's agent obeys.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum ObeyedCoordinator {
-    /// The agent obeys this coordinator and refuses every earlier one.
+    /// The agent obeys the coordinator that reads the snapshot, and refuses
+    /// every earlier coordinator.
     This,
     /// The agent may still obey an earlier coordinator: it has received no
-    /// directive from this one.
+    /// directive from the coordinator that reads the snapshot.
     Another,
 }
 
-/// A rank's report with what its agent knows beyond the report.
+/// A rank's report, with its agent's knowledge of pending orders and of the
+/// coordinator.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct Snapshot {
-    /// The state that the engine reported.
+pub struct RankSnapshot {
+    /// The state that the rank's engine reported.
     pub report: Report,
     /// Whether an *arm* order that the report doesn't show may still be
     /// executed.
     pub arms: ArmOrders,
-    /// Whether the rank's agent has received the seal.
+    /// Whether the rank's agent has received the seal: the announcement that
+    /// the coordinator's own rank arms.
     pub seal: SealStatus,
-    /// Whose directives the rank's agent obeys.
+    /// Which coordinator's directives the rank's agent obeys.
     pub obeys: ObeyedCoordinator,
 }
 
 /// The ranks from which a coordinator has no recent report.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum MissingRanks {
-    /// All ranks have reported.
+    /// All ranks have reported recently.
     None,
     /// Only the rank of the former coordinator, which had this fencing
     /// number, is missing.
@@ -218,7 +225,7 @@
 /// The state that a coordinator wants all ranks to reach.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum Aim {
-    /// No switch is in progress.
+    /// No state is required of the ranks: no switch is in progress.
     Rest,
     /// All ranks have copied the experts of this map.
     Prepared(Version),
@@ -236,12 +243,13 @@
         version: Version,
         /// The first pass that uses the new map.
         step: u64,
-        /// The coordinator's rank, which must not arm yet; `None` once all
-        /// other ranks are armed.
+        /// The coordinator's rank, which must not arm yet; `None` once this
+        /// rank may arm too.
         except: Option<u16>,
     },
-    /// All other ranks are armed and the coordinator's rank arms next. Each
-    /// agent confirms that it has received this announcement.
+    /// All ranks but the coordinator's are armed, and the coordinator's rank
+    /// arms next. Each agent confirms that it has received this announcement,
+    /// the seal.
     Sealed {
         /// The new map.
         version: Version,
@@ -289,10 +297,10 @@
         }
         Aim::Held { .. } => None,
         Aim::Armed { version, step, except } => {
-            arm_order(report, version, step, except)
+            due_arm_order(report, version, step, except)
         }
         Aim::Sealed { version, step, except } => {
-            arm_order(report, version, step, Some(except))
+            due_arm_order(report, version, step, Some(except))
         }
         Aim::Disarmed => report.armed.map(|it| Order::Disarm(it.0)),
         Aim::Released(step) => {
@@ -301,9 +309,9 @@
     }
 }
 
-/// Returns the *arm* order for a rank, unless the rank is already armed, uses
-/// the map, has passed the boundary or is the exempt rank.
-fn arm_order(
+/// Returns the *arm* order to send to a rank, or `None` if the rank is already
+/// armed, uses the map, has begun the switch's pass or is the exempt rank.
+fn due_arm_order(
     report: &Report,
     version: Version,
     step: u64,
@@ -317,8 +325,8 @@
 }
 
 /// Returns the pass of the switch for which a directive announces that the
-/// coordinator's own rank arms.
-pub fn sealed_step(directive: &Directive) -> Option<u64> {
+/// coordinator's own rank arms (the seal), or `None` if it announces nothing.
+pub fn coordinator_arm_step(directive: &Directive) -> Option<u64> {
     match directive.aim {
         Aim::Sealed { step, .. } => Some(step),
         Aim::Armed { step, except: None, .. } => Some(step),
@@ -326,9 +334,14 @@
     }
 }
 
-/// Returns the *hold* order if the coordinator has to send it to the engine
-/// of this report.
-pub fn hold_order(directive: &Directive, report: &Report) -> Option<Order> {
+/// Returns the *hold* order that the coordinator has to send to the reporting
+/// engine. `None` unless the directive is to hold this group, the holder is
+/// the reporting rank, and the rank does not hold yet and has not has begun
+/// the pass.
+pub fn due_hold_order(
+    directive: &Directive,
+    report: &Report,
+) -> Option<Order> {
     let Aim::Held { step, holder } = directive.aim else { return None };
     let is_due = report.rank == holder
         && report.epoch == directive.epoch
--- a/cowsliproad-mapswitch/src/order/coordinator.rs
+++ b/cowsliproad-mapswitch/src/order/coordinator.rs
@@ -4,54 +4,65 @@
 use cowsliproad_kernel::clock::Millis;
 
 use super::{
-    Aim, ArmOrders, Directive, Epoch, MissingRanks, ObeyedCoordinator, Report,
-    SealStatus, Snapshot, Version,
+    Aim, ArmOrders, Directive, Epoch, MissingRanks, ObeyedCoordinator,
+    RankSnapshot, Report, SealStatus, Version,
 };
 
-/// Settings of a coordinator.
+/// Settings of a coordinator of map switches.
 #[derive(Clone, Copy, Debug)]
-pub struct Config {
-    boundary_lead: (u64, u64),
-    copy_timeout: Millis,
+pub struct CoordinatorConfig {
+    boundary_lead_passes: (u64, u64),
+    expert_copy_timeout: Millis,
 }
 
-impl Config {
+impl CoordinatorConfig {
     /// Returns the default settings.
-    pub fn new() -> Config {
-        Config {
-            boundary_lead: BOUNDARY_LEAD_PASSES,
-            copy_timeout: COPY_TIMEOUT,
+    pub fn new() -> CoordinatorConfig {
+        CoordinatorConfig {
+            boundary_lead_passes: BOUNDARY_LEAD_PASSES,
+            expert_copy_timeout: EXPERT_COPY_TIMEOUT,
         }
     }
 
-    /// Sets the minimum and maximum number of passes from now to the boundary.
-    pub fn with_boundary_lead(self, min: u64, max: u64) -> Config {
-        Config { boundary_lead: (min, max), ..self }
+    /// Sets the minimum and maximum number of passes from the latest pass to
+    /// the boundary, the first pass that uses the new map.
+    pub fn with_boundary_lead(
+        self,
+        min_passes: u64,
+        max_passes: u64,
+    ) -> CoordinatorConfig {
+        CoordinatorConfig {
+            boundary_lead_passes: (min_passes, max_passes),
+            ..self
+        }
     }
 }
 
-impl Default for Config {
-    fn default() -> Config {
-        Config::new()
+impl Default for CoordinatorConfig {
+    fn default() -> CoordinatorConfig {
+        CoordinatorConfig::new()
     }
 }
 
-/// The minimum and maximum number of passes from now to the boundary. Within
-/// these bounds the boundary is as far ahead as recent arming took, so that
-/// the group doesn't stop while orders go unanswered. With half of the orders
-/// lost, arming takes some 200 ms.
+/// The minimum and maximum number of passes from the latest pass to the
+/// boundary, the first pass that uses the new map. Within these bounds the
+/// boundary is as far ahead as recent arming took, so that the group doesn't
+/// stop while orders go unanswered. With half of the orders lost, arming takes
+/// some 200 ms.
 const BOUNDARY_LEAD_PASSES: (u64, u64) = (2, MAX_BOUNDARY_LEAD);
 
-/// The maximum number of passes between an *arm* order and its boundary.
+/// The maximum number of passes between an *arm* order and the pass at which
+/// the rank switches maps.
 pub const MAX_BOUNDARY_LEAD: u64 = 10;
 
-/// The minimum arming time to plan for. *Hold*, *arm* and *go* together take
-/// 30 to 60 ms when every order is answered, and the reported pass is up to 30
-/// ms old.
+/// The minimum time to plan for the arming of all ranks. *Hold*, *arm* and
+/// *go* together take 30 to 60 ms when every order is answered, and the
+/// reported pass is up to 30 ms old.
 const MIN_ARMING_TIME: Millis = Millis(90);
 
-/// How long the ranks may copy experts before the plan is abandoned.
-const COPY_TIMEOUT: Millis = Millis(3_000);
+/// How long the ranks may copy the experts of a new map before the plan is
+/// abandoned.
+const EXPERT_COPY_TIMEOUT: Millis = Millis(3_000);
 
 /// The number of map versions reserved for one coordinator. A rank refuses a
 /// version that isn't higher than every version it has had, including those of
@@ -71,96 +82,100 @@
     Releasing { version: Version, step: u64 },
 }
 
-/// A transition caused by the latest reports.
+/// A transition of a map switch that the latest reports caused, for the log.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Event {
+pub enum SwitchEvent {
     /// No transition to be logged.
     None,
     /// All ranks have switched to this map.
     Changed(Version),
     /// The plan for this map was abandoned before any rank was armed.
     Abandoned(Version),
-    /// This coordinator completes a switch that another coordinator began.
+    /// This coordinator has begun to complete a switch to this map that
+    /// another coordinator started.
     Resumed(Version),
-    /// This coordinator cancels a switch that another coordinator began.
+    /// This coordinator has begun to cancel a switch to this map that another
+    /// coordinator started.
     Cancelled(Version),
-    /// The group formed again, and the state of the previous formation was
-    /// discarded.
+    /// The group formed again under this epoch, and the coordinator discarded
+    /// the state of the previous formation.
     Reset(Epoch),
 }
 
 /// Coordinates the switches of a group from one expert map to the next.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Coordinator {
-    boundary_lead: (u64, u64),
-    copy_timeout: Millis,
+    boundary_lead_passes: (u64, u64),
+    expert_copy_timeout: Millis,
     fence: u64,
-    rank: u16,
+    own_rank: u16,
     epoch: Epoch,
     /// The newest map version that this coordinator planned.
     newest_planned: Version,
     phase: Phase,
-    timings: Timings,
+    timings: ArmingTimings,
 }
 
-/// Recent durations of arming and of passes, which set the boundary.
+/// Recent durations of arming and of passes, from which the coordinator
+/// chooses the first pass that uses a new map.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-struct Timings {
+struct ArmingTimings {
     /// How long arming took recently: from the *hold* order until all ranks
     /// were armed.
     arming_time: Millis,
     /// When the current arming began.
     arming_began: Millis,
-    /// The duration of a pass.
-    pass_time: Millis,
-    /// The pass from which passes are counted.
-    counted_from_pass: u64,
-    /// When the counting of passes began.
-    counted_from: Millis,
+    /// The mean duration of recent forward passes.
+    mean_pass_time: Millis,
+    /// The pass from which passes are counted to derive their duration.
+    first_counted_pass: u64,
+    /// When the counting of passes for their duration began.
+    counting_began: Millis,
 }
 
-impl Timings {
-    fn new() -> Timings {
-        Timings {
+impl ArmingTimings {
+    fn new() -> ArmingTimings {
+        ArmingTimings {
             arming_time: Millis(0),
             arming_began: Millis(0),
-            pass_time: DEFAULT_PASS_TIME,
-            counted_from_pass: 0,
-            counted_from: Millis(0),
+            mean_pass_time: DEFAULT_PASS_TIME,
+            first_counted_pass: 0,
+            counting_began: Millis(0),
         }
     }
 
-    /// Starts counting passes at this pass.
-    fn start_counting(&mut self, pass: u64, now: Millis) {
-        self.counted_from_pass = pass;
-        self.counted_from = now;
+    /// Starts counting passes at this pass, to derive their duration.
+    fn start_counting_passes(&mut self, pass: u64, now: Millis) {
+        self.first_counted_pass = pass;
+        self.counting_began = now;
     }
 
     /// Updates the duration of a pass from the passes since counting began,
     /// and records the start of arming.
     fn begin_arming(&mut self, latest_pass: u64, now: Millis) {
-        let passes = latest_pass.saturating_sub(self.counted_from_pass);
-        if let Some(pass) = now.since(self.counted_from).0.checked_div(passes)
+        let passes = latest_pass.saturating_sub(self.first_counted_pass);
+        if let Some(pass) =
+            now.since(self.counting_began).0.checked_div(passes)
         {
-            self.pass_time = Millis(pass.max(1));
+            self.mean_pass_time = Millis(pass.max(1));
         }
         self.arming_began = now;
     }
 
-    /// Records how long arming took. Slow arming is likely to recur, so the
-    /// previous duration decays by half only.
+    /// Records how long arming all ranks took. Slow arming is likely to recur,
+    /// so the previous duration decays by half only.
     fn finish_arming(&mut self, now: Millis) {
         let elapsed = now.since(self.arming_began);
         let decayed = Millis(self.arming_time.0 / 2);
         self.arming_time = elapsed.max(decayed);
     }
 
-    /// The number of passes within which arming is expected to finish. The
-    /// next pass may begin at any moment, so it is not counted.
+    /// The number of passes within which arming all ranks is expected to
+    /// finish. The next pass may begin at any moment, so it is not counted.
     fn expected_arming_passes(&self) -> u64 {
         let time = (self.arming_time.0 + self.arming_time.0 / 4)
             .max(MIN_ARMING_TIME.0);
-        time / self.pass_time.0 + 2
+        time / self.mean_pass_time.0 + 2
     }
 }
 
@@ -168,18 +183,22 @@
 const DEFAULT_PASS_TIME: Millis = Millis(50);
 
 impl Coordinator {
-    /// Creates a coordinator that runs beside `rank` and has received no
-    /// reports yet.
-    pub fn new(config: Config, fence: u64, rank: u16) -> Coordinator {
+    /// Creates a coordinator on the VM of `own_rank` with this fencing number.
+    /// It has received no reports yet.
+    pub fn new(
+        config: CoordinatorConfig,
+        fence: u64,
+        own_rank: u16,
+    ) -> Coordinator {
         Coordinator {
-            boundary_lead: config.boundary_lead,
-            copy_timeout: config.copy_timeout,
+            boundary_lead_passes: config.boundary_lead_passes,
+            expert_copy_timeout: config.expert_copy_timeout,
             fence,
-            rank,
+            own_rank,
             epoch: Epoch(0),
             newest_planned: Version(0),
             phase: Phase::Idle,
-            timings: Timings::new(),
+            timings: ArmingTimings::new(),
         }
     }
 
@@ -193,7 +212,7 @@
         self.phase == Phase::Idle
     }
 
-    /// The directive to be sent to all agents.
+    /// Returns the coordinator's directive, to be sent to all agents.
     pub fn directive(&self) -> Directive {
         let aim = match self.phase {
             Phase::Idle => Aim::Rest,
@@ -203,7 +222,7 @@
                 Aim::Armed { version, step, except }
             }
             Phase::Sealing { version, step } => {
-                Aim::Sealed { version, step, except: self.rank }
+                Aim::Sealed { version, step, except: self.own_rank }
             }
             Phase::Disarming { .. } => Aim::Disarmed,
             Phase::Releasing { step, .. } => Aim::Released(step),
@@ -211,22 +230,22 @@
         Directive { fence: self.fence, epoch: self.epoch, aim }
     }
 
-    /// Begins to prepare a new map and returns its version. Requires reports
+    /// Begins to prepare a new map and returns its version. Requires snapshots
     /// of all ranks.
     pub fn begin_plan(
         &mut self,
-        snapshots: &[Snapshot],
+        snapshots: &[RankSnapshot],
         now: Millis,
     ) -> Version {
         let newest =
-            snapshots.iter().map(|it| newest_version(&it.report)).max();
+            snapshots.iter().map(|it| newest_known_version(&it.report)).max();
         let known =
             newest.unwrap_or(self.newest_planned).max(self.newest_planned);
         let own = self.fence * VERSIONS_PER_COORDINATOR;
         let version = Version(own.max(known.0 + 1));
         self.newest_planned = version;
         self.phase = Phase::Preparing { version, since: now };
-        self.timings.start_counting(latest_step(snapshots), now);
+        self.timings.start_counting_passes(latest_begun_step(snapshots), now);
         version
     }
 
@@ -242,21 +261,21 @@
     /// Advances the switch according to the latest reports.
     pub fn advance(
         &mut self,
-        snapshots: &[Snapshot],
+        snapshots: &[RankSnapshot],
         missing: MissingRanks,
         now: Millis,
-    ) -> Event {
-        let Some(first) = snapshots.first() else { return Event::None };
+    ) -> SwitchEvent {
+        let Some(first) = snapshots.first() else { return SwitchEvent::None };
         let epoch = first.report.epoch;
         // Ranks learn of a new formation at different times, so their epochs
         // may differ for a while.
         if snapshots.iter().any(|it| it.report.epoch != epoch) {
-            return Event::None;
+            return SwitchEvent::None;
         }
         if epoch != self.epoch {
             self.epoch = epoch;
             self.phase = Phase::Idle;
-            return Event::Reset(epoch);
+            return SwitchEvent::Reset(epoch);
         }
         match (self.phase, missing) {
             (Phase::Idle, MissingRanks::None) => {
@@ -270,173 +289,183 @@
             (
                 Phase::Disarming { step },
                 MissingRanks::Predecessor(_) | MissingRanks::None,
-            ) => self.advance_disarming(snapshots, step),
+            ) => self.release_hold_if_disarmed(snapshots, step),
             (Phase::Releasing { version, step }, _) => {
-                self.advance_releasing(snapshots, version, step)
-            }
-            (Phase::Preparing { version, since }, _) => {
-                self.advance_preparing(snapshots, missing, version, since, now)
+                self.finish_switch_if_released(snapshots, version, step)
             }
+            (Phase::Preparing { version, since }, _) => self
+                .begin_hold_if_prepared(
+                    snapshots, missing, version, since, now,
+                ),
             (_, MissingRanks::Predecessor(_) | MissingRanks::Others) => {
-                Event::None
+                SwitchEvent::None
             }
             (Phase::Holding { version, step, holder }, _) => {
-                self.advance_holding(snapshots, version, step, holder)
+                self.begin_arming_if_held(snapshots, version, step, holder)
             }
             (Phase::Arming { version, step, except }, _) => {
-                self.advance_arming(snapshots, version, step, except, now);
-                Event::None
+                self.seal_or_release_if_armed(
+                    snapshots, version, step, except, now,
+                );
+                SwitchEvent::None
             }
             (Phase::Sealing { version, step }, _) => {
-                self.advance_sealing(snapshots, version, step);
-                Event::None
+                self.arm_own_rank_if_sealed(snapshots, version, step);
+                SwitchEvent::None
             }
         }
     }
 
     /// Completes a switch that another coordinator left unfinished, or
     /// releases a hold that belongs to no switch.
-    fn resume_or_release(&mut self, snapshots: &[Snapshot]) -> Event {
+    fn resume_or_release(
+        &mut self,
+        snapshots: &[RankSnapshot],
+    ) -> SwitchEvent {
         let armed = snapshots.iter().find_map(|it| it.report.armed);
         if let Some((version, step)) = armed {
             self.phase = Phase::Arming { version, step, except: None };
-            return Event::Resumed(version);
+            return SwitchEvent::Resumed(version);
         }
         let Some(step) = snapshots.iter().find_map(|it| it.report.held) else {
-            return Event::None;
+            return SwitchEvent::None;
         };
         // An *arm* order for this pass may still reach any rank that has
         // prepared the next map. Completing the switch is safe whether or not
         // such an order exists.
-        self.phase = match prepared_by_all(snapshots) {
+        self.phase = match version_prepared_by_all(snapshots) {
             Some(version) => Phase::Arming { version, step, except: None },
             None => {
                 Phase::Releasing { version: snapshots[0].report.map, step }
             }
         };
-        Event::None
+        SwitchEvent::None
     }
 
     /// Cancels the switch of a former coordinator that is unreachable.
     fn cancel_switch(
         &mut self,
-        snapshots: &[Snapshot],
+        snapshots: &[RankSnapshot],
         predecessor_fence: u64,
-    ) -> Event {
+    ) -> SwitchEvent {
         let held = snapshots.iter().find_map(|it| it.report.held);
-        let Some(step) = held else { return Event::None };
+        let Some(step) = held else { return SwitchEvent::None };
         let armed = snapshots.iter().find_map(|it| it.report.armed);
         // The former coordinator's rank arms last. So if some other rank is
         // not armed and never will be, the coordinator's rank is not armed
         // either. While any rank is in doubt, waiting is better: if the former
         // coordinator comes back, the switch is completed.
-        let all_settled = snapshots.iter().all(is_settled);
-        let unarmed =
-            |it: &Snapshot| it.report.armed.is_none() && it.report.step < step;
-        let coordinator_unarmed =
-            snapshots.iter().any(unarmed) || lacks_seal(snapshots, step);
+        let all_settled = snapshots.iter().all(is_armed_state_final);
+        let unarmed = |it: &RankSnapshot| {
+            it.report.armed.is_none() && it.report.step < step
+        };
+        let coordinator_unarmed = snapshots.iter().any(unarmed)
+            || holder_lacks_seal(snapshots, step);
         let latest =
-            snapshots.iter().map(|it| newest_version(&it.report)).max();
+            snapshots.iter().map(|it| newest_known_version(&it.report)).max();
         let began_by_predecessor = latest.is_some_and(|it| {
             it.0 / VERSIONS_PER_COORDINATOR == predecessor_fence
         });
         if !all_settled || !coordinator_unarmed || !began_by_predecessor {
-            return Event::None;
+            return SwitchEvent::None;
         }
         let version = armed.map_or(snapshots[0].report.map, |it| it.0);
         self.phase = Phase::Disarming { step };
-        Event::Cancelled(version)
+        SwitchEvent::Cancelled(version)
     }
 
-    /// Releases the hold once no rank is armed or may still arm.
-    fn advance_disarming(
+    /// Releases the hold of the group once no rank is armed or may still arm.
+    fn release_hold_if_disarmed(
         &mut self,
-        snapshots: &[Snapshot],
+        snapshots: &[RankSnapshot],
         step: u64,
-    ) -> Event {
-        let is_clear =
-            |it: &Snapshot| it.report.armed.is_none() && is_settled(it);
+    ) -> SwitchEvent {
+        let is_clear = |it: &RankSnapshot| {
+            it.report.armed.is_none() && is_armed_state_final(it)
+        };
         if snapshots.iter().all(is_clear) {
             let version = snapshots[0].report.map;
             self.phase = Phase::Releasing { version, step };
         }
-        Event::None
+        SwitchEvent::None
     }
 
-    /// Begins to hold once all ranks have prepared the map, or abandons the
-    /// plan after the copy timeout.
-    fn advance_preparing(
+    /// Begins to hold the group once all ranks have prepared the new map, or
+    /// abandons the plan after the copy timeout.
+    fn begin_hold_if_prepared(
         &mut self,
-        snapshots: &[Snapshot],
+        snapshots: &[RankSnapshot],
         missing: MissingRanks,
         version: Version,
         since: Millis,
         now: Millis,
-    ) -> Event {
-        let is_prepared = |it: &Snapshot| it.report.prepared == Some(version);
+    ) -> SwitchEvent {
+        let is_prepared =
+            |it: &RankSnapshot| it.report.prepared == Some(version);
         if missing == MissingRanks::None && snapshots.iter().all(is_prepared) {
-            self.timings.begin_arming(latest_step(snapshots), now);
-            let step = self.boundary(snapshots);
-            let holder = self.choose_holder(snapshots);
+            self.timings.begin_arming(latest_begun_step(snapshots), now);
+            let step = self.next_boundary(snapshots);
+            let holder = self.choose_holding_rank(snapshots);
             self.phase = Phase::Holding { version, step, holder };
-            return Event::None;
+            return SwitchEvent::None;
         }
-        if now.since(since) > self.copy_timeout {
+        if now.since(since) > self.expert_copy_timeout {
             self.phase = Phase::Idle;
-            return Event::Abandoned(version);
+            return SwitchEvent::Abandoned(version);
         }
-        Event::None
+        SwitchEvent::None
     }
 
     /// Returns the boundary: the first pass that is to use the new map.
-    fn boundary(&self, snapshots: &[Snapshot]) -> u64 {
-        let (min, max) = self.boundary_lead;
-        latest_step(snapshots)
+    fn next_boundary(&self, snapshots: &[RankSnapshot]) -> u64 {
+        let (min, max) = self.boundary_lead_passes;
+        latest_begun_step(snapshots)
             + self.timings.expected_arming_passes().clamp(min, max)
     }
 
     /// Returns the rank that is to hold the group: the lowest rank other than
     /// the coordinator's own.
-    fn choose_holder(&self, snapshots: &[Snapshot]) -> u16 {
+    fn choose_holding_rank(&self, snapshots: &[RankSnapshot]) -> u16 {
         let ranks = snapshots.iter().map(|it| it.report.rank);
-        ranks.filter(|it| *it != self.rank).min().unwrap_or(self.rank)
+        ranks.filter(|it| *it != self.own_rank).min().unwrap_or(self.own_rank)
     }
 
-    /// Begins to arm once the hold is reported, or chooses a later boundary if
-    /// the group has passed this one.
-    fn advance_holding(
+    /// Begins to arm the ranks once a rank reports that it holds the group, or
+    /// chooses a later boundary if the group has begun the boundary pass.
+    fn begin_arming_if_held(
         &mut self,
-        snapshots: &[Snapshot],
+        snapshots: &[RankSnapshot],
         version: Version,
         step: u64,
         holder: u16,
-    ) -> Event {
+    ) -> SwitchEvent {
         let held = snapshots.iter().any(|it| it.report.held == Some(step));
         if held {
-            let except = Some(self.rank);
+            let except = Some(self.own_rank);
             self.phase = Phase::Arming { version, step, except };
-        } else if latest_step(snapshots) >= step {
-            // The group has passed the boundary. No rank is armed, so a later
-            // boundary is safe.
-            let step = self.boundary(snapshots);
+        } else if latest_begun_step(snapshots) >= step {
+            // The group has begun the boundary pass with the old map. No rank
+            // is armed, so a later boundary is safe.
+            let step = self.next_boundary(snapshots);
             self.phase = Phase::Holding { version, step, holder };
         }
-        Event::None
+        SwitchEvent::None
     }
 
-    /// Releases the hold once all ranks are armed, or announces the seal once
-    /// all ranks but the coordinator's own are.
-    fn advance_arming(
+    /// Releases the hold of the group once all ranks are armed. Once all ranks
+    /// but the coordinator's are armed, announces that its rank arms next (the
+    /// seal).
+    fn seal_or_release_if_armed(
         &mut self,
-        snapshots: &[Snapshot],
+        snapshots: &[RankSnapshot],
         version: Version,
         step: u64,
         except: Option<u16>,
         now: Millis,
     ) {
-        // An agent that obeys another coordinator could still disarm its
+        // An agent that obeys another coordinator could still disarm its own
         // rank.
-        let is_armed = |it: &Snapshot| {
+        let is_armed = |it: &RankSnapshot| {
             it.report.armed == Some((version, step))
                 && it.obeys == ObeyedCoordinator::This
                 || it.report.map == version
@@ -446,23 +475,24 @@
             self.phase = Phase::Releasing { version, step };
             return;
         }
-        let is_other = |it: &&Snapshot| Some(it.report.rank) != except;
+        let is_other = |it: &&RankSnapshot| Some(it.report.rank) != except;
         if except.is_some() && snapshots.iter().filter(is_other).all(is_armed)
         {
             self.phase = Phase::Sealing { version, step };
         }
     }
 
-    /// Arms the coordinator's own rank once the holder's agent has confirmed
-    /// the seal.
-    fn advance_sealing(
+    /// Arms the coordinator's own rank once the agent of the rank that holds
+    /// the group has confirmed the seal: the announcement that the
+    /// coordinator's rank arms.
+    fn arm_own_rank_if_sealed(
         &mut self,
-        snapshots: &[Snapshot],
+        snapshots: &[RankSnapshot],
         version: Version,
         step: u64,
     ) {
-        let holder = self.choose_holder(snapshots);
-        let has_confirmed = |it: &Snapshot| {
+        let holder = self.choose_holding_rank(snapshots);
+        let has_confirmed = |it: &RankSnapshot| {
             it.report.rank == holder
                 && it.seal == SealStatus::Received(step)
                 && it.obeys == ObeyedCoordinator::This
@@ -472,41 +502,44 @@
         }
     }
 
-    /// Ends the switch once the hold is released and all ranks use the map.
-    fn advance_releasing(
+    /// Ends the switch once the hold of the group is released and all ranks
+    /// use the new map.
+    fn finish_switch_if_released(
         &mut self,
-        snapshots: &[Snapshot],
+        snapshots: &[RankSnapshot],
         version: Version,
         step: u64,
-    ) -> Event {
+    ) -> SwitchEvent {
         let held = snapshots.iter().any(|it| it.report.held == Some(step));
         let changed = snapshots.iter().all(|it| it.report.map == version);
         if held || !changed {
-            return Event::None;
+            return SwitchEvent::None;
         }
         self.phase = Phase::Idle;
-        Event::Changed(version)
+        SwitchEvent::Changed(version)
     }
 }
 
 /// Returns the newest map version that a rank uses, has prepared or is armed
 /// for.
-fn newest_version(report: &Report) -> Version {
+fn newest_known_version(report: &Report) -> Version {
     let armed = report.armed.map(|it| it.0);
     let prepared = report.prepared.max(armed);
     prepared.map_or(report.map, |it| it.max(report.map))
 }
 
-/// Returns whether a rank's report is complete: no unanswered *arm* order is
-/// pending there, and its agent obeys this coordinator alone.
-fn is_settled(snapshot: &Snapshot) -> bool {
+/// Returns whether a rank's reported armed state is final unless this
+/// coordinator changes it: no unanswered *arm* order may still be executed
+/// there, and the rank's agent obeys this coordinator alone.
+fn is_armed_state_final(snapshot: &RankSnapshot) -> bool {
     snapshot.arms == ArmOrders::Answered
         && snapshot.obeys == ObeyedCoordinator::This
 }
 
-/// Returns whether the holder has not received the seal of an unreachable
-/// coordinator. The holder is the lowest rank other than that coordinator's.
-fn lacks_seal(snapshots: &[Snapshot], step: u64) -> bool {
+/// Returns whether the agent of the rank that holds the group has certainly
+/// not received the seal: the announcement that the unreachable coordinator's
+/// rank arms. The holding rank is the lowest rank but that coordinator's.
+fn holder_lacks_seal(snapshots: &[RankSnapshot], step: u64) -> bool {
     let holder = snapshots.iter().min_by_key(|it| it.report.rank);
     holder.is_some_and(|it| match it.seal {
         SealStatus::NotReceived => true,
@@ -515,16 +548,17 @@
     })
 }
 
-/// Returns the map that all ranks have prepared and none uses yet.
-fn prepared_by_all(snapshots: &[Snapshot]) -> Option<Version> {
+/// Returns the version of the map that all ranks have prepared and no rank
+/// uses yet; `None` if there is no such map.
+fn version_prepared_by_all(snapshots: &[RankSnapshot]) -> Option<Version> {
     let version = snapshots.first()?.report.prepared?;
-    let is_ready = |it: &Snapshot| {
+    let is_ready = |it: &RankSnapshot| {
         it.report.prepared == Some(version) && it.report.map < version
     };
     snapshots.iter().all(is_ready).then_some(version)
 }
 
 /// Returns the latest pass that any rank has begun.
-fn latest_step(snapshots: &[Snapshot]) -> u64 {
+fn latest_begun_step(snapshots: &[RankSnapshot]) -> u64 {
     snapshots.iter().map(|it| it.report.step).max().unwrap_or_default()
 }
--- a/cowsliproad-mapswitch/src/order/fence.rs
+++ b/cowsliproad-mapswitch/src/order/fence.rs
@@ -14,24 +14,26 @@
 
 use super::VERSIONS_PER_COORDINATOR;
 
-/// The fencing numbers reserved for one era of the log: enough for half a year
-/// at one number a second.
-const NUMBERS_PER_ERA: u64 = 1 << 24;
+/// How many fencing numbers are reserved for one era of the log: enough for
+/// half a year at one number a second.
+const FENCING_NUMBERS_PER_ERA: u64 = 1 << 24;
 
 /// The number of eras whose fencing numbers can be multiplied by
 /// [`VERSIONS_PER_COORDINATOR`] without overflow.
-const MAX_ERAS: u64 = u64::MAX / VERSIONS_PER_COORDINATOR / NUMBERS_PER_ERA;
+const MAX_LOG_ERAS: u64 =
+    u64::MAX / VERSIONS_PER_COORDINATOR / FENCING_NUMBERS_PER_ERA;
 
-/// Returns the fencing number of the coordinator that appended a record. It is
-/// never 0, and `None` once the numbers are exhausted.
+/// Returns the fencing number of the coordinator that appended a record. The
+/// number is never 0. `None` if the record's era or offset is too large.
 pub fn fencing_number(record: Position) -> Option<u64> {
     let Position { era, offset } = record;
-    let is_in_range = era.0 < MAX_ERAS && offset < NUMBERS_PER_ERA - 1;
-    is_in_range.then(|| era.0 * NUMBERS_PER_ERA + offset + 1)
+    let is_in_range =
+        era.0 < MAX_LOG_ERAS && offset < FENCING_NUMBERS_PER_ERA - 1;
+    is_in_range.then(|| era.0 * FENCING_NUMBERS_PER_ERA + offset + 1)
 }
 
 /// Returns whether a record's position identifies it uniquely, given the era
 /// that the appender knew before the append call.
-pub fn is_unique(record: Position, era_before_call: Era) -> bool {
+pub fn is_position_unique(record: Position, era_before_call: Era) -> bool {
     record.era == era_before_call
 }
--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -380,7 +380,7 @@
     }
 
     fn note_seal(&mut self, word: &Directive) {
-        if let Some(step) = order::sealed_step(word) {
+        if let Some(step) = order::coordinator_arm_step(word) {
             self.sealed = Some((word.epoch, step));
         }
     }
--- a/cowsliproad-rank/src/agent/chair.rs
+++ b/cowsliproad-rank/src/agent/chair.rs
@@ -142,7 +142,7 @@
     for _ in 0..MAX_RECORDS {
         client.raise(era);
         match client.append(COORDINATORS, vm.as_bytes()).await {
-            Ok(record) if fence::is_unique(record, era) => {
+            Ok(record) if fence::is_position_unique(record, era) => {
                 return Some(record);
             }
             Ok(record) => {
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -9,8 +9,9 @@
 
 use cowsliproad_kernel::{clock::Millis, gossip::Subscribe};
 use cowsliproad_mapswitch::order::{
-    Config, Coordinator, Directive, Event, Experts, GroupState, MissingRanks,
-    ObeyedCoordinator, Order, Snapshot, Version, hold_order,
+    Coordinator, CoordinatorConfig, Directive, Experts, GroupState,
+    MissingRanks, ObeyedCoordinator, Order, RankSnapshot, SwitchEvent,
+    Version, due_hold_order,
 };
 use cowsliproad_placement::{
     bound,
@@ -79,7 +80,7 @@
     pub fn new(start: Start, price: f64, log: Logger) -> Lead {
         Lead {
             coordinator: Coordinator::new(
-                Config::new(),
+                CoordinatorConfig::new(),
                 start.fence,
                 start.rank,
             ),
@@ -180,7 +181,8 @@
         }
         self.sample(now);
         self.drop_overtaken();
-        let is_open = |it: &Snapshot| it.report.standing == GroupState::Open;
+        let is_open =
+            |it: &RankSnapshot| it.report.standing == GroupState::Open;
         let open = snapshots.iter().all(is_open);
         let due = now.since(self.planned) >= PLAN_TIME;
         if let Some(shape) = shape
@@ -196,21 +198,21 @@
     }
 
     /// What is known freshly of the ranks.
-    fn snapshots(&self, now: Millis) -> Vec<Snapshot> {
+    fn snapshots(&self, now: Millis) -> Vec<RankSnapshot> {
         let fresh = self.ranks.values().filter(|it| now.since(it.1) < FRESH);
         fresh.map(|it| self.snapshot(&it.0)).collect()
     }
 
     /// What a status says. An agent that has not heard of this coordinator
     /// may yet do what another told it.
-    fn snapshot(&self, status: &Status) -> Snapshot {
+    fn snapshot(&self, status: &Status) -> RankSnapshot {
         let obeys = if status.fence >= self.fence() {
             ObeyedCoordinator::This
         } else {
             ObeyedCoordinator::Another
         };
         let (report, seal) = (status.report.clone(), status.seal);
-        Snapshot { report, arms: status.arms, seal, obeys }
+        RankSnapshot { report, arms: status.arms, seal, obeys }
     }
 
     /// Who of the group is missing among them.
@@ -239,29 +241,29 @@
     pub fn hold(&self) -> Option<(IpAddr, Order)> {
         let word = self.directive();
         self.ranks.values().find_map(|(status, _)| {
-            let order = hold_order(&word, &status.report)?;
+            let order = due_hold_order(&word, &status.report)?;
             Some((status.agent.ip(), order))
         })
     }
 
-    fn note(&mut self, event: Event) {
+    fn note(&mut self, event: SwitchEvent) {
         match event {
-            Event::None => {}
-            Event::Changed(version) => {
+            SwitchEvent::None => {}
+            SwitchEvent::Changed(version) => {
                 info!(self.log, "map_changed"; "version" => version.0);
                 self.used = self.plan.clone();
             }
-            Event::Abandoned(version) => {
+            SwitchEvent::Abandoned(version) => {
                 info!(self.log, "plan_given_up"; "version" => version.0);
                 self.drop_plan();
             }
-            Event::Resumed(version) => {
+            SwitchEvent::Resumed(version) => {
                 info!(self.log, "change_taken_up"; "version" => version.0);
             }
-            Event::Cancelled(version) => {
+            SwitchEvent::Cancelled(version) => {
                 info!(self.log, "change_called_off"; "version" => version.0);
             }
-            Event::Reset(epoch) => {
+            SwitchEvent::Reset(epoch) => {
                 info!(self.log, "group_formed"; "epoch" => epoch.0);
                 // What is liked doesn't change because a rank was away.
                 self.drop_plan();
@@ -300,7 +302,7 @@
     fn consider(
         &mut self,
         shape: &Subscribe,
-        snapshots: &[Snapshot],
+        snapshots: &[RankSnapshot],
         now: Millis,
     ) {
         let Some(loads) = self.demand.loads() else { return };
@@ -343,7 +345,11 @@
     }
 
     /// The map in use, put together from what each rank has.
-    fn present(&self, shape: Shape, snapshots: &[Snapshot]) -> Option<Map> {
+    fn present(
+        &self,
+        shape: Shape,
+        snapshots: &[RankSnapshot],
+    ) -> Option<Map> {
         let version: Version = snapshots.first()?.report.map;
         if let Some(plan) = &self.used
             && plan.version == version
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -16,60 +16,63 @@
     mapswitch::order::fence,
 };
 
-const AGENTS: usize = 2;
+const AGENT_COUNT: usize = 2;
 
-/// The maximum number of append calls of both agents together.
-const MAX_CALLS: u8 = 4;
+/// The maximum number of calls by both agents that append a record.
+const MAX_APPEND_CALLS: u8 = 4;
 
-const MAX_ROLLBACKS: u64 = 2;
+const MAX_LOG_ROLLBACKS: u64 = 2;
 
 /// Derives a fencing number from a record's position and the era that the
 /// agent knew before its call; `None` if the agent must not use the record.
-type NumberRule = fn(Position, Era) -> Option<u64>;
+type FencingNumberRule = fn(Position, Era) -> Option<u64>;
 
-/// An append call that has not been answered.
+/// An unanswered call that appends a record to the log.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-enum Call {
+enum AppendCall {
     Sent { known_era: u64 },
-    Executed { known_era: u64, offset: u64, sequence: u8 },
+    Executed { known_era: u64, offset: u64, record_sequence: u8 },
 }
 
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 struct Agent {
     known_era: u64,
-    call: Option<Call>,
-    /// The agent's fencing number, and the sequence number of its record.
-    number: Option<(u64, u8)>,
+    append_call: Option<AppendCall>,
+    /// The agent's fencing number, with the sequence number (the place in the
+    /// order of execution) of the log record that gave the number.
+    fencing_number: Option<(u64, u8)>,
 }
 
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 struct SystemState {
     era: u64,
     log_length: u64,
-    /// The number of records appended so far, including those lost in
-    /// rollbacks.
-    appended: u8,
-    calls_made: u8,
-    agents: [Agent; AGENTS],
-    /// All fencing numbers assigned, with the sequence numbers of their
-    /// records.
-    numbers: Vec<(u64, u8)>,
+    /// The number of records appended so far, including records lost in
+    /// rollbacks; also the sequence number of the last record.
+    appended_records: u8,
+    append_calls_made: u8,
+    agents: [Agent; AGENT_COUNT],
+    /// All assigned fencing numbers, each with the sequence number of the log
+    /// record that gave the number.
+    assigned_numbers: Vec<(u64, u8)>,
     /// The highest fencing number that the engine has seen, and the highest
-    /// record sequence number of a coordinator whose order it accepted.
-    engine: (u64, u8),
-    /// Whether the invariant has been violated.
+    /// sequence number of the records of coordinators whose order it accepted.
+    engine_highest_seen: (u64, u8),
+    /// Whether a fencing number was assigned twice or out of order, or the
+    /// engine accepted an order of an earlier coordinator after an order of a
+    /// later coordinator.
     is_violated: bool,
 }
 
 impl SystemState {
-    fn successors(&self, rule: NumberRule) -> Vec<SystemState> {
+    fn successors(&self, rule: FencingNumberRule) -> Vec<SystemState> {
         let mut successors = Vec::new();
         let mut add_successor = |event: &dyn Fn(&mut SystemState)| {
             let mut state = self.clone();
             event(&mut state);
             successors.push(state);
         };
-        if self.era < MAX_ROLLBACKS {
+        if self.era < MAX_LOG_ROLLBACKS {
             for log_length in 0..=self.log_length {
                 add_successor(&|it| {
                     it.era += 1;
@@ -80,61 +83,87 @@
         for (index, agent) in self.agents.iter().enumerate() {
             add_successor(&|it| it.agents[index].known_era = it.era);
             add_successor(&|it| it.agents[index] = Agent::default());
-            if let Some((number, sequence)) = agent.number {
-                add_successor(&|it| it.execute_order(number, sequence));
+            if let Some((fencing_number, record_sequence)) =
+                agent.fencing_number
+            {
+                add_successor(&|it| {
+                    it.execute_order(fencing_number, record_sequence)
+                });
             }
-            match agent.call {
-                None if self.calls_made < MAX_CALLS => add_successor(&|it| {
-                    it.calls_made += 1;
-                    let known_era = it.agents[index].known_era;
-                    it.agents[index].call = Some(Call::Sent { known_era });
-                }),
-                None => {}
-                Some(Call::Sent { known_era }) => add_successor(&|it| {
-                    it.appended += 1;
-                    let (offset, sequence) = (it.log_length, it.appended);
-                    let call = Call::Executed { known_era, offset, sequence };
-                    it.agents[index].call = Some(call);
-                    it.log_length += 1;
-                }),
-                Some(Call::Executed { known_era, offset, sequence }) => {
+            match agent.append_call {
+                None if self.append_calls_made < MAX_APPEND_CALLS => {
                     add_successor(&|it| {
-                        let record = Position::new(Era(it.era), offset);
-                        let agent = &mut it.agents[index];
-                        agent.call = None;
-                        agent.known_era = it.era;
-                        if let Some(number) = rule(record, Era(known_era)) {
-                            agent.number = Some((number, sequence));
-                            it.assign_number(number, sequence);
-                        }
+                        it.append_calls_made += 1;
+                        let known_era = it.agents[index].known_era;
+                        it.agents[index].append_call =
+                            Some(AppendCall::Sent { known_era });
                     })
                 }
+                None => {}
+                Some(AppendCall::Sent { known_era }) => add_successor(&|it| {
+                    it.appended_records += 1;
+                    let (offset, record_sequence) =
+                        (it.log_length, it.appended_records);
+                    let call = AppendCall::Executed {
+                        known_era,
+                        offset,
+                        record_sequence,
+                    };
+                    it.agents[index].append_call = Some(call);
+                    it.log_length += 1;
+                }),
+                Some(AppendCall::Executed {
+                    known_era,
+                    offset,
+                    record_sequence,
+                }) => add_successor(&|it| {
+                    let record = Position::new(Era(it.era), offset);
+                    let agent = &mut it.agents[index];
+                    agent.append_call = None;
+                    agent.known_era = it.era;
+                    if let Some(fencing_number) = rule(record, Era(known_era))
+                    {
+                        agent.fencing_number =
+                            Some((fencing_number, record_sequence));
+                        it.assign_fencing_number(
+                            fencing_number,
+                            record_sequence,
+                        );
+                    }
+                }),
             }
         }
         successors
     }
 
-    fn assign_number(&mut self, number: u64, sequence: u8) {
-        let is_out_of_order =
-            |it: &(u64, u8)| (it.0 < number) != (it.1 < sequence);
-        self.is_violated |= self.numbers.iter().any(is_out_of_order);
-        self.numbers.push((number, sequence));
-        self.numbers.sort_unstable();
+    fn assign_fencing_number(
+        &mut self,
+        fencing_number: u64,
+        record_sequence: u8,
+    ) {
+        let is_out_of_order = |it: &(u64, u8)| {
+            (it.0 < fencing_number) != (it.1 < record_sequence)
+        };
+        self.is_violated |= self.assigned_numbers.iter().any(is_out_of_order);
+        self.assigned_numbers.push((fencing_number, record_sequence));
+        self.assigned_numbers.sort_unstable();
     }
 
-    fn execute_order(&mut self, number: u64, sequence: u8) {
-        let (fence, latest_sequence) = self.engine;
-        if number < fence {
+    fn execute_order(&mut self, fencing_number: u64, record_sequence: u8) {
+        let (fence, latest_record_sequence) = self.engine_highest_seen;
+        if fencing_number < fence {
             return;
         }
-        self.is_violated |= sequence < latest_sequence;
-        self.engine = (number, sequence.max(latest_sequence));
+        self.is_violated |= record_sequence < latest_record_sequence;
+        self.engine_highest_seen =
+            (fencing_number, record_sequence.max(latest_record_sequence));
     }
 }
 
-/// Returns whether a rule violates the invariant, and the number of states
-/// explored.
-fn explore(rule: NumberRule) -> (bool, usize) {
+/// Explores the states that are reachable with a rule. Returns whether a state
+/// violates the invariant on fencing numbers, and the number of states visited
+/// until then.
+fn find_violation(rule: FencingNumberRule) -> (bool, usize) {
     let initial = SystemState::default();
     let mut visited = HashSet::from([initial.clone()]);
     let mut unexplored = VecDeque::from([initial]);
@@ -151,27 +180,28 @@
     (false, visited.len())
 }
 
-/// Guards against two coordinators that get the same number across a rollback
-/// of the log.
+/// Guards against two coordinators that get the same fencing number because
+/// the log was rolled back in between.
 #[test]
 fn no_fencing_number_is_assigned_twice() {
-    let (is_violated, states) = explore(|record, known_era| {
-        fence::is_unique(record, known_era)
+    let (is_violated, states) = find_violation(|record, known_era| {
+        fence::is_position_unique(record, known_era)
             .then(|| fence::fencing_number(record))?
     });
     assert!(!is_violated);
     assert!(states > 10_000, "{states}");
 }
 
-/// Checks that the exploration detects duplicate numbers.
+/// Checks that the exploration detects duplicate fencing numbers: without the
+/// log's era, a record offset is assigned again after a rollback.
 #[test]
-fn offsets_alone_are_assigned_twice() {
-    assert!(explore(|record, _| Some(record.offset + 1)).0);
+fn offsets_without_eras_are_assigned_twice() {
+    assert!(find_violation(|record, _| Some(record.offset + 1)).0);
 }
 
 #[test]
-fn an_era_learned_after_the_call_is_not_enough() {
-    assert!(explore(|record, _| fence::fencing_number(record)).0);
+fn an_era_learned_after_the_append_call_is_too_late() {
+    assert!(find_violation(|record, _| fence::fencing_number(record)).0);
 }
 
 #[test]
--- a/tests/mapswitch/main.rs
+++ b/tests/mapswitch/main.rs
@@ -9,21 +9,21 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
 use cowsliproad::mapswitch::{
-    Generation, Member, Message, NextStep, Proposal, Version, Weights,
+    Generation, Member, Message, NextStep, Proposal, Version, WeightsStatus,
 };
 
 /// The number of steps that a member runs in one generation.
-const LAST_STEP: u64 = 2;
+const STEPS_PER_GENERATION: u64 = 2;
 
-/// Exceeds the number of states in each scenario; a larger scenario would take
-/// too long.
+/// The bound on the number of states in a scenario; a larger scenario would
+/// take too long.
 const MAX_STATES: usize = 600_000;
 
 const OLD_MAP: Version = Version(0);
 const FIRST_GENERATION: Generation = Generation(1);
 const SECOND_GENERATION: Generation = Generation(2);
 
-/// The current coordinator's proposal and a paused, stale coordinator's
+/// The current coordinator's proposal, then a paused, stale coordinator's
 /// proposal.
 const PROPOSALS: [Proposal; 2] = [
     Proposal {
@@ -40,7 +40,7 @@
     },
 ];
 
-/// The events that may happen in an exploration.
+/// Which proposals are made and which faults occur in an exploration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Scenario {
     /// Two competing proposals, and weights that load late.
@@ -55,7 +55,7 @@
     /// The members by rank; `None` for a member that crashed.
     members: Vec<Option<Member>>,
     network: BTreeSet<Message>,
-    /// The map with which each step was run.
+    /// The map with which each step of a generation was run.
     used_maps: BTreeMap<(Generation, u64), Version>,
 }
 
@@ -70,44 +70,45 @@
             |rank| Some(Member::new(rank, 3, FIRST_GENERATION, OLD_MAP));
         SystemState {
             members: (0..3).map(member).collect(),
-            network: proposals.map(Message::Ask).collect(),
+            network: proposals.map(Message::VoteRequest).collect(),
             used_maps: BTreeMap::new(),
         }
     }
 
-    /// Returns all states that one event leads to.
+    /// Returns all states that one event in this state can lead to.
     fn successors(&self, scenario: Scenario) -> Vec<SystemState> {
         let mut successors = Vec::new();
         for rank in 0..self.members.len() {
             if self.members[rank].is_none() {
                 continue;
             }
-            successors.extend(self.step(rank));
+            successors.extend(self.run_step(rank));
             if scenario == Scenario::CrashAndNewGeneration {
-                successors.extend(self.crash(rank));
+                successors.extend(self.crash_member(rank));
                 successors.extend(self.join_next_generation(rank));
             }
             for message in &self.network {
-                successors.extend(self.deliver(
+                successors.extend(self.deliver_message(
                     rank,
                     *message,
-                    Weights::Loaded,
+                    WeightsStatus::Loaded,
                 ));
                 let may_load_late = scenario == Scenario::TwoProposals
-                    && matches!(message, Message::Ask(_));
+                    && matches!(message, Message::VoteRequest(_));
                 if may_load_late {
-                    let missing = Weights::Missing;
-                    successors.extend(self.deliver(rank, *message, missing));
+                    let missing = WeightsStatus::Missing;
+                    successors
+                        .extend(self.deliver_message(rank, *message, missing));
                 }
             }
         }
         successors
     }
 
-    fn step(&self, rank: usize) -> Option<SystemState> {
+    fn run_step(&self, rank: usize) -> Option<SystemState> {
         let mut next = self.clone();
         let member = next.members[rank].as_mut()?;
-        if member.step() >= LAST_STEP {
+        if member.step() >= STEPS_PER_GENERATION {
             return None;
         }
         let step = (member.generation(), member.step());
@@ -117,7 +118,7 @@
         Some(next)
     }
 
-    fn crash(&self, rank: usize) -> Option<SystemState> {
+    fn crash_member(&self, rank: usize) -> Option<SystemState> {
         if self.members.iter().any(Option::is_none) {
             return None;
         }
@@ -136,29 +137,33 @@
         Some(next)
     }
 
-    fn deliver(
+    fn deliver_message(
         &self,
         rank: usize,
         message: Message,
-        weights: Weights,
+        weights: WeightsStatus,
     ) -> Option<SystemState> {
         let mut next = self.clone();
         let member = next.members[rank].as_mut()?;
-        next.network.extend(member.handle(message, weights));
+        next.network.extend(member.handle_message(message, weights));
         Some(next)
     }
 
-    /// Delivers every message to every member and runs their steps, until the
-    /// state no longer changes.
+    /// Delivers every message to every member and runs the members' steps,
+    /// until the state no longer changes.
     fn run_fairly(mut self) -> SystemState {
         loop {
             let before = self.clone();
             for rank in 0..self.members.len() {
                 for message in self.network.clone() {
-                    let next = self.deliver(rank, message, Weights::Loaded);
+                    let next = self.deliver_message(
+                        rank,
+                        message,
+                        WeightsStatus::Loaded,
+                    );
                     self = next.unwrap_or(self);
                 }
-                let next = self.step(rank);
+                let next = self.run_step(rank);
                 self = next.unwrap_or(self);
             }
             if self == before {
@@ -169,7 +174,7 @@
 }
 
 /// Returns every reachable state of a scenario.
-fn explore(scenario: Scenario) -> HashSet<SystemState> {
+fn reachable_states(scenario: Scenario) -> HashSet<SystemState> {
     let mut visited = HashSet::from([SystemState::new(scenario)]);
     let mut unexplored = VecDeque::from([SystemState::new(scenario)]);
     while let Some(state) = unexplored.pop_front() {
@@ -186,10 +191,11 @@
     visited
 }
 
-/// Checks that no step uses two maps, that the proposed map is used in some
-/// state, and that no member of a complete group is blocked in any state.
-fn check(scenario: Scenario) {
-    let states = explore(scenario);
+/// Checks for all states of a scenario that no step uses two maps and no
+/// member of a complete group is blocked, and that some state uses the
+/// proposed map.
+fn check_scenario(scenario: Scenario) {
+    let states = reachable_states(scenario);
     eprintln!("{scenario:?}: {} states", states.len());
     // A scenario with too few states would pass without showing anything.
     assert!(states.len() > 5_000, "{} states", states.len());
@@ -208,7 +214,7 @@
         for member in end_state.members.iter().flatten() {
             assert_eq!(
                 member.step(),
-                LAST_STEP,
+                STEPS_PER_GENERATION,
                 "a member is blocked: {state:?}"
             );
         }
@@ -217,23 +223,25 @@
 
 #[test]
 fn competing_proposals_mix_no_maps_and_block_no_member() {
-    check(Scenario::TwoProposals);
+    check_scenario(Scenario::TwoProposals);
 }
 
 #[test]
 fn a_crash_and_a_new_generation_mix_no_maps() {
-    check(Scenario::CrashAndNewGeneration);
+    check_scenario(Scenario::CrashAndNewGeneration);
 }
 
 #[test]
 fn a_new_generation_releases_members_held_by_a_crash() {
     let mut state = SystemState::new(Scenario::CrashAndNewGeneration);
-    let ask = Message::Ask(PROPOSALS[0]);
+    let ask = Message::VoteRequest(PROPOSALS[0]);
     for rank in 0..2 {
-        state = state.deliver(rank, ask, Weights::Loaded).expect("alive");
-        state = state.step(rank).expect("before the boundary");
+        state = state
+            .deliver_message(rank, ask, WeightsStatus::Loaded)
+            .expect("alive");
+        state = state.run_step(rank).expect("before the boundary");
     }
-    state = state.crash(2).expect("the first crash");
+    state = state.crash_member(2).expect("the first crash");
     let held_state = state.clone().run_fairly();
     let member = held_state.members[0].as_ref().expect("alive");
     assert_eq!(member.next_step(), NextStep::Hold(PROPOSALS[0]));
@@ -242,15 +250,15 @@
     }
     let end_state = state.run_fairly();
     let member = end_state.members[0].as_ref().expect("alive");
-    assert_eq!(member.step(), LAST_STEP);
+    assert_eq!(member.step(), STEPS_PER_GENERATION);
 }
 
 #[test]
 fn a_member_ignores_messages_of_an_older_generation() {
     let mut member = Member::new(0, 3, FIRST_GENERATION, OLD_MAP);
     member.join_generation(SECOND_GENERATION, OLD_MAP);
-    let ask = Message::Ask(PROPOSALS[0]);
-    assert_eq!(member.handle(ask, Weights::Loaded), None);
+    let ask = Message::VoteRequest(PROPOSALS[0]);
+    assert_eq!(member.handle_message(ask, WeightsStatus::Loaded), None);
     member.join_generation(FIRST_GENERATION, Version(9));
     assert_eq!(member.generation(), SECOND_GENERATION);
 }
--- a/tests/order/main.rs
+++ b/tests/order/main.rs
@@ -18,18 +18,18 @@
 use cowsliproad::{
     kernel::clock::Millis,
     mapswitch::order::{
-        self, Aim, ArmOrders, Config, Coordinator, Directive, Epoch,
-        GroupState, MissingRanks, ObeyedCoordinator, Order, Report,
-        SealStatus, Snapshot, VERSIONS_PER_COORDINATOR, Version,
+        self, Aim, ArmOrders, Coordinator, CoordinatorConfig, Directive,
+        Epoch, GroupState, MissingRanks, ObeyedCoordinator, Order,
+        RankSnapshot, Report, SealStatus, VERSIONS_PER_COORDINATOR, Version,
     },
 };
 
-const RANKS: u16 = 3;
+const RANK_COUNT: u16 = 3;
 const EPOCH: Epoch = Epoch(1);
 
-/// The ranks beside the first coordinator and beside its successor.
-const FIRST_RANK: u16 = 1;
-const SUCCESSOR_RANK: u16 = 0;
+/// The ranks on the VMs of the first coordinator and of its successor.
+const FIRST_COORDINATOR_RANK: u16 = 1;
+const SUCCESSOR_COORDINATOR_RANK: u16 = 0;
 
 /// The version of the first coordinator's first map.
 const FIRST_VERSION: u64 = VERSIONS_PER_COORDINATOR;
@@ -38,17 +38,18 @@
 /// too long.
 const MAX_STATES: usize = 600_000;
 
-/// The limits of one exploration.
+/// The limits of the exploration of one scenario.
 #[derive(Clone, Copy)]
 struct Scenario {
     /// The number of passes that the group may begin.
-    passes: u64,
-    /// The number of orders that may be lost or late.
-    late_orders: usize,
+    max_passes: u64,
+    /// The number of orders that may go unanswered and be lost or executed
+    /// late.
+    max_unanswered_orders: usize,
     /// The number of plans that the first coordinator makes.
-    plans: u64,
+    max_plans: u64,
     takeover: Takeover,
-    snapshots: SnapshotAge,
+    snapshot_age: SnapshotAge,
 }
 
 /// Whether a coordinator's snapshots may be outdated. Scenarios with both
@@ -80,31 +81,32 @@
 struct Agent {
     fence: u64,
     directive: Option<Directive>,
-    /// The pass of the agent's last unanswered *arm* order.
+    /// The pass of the agent's last unanswered *arm* order, or 0.
     unanswered_arm: u64,
-    /// The pass for which the agent has received the seal.
-    sealed: Option<u64>,
+    /// The pass for which the agent has received the seal: the announcement
+    /// that the coordinator's own rank arms.
+    coordinator_arm_step: Option<u64>,
 }
 
-/// A coordinator, with the last snapshot and fencing number that it has of
-/// each rank.
+/// A coordinator, with its last snapshot of each rank and the fencing number
+/// that the rank's agent then obeyed.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct CoordinatorView {
     coordinator: Coordinator,
-    snapshots_by_rank: BTreeMap<u16, (Snapshot, u64)>,
+    snapshots_by_rank: BTreeMap<u16, (RankSnapshot, u64)>,
 }
 
-/// An unanswered order, which may be executed later.
+/// An unanswered order to a rank's engine, which may be executed later.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 struct LateOrder {
     rank: u16,
-    order: PlainOrder,
+    order: ComparableOrder,
     fence: u64,
 }
 
-/// An order that can be compared and hashed.
+/// An [`Order`] in a form that can be ordered and hashed.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-enum PlainOrder {
+enum ComparableOrder {
     Prepare(u64),
     Arm(u64, u64),
     Disarm(u64),
@@ -115,7 +117,7 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct SystemState {
     step: u64,
-    is_mixed: bool,
+    has_mixed_maps: bool,
     engines: Vec<Engine>,
     agents: Vec<Agent>,
     views: Vec<CoordinatorView>,
@@ -124,7 +126,7 @@
     /// Whether the first coordinator's VM has ever been frozen.
     has_frozen: bool,
     late_orders: BTreeSet<LateOrder>,
-    orders_lost: usize,
+    unanswered_order_count: usize,
     plans_made: u64,
 }
 
@@ -140,29 +142,35 @@
             held: None,
             fence: 0,
         };
-        let (directive, sealed) = (None, None);
-        let agent = Agent { fence: 0, directive, unanswered_arm: 0, sealed };
-        let mut first = new_view(1, FIRST_RANK);
-        let report = |rank| Report::new(EPOCH, rank, RANKS);
-        let snapshot = |rank| Snapshot {
+        let (directive, coordinator_arm_step) = (None, None);
+        let agent = Agent {
+            fence: 0,
+            directive,
+            unanswered_arm: 0,
+            coordinator_arm_step,
+        };
+        let mut first = new_view(1, FIRST_COORDINATOR_RANK);
+        let report = |rank| Report::new(EPOCH, rank, RANK_COUNT);
+        let snapshot = |rank| RankSnapshot {
             report: report(rank),
             arms: ArmOrders::Answered,
             seal: SealStatus::NotReceived,
             obeys: ObeyedCoordinator::This,
         };
-        let snapshots: Vec<Snapshot> = (0..RANKS).map(snapshot).collect();
+        let snapshots: Vec<RankSnapshot> =
+            (0..RANK_COUNT).map(snapshot).collect();
         first.coordinator.advance(&snapshots, MissingRanks::None, Millis(0));
         first.coordinator.begin_plan(&snapshots, Millis(0));
         SystemState {
             step: 0,
-            is_mixed: false,
-            engines: vec![engine; RANKS.into()],
-            agents: vec![agent; RANKS.into()],
+            has_mixed_maps: false,
+            engines: vec![engine; RANK_COUNT.into()],
+            agents: vec![agent; RANK_COUNT.into()],
             views: vec![first],
             is_frozen: false,
             has_frozen: false,
             late_orders: BTreeSet::new(),
-            orders_lost: 0,
+            unanswered_order_count: 0,
             plans_made: 1,
         }
     }
@@ -172,7 +180,7 @@
         Report {
             epoch: EPOCH,
             rank,
-            ranks: RANKS,
+            ranks: RANK_COUNT,
             standing: GroupState::Open,
             step: self.step,
             map: Version(engine.map),
@@ -182,32 +190,34 @@
         }
     }
 
-    fn arms(&self, rank: u16) -> ArmOrders {
+    fn arm_orders(&self, rank: u16) -> ArmOrders {
         let step = self.agents[usize::from(rank)].unanswered_arm;
         if step > self.step { ArmOrders::InDoubt } else { ArmOrders::Answered }
     }
 
-    fn seal(&self, rank: u16) -> SealStatus {
-        let sealed = self.agents[usize::from(rank)].sealed;
-        sealed.map_or(SealStatus::NotReceived, SealStatus::Received)
+    fn seal_status(&self, rank: u16) -> SealStatus {
+        let coordinator_arm_step =
+            self.agents[usize::from(rank)].coordinator_arm_step;
+        coordinator_arm_step
+            .map_or(SealStatus::NotReceived, SealStatus::Received)
     }
 
     fn is_unreachable(&self, rank: u16) -> bool {
-        self.is_frozen && rank == FIRST_RANK
+        self.is_frozen && rank == FIRST_COORDINATOR_RANK
     }
 
-    /// Returns all states that one event leads to.
+    /// Returns all states that one event in this state can lead to.
     fn successors(&self, scenario: &Scenario) -> Vec<SystemState> {
         let mut states = Vec::new();
         self.begin_pass(scenario, &mut states);
-        self.execute_late(&mut states);
-        for rank in 0..RANKS {
+        self.execute_late_order(&mut states);
+        for rank in 0..RANK_COUNT {
             if self.is_unreachable(rank) {
                 continue;
             }
             self.receive_directive(rank, &mut states);
             self.send_next_order(rank, scenario, &mut states);
-            if scenario.snapshots == SnapshotAge::Any {
+            if scenario.snapshot_age == SnapshotAge::Any {
                 self.send_snapshot(rank, &mut states);
             }
         }
@@ -216,7 +226,7 @@
                 continue;
             }
             self.advance_coordinator(view, scenario, &mut states);
-            self.send_hold(view, scenario, &mut states);
+            self.send_hold_order(view, scenario, &mut states);
         }
         self.freeze_or_take_over(scenario, &mut states);
         states
@@ -225,7 +235,7 @@
     fn begin_pass(&self, scenario: &Scenario, states: &mut Vec<SystemState>) {
         let next = self.step + 1;
         let held = self.engines.iter().any(|it| it.held == Some(next));
-        if held || next > scenario.passes {
+        if held || next > scenario.max_passes {
             return;
         }
         let mut state = self.clone();
@@ -240,20 +250,20 @@
             }
         }
         let map = state.engines[0].map;
-        state.is_mixed = state.engines.iter().any(|it| it.map != map);
-        // Orders for passes that have begun no longer have an effect.
+        state.has_mixed_maps = state.engines.iter().any(|it| it.map != map);
+        // An order for a pass that has begun no longer has an effect.
         state.late_orders.retain(|it| match it.order {
-            PlainOrder::Arm(_, step)
-            | PlainOrder::Hold(step)
-            | PlainOrder::Go(step) => step > next,
-            PlainOrder::Prepare(_) | PlainOrder::Disarm(_) => true,
+            ComparableOrder::Arm(_, step)
+            | ComparableOrder::Hold(step)
+            | ComparableOrder::Go(step) => step > next,
+            ComparableOrder::Prepare(_) | ComparableOrder::Disarm(_) => true,
         });
         states.push(state);
     }
 
     /// Adds the states in which one late order is executed, and the state in
     /// which all late orders have expired.
-    fn execute_late(&self, states: &mut Vec<SystemState>) {
+    fn execute_late_order(&self, states: &mut Vec<SystemState>) {
         if !self.late_orders.is_empty() {
             let mut state = self.clone();
             state.late_orders.clear();
@@ -264,7 +274,7 @@
         }
         for late in &self.late_orders {
             let mut state = self.clone();
-            state.execute(late.rank, late.order, late.fence);
+            state.execute_order(late.rank, late.order, late.fence);
             states.push(state);
         }
     }
@@ -279,8 +289,11 @@
             let mut state = self.clone();
             let agent = &mut state.agents[usize::from(rank)];
             agent.fence = directive.fence;
-            agent.sealed = order::sealed_step(&directive).or(agent.sealed);
-            // Directives with other aims require no action of the agent.
+            agent.coordinator_arm_step =
+                order::coordinator_arm_step(&directive)
+                    .or(agent.coordinator_arm_step);
+            // In this exploration, an agent acts only on directives to arm,
+            // disarm or release.
             agent.directive = match directive.aim {
                 Aim::Armed { .. }
                 | Aim::Sealed { .. }
@@ -312,41 +325,42 @@
         else {
             return;
         };
-        let order = plain_order(&order);
+        let order = comparable_order(&order);
         self.send_order(rank, order, directive.fence, scenario, states);
     }
 
-    /// Sends an order, which is executed and answered, or goes unanswered.
+    /// Adds the state in which an order is executed and answered, and the
+    /// state in which it goes unanswered and may be executed later.
     fn send_order(
         &self,
         rank: u16,
-        sent_order: PlainOrder,
+        sent_order: ComparableOrder,
         fence: u64,
         scenario: &Scenario,
         states: &mut Vec<SystemState>,
     ) {
         let mut state = self.clone();
-        state.execute(rank, sent_order, fence);
+        state.execute_order(rank, sent_order, fence);
         states.push(state);
-        if self.orders_lost >= scenario.late_orders {
+        if self.unanswered_order_count >= scenario.max_unanswered_orders {
             return;
         }
         let mut state = self.clone();
-        state.orders_lost += 1;
+        state.unanswered_order_count += 1;
         state.late_orders.insert(LateOrder { rank, order: sent_order, fence });
-        if let PlainOrder::Arm(_, step) = sent_order {
+        if let ComparableOrder::Arm(_, step) = sent_order {
             state.agents[usize::from(rank)].unanswered_arm = step;
         }
         states.push(state);
     }
 
-    /// Sends a rank's snapshot to each coordinator.
+    /// Adds the states in which one coordinator receives a rank's snapshot.
     fn send_snapshot(&self, rank: u16, states: &mut Vec<SystemState>) {
         let agent = &self.agents[usize::from(rank)];
-        let snapshot = Snapshot {
+        let snapshot = RankSnapshot {
             report: self.report(rank),
-            arms: self.arms(rank),
-            seal: self.seal(rank),
+            arms: self.arm_orders(rank),
+            seal: self.seal_status(rank),
             obeys: ObeyedCoordinator::Another,
         };
         for index in 0..self.views.len() {
@@ -355,9 +369,10 @@
             }
             let reported = (snapshot.clone(), agent.fence);
             let previous = self.views[index].snapshots_by_rank.get(&rank);
-            // Skip a report whose only difference is a later pass: the pass
-            // of all stored snapshots is updated with the next report.
-            let is_unchanged = |it: &(Snapshot, u64)| {
+            // Skip a snapshot that differs from the stored snapshot only in
+            // its pass: the next changed snapshot updates the pass of all
+            // stored snapshots.
+            let is_unchanged = |it: &(RankSnapshot, u64)| {
                 let mut old = it.clone();
                 old.0.report.step = self.step;
                 old == reported
@@ -376,20 +391,20 @@
         }
     }
 
-    /// Lets a coordinator act on its snapshots.
+    /// Adds the states in which a coordinator acts on its snapshots.
     fn advance_coordinator(
         &self,
         index: usize,
         scenario: &Scenario,
         states: &mut Vec<SystemState>,
     ) {
-        let snapshots = match scenario.snapshots {
+        let snapshots = match scenario.snapshot_age {
             SnapshotAge::Any => self.views[index].snapshots(),
             SnapshotAge::Fresh => self.current_snapshots(index),
         };
-        let is_complete = snapshots.len() == usize::from(RANKS);
+        let is_complete = snapshots.len() == usize::from(RANK_COUNT);
         if is_complete {
-            self.advance_with(
+            self.advance_with_snapshots(
                 index,
                 &snapshots,
                 MissingRanks::None,
@@ -399,37 +414,39 @@
         }
         // A successor may assume that its predecessor is gone, even if the
         // predecessor is alive.
-        let others: Vec<Snapshot> = snapshots
+        let others: Vec<RankSnapshot> = snapshots
             .iter()
-            .filter(|it| it.report.rank != FIRST_RANK)
+            .filter(|it| it.report.rank != FIRST_COORDINATOR_RANK)
             .cloned()
             .collect();
-        if index == 1 && others.len() + 1 == usize::from(RANKS) {
+        if index == 1 && others.len() + 1 == usize::from(RANK_COUNT) {
             let missing = MissingRanks::Predecessor(1);
-            self.advance_with(index, &others, missing, scenario, states);
+            self.advance_with_snapshots(
+                index, &others, missing, scenario, states,
+            );
         }
     }
 
-    /// Returns up-to-date snapshots of all reachable ranks.
-    fn current_snapshots(&self, index: usize) -> Vec<Snapshot> {
+    /// Returns up-to-date snapshots of all reachable ranks for a coordinator.
+    fn current_snapshots(&self, index: usize) -> Vec<RankSnapshot> {
         let fence = self.views[index].coordinator.fence();
-        let reachable = (0..RANKS).filter(|it| !self.is_unreachable(*it));
+        let reachable = (0..RANK_COUNT).filter(|it| !self.is_unreachable(*it));
         let snapshot = |rank: u16| {
             let agent = &self.agents[usize::from(rank)];
-            Snapshot {
+            RankSnapshot {
                 report: self.report(rank),
-                arms: self.arms(rank),
-                seal: self.seal(rank),
-                obeys: obeys(agent.fence, fence),
+                arms: self.arm_orders(rank),
+                seal: self.seal_status(rank),
+                obeys: obeyed_coordinator(agent.fence, fence),
             }
         };
         reachable.map(snapshot).collect()
     }
 
-    fn advance_with(
+    fn advance_with_snapshots(
         &self,
         index: usize,
-        snapshots: &[Snapshot],
+        snapshots: &[RankSnapshot],
         missing: MissingRanks,
         scenario: &Scenario,
         states: &mut Vec<SystemState>,
@@ -438,7 +455,7 @@
         let coordinator = &mut state.views[index].coordinator;
         coordinator.advance(snapshots, missing, Millis(0));
         let may_plan = index == 0
-            && self.plans_made < scenario.plans
+            && self.plans_made < scenario.max_plans
             && coordinator.is_idle()
             && coordinator.directive().epoch == EPOCH;
         if may_plan {
@@ -450,22 +467,22 @@
         }
     }
 
-    fn send_hold(
+    fn send_hold_order(
         &self,
         index: usize,
         scenario: &Scenario,
         states: &mut Vec<SystemState>,
     ) {
         let directive = self.views[index].coordinator.directive();
-        for rank in 0..RANKS {
+        for rank in 0..RANK_COUNT {
             let report = self.report(rank);
-            let order = order::hold_order(&directive, &report);
+            let order = order::due_hold_order(&directive, &report);
             if let Some(order) = order
                 && !self.is_unreachable(rank)
             {
                 self.send_order(
                     rank,
-                    plain_order(&order),
+                    comparable_order(&order),
                     directive.fence,
                     scenario,
                     states,
@@ -494,14 +511,19 @@
         }
         if self.views.len() == 1 {
             let mut state = self.clone();
-            state.views.push(new_view(2, SUCCESSOR_RANK));
+            state.views.push(new_view(2, SUCCESSOR_COORDINATOR_RANK));
             states.push(state);
         }
     }
 
     /// Executes an order at a rank's engine, unless the engine has seen a
     /// higher fencing number.
-    fn execute(&mut self, rank: u16, order: PlainOrder, fence: u64) {
+    fn execute_order(
+        &mut self,
+        rank: u16,
+        order: ComparableOrder,
+        fence: u64,
+    ) {
         let step = self.step;
         let engine = &mut self.engines[usize::from(rank)];
         if fence < engine.fence {
@@ -509,28 +531,28 @@
         }
         engine.fence = fence;
         match order {
-            PlainOrder::Prepare(map) => {
+            ComparableOrder::Prepare(map) => {
                 if map > engine.newest_prepared && engine.armed.is_none() {
                     engine.newest_prepared = map;
                     engine.prepared = Some(map);
                 }
             }
-            PlainOrder::Arm(map, pass) => {
+            ComparableOrder::Arm(map, pass) => {
                 if engine.prepared == Some(map) && pass > step {
                     engine.armed = Some((map, pass));
                 }
             }
-            PlainOrder::Disarm(map) => {
+            ComparableOrder::Disarm(map) => {
                 if engine.armed.is_some_and(|it| it.0 == map) {
                     engine.armed = None;
                 }
             }
-            PlainOrder::Hold(pass) => {
+            ComparableOrder::Hold(pass) => {
                 if pass > step {
                     engine.held = Some(pass);
                 }
             }
-            PlainOrder::Go(pass) => {
+            ComparableOrder::Go(pass) => {
                 if engine.held == Some(pass) {
                     engine.held = None;
                 }
@@ -538,8 +560,8 @@
         }
     }
 
-    /// Returns whether no engine holds the group before a future pass.
-    fn is_released(&self) -> bool {
+    /// Returns whether no engine holds the group before a pass to come.
+    fn is_group_released(&self) -> bool {
         self.engines
             .iter()
             .all(|it| it.held.is_none_or(|pass| pass <= self.step))
@@ -547,11 +569,11 @@
 }
 
 impl CoordinatorView {
-    fn snapshots(&self) -> Vec<Snapshot> {
+    fn snapshots(&self) -> Vec<RankSnapshot> {
         let fence = self.coordinator.fence();
-        let snapshot = |(snapshot, known_fence): &(Snapshot, u64)| {
+        let snapshot = |(snapshot, known_fence): &(RankSnapshot, u64)| {
             let mut snapshot = snapshot.clone();
-            snapshot.obeys = obeys(*known_fence, fence);
+            snapshot.obeys = obeyed_coordinator(*known_fence, fence);
             snapshot
         };
         self.snapshots_by_rank.values().map(snapshot).collect()
@@ -559,14 +581,14 @@
 }
 
 fn new_view(fence: u64, rank: u16) -> CoordinatorView {
-    let config = Config::new().with_boundary_lead(2, 2);
+    let config = CoordinatorConfig::new().with_boundary_lead(2, 2);
     let coordinator = Coordinator::new(config, fence, rank);
     CoordinatorView { coordinator, snapshots_by_rank: BTreeMap::new() }
 }
 
-/// Returns whose directives an agent obeys, from the fencing number that it
-/// knows and the coordinator's.
-fn obeys(known_fence: u64, fence: u64) -> ObeyedCoordinator {
+/// Returns whose directives an agent obeys, given the fencing number that the
+/// agent obeys and the number of the coordinator that asks.
+fn obeyed_coordinator(known_fence: u64, fence: u64) -> ObeyedCoordinator {
     if known_fence >= fence {
         ObeyedCoordinator::This
     } else {
@@ -574,17 +596,17 @@
     }
 }
 
-fn plain_order(order: &Order) -> PlainOrder {
+fn comparable_order(order: &Order) -> ComparableOrder {
     match order {
-        Order::Prepare(version, _) => PlainOrder::Prepare(version.0),
-        Order::Arm(version, step) => PlainOrder::Arm(version.0, *step),
-        Order::Disarm(version) => PlainOrder::Disarm(version.0),
-        Order::Hold(step) => PlainOrder::Hold(*step),
-        Order::Go(step) => PlainOrder::Go(*step),
+        Order::Prepare(version, _) => ComparableOrder::Prepare(version.0),
+        Order::Arm(version, step) => ComparableOrder::Arm(version.0, *step),
+        Order::Disarm(version) => ComparableOrder::Disarm(version.0),
+        Order::Hold(step) => ComparableOrder::Hold(*step),
+        Order::Go(step) => ComparableOrder::Go(*step),
     }
 }
 
-fn hash(state: &SystemState) -> u128 {
+fn state_hash(state: &SystemState) -> u128 {
     let half = |seed: u8| {
         let mut hasher = DefaultHasher::new();
         seed.hash(&mut hasher);
@@ -595,38 +617,40 @@
 }
 
 /// Explores a scenario. Checks that no pass of any state has two maps, and
-/// that a state without a hold can be reached from every state.
-fn check(scenario: Scenario) {
+/// that from every state, a state can be reached in which no rank holds the
+/// group.
+fn check_scenario(scenario: Scenario) {
     // States are stored as 128-bit hashes. Among a few million states, the
     // probability of a collision is below 10^-24.
     let mut numbers: HashMap<u128, u32> = HashMap::new();
     let mut predecessors: Vec<Vec<u32>> = vec![Vec::new()];
-    let mut is_released = vec![true];
+    let mut is_group_released = vec![true];
     let mut changed = false;
     let mut queue = VecDeque::from([(SystemState::new(), 0)]);
-    numbers.insert(hash(&SystemState::new()), 0);
+    numbers.insert(state_hash(&SystemState::new()), 0);
     while let Some((state, number)) = queue.pop_front() {
         for next in state.successors(&scenario) {
-            assert!(!next.is_mixed, "two maps in one pass: {next:#?}");
+            assert!(!next.has_mixed_maps, "two maps in one pass: {next:#?}");
             changed |= next.engines.iter().all(|it| it.map == FIRST_VERSION);
             let next_number = numbers.len() as u32;
-            let found = *numbers.entry(hash(&next)).or_insert(next_number);
+            let found =
+                *numbers.entry(state_hash(&next)).or_insert(next_number);
             if found == next_number {
                 assert!(
                     numbers.len() < MAX_STATES,
                     "the scenario has too many states"
                 );
                 predecessors.push(Vec::new());
-                is_released.push(next.is_released());
+                is_group_released.push(next.is_group_released());
                 queue.push_back((next, next_number));
             }
             predecessors[found as usize].push(number);
         }
     }
     assert!(changed, "no state has completed a switch");
-    let mut can_be_released: Vec<bool> = is_released.clone();
-    let mut reached: VecDeque<u32> = (0..is_released.len() as u32)
-        .filter(|it| is_released[*it as usize])
+    let mut can_be_released: Vec<bool> = is_group_released.clone();
+    let mut reached: VecDeque<u32> = (0..is_group_released.len() as u32)
+        .filter(|it| is_group_released[*it as usize])
         .collect();
     while let Some(number) = reached.pop_front() {
         for predecessor in &predecessors[number as usize] {
@@ -643,75 +667,79 @@
 
 #[test]
 fn lost_and_late_orders_neither_mix_maps_nor_block() {
-    check(Scenario {
-        passes: 3,
-        late_orders: 2,
-        plans: 1,
+    check_scenario(Scenario {
+        max_passes: 3,
+        max_unanswered_orders: 2,
+        max_plans: 1,
         takeover: Takeover::Never,
-        snapshots: SnapshotAge::Any,
+        snapshot_age: SnapshotAge::Any,
     });
 }
 
 #[test]
 fn late_orders_do_not_affect_the_next_switch() {
-    check(Scenario {
-        passes: 4,
-        late_orders: 1,
-        plans: 2,
+    check_scenario(Scenario {
+        max_passes: 4,
+        max_unanswered_orders: 1,
+        max_plans: 2,
         takeover: Takeover::Never,
-        snapshots: SnapshotAge::Any,
+        snapshot_age: SnapshotAge::Any,
     });
 }
 
 #[test]
 fn a_frozen_coordinator_and_its_successor_mix_no_maps() {
-    check(Scenario {
-        passes: 3,
-        late_orders: 0,
-        plans: 1,
+    check_scenario(Scenario {
+        max_passes: 3,
+        max_unanswered_orders: 0,
+        max_plans: 1,
         takeover: Takeover::Once,
-        snapshots: SnapshotAge::Fresh,
+        snapshot_age: SnapshotAge::Fresh,
     });
 }
 
 #[test]
 fn a_takeover_with_a_late_order_mixes_no_maps() {
-    check(Scenario {
-        passes: 2,
-        late_orders: 1,
-        plans: 1,
+    check_scenario(Scenario {
+        max_passes: 2,
+        max_unanswered_orders: 1,
+        max_plans: 1,
         takeover: Takeover::Once,
-        snapshots: SnapshotAge::Fresh,
+        snapshot_age: SnapshotAge::Fresh,
     });
 }
 
-/// Returns the snapshots of a frozen coordinator's successor, in which all
-/// reachable ranks are armed.
-fn snapshots_after_freeze(seal: SealStatus) -> Vec<Snapshot> {
-    let snapshot = |rank| Snapshot {
+/// Returns the snapshots that the successor of a frozen coordinator has: all
+/// reachable ranks are armed and have this seal status.
+fn snapshots_after_freeze(seal_status: SealStatus) -> Vec<RankSnapshot> {
+    let snapshot = |rank| RankSnapshot {
         report: Report {
             epoch: EPOCH,
             rank,
-            ranks: RANKS,
+            ranks: RANK_COUNT,
             standing: GroupState::Open,
             step: 1,
             map: Version(0),
             prepared: Some(Version(FIRST_VERSION)),
             armed: Some((Version(FIRST_VERSION), 3)),
-            held: (rank == SUCCESSOR_RANK).then_some(3),
+            held: (rank == SUCCESSOR_COORDINATOR_RANK).then_some(3),
         },
         arms: ArmOrders::Answered,
-        seal,
+        seal: seal_status,
         obeys: ObeyedCoordinator::This,
     };
-    (0..RANKS).filter(|it| *it != FIRST_RANK).map(snapshot).collect()
+    (0..RANK_COUNT)
+        .filter(|it| *it != FIRST_COORDINATOR_RANK)
+        .map(snapshot)
+        .collect()
 }
 
-/// Returns the aim of a successor whose holder has this seal status.
-fn successor_aim(seal: SealStatus, predecessor: u64) -> Aim {
-    let mut successor = new_view(2, SUCCESSOR_RANK).coordinator;
-    let snapshots = snapshots_after_freeze(seal);
-    let missing = MissingRanks::Predecessor(predecessor);
+/// Returns the aim of the successor of a frozen coordinator, if the reachable
+/// ranks have this seal status.
+fn successor_aim(seal_status: SealStatus, predecessor_fence: u64) -> Aim {
+    let mut successor = new_view(2, SUCCESSOR_COORDINATOR_RANK).coordinator;
+    let snapshots = snapshots_after_freeze(seal_status);
+    let missing = MissingRanks::Predecessor(predecessor_fence);
     for _ in 0..2 {
         successor.advance(&snapshots, missing, Millis(0));
     }
@@ -728,6 +756,7 @@
 fn a_switch_is_kept_if_the_frozen_rank_may_be_armed() {
     assert_eq!(successor_aim(SealStatus::Received(3), 1), Aim::Rest);
     assert_eq!(successor_aim(SealStatus::Unknown, 1), Aim::Rest);
-    // The predecessor had taken the switch over from an earlier coordinator.
+    // The frozen coordinator had itself taken over the switch from an earlier
+    // coordinator.
     assert_eq!(successor_aim(SealStatus::NotReceived, 7), Aim::Rest);
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -16,7 +16,9 @@
         object::Organisation,
     },
     kernel::{clock::Millis, id, wire::Urgency},
-    mapswitch::{Generation, Member, Message, Proposal, Version, Weights},
+    mapswitch::{
+        Generation, Member, Message, Proposal, Version, WeightsStatus,
+    },
 };
 use goldenscript::{Command, Context, Runner};
 
@@ -129,8 +131,9 @@
             version: Version(version),
             boundary,
         };
-        let ask = Message::Ask(proposal);
-        let answer = self.group[rank].handle(ask, Weights::Loaded);
+        let ask = Message::VoteRequest(proposal);
+        let answer =
+            self.group[rank].handle_message(ask, WeightsStatus::Loaded);
         self.network.extend(answer);
         format!("{answer:?}")
     }
@@ -138,7 +141,7 @@
     /// `deliver rank=N`: a member gets all votes so far.
     fn deliver(&mut self, rank: usize) -> String {
         for message in self.network.clone() {
-            self.group[rank].handle(message, Weights::Loaded);
+            self.group[rank].handle_message(message, WeightsStatus::Loaded);
         }
         format!("{:?}", self.group[rank].next_step())
     }
