--- a/cowsliproad-bench/src/experiment/pace/group.rs
+++ b/cowsliproad-bench/src/experiment/pace/group.rs
@@ -10,7 +10,7 @@
 
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_placement::{
-    demand::{Counts, Demand},
+    demand::{CumulativeCounts, DemandEstimator},
     live,
     map::{Map, Shape, ideal_time},
 };
@@ -181,8 +181,8 @@
     likes: Likes,
     map: Map,
     change: Option<Change>,
-    total: Counts,
-    demand: Demand,
+    total: CumulativeCounts,
+    demand: DemandEstimator,
     counted: f64,
     pass_ms: f64,
     strain: Strain,
@@ -243,7 +243,7 @@
             map: Map::round_robin(plant.shape),
             change: None,
             total: vec![vec![0; experts]; layers],
-            demand: Demand::new(),
+            demand: DemandEstimator::new(),
             counted: 0.0,
             pass_ms: 0.0,
             strain: Strain::new(),
@@ -434,7 +434,7 @@
         let overtaken = |it: &Change| {
             maps.drops == Drops::Overtaken
                 && it.boundary.is_none()
-                && self.demand.shifted_at().0 as f64 > it.planned
+                && self.demand.demand_shifted_at().0 as f64 > it.planned
         };
         if self.change.as_ref().is_some_and(overtaken) {
             self.change = None;
@@ -451,9 +451,9 @@
     }
 
     fn plan(&mut self, maps: Maps) {
-        let Some(loads) = self.demand.loads() else { return };
+        let Some(loads) = self.demand.current_loads() else { return };
         let shape = self.plant.shape;
-        let config = live::Config::new(self.plant.spare)
+        let config = live::LivePlanConfig::new(self.plant.spare)
             .with_max_new_per_rank(maps.burst)
             .with_copy_cost(maps.price);
         let speeds = vec![1.0; shape.ranks];
@@ -465,7 +465,7 @@
             news.sum::<usize>()
         });
         let most = most.max().unwrap_or_default() as f64;
-        self.score.copies += plan.moves;
+        self.score.copies += plan.move_count;
         let copied = self.now + most * self.plant.copy_ms;
         let (boundary, planned) = (None, self.now);
         self.change =
--- a/cowsliproad-bench/src/experiment/placement.rs
+++ b/cowsliproad-bench/src/experiment/placement.rs
@@ -12,10 +12,10 @@
 use cowsliproad_kernel::plugin::inventory;
 use cowsliproad_placement::{
     bound,
-    load::{Counts, Loads},
+    load::{Loads, TokenCounts},
     map::{Map, Shape, ideal_time},
     pack,
-    plan::{self, Config},
+    plan::{self, PlanConfig},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
@@ -146,7 +146,7 @@
     }
 
     /// Tokens of each expert in an interval.
-    fn loads(&self) -> Counts {
+    fn loads(&self) -> TokenCounts {
         let turn = self.interval as f64 / 90.0 * std::f64::consts::TAU;
         let swing = match self.weather {
             Weather::Drift => 0.25,
@@ -170,7 +170,7 @@
     }
 
     /// The same with the noise of counting.
-    fn measured(&mut self, loads: &Counts) -> Counts {
+    fn measured(&mut self, loads: &TokenCounts) -> TokenCounts {
         let mut measured = loads.clone();
         for count in measured.iter_mut().flatten() {
             let noise = count.sqrt() * normal(&mut self.random);
@@ -254,7 +254,7 @@
         let next = decide(shape, policy, interval, &map, &loads, &speeds);
         score.plan_ms.push(start.elapsed().as_secs_f64() * 1e3);
         if let Some(next) = next {
-            score.moves += map.moves_to(&next);
+            score.moves += map.move_count_to(&next);
             score.lost += step_time_lost(&map, &next);
             map = next;
         }
@@ -264,14 +264,14 @@
 
 /// Where every policy starts: packed, then improved until no move pays even
 /// without a price, so that what follows is due to change and noise alone.
-fn first_map(shape: Shape, truth: &Counts, speeds: &[f64]) -> Map {
+fn first_map(shape: Shape, truth: &TokenCounts, speeds: &[f64]) -> Map {
     let mut map = pack::pack(shape, truth, speeds);
     let mut loads = Loads::new();
     for _ in 0..READY {
         loads.record(truth);
     }
     let config =
-        Config::new().with_move_weight(0.0).with_min_layer_saving(0.0);
+        PlanConfig::new().with_move_weight(0.0).with_min_layer_saving(0.0);
     for _ in 0..POLISH {
         match plan::plan(shape, config, &map, &loads, speeds) {
             Some(better) => map = better.map,
@@ -298,13 +298,15 @@
             .is_multiple_of(REPACK_EVERY)
             .then(|| pack::pack(shape, &loads.mean(), speeds)),
         Policy::Greedy => {
-            let config =
-                Config::new().with_move_weight(0.0).with_min_layer_saving(0.0);
+            let config = PlanConfig::new()
+                .with_move_weight(0.0)
+                .with_min_layer_saving(0.0);
             plan::plan(shape, config, map, loads, speeds).map(|it| it.map)
         }
         Policy::Planner(skew, moves) => {
-            let config =
-                Config::new().with_skew_weight(skew).with_move_weight(moves);
+            let config = PlanConfig::new()
+                .with_skew_weight(skew)
+                .with_move_weight(moves);
             plan::plan(shape, config, map, loads, speeds).map(|it| it.map)
         }
     }
--- a/cowsliproad-placement/src/bound.rs
+++ b/cowsliproad-placement/src/bound.rs
@@ -9,15 +9,17 @@
 
 use crate::map::Shape;
 
-/// The number of bisections of the interval that contains the bound.
-const BISECTIONS: usize = 50;
+/// The number of bisections of the interval that contains the lower bound on a
+/// layer's time.
+const BISECTION_COUNT: usize = 50;
 
-/// Returns a lower bound on the step time over all maps of this shape.
+/// Returns a lower bound on the time of a step over all expert maps of this
+/// shape.
 pub fn min_step_time(shape: Shape, loads: &[Vec<f64>], speeds: &[f64]) -> f64 {
     loads.iter().map(|loads| min_layer_time(shape, loads, speeds)).sum()
 }
 
-/// Returns a lower bound on the time of one layer.
+/// Returns a lower bound on the time of one layer over all maps.
 fn min_layer_time(shape: Shape, loads: &[f64], speeds: &[f64]) -> f64 {
     let fastest = speeds.iter().copied().fold(0.0, f64::max);
     let total: f64 = loads.iter().sum();
@@ -32,7 +34,7 @@
     if is_feasible(low) {
         return low;
     }
-    for _ in 0..BISECTIONS {
+    for _ in 0..BISECTION_COUNT {
         let middle = (low + high) / 2.0;
         if is_feasible(middle) {
             high = middle;
--- a/cowsliproad-placement/src/demand.rs
+++ b/cowsliproad-placement/src/demand.rs
@@ -2,9 +2,9 @@
 //!
 //! Ranks report how often their requests have chosen each expert since the
 //! rank started. The demand is the recent increase of these counts: over
-//! [`MAX_WINDOW`] while the distribution is stable, so that sampling noise
-//! averages out, and since the last shift after the distribution has shifted,
-//! so that a new demand counts at once.
+//! [`MAX_DEMAND_WINDOW`] while the distribution is stable, so that sampling
+//! noise averages out, and since the last shift after the distribution has
+//! shifted, so that a new demand counts at once.
 //!
 //! Shifts are detected in windows of several lengths. A large shift shows in
 //! the tokens of two passes. A small shift shows only in the average of many
@@ -16,39 +16,45 @@
 
 use cowsliproad_kernel::clock::Millis;
 
-/// The window over which a stable demand is averaged.
-pub const MAX_WINDOW: Millis = Millis(2_000);
+/// The longest time over which the demand is averaged: the averaging window
+/// of a stable demand.
+pub const MAX_DEMAND_WINDOW: Millis = Millis(2_000);
 
-/// The windows in which shifts are detected, each with the share of the demand
-/// that must have moved to other experts. Without a shift, the counts of 100
+/// Pairs of a window and a threshold. The demand has shifted if more than the
+/// threshold, a share of the demand from 0 to 1, has moved to other experts
+/// within the window. Without a shift, the counts of 100
 /// ms differ from those of the seconds before by up to 0.2, and the counts of
 /// 250 ms by up to 0.13, as requests that prefer other experts come and go. A
 /// shift of half of the preferred experts moves 0.33 and more.
-pub const SHIFT_WINDOWS: [(Millis, f64); 3] =
+pub const DEMAND_SHIFT_THRESHOLDS: [(Millis, f64); 3] =
     [(Millis(50), 0.3), (Millis(100), 0.25), (Millis(250), 0.15)];
 
-/// Cumulative counts by layer and expert.
-pub type Counts = Vec<Vec<u64>>;
+/// How often requests have chosen each expert since the ranks started, indexed
+/// by layer and then by expert.
+pub type CumulativeCounts = Vec<Vec<u64>>;
 
-/// The recent counts of a group, from which its demand is estimated.
+/// Estimates a group's demand for its experts from samples of cumulative
+/// counts.
 #[derive(Clone, Debug, Default)]
-pub struct Demand {
-    samples: VecDeque<(Millis, Counts)>,
+pub struct DemandEstimator {
+    /// The recent samples, oldest first: when each was taken, and its counts.
+    samples: VecDeque<(Millis, CumulativeCounts)>,
     /// When the demand last shifted; earlier samples are not part of the
     /// current demand.
-    shifted_at: Millis,
+    demand_shifted_at: Millis,
 }
 
-impl Demand {
-    /// Creates an estimator without samples.
-    pub fn new() -> Demand {
-        Demand::default()
+impl DemandEstimator {
+    /// Creates a demand estimator without samples.
+    pub fn new() -> DemandEstimator {
+        DemandEstimator::default()
     }
 
-    /// Adds a sample: the cumulative counts summed over all ranks.
-    pub fn record(&mut self, now: Millis, counts: Counts) {
+    /// Records a sample: the cumulative counts of a group, summed over its
+    /// ranks.
+    pub fn record(&mut self, now: Millis, counts: CumulativeCounts) {
         if let Some((_, last)) = self.samples.back()
-            && !is_monotonic(last, &counts)
+            && !has_no_decreased_count(last, &counts)
         {
             self.samples.clear();
         }
@@ -59,18 +65,18 @@
         }
         self.samples.push_back((now, counts));
         while self.samples.len() > 2
-            && now.since(self.samples[1].0) >= MAX_WINDOW
+            && now.since(self.samples[1].0) >= MAX_DEMAND_WINDOW
         {
             self.samples.pop_front();
         }
-        if let Some(at) = self.detect_shift() {
-            self.shifted_at = at;
+        if let Some(at) = self.detect_demand_shift() {
+            self.demand_shifted_at = at;
         }
     }
 
-    /// Returns the demand by layer and expert, or `None` without enough
-    /// samples.
-    pub fn loads(&self) -> Option<Vec<Vec<f64>>> {
+    /// Returns the current demand, indexed by layer and then by expert; `None`
+    /// if the samples don't show any demand yet.
+    pub fn current_loads(&self) -> Option<Vec<Vec<f64>>> {
         let (_, newest) = self.samples.back()?;
         let oldest = self
             .samples
@@ -81,16 +87,17 @@
         (counted > 0.0).then_some(loads)
     }
 
-    /// Returns when the demand last shifted, or zero before the first shift.
-    pub fn shifted_at(&self) -> Millis {
-        self.shifted_at
+    /// Returns when the demand last shifted, or zero before its first shift.
+    pub fn demand_shifted_at(&self) -> Millis {
+        self.demand_shifted_at
     }
 
     /// Returns when the demand shifted, if the newest sample shows a shift.
-    fn detect_shift(&self) -> Option<Millis> {
+    fn detect_demand_shift(&self) -> Option<Millis> {
         let (now, _) = self.samples.back()?;
         let find_split = |&(window, min_share): &(Millis, f64)| {
-            let old = |it: &(Millis, Counts)| now.since(it.0) >= window;
+            let old =
+                |it: &(Millis, CumulativeCounts)| now.since(it.0) >= window;
             let split = self.samples.iter().rposition(old)?;
             // If the samples before the split cover less than a window, their
             // counts are few and differ by chance.
@@ -98,14 +105,15 @@
             if self.samples[split].0.since(before) < window {
                 return None;
             }
-            (self.moved_share(split)? > min_share).then_some(split)
+            (self.moved_demand_share(split)? > min_share).then_some(split)
         };
-        let earliest = SHIFT_WINDOWS.iter().find_map(find_split)?;
+        let earliest = DEMAND_SHIFT_THRESHOLDS.iter().find_map(find_split)?;
         let splits = earliest..self.samples.len() - 1;
-        let moved_share =
-            |split: &usize| self.moved_share(*split).unwrap_or(0.0);
-        let by_moved_share =
-            |a: &usize, b: &usize| moved_share(a).total_cmp(&moved_share(b));
+        let moved_demand_share =
+            |split: &usize| self.moved_demand_share(*split).unwrap_or(0.0);
+        let by_moved_share = |a: &usize, b: &usize| {
+            moved_demand_share(a).total_cmp(&moved_demand_share(b))
+        };
         let split = splits.max_by(by_moved_share)?;
         Some(self.samples[split].0)
     }
@@ -113,7 +121,7 @@
     /// Returns the share of the demand that moved to other experts after a
     /// sample, less the expected sampling noise; `None` if there is no
     /// earlier sample to compare.
-    fn moved_share(&self, split: usize) -> Option<f64> {
+    fn moved_demand_share(&self, split: usize) -> Option<f64> {
         let first = self.first_current_sample();
         if split <= first {
             return None;
@@ -130,15 +138,21 @@
         )
     }
 
-    /// Returns the index of the first sample of the current demand.
+    /// Returns the index of the first sample taken since the last shift of the
+    /// demand.
     fn first_current_sample(&self) -> usize {
-        let since = |it: &(Millis, Counts)| it.0 >= self.shifted_at;
+        let since =
+            |it: &(Millis, CumulativeCounts)| it.0 >= self.demand_shifted_at;
         self.samples.iter().position(since).unwrap_or(self.samples.len())
     }
 }
 
-/// Returns whether no count decreased and the layout is the same.
-fn is_monotonic(old: &Counts, new: &Counts) -> bool {
+/// Returns whether no cumulative count decreased from the old to the new
+/// sample, and both have the same layers and experts.
+fn has_no_decreased_count(
+    old: &CumulativeCounts,
+    new: &CumulativeCounts,
+) -> bool {
     old.len() == new.len()
         && old.iter().zip(new).all(|(old, new)| {
             old.len() == new.len()
@@ -146,8 +160,12 @@
         })
 }
 
-/// Returns the increase of each count from the old to the new sample.
-fn count_increase(new: &Counts, old: &Counts) -> Vec<Vec<f64>> {
+/// Returns the increase of each cumulative count from an old to a new sample,
+/// indexed by layer and then by expert.
+fn count_increase(
+    new: &CumulativeCounts,
+    old: &CumulativeCounts,
+) -> Vec<Vec<f64>> {
     let rows = new.iter().zip(old);
     rows.map(|(new, old)| {
         let pairs = new.iter().zip(old);
@@ -176,10 +194,11 @@
 fn sampling_noise(loads: &[Vec<f64>]) -> f64 {
     let layers = loads.iter().map(|loads| {
         let counted = loads.iter().sum::<f64>().max(1.0);
-        MEAN_DEVIATION / 2.0 * (loads.len() as f64 / counted).sqrt()
+        MEAN_ABSOLUTE_DEVIATION / 2.0 * (loads.len() as f64 / counted).sqrt()
     });
     layers.sum::<f64>() / loads.len().max(1) as f64
 }
 
-/// The mean absolute deviation of a count, in standard deviations.
-const MEAN_DEVIATION: f64 = 0.8;
+/// The mean absolute deviation of a count, in standard deviations, as of a
+/// normal distribution.
+const MEAN_ABSOLUTE_DEVIATION: f64 = 0.8;
--- a/cowsliproad-placement/src/growth.rs
+++ b/cowsliproad-placement/src/growth.rs
@@ -5,23 +5,27 @@
 //! 255th of the largest, an error below the sampling noise of the demand, and
 //! takes a quarter of the bytes.
 
-use crate::demand::Counts;
+use crate::demand::CumulativeCounts;
 
 /// The growth of a rank's counts, quantized to one byte for each expert.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Growth {
-    /// The number of counts that one unit stands for.
+pub struct CountGrowth {
+    /// The number of counts that one unit of `units` stands for.
     pub scale: u64,
-    /// The growth in units by layer and expert, one layer after the other.
+    /// The growth of each expert's count in units of `scale` counts, one layer
+    /// after the other.
     pub units: Vec<u8>,
 }
 
-impl Growth {
-    /// Returns the growth between two readings, or `None` if any count
-    /// decreased, as after a restart.
-    pub fn between(old: &Counts, new: &Counts) -> Option<Growth> {
+impl CountGrowth {
+    /// Returns the growth from old to new counts of a rank, or `None` if any
+    /// count decreased, as after a restart.
+    pub fn between(
+        old_counts: &CumulativeCounts,
+        new_counts: &CumulativeCounts,
+    ) -> Option<CountGrowth> {
         let (old, new): (Vec<u64>, Vec<u64>) =
-            (concat_layers(old), concat_layers(new));
+            (concat_layers(old_counts), concat_layers(new_counts));
         if old.len() != new.len() {
             return None;
         }
@@ -32,14 +36,22 @@
         let max = grown.iter().copied().max().unwrap_or_default();
         let scale = max.div_ceil(u64::from(u8::MAX)).max(1);
         let unit = |it: u64| ((it + scale / 2) / scale) as u8;
-        Some(Growth { scale, units: grown.into_iter().map(unit).collect() })
+        Some(CountGrowth {
+            scale,
+            units: grown.into_iter().map(unit).collect(),
+        })
     }
 
-    /// Adds this growth to counts of layers with `experts` experts each.
-    pub fn add_to(&self, counts: &mut Counts, experts: usize) {
-        let layers = self.units.chunks(experts.max(1));
+    /// Adds this growth to the counts of layers that have `experts_per_layer`
+    /// experts each.
+    pub fn add_to_counts(
+        &self,
+        counts: &mut CumulativeCounts,
+        experts_per_layer: usize,
+    ) {
+        let layers = self.units.chunks(experts_per_layer.max(1));
         if counts.len() != layers.len() {
-            *counts = vec![vec![0; experts]; layers.len()];
+            *counts = vec![vec![0; experts_per_layer]; layers.len()];
         }
         for (counts, units) in counts.iter_mut().zip(layers) {
             for (count, unit) in counts.iter_mut().zip(units) {
@@ -49,7 +61,7 @@
     }
 }
 
-/// Concatenates the counts of all layers.
-fn concat_layers(counts: &Counts) -> Vec<u64> {
+/// Concatenates the cumulative counts of all layers.
+fn concat_layers(counts: &CumulativeCounts) -> Vec<u64> {
     counts.iter().flatten().copied().collect()
 }
--- a/cowsliproad-placement/src/live.rs
+++ b/cowsliproad-placement/src/live.rs
@@ -11,11 +11,11 @@
 //!
 //! A rank copies one expert after the other, and a new map waits for the rank
 //! with the most copies. Where a copy takes long, a map therefore assigns each
-//! rank at most [`Config::with_max_new_per_rank`] new experts over all layers.
-//! The least balanced layer is changed first, and the other layers follow in
-//! the next maps. On ranks that need 0.4 s to copy an expert, with a demand
-//! that shifts every 4 s, the first map is in force after one copy instead of
-//! three.
+//! rank at most [`LivePlanConfig::with_max_new_per_rank`] new experts over all
+//! layers. The least balanced layer is changed first, and the other layers
+//! follow in the next maps. On ranks that need 0.4 s to copy an expert, with a
+//! demand that shifts every 4 s, the first map is in force after one copy
+//! instead of three.
 //!
 //! Rejected alternatives: packing from scratch and moving to that map step by
 //! step (it moves some four times as many experts), and minimizing only the
@@ -26,9 +26,9 @@
 
 mod search;
 
-/// The operators' settings for changing a group's map in small steps.
+/// The operators' settings for changing a group's expert map in small steps.
 #[derive(Clone, Copy, Debug)]
-pub struct Config {
+pub struct LivePlanConfig {
     max_new_per_layer: usize,
     max_new_per_rank: usize,
     copy_cost: f64,
@@ -36,14 +36,14 @@
     min_total_saving: f64,
 }
 
-impl Config {
+impl LivePlanConfig {
     /// Creates settings that allow at most `max_new_per_layer` new experts for
     /// each rank and layer in one map.
-    pub fn new(max_new_per_layer: usize) -> Config {
+    pub fn new(max_new_per_layer: usize) -> LivePlanConfig {
         let max_new_per_rank = usize::MAX;
         let (copy_cost, min_layer_saving, min_total_saving) =
             (COPY_COST, MIN_LAYER_SAVING, MIN_TOTAL_SAVING);
-        Config {
+        LivePlanConfig {
             max_new_per_layer,
             max_new_per_rank,
             copy_cost,
@@ -54,26 +54,34 @@
 
     /// Sets the maximum number of new experts for each rank over all layers of
     /// one map.
-    pub fn with_max_new_per_rank(self, max_new_per_rank: usize) -> Config {
-        Config { max_new_per_rank, ..self }
+    pub fn with_max_new_per_rank(
+        self,
+        max_new_per_rank: usize,
+    ) -> LivePlanConfig {
+        LivePlanConfig { max_new_per_rank, ..self }
     }
 
-    /// Sets the cost of a copy as a share of the mean load of a rank.
-    pub fn with_copy_cost(self, copy_cost: f64) -> Config {
-        Config { copy_cost, ..self }
+    /// Sets the cost of copying an expert to a rank, as a share of the mean
+    /// load of a rank.
+    pub fn with_copy_cost(self, copy_cost: f64) -> LivePlanConfig {
+        LivePlanConfig { copy_cost, ..self }
     }
 
     /// Sets the minimum saving of a changed layer, as a share of its slowest
     /// rank's time.
-    pub fn with_min_layer_saving(self, min_layer_saving: f64) -> Config {
-        Config { min_layer_saving, ..self }
+    pub fn with_min_layer_saving(
+        self,
+        min_layer_saving: f64,
+    ) -> LivePlanConfig {
+        LivePlanConfig { min_layer_saving, ..self }
     }
 }
 
-/// The cost of a copy, as a share of the mean load of a rank. A copy slows
-/// serving by 15% while it runs, and every copy is charged for. With a demand
-/// that shifts every 4 s, 0.03 moves a third of the experts that 0.006 does at
-/// the same serving speed. Only the last few percent of balance are given up.
+/// The cost of copying an expert to a rank, as a share of the mean load of a
+/// rank. A copy slows serving by 15% while it runs, and every copy is charged
+/// for. With a demand that shifts every 4 s, 0.03 moves a third of the experts
+/// that 0.006 does at the same serving speed. Only the last few percent of
+/// balance are given up.
 const COPY_COST: f64 = 0.03;
 
 /// The minimum saving of a changed layer, as a share of its slowest rank's
@@ -86,32 +94,34 @@
 const MIN_TOTAL_SAVING: f64 = 0.04;
 
 /// The maximum number of changes tried in a layer. A rank may receive only a
-/// few experts, and only a few ranks need to.
-const MAX_TRIES: usize = 32;
+/// few experts, and only a few ranks need to receive any.
+const MAX_CHANGES_PER_LAYER: usize = 32;
 
-/// A new map with its cost and its expected step time.
+/// A new expert map with its number of moves and its expected step time.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct LivePlan {
     /// The new map.
     pub map: Map,
-    /// The number of copies to be moved.
-    pub moves: usize,
+    /// The number of copies of experts to be moved to other ranks.
+    pub move_count: usize,
     /// The step time under the present map, relative to perfect balance.
     pub relative_time_before: f64,
     /// The expected step time under the new map, relative to perfect balance.
     pub relative_time_after: f64,
 }
 
-/// Plans a change of the present map; `None` if no change saves enough.
+/// Plans a small change of the present expert map; `None` if no change saves
+/// enough step time.
 pub fn plan(
     shape: Shape,
-    config: Config,
+    config: LivePlanConfig,
     present: &Map,
     loads: &[Vec<f64>],
     speeds: &[f64],
-) -> Option<Plan> {
-    let (map, moves) = search_layers(shape, config, present, loads, speeds);
-    if moves == 0 {
+) -> Option<LivePlan> {
+    let (map, move_count) =
+        search_layers(shape, config, present, loads, speeds);
+    if move_count == 0 {
         return None;
     }
     let ideal = crate::map::ideal_time(loads, speeds);
@@ -120,19 +130,20 @@
         (relative_time(present), relative_time(&map));
     let saves_enough = relative_time_before - relative_time_after
         > config.min_total_saving * relative_time_before;
-    saves_enough.then_some(Plan {
-        moves,
+    saves_enough.then_some(LivePlan {
+        move_count,
         relative_time_before,
         relative_time_after,
         map,
     })
 }
 
-/// Returns the best map found by local search, and the number of its copies.
-/// Each change is made in the layer that is least balanced at that point.
+/// Returns the best map found by local search, and the number of copies of
+/// experts that it moves. Each change is made in the layer that is least
+/// balanced at that point.
 fn search_layers(
     shape: Shape,
-    config: Config,
+    config: LivePlanConfig,
     present: &Map,
     loads: &[Vec<f64>],
     speeds: &[f64],
@@ -143,89 +154,97 @@
             LayerSearch::new(shape, config, layer, loads, speeds)
         })
         .collect();
-    let mut new_by_rank = vec![0; shape.ranks];
+    let mut new_experts_by_rank = vec![0; shape.ranks];
     while let Some(search) = searches
         .iter_mut()
-        .filter(|it| it.tries < MAX_TRIES)
-        .max_by(|a, b| a.skew().total_cmp(&b.skew()))
+        .filter(|it| it.tried_changes < MAX_CHANGES_PER_LAYER)
+        .max_by(|a, b| {
+            a.relative_slowest_time().total_cmp(&b.relative_slowest_time())
+        })
     {
-        search.relieve_once(&mut new_by_rank);
+        search.relieve_slowest_rank(&mut new_experts_by_rank);
     }
     let mut map = present.clone();
-    let mut moves = 0;
+    let mut move_count = 0;
     for (layer, search) in map.layers.iter_mut().zip(searches) {
-        if let Some((better, copies)) = search.best {
+        if let Some((better, copies)) = search.best_layer {
             *layer = better;
-            moves += copies;
+            move_count += copies;
         }
     }
-    (map, moves)
+    (map, move_count)
 }
 
 /// A local search for a better assignment of one layer.
 struct LayerSearch<'a> {
     candidate: CandidateLayer<'a>,
     copy_cost: f64,
-    /// The slowest rank's time in the present layer.
+    /// The slowest rank's time in the present layer, before any change.
     initial_time: f64,
-    /// The mean load of a rank.
+    /// The mean load of a rank in the layer.
     mean_load: f64,
-    /// The best layer visited so far and the number of its copies.
-    best: Option<(Layer, usize)>,
-    /// The saving of the best layer less the cost of its copies; initially the
-    /// minimum saving.
-    best_value: f64,
-    tries: usize,
+    /// The best layer visited so far and the number of copies of experts that
+    /// it moves; `None` if no layer has saved enough.
+    best_layer: Option<(Layer, usize)>,
+    /// The saving of the best layer less the cost of its copies; at first the
+    /// minimum saving of a changed layer.
+    best_net_saving: f64,
+    tried_changes: usize,
 }
 
 impl<'a> LayerSearch<'a> {
     fn new(
         shape: Shape,
-        config: Config,
+        config: LivePlanConfig,
         present: &'a Layer,
         loads: &'a [f64],
         speeds: &'a [f64],
     ) -> LayerSearch<'a> {
         let candidate =
             CandidateLayer::new(shape, config, present, loads, speeds);
-        let initial_time = candidate.slowest_time();
+        let initial_time = candidate.slowest_rank_time();
         let mean_load = loads.iter().sum::<f64>() / shape.ranks as f64;
-        let (copy_cost, best_value) =
+        let (copy_cost, best_net_saving) =
             (config.copy_cost, config.min_layer_saving * initial_time);
         // A layer without load stays unchanged.
-        let tries = if mean_load > 0.0 { 0 } else { MAX_TRIES };
+        let tried_changes =
+            if mean_load > 0.0 { 0 } else { MAX_CHANGES_PER_LAYER };
         LayerSearch {
             candidate,
             copy_cost,
             initial_time,
             mean_load,
-            best: None,
-            best_value,
-            tries,
+            best_layer: None,
+            best_net_saving,
+            tried_changes,
         }
     }
 
-    /// Returns the slowest rank's time relative to the mean load of a rank.
-    fn skew(&self) -> f64 {
-        self.candidate.slowest_time() / self.mean_load
+    /// Returns the slowest rank's time in the layer under search, relative to
+    /// the mean load of a rank.
+    fn relative_slowest_time(&self) -> f64 {
+        self.candidate.slowest_rank_time() / self.mean_load
     }
 
-    /// Applies the change that best relieves the most loaded rank.
-    /// `new_by_rank` counts the new experts of each rank over all layers.
-    fn relieve_once(&mut self, new_by_rank: &mut [usize]) {
-        self.tries += 1;
-        let Some(change) = self.candidate.best_change(new_by_rank) else {
-            self.tries = MAX_TRIES;
+    /// Applies the change that best relieves the slowest rank of the layer.
+    /// `new_experts_by_rank` counts the new experts of each rank over all
+    /// layers.
+    fn relieve_slowest_rank(&mut self, new_experts_by_rank: &mut [usize]) {
+        self.tried_changes += 1;
+        let Some(change) = self.candidate.best_change(new_experts_by_rank)
+        else {
+            self.tried_changes = MAX_CHANGES_PER_LAYER;
             return;
         };
-        self.candidate.apply(change, new_by_rank);
+        self.candidate.apply(change, new_experts_by_rank);
         let copies =
             self.candidate.present.added_copies(&self.candidate.layer);
-        let saving = self.initial_time - self.candidate.slowest_time();
-        let value = saving - self.copy_cost * self.mean_load * copies as f64;
-        if value > self.best_value {
-            self.best_value = value;
-            self.best = Some((self.candidate.layer.clone(), copies));
+        let saving = self.initial_time - self.candidate.slowest_rank_time();
+        let net_saving =
+            saving - self.copy_cost * self.mean_load * copies as f64;
+        if net_saving > self.best_net_saving {
+            self.best_net_saving = net_saving;
+            self.best_layer = Some((self.candidate.layer.clone(), copies));
         }
     }
 }
@@ -234,8 +253,8 @@
 /// the sum over all layers of the slowest rank's time.
 pub fn step_time(map: &Map, loads: &[Vec<f64>], speeds: &[f64]) -> f64 {
     let layers = map.layers.iter().zip(loads);
-    let slowest_time = |(layer, loads): (&Layer, &Vec<f64>)| {
+    let slowest_rank_time = |(layer, loads): (&Layer, &Vec<f64>)| {
         rank_times(layer, loads, speeds).into_iter().fold(0.0, f64::max)
     };
-    layers.map(slowest_time).sum()
+    layers.map(slowest_rank_time).sum()
 }
--- a/cowsliproad-placement/src/live/search.rs
+++ b/cowsliproad-placement/src/live/search.rs
@@ -1,34 +1,37 @@
 //! Finds the change of a layer that best relieves its most loaded rank.
 
-use super::Config;
+use super::LivePlanConfig;
 use crate::map::{Expert, Layer, Rank, Shape};
 
 /// The exponent of the ranks' times in the sum that the search minimizes.
 const TIME_EXPONENT: i32 = 8;
 
-/// A change of the hosts of one or two experts of a layer.
+/// A change of the hosts of one or two experts of a layer. A host of an expert
+/// is a rank that holds the expert.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Change {
     /// The rank to be relieved.
-    from: Rank,
+    relieved: Rank,
     /// The expert to be copied, moved, swapped or dropped.
     expert: Expert,
-    /// The rank that receives the expert; for a drop, the relieved rank.
-    to: Rank,
-    /// The expert whose slot is reused at the receiving rank, if it has no
-    /// free slot.
-    other: Option<Expert>,
-    kind: Kind,
+    /// The rank that receives the expert; for a drop, the rank to be relieved.
+    receiver: Rank,
+    /// The expert whose slot at the receiving rank is reused; `None` if the
+    /// rank has a free slot.
+    replaced: Option<Expert>,
+    /// How the change treats the hosts of its experts.
+    kind: ChangeKind,
 }
 
 /// How a change treats the hosts of its experts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Kind {
-    /// Both ranks hold the expert afterwards.
+enum ChangeKind {
+    /// The relieved and the receiving rank both hold the expert afterwards.
     Copy,
-    /// Only the receiving rank holds the expert afterwards.
+    /// The receiving rank holds the expert afterwards instead of the relieved
+    /// rank.
     Move,
-    /// The two ranks exchange one expert each.
+    /// The relieved and the receiving rank exchange one expert each.
     Swap,
     /// The relieved rank gives up an expert that other ranks hold too.
     Drop,
@@ -67,14 +70,15 @@
 impl<'a> CandidateLayer<'a> {
     pub(super) fn new(
         shape: Shape,
-        config: Config,
+        config: LivePlanConfig,
         present: &'a Layer,
         loads: &'a [f64],
         speeds: &'a [f64],
     ) -> CandidateLayer<'a> {
         let rank_times = rank_times(present, loads, speeds);
         let layer = present.clone();
-        let Config { max_new_per_layer, max_new_per_rank, .. } = config;
+        let LivePlanConfig { max_new_per_layer, max_new_per_rank, .. } =
+            config;
         CandidateLayer {
             shape,
             max_new_per_layer,
@@ -87,37 +91,52 @@
         }
     }
 
-    /// Returns the slowest rank's time.
-    pub(super) fn slowest_time(&self) -> f64 {
+    /// Returns the slowest rank's time in the layer under search.
+    pub(super) fn slowest_rank_time(&self) -> f64 {
         self.rank_times.iter().copied().fold(0.0, f64::max)
     }
 
-    /// Returns the change that best relieves the most loaded rank.
-    pub(super) fn best_change(&self, new_by_rank: &[usize]) -> Option<Change> {
+    /// Returns the change that best relieves the slowest rank, by the sum of
+    /// the eighth powers of all ranks' times; `None` if no change lowers it.
+    pub(super) fn best_change(
+        &self,
+        new_experts_by_rank: &[usize],
+    ) -> Option<Change> {
         let ranks = 0..self.shape.ranks as Rank;
-        let by_time =
-            |a: &Rank, b: &Rank| self.time(*a).total_cmp(&self.time(*b));
-        let from = ranks.clone().max_by(by_time)?;
+        let by_time = |a: &Rank, b: &Rank| {
+            self.rank_time(*a).total_cmp(&self.rank_time(*b))
+        };
+        let relieved = ranks.clone().max_by(by_time)?;
         let mut best: Option<(f64, Change)> = None;
-        for &expert in self.layer.held(from) {
+        for &expert in self.layer.held(relieved) {
             if self.layer.hosts(expert).len() > 1 {
-                let kind = Kind::Drop;
-                let drop =
-                    Change { from, expert, to: from, other: None, kind };
-                consider(self, drop, &mut best);
+                let kind = ChangeKind::Drop;
+                let drop = Change {
+                    relieved,
+                    expert,
+                    receiver: relieved,
+                    replaced: None,
+                    kind,
+                };
+                keep_better_change(self, drop, &mut best);
             }
-            for to in ranks.clone() {
-                if to == from || self.layer.holds(to, expert) {
+            for receiver in ranks.clone() {
+                if receiver == relieved || self.layer.holds(receiver, expert) {
                     continue;
                 }
-                if self.remaining_new_experts(to, expert, new_by_rank) == 0 {
+                if self.remaining_new_experts(
+                    receiver,
+                    expert,
+                    new_experts_by_rank,
+                ) == 0
+                {
                     continue;
                 }
-                self.consider_changes_to(
-                    from,
+                self.consider_changes_to_receiver(
+                    relieved,
                     expert,
-                    to,
-                    new_by_rank,
+                    receiver,
+                    new_experts_by_rank,
                     &mut best,
                 );
             }
@@ -125,97 +144,107 @@
         best.map(|it| it.1)
     }
 
-    /// Considers every change that brings `expert` to rank `to`.
-    fn consider_changes_to(
+    /// Compares every change that brings `expert` to rank `receiver` with the
+    /// best change so far.
+    fn consider_changes_to_receiver(
         &self,
-        from: Rank,
+        relieved: Rank,
         expert: Expert,
-        to: Rank,
-        new_by_rank: &[usize],
+        receiver: Rank,
+        new_experts_by_rank: &[usize],
         best: &mut Option<(f64, Change)>,
     ) {
-        let mut consider = |kind, other| {
-            consider(self, Change { from, expert, to, other, kind }, best);
+        let mut keep_better_change = |kind, replaced| {
+            keep_better_change(
+                self,
+                Change { relieved, expert, receiver, replaced, kind },
+                best,
+            );
         };
-        if self.layer.held(to).len() < self.shape.slots {
-            consider(Kind::Copy, None);
-            consider(Kind::Move, None);
+        if self.layer.held(receiver).len() < self.shape.slots {
+            keep_better_change(ChangeKind::Copy, None);
+            keep_better_change(ChangeKind::Move, None);
             return;
         }
-        for &other in self.layer.held(to) {
-            if self.layer.hosts(other).len() > 1 {
-                consider(Kind::Copy, Some(other));
+        for &replaced in self.layer.held(receiver) {
+            if self.layer.hosts(replaced).len() > 1 {
+                keep_better_change(ChangeKind::Copy, Some(replaced));
             }
-            let can_return = !self.layer.holds(from, other)
-                && self.remaining_new_experts(from, other, new_by_rank) > 0;
+            let can_return = !self.layer.holds(relieved, replaced)
+                && self.remaining_new_experts(
+                    relieved,
+                    replaced,
+                    new_experts_by_rank,
+                ) > 0;
             if can_return {
-                consider(Kind::Swap, Some(other));
+                keep_better_change(ChangeKind::Swap, Some(replaced));
             }
         }
     }
 
-    /// Returns how many more new experts a rank may receive; no limit applies
+    /// Returns how many more new experts a rank may receive. No limit applies
     /// to an expert that the rank holds in the present map.
     fn remaining_new_experts(
         &self,
         rank: Rank,
         expert: Expert,
-        new_by_rank: &[usize],
+        new_experts_by_rank: &[usize],
     ) -> usize {
         if self.present.holds(rank, expert) {
             return usize::MAX;
         }
         let in_layer =
-            self.max_new_per_layer.saturating_sub(self.new_experts(rank));
+            self.max_new_per_layer.saturating_sub(self.new_expert_count(rank));
         in_layer.min(
             self.max_new_per_rank
-                .saturating_sub(new_by_rank[usize::from(rank)]),
+                .saturating_sub(new_experts_by_rank[usize::from(rank)]),
         )
     }
 
     /// Returns the number of experts that are new to a rank in this layer.
-    fn new_experts(&self, rank: Rank) -> usize {
+    fn new_expert_count(&self, rank: Rank) -> usize {
         self.present.added_copies_at(rank, &self.layer)
     }
 
-    /// Returns by how much a change lowers the sum of the powers of all ranks'
-    /// times.
-    fn gain(&self, change: Change) -> f64 {
+    /// Returns by how much a change lowers the sum of the eighth powers
+    /// ([`TIME_EXPONENT`]) of all ranks' times.
+    fn balance_gain(&self, change: Change) -> f64 {
         let mut deltas = TimeDeltas::new(self.speeds);
         let hosts = self.layer.hosts(change.expert);
         let load = self.loads[usize::from(change.expert)];
         let old = load / hosts.len() as f64;
-        let is_removed = change.kind != Kind::Copy;
-        let is_added = change.kind != Kind::Drop;
+        let is_removed = change.kind != ChangeKind::Copy;
+        let is_added = change.kind != ChangeKind::Drop;
         let count =
             hosts.len() + usize::from(is_added) - usize::from(is_removed);
         let new = load / count as f64;
         for &host in hosts {
-            let stays = !(is_removed && host == change.from);
-            deltas.add(host, if stays { new - old } else { -old });
+            let stays = !(is_removed && host == change.relieved);
+            deltas.add_load(host, if stays { new - old } else { -old });
         }
         if is_added {
-            deltas.add(change.to, new);
+            deltas.add_load(change.receiver, new);
         }
-        if let Some(other) = change.other {
-            let hosts = self.layer.hosts(other);
-            let load = self.loads[usize::from(other)];
+        if let Some(replaced) = change.replaced {
+            let hosts = self.layer.hosts(replaced);
+            let load = self.loads[usize::from(replaced)];
             let old = load / hosts.len() as f64;
-            let is_swap = change.kind == Kind::Swap;
+            let is_swap = change.kind == ChangeKind::Swap;
             let count = hosts.len() - usize::from(!is_swap);
             let new = load / count as f64;
             for &host in hosts {
-                let is_removed = host == change.to;
-                deltas.add(host, if is_removed { -old } else { new - old });
+                let is_removed = host == change.receiver;
+                deltas
+                    .add_load(host, if is_removed { -old } else { new - old });
             }
             if is_swap {
-                deltas.add(change.from, new);
+                deltas.add_load(change.relieved, new);
             }
         }
         deltas
             .iter()
             .map(|(rank, delta)| {
-                let time = self.time(rank);
+                let time = self.rank_time(rank);
                 time.powi(TIME_EXPONENT)
                     - (time + delta).max(0.0).powi(TIME_EXPONENT)
             })
@@ -223,73 +252,81 @@
     }
 
     /// Applies a change and updates the counts of new experts by rank.
-    pub(super) fn apply(&mut self, change: Change, new_by_rank: &mut [usize]) {
-        let Change { from, to, .. } = change;
-        // For a drop, `from` and `to` are the same rank.
-        let ranks = &[from, to][usize::from(from == to)..];
+    pub(super) fn apply(
+        &mut self,
+        change: Change,
+        new_experts_by_rank: &mut [usize],
+    ) {
+        let Change { relieved, receiver, .. } = change;
+        // For a drop, the relieved and the receiving rank are the same.
+        let ranks = &[relieved, receiver][usize::from(relieved == receiver)..];
         for &rank in ranks {
-            new_by_rank[usize::from(rank)] -= self.new_experts(rank);
+            new_experts_by_rank[usize::from(rank)] -=
+                self.new_expert_count(rank);
         }
         self.update_layer(change);
         for &rank in ranks {
-            new_by_rank[usize::from(rank)] += self.new_experts(rank);
+            new_experts_by_rank[usize::from(rank)] +=
+                self.new_expert_count(rank);
         }
         self.rank_times = rank_times(&self.layer, self.loads, self.speeds);
     }
 
     fn update_layer(&mut self, change: Change) {
-        let Change { from, expert, to, other, kind } = change;
-        if let Some(other) = other {
-            self.layer.remove(to, other);
-            if kind == Kind::Swap {
-                self.layer.add(from, other);
+        let Change { relieved, expert, receiver, replaced, kind } = change;
+        if let Some(replaced) = replaced {
+            self.layer.remove(receiver, replaced);
+            if kind == ChangeKind::Swap {
+                self.layer.add(relieved, replaced);
             }
         }
-        if kind != Kind::Copy {
-            self.layer.remove(from, expert);
+        if kind != ChangeKind::Copy {
+            self.layer.remove(relieved, expert);
         }
-        if kind != Kind::Drop {
-            self.layer.add(to, expert);
+        if kind != ChangeKind::Drop {
+            self.layer.add(receiver, expert);
         }
     }
 
-    fn time(&self, rank: Rank) -> f64 {
+    fn rank_time(&self, rank: Rank) -> f64 {
         self.rank_times[usize::from(rank)]
     }
 }
 
-/// Replaces the best change if this one has a larger gain.
-fn consider(
+/// Replaces the best change so far by `change` if `change` lowers the sum of
+/// the powers of all ranks' times more.
+fn keep_better_change(
     candidate: &CandidateLayer,
     change: Change,
     best: &mut Option<(f64, Change)>,
 ) {
-    let gain = candidate.gain(change);
-    if gain > best.as_ref().map_or(0.0, |it| it.0) {
-        *best = Some((gain, change));
+    let balance_gain = candidate.balance_gain(change);
+    if balance_gain > best.as_ref().map_or(0.0, |it| it.0) {
+        *best = Some((balance_gain, change));
     }
 }
 
-/// The differences that a change makes to the times of the ranks it affects.
+/// The differences that a change of a layer makes to the times of the affected
+/// ranks.
 struct TimeDeltas<'a> {
     speeds: &'a [f64],
-    ranks: Vec<(Rank, f64)>,
+    deltas_by_rank: Vec<(Rank, f64)>,
 }
 
 impl TimeDeltas<'_> {
     fn new(speeds: &[f64]) -> TimeDeltas<'_> {
-        TimeDeltas { speeds, ranks: Vec::with_capacity(8) }
+        TimeDeltas { speeds, deltas_by_rank: Vec::with_capacity(8) }
     }
 
-    fn add(&mut self, rank: Rank, load: f64) {
+    fn add_load(&mut self, rank: Rank, load: f64) {
         let delta = load / self.speeds[usize::from(rank)];
-        match self.ranks.iter_mut().find(|it| it.0 == rank) {
+        match self.deltas_by_rank.iter_mut().find(|it| it.0 == rank) {
             Some(entry) => entry.1 += delta,
-            None => self.ranks.push((rank, delta)),
+            None => self.deltas_by_rank.push((rank, delta)),
         }
     }
 
     fn iter(&self) -> impl Iterator<Item = (Rank, f64)> {
-        self.ranks.iter().copied()
+        self.deltas_by_rank.iter().copied()
     }
 }
--- a/cowsliproad-placement/src/load.rs
+++ b/cowsliproad-placement/src/load.rs
@@ -4,68 +4,77 @@
 //! imbalance that shows in only one average is noise. A plan is made on one
 //! average, and its saving has to exceed its cost on both.
 
-/// The weight of a new count in its moving average.
-const NOISE_WEIGHT: f64 = 0.35;
+/// The weight of a new token count in its moving average, for a count that
+/// differs from the average by noise only.
+const NOISY_COUNT_WEIGHT: f64 = 0.35;
 
-/// The number of recorded intervals required before the first plan.
-const MIN_SAMPLES: u64 = 6;
+/// The number of intervals whose counts have to be recorded before a map is
+/// planned from them.
+const MIN_RECORDED_INTERVALS: u64 = 6;
 
-/// The weight of a new count that differs too much to be noise.
-const JUMP_WEIGHT: f64 = 0.9;
+/// The weight of a new token count in its moving average, for a count that
+/// differs too much from the average to be noise.
+const JUMPED_COUNT_WEIGHT: f64 = 0.9;
 
-/// The difference of a new count from its average, in standard deviations,
-/// beyond which the count is a jump and not noise.
+/// The difference of a new token count from its average, in standard
+/// deviations, beyond which the count is a jump and not noise.
 const MIN_JUMP_DEVIATIONS: f64 = 5.0;
 
-/// Token counts by layer and expert.
-pub type Counts = Vec<Vec<f64>>;
+/// Token counts, indexed by layer and then by expert.
+pub type TokenCounts = Vec<Vec<f64>>;
 
-/// The smoothed token counts of a group, in two averages.
+/// The smoothed token counts of a group, in two independent moving averages.
 #[derive(Clone, Debug, Default)]
 pub struct Loads {
-    averages: [Counts; 2],
-    samples: u64,
+    /// Two moving averages of the token counts. The intervals go to one and
+    /// the other in turn.
+    averages: [TokenCounts; 2],
+    recorded_intervals: u64,
 }
 
 impl Loads {
-    /// Creates averages without counts.
+    /// Creates moving averages in which no counts have been recorded.
     pub fn new() -> Loads {
         Loads::default()
     }
 
-    /// Adds the counts of one interval to the average whose turn it is.
-    pub fn record(&mut self, counts: &Counts) {
-        let average = &mut self.averages[(self.samples % 2) as usize];
-        self.samples += 1;
+    /// Records the token counts of one interval in the first and the second
+    /// moving average alternately.
+    pub fn record(&mut self, counts: &TokenCounts) {
+        let average =
+            &mut self.averages[(self.recorded_intervals % 2) as usize];
+        self.recorded_intervals += 1;
         if average.is_empty() {
             average.clone_from(counts);
             return;
         }
         for (old, new) in average.iter_mut().zip(counts) {
             for (old, new) in old.iter_mut().zip(new) {
-                *old += (new - *old) * weight(*old, *new);
+                *old += (new - *old) * new_count_weight(*old, *new);
             }
         }
     }
 
-    /// Returns whether both averages contain enough counts to tell noise from
-    /// imbalance.
+    /// Returns whether both moving averages contain enough intervals to tell
+    /// noise from imbalance.
     pub fn is_ready(&self) -> bool {
-        self.samples >= MIN_SAMPLES
+        self.recorded_intervals >= MIN_RECORDED_INTERVALS
     }
 
-    /// Returns the average on which a plan is made: the one updated last.
-    pub fn planning_average(&self) -> &Counts {
-        &self.averages[((self.samples + 1) % 2) as usize]
+    /// Returns the moving average on which a plan is made: the average that
+    /// was updated last.
+    pub fn planning_average(&self) -> &TokenCounts {
+        &self.averages[((self.recorded_intervals + 1) % 2) as usize]
     }
 
-    /// Returns the average on which a plan is validated.
-    pub fn validation_average(&self) -> &Counts {
-        &self.averages[(self.samples % 2) as usize]
+    /// Returns the moving average on which a plan is validated: the average
+    /// that was not updated last.
+    pub fn validation_average(&self) -> &TokenCounts {
+        &self.averages[(self.recorded_intervals % 2) as usize]
     }
 
-    /// Returns the mean of the two averages.
-    pub fn mean(&self) -> Counts {
+    /// Returns the mean of the two moving averages.
+    pub fn mean(&self) -> TokenCounts {
         let pairs = self.averages[0].iter().zip(&self.averages[1]);
         pairs
             .map(|(a, b)| {
@@ -75,14 +84,15 @@
     }
 }
 
-/// Returns the weight of a new count in its average. Counts vary like a
-/// Poisson variable. A jump far beyond that variation, such as a restaurant's
-/// new menu, replaces the average almost completely.
-fn weight(old: f64, new: f64) -> f64 {
-    let deviation = old.max(1.0).sqrt();
-    if (new - old).abs() > MIN_JUMP_DEVIATIONS * deviation {
-        JUMP_WEIGHT
+/// Returns the weight of a new token count in its moving average. Counts vary
+/// like a Poisson variable. A jump far beyond that variation replaces the
+/// average almost completely: the callers' prompts have changed suddenly, for
+/// example because a menu changed.
+fn new_count_weight(average: f64, new_count: f64) -> f64 {
+    let deviation = average.max(1.0).sqrt();
+    if (new_count - average).abs() > MIN_JUMP_DEVIATIONS * deviation {
+        JUMPED_COUNT_WEIGHT
     } else {
-        NOISE_WEIGHT
+        NOISY_COUNT_WEIGHT
     }
 }
--- a/cowsliproad-placement/src/map.rs
+++ b/cowsliproad-placement/src/map.rs
@@ -9,7 +9,7 @@
 /// The dimensions of a group's expert map.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Shape {
-    /// The number of ranks.
+    /// The number of ranks in the group.
     pub ranks: usize,
     /// The number of experts in each layer.
     pub experts: usize,
@@ -22,10 +22,10 @@
 /// The assignment of one layer's experts to ranks.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Layer {
-    /// The experts that each rank holds, by rank.
-    held: Vec<Vec<Expert>>,
-    /// The ranks that hold each expert, by expert.
-    hosts: Vec<Vec<Rank>>,
+    /// The experts that each rank holds, indexed by rank.
+    experts_by_rank: Vec<Vec<Expert>>,
+    /// The ranks that hold each expert, indexed by expert.
+    hosts_by_expert: Vec<Vec<Rank>>,
 }
 
 /// The expert map: the assignment of all layers' experts to ranks.
@@ -39,27 +39,30 @@
     /// Creates a layer in which no rank holds an expert.
     pub fn new(shape: Shape) -> Layer {
         Layer {
-            held: vec![Vec::with_capacity(shape.slots); shape.ranks],
-            hosts: vec![Vec::new(); shape.experts],
+            experts_by_rank: vec![
+                Vec::with_capacity(shape.slots);
+                shape.ranks
+            ],
+            hosts_by_expert: vec![Vec::new(); shape.experts],
         }
     }
 
-    /// Returns the number of ranks.
+    /// Returns the number of ranks in the group.
     pub fn ranks(&self) -> usize {
-        self.held.len()
+        self.experts_by_rank.len()
     }
 
-    /// Returns the experts that a rank holds.
+    /// Returns the experts that a rank holds in this layer.
     pub fn held(&self, rank: Rank) -> &[Expert] {
-        &self.held[usize::from(rank)]
+        &self.experts_by_rank[usize::from(rank)]
     }
 
-    /// Returns the ranks that hold an expert.
+    /// Returns the ranks that hold an expert of this layer.
     pub fn hosts(&self, expert: Expert) -> &[Rank] {
-        &self.hosts[usize::from(expert)]
+        &self.hosts_by_expert[usize::from(expert)]
     }
 
-    /// Returns whether a rank holds an expert.
+    /// Returns whether a rank holds an expert of this layer.
     pub fn holds(&self, rank: Rank, expert: Expert) -> bool {
         self.held(rank).contains(&expert)
     }
@@ -67,20 +70,20 @@
     /// Adds a copy of an expert to a rank that does not hold it.
     pub fn add(&mut self, rank: Rank, expert: Expert) {
         debug_assert!(!self.holds(rank, expert));
-        self.held[usize::from(rank)].push(expert);
-        self.hosts[usize::from(expert)].push(rank);
+        self.experts_by_rank[usize::from(rank)].push(expert);
+        self.hosts_by_expert[usize::from(expert)].push(rank);
     }
 
     /// Removes a rank's copy of an expert.
     pub fn remove(&mut self, rank: Rank, expert: Expert) {
-        self.held[usize::from(rank)].retain(|it| *it != expert);
-        self.hosts[usize::from(expert)].retain(|it| *it != rank);
+        self.experts_by_rank[usize::from(rank)].retain(|it| *it != expert);
+        self.hosts_by_expert[usize::from(expert)].retain(|it| *it != rank);
     }
 
     /// Returns the time that each rank needs for this layer.
     pub fn rank_times(&self, loads: &[f64], speeds: &[f64]) -> Vec<f64> {
-        let mut rank_times = vec![0.0; self.held.len()];
-        for (expert, hosts) in self.hosts.iter().enumerate() {
+        let mut rank_times = vec![0.0; self.experts_by_rank.len()];
+        for (expert, hosts) in self.hosts_by_expert.iter().enumerate() {
             let time = time_per_host(loads[expert], hosts, speeds);
             for host in hosts {
                 rank_times[usize::from(*host)] += time;
@@ -90,18 +93,19 @@
     }
 
     /// Returns the time that the slowest rank needs for this layer.
-    pub fn slowest_time(&self, loads: &[f64], speeds: &[f64]) -> f64 {
+    pub fn slowest_rank_time(&self, loads: &[f64], speeds: &[f64]) -> f64 {
         self.rank_times(loads, speeds).into_iter().fold(0.0, f64::max)
     }
 
-    /// Returns the number of copies to be added for this layer to become
-    /// `other`.
+    /// Returns the number of copies of experts that `other` has at ranks that
+    /// don't hold these experts in this layer.
     pub fn added_copies(&self, other: &Layer) -> usize {
-        let ranks = 0..self.held.len() as Rank;
+        let ranks = 0..self.experts_by_rank.len() as Rank;
         ranks.map(|rank| self.added_copies_at(rank, other)).sum()
     }
 
-    /// Returns the number of experts that `other` newly assigns to a rank.
+    /// Returns the number of experts that a rank holds in `other` but not in
+    /// this layer.
     pub fn added_copies_at(&self, rank: Rank, other: &Layer) -> usize {
         let others = other.held(rank).iter();
         others.filter(|it| !self.holds(rank, **it)).count()
@@ -110,11 +114,12 @@
     /// Returns whether every expert has a host and no rank holds more experts
     /// than it has slots.
     pub fn is_valid(&self, shape: Shape) -> bool {
-        let all_hosted = self.hosts.iter().all(|hosts| !hosts.is_empty());
+        let all_hosted =
+            self.hosts_by_expert.iter().all(|hosts| !hosts.is_empty());
         let is_within_slots =
-            self.held.iter().all(|held| held.len() <= shape.slots);
+            self.experts_by_rank.iter().all(|held| held.len() <= shape.slots);
         let is_consistent =
-            self.held.iter().enumerate().all(|(rank, held)| {
+            self.experts_by_rank.iter().enumerate().all(|(rank, held)| {
                 held.iter().all(|it| self.hosts(*it).contains(&(rank as Rank)))
             });
         all_hosted && is_within_slots && is_consistent
@@ -132,8 +137,9 @@
         Map { layers: vec![layer; shape.layers] }
     }
 
-    /// Builds a map from the experts held, by layer and rank; `None` if they
-    /// don't make a valid map of this shape.
+    /// Builds a map from lists of the experts that ranks hold, indexed by
+    /// layer and then by rank; `None` if the lists don't make a valid map of
+    /// this shape.
     pub fn from_experts(
         shape: Shape,
         experts: &[Vec<Vec<Expert>>],
@@ -159,36 +165,40 @@
         is_valid.then_some(Map { layers })
     }
 
-    /// Returns the experts held, by layer and rank.
+    /// Returns lists of the experts that ranks hold, indexed by layer and then
+    /// by rank.
     pub fn experts(&self) -> Vec<Vec<Vec<Expert>>> {
         let layers = self.layers.iter();
-        layers.map(|layer| layer.held.clone()).collect()
+        layers.map(|layer| layer.experts_by_rank.clone()).collect()
     }
 
     /// Returns the time of a step: the sum over all layers of the slowest
     /// rank's time.
     pub fn step_time(&self, loads: &[Vec<f64>], speeds: &[f64]) -> f64 {
         let layers = self.layers.iter().zip(loads);
-        layers.map(|(layer, loads)| layer.slowest_time(loads, speeds)).sum()
+        layers
+            .map(|(layer, loads)| layer.slowest_rank_time(loads, speeds))
+            .sum()
     }
 
-    /// Returns the number of copies to be moved to switch from this map to
-    /// another.
-    pub fn moves_to(&self, other: &Map) -> usize {
+    /// Returns the number of copies of experts that ranks have to receive to
+    /// switch from this map to another.
+    pub fn move_count_to(&self, other: &Map) -> usize {
         let pairs = self.layers.iter().zip(&other.layers);
         pairs.map(|(own, others)| own.added_copies(others)).sum()
     }
 }
 
-/// Returns the time that an expert takes on each of its hosts. Its tokens are
-/// shared in proportion to the hosts' speeds, so all hosts take the same time.
+/// Returns the time that an expert takes on each of its hosts, the ranks that
+/// hold the expert. The hosts share the expert's tokens in proportion to their
+/// speeds, so all hosts take the same time.
 pub fn time_per_host(load: f64, hosts: &[Rank], speeds: &[f64]) -> f64 {
     let speed: f64 = hosts.iter().map(|it| speeds[usize::from(*it)]).sum();
     load / speed
 }
 
-/// Returns the time of a step under perfect balance: all load shared by all
-/// ranks in proportion to their speed.
+/// Returns the time of a step under perfect balance: all ranks share all load
+/// in proportion to their speed.
 pub fn ideal_time(loads: &[Vec<f64>], speeds: &[f64]) -> f64 {
     let speed: f64 = speeds.iter().sum();
     loads.iter().flatten().sum::<f64>() / speed
--- a/cowsliproad-placement/src/pack.rs
+++ b/cowsliproad-placement/src/pack.rs
@@ -6,53 +6,56 @@
 
 use crate::map::{Expert, Layer, Map, Rank, Shape};
 
-/// Returns a packed map for these loads and rank speeds.
+/// Computes an expert map from scratch for these loads and rank speeds.
 pub fn pack(shape: Shape, loads: &[Vec<f64>], speeds: &[f64]) -> Map {
     let layers = loads.iter().map(|loads| pack_layer(shape, loads, speeds));
     Map { layers: layers.collect() }
 }
 
-/// Returns one packed layer for these loads and rank speeds.
+/// Computes one layer of an expert map from scratch for these loads and rank
+/// speeds.
 pub fn pack_layer(shape: Shape, loads: &[f64], speeds: &[f64]) -> Layer {
     let copy_counts = copy_counts(shape, loads);
-    let mut by_weight: Vec<(f64, Expert)> = Vec::new();
+    let mut by_load_per_copy: Vec<(f64, Expert)> = Vec::new();
     for (expert, count) in copy_counts.iter().enumerate() {
-        let weight = loads[expert] / f64::from(*count);
+        let load_per_copy = loads[expert] / f64::from(*count);
         for _ in 0..*count {
-            by_weight.push((weight, expert as Expert));
+            by_load_per_copy.push((load_per_copy, expert as Expert));
         }
     }
-    by_weight.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
+    by_load_per_copy.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
     let mut layer = Layer::new(shape);
-    let mut assigned = vec![0.0; shape.ranks];
-    for (weight, expert) in by_weight {
+    let mut assigned_loads = vec![0.0; shape.ranks];
+    for (load_per_copy, expert) in by_load_per_copy {
         let free = (0..shape.ranks).filter(|rank| {
             let rank = *rank as Rank;
             layer.held(rank).len() < shape.slots && !layer.holds(rank, expert)
         });
-        let finish_time =
-            |rank: usize| (assigned[rank] + weight) / speeds[rank];
+        let finish_time = |rank: usize| {
+            (assigned_loads[rank] + load_per_copy) / speeds[rank]
+        };
         let soonest =
             free.min_by(|a, b| finish_time(*a).total_cmp(&finish_time(*b)));
         // An additional copy that fits nowhere is dropped. The first copy of
         // an expert always fits, as there are at least as many slots as
         // experts.
         let Some(soonest) = soonest else { continue };
-        assigned[soonest] += weight;
+        assigned_loads[soonest] += load_per_copy;
         layer.add(soonest as Rank, expert);
     }
-    place_unhosted(shape, &mut layer);
+    place_unhosted_experts(shape, &mut layer);
     layer
 }
 
-/// Returns the number of copies to make of each expert.
+/// Returns the number of copies to make of each expert. The spare slots go to
+/// the experts with the largest load per copy, up to one copy for each rank.
 fn copy_counts(shape: Shape, loads: &[f64]) -> Vec<u32> {
     let mut copy_counts = vec![1u32; shape.experts];
     let spare = (shape.ranks * shape.slots).saturating_sub(shape.experts);
-    let mut heap: BinaryHeap<WeightedExpert> = loads
+    let mut heap: BinaryHeap<ExpertByLoad> = loads
         .iter()
         .enumerate()
-        .map(|(expert, load)| WeightedExpert { weight: *load, expert })
+        .map(|(expert, load)| ExpertByLoad { load_per_copy: *load, expert })
         .collect();
     for _ in 0..spare {
         let Some(heaviest) = heap.pop() else { break };
@@ -61,15 +64,15 @@
             continue;
         }
         *count += 1;
-        let weight = loads[heaviest.expert] / f64::from(*count);
-        heap.push(WeightedExpert { weight, expert: heaviest.expert });
+        let load_per_copy = loads[heaviest.expert] / f64::from(*count);
+        heap.push(ExpertByLoad { load_per_copy, expert: heaviest.expert });
     }
     copy_counts
 }
 
-/// Places each expert without a host in the slot of a copy whose expert has
-/// other hosts.
-fn place_unhosted(shape: Shape, layer: &mut Layer) {
+/// Places each expert that no rank holds in the slot of a copy whose expert
+/// other ranks hold too.
+fn place_unhosted_experts(shape: Shape, layer: &mut Layer) {
     for expert in 0..shape.experts as Expert {
         if !layer.hosts(expert).is_empty() {
             continue;
@@ -87,24 +90,25 @@
     }
 }
 
-/// An expert ordered by its load per copy, for the heap of spare slots.
+/// An expert, ordered by its load per copy, so that a heap of experts yields
+/// the expert to copy next.
 #[derive(PartialEq)]
-struct WeightedExpert {
-    weight: f64,
+struct ExpertByLoad {
+    load_per_copy: f64,
     expert: usize,
 }
 
-impl Eq for WeightedExpert {}
+impl Eq for ExpertByLoad {}
 
-impl Ord for WeightedExpert {
-    fn cmp(&self, other: &WeightedExpert) -> Ordering {
-        let weight = self.weight.total_cmp(&other.weight);
-        weight.then(other.expert.cmp(&self.expert))
+impl Ord for ExpertByLoad {
+    fn cmp(&self, other: &ExpertByLoad) -> Ordering {
+        let load_per_copy = self.load_per_copy.total_cmp(&other.load_per_copy);
+        load_per_copy.then(other.expert.cmp(&self.expert))
     }
 }
 
-impl PartialOrd for WeightedExpert {
-    fn partial_cmp(&self, other: &WeightedExpert) -> Option<Ordering> {
+impl PartialOrd for ExpertByLoad {
+    fn partial_cmp(&self, other: &ExpertByLoad) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
--- a/cowsliproad-placement/src/plan.rs
+++ b/cowsliproad-placement/src/plan.rs
@@ -19,19 +19,19 @@
     map::{Expert, Layer, Map, Rank, Shape, time_per_host},
 };
 
-/// The operators' settings for planning a group's map.
+/// The operators' settings for planning a group's map from averaged counts.
 #[derive(Clone, Copy, Debug)]
-pub struct Config {
+pub struct PlanConfig {
     skew_weight: f64,
     move_weight: f64,
     max_moves: usize,
     min_layer_saving: f64,
 }
 
-impl Config {
-    /// Returns settings that weigh saved step time and moved copies equally.
-    pub fn new() -> Config {
-        Config {
+impl PlanConfig {
+    /// Creates settings that weigh saved step time and moved copies equally.
+    pub fn new() -> PlanConfig {
+        PlanConfig {
             skew_weight: 1.0,
             move_weight: 1.0,
             max_moves: usize::MAX,
@@ -39,66 +39,70 @@
         }
     }
 
-    /// Sets the weight of saved step time.
-    pub fn with_skew_weight(self, skew_weight: f64) -> Config {
-        Config { skew_weight, ..self }
+    /// Sets the weight of the step time that a lower skew saves, against the
+    /// weight of moved copies. The skew is the imbalance between the ranks.
+    pub fn with_skew_weight(self, skew_weight: f64) -> PlanConfig {
+        PlanConfig { skew_weight, ..self }
     }
 
-    /// Sets the weight of moved copies.
-    pub fn with_move_weight(self, move_weight: f64) -> Config {
-        Config { move_weight, ..self }
+    /// Sets the weight of the cost of moved copies, against the weight of
+    /// saved step time.
+    pub fn with_move_weight(self, move_weight: f64) -> PlanConfig {
+        PlanConfig { move_weight, ..self }
     }
 
-    /// Sets the maximum number of copies that one plan may move. It follows
-    /// from the transfer rate that doesn't slow down serving.
-    pub fn with_max_moves(self, max_moves: usize) -> Config {
-        Config { max_moves, ..self }
+    /// Sets the maximum number of copies that one plan may move. The maximum
+    /// follows from the transfer rate that doesn't slow down serving.
+    pub fn with_max_moves(self, max_moves: usize) -> PlanConfig {
+        PlanConfig { max_moves, ..self }
     }
 
     /// Sets the share of a layer's time that a change of the layer has to
     /// save.
-    pub fn with_min_layer_saving(self, min_layer_saving: f64) -> Config {
-        Config { min_layer_saving, ..self }
+    pub fn with_min_layer_saving(self, min_layer_saving: f64) -> PlanConfig {
+        PlanConfig { min_layer_saving, ..self }
     }
 }
 
-impl Default for Config {
-    fn default() -> Config {
-        Config::new()
+impl Default for PlanConfig {
+    fn default() -> PlanConfig {
+        PlanConfig::new()
     }
 }
 
-/// A new map with its cost and its expected saving.
+/// A new expert map with its number of moves and its expected saving.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The new map.
     pub map: Map,
-    /// The number of copies to be moved.
-    pub moves: usize,
+    /// The number of copies of experts to be moved to other ranks.
+    pub move_count: usize,
     /// The share of the step time that the new map is expected to save.
     pub saving: f64,
 }
 
-/// The cost of moving one copy at equal weights, as a share of the mean layer
-/// time. With the default interval, a saving of this size repays the move
-/// before the popularity of experts has drifted.
+/// The cost of moving one copy of an expert, as a share of the mean layer
+/// time, if saved time and moved copies have equal weights. With the default
+/// interval, a saving of this size repays the move before the popularity of
+/// experts has drifted.
 const MOVE_COST: f64 = 0.002;
 
-/// The number of slow ranks to try to relieve for each move.
-const MAX_SLOW_RANKS: usize = 6;
+/// The maximum number of slow ranks for which a move is searched, one after
+/// the other.
+const MAX_RELIEVED_RANKS: usize = 6;
 
-/// The minimum and maximum number of moves tried in a layer. Between these
-/// bounds, three moves are tried for every two ranks.
-const MIN_MAX_TRIES: (usize, usize) = (32, 400);
+/// The minimum and maximum number of moves made to search for a better layer.
+/// Between these bounds, three moves are made for every two ranks.
+const MOVES_PER_LAYER_BOUNDS: (usize, usize) = (32, 400);
 
-/// The number of fast ranks considered as receivers of each move.
-const MAX_RECEIVERS: usize = 12;
+/// The maximum number of fast ranks considered as receivers of an expert.
+const MAX_RECEIVING_RANKS: usize = 12;
 
-/// Plans moves from the present map; `None` if no moves save more than they
-/// cost.
+/// Plans moves of experts from the present map; `None` if no moves save more
+/// than they cost.
 pub fn plan(
     shape: Shape,
-    config: Config,
+    config: PlanConfig,
     present: &Map,
     loads: &Loads,
     speeds: &[f64],
@@ -112,88 +116,90 @@
         / shape.layers as f64
         / config.skew_weight.max(f64::MIN_POSITIVE);
     let mut changes: Vec<LayerChange> = (0..shape.layers)
-        .filter_map(|index| {
+        .filter_map(|layer_index| {
             let (planning_loads, validation_loads) =
                 (loads.planning_average(), loads.validation_average());
-            let layer = &present.layers[index];
+            let layer = &present.layers[layer_index];
             improve_layer(
                 layer,
-                &planning_loads[index],
-                &validation_loads[index],
+                &planning_loads[layer_index],
+                &validation_loads[layer_index],
                 speeds,
                 move_cost,
                 &config,
             )
-            .map(|change| LayerChange { index, ..change })
+            .map(|change| LayerChange { layer_index, ..change })
         })
         .collect();
     changes
         .sort_by(|a, b| b.saving_per_copy().total_cmp(&a.saving_per_copy()));
     let mut map = present.clone();
-    let (mut moves, mut saving) = (0, 0.0);
+    let (mut move_count, mut saving) = (0, 0.0);
     for change in changes {
-        if moves + change.moves > config.max_moves {
+        if move_count + change.move_count > config.max_moves {
             continue;
         }
-        moves += change.moves;
+        move_count += change.move_count;
         saving += change.saving;
-        map.layers[change.index] = change.layer;
+        map.layers[change.layer_index] = change.layer;
     }
-    (moves > 0).then(|| Plan { map, moves, saving: saving / total })
+    (move_count > 0).then(|| Plan { map, move_count, saving: saving / total })
 }
 
 /// A change of one layer that saves more than it costs.
 struct LayerChange {
-    index: usize,
+    layer_index: usize,
     layer: Layer,
-    moves: usize,
+    move_count: usize,
     saving: f64,
 }
 
 impl LayerChange {
-    /// Returns the saved time per moved copy.
+    /// Returns the time that the change of the layer saves per moved copy.
     fn saving_per_copy(&self) -> f64 {
-        self.saving / self.moves as f64
+        self.saving / self.move_count as f64
     }
 }
 
-/// Returns the best change of a layer, chosen by `loads` and confirmed by
-/// `validation_loads`.
+/// Returns the best change of a layer under `loads`; `None` if no change saves
+/// more than it costs, also under `validation_loads`.
 fn improve_layer(
     present: &Layer,
     loads: &[f64],
     validation_loads: &[f64],
     speeds: &[f64],
     move_cost: f64,
-    config: &Config,
+    config: &PlanConfig,
 ) -> Option<LayerChange> {
-    let before = present.slowest_time(loads, speeds);
+    let before = present.slowest_rank_time(loads, speeds);
     let mut layer = present.clone();
     let mut times = layer.rank_times(loads, speeds);
     let mut best: Option<(f64, LayerChange)> = None;
-    let tries =
-        (present.ranks() * 3 / 2).clamp(MIN_MAX_TRIES.0, MIN_MAX_TRIES.1);
-    for _ in 0..tries {
+    let max_layer_moves = (present.ranks() * 3 / 2)
+        .clamp(MOVES_PER_LAYER_BOUNDS.0, MOVES_PER_LAYER_BOUNDS.1);
+    for _ in 0..max_layer_moves {
         let Some(it) = find_move(&layer, &times, loads, speeds) else { break };
         it.apply(&mut layer);
         times = layer.rank_times(loads, speeds);
         let after = times.iter().copied().fold(0.0, f64::max);
         let saving = before - after;
-        let moves = present.added_copies(&layer);
-        let value = saving - move_cost * moves as f64;
+        let move_count = present.added_copies(&layer);
+        let value = saving - move_cost * move_count as f64;
         if value > best.as_ref().map_or(0.0, |it| it.0) {
             let layer = layer.clone();
-            let change = LayerChange { index: 0, layer, moves, saving };
+            let change =
+                LayerChange { layer_index: 0, layer, move_count, saving };
             best = Some((value, change));
         }
     }
     let (_, change) = best?;
     // The validation average did not influence the choice, so a saving that
     // was only noise doesn't show there.
-    let before = present.slowest_time(validation_loads, speeds);
-    let saving = before - change.layer.slowest_time(validation_loads, speeds);
+    let before = present.slowest_rank_time(validation_loads, speeds);
+    let saving =
+        before - change.layer.slowest_rank_time(validation_loads, speeds);
     let saving = saving.min(change.saving);
-    let exceeds_cost = saving > move_cost * change.moves as f64;
+    let exceeds_cost = saving > move_cost * change.move_count as f64;
     let exceeds_threshold = saving > config.min_layer_saving * before;
     (exceeds_cost && exceeds_threshold)
         .then_some(LayerChange { saving, ..change })
@@ -228,35 +234,36 @@
     }
 }
 
-/// Returns a move that relieves the slowest rank. If no move does, relieves
-/// the next slowest ranks, which may make a move for the slowest possible.
+/// Returns a move that relieves the slowest rank. If there is no such move,
+/// returns a move that relieves one of the next slowest ranks, after which the
+/// slowest rank may have a move.
 fn find_move(
     layer: &Layer,
-    times: &[f64],
+    rank_times: &[f64],
     loads: &[f64],
     speeds: &[f64],
 ) -> Option<Move> {
-    let mut ranks: Vec<Rank> = (0..times.len() as Rank).collect();
+    let mut ranks: Vec<Rank> = (0..rank_times.len() as Rank).collect();
     let by_time = |a: &Rank, b: &Rank| {
-        times[usize::from(*a)].total_cmp(&times[usize::from(*b)])
+        rank_times[usize::from(*a)].total_cmp(&rank_times[usize::from(*b)])
     };
     ranks.sort_unstable_by(by_time);
-    let fast_ranks = &ranks[..MAX_RECEIVERS.min(ranks.len())];
-    let state = LayerState { layer, times, loads, speeds };
-    let slow = ranks.iter().rev().take(MAX_SLOW_RANKS);
+    let fast_ranks = &ranks[..MAX_RECEIVING_RANKS.min(ranks.len())];
+    let state = LayerState { layer, rank_times, loads, speeds };
+    let slow = ranks.iter().rev().take(MAX_RELIEVED_RANKS);
     slow.into_iter()
-        .find_map(|rank| find_move_for_rank(&state, *rank, fast_ranks))
+        .find_map(|rank| find_move_relieving_rank(&state, *rank, fast_ranks))
 }
 
-/// Returns the move with the lowest maximum time among the ranks that it
-/// affects, if that maximum is lower than the slow rank's time.
-fn find_move_for_rank(
+/// Returns the move that relieves a slow rank best: the move with the lowest
+/// maximum time among the affected ranks, if lower than the slow rank's time.
+fn find_move_relieving_rank(
     state: &LayerState,
     slow_rank: Rank,
     fast_ranks: &[Rank],
 ) -> Option<Move> {
     let layer = state.layer;
-    let longest = state.times[usize::from(slow_rank)];
+    let longest_time = state.rank_times[usize::from(slow_rank)];
     let mut best: Option<(f64, Move)> = None;
     for &expert in layer.held(slow_rank) {
         for &to in fast_ranks {
@@ -265,37 +272,39 @@
             }
             for candidate in state.moves_between(slow_rank, expert, to) {
                 let time = state.max_time_after(candidate);
-                let limit = best.as_ref().map_or(longest, |it| it.0);
-                if time < limit * IMPROVEMENT_FACTOR {
+                let limit = best.as_ref().map_or(longest_time, |it| it.0);
+                if time < limit * REQUIRED_TIME_FACTOR {
                     best = Some((time, candidate));
                 }
             }
         }
     }
-    for candidate in state.replacements(slow_rank, fast_ranks) {
+    for candidate in state.replacement_moves(slow_rank, fast_ranks) {
         let time = state.max_time_after(candidate);
-        let limit = best.as_ref().map_or(longest, |it| it.0);
-        if time < limit * IMPROVEMENT_FACTOR {
+        let limit = best.as_ref().map_or(longest_time, |it| it.0);
+        if time < limit * REQUIRED_TIME_FACTOR {
             best = Some((time, candidate));
         }
     }
     best.map(|it| it.1)
 }
 
-/// A move must lower the maximum time below this fraction of the best so far,
-/// so that rounding errors cause no moves.
-const IMPROVEMENT_FACTOR: f64 = 1.0 - 1e-6;
+/// A move must lower the maximum time below this fraction of the best maximum
+/// time so far, so that rounding errors cause no moves.
+const REQUIRED_TIME_FACTOR: f64 = 1.0 - 1e-6;
 
-/// A layer with its loads and the times of its ranks.
+/// A layer of the expert map, with the loads of its experts and the times and
+/// speeds of the ranks.
 struct LayerState<'a> {
     layer: &'a Layer,
-    times: &'a [f64],
+    rank_times: &'a [f64],
     loads: &'a [f64],
     speeds: &'a [f64],
 }
 
 impl LayerState<'_> {
-    /// Returns the moves that bring `expert` from one rank to another.
+    /// Returns the moves that bring `expert` or a copy of it from one rank to
+    /// another.
     fn moves_between(
         &self,
         from: Rank,
@@ -321,7 +330,11 @@
 
     /// Returns the moves that replace an expert of a slow rank, which other
     /// ranks hold too, by an expert of a fast rank.
-    fn replacements(&self, slow_rank: Rank, fast_ranks: &[Rank]) -> Vec<Move> {
+    fn replacement_moves(
+        &self,
+        slow_rank: Rank,
+        fast_ranks: &[Rank],
+    ) -> Vec<Move> {
         let layer = self.layer;
         let held = layer.held(slow_rank).iter();
         let dispensable = held.filter(|it| layer.hosts(**it).len() > 1);
@@ -365,8 +378,8 @@
     ) -> f64 {
         let old = self.time_per_host(expert, &[], None);
         let new = self.time_per_host(expert, &[to], None);
-        let mut time_at_to = self.times[usize::from(to)] + new;
-        let mut longest: f64 = 0.0;
+        let mut time_at_to = self.rank_times[usize::from(to)] + new;
+        let mut longest_time: f64 = 0.0;
         let (mut other_old, mut other_new) = (0.0, 0.0);
         if let Some(other) = other {
             other_old = self.time_per_host(other, &[], None);
@@ -377,21 +390,21 @@
                     continue;
                 }
                 let mut time =
-                    self.times[usize::from(host)] + other_new - other_old;
+                    self.rank_times[usize::from(host)] + other_new - other_old;
                 if self.layer.holds(host, expert) {
                     time += new - old;
                 }
-                longest = longest.max(time);
+                longest_time = longest_time.max(time);
             }
         }
         for &host in self.layer.hosts(expert) {
             let shared =
                 other.is_some_and(|other| self.layer.holds(host, other));
             let extra = if shared { other_new - other_old } else { 0.0 };
-            let time = self.times[usize::from(host)] + new - old + extra;
-            longest = longest.max(time);
+            let time = self.rank_times[usize::from(host)] + new - old + extra;
+            longest_time = longest_time.max(time);
         }
-        longest.max(time_at_to)
+        longest_time.max(time_at_to)
     }
 
     /// Returns the approximate maximum time of two ranks after they swap
@@ -411,29 +424,29 @@
         let other_time = self.time_per_host(other, &[], None);
         let expert_time_at_to = self.time_per_host(expert, &[to], Some(from));
         let other_time_at_from = self.time_per_host(other, &[from], Some(to));
-        let time_at_from =
-            self.times[usize::from(from)] - expert_time + other_time_at_from;
+        let time_at_from = self.rank_times[usize::from(from)] - expert_time
+            + other_time_at_from;
         let time_at_to =
-            self.times[usize::from(to)] - other_time + expert_time_at_to;
+            self.rank_times[usize::from(to)] - other_time + expert_time_at_to;
         time_at_from.max(time_at_to)
     }
 
     /// Returns the time that an expert takes on each host if hosts are added
-    /// or one host is left out.
+    /// or one host is removed.
     fn time_per_host(
         &self,
         expert: Expert,
-        added: &[Rank],
-        out: Option<Rank>,
+        added_hosts: &[Rank],
+        removed_host: Option<Rank>,
     ) -> f64 {
         let hosts = self.layer.hosts(expert);
         let load = self.loads[usize::from(expert)];
-        if added.is_empty() && out.is_none() {
+        if added_hosts.is_empty() && removed_host.is_none() {
             return time_per_host(load, hosts, self.speeds);
         }
         let speed = |rank: &Rank| self.speeds[usize::from(*rank)];
-        let stay = hosts.iter().filter(|it| Some(**it) != out);
-        let sum: f64 = stay.chain(added).map(speed).sum();
+        let stay = hosts.iter().filter(|it| Some(**it) != removed_host);
+        let sum: f64 = stay.chain(added_hosts).map(speed).sum();
         load / sum
     }
 }
--- a/cowsliproad-rank/src/agent/readings.rs
+++ b/cowsliproad-rank/src/agent/readings.rs
@@ -3,7 +3,7 @@
 use std::io;
 
 use cowsliproad_kernel::clock::Millis;
-use cowsliproad_placement::growth::Growth;
+use cowsliproad_placement::growth::CountGrowth;
 use slog::info;
 
 use super::{Agent, Ended};
@@ -102,8 +102,8 @@
         let before = self.counts.replace(choices.clone());
         let growth = before
             .filter(|it| due == Due::Say && it.0 == choices.0)
-            .and_then(|it| Growth::between(&it.1, &choices.1));
-        let Some(Growth { scale, units }) = growth else { return };
+            .and_then(|it| CountGrowth::between(&it.1, &choices.1));
+        let Some(CountGrowth { scale, units }) = growth else { return };
         let choices = Choices { scale, units };
         match &mut self.lead {
             Some(lead) => lead.count(choices, experts),
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -15,8 +15,8 @@
 };
 use cowsliproad_placement::{
     bound,
-    demand::{Counts, Demand},
-    growth::Growth,
+    demand::{CumulativeCounts, DemandEstimator},
+    growth::CountGrowth,
     live,
     map::{Map, Shape, ideal_time},
 };
@@ -49,8 +49,8 @@
     predecessor: Option<(IpAddr, u64)>,
     ranks: BTreeMap<u16, (Status, Millis)>,
     /// What all ranks together counted since this one leads.
-    total: Counts,
-    demand: Demand,
+    total: CumulativeCounts,
+    demand: DemandEstimator,
     sampled: Millis,
     planned: Millis,
     plan: Option<Plan>,
@@ -86,8 +86,8 @@
             ),
             predecessor: start.predecessor,
             ranks: BTreeMap::new(),
-            total: Counts::new(),
-            demand: Demand::new(),
+            total: CumulativeCounts::new(),
+            demand: DemandEstimator::new(),
             sampled: Millis(0),
             planned: Millis(0),
             plan: None,
@@ -167,7 +167,7 @@
     /// Takes what a rank counted in.
     pub fn count(&mut self, choices: Choices, experts: usize) {
         let Choices { scale, units } = choices;
-        Growth { scale, units }.add_to(&mut self.total, experts);
+        CountGrowth { scale, units }.add_to_counts(&mut self.total, experts);
     }
 
     /// Goes on by what all ranks report now.
@@ -275,7 +275,7 @@
     /// for it. Its copies would be waited for, and its map be out of date when
     /// it comes.
     fn drop_overtaken(&mut self) {
-        if self.demand.shifted_at() < self.planned {
+        if self.demand.demand_shifted_at() < self.planned {
             return;
         }
         if let Some(version) = self.coordinator.abandon_plan() {
@@ -305,7 +305,7 @@
         snapshots: &[RankSnapshot],
         now: Millis,
     ) {
-        let Some(loads) = self.demand.loads() else { return };
+        let Some(loads) = self.demand.current_loads() else { return };
         let shape_of_map = Shape {
             ranks: snapshots.len(),
             experts: usize::from(shape.experts),
@@ -315,7 +315,7 @@
         let Some(present) = self.present(shape_of_map, snapshots) else {
             return;
         };
-        let config = live::Config::new(usize::from(shape.spare))
+        let config = live::LivePlanConfig::new(usize::from(shape.spare))
             .with_max_new_per_rank(burst(Millis(shape.copy_ms)))
             .with_copy_cost(self.price);
         let speeds: Vec<f64> = self.ranks.values().map(speed).collect();
@@ -332,7 +332,7 @@
             "expected" => format!("{:.3}", plan.relative_time_after),
             "bound" => format!("{bound:.3}"),
             "slowest" => speeds.iter().copied().fold(1.0, f64::min),
-            "copies" => plan.moves, "step" => snapshots[0].report.step,
+            "copies" => plan.move_count, "step" => snapshots[0].report.step,
             "counted" => loads.iter().flatten().sum::<f64>());
         let directive = self.directive();
         let last = self.plan.replace(Plan {
--- a/tests/properties/live.rs
+++ b/tests/properties/live.rs
@@ -4,8 +4,10 @@
 use cowsliproad::{
     kernel::clock::Millis,
     placement::{
-        demand::{Demand, MAX_WINDOW, SHIFT_WINDOWS},
-        live::{self, Config},
+        demand::{
+            DEMAND_SHIFT_THRESHOLDS, DemandEstimator, MAX_DEMAND_WINDOW,
+        },
+        live::{self, LivePlanConfig},
         map::{Map, Shape},
     },
 };
@@ -47,8 +49,13 @@
     let mut map = Map::round_robin(SHAPE);
     assert!(skew(&map, &loads, &speeds) > 2.5);
     for _ in 0..3 {
-        let plan =
-            live::plan(SHAPE, Config::new(SPARE), &map, &loads, &speeds);
+        let plan = live::plan(
+            SHAPE,
+            LivePlanConfig::new(SPARE),
+            &map,
+            &loads,
+            &speeds,
+        );
         let Some(plan) = plan else { break };
         check_step(&map, &plan.map);
         map = plan.map;
@@ -62,7 +69,7 @@
     let mut speeds = vec![1.0; SHAPE.ranks];
     let mut map = Map::round_robin(SHAPE);
     for _ in 0..3 {
-        let config = Config::new(SPARE);
+        let config = LivePlanConfig::new(SPARE);
         if let Some(plan) = live::plan(SHAPE, config, &map, &loads, &speeds) {
             map = plan.map;
         }
@@ -70,7 +77,7 @@
     speeds[3] = 1.0 / 12.0;
     assert!(skew(&map, &loads, &speeds) > 6.0);
     for _ in 0..4 {
-        let config = Config::new(SPARE);
+        let config = LivePlanConfig::new(SPARE);
         if let Some(plan) = live::plan(SHAPE, config, &map, &loads, &speeds) {
             check_step(&map, &plan.map);
             map = plan.map;
@@ -85,7 +92,8 @@
     let loads = vec![vec![100.0; SHAPE.experts]; SHAPE.layers];
     let speeds = vec![1.0; SHAPE.ranks];
     let map = Map::round_robin(SHAPE);
-    let plan = live::plan(SHAPE, Config::new(SPARE), &map, &loads, &speeds);
+    let plan =
+        live::plan(SHAPE, LivePlanConfig::new(SPARE), &map, &loads, &speeds);
     assert!(plan.is_none());
 }
 
@@ -110,7 +118,7 @@
     let mut map = Map::round_robin(SHAPE);
     let mut skews = vec![skew(&map, &loads, &speeds)];
     for _ in 0..6 {
-        let config = Config::new(SPARE).with_max_new_per_rank(1);
+        let config = LivePlanConfig::new(SPARE).with_max_new_per_rank(1);
         let plan = live::plan(SHAPE, config, &map, &loads, &speeds);
         let Some(plan) = plan else { break };
         check_step(&map, &plan.map);
@@ -128,7 +136,7 @@
 /// to all.
 #[test]
 fn requests_with_likes_of_their_own_are_no_shift() {
-    let mut demand = Demand::new();
+    let mut demand = DemandEstimator::new();
     let mut total = counts(&liked(0), 0);
     for round in 0..100_u64 {
         let turn = 7 * (round / 3 % 9) as usize;
@@ -138,12 +146,12 @@
         }
         demand.record(Millis(1_000 + 50 * round), total.clone());
     }
-    assert_eq!(demand.shifted_at(), Millis(0));
+    assert_eq!(demand.demand_shifted_at(), Millis(0));
 }
 
 #[test]
 fn a_shift_shows_in_the_counts_of_a_tenth_of_a_second() {
-    let mut demand = Demand::new();
+    let mut demand = DemandEstimator::new();
     let mut total = counts(&liked(0), 0);
     for round in 0..44_u64 {
         let now = Millis(1_000 + 50 * round);
@@ -151,11 +159,11 @@
         add(&mut total, &counts(&loads, 10));
         demand.record(now, total.clone());
         if round <= 40 {
-            assert_eq!(demand.shifted_at(), Millis(0));
+            assert_eq!(demand.demand_shifted_at(), Millis(0));
         }
     }
     // What was counted before it is not planned for any more.
-    assert_eq!(demand.shifted_at(), Millis(1_000 + 50 * 40));
+    assert_eq!(demand.demand_shifted_at(), Millis(1_000 + 50 * 40));
 }
 
 fn add(total: &mut [Vec<u64>], new: &[Vec<u64>]) {
@@ -175,15 +183,16 @@
 #[test]
 fn a_shift_of_demand_shows_within_half_a_second() {
     let (before, after) = (liked(0), liked(20));
-    let mut demand = Demand::new();
+    let mut demand = DemandEstimator::new();
     let mut total = counts(&before, 0);
     let mut now = Millis(0);
-    let step = Millis(SHIFT_WINDOWS[0].0.0 / 2);
-    let mut grow = |demand: &mut Demand, loads: &[Vec<f64>], now: Millis| {
-        add(&mut total, &counts(loads, 1));
-        demand.record(now, total.clone());
-    };
-    while now < MAX_WINDOW {
+    let step = Millis(DEMAND_SHIFT_THRESHOLDS[0].0.0 / 2);
+    let mut grow =
+        |demand: &mut DemandEstimator, loads: &[Vec<f64>], now: Millis| {
+            add(&mut total, &counts(loads, 1));
+            demand.record(now, total.clone());
+        };
+    while now < MAX_DEMAND_WINDOW {
         grow(&mut demand, &before, now);
         now = now + step;
     }
@@ -191,11 +200,11 @@
         grow(&mut demand, &after, now);
         now = now + step;
     }
-    let seen = demand.loads().expect("there are counts");
+    let seen = demand.current_loads().expect("there are counts");
     let speeds = vec![1.0; SHAPE.ranks];
     let mut map = Map::round_robin(SHAPE);
     for _ in 0..3 {
-        let config = Config::new(SPARE);
+        let config = LivePlanConfig::new(SPARE);
         if let Some(plan) = live::plan(SHAPE, config, &map, &seen, &speeds) {
             map = plan.map;
         }
@@ -223,7 +232,7 @@
             // Each layer likes others.
             let layer = |it| liked(turn + 13 * it).swap_remove(0);
             let loads: Vec<_> = (0..SHAPE.layers).map(layer).collect();
-            let config = Config::new(SPARE).with_max_new_per_rank(burst);
+            let config = LivePlanConfig::new(SPARE).with_max_new_per_rank(burst);
             let plan = live::plan(SHAPE, config, &map, &loads, &speeds);
             let Some(plan) = plan else { continue };
             check_step(&map, &plan.map);
--- a/tests/properties/placement.rs
+++ b/tests/properties/placement.rs
@@ -2,17 +2,17 @@
 
 use cowsliproad::placement::{
     bound,
-    load::{Counts, Loads},
+    load::{Loads, TokenCounts},
     map::{Map, Shape, ideal_time},
     pack,
-    plan::{self, Config},
+    plan::{self, PlanConfig},
 };
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 const SHAPE: Shape = Shape { ranks: 8, experts: 24, layers: 3, slots: 4 };
 
-fn counts(seed: u64) -> Counts {
+fn counts(seed: u64) -> TokenCounts {
     let mut random = StdRng::seed_from_u64(seed);
     let mut draw = || random.random_range(0.0f64..5.0).exp();
     (0..SHAPE.layers)
@@ -25,7 +25,7 @@
     (0..SHAPE.ranks).map(|_| random.random_range(0.5..1.0)).collect()
 }
 
-fn loads(counts: &[Counts]) -> Loads {
+fn loads(counts: &[TokenCounts]) -> Loads {
     let mut loads = Loads::new();
     for counts in counts {
         loads.record(counts);
@@ -60,13 +60,13 @@
         let present = pack::pack(SHAPE, &counts(seed), &speeds);
         let now = counts(seed ^ 1);
         let loads = loads(&vec![now.clone(); 6]);
-        let config = Config::new().with_max_moves(most_moves);
+        let config = PlanConfig::new().with_max_moves(most_moves);
         if let Some(plan) =
             plan::plan(SHAPE, config, &present, &loads, &speeds)
         {
             prop_assert!(is_valid(&plan.map));
-            prop_assert_eq!(plan.moves, present.moves_to(&plan.map));
-            prop_assert!(plan.moves <= most_moves);
+            prop_assert_eq!(plan.move_count, present.move_count_to(&plan.map));
+            prop_assert!(plan.move_count <= most_moves);
             let before = present.step_time(&now, &speeds);
             prop_assert!(plan.map.step_time(&now, &speeds) < before);
         }
@@ -84,7 +84,7 @@
                 *count *= random.random_range(0.97..1.03);
             }
             loads.record(&noisy);
-            let config = Config::new();
+            let config = PlanConfig::new();
             let plan =
                 plan::plan(SHAPE, config, &present, &loads, &speeds);
             // A plan made on noisy counts may still find what the search on
@@ -99,11 +99,11 @@
 }
 
 /// A map that no plan on the truth improves, even when moves are free.
-fn settled(truth: &Counts, speeds: &[f64]) -> Map {
+fn settled(truth: &TokenCounts, speeds: &[f64]) -> Map {
     let mut map = pack::pack(SHAPE, truth, speeds);
     let loads = loads(&vec![truth.clone(); 6]);
     let config =
-        Config::new().with_move_weight(0.0).with_min_layer_saving(0.0);
+        PlanConfig::new().with_move_weight(0.0).with_min_layer_saving(0.0);
     while let Some(better) = plan::plan(SHAPE, config, &map, &loads, speeds) {
         map = better.map;
     }
