--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -18,22 +18,22 @@
 };
 
 /// How long the group takes to form again after a crash.
-const FORMING_TIME: Millis = Millis(3_000);
+const GROUP_FORMING_TIME: Millis = Millis(3_000);
 
-/// How long a run without a crash takes.
-const RUN_TIME: Millis = Millis(500);
+/// How long requests run that don't crash the group.
+const HARMLESS_RUN_TIME: Millis = Millis(500);
 
-const START: Millis = Millis(1_000_000);
+const START_TIME: Millis = Millis(1_000_000);
 
-/// A set of requests, as a bit mask over their numbers.
+/// A set of requests, as a bit mask over the request numbers.
 type RequestSet = u32;
 
-/// An event in the group.
+/// An event in the explored group.
 #[derive(Clone, Copy, Debug)]
 enum Action {
     /// Some requests run on one rank. If the rank crashes, the requests in
-    /// `begun` had begun to answer before the crash.
-    Run { requests: RequestSet, begun: RequestSet },
+    /// `answering` had begun to answer before the crash.
+    Run { requests: RequestSet, answering: RequestSet },
     /// No request runs until the next suspension expires.
     Wait,
 }
@@ -46,14 +46,15 @@
     request_count: u32,
     ledger: Ledger,
     now: Millis,
-    crashes: u64,
+    crash_count: u64,
     /// The times of the crashes in which each request ran.
     crash_times: Vec<Vec<Millis>>,
-    /// The requests that some target has survived.
-    survived: RequestSet,
+    /// The requests that some target has run without a crash.
+    survived_requests: RequestSet,
 }
 
-/// The part of a state that determines which actions may follow.
+/// The part of a group's state that determines which actions may follow: each
+/// request's verdict and number of crashes, and the survived requests.
 type StateKey = (Vec<(Verdict, usize)>, RequestSet);
 
 impl GroupState {
@@ -62,70 +63,72 @@
             crash_inducing,
             request_count,
             ledger: Ledger::new(),
-            now: START,
-            crashes: 0,
+            now: START_TIME,
+            crash_count: 0,
             crash_times: vec![Vec::new(); request_count as usize],
-            survived: 0,
+            survived_requests: 0,
         }
     }
 
-    /// Returns the state to which some actions lead.
+    /// Returns the state of a new group after these actions.
     fn replay(
         request_count: u32,
         crash_inducing: RequestSet,
         actions: &[Action],
     ) -> GroupState {
         let mut state = GroupState::new(request_count, crash_inducing);
-        actions.iter().for_each(|it| state.apply(*it));
+        actions.iter().for_each(|it| state.apply_action(*it));
         state
     }
 
-    fn work(number: u32) -> Work {
-        Work::new(&[&number.to_be_bytes()])
+    fn work(request_number: u32) -> Work {
+        Work::new(&[&request_number.to_be_bytes()])
     }
 
-    fn verdict(&self, number: u32) -> Verdict {
-        self.ledger.verdict(GroupState::work(number), self.now)
+    fn verdict(&self, request_number: u32) -> Verdict {
+        self.ledger.verdict(GroupState::work(request_number), self.now)
     }
 
     /// Returns the numbers of the requests in a set.
-    fn numbers_in(
+    fn request_numbers_in(
         &self,
         set: RequestSet,
     ) -> impl Iterator<Item = u32> + use<> {
         (0..self.request_count).filter(move |it| set >> it & 1 == 1)
     }
 
-    /// Returns the requests that may run.
-    fn runnable(&self) -> RequestSet {
-        let runnable = |it: &u32| self.verdict(*it) == Verdict::Free;
+    /// Returns the requests that are neither suspended nor refused.
+    fn runnable_requests(&self) -> RequestSet {
+        let runnable_requests = |it: &u32| self.verdict(*it) == Verdict::Free;
         (0..self.request_count)
-            .filter(runnable)
+            .filter(runnable_requests)
             .fold(0, |set, it| set | 1 << it)
     }
 
     /// Returns the actions that are possible in this state.
-    fn actions(&self) -> Vec<Action> {
-        let runnable = self.runnable();
+    fn possible_actions(&self) -> Vec<Action> {
+        let runnable_requests = self.runnable_requests();
         let mut actions = Vec::new();
-        for requests in
-            (1..1 << self.request_count).filter(|it| it & !runnable == 0)
+        for requests in (1..1 << self.request_count)
+            .filter(|it| it & !runnable_requests == 0)
         {
             let harmless = requests & !self.crash_inducing;
             let crashes = requests & self.crash_inducing != 0;
             let subsets =
                 (0..1 << self.request_count).filter(|it| it & !harmless == 0);
-            let begun = subsets.filter(|it| crashes || *it == 0);
-            actions.extend(begun.map(|begun| Action::Run { requests, begun }));
+            let answering = subsets.filter(|it| crashes || *it == 0);
+            actions.extend(
+                answering.map(|answering| Action::Run { requests, answering }),
+            );
         }
-        if self.next_expiry().is_some() {
+        if self.time_to_next_expiry().is_some() {
             actions.push(Action::Wait);
         }
         actions
     }
 
     /// Returns the time until the next suspension expires, if any.
-    fn next_expiry(&self) -> Option<Millis> {
+    fn time_to_next_expiry(&self) -> Option<Millis> {
         let remaining = |it| match self.verdict(it) {
             Verdict::Suspended(remaining) => Some(remaining),
             Verdict::Free | Verdict::Refused(_) => None,
@@ -133,83 +136,85 @@
         (0..self.request_count).filter_map(remaining).min()
     }
 
-    fn apply(&mut self, action: Action) {
+    fn apply_action(&mut self, action: Action) {
         match action {
             Action::Wait => {
-                let remaining = self.next_expiry().unwrap_or_default();
+                let remaining = self.time_to_next_expiry().unwrap_or_default();
                 self.now = self.now + remaining;
             }
             Action::Run { requests, .. }
                 if requests & self.crash_inducing == 0 =>
             {
-                for number in self.numbers_in(requests) {
-                    self.ledger.outlived(GroupState::work(number), self.now);
+                for request_number in self.request_numbers_in(requests) {
+                    self.ledger
+                        .outlived(GroupState::work(request_number), self.now);
                 }
-                self.survived |= requests;
-                self.now = self.now + RUN_TIME;
+                self.survived_requests |= requests;
+                self.now = self.now + HARMLESS_RUN_TIME;
             }
-            Action::Run { requests, begun } => {
-                let end = End::new("i-1", self.crashes);
-                self.crashes += 1;
-                for number in self.numbers_in(requests) {
-                    let work = GroupState::work(number);
+            Action::Run { requests, answering } => {
+                let end = End::new("i-1", self.crash_count);
+                self.crash_count += 1;
+                for request_number in self.request_numbers_in(requests) {
+                    let work = GroupState::work(request_number);
                     self.ledger.ended(work, end, self.now);
-                    if begun >> number & 1 == 0 {
+                    if answering >> request_number & 1 == 0 {
                         self.ledger.suspend(work, self.now);
                     }
-                    self.crash_times[number as usize].push(self.now);
+                    self.crash_times[request_number as usize].push(self.now);
                 }
-                self.now = self.now + FORMING_TIME;
+                self.now = self.now + GROUP_FORMING_TIME;
             }
         }
     }
 
-    /// Checks the guarantees of the suspension after some actions.
-    fn check(&self, actions: &[Action]) {
-        for number in self.numbers_in(self.crash_inducing) {
-            let times = &self.crash_times[number as usize];
+    /// Checks the guarantees of the suspension of crash-inducing requests in
+    /// the state after these actions.
+    fn check_guarantees(&self, actions: &[Action]) {
+        for request_number in self.request_numbers_in(self.crash_inducing) {
+            let times = &self.crash_times[request_number as usize];
             assert!(times.len() <= ENDS, "{actions:?}");
             for (index, pair) in times.windows(2).enumerate() {
                 let min_gap = Millis(SUSPENSION_TTL.0 << index);
                 assert!(pair[1].since(pair[0]) >= min_gap, "{actions:?}");
             }
         }
-        for number in self.numbers_in(self.survived) {
-            let ends = self.ledger.ends(GroupState::work(number));
+        for request_number in self.request_numbers_in(self.survived_requests) {
+            let ends = self.ledger.ends(GroupState::work(request_number));
             let is_refused = ends >= PROVEN_ENDS;
-            let is_free = self.verdict(number) == Verdict::Free;
-            assert!(is_free != is_refused, "{number}: {actions:?}");
+            let is_free = self.verdict(request_number) == Verdict::Free;
+            assert!(is_free != is_refused, "{request_number}: {actions:?}");
         }
     }
 
-    fn key(&self) -> StateKey {
+    fn state_key(&self) -> StateKey {
         let requests = (0..self.request_count).map(|it| {
             (self.verdict(it), self.ledger.ends(GroupState::work(it)))
         });
-        (requests.collect(), self.survived)
+        (requests.collect(), self.survived_requests)
     }
 }
 
-/// Explores all states up to a number of actions. Returns the number of states
-/// and the maximum number of crashes in any of them.
-fn explore(
+/// Explores all states of a group after at most `max_actions` actions. Returns
+/// the number of states and the maximum number of crashes in any state.
+fn explore_states(
     request_count: u32,
     crash_inducing: RequestSet,
-    depth: usize,
+    max_actions: usize,
 ) -> (usize, u64) {
     let (mut visited, mut max_crashes) = (BTreeSet::new(), 0);
     let mut paths: Vec<Vec<Action>> = vec![Vec::new()];
-    for _ in 0..=depth {
+    for _ in 0..=max_actions {
         let mut next = Vec::new();
         for path in paths {
             let state =
                 GroupState::replay(request_count, crash_inducing, &path);
-            state.check(&path);
-            max_crashes = max_crashes.max(state.crashes);
-            if !visited.insert(format!("{:?}", state.key())) {
+            state.check_guarantees(&path);
+            max_crashes = max_crashes.max(state.crash_count);
+            if !visited.insert(format!("{:?}", state.state_key())) {
                 continue;
             }
-            next.extend(state.actions().into_iter().map(|it| {
+            next.extend(state.possible_actions().into_iter().map(|it| {
                 let mut longer = path.clone();
                 longer.push(it);
                 longer
@@ -222,10 +227,11 @@
 
 #[test]
 fn a_request_crashes_its_group_at_most_three_times() {
-    for (request_count, crash_inducing, depth) in
+    for (request_count, crash_inducing, max_actions) in
         [(2, 0b01, 12), (3, 0b001, 12), (3, 0b011, 14)]
     {
-        let (states, crashes) = explore(request_count, crash_inducing, depth);
+        let (states, crashes) =
+            explore_states(request_count, crash_inducing, max_actions);
         let crash_inducing_count = crash_inducing.count_ones() as u64;
         println!(
             "{request_count} requests, {crash_inducing_count} crash-inducing: \
