--- a/cowsliproad-bench/src/experiment/pace/group.rs
+++ b/cowsliproad-bench/src/experiment/pace/group.rs
@@ -425,7 +425,7 @@
         let now = Millis(self.now as u64);
         if self.now - self.counted >= maps.count_ms {
             self.counted = self.now;
-            self.demand.record(now, self.total.clone());
+            self.demand.record_counts(now, self.total.clone());
         }
         if stuck {
             self.change = None;
@@ -454,7 +454,7 @@
         let Some(loads) = self.demand.current_loads() else { return };
         let shape = self.plant.shape;
         let config = live::LivePlanConfig::new(self.plant.spare)
-            .with_max_new_per_rank(maps.burst)
+            .with_max_new_experts_per_rank(maps.burst)
             .with_copy_cost(maps.price);
         let speeds = vec![1.0; shape.ranks];
         let plan = live::plan(shape, config, &self.map, &loads, &speeds);
--- a/cowsliproad-bench/src/experiment/placement.rs
+++ b/cowsliproad-bench/src/experiment/placement.rs
@@ -12,7 +12,7 @@
 use cowsliproad_kernel::plugin::inventory;
 use cowsliproad_placement::{
     bound,
-    load::{Loads, TokenCounts},
+    load::{SmoothedLoads, TokenCounts},
     map::{Map, Shape, ideal_time},
     pack,
     plan::{self, PlanConfig},
@@ -32,9 +32,9 @@
 
 /// The sizes that are tried, the last of which is reported by name.
 const SHAPES: [Shape; 3] = [
-    Shape { ranks: 16, experts: 64, layers: 61, slots: 5 },
-    Shape { ranks: 64, experts: 256, layers: 61, slots: 5 },
-    Shape { ranks: 256, experts: 256, layers: 61, slots: 2 },
+    Shape { ranks: 16, experts: 64, layers: 61, slots_per_rank: 5 },
+    Shape { ranks: 64, experts: 256, layers: 61, slots_per_rank: 5 },
+    Shape { ranks: 256, experts: 256, layers: 61, slots_per_rank: 2 },
 ];
 
 /// Intervals of ten seconds in a run.
@@ -235,7 +235,7 @@
     let mut world = World::new(shape, seed, weather);
     let truth = world.loads();
     let mut map = first_map(shape, &truth, &world.speeds);
-    let mut loads = Loads::new();
+    let mut loads = SmoothedLoads::new();
     let mut speeds = vec![1.0; shape.ranks];
     let mut score = Score::default();
     for interval in 0..INTERVALS {
@@ -246,7 +246,7 @@
         let least = bound::min_step_time(shape, &truth, &world.speeds);
         score.bounds.push(least / ideal);
         let counts = world.measured(&truth);
-        loads.record(&counts);
+        loads.record_interval(&counts);
         for (old, new) in speeds.iter_mut().zip(world.measured_speeds()) {
             *old += (new - *old) * 0.3;
         }
@@ -266,9 +266,9 @@
 /// without a price, so that what follows is due to change and noise alone.
 fn first_map(shape: Shape, truth: &TokenCounts, speeds: &[f64]) -> Map {
     let mut map = pack::pack(shape, truth, speeds);
-    let mut loads = Loads::new();
+    let mut loads = SmoothedLoads::new();
     for _ in 0..READY {
-        loads.record(truth);
+        loads.record_interval(truth);
     }
     let config =
         PlanConfig::new().with_move_weight(0.0).with_min_layer_saving(0.0);
@@ -286,17 +286,17 @@
     policy: Policy,
     interval: usize,
     map: &Map,
-    loads: &Loads,
+    loads: &SmoothedLoads,
     speeds: &[f64],
 ) -> Option<Map> {
-    if !loads.is_ready() {
+    if !loads.has_enough_intervals() {
         return None;
     }
     match policy {
         Policy::Static => None,
         Policy::Repack => interval
             .is_multiple_of(REPACK_EVERY)
-            .then(|| pack::pack(shape, &loads.mean(), speeds)),
+            .then(|| pack::pack(shape, &loads.mean_counts(), speeds)),
         Policy::Greedy => {
             let config = PlanConfig::new()
                 .with_move_weight(0.0)
@@ -315,11 +315,11 @@
 /// The share of an interval's step time that loading weights costs: the rank
 /// that loads most holds the others back.
 fn step_time_lost(old: &Map, new: &Map) -> f64 {
-    let ranks = old.layers[0].ranks();
+    let ranks = old.layers[0].rank_count();
     let mut loaded = vec![0usize; ranks];
     for (old, new) in old.layers.iter().zip(&new.layers) {
         for (rank, loaded) in loaded.iter_mut().enumerate() {
-            let held = new.held(rank as u16).iter();
+            let held = new.experts_at(rank as u16).iter();
             *loaded += held.filter(|it| !old.holds(rank as u16, **it)).count();
         }
     }
--- a/cowsliproad-bench/src/experiment/switch.rs
+++ b/cowsliproad-bench/src/experiment/switch.rs
@@ -10,9 +10,10 @@
 
 use cowsliproad_kernel::{clock::Millis, plugin::inventory};
 use cowsliproad_mapswitch::order::{
-    ArmOrders, Coordinator, CoordinatorConfig, Directive, Epoch, Experts,
-    MissingRanks, ObeyedCoordinator, Order, RankSnapshot, Report, SealStatus,
-    SwitchEvent, Version, coordinator_arm_step, due_hold_order, next_order,
+    ArmOrderStatus, Coordinator, CoordinatorConfig, Directive, Epoch,
+    ExpertsByLayerAndRank, MissingRanks, ObeyedCoordinator, Order,
+    RankSnapshot, Report, SealStatus, SwitchEvent, Version,
+    coordinator_arm_step, due_hold_order, next_order,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
@@ -123,7 +124,7 @@
             .map_or(SealStatus::NotReceived, SealStatus::Received);
         let snapshot = |report: &Report| RankSnapshot {
             report: report.clone(),
-            arms: ArmOrders::Answered,
+            arms: ArmOrderStatus::Answered,
             seal,
             obeys: ObeyedCoordinator::This,
         };
@@ -136,7 +137,7 @@
     let mut group = Group::new(ranks);
     let mut coordinator = Coordinator::new(CoordinatorConfig::new(), 1, 0);
     let mut score = Score::default();
-    let plan = Arc::new(Experts::new());
+    let plan = Arc::new(ExpertsByLayerAndRank::new());
     let (mut newest, mut begun, mut rest) = (Version(0), 0, 0);
     for now in 1..=seconds * 1_000 {
         group.pass(now, &mut score);
--- a/cowsliproad-mapswitch/src/lib.rs
+++ b/cowsliproad-mapswitch/src/lib.rs
@@ -85,7 +85,7 @@
 
 /// A message between members of a group.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum Message {
+pub enum VoteMessage {
     /// Asks the receiver to vote on a proposal.
     VoteRequest(Proposal),
     /// Tells the receiver how the member of this rank voted on a proposal.
@@ -220,18 +220,18 @@
     /// be sent to all members.
     pub fn handle_message(
         &mut self,
-        message: Message,
+        message: VoteMessage,
         weights: WeightsStatus,
-    ) -> Option<Message> {
+    ) -> Option<VoteMessage> {
         match message {
-            Message::VoteRequest(proposal) => {
+            VoteMessage::VoteRequest(proposal) => {
                 if proposal.generation != self.generation {
                     return None;
                 }
                 let vote = self.vote(proposal, weights);
-                Some(Message::VoteCast(proposal, self.rank, vote))
+                Some(VoteMessage::VoteCast(proposal, self.rank, vote))
             }
-            Message::VoteCast(proposal, rank, vote) => {
+            VoteMessage::VoteCast(proposal, rank, vote) => {
                 if let Some(ballot) = &mut self.undecided_ballot
                     && ballot.proposal == proposal
                 {
@@ -245,9 +245,9 @@
 
     /// Returns the vote request to send to the other members while a proposal
     /// is undecided.
-    pub fn vote_request(&self) -> Option<Message> {
+    pub fn vote_request(&self) -> Option<VoteMessage> {
         let ballot = self.undecided_ballot.as_ref()?;
-        Some(Message::VoteRequest(ballot.proposal))
+        Some(VoteMessage::VoteRequest(ballot.proposal))
     }
 
     /// Joins a newer generation at step 0; ignores a generation that is not
--- a/cowsliproad-mapswitch/src/order.rs
+++ b/cowsliproad-mapswitch/src/order.rs
@@ -74,8 +74,9 @@
 )]
 pub struct Epoch(pub u64);
 
-/// The experts of an expert map, by layer and rank.
-pub type Experts = Vec<Vec<Vec<u16>>>;
+/// The experts that ranks hold under an expert map, indexed by layer and then
+/// by rank.
+pub type ExpertsByLayerAndRank = Vec<Vec<Vec<u16>>>;
 
 /// Whether a group accepts requests.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
@@ -103,8 +104,8 @@
     pub map: Version,
     /// The newest map whose experts the rank has copied.
     pub prepared: Option<Version>,
-    /// The map to which the rank will switch, and the pass at which it
-    /// switches.
+    /// The map to which the rank is armed to switch, and the first pass that
+    /// uses the map; `None` if the rank is not armed.
     pub armed: Option<(Version, u64)>,
     /// The pass before which this rank holds the group: the group doesn't
     /// begin the pass until the hold is released.
@@ -132,7 +133,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Order {
     /// Copy the experts that this map newly assigns to the rank.
-    Prepare(Version, Arc<Experts>),
+    Prepare(Version, Arc<ExpertsByLayerAndRank>),
     /// Switch to this map at the start of this pass.
     Arm(Version, u64),
     /// Cancel the switch to this map for which the rank is armed.
@@ -155,10 +156,10 @@
     Fenced,
 }
 
-/// Whether a rank may still execute an *arm* order that its report doesn't
-/// show.
+/// Whether a rank may still execute an *arm* order (to switch maps at a pass)
+/// that the rank's report doesn't show.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub enum ArmOrders {
+pub enum ArmOrderStatus {
     /// Every *arm* order that the rank's agent sent was answered.
     Answered,
     /// An unanswered *arm* order may still be executed, or the rank's agent
@@ -202,7 +203,7 @@
     pub report: Report,
     /// Whether an *arm* order that the report doesn't show may still be
     /// executed.
-    pub arms: ArmOrders,
+    pub arms: ArmOrderStatus,
     /// Whether the rank's agent has received the seal: the announcement that
     /// the coordinator's own rank arms.
     pub seal: SealStatus,
@@ -218,7 +219,8 @@
     /// Only the rank of the former coordinator, which had this fencing
     /// number, is missing.
     Predecessor(u64),
-    /// Another rank is missing, or more than one rank.
+    /// A rank other than the former coordinator's is missing, or several ranks
+    /// are missing.
     Others,
 }
 
@@ -258,7 +260,7 @@
         /// The coordinator's rank, which must not arm yet.
         except: u16,
     },
-    /// No rank is armed.
+    /// No rank is armed to switch maps.
     Disarmed,
     /// No rank holds the group before this pass.
     Released(u64),
@@ -276,12 +278,12 @@
 }
 
 /// Returns the order that an agent has to send to its own engine, given the
-/// engine's last report. Called again after each report, so that a lost order
-/// is repeated and an executed order is not.
+/// engine's last report, or `None` if no order is needed. Called again after
+/// each report, so that a lost order is repeated and an executed order is not.
 pub fn next_order(
     directive: &Directive,
     report: &Report,
-    plan: Option<(Version, &Arc<Experts>)>,
+    plan: Option<(Version, &Arc<ExpertsByLayerAndRank>)>,
 ) -> Option<Order> {
     if directive.epoch != report.epoch {
         return None;
@@ -336,8 +338,8 @@
 
 /// Returns the *hold* order that the coordinator has to send to the reporting
 /// engine. `None` unless the directive is to hold this group, the holder is
-/// the reporting rank, and the rank does not hold yet and has not has begun
-/// the pass.
+/// the reporting rank, and that rank neither reports the hold nor has begun
+/// the pass before which the group is to be held.
 pub fn due_hold_order(
     directive: &Directive,
     report: &Report,
--- a/cowsliproad-mapswitch/src/order/coordinator.rs
+++ b/cowsliproad-mapswitch/src/order/coordinator.rs
@@ -4,7 +4,7 @@
 use cowsliproad_kernel::clock::Millis;
 
 use super::{
-    Aim, ArmOrders, Directive, Epoch, MissingRanks, ObeyedCoordinator,
+    Aim, ArmOrderStatus, Directive, Epoch, MissingRanks, ObeyedCoordinator,
     RankSnapshot, Report, SealStatus, Version,
 };
 
@@ -89,7 +89,8 @@
     None,
     /// All ranks have switched to this map.
     Changed(Version),
-    /// The plan for this map was abandoned before any rank was armed.
+    /// The plan for this map was abandoned before any rank was armed to switch
+    /// to it.
     Abandoned(Version),
     /// This coordinator has begun to complete a switch to this map that
     /// another coordinator started.
@@ -111,7 +112,7 @@
     own_rank: u16,
     epoch: Epoch,
     /// The newest map version that this coordinator planned.
-    newest_planned: Version,
+    newest_planned_version: Version,
     phase: Phase,
     timings: ArmingTimings,
 }
@@ -196,7 +197,7 @@
             fence,
             own_rank,
             epoch: Epoch(0),
-            newest_planned: Version(0),
+            newest_planned_version: Version(0),
             phase: Phase::Idle,
             timings: ArmingTimings::new(),
         }
@@ -239,11 +240,12 @@
     ) -> Version {
         let newest =
             snapshots.iter().map(|it| newest_known_version(&it.report)).max();
-        let known =
-            newest.unwrap_or(self.newest_planned).max(self.newest_planned);
+        let known = newest
+            .unwrap_or(self.newest_planned_version)
+            .max(self.newest_planned_version);
         let own = self.fence * VERSIONS_PER_COORDINATOR;
         let version = Version(own.max(known.0 + 1));
-        self.newest_planned = version;
+        self.newest_planned_version = version;
         self.phase = Phase::Preparing { version, since: now };
         self.timings.start_counting_passes(latest_begun_step(snapshots), now);
         version
@@ -532,7 +534,7 @@
 /// coordinator changes it: no unanswered *arm* order may still be executed
 /// there, and the rank's agent obeys this coordinator alone.
 fn is_armed_state_final(snapshot: &RankSnapshot) -> bool {
-    snapshot.arms == ArmOrders::Answered
+    snapshot.arms == ArmOrderStatus::Answered
         && snapshot.obeys == ObeyedCoordinator::This
 }
 
--- a/cowsliproad-placement/src/demand.rs
+++ b/cowsliproad-placement/src/demand.rs
@@ -22,10 +22,10 @@
 
 /// Pairs of a window and a threshold. The demand has shifted if more than the
 /// threshold, a share of the demand from 0 to 1, has moved to other experts
-/// within the window. Without a shift, the counts of 100
-/// ms differ from those of the seconds before by up to 0.2, and the counts of
-/// 250 ms by up to 0.13, as requests that prefer other experts come and go. A
-/// shift of half of the preferred experts moves 0.33 and more.
+/// within the window. Without a shift, the counts of 100 ms differ from those
+/// of the seconds before by up to 0.2, and the counts of 250 ms by up to 0.13,
+/// as requests that prefer other experts come and go. A shift of half of the
+/// preferred experts moves 0.33 and more.
 pub const DEMAND_SHIFT_THRESHOLDS: [(Millis, f64); 3] =
     [(Millis(50), 0.3), (Millis(100), 0.25), (Millis(250), 0.15)];
 
@@ -52,7 +52,7 @@
 
     /// Records a sample: the cumulative counts of a group, summed over its
     /// ranks.
-    pub fn record(&mut self, now: Millis, counts: CumulativeCounts) {
+    pub fn record_counts(&mut self, now: Millis, counts: CumulativeCounts) {
         if let Some((_, last)) = self.samples.back()
             && !has_no_decreased_count(last, &counts)
         {
@@ -80,7 +80,7 @@
         let (_, newest) = self.samples.back()?;
         let oldest = self
             .samples
-            .get(self.first_current_sample())
+            .get(self.first_sample_since_shift())
             .or(self.samples.front())?;
         let loads = count_increase(newest, &oldest.1);
         let counted: f64 = loads.iter().flatten().sum();
@@ -101,7 +101,7 @@
             let split = self.samples.iter().rposition(old)?;
             // If the samples before the split cover less than a window, their
             // counts are few and differ by chance.
-            let before = self.samples.get(self.first_current_sample())?.0;
+            let before = self.samples.get(self.first_sample_since_shift())?.0;
             if self.samples[split].0.since(before) < window {
                 return None;
             }
@@ -122,7 +122,7 @@
     /// sample, less the expected sampling noise; `None` if there is no
     /// earlier sample to compare.
     fn moved_demand_share(&self, split: usize) -> Option<f64> {
-        let first = self.first_current_sample();
+        let first = self.first_sample_since_shift();
         if split <= first {
             return None;
         }
@@ -132,7 +132,7 @@
         let (after, before) =
             (count_increase(newest, middle), count_increase(middle, oldest));
         Some(
-            variation_distance(&after, &before)
+            demand_variation_distance(&after, &before)
                 - sampling_noise(&after)
                 - sampling_noise(&before),
         )
@@ -140,7 +140,7 @@
 
     /// Returns the index of the first sample taken since the last shift of the
     /// demand.
-    fn first_current_sample(&self) -> usize {
+    fn first_sample_since_shift(&self) -> usize {
         let since =
             |it: &(Millis, CumulativeCounts)| it.0 >= self.demand_shifted_at;
         self.samples.iter().position(since).unwrap_or(self.samples.len())
@@ -174,9 +174,9 @@
     .collect()
 }
 
-/// Returns the total variation distance between two demands, averaged over all
-/// layers.
-fn variation_distance(a: &[Vec<f64>], b: &[Vec<f64>]) -> f64 {
+/// Returns the total variation distance between two demands, from 0 to 1,
+/// averaged over all layers.
+fn demand_variation_distance(a: &[Vec<f64>], b: &[Vec<f64>]) -> f64 {
     let layers = a.iter().zip(b).map(|(a, b)| {
         let (sum_a, sum_b): (f64, f64) = (a.iter().sum(), b.iter().sum());
         let pairs = a.iter().zip(b);
@@ -188,9 +188,9 @@
     layers.sum::<f64>() / a.len().max(1) as f64
 }
 
-/// Returns the most by which counts of one demand are expected to deviate from
-/// it by chance: the deviation of as many independent choices that are spread
-/// evenly over all experts.
+/// Returns the expected sampling noise of a demand, as a variation distance:
+/// the deviation by chance if the counted choices of experts were independent
+/// and spread evenly over all experts, which is the largest deviation.
 fn sampling_noise(loads: &[Vec<f64>]) -> f64 {
     let layers = loads.iter().map(|loads| {
         let counted = loads.iter().sum::<f64>().max(1.0);
--- a/cowsliproad-placement/src/live.rs
+++ b/cowsliproad-placement/src/live.rs
@@ -11,11 +11,11 @@
 //!
 //! A rank copies one expert after the other, and a new map waits for the rank
 //! with the most copies. Where a copy takes long, a map therefore assigns each
-//! rank at most [`LivePlanConfig::with_max_new_per_rank`] new experts over all
-//! layers. The least balanced layer is changed first, and the other layers
-//! follow in the next maps. On ranks that need 0.4 s to copy an expert, with a
-//! demand that shifts every 4 s, the first map is in force after one copy
-//! instead of three.
+//! rank at most [`LivePlanConfig::with_max_new_experts_per_rank`] new experts
+//! over all layers. The least balanced layer is changed first, and the other
+//! layers follow in the next maps. On ranks that need 0.4 s to copy an expert,
+//! with a demand that shifts every 4 s, the first map is in force after one
+//! copy instead of three.
 //!
 //! Rejected alternatives: packing from scratch and moving to that map step by
 //! step (it moves some four times as many experts), and minimizing only the
@@ -29,23 +29,23 @@
 /// The operators' settings for changing a group's expert map in small steps.
 #[derive(Clone, Copy, Debug)]
 pub struct LivePlanConfig {
-    max_new_per_layer: usize,
-    max_new_per_rank: usize,
+    max_new_experts_per_layer: usize,
+    max_new_experts_per_rank: usize,
     copy_cost: f64,
     min_layer_saving: f64,
     min_total_saving: f64,
 }
 
 impl LivePlanConfig {
-    /// Creates settings that allow at most `max_new_per_layer` new experts for
-    /// each rank and layer in one map.
-    pub fn new(max_new_per_layer: usize) -> LivePlanConfig {
-        let max_new_per_rank = usize::MAX;
+    /// Creates settings that allow at most `max_new_experts_per_layer` new
+    /// experts for each rank and layer in one map.
+    pub fn new(max_new_experts_per_layer: usize) -> LivePlanConfig {
+        let max_new_experts_per_rank = usize::MAX;
         let (copy_cost, min_layer_saving, min_total_saving) =
             (COPY_COST, MIN_LAYER_SAVING, MIN_TOTAL_SAVING);
         LivePlanConfig {
-            max_new_per_layer,
-            max_new_per_rank,
+            max_new_experts_per_layer,
+            max_new_experts_per_rank,
             copy_cost,
             min_layer_saving,
             min_total_saving,
@@ -54,11 +54,11 @@
 
     /// Sets the maximum number of new experts for each rank over all layers of
     /// one map.
-    pub fn with_max_new_per_rank(
+    pub fn with_max_new_experts_per_rank(
         self,
-        max_new_per_rank: usize,
+        max_new_experts_per_rank: usize,
     ) -> LivePlanConfig {
-        LivePlanConfig { max_new_per_rank, ..self }
+        LivePlanConfig { max_new_experts_per_rank, ..self }
     }
 
     /// Sets the cost of copying an expert to a rank, as a share of the mean
@@ -105,9 +105,9 @@
     /// The number of copies of experts to be moved to other ranks.
     pub move_count: usize,
     /// The step time under the present map, relative to perfect balance.
-    pub relative_time_before: f64,
+    pub relative_step_time_before: f64,
     /// The expected step time under the new map, relative to perfect balance.
-    pub relative_time_after: f64,
+    pub relative_step_time_after: f64,
 }
 
 /// Plans a small change of the present expert map; `None` if no change saves
@@ -126,14 +126,14 @@
     }
     let ideal = crate::map::ideal_time(loads, speeds);
     let relative_time = |map: &Map| step_time(map, loads, speeds) / ideal;
-    let (relative_time_before, relative_time_after) =
+    let (relative_step_time_before, relative_step_time_after) =
         (relative_time(present), relative_time(&map));
-    let saves_enough = relative_time_before - relative_time_after
-        > config.min_total_saving * relative_time_before;
+    let saves_enough = relative_step_time_before - relative_step_time_after
+        > config.min_total_saving * relative_step_time_before;
     saves_enough.then_some(LivePlan {
         move_count,
-        relative_time_before,
-        relative_time_after,
+        relative_step_time_before,
+        relative_step_time_after,
         map,
     })
 }
@@ -231,12 +231,13 @@
     /// layers.
     fn relieve_slowest_rank(&mut self, new_experts_by_rank: &mut [usize]) {
         self.tried_changes += 1;
-        let Some(change) = self.candidate.best_change(new_experts_by_rank)
+        let Some(change) =
+            self.candidate.best_host_change(new_experts_by_rank)
         else {
             self.tried_changes = MAX_CHANGES_PER_LAYER;
             return;
         };
-        self.candidate.apply(change, new_experts_by_rank);
+        self.candidate.apply_change(change, new_experts_by_rank);
         let copies =
             self.candidate.present.added_copies(&self.candidate.layer);
         let saving = self.initial_time - self.candidate.slowest_rank_time();
--- a/cowsliproad-placement/src/live/search.rs
+++ b/cowsliproad-placement/src/live/search.rs
@@ -9,7 +9,7 @@
 /// A change of the hosts of one or two experts of a layer. A host of an expert
 /// is a rank that holds the expert.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Change {
+pub(super) struct HostChange {
     /// The rank to be relieved.
     relieved: Rank,
     /// The expert to be copied, moved, swapped or dropped.
@@ -58,8 +58,8 @@
 /// A layer under local search, with the times of its ranks.
 pub(super) struct CandidateLayer<'a> {
     shape: Shape,
-    max_new_per_layer: usize,
-    max_new_per_rank: usize,
+    max_new_experts_per_layer: usize,
+    max_new_experts_per_rank: usize,
     pub(super) present: &'a Layer,
     loads: &'a [f64],
     speeds: &'a [f64],
@@ -77,12 +77,15 @@
     ) -> CandidateLayer<'a> {
         let rank_times = rank_times(present, loads, speeds);
         let layer = present.clone();
-        let LivePlanConfig { max_new_per_layer, max_new_per_rank, .. } =
-            config;
+        let LivePlanConfig {
+            max_new_experts_per_layer,
+            max_new_experts_per_rank,
+            ..
+        } = config;
         CandidateLayer {
             shape,
-            max_new_per_layer,
-            max_new_per_rank,
+            max_new_experts_per_layer,
+            max_new_experts_per_rank,
             present,
             loads,
             speeds,
@@ -98,20 +101,20 @@
 
     /// Returns the change that best relieves the slowest rank, by the sum of
     /// the eighth powers of all ranks' times; `None` if no change lowers it.
-    pub(super) fn best_change(
+    pub(super) fn best_host_change(
         &self,
         new_experts_by_rank: &[usize],
-    ) -> Option<Change> {
+    ) -> Option<HostChange> {
         let ranks = 0..self.shape.ranks as Rank;
         let by_time = |a: &Rank, b: &Rank| {
             self.rank_time(*a).total_cmp(&self.rank_time(*b))
         };
         let relieved = ranks.clone().max_by(by_time)?;
-        let mut best: Option<(f64, Change)> = None;
-        for &expert in self.layer.held(relieved) {
+        let mut best: Option<(f64, HostChange)> = None;
+        for &expert in self.layer.experts_at(relieved) {
             if self.layer.hosts(expert).len() > 1 {
                 let kind = ChangeKind::Drop;
-                let drop = Change {
+                let drop = HostChange {
                     relieved,
                     expert,
                     receiver: relieved,
@@ -152,21 +155,21 @@
         expert: Expert,
         receiver: Rank,
         new_experts_by_rank: &[usize],
-        best: &mut Option<(f64, Change)>,
+        best: &mut Option<(f64, HostChange)>,
     ) {
         let mut keep_better_change = |kind, replaced| {
             keep_better_change(
                 self,
-                Change { relieved, expert, receiver, replaced, kind },
+                HostChange { relieved, expert, receiver, replaced, kind },
                 best,
             );
         };
-        if self.layer.held(receiver).len() < self.shape.slots {
+        if self.layer.experts_at(receiver).len() < self.shape.slots_per_rank {
             keep_better_change(ChangeKind::Copy, None);
             keep_better_change(ChangeKind::Move, None);
             return;
         }
-        for &replaced in self.layer.held(receiver) {
+        for &replaced in self.layer.experts_at(receiver) {
             if self.layer.hosts(replaced).len() > 1 {
                 keep_better_change(ChangeKind::Copy, Some(replaced));
             }
@@ -193,10 +196,11 @@
         if self.present.holds(rank, expert) {
             return usize::MAX;
         }
-        let in_layer =
-            self.max_new_per_layer.saturating_sub(self.new_expert_count(rank));
+        let in_layer = self
+            .max_new_experts_per_layer
+            .saturating_sub(self.new_expert_count(rank));
         in_layer.min(
-            self.max_new_per_rank
+            self.max_new_experts_per_rank
                 .saturating_sub(new_experts_by_rank[usize::from(rank)]),
         )
     }
@@ -208,8 +212,8 @@
 
     /// Returns by how much a change lowers the sum of the eighth powers
     /// ([`TIME_EXPONENT`]) of all ranks' times.
-    fn balance_gain(&self, change: Change) -> f64 {
-        let mut deltas = TimeDeltas::new(self.speeds);
+    fn balance_gain(&self, change: HostChange) -> f64 {
+        let mut deltas = RankTimeDeltas::new(self.speeds);
         let hosts = self.layer.hosts(change.expert);
         let load = self.loads[usize::from(change.expert)];
         let old = load / hosts.len() as f64;
@@ -252,12 +256,12 @@
     }
 
     /// Applies a change and updates the counts of new experts by rank.
-    pub(super) fn apply(
+    pub(super) fn apply_change(
         &mut self,
-        change: Change,
+        change: HostChange,
         new_experts_by_rank: &mut [usize],
     ) {
-        let Change { relieved, receiver, .. } = change;
+        let HostChange { relieved, receiver, .. } = change;
         // For a drop, the relieved and the receiving rank are the same.
         let ranks = &[relieved, receiver][usize::from(relieved == receiver)..];
         for &rank in ranks {
@@ -272,19 +276,19 @@
         self.rank_times = rank_times(&self.layer, self.loads, self.speeds);
     }
 
-    fn update_layer(&mut self, change: Change) {
-        let Change { relieved, expert, receiver, replaced, kind } = change;
+    fn update_layer(&mut self, change: HostChange) {
+        let HostChange { relieved, expert, receiver, replaced, kind } = change;
         if let Some(replaced) = replaced {
-            self.layer.remove(receiver, replaced);
+            self.layer.remove_copy(receiver, replaced);
             if kind == ChangeKind::Swap {
-                self.layer.add(relieved, replaced);
+                self.layer.add_copy(relieved, replaced);
             }
         }
         if kind != ChangeKind::Copy {
-            self.layer.remove(relieved, expert);
+            self.layer.remove_copy(relieved, expert);
         }
         if kind != ChangeKind::Drop {
-            self.layer.add(receiver, expert);
+            self.layer.add_copy(receiver, expert);
         }
     }
 
@@ -297,8 +301,8 @@
 /// the powers of all ranks' times more.
 fn keep_better_change(
     candidate: &CandidateLayer,
-    change: Change,
-    best: &mut Option<(f64, Change)>,
+    change: HostChange,
+    best: &mut Option<(f64, HostChange)>,
 ) {
     let balance_gain = candidate.balance_gain(change);
     if balance_gain > best.as_ref().map_or(0.0, |it| it.0) {
@@ -308,14 +312,14 @@
 
 /// The differences that a change of a layer makes to the times of the affected
 /// ranks.
-struct TimeDeltas<'a> {
+struct RankTimeDeltas<'a> {
     speeds: &'a [f64],
     deltas_by_rank: Vec<(Rank, f64)>,
 }
 
-impl TimeDeltas<'_> {
-    fn new(speeds: &[f64]) -> TimeDeltas<'_> {
-        TimeDeltas { speeds, deltas_by_rank: Vec::with_capacity(8) }
+impl RankTimeDeltas<'_> {
+    fn new(speeds: &[f64]) -> RankTimeDeltas<'_> {
+        RankTimeDeltas { speeds, deltas_by_rank: Vec::with_capacity(8) }
     }
 
     fn add_load(&mut self, rank: Rank, load: f64) {
--- a/cowsliproad-placement/src/load.rs
+++ b/cowsliproad-placement/src/load.rs
@@ -25,22 +25,22 @@
 
 /// The smoothed token counts of a group, in two independent moving averages.
 #[derive(Clone, Debug, Default)]
-pub struct Loads {
+pub struct SmoothedLoads {
     /// Two moving averages of the token counts. The intervals go to one and
     /// the other in turn.
     averages: [TokenCounts; 2],
     recorded_intervals: u64,
 }
 
-impl Loads {
+impl SmoothedLoads {
     /// Creates moving averages in which no counts have been recorded.
-    pub fn new() -> Loads {
-        Loads::default()
+    pub fn new() -> SmoothedLoads {
+        SmoothedLoads::default()
     }
 
     /// Records the token counts of one interval in the first and the second
     /// moving average alternately.
-    pub fn record(&mut self, counts: &TokenCounts) {
+    pub fn record_interval(&mut self, counts: &TokenCounts) {
         let average =
             &mut self.averages[(self.recorded_intervals % 2) as usize];
         self.recorded_intervals += 1;
@@ -57,7 +57,7 @@
 
     /// Returns whether both moving averages contain enough intervals to tell
     /// noise from imbalance.
-    pub fn is_ready(&self) -> bool {
+    pub fn has_enough_intervals(&self) -> bool {
         self.recorded_intervals >= MIN_RECORDED_INTERVALS
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// Returns the mean of the two moving averages.
-    pub fn mean(&self) -> TokenCounts {
+    pub fn mean_counts(&self) -> TokenCounts {
         let pairs = self.averages[0].iter().zip(&self.averages[1]);
         pairs
             .map(|(a, b)| {
--- a/cowsliproad-placement/src/map.rs
+++ b/cowsliproad-placement/src/map.rs
@@ -16,7 +16,7 @@
     /// The number of layers.
     pub layers: usize,
     /// The number of experts that a rank can hold in each layer.
-    pub slots: usize,
+    pub slots_per_rank: usize,
 }
 
 /// The assignment of one layer's experts to ranks.
@@ -40,7 +40,7 @@
     pub fn new(shape: Shape) -> Layer {
         Layer {
             experts_by_rank: vec![
-                Vec::with_capacity(shape.slots);
+                Vec::with_capacity(shape.slots_per_rank);
                 shape.ranks
             ],
             hosts_by_expert: vec![Vec::new(); shape.experts],
@@ -48,12 +48,12 @@
     }
 
     /// Returns the number of ranks in the group.
-    pub fn ranks(&self) -> usize {
+    pub fn rank_count(&self) -> usize {
         self.experts_by_rank.len()
     }
 
     /// Returns the experts that a rank holds in this layer.
-    pub fn held(&self, rank: Rank) -> &[Expert] {
+    pub fn experts_at(&self, rank: Rank) -> &[Expert] {
         &self.experts_by_rank[usize::from(rank)]
     }
 
@@ -64,18 +64,18 @@
 
     /// Returns whether a rank holds an expert of this layer.
     pub fn holds(&self, rank: Rank, expert: Expert) -> bool {
-        self.held(rank).contains(&expert)
+        self.experts_at(rank).contains(&expert)
     }
 
     /// Adds a copy of an expert to a rank that does not hold it.
-    pub fn add(&mut self, rank: Rank, expert: Expert) {
+    pub fn add_copy(&mut self, rank: Rank, expert: Expert) {
         debug_assert!(!self.holds(rank, expert));
         self.experts_by_rank[usize::from(rank)].push(expert);
         self.hosts_by_expert[usize::from(expert)].push(rank);
     }
 
     /// Removes a rank's copy of an expert.
-    pub fn remove(&mut self, rank: Rank, expert: Expert) {
+    pub fn remove_copy(&mut self, rank: Rank, expert: Expert) {
         self.experts_by_rank[usize::from(rank)].retain(|it| *it != expert);
         self.hosts_by_expert[usize::from(expert)].retain(|it| *it != rank);
     }
@@ -107,7 +107,7 @@
     /// Returns the number of experts that a rank holds in `other` but not in
     /// this layer.
     pub fn added_copies_at(&self, rank: Rank, other: &Layer) -> usize {
-        let others = other.held(rank).iter();
+        let others = other.experts_at(rank).iter();
         others.filter(|it| !self.holds(rank, **it)).count()
     }
 
@@ -116,8 +116,10 @@
     pub fn is_valid(&self, shape: Shape) -> bool {
         let all_hosted =
             self.hosts_by_expert.iter().all(|hosts| !hosts.is_empty());
-        let is_within_slots =
-            self.experts_by_rank.iter().all(|held| held.len() <= shape.slots);
+        let is_within_slots = self
+            .experts_by_rank
+            .iter()
+            .all(|held| held.len() <= shape.slots_per_rank);
         let is_consistent =
             self.experts_by_rank.iter().enumerate().all(|(rank, held)| {
                 held.iter().all(|it| self.hosts(*it).contains(&(rank as Rank)))
@@ -132,7 +134,7 @@
     pub fn round_robin(shape: Shape) -> Map {
         let mut layer = Layer::new(shape);
         for expert in 0..shape.experts {
-            layer.add((expert % shape.ranks) as Rank, expert as Expert);
+            layer.add_copy((expert % shape.ranks) as Rank, expert as Expert);
         }
         Map { layers: vec![layer; shape.layers] }
     }
@@ -154,7 +156,7 @@
                         return None;
                     }
                     if !layer.holds(rank as Rank, expert) {
-                        layer.add(rank as Rank, expert);
+                        layer.add_copy(rank as Rank, expert);
                     }
                 }
             }
@@ -167,7 +169,7 @@
 
     /// Returns lists of the experts that ranks hold, indexed by layer and then
     /// by rank.
-    pub fn experts(&self) -> Vec<Vec<Vec<Expert>>> {
+    pub fn experts_by_layer_and_rank(&self) -> Vec<Vec<Vec<Expert>>> {
         let layers = self.layers.iter();
         layers.map(|layer| layer.experts_by_rank.clone()).collect()
     }
--- a/cowsliproad-placement/src/pack.rs
+++ b/cowsliproad-placement/src/pack.rs
@@ -29,7 +29,8 @@
     for (load_per_copy, expert) in by_load_per_copy {
         let free = (0..shape.ranks).filter(|rank| {
             let rank = *rank as Rank;
-            layer.held(rank).len() < shape.slots && !layer.holds(rank, expert)
+            layer.experts_at(rank).len() < shape.slots_per_rank
+                && !layer.holds(rank, expert)
         });
         let finish_time = |rank: usize| {
             (assigned_loads[rank] + load_per_copy) / speeds[rank]
@@ -41,7 +42,7 @@
         // experts.
         let Some(soonest) = soonest else { continue };
         assigned_loads[soonest] += load_per_copy;
-        layer.add(soonest as Rank, expert);
+        layer.add_copy(soonest as Rank, expert);
     }
     place_unhosted_experts(shape, &mut layer);
     layer
@@ -51,7 +52,8 @@
 /// the experts with the largest load per copy, up to one copy for each rank.
 fn copy_counts(shape: Shape, loads: &[f64]) -> Vec<u32> {
     let mut copy_counts = vec![1u32; shape.experts];
-    let spare = (shape.ranks * shape.slots).saturating_sub(shape.experts);
+    let spare =
+        (shape.ranks * shape.slots_per_rank).saturating_sub(shape.experts);
     let mut heap: BinaryHeap<ExpertByLoad> = loads
         .iter()
         .enumerate()
@@ -78,14 +80,14 @@
             continue;
         }
         let spare = (0..shape.ranks as Rank).find_map(|rank| {
-            let held = layer.held(rank);
+            let held = layer.experts_at(rank);
             let replicated =
                 held.iter().find(|it| layer.hosts(**it).len() > 1);
             replicated.map(|it| (rank, *it))
         });
         if let Some((rank, replaced)) = spare {
-            layer.remove(rank, replaced);
-            layer.add(rank, expert);
+            layer.remove_copy(rank, replaced);
+            layer.add_copy(rank, expert);
         }
     }
 }
--- a/cowsliproad-placement/src/plan.rs
+++ b/cowsliproad-placement/src/plan.rs
@@ -15,7 +15,7 @@
 //! may move.
 
 use crate::{
-    load::Loads,
+    load::SmoothedLoads,
     map::{Expert, Layer, Map, Rank, Shape, time_per_host},
 };
 
@@ -104,13 +104,13 @@
     shape: Shape,
     config: PlanConfig,
     present: &Map,
-    loads: &Loads,
+    loads: &SmoothedLoads,
     speeds: &[f64],
 ) -> Option<Plan> {
-    if !loads.is_ready() {
+    if !loads.has_enough_intervals() {
         return None;
     }
-    let mean = loads.mean();
+    let mean = loads.mean_counts();
     let total = present.step_time(&mean, speeds);
     let move_cost = config.move_weight * MOVE_COST * total
         / shape.layers as f64
@@ -175,11 +175,11 @@
     let mut layer = present.clone();
     let mut times = layer.rank_times(loads, speeds);
     let mut best: Option<(f64, LayerChange)> = None;
-    let max_layer_moves = (present.ranks() * 3 / 2)
+    let max_layer_moves = (present.rank_count() * 3 / 2)
         .clamp(MOVES_PER_LAYER_BOUNDS.0, MOVES_PER_LAYER_BOUNDS.1);
     for _ in 0..max_layer_moves {
         let Some(it) = find_move(&layer, &times, loads, speeds) else { break };
-        it.apply(&mut layer);
+        it.apply_to(&mut layer);
         times = layer.rank_times(loads, speeds);
         let after = times.iter().copied().fold(0.0, f64::max);
         let saving = before - after;
@@ -207,7 +207,7 @@
 
 /// A move that changes the hosts of one or two experts of a layer.
 #[derive(Clone, Copy, Debug)]
-enum Move {
+enum ExpertMove {
     /// Rank `from` gives `expert` to rank `to` in exchange for `other`.
     Swap { from: Rank, expert: Expert, to: Rank, other: Expert },
     /// Rank `to` gets an additional copy of `expert` in place of `other`.
@@ -216,20 +216,20 @@
     Fill { expert: Expert, to: Rank },
 }
 
-impl Move {
-    fn apply(self, layer: &mut Layer) {
+impl ExpertMove {
+    fn apply_to(self, layer: &mut Layer) {
         match self {
-            Move::Swap { from, expert, to, other } => {
-                layer.remove(from, expert);
-                layer.remove(to, other);
-                layer.add(from, other);
-                layer.add(to, expert);
+            ExpertMove::Swap { from, expert, to, other } => {
+                layer.remove_copy(from, expert);
+                layer.remove_copy(to, other);
+                layer.add_copy(from, other);
+                layer.add_copy(to, expert);
             }
-            Move::Copy { expert, to, other } => {
-                layer.remove(to, other);
-                layer.add(to, expert);
+            ExpertMove::Copy { expert, to, other } => {
+                layer.remove_copy(to, other);
+                layer.add_copy(to, expert);
             }
-            Move::Fill { expert, to } => layer.add(to, expert),
+            ExpertMove::Fill { expert, to } => layer.add_copy(to, expert),
         }
     }
 }
@@ -242,7 +242,7 @@
     rank_times: &[f64],
     loads: &[f64],
     speeds: &[f64],
-) -> Option<Move> {
+) -> Option<ExpertMove> {
     let mut ranks: Vec<Rank> = (0..rank_times.len() as Rank).collect();
     let by_time = |a: &Rank, b: &Rank| {
         rank_times[usize::from(*a)].total_cmp(&rank_times[usize::from(*b)])
@@ -261,11 +261,11 @@
     state: &LayerState,
     slow_rank: Rank,
     fast_ranks: &[Rank],
-) -> Option<Move> {
+) -> Option<ExpertMove> {
     let layer = state.layer;
     let longest_time = state.rank_times[usize::from(slow_rank)];
-    let mut best: Option<(f64, Move)> = None;
-    for &expert in layer.held(slow_rank) {
+    let mut best: Option<(f64, ExpertMove)> = None;
+    for &expert in layer.experts_at(slow_rank) {
         for &to in fast_ranks {
             if to == slow_rank || layer.holds(to, expert) {
                 continue;
@@ -310,19 +310,19 @@
         from: Rank,
         expert: Expert,
         to: Rank,
-    ) -> Vec<Move> {
-        let held = self.layer.held(to);
+    ) -> Vec<ExpertMove> {
+        let held = self.layer.experts_at(to);
         let mut moves = Vec::with_capacity(2 * held.len() + 1);
-        let slots = self.layer.held(from).len().max(held.len());
+        let slots = self.layer.experts_at(from).len().max(held.len());
         if held.len() < slots {
-            moves.push(Move::Fill { expert, to });
+            moves.push(ExpertMove::Fill { expert, to });
         }
         for &other in held {
             if self.layer.hosts(other).len() > 1 {
-                moves.push(Move::Copy { expert, to, other });
+                moves.push(ExpertMove::Copy { expert, to, other });
             }
             if !self.layer.holds(from, other) {
-                moves.push(Move::Swap { from, expert, to, other });
+                moves.push(ExpertMove::Swap { from, expert, to, other });
             }
         }
         moves
@@ -334,17 +334,18 @@
         &self,
         slow_rank: Rank,
         fast_ranks: &[Rank],
-    ) -> Vec<Move> {
+    ) -> Vec<ExpertMove> {
         let layer = self.layer;
-        let held = layer.held(slow_rank).iter();
+        let held = layer.experts_at(slow_rank).iter();
         let dispensable = held.filter(|it| layer.hosts(**it).len() > 1);
         let fast_rank_experts = || {
-            let held = fast_ranks.iter().flat_map(|rank| layer.held(*rank));
+            let held =
+                fast_ranks.iter().flat_map(|rank| layer.experts_at(*rank));
             held.filter(|it| !layer.holds(slow_rank, **it))
         };
         dispensable
             .flat_map(|&other| {
-                fast_rank_experts().map(move |&expert| Move::Copy {
+                fast_rank_experts().map(move |&expert| ExpertMove::Copy {
                     expert,
                     to: slow_rank,
                     other,
@@ -354,15 +355,15 @@
     }
 
     /// Returns the maximum time among the ranks that a move affects.
-    fn max_time_after(&self, candidate: Move) -> f64 {
+    fn max_time_after(&self, candidate: ExpertMove) -> f64 {
         match candidate {
-            Move::Fill { expert, to } => {
+            ExpertMove::Fill { expert, to } => {
                 self.max_time_after_copy(expert, to, None)
             }
-            Move::Copy { expert, to, other } => {
+            ExpertMove::Copy { expert, to, other } => {
                 self.max_time_after_copy(expert, to, Some(other))
             }
-            Move::Swap { from, expert, to, other } => {
+            ExpertMove::Swap { from, expert, to, other } => {
                 self.max_time_after_swap(from, expert, to, other)
             }
         }
--- a/cowsliproad-rank/src/agent/orders.rs
+++ b/cowsliproad-rank/src/agent/orders.rs
@@ -5,8 +5,8 @@
 
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_mapswitch::order::{
-    self, Aim, ArmOrders, Directive, Epoch, MAX_BOUNDARY_LEAD, OrderResult,
-    Report, SealStatus,
+    self, Aim, ArmOrderStatus, Directive, Epoch, MAX_BOUNDARY_LEAD,
+    OrderResult, Report, SealStatus,
 };
 use cowsliproad_routing::cooldown::Cooldown;
 use slog::info;
@@ -146,7 +146,7 @@
             plan: None,
             experts: None,
             pace: state.pace as f32,
-            arms: ArmOrders::InDoubt,
+            arms: ArmOrderStatus::InDoubt,
             seal: SealStatus::Unknown,
             report,
         };
@@ -163,7 +163,7 @@
     /// bound a group whose coordinator froze stood for 3.9 s: five agents had
     /// been restarted two seconds before, and nothing could be called off for
     /// thirteen.
-    pub(super) fn arms(&self, report: &Report) -> ArmOrders {
+    pub(super) fn arms(&self, report: &Report) -> ArmOrderStatus {
         let now = Millis::now();
         let recent = |at: Millis| now.since(at) < LATE_TIME;
         let open = self.last.unanswered_arm.is_some_and(|arm| {
@@ -173,9 +173,9 @@
         });
         let inherited = recent(self.begun) && self.inherits(report);
         if open || inherited {
-            ArmOrders::InDoubt
+            ArmOrderStatus::InDoubt
         } else {
-            ArmOrders::Answered
+            ArmOrderStatus::Answered
         }
     }
 
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -9,9 +9,9 @@
 
 use cowsliproad_kernel::{clock::Millis, gossip::Subscribe};
 use cowsliproad_mapswitch::order::{
-    Coordinator, CoordinatorConfig, Directive, Experts, GroupState,
-    MissingRanks, ObeyedCoordinator, Order, RankSnapshot, SwitchEvent,
-    Version, due_hold_order,
+    Coordinator, CoordinatorConfig, Directive, ExpertsByLayerAndRank,
+    GroupState, MissingRanks, ObeyedCoordinator, Order, RankSnapshot,
+    SwitchEvent, Version, due_hold_order,
 };
 use cowsliproad_placement::{
     bound,
@@ -295,7 +295,7 @@
             return;
         }
         self.sampled = now;
-        self.demand.record(now, self.total.clone());
+        self.demand.record_counts(now, self.total.clone());
     }
 
     /// Begins a better map if there is one.
@@ -310,13 +310,13 @@
             ranks: snapshots.len(),
             experts: usize::from(shape.experts),
             layers: usize::from(shape.sets),
-            slots: usize::from(shape.places),
+            slots_per_rank: usize::from(shape.places),
         };
         let Some(present) = self.present(shape_of_map, snapshots) else {
             return;
         };
         let config = live::LivePlanConfig::new(usize::from(shape.spare))
-            .with_max_new_per_rank(burst(Millis(shape.copy_ms)))
+            .with_max_new_experts_per_rank(burst(Millis(shape.copy_ms)))
             .with_copy_cost(self.price);
         let speeds: Vec<f64> = self.ranks.values().map(speed).collect();
         let plan = live::plan(shape_of_map, config, &present, &loads, &speeds);
@@ -328,8 +328,8 @@
         let bound =
             bound::min_step_time(shape_of_map, &loads, &speeds) / ideal;
         info!(self.log, "map_planned"; "version" => version.0,
-            "skew" => format!("{:.3}", plan.relative_time_before),
-            "expected" => format!("{:.3}", plan.relative_time_after),
+            "skew" => format!("{:.3}", plan.relative_step_time_before),
+            "expected" => format!("{:.3}", plan.relative_step_time_after),
             "bound" => format!("{bound:.3}"),
             "slowest" => speeds.iter().copied().fold(1.0, f64::min),
             "copies" => plan.move_count, "step" => snapshots[0].report.step,
@@ -339,7 +339,7 @@
             fence: directive.fence,
             epoch: directive.epoch,
             version,
-            experts: Arc::new(plan.map.experts()),
+            experts: Arc::new(plan.map.experts_by_layer_and_rank()),
         });
         self.before = last.or(self.before.take());
     }
@@ -357,7 +357,7 @@
         {
             return Map::from_experts(shape, &plan.experts);
         }
-        let mut experts: Experts =
+        let mut experts: ExpertsByLayerAndRank =
             vec![vec![Vec::new(); shape.ranks]; shape.layers];
         for (status, _) in self.ranks.values() {
             let (listed, sets) = status.experts.as_ref()?;
--- a/cowsliproad-rank/src/plan.rs
+++ b/cowsliproad-rank/src/plan.rs
@@ -10,7 +10,7 @@
 
 use std::{net::SocketAddr, sync::Arc};
 
-use cowsliproad_mapswitch::order::{Epoch, Experts, Version};
+use cowsliproad_mapswitch::order::{Epoch, ExpertsByLayerAndRank, Version};
 use serde::{Deserialize, Serialize};
 
 /// A map that is to be prepared.
@@ -23,7 +23,7 @@
     /// Its number.
     pub version: Version,
     /// The experts of every rank.
-    pub experts: Arc<Experts>,
+    pub experts: Arc<ExpertsByLayerAndRank>,
 }
 
 /// A plan as it is sent.
@@ -53,7 +53,7 @@
 enum Content {
     /// The experts of every rank.
     #[serde(rename = "w")]
-    Whole(Arc<Experts>),
+    Whole(Arc<ExpertsByLayerAndRank>),
     /// What differs from another plan.
     #[serde(rename = "s")]
     Since(Version, Vec<List>),
@@ -120,7 +120,10 @@
     }
 }
 
-fn changed(base: &Experts, lists: &[List]) -> Result<Experts, Misfit> {
+fn changed(
+    base: &ExpertsByLayerAndRank,
+    lists: &[List],
+) -> Result<ExpertsByLayerAndRank, Misfit> {
     let mut experts = base.clone();
     for List(set, rank, held) in lists {
         let ranks = experts.get_mut(usize::from(*set));
@@ -130,7 +133,7 @@
     Ok(experts)
 }
 
-fn digest(experts: &Experts) -> u64 {
+fn digest(experts: &ExpertsByLayerAndRank) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for held in experts.iter().flatten() {
         hasher.update(&(held.len() as u16).to_le_bytes());
--- a/cowsliproad-rank/src/wire.rs
+++ b/cowsliproad-rank/src/wire.rs
@@ -4,7 +4,7 @@
 
 use cowsliproad_kernel::Name;
 use cowsliproad_mapswitch::order::{
-    ArmOrders, Directive, Report, SealStatus, Version,
+    ArmOrderStatus, Directive, Report, SealStatus, Version,
 };
 use serde::{Deserialize, Serialize};
 
@@ -53,7 +53,7 @@
     pub report: Report,
     /// What the agent vouches for beside it.
     #[serde(rename = "o")]
-    pub arms: ArmOrders,
+    pub arms: ArmOrderStatus,
     /// Whether it heard that the coordinator's rank arms.
     #[serde(rename = "l")]
     pub seal: SealStatus,
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct News {
     report: Report,
-    arms: ArmOrders,
+    arms: ArmOrderStatus,
     seal: SealStatus,
     fence: u64,
     plan: Option<Version>,
--- a/cowsliproad-rank/tests/lead.rs
+++ b/cowsliproad-rank/tests/lead.rs
@@ -3,7 +3,7 @@
 
 use cowsliproad_kernel::{clock::Millis, gossip::Subscribe};
 use cowsliproad_mapswitch::order::{
-    Aim, ArmOrders, Epoch, Report, SealStatus, Version,
+    Aim, ArmOrderStatus, Epoch, Report, SealStatus, Version,
 };
 use cowsliproad_rank::{
     lead::{Lead, Start},
@@ -65,7 +65,7 @@
             plan: None,
             experts: Some((Version(0), vec![dealt.collect()])),
             pace: 1.0,
-            arms: ArmOrders::Answered,
+            arms: ArmOrderStatus::Answered,
             seal: SealStatus::NotReceived,
             report,
         }
--- a/cowsliproad-rank/tests/plan.rs
+++ b/cowsliproad-rank/tests/plan.rs
@@ -3,25 +3,25 @@
 use std::sync::Arc;
 
 use cowsliproad_kernel::gossip;
-use cowsliproad_mapswitch::order::{Epoch, Experts, Version};
+use cowsliproad_mapswitch::order::{Epoch, ExpertsByLayerAndRank, Version};
 use cowsliproad_rank::plan::{Misfit, Plan, Sheet};
 
 /// The bytes that one packet of a datagram carries.
 const PACKET: usize = 1_400;
 
-fn plan(version: u64, experts: Experts) -> Plan {
+fn plan(version: u64, experts: ExpertsByLayerAndRank) -> Plan {
     let version = Version(version);
     Plan { fence: 1, epoch: Epoch(1), version, experts: Arc::new(experts) }
 }
 
 /// 12 sets of 144 experts at 72 ranks, dealt in turn.
-fn dealt() -> Experts {
+fn dealt() -> ExpertsByLayerAndRank {
     let rank = |rank: u16| vec![rank, rank + 72, (rank + 1) % 72];
     vec![(0..72).map(rank).collect(); 12]
 }
 
 /// The same after some hundred copies.
-fn moved() -> Experts {
+fn moved() -> ExpertsByLayerAndRank {
     let mut experts = dealt();
     for copy in 0..100_u16 {
         let held = &mut experts[usize::from(copy % 12)];
--- a/tests/mapswitch/main.rs
+++ b/tests/mapswitch/main.rs
@@ -9,7 +9,8 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
 use cowsliproad::mapswitch::{
-    Generation, Member, Message, NextStep, Proposal, Version, WeightsStatus,
+    Generation, Member, NextStep, Proposal, Version, VoteMessage,
+    WeightsStatus,
 };
 
 /// The number of steps that a member runs in one generation.
@@ -54,7 +55,7 @@
 struct SystemState {
     /// The members by rank; `None` for a member that crashed.
     members: Vec<Option<Member>>,
-    network: BTreeSet<Message>,
+    network: BTreeSet<VoteMessage>,
     /// The map with which each step of a generation was run.
     used_maps: BTreeMap<(Generation, u64), Version>,
 }
@@ -70,7 +71,7 @@
             |rank| Some(Member::new(rank, 3, FIRST_GENERATION, OLD_MAP));
         SystemState {
             members: (0..3).map(member).collect(),
-            network: proposals.map(Message::VoteRequest).collect(),
+            network: proposals.map(VoteMessage::VoteRequest).collect(),
             used_maps: BTreeMap::new(),
         }
     }
@@ -94,7 +95,7 @@
                     WeightsStatus::Loaded,
                 ));
                 let may_load_late = scenario == Scenario::TwoProposals
-                    && matches!(message, Message::VoteRequest(_));
+                    && matches!(message, VoteMessage::VoteRequest(_));
                 if may_load_late {
                     let missing = WeightsStatus::Missing;
                     successors
@@ -140,7 +141,7 @@
     fn deliver_message(
         &self,
         rank: usize,
-        message: Message,
+        message: VoteMessage,
         weights: WeightsStatus,
     ) -> Option<SystemState> {
         let mut next = self.clone();
@@ -234,7 +235,7 @@
 #[test]
 fn a_new_generation_releases_members_held_by_a_crash() {
     let mut state = SystemState::new(Scenario::CrashAndNewGeneration);
-    let ask = Message::VoteRequest(PROPOSALS[0]);
+    let ask = VoteMessage::VoteRequest(PROPOSALS[0]);
     for rank in 0..2 {
         state = state
             .deliver_message(rank, ask, WeightsStatus::Loaded)
@@ -257,7 +258,7 @@
 fn a_member_ignores_messages_of_an_older_generation() {
     let mut member = Member::new(0, 3, FIRST_GENERATION, OLD_MAP);
     member.join_generation(SECOND_GENERATION, OLD_MAP);
-    let ask = Message::VoteRequest(PROPOSALS[0]);
+    let ask = VoteMessage::VoteRequest(PROPOSALS[0]);
     assert_eq!(member.handle_message(ask, WeightsStatus::Loaded), None);
     member.join_generation(FIRST_GENERATION, Version(9));
     assert_eq!(member.generation(), SECOND_GENERATION);
--- a/tests/order/main.rs
+++ b/tests/order/main.rs
@@ -18,7 +18,7 @@
 use cowsliproad::{
     kernel::clock::Millis,
     mapswitch::order::{
-        self, Aim, ArmOrders, Coordinator, CoordinatorConfig, Directive,
+        self, Aim, ArmOrderStatus, Coordinator, CoordinatorConfig, Directive,
         Epoch, GroupState, MissingRanks, ObeyedCoordinator, Order,
         RankSnapshot, Report, SealStatus, VERSIONS_PER_COORDINATOR, Version,
     },
@@ -153,7 +153,7 @@
         let report = |rank| Report::new(EPOCH, rank, RANK_COUNT);
         let snapshot = |rank| RankSnapshot {
             report: report(rank),
-            arms: ArmOrders::Answered,
+            arms: ArmOrderStatus::Answered,
             seal: SealStatus::NotReceived,
             obeys: ObeyedCoordinator::This,
         };
@@ -190,9 +190,13 @@
         }
     }
 
-    fn arm_orders(&self, rank: u16) -> ArmOrders {
+    fn arm_orders(&self, rank: u16) -> ArmOrderStatus {
         let step = self.agents[usize::from(rank)].unanswered_arm;
-        if step > self.step { ArmOrders::InDoubt } else { ArmOrders::Answered }
+        if step > self.step {
+            ArmOrderStatus::InDoubt
+        } else {
+            ArmOrderStatus::Answered
+        }
     }
 
     fn seal_status(&self, rank: u16) -> SealStatus {
@@ -724,7 +728,7 @@
             armed: Some((Version(FIRST_VERSION), 3)),
             held: (rank == SUCCESSOR_COORDINATOR_RANK).then_some(3),
         },
-        arms: ArmOrders::Answered,
+        arms: ArmOrderStatus::Answered,
         seal: seal_status,
         obeys: ObeyedCoordinator::This,
     };
--- a/tests/properties/live.rs
+++ b/tests/properties/live.rs
@@ -13,7 +13,8 @@
 };
 use proptest::prelude::*;
 
-const SHAPE: Shape = Shape { ranks: 16, experts: 64, layers: 2, slots: 5 };
+const SHAPE: Shape =
+    Shape { ranks: 16, experts: 64, layers: 2, slots_per_rank: 5 };
 const SPARE: usize = 2;
 
 /// A demand by Zipf's law, its ranking turned by some places: a third of it
@@ -36,8 +37,10 @@
     for (old, new) in before.layers.iter().zip(&after.layers) {
         assert!(new.is_valid(SHAPE));
         for rank in 0..SHAPE.ranks as u16 {
-            let fresh =
-                new.held(rank).iter().filter(|it| !old.holds(rank, **it));
+            let fresh = new
+                .experts_at(rank)
+                .iter()
+                .filter(|it| !old.holds(rank, **it));
             assert!(fresh.count() <= SPARE, "too many new at rank {rank}");
         }
     }
@@ -102,7 +105,7 @@
     let layers = || before.layers.iter().zip(&after.layers);
     let at = |rank: u16| {
         layers().map(move |(old, new)| {
-            let held = new.held(rank).iter();
+            let held = new.experts_at(rank).iter();
             held.filter(|it| !old.holds(rank, **it)).count()
         })
     };
@@ -118,7 +121,8 @@
     let mut map = Map::round_robin(SHAPE);
     let mut skews = vec![skew(&map, &loads, &speeds)];
     for _ in 0..6 {
-        let config = LivePlanConfig::new(SPARE).with_max_new_per_rank(1);
+        let config =
+            LivePlanConfig::new(SPARE).with_max_new_experts_per_rank(1);
         let plan = live::plan(SHAPE, config, &map, &loads, &speeds);
         let Some(plan) = plan else { break };
         check_step(&map, &plan.map);
@@ -144,7 +148,7 @@
         for (loads, times) in &likes {
             add(&mut total, &counts(loads, *times));
         }
-        demand.record(Millis(1_000 + 50 * round), total.clone());
+        demand.record_counts(Millis(1_000 + 50 * round), total.clone());
     }
     assert_eq!(demand.demand_shifted_at(), Millis(0));
 }
@@ -157,7 +161,7 @@
         let now = Millis(1_000 + 50 * round);
         let loads = if round <= 40 { liked(0) } else { liked(20) };
         add(&mut total, &counts(&loads, 10));
-        demand.record(now, total.clone());
+        demand.record_counts(now, total.clone());
         if round <= 40 {
             assert_eq!(demand.demand_shifted_at(), Millis(0));
         }
@@ -190,7 +194,7 @@
     let mut grow =
         |demand: &mut DemandEstimator, loads: &[Vec<f64>], now: Millis| {
             add(&mut total, &counts(loads, 1));
-            demand.record(now, total.clone());
+            demand.record_counts(now, total.clone());
         };
     while now < MAX_DEMAND_WINDOW {
         grow(&mut demand, &before, now);
@@ -232,7 +236,8 @@
             // Each layer likes others.
             let layer = |it| liked(turn + 13 * it).swap_remove(0);
             let loads: Vec<_> = (0..SHAPE.layers).map(layer).collect();
-            let config = LivePlanConfig::new(SPARE).with_max_new_per_rank(burst);
+            let config = LivePlanConfig::new(SPARE)
+                .with_max_new_experts_per_rank(burst);
             let plan = live::plan(SHAPE, config, &map, &loads, &speeds);
             let Some(plan) = plan else { continue };
             check_step(&map, &plan.map);
--- a/tests/properties/placement.rs
+++ b/tests/properties/placement.rs
@@ -2,7 +2,7 @@
 
 use cowsliproad::placement::{
     bound,
-    load::{Loads, TokenCounts},
+    load::{SmoothedLoads, TokenCounts},
     map::{Map, Shape, ideal_time},
     pack,
     plan::{self, PlanConfig},
@@ -10,7 +10,8 @@
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-const SHAPE: Shape = Shape { ranks: 8, experts: 24, layers: 3, slots: 4 };
+const SHAPE: Shape =
+    Shape { ranks: 8, experts: 24, layers: 3, slots_per_rank: 4 };
 
 fn counts(seed: u64) -> TokenCounts {
     let mut random = StdRng::seed_from_u64(seed);
@@ -25,10 +26,10 @@
     (0..SHAPE.ranks).map(|_| random.random_range(0.5..1.0)).collect()
 }
 
-fn loads(counts: &[TokenCounts]) -> Loads {
-    let mut loads = Loads::new();
+fn loads(counts: &[TokenCounts]) -> SmoothedLoads {
+    let mut loads = SmoothedLoads::new();
     for counts in counts {
-        loads.record(counts);
+        loads.record_interval(counts);
     }
     loads
 }
@@ -77,13 +78,13 @@
         let mut random = StdRng::seed_from_u64(seed);
         let (truth, speeds) = (counts(seed), vec![1.0; SHAPE.ranks]);
         let present = settled(&truth, &speeds);
-        let mut loads = Loads::new();
+        let mut loads = SmoothedLoads::new();
         for _ in 0..20 {
             let mut noisy = truth.clone();
             for count in noisy.iter_mut().flatten() {
                 *count *= random.random_range(0.97..1.03);
             }
-            loads.record(&noisy);
+            loads.record_interval(&noisy);
             let config = PlanConfig::new();
             let plan =
                 plan::plan(SHAPE, config, &present, &loads, &speeds);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -17,7 +17,7 @@
     },
     kernel::{clock::Millis, id, wire::Urgency},
     mapswitch::{
-        Generation, Member, Message, Proposal, Version, WeightsStatus,
+        Generation, Member, Proposal, Version, VoteMessage, WeightsStatus,
     },
 };
 use goldenscript::{Command, Context, Runner};
@@ -35,7 +35,7 @@
     log: Vec<Vec<u8>>,
     replicas: BTreeMap<String, State>,
     group: Vec<Member>,
-    network: Vec<Message>,
+    network: Vec<VoteMessage>,
 }
 
 impl World {
@@ -131,7 +131,7 @@
             version: Version(version),
             boundary,
         };
-        let ask = Message::VoteRequest(proposal);
+        let ask = VoteMessage::VoteRequest(proposal);
         let answer =
             self.group[rank].handle_message(ask, WeightsStatus::Loaded);
         self.network.extend(answer);
