--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -65,34 +65,34 @@
 }
 
 impl SystemState {
-    fn successors(&self, rule: FencingNumberRule) -> Vec<SystemState> {
-        let mut successors = Vec::new();
-        let mut add_successor = |event: &dyn Fn(&mut SystemState)| {
+    fn next_states(&self, rule: FencingNumberRule) -> Vec<SystemState> {
+        let mut next_states = Vec::new();
+        let mut add_next_state = |event: &dyn Fn(&mut SystemState)| {
             let mut state = self.clone();
             event(&mut state);
-            successors.push(state);
+            next_states.push(state);
         };
         if self.era < MAX_LOG_ROLLBACKS {
             for log_length in 0..=self.log_length {
-                add_successor(&|it| {
+                add_next_state(&|it| {
                     it.era += 1;
                     it.log_length = log_length;
                 });
             }
         }
         for (index, agent) in self.agents.iter().enumerate() {
-            add_successor(&|it| it.agents[index].known_era = it.era);
-            add_successor(&|it| it.agents[index] = Agent::default());
+            add_next_state(&|it| it.agents[index].known_era = it.era);
+            add_next_state(&|it| it.agents[index] = Agent::default());
             if let Some((fencing_number, record_sequence)) =
                 agent.fencing_number
             {
-                add_successor(&|it| {
+                add_next_state(&|it| {
                     it.execute_order(fencing_number, record_sequence)
                 });
             }
             match agent.append_call {
                 None if self.append_calls_made < MAX_APPEND_CALLS => {
-                    add_successor(&|it| {
+                    add_next_state(&|it| {
                         it.append_calls_made += 1;
                         let known_era = it.agents[index].known_era;
                         it.agents[index].append_call =
@@ -100,23 +100,25 @@
                     })
                 }
                 None => {}
-                Some(AppendCall::Sent { known_era }) => add_successor(&|it| {
-                    it.appended_records += 1;
-                    let (offset, record_sequence) =
-                        (it.log_length, it.appended_records);
-                    let call = AppendCall::Executed {
-                        known_era,
-                        offset,
-                        record_sequence,
-                    };
-                    it.agents[index].append_call = Some(call);
-                    it.log_length += 1;
-                }),
+                Some(AppendCall::Sent { known_era }) => {
+                    add_next_state(&|it| {
+                        it.appended_records += 1;
+                        let (offset, record_sequence) =
+                            (it.log_length, it.appended_records);
+                        let call = AppendCall::Executed {
+                            known_era,
+                            offset,
+                            record_sequence,
+                        };
+                        it.agents[index].append_call = Some(call);
+                        it.log_length += 1;
+                    })
+                }
                 Some(AppendCall::Executed {
                     known_era,
                     offset,
                     record_sequence,
-                }) => add_successor(&|it| {
+                }) => add_next_state(&|it| {
                     let record = Position::new(Era(it.era), offset);
                     let agent = &mut it.agents[index];
                     agent.append_call = None;
@@ -133,7 +135,7 @@
                 }),
             }
         }
-        successors
+        next_states
     }
 
     fn assign_fencing_number(
@@ -168,7 +170,7 @@
     let mut visited = HashSet::from([initial.clone()]);
     let mut unexplored = VecDeque::from([initial]);
     while let Some(state) = unexplored.pop_front() {
-        for next in state.successors(rule) {
+        for next in state.next_states(rule) {
             if next.is_violated {
                 return (true, visited.len());
             }
--- a/tests/mapswitch/main.rs
+++ b/tests/mapswitch/main.rs
@@ -77,19 +77,19 @@
     }
 
     /// Returns all states that one event in this state can lead to.
-    fn successors(&self, scenario: Scenario) -> Vec<SystemState> {
-        let mut successors = Vec::new();
+    fn next_states(&self, scenario: Scenario) -> Vec<SystemState> {
+        let mut next_states = Vec::new();
         for rank in 0..self.members.len() {
             if self.members[rank].is_none() {
                 continue;
             }
-            successors.extend(self.run_step(rank));
+            next_states.extend(self.run_step(rank));
             if scenario == Scenario::CrashAndNewGeneration {
-                successors.extend(self.crash_member(rank));
-                successors.extend(self.join_next_generation(rank));
+                next_states.extend(self.crash_member(rank));
+                next_states.extend(self.join_next_generation(rank));
             }
             for message in &self.network {
-                successors.extend(self.deliver_message(
+                next_states.extend(self.deliver_message(
                     rank,
                     *message,
                     WeightsStatus::Loaded,
@@ -98,12 +98,12 @@
                     && matches!(message, VoteMessage::VoteRequest(_));
                 if may_load_late {
                     let missing = WeightsStatus::Missing;
-                    successors
+                    next_states
                         .extend(self.deliver_message(rank, *message, missing));
                 }
             }
         }
-        successors
+        next_states
     }
 
     fn run_step(&self, rank: usize) -> Option<SystemState> {
@@ -152,7 +152,7 @@
 
     /// Delivers every message to every member and runs the members' steps,
     /// until the state no longer changes.
-    fn run_fairly(mut self) -> SystemState {
+    fn run_until_stable(mut self) -> SystemState {
         loop {
             let before = self.clone();
             for rank in 0..self.members.len() {
@@ -183,7 +183,7 @@
             visited.len() < MAX_STATES,
             "the scenario has too many states"
         );
-        for next in state.successors(scenario) {
+        for next in state.next_states(scenario) {
             if visited.insert(next.clone()) {
                 unexplored.push_back(next);
             }
@@ -211,7 +211,7 @@
         if !is_complete || generations.len() > 1 {
             continue;
         }
-        let end_state = state.clone().run_fairly();
+        let end_state = state.clone().run_until_stable();
         for member in end_state.members.iter().flatten() {
             assert_eq!(
                 member.step(),
@@ -243,13 +243,13 @@
         state = state.run_step(rank).expect("before the boundary");
     }
     state = state.crash_member(2).expect("the first crash");
-    let held_state = state.clone().run_fairly();
+    let held_state = state.clone().run_until_stable();
     let member = held_state.members[0].as_ref().expect("alive");
     assert_eq!(member.next_step(), NextStep::Hold(PROPOSALS[0]));
     for rank in 0..2 {
         state = state.join_next_generation(rank).expect("alive");
     }
-    let end_state = state.run_fairly();
+    let end_state = state.run_until_stable();
     let member = end_state.members[0].as_ref().expect("alive");
     assert_eq!(member.step(), STEPS_PER_GENERATION);
 }
--- a/tests/order/main.rs
+++ b/tests/order/main.rs
@@ -70,8 +70,8 @@
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 struct Engine {
     map: u64,
-    prepared: Option<u64>,
-    newest_prepared: u64,
+    prepared_map: Option<u64>,
+    newest_prepared_map: u64,
     armed: Option<(u64, u64)>,
     held: Option<u64>,
     fence: u64,
@@ -82,7 +82,7 @@
     fence: u64,
     directive: Option<Directive>,
     /// The pass of the agent's last unanswered *arm* order, or 0.
-    unanswered_arm: u64,
+    unanswered_arm_step: u64,
     /// The pass for which the agent has received the seal: the announcement
     /// that the coordinator's own rank arms.
     coordinator_arm_step: Option<u64>,
@@ -120,7 +120,7 @@
     has_mixed_maps: bool,
     engines: Vec<Engine>,
     agents: Vec<Agent>,
-    views: Vec<CoordinatorView>,
+    coordinator_views: Vec<CoordinatorView>,
     /// Whether the first coordinator's VM is frozen.
     is_frozen: bool,
     /// Whether the first coordinator's VM has ever been frozen.
@@ -136,8 +136,8 @@
         // no pass, so their delivery is not explored.
         let engine = Engine {
             map: 0,
-            prepared: Some(FIRST_VERSION),
-            newest_prepared: FIRST_VERSION,
+            prepared_map: Some(FIRST_VERSION),
+            newest_prepared_map: FIRST_VERSION,
             armed: None,
             held: None,
             fence: 0,
@@ -146,10 +146,10 @@
         let agent = Agent {
             fence: 0,
             directive,
-            unanswered_arm: 0,
+            unanswered_arm_step: 0,
             coordinator_arm_step,
         };
-        let mut first = new_view(1, FIRST_COORDINATOR_RANK);
+        let mut first = new_coordinator_view(1, FIRST_COORDINATOR_RANK);
         let report = |rank| Report::new(EPOCH, rank, RANK_COUNT);
         let snapshot = |rank| RankSnapshot {
             report: report(rank),
@@ -166,7 +166,7 @@
             has_mixed_maps: false,
             engines: vec![engine; RANK_COUNT.into()],
             agents: vec![agent; RANK_COUNT.into()],
-            views: vec![first],
+            coordinator_views: vec![first],
             is_frozen: false,
             has_frozen: false,
             late_orders: BTreeSet::new(),
@@ -184,14 +184,14 @@
             standing: GroupState::Open,
             step: self.step,
             map: Version(engine.map),
-            prepared: engine.prepared.map(Version),
+            prepared: engine.prepared_map.map(Version),
             armed: engine.armed.map(|(map, step)| (Version(map), step)),
             held: engine.held,
         }
     }
 
     fn arm_orders(&self, rank: u16) -> ArmOrderStatus {
-        let step = self.agents[usize::from(rank)].unanswered_arm;
+        let step = self.agents[usize::from(rank)].unanswered_arm_step;
         if step > self.step {
             ArmOrderStatus::InDoubt
         } else {
@@ -211,32 +211,36 @@
     }
 
     /// Returns all states that one event in this state can lead to.
-    fn successors(&self, scenario: &Scenario) -> Vec<SystemState> {
-        let mut states = Vec::new();
-        self.begin_pass(scenario, &mut states);
-        self.execute_late_order(&mut states);
+    fn next_states(&self, scenario: &Scenario) -> Vec<SystemState> {
+        let mut next_states = Vec::new();
+        self.begin_pass(scenario, &mut next_states);
+        self.execute_late_order(&mut next_states);
         for rank in 0..RANK_COUNT {
             if self.is_unreachable(rank) {
                 continue;
             }
-            self.receive_directive(rank, &mut states);
-            self.send_next_order(rank, scenario, &mut states);
+            self.receive_directive(rank, &mut next_states);
+            self.send_next_order(rank, scenario, &mut next_states);
             if scenario.snapshot_age == SnapshotAge::Any {
-                self.send_snapshot(rank, &mut states);
+                self.send_snapshot(rank, &mut next_states);
             }
         }
-        for view in 0..self.views.len() {
-            if view == 0 && self.is_frozen {
+        for view_index in 0..self.coordinator_views.len() {
+            if view_index == 0 && self.is_frozen {
                 continue;
             }
-            self.advance_coordinator(view, scenario, &mut states);
-            self.send_hold_order(view, scenario, &mut states);
+            self.advance_coordinator(view_index, scenario, &mut next_states);
+            self.send_hold_order(view_index, scenario, &mut next_states);
         }
-        self.freeze_or_take_over(scenario, &mut states);
-        states
+        self.freeze_or_take_over(scenario, &mut next_states);
+        next_states
     }
 
-    fn begin_pass(&self, scenario: &Scenario, states: &mut Vec<SystemState>) {
+    fn begin_pass(
+        &self,
+        scenario: &Scenario,
+        next_states: &mut Vec<SystemState>,
+    ) {
         let next = self.step + 1;
         let held = self.engines.iter().any(|it| it.held == Some(next));
         if held || next > scenario.max_passes {
@@ -250,7 +254,7 @@
             {
                 engine.map = map;
                 engine.armed = None;
-                engine.prepared = None;
+                engine.prepared_map = None;
             }
         }
         let map = state.engines[0].map;
@@ -262,29 +266,33 @@
             | ComparableOrder::Go(step) => step > next,
             ComparableOrder::Prepare(_) | ComparableOrder::Disarm(_) => true,
         });
-        states.push(state);
+        next_states.push(state);
     }
 
     /// Adds the states in which one late order is executed, and the state in
     /// which all late orders have expired.
-    fn execute_late_order(&self, states: &mut Vec<SystemState>) {
+    fn execute_late_order(&self, next_states: &mut Vec<SystemState>) {
         if !self.late_orders.is_empty() {
             let mut state = self.clone();
             state.late_orders.clear();
             for agent in &mut state.agents {
-                agent.unanswered_arm = 0;
+                agent.unanswered_arm_step = 0;
             }
-            states.push(state);
+            next_states.push(state);
         }
         for late in &self.late_orders {
             let mut state = self.clone();
             state.execute_order(late.rank, late.order, late.fence);
-            states.push(state);
+            next_states.push(state);
         }
     }
 
-    fn receive_directive(&self, rank: u16, states: &mut Vec<SystemState>) {
-        for view in &self.views {
+    fn receive_directive(
+        &self,
+        rank: u16,
+        next_states: &mut Vec<SystemState>,
+    ) {
+        for view in &self.coordinator_views {
             let directive = view.coordinator.directive();
             let agent = &self.agents[usize::from(rank)];
             if directive.fence < agent.fence {
@@ -306,7 +314,7 @@
                 Aim::Rest | Aim::Prepared(_) | Aim::Held { .. } => None,
             };
             if state != *self {
-                states.push(state);
+                next_states.push(state);
             }
         }
     }
@@ -315,7 +323,7 @@
         &self,
         rank: u16,
         scenario: &Scenario,
-        states: &mut Vec<SystemState>,
+        next_states: &mut Vec<SystemState>,
     ) {
         let agent = &self.agents[usize::from(rank)];
         let Some(directive) = agent.directive else { return };
@@ -330,7 +338,7 @@
             return;
         };
         let order = comparable_order(&order);
-        self.send_order(rank, order, directive.fence, scenario, states);
+        self.send_order(rank, order, directive.fence, scenario, next_states);
     }
 
     /// Adds the state in which an order is executed and answered, and the
@@ -341,11 +349,11 @@
         sent_order: ComparableOrder,
         fence: u64,
         scenario: &Scenario,
-        states: &mut Vec<SystemState>,
+        next_states: &mut Vec<SystemState>,
     ) {
         let mut state = self.clone();
         state.execute_order(rank, sent_order, fence);
-        states.push(state);
+        next_states.push(state);
         if self.unanswered_order_count >= scenario.max_unanswered_orders {
             return;
         }
@@ -353,13 +361,13 @@
         state.unanswered_order_count += 1;
         state.late_orders.insert(LateOrder { rank, order: sent_order, fence });
         if let ComparableOrder::Arm(_, step) = sent_order {
-            state.agents[usize::from(rank)].unanswered_arm = step;
+            state.agents[usize::from(rank)].unanswered_arm_step = step;
         }
-        states.push(state);
+        next_states.push(state);
     }
 
     /// Adds the states in which one coordinator receives a rank's snapshot.
-    fn send_snapshot(&self, rank: u16, states: &mut Vec<SystemState>) {
+    fn send_snapshot(&self, rank: u16, next_states: &mut Vec<SystemState>) {
         let agent = &self.agents[usize::from(rank)];
         let snapshot = RankSnapshot {
             report: self.report(rank),
@@ -367,12 +375,14 @@
             seal: self.seal_status(rank),
             obeys: ObeyedCoordinator::Another,
         };
-        for index in 0..self.views.len() {
-            if index == 0 && self.is_frozen {
+        for view_index in 0..self.coordinator_views.len() {
+            if view_index == 0 && self.is_frozen {
                 continue;
             }
             let reported = (snapshot.clone(), agent.fence);
-            let previous = self.views[index].snapshots_by_rank.get(&rank);
+            let previous = self.coordinator_views[view_index]
+                .snapshots_by_rank
+                .get(&rank);
             // Skip a snapshot that differs from the stored snapshot only in
             // its pass: the next changed snapshot updates the pass of all
             // stored snapshots.
@@ -385,35 +395,38 @@
                 continue;
             }
             let mut state = self.clone();
-            state.views[index].snapshots_by_rank.insert(rank, reported);
-            for (snapshot, _) in
-                state.views[index].snapshots_by_rank.values_mut()
+            state.coordinator_views[view_index]
+                .snapshots_by_rank
+                .insert(rank, reported);
+            for (snapshot, _) in state.coordinator_views[view_index]
+                .snapshots_by_rank
+                .values_mut()
             {
                 snapshot.report.step = self.step;
             }
-            states.push(state);
+            next_states.push(state);
         }
     }
 
     /// Adds the states in which a coordinator acts on its snapshots.
     fn advance_coordinator(
         &self,
-        index: usize,
+        view_index: usize,
         scenario: &Scenario,
-        states: &mut Vec<SystemState>,
+        next_states: &mut Vec<SystemState>,
     ) {
         let snapshots = match scenario.snapshot_age {
-            SnapshotAge::Any => self.views[index].snapshots(),
-            SnapshotAge::Fresh => self.current_snapshots(index),
+            SnapshotAge::Any => self.coordinator_views[view_index].snapshots(),
+            SnapshotAge::Fresh => self.current_snapshots(view_index),
         };
         let is_complete = snapshots.len() == usize::from(RANK_COUNT);
         if is_complete {
             self.advance_with_snapshots(
-                index,
+                view_index,
                 &snapshots,
                 MissingRanks::None,
                 scenario,
-                states,
+                next_states,
             );
         }
         // A successor may assume that its predecessor is gone, even if the
@@ -423,17 +436,21 @@
             .filter(|it| it.report.rank != FIRST_COORDINATOR_RANK)
             .cloned()
             .collect();
-        if index == 1 && others.len() + 1 == usize::from(RANK_COUNT) {
+        if view_index == 1 && others.len() + 1 == usize::from(RANK_COUNT) {
             let missing = MissingRanks::Predecessor(1);
             self.advance_with_snapshots(
-                index, &others, missing, scenario, states,
+                view_index,
+                &others,
+                missing,
+                scenario,
+                next_states,
             );
         }
     }
 
     /// Returns up-to-date snapshots of all reachable ranks for a coordinator.
-    fn current_snapshots(&self, index: usize) -> Vec<RankSnapshot> {
-        let fence = self.views[index].coordinator.fence();
+    fn current_snapshots(&self, view_index: usize) -> Vec<RankSnapshot> {
+        let fence = self.coordinator_views[view_index].coordinator.fence();
         let reachable = (0..RANK_COUNT).filter(|it| !self.is_unreachable(*it));
         let snapshot = |rank: u16| {
             let agent = &self.agents[usize::from(rank)];
@@ -449,16 +466,16 @@
 
     fn advance_with_snapshots(
         &self,
-        index: usize,
+        view_index: usize,
         snapshots: &[RankSnapshot],
         missing: MissingRanks,
         scenario: &Scenario,
-        states: &mut Vec<SystemState>,
+        next_states: &mut Vec<SystemState>,
     ) {
         let mut state = self.clone();
-        let coordinator = &mut state.views[index].coordinator;
+        let coordinator = &mut state.coordinator_views[view_index].coordinator;
         coordinator.advance(snapshots, missing, Millis(0));
-        let may_plan = index == 0
+        let may_plan = view_index == 0
             && self.plans_made < scenario.max_plans
             && coordinator.is_idle()
             && coordinator.directive().epoch == EPOCH;
@@ -467,17 +484,18 @@
             state.plans_made += 1;
         }
         if state != *self {
-            states.push(state);
+            next_states.push(state);
         }
     }
 
     fn send_hold_order(
         &self,
-        index: usize,
+        view_index: usize,
         scenario: &Scenario,
-        states: &mut Vec<SystemState>,
+        next_states: &mut Vec<SystemState>,
     ) {
-        let directive = self.views[index].coordinator.directive();
+        let directive =
+            self.coordinator_views[view_index].coordinator.directive();
         for rank in 0..RANK_COUNT {
             let report = self.report(rank);
             let order = order::due_hold_order(&directive, &report);
@@ -489,7 +507,7 @@
                     comparable_order(&order),
                     directive.fence,
                     scenario,
-                    states,
+                    next_states,
                 );
             }
         }
@@ -498,7 +516,7 @@
     fn freeze_or_take_over(
         &self,
         scenario: &Scenario,
-        states: &mut Vec<SystemState>,
+        next_states: &mut Vec<SystemState>,
     ) {
         if scenario.takeover == Takeover::Never {
             return;
@@ -506,17 +524,19 @@
         if !self.has_frozen {
             let mut state = self.clone();
             (state.is_frozen, state.has_frozen) = (true, true);
-            states.push(state);
+            next_states.push(state);
         }
         if self.is_frozen {
             let mut state = self.clone();
             state.is_frozen = false;
-            states.push(state);
+            next_states.push(state);
         }
-        if self.views.len() == 1 {
+        if self.coordinator_views.len() == 1 {
             let mut state = self.clone();
-            state.views.push(new_view(2, SUCCESSOR_COORDINATOR_RANK));
-            states.push(state);
+            state
+                .coordinator_views
+                .push(new_coordinator_view(2, SUCCESSOR_COORDINATOR_RANK));
+            next_states.push(state);
         }
     }
 
@@ -536,13 +556,13 @@
         engine.fence = fence;
         match order {
             ComparableOrder::Prepare(map) => {
-                if map > engine.newest_prepared && engine.armed.is_none() {
-                    engine.newest_prepared = map;
-                    engine.prepared = Some(map);
+                if map > engine.newest_prepared_map && engine.armed.is_none() {
+                    engine.newest_prepared_map = map;
+                    engine.prepared_map = Some(map);
                 }
             }
             ComparableOrder::Arm(map, pass) => {
-                if engine.prepared == Some(map) && pass > step {
+                if engine.prepared_map == Some(map) && pass > step {
                     engine.armed = Some((map, pass));
                 }
             }
@@ -584,7 +604,7 @@
     }
 }
 
-fn new_view(fence: u64, rank: u16) -> CoordinatorView {
+fn new_coordinator_view(fence: u64, rank: u16) -> CoordinatorView {
     let config = CoordinatorConfig::new().with_boundary_lead(2, 2);
     let coordinator = Coordinator::new(config, fence, rank);
     CoordinatorView { coordinator, snapshots_by_rank: BTreeMap::new() }
@@ -633,7 +653,7 @@
     let mut queue = VecDeque::from([(SystemState::new(), 0)]);
     numbers.insert(state_hash(&SystemState::new()), 0);
     while let Some((state, number)) = queue.pop_front() {
-        for next in state.successors(&scenario) {
+        for next in state.next_states(&scenario) {
             assert!(!next.has_mixed_maps, "two maps in one pass: {next:#?}");
             changed |= next.engines.iter().all(|it| it.map == FIRST_VERSION);
             let next_number = numbers.len() as u32;
@@ -741,7 +761,8 @@
 /// Returns the aim of the successor of a frozen coordinator, if the reachable
 /// ranks have this seal status.
 fn successor_aim(seal_status: SealStatus, predecessor_fence: u64) -> Aim {
-    let mut successor = new_view(2, SUCCESSOR_COORDINATOR_RANK).coordinator;
+    let mut successor =
+        new_coordinator_view(2, SUCCESSOR_COORDINATOR_RANK).coordinator;
     let snapshots = snapshots_after_freeze(seal_status);
     let missing = MissingRanks::Predecessor(predecessor_fence);
     for _ in 0..2 {
