--- a/cowsliproad-mapswitch/src/lib.rs
+++ b/cowsliproad-mapswitch/src/lib.rs
@@ -191,7 +191,8 @@
         }
     }
 
-    /// Votes on a proposal, or repeats an earlier vote on it.
+    /// Votes on a proposal, or repeats the member's earlier vote on the
+    /// proposal.
     pub fn vote(
         &mut self,
         proposal: Proposal,
--- a/cowsliproad-mapswitch/src/order.rs
+++ b/cowsliproad-mapswitch/src/order.rs
@@ -232,7 +232,7 @@
     /// All ranks have copied the experts of this map.
     Prepared(Version),
     /// One rank, the holder, holds the group before this pass. The coordinator
-    /// sends the *hold* order to its engine over the network.
+    /// sends the *hold* order to the holder's engine over the network.
     Held {
         /// The pass that the group must not begin.
         step: u64,
--- a/cowsliproad-mapswitch/src/order/coordinator.rs
+++ b/cowsliproad-mapswitch/src/order/coordinator.rs
@@ -355,8 +355,9 @@
         let armed = snapshots.iter().find_map(|it| it.report.armed);
         // The former coordinator's rank arms last. So if some other rank is
         // not armed and never will be, the coordinator's rank is not armed
-        // either. While any rank is in doubt, waiting is better: if the former
-        // coordinator comes back, the switch is completed.
+        // either. While some rank's armed state may still change, waiting is
+        // better: if the former coordinator comes back, the switch is
+        // completed.
         let all_settled = snapshots.iter().all(is_armed_state_final);
         let unarmed = |it: &RankSnapshot| {
             it.report.armed.is_none() && it.report.step < step
--- a/cowsliproad-placement/src/plan.rs
+++ b/cowsliproad-placement/src/plan.rs
@@ -193,8 +193,8 @@
         }
     }
     let (_, change) = best?;
-    // The validation average did not influence the choice, so a saving that
-    // was only noise doesn't show there.
+    // The validation average did not influence the choice of the change, so a
+    // saving that was only noise doesn't show in the validation average.
     let before = present.slowest_rank_time(validation_loads, speeds);
     let saving =
         before - change.layer.slowest_rank_time(validation_loads, speeds);
