--- a/cowsliproad-placement/src/load.rs
+++ b/cowsliproad-placement/src/load.rs
@@ -1,70 +1,81 @@
-//! Smoothed token counts, kept twice.
+//! Smoothed token counts in two independent averages.
 //!
-//! Counts of successive intervals go in turn into one of two averages. What
-//! looks like an imbalance in one and is none in the other is noise. A plan
-//! is made on one and has to pay for itself on both.
+//! The counts of successive intervals go alternately into two averages. An
+//! imbalance that shows in only one average is noise. A plan is made on one
+//! average, and its saving has to exceed its cost on both.
 
-/// The weight of a new count in its average.
-const WEIGHT: f64 = 0.35;
+/// The weight of a new token count in its moving average, for a count that
+/// differs from the average by noise only.
+const NOISY_COUNT_WEIGHT: f64 = 0.35;
 
-/// Counts before the first plan.
-const ENOUGH: u64 = 6;
+/// The number of intervals whose counts have to be recorded before a map is
+/// planned from them.
+const MIN_RECORDED_INTERVALS: u64 = 6;
 
-/// The weight of a new count that no noise explains.
-const JUMP_WEIGHT: f64 = 0.9;
+/// The weight of a new token count in its moving average, for a count that
+/// differs too much from the average to be noise.
+const JUMPED_COUNT_WEIGHT: f64 = 0.9;
 
-/// Standard deviations of a count beyond which it is a jump, not noise.
-const JUMP: f64 = 5.0;
+/// The difference of a new token count from its average, in standard
+/// deviations, beyond which the count is a jump and not noise.
+const MIN_JUMP_DEVIATIONS: f64 = 5.0;
 
-/// Counts by layer and expert.
-pub type Counts = Vec<Vec<f64>>;
+/// Token counts, indexed by layer and then by expert.
+pub type TokenCounts = Vec<Vec<f64>>;
 
-/// The counts of a group.
+/// The smoothed token counts of a group, in two independent moving averages.
 #[derive(Clone, Debug, Default)]
-pub struct Loads {
-    halves: [Counts; 2],
-    samples: u64,
+pub struct SmoothedLoads {
+    /// Two moving averages of the token counts. The intervals go to one and
+    /// the other in turn.
+    averages: [TokenCounts; 2],
+    recorded_intervals: u64,
 }
 
-impl Loads {
-    /// No counts yet.
-    pub fn new() -> Loads {
-        Loads::default()
+impl SmoothedLoads {
+    /// Creates moving averages in which no counts have been recorded.
+    pub fn new() -> SmoothedLoads {
+        SmoothedLoads::default()
     }
 
-    /// Takes the counts of an interval in.
-    pub fn add(&mut self, counts: &Counts) {
-        let half = &mut self.halves[(self.samples % 2) as usize];
-        self.samples += 1;
-        if half.is_empty() {
-            half.clone_from(counts);
+    /// Records the token counts of one interval in the first and the second
+    /// moving average alternately.
+    pub fn record_interval(&mut self, counts: &TokenCounts) {
+        let average =
+            &mut self.averages[(self.recorded_intervals % 2) as usize];
+        self.recorded_intervals += 1;
+        if average.is_empty() {
+            average.clone_from(counts);
             return;
         }
-        for (old, new) in half.iter_mut().zip(counts) {
+        for (old, new) in average.iter_mut().zip(counts) {
             for (old, new) in old.iter_mut().zip(new) {
-                *old += (new - *old) * weight(*old, *new);
+                *old += (new - *old) * new_count_weight(*old, *new);
             }
         }
     }
 
-    /// Whether both averages rest on enough counts to tell noise apart.
-    pub fn is_ready(&self) -> bool {
-        self.samples >= ENOUGH
+    /// Returns whether both moving averages contain enough intervals to tell
+    /// noise from imbalance.
+    pub fn has_enough_intervals(&self) -> bool {
+        self.recorded_intervals >= MIN_RECORDED_INTERVALS
     }
 
-    /// The average that a plan is made on: the fresher one.
-    pub fn fresh(&self) -> &Counts {
-        &self.halves[((self.samples + 1) % 2) as usize]
+    /// Returns the moving average on which a plan is made: the average that
+    /// was updated last.
+    pub fn planning_average(&self) -> &TokenCounts {
+        &self.averages[((self.recorded_intervals + 1) % 2) as usize]
     }
 
-    /// The average that a plan is checked on.
-    pub fn check(&self) -> &Counts {
-        &self.halves[(self.samples % 2) as usize]
+    /// Returns the moving average on which a plan is validated: the average
+    /// that was not updated last.
+    pub fn validation_average(&self) -> &TokenCounts {
+        &self.averages[(self.recorded_intervals % 2) as usize]
     }
 
-    /// The mean of both.
-    pub fn mean(&self) -> Counts {
-        let pairs = self.halves[0].iter().zip(&self.halves[1]);
+    /// Returns the mean of the two moving averages.
+    pub fn mean_counts(&self) -> TokenCounts {
+        let pairs = self.averages[0].iter().zip(&self.averages[1]);
         pairs
             .map(|(a, b)| {
                 a.iter().zip(b).map(|(a, b)| (a + b) / 2.0).collect()
@@ -73,9 +84,15 @@
     }
 }
 
-/// Counts are noisy like a Poisson variable. What lies far outside of that,
-/// a new menu for example, counts almost in full at once.
-fn weight(old: f64, new: f64) -> f64 {
-    let noise = old.max(1.0).sqrt();
-    if (new - old).abs() > JUMP * noise { JUMP_WEIGHT } else { WEIGHT }
+/// Returns the weight of a new token count in its moving average. Counts vary
+/// like a Poisson variable. A jump far beyond that variation replaces the
+/// average almost completely: the callers' prompts have changed suddenly, for
+/// example because a menu changed.
+fn new_count_weight(average: f64, new_count: f64) -> f64 {
+    let deviation = average.max(1.0).sqrt();
+    if (new_count - average).abs() > MIN_JUMP_DEVIATIONS * deviation {
+        JUMPED_COUNT_WEIGHT
+    } else {
+        NOISY_COUNT_WEIGHT
+    }
 }
--- a/cowsliproad-placement/src/pack.rs
+++ b/cowsliproad-placement/src/pack.rs
@@ -1,103 +1,116 @@
-//! A map from nothing: spare slots go to the hottest experts, then the
-//! heaviest copies go first to the rank that will be done soonest.
+//! Computes an expert map from scratch: spare slots go to copies of the most
+//! loaded experts, then each copy, heaviest first, goes to the rank that would
+//! finish it soonest.
 
 use std::{cmp::Ordering, collections::BinaryHeap};
 
 use crate::map::{Expert, Layer, Map, Rank, Shape};
 
-/// Packs every layer.
+/// Computes an expert map from scratch for these loads and rank speeds.
 pub fn pack(shape: Shape, loads: &[Vec<f64>], speeds: &[f64]) -> Map {
-    let layers = loads.iter().map(|loads| layer(shape, loads, speeds));
+    let layers = loads.iter().map(|loads| pack_layer(shape, loads, speeds));
     Map { layers: layers.collect() }
 }
 
-/// Packs one layer.
-pub fn layer(shape: Shape, loads: &[f64], speeds: &[f64]) -> Layer {
-    let copies = copies(shape, loads);
-    let mut order: Vec<(f64, Expert)> = Vec::new();
-    for (expert, count) in copies.iter().enumerate() {
-        let weight = loads[expert] / f64::from(*count);
+/// Computes one layer of an expert map from scratch for these loads and rank
+/// speeds.
+pub fn pack_layer(shape: Shape, loads: &[f64], speeds: &[f64]) -> Layer {
+    let copy_counts = copy_counts(shape, loads);
+    let mut by_load_per_copy: Vec<(f64, Expert)> = Vec::new();
+    for (expert, count) in copy_counts.iter().enumerate() {
+        let load_per_copy = loads[expert] / f64::from(*count);
         for _ in 0..*count {
-            order.push((weight, expert as Expert));
+            by_load_per_copy.push((load_per_copy, expert as Expert));
         }
     }
-    order.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
+    by_load_per_copy.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
     let mut layer = Layer::new(shape);
-    let mut done = vec![0.0; shape.ranks];
-    for (weight, expert) in order {
+    let mut assigned_loads = vec![0.0; shape.ranks];
+    for (load_per_copy, expert) in by_load_per_copy {
         let free = (0..shape.ranks).filter(|rank| {
             let rank = *rank as Rank;
-            layer.held(rank).len() < shape.slots && !layer.has(rank, expert)
+            layer.experts_at(rank).len() < shape.slots_per_rank
+                && !layer.holds(rank, expert)
         });
-        let at = |rank: usize| (done[rank] + weight) / speeds[rank];
-        let best = free.min_by(|a, b| at(*a).total_cmp(&at(*b)));
-        // A further copy that fits nowhere is left out; the first always
-        // fits, since there are as many slots as experts.
-        let Some(best) = best else { continue };
-        done[best] += weight;
-        layer.add(best as Rank, expert);
+        let finish_time = |rank: usize| {
+            (assigned_loads[rank] + load_per_copy) / speeds[rank]
+        };
+        let soonest =
+            free.min_by(|a, b| finish_time(*a).total_cmp(&finish_time(*b)));
+        // An additional copy that fits nowhere is dropped. The first copy of
+        // an expert always fits, as there are at least as many slots as
+        // experts.
+        let Some(soonest) = soonest else { continue };
+        assigned_loads[soonest] += load_per_copy;
+        layer.add_copy(soonest as Rank, expert);
     }
-    repair(shape, &mut layer);
+    place_unhosted_experts(shape, &mut layer);
     layer
 }
 
-/// How many copies of each expert there are to be.
-fn copies(shape: Shape, loads: &[f64]) -> Vec<u32> {
-    let mut copies = vec![1u32; shape.experts];
-    let spare = (shape.ranks * shape.slots).saturating_sub(shape.experts);
-    let mut heap: BinaryHeap<Hot> = loads
+/// Returns the number of copies to make of each expert. The spare slots go to
+/// the experts with the largest load per copy, up to one copy for each rank.
+fn copy_counts(shape: Shape, loads: &[f64]) -> Vec<u32> {
+    let mut copy_counts = vec![1u32; shape.experts];
+    let spare =
+        (shape.ranks * shape.slots_per_rank).saturating_sub(shape.experts);
+    let mut heap: BinaryHeap<ExpertByLoad> = loads
         .iter()
         .enumerate()
-        .map(|(expert, load)| Hot { weight: *load, expert })
+        .map(|(expert, load)| ExpertByLoad { load_per_copy: *load, expert })
         .collect();
     for _ in 0..spare {
-        let Some(hot) = heap.pop() else { break };
-        let count = &mut copies[hot.expert];
+        let Some(heaviest) = heap.pop() else { break };
+        let count = &mut copy_counts[heaviest.expert];
         if *count as usize >= shape.ranks {
             continue;
         }
         *count += 1;
-        let weight = loads[hot.expert] / f64::from(*count);
-        heap.push(Hot { weight, expert: hot.expert });
+        let load_per_copy = loads[heaviest.expert] / f64::from(*count);
+        heap.push(ExpertByLoad { load_per_copy, expert: heaviest.expert });
     }
-    copies
+    copy_counts
 }
 
-/// Gives experts without a host the place of a copy that isn't the last.
-fn repair(shape: Shape, layer: &mut Layer) {
+/// Places each expert that no rank holds in the slot of a copy whose expert
+/// other ranks hold too.
+fn place_unhosted_experts(shape: Shape, layer: &mut Layer) {
     for expert in 0..shape.experts as Expert {
         if !layer.hosts(expert).is_empty() {
             continue;
         }
         let spare = (0..shape.ranks as Rank).find_map(|rank| {
-            let held = layer.held(rank);
-            let many = held.iter().find(|it| layer.hosts(**it).len() > 1);
-            many.map(|it| (rank, *it))
+            let held = layer.experts_at(rank);
+            let replicated =
+                held.iter().find(|it| layer.hosts(**it).len() > 1);
+            replicated.map(|it| (rank, *it))
         });
-        if let Some((rank, other)) = spare {
-            layer.remove(rank, other);
-            layer.add(rank, expert);
+        if let Some((rank, replaced)) = spare {
+            layer.remove_copy(rank, replaced);
+            layer.add_copy(rank, expert);
         }
     }
 }
 
+/// An expert, ordered by its load per copy, so that a heap of experts yields
+/// the expert to copy next.
 #[derive(PartialEq)]
-struct Hot {
-    weight: f64,
+struct ExpertByLoad {
+    load_per_copy: f64,
     expert: usize,
 }
 
-impl Eq for Hot {}
+impl Eq for ExpertByLoad {}
 
-impl Ord for Hot {
-    fn cmp(&self, other: &Hot) -> Ordering {
-        let weight = self.weight.total_cmp(&other.weight);
-        weight.then(other.expert.cmp(&self.expert))
+impl Ord for ExpertByLoad {
+    fn cmp(&self, other: &ExpertByLoad) -> Ordering {
+        let load_per_copy = self.load_per_copy.total_cmp(&other.load_per_copy);
+        load_per_copy.then(other.expert.cmp(&self.expert))
     }
 }
 
-impl PartialOrd for Hot {
-    fn partial_cmp(&self, other: &Hot) -> Option<Ordering> {
+impl PartialOrd for ExpertByLoad {
+    fn partial_cmp(&self, other: &ExpertByLoad) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
--- a/cowsliproad-placement/src/plan.rs
+++ b/cowsliproad-placement/src/plan.rs
@@ -1,400 +1,453 @@
-//! Few moves from the present map that pay for themselves.
+//! Plans a few moves from the present map whose saving exceeds their cost.
 //!
-//! In each layer the slowest rank is relieved again and again, by one of
-//! three moves: a copy of one of its experts takes the place of a copy that
-//! can be spared on a rank with time to spare; one of its experts changes
-//! places with a lighter one; or it gives up a copy of an expert that others
-//! hold too, for a copy of a lighter one. Only the best prefix of these moves is kept: the one
-//! whose saving over the horizon, weighed by `skew_weight`, exceeds its
-//! copies, weighed by `move_weight`, by most. All this looks at one half of
-//! the counts. The other half then has to show the saving as well, or the
-//! layer stays: noise differs between the halves, so it causes no moves.
-//! Then layers are taken by value for each
-//! copy until the copies that one plan may move are used up.
+//! In each layer, the slowest rank is relieved repeatedly by one of three
+//! moves: a copy of one of its experts replaces a dispensable copy on a rank
+//! with idle time; one of its experts is swapped with a lighter one; or a
+//! lighter expert replaces a copy of an expert that other ranks hold too. Only
+//! the best prefix of these moves is kept: the prefix whose saving over the
+//! horizon, weighted by `skew_weight`, exceeds the cost of its copies,
+//! weighted by `move_weight`, by most.
+//!
+//! The moves are chosen on one of the two averages of the counts. The other
+//! average has to show the saving too, or the layer stays unchanged. Noise
+//! differs between the averages, so noise causes no moves. Finally, layers are
+//! changed in order of their saving per copy, up to the copies that one plan
+//! may move.
 
 use crate::{
-    load::Loads,
-    map::{Expert, Layer, Map, Rank, Shape, share},
+    load::SmoothedLoads,
+    map::{Expert, Layer, Map, Rank, Shape, time_per_host},
 };
 
-/// What a group's operators weigh.
+/// The operators' settings for planning a group's map from averaged counts.
 #[derive(Clone, Copy, Debug)]
-pub struct Config {
+pub struct PlanConfig {
     skew_weight: f64,
     move_weight: f64,
-    most_moves: usize,
-    threshold: f64,
+    max_moves: usize,
+    min_layer_saving: f64,
 }
 
-impl Config {
-    /// Equal weights.
-    pub fn new() -> Config {
-        Config {
+impl PlanConfig {
+    /// Creates settings that weigh saved step time and moved copies equally.
+    pub fn new() -> PlanConfig {
+        PlanConfig {
             skew_weight: 1.0,
             move_weight: 1.0,
-            most_moves: usize::MAX,
-            threshold: 0.02,
+            max_moves: usize::MAX,
+            min_layer_saving: 0.02,
         }
     }
 
-    /// What a unit of step time saved is worth.
-    pub fn with_skew_weight(self, skew_weight: f64) -> Config {
-        Config { skew_weight, ..self }
+    /// Sets the weight of the step time that a lower skew saves, against the
+    /// weight of moved copies. The skew is the imbalance between the ranks.
+    pub fn with_skew_weight(self, skew_weight: f64) -> PlanConfig {
+        PlanConfig { skew_weight, ..self }
     }
 
-    /// What moving one copy costs.
-    pub fn with_move_weight(self, move_weight: f64) -> Config {
-        Config { move_weight, ..self }
+    /// Sets the weight of the cost of moved copies, against the weight of
+    /// saved step time.
+    pub fn with_move_weight(self, move_weight: f64) -> PlanConfig {
+        PlanConfig { move_weight, ..self }
     }
 
-    /// Copies that one plan may move, from the bytes a second that leave
-    /// serving alone.
-    pub fn with_most_moves(self, most_moves: usize) -> Config {
-        Config { most_moves, ..self }
+    /// Sets the maximum number of copies that one plan may move. The maximum
+    /// follows from the transfer rate that doesn't slow down serving.
+    pub fn with_max_moves(self, max_moves: usize) -> PlanConfig {
+        PlanConfig { max_moves, ..self }
     }
 
-    /// The share of a layer's time that a plan has to save in it.
-    pub fn with_threshold(self, threshold: f64) -> Config {
-        Config { threshold, ..self }
+    /// Sets the share of a layer's time that a change of the layer has to
+    /// save.
+    pub fn with_min_layer_saving(self, min_layer_saving: f64) -> PlanConfig {
+        PlanConfig { min_layer_saving, ..self }
     }
 }
 
-impl Default for Config {
-    fn default() -> Config {
-        Config::new()
+impl Default for PlanConfig {
+    fn default() -> PlanConfig {
+        PlanConfig::new()
     }
 }
 
-/// A new map and what it takes.
+/// A new expert map with its number of moves and its expected saving.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The map to switch to.
+    /// The new map.
     pub map: Map,
-    /// Copies to be moved.
-    pub moves: usize,
-    /// The share of the step time that it is expected to save.
+    /// The number of copies of experts to be moved to other ranks.
+    pub move_count: usize,
+    /// The share of the step time that the new map is expected to save.
     pub saving: f64,
 }
 
-/// What a move of one copy costs as a share of a mean layer's time, at
-/// equal weights: with the usual interval a saving of this size is earned
-/// back before the popularity has drifted.
-const MOVE_PRICE: f64 = 0.002;
+/// The cost of moving one copy of an expert, as a share of the mean layer
+/// time, if saved time and moved copies have equal weights. With the default
+/// interval, a saving of this size repays the move before the popularity of
+/// experts has drifted.
+const MOVE_COST: f64 = 0.002;
 
-/// Slow ranks that relief is looked for.
-const SLOW: usize = 6;
+/// The maximum number of slow ranks for which a move is searched, one after
+/// the other.
+const MAX_RELIEVED_RANKS: usize = 6;
 
-/// Moves tried in a layer, at least and at most; in between, three for two
-/// ranks.
-const TRIES: (usize, usize) = (32, 400);
+/// The minimum and maximum number of moves made to search for a better layer.
+/// Between these bounds, three moves are made for every two ranks.
+const MOVES_PER_LAYER_BOUNDS: (usize, usize) = (32, 400);
 
-/// Ranks with time to spare that are looked at for each move.
-const CANDIDATES: usize = 12;
+/// The maximum number of fast ranks considered as receivers of an expert.
+const MAX_RECEIVING_RANKS: usize = 12;
 
-/// Plans moves from the present map; `None` when none pays.
+/// Plans moves of experts from the present map; `None` if no moves save more
+/// than they cost.
 pub fn plan(
     shape: Shape,
-    config: Config,
+    config: PlanConfig,
     present: &Map,
-    loads: &Loads,
+    loads: &SmoothedLoads,
     speeds: &[f64],
 ) -> Option<Plan> {
-    if !loads.is_ready() {
+    if !loads.has_enough_intervals() {
         return None;
     }
-    let mean = loads.mean();
+    let mean = loads.mean_counts();
     let total = present.step_time(&mean, speeds);
-    let price = config.move_weight * MOVE_PRICE * total
+    let move_cost = config.move_weight * MOVE_COST * total
         / shape.layers as f64
         / config.skew_weight.max(f64::MIN_POSITIVE);
-    let mut changes: Vec<Change> = (0..shape.layers)
-        .filter_map(|index| {
-            let (fresh, check) = (loads.fresh(), loads.check());
-            let layer = &present.layers[index];
-            improve(
+    let mut changes: Vec<LayerChange> = (0..shape.layers)
+        .filter_map(|layer_index| {
+            let (planning_loads, validation_loads) =
+                (loads.planning_average(), loads.validation_average());
+            let layer = &present.layers[layer_index];
+            improve_layer(
                 layer,
-                &fresh[index],
-                &check[index],
+                &planning_loads[layer_index],
+                &validation_loads[layer_index],
                 speeds,
-                price,
+                move_cost,
                 &config,
             )
-            .map(|found| Change { index, ..found })
+            .map(|change| LayerChange { layer_index, ..change })
         })
         .collect();
-    changes.sort_by(|a, b| b.worth().total_cmp(&a.worth()));
+    changes
+        .sort_by(|a, b| b.saving_per_copy().total_cmp(&a.saving_per_copy()));
     let mut map = present.clone();
-    let (mut moves, mut saving) = (0, 0.0);
+    let (mut move_count, mut saving) = (0, 0.0);
     for change in changes {
-        if moves + change.moves > config.most_moves {
+        if move_count + change.move_count > config.max_moves {
             continue;
         }
-        moves += change.moves;
+        move_count += change.move_count;
         saving += change.saving;
-        map.layers[change.index] = change.layer;
+        map.layers[change.layer_index] = change.layer;
     }
-    (moves > 0).then(|| Plan { map, moves, saving: saving / total })
+    (move_count > 0).then(|| Plan { map, move_count, saving: saving / total })
 }
 
-/// A better layer.
-struct Change {
-    index: usize,
+/// A change of one layer that saves more than it costs.
+struct LayerChange {
+    layer_index: usize,
     layer: Layer,
-    moves: usize,
+    move_count: usize,
     saving: f64,
 }
 
-impl Change {
-    fn worth(&self) -> f64 {
-        self.saving / self.moves as f64
+impl LayerChange {
+    /// Returns the time that the change of the layer saves per moved copy.
+    fn saving_per_copy(&self) -> f64 {
+        self.saving / self.move_count as f64
     }
 }
 
-fn improve(
+/// Returns the best change of a layer under `loads`; `None` if no change saves
+/// more than it costs, also under `validation_loads`.
+fn improve_layer(
     present: &Layer,
-    fresh: &[f64],
-    check: &[f64],
+    loads: &[f64],
+    validation_loads: &[f64],
     speeds: &[f64],
-    price: f64,
-    config: &Config,
-) -> Option<Change> {
-    let before = present.longest(fresh, speeds);
+    move_cost: f64,
+    config: &PlanConfig,
+) -> Option<LayerChange> {
+    let before = present.slowest_rank_time(loads, speeds);
     let mut layer = present.clone();
-    let mut times = layer.times(fresh, speeds);
-    let mut best: Option<(f64, Change)> = None;
-    let tries = (present.ranks() * 3 / 2).clamp(TRIES.0, TRIES.1);
-    for _ in 0..tries {
-        let Some(step) = relieve(&layer, &times, fresh, speeds) else { break };
-        step.make(&mut layer);
-        times = layer.times(fresh, speeds);
+    let mut times = layer.rank_times(loads, speeds);
+    let mut best: Option<(f64, LayerChange)> = None;
+    let max_layer_moves = (present.rank_count() * 3 / 2)
+        .clamp(MOVES_PER_LAYER_BOUNDS.0, MOVES_PER_LAYER_BOUNDS.1);
+    for _ in 0..max_layer_moves {
+        let Some(it) = find_move(&layer, &times, loads, speeds) else { break };
+        it.apply_to(&mut layer);
+        times = layer.rank_times(loads, speeds);
         let after = times.iter().copied().fold(0.0, f64::max);
         let saving = before - after;
-        let moves = present.missing(&layer);
-        let value = saving - price * moves as f64;
+        let move_count = present.added_copies(&layer);
+        let value = saving - move_cost * move_count as f64;
         if value > best.as_ref().map_or(0.0, |it| it.0) {
             let layer = layer.clone();
-            let change = Change { index: 0, layer, moves, saving };
+            let change =
+                LayerChange { layer_index: 0, layer, move_count, saving };
             best = Some((value, change));
         }
     }
     let (_, change) = best?;
-    // The other half had no say in the choice, so what noise made look good
-    // looks no better there.
-    let before = present.longest(check, speeds);
-    let saving = before - change.layer.longest(check, speeds);
+    // The validation average did not influence the choice of the change, so a
+    // saving that was only noise doesn't show in the validation average.
+    let before = present.slowest_rank_time(validation_loads, speeds);
+    let saving =
+        before - change.layer.slowest_rank_time(validation_loads, speeds);
     let saving = saving.min(change.saving);
-    let pays = saving > price * change.moves as f64;
-    let enough = saving > config.threshold * before;
-    (pays && enough).then_some(Change { saving, ..change })
+    let exceeds_cost = saving > move_cost * change.move_count as f64;
+    let exceeds_threshold = saving > config.min_layer_saving * before;
+    (exceeds_cost && exceeds_threshold)
+        .then_some(LayerChange { saving, ..change })
 }
 
-/// One move in a layer.
+/// A move that changes the hosts of one or two experts of a layer.
 #[derive(Clone, Copy, Debug)]
-enum Step {
-    /// `from` gives `expert` to `to`, in exchange for `other`.
+enum ExpertMove {
+    /// Rank `from` gives `expert` to rank `to` in exchange for `other`.
     Swap { from: Rank, expert: Expert, to: Rank, other: Expert },
-    /// `to` holds a further copy of `expert` in place of `other`.
+    /// Rank `to` gets an additional copy of `expert` in place of `other`.
     Copy { expert: Expert, to: Rank, other: Expert },
-    /// `to` holds a further copy of `expert` in a free slot.
+    /// Rank `to` gets an additional copy of `expert` in a free slot.
     Fill { expert: Expert, to: Rank },
 }
 
-impl Step {
-    fn make(self, layer: &mut Layer) {
+impl ExpertMove {
+    fn apply_to(self, layer: &mut Layer) {
         match self {
-            Step::Swap { from, expert, to, other } => {
-                layer.remove(from, expert);
-                layer.remove(to, other);
-                layer.add(from, other);
-                layer.add(to, expert);
+            ExpertMove::Swap { from, expert, to, other } => {
+                layer.remove_copy(from, expert);
+                layer.remove_copy(to, other);
+                layer.add_copy(from, other);
+                layer.add_copy(to, expert);
             }
-            Step::Copy { expert, to, other } => {
-                layer.remove(to, other);
-                layer.add(to, expert);
+            ExpertMove::Copy { expert, to, other } => {
+                layer.remove_copy(to, other);
+                layer.add_copy(to, expert);
             }
-            Step::Fill { expert, to } => layer.add(to, expert),
+            ExpertMove::Fill { expert, to } => layer.add_copy(to, expert),
         }
     }
 }
 
-/// Relieves the slowest rank, or when nothing helps it, the next slowest,
-/// which may open a way for the slowest.
-fn relieve(
+/// Returns a move that relieves the slowest rank. If there is no such move,
+/// returns a move that relieves one of the next slowest ranks, after which the
+/// slowest rank may have a move.
+fn find_move(
     layer: &Layer,
-    times: &[f64],
+    rank_times: &[f64],
     loads: &[f64],
     speeds: &[f64],
-) -> Option<Step> {
-    let mut ranks: Vec<Rank> = (0..times.len() as Rank).collect();
+) -> Option<ExpertMove> {
+    let mut ranks: Vec<Rank> = (0..rank_times.len() as Rank).collect();
     let by_time = |a: &Rank, b: &Rank| {
-        times[usize::from(*a)].total_cmp(&times[usize::from(*b)])
+        rank_times[usize::from(*a)].total_cmp(&rank_times[usize::from(*b)])
     };
     ranks.sort_unstable_by(by_time);
-    let quick = &ranks[..CANDIDATES.min(ranks.len())];
-    let scene = Scene { layer, times, loads, speeds };
-    let slow = ranks.iter().rev().take(SLOW);
-    slow.into_iter().find_map(|rank| relieve_rank(&scene, *rank, quick))
+    let fast_ranks = &ranks[..MAX_RECEIVING_RANKS.min(ranks.len())];
+    let state = LayerState { layer, rank_times, loads, speeds };
+    let slow = ranks.iter().rev().take(MAX_RELIEVED_RANKS);
+    slow.into_iter()
+        .find_map(|rank| find_move_relieving_rank(&state, *rank, fast_ranks))
 }
 
-/// The move that leaves the ranks it touches with the shortest longest time,
-/// if that is shorter than the rank's own.
-fn relieve_rank(scene: &Scene, slowest: Rank, quick: &[Rank]) -> Option<Step> {
-    let layer = scene.layer;
-    let longest = scene.times[usize::from(slowest)];
-    let mut best: Option<(f64, Step)> = None;
-    for &expert in layer.held(slowest) {
-        for &to in quick {
-            if to == slowest || layer.has(to, expert) {
+/// Returns the move that relieves a slow rank best: the move with the lowest
+/// maximum time among the affected ranks, if lower than the slow rank's time.
+fn find_move_relieving_rank(
+    state: &LayerState,
+    slow_rank: Rank,
+    fast_ranks: &[Rank],
+) -> Option<ExpertMove> {
+    let layer = state.layer;
+    let longest_time = state.rank_times[usize::from(slow_rank)];
+    let mut best: Option<(f64, ExpertMove)> = None;
+    for &expert in layer.experts_at(slow_rank) {
+        for &to in fast_ranks {
+            if to == slow_rank || layer.holds(to, expert) {
                 continue;
             }
-            for step in scene.steps(slowest, expert, to) {
-                let time = scene.longest_after(step);
-                let limit = best.as_ref().map_or(longest, |it| it.0);
-                if time < limit * IMPROVEMENT {
-                    best = Some((time, step));
+            for candidate in state.moves_between(slow_rank, expert, to) {
+                let time = state.max_time_after(candidate);
+                let limit = best.as_ref().map_or(longest_time, |it| it.0);
+                if time < limit * REQUIRED_TIME_FACTOR {
+                    best = Some((time, candidate));
                 }
             }
         }
     }
-    for step in scene.trades(slowest, quick) {
-        let time = scene.longest_after(step);
-        let limit = best.as_ref().map_or(longest, |it| it.0);
-        if time < limit * IMPROVEMENT {
-            best = Some((time, step));
+    for candidate in state.replacement_moves(slow_rank, fast_ranks) {
+        let time = state.max_time_after(candidate);
+        let limit = best.as_ref().map_or(longest_time, |it| it.0);
+        if time < limit * REQUIRED_TIME_FACTOR {
+            best = Some((time, candidate));
         }
     }
     best.map(|it| it.1)
 }
 
-/// A move has to be better by this much, so that rounding makes none.
-const IMPROVEMENT: f64 = 1.0 - 1e-6;
+/// A move must lower the maximum time below this fraction of the best maximum
+/// time so far, so that rounding errors cause no moves.
+const REQUIRED_TIME_FACTOR: f64 = 1.0 - 1e-6;
 
-struct Scene<'a> {
+/// A layer of the expert map, with the loads of its experts and the times and
+/// speeds of the ranks.
+struct LayerState<'a> {
     layer: &'a Layer,
-    times: &'a [f64],
+    rank_times: &'a [f64],
     loads: &'a [f64],
     speeds: &'a [f64],
 }
 
-impl Scene<'_> {
-    fn steps(&self, from: Rank, expert: Expert, to: Rank) -> Vec<Step> {
-        let held = self.layer.held(to);
-        let mut steps = Vec::with_capacity(2 * held.len() + 1);
-        let slots = self.layer.held(from).len().max(held.len());
+impl LayerState<'_> {
+    /// Returns the moves that bring `expert` or a copy of it from one rank to
+    /// another.
+    fn moves_between(
+        &self,
+        from: Rank,
+        expert: Expert,
+        to: Rank,
+    ) -> Vec<ExpertMove> {
+        let held = self.layer.experts_at(to);
+        let mut moves = Vec::with_capacity(2 * held.len() + 1);
+        let slots = self.layer.experts_at(from).len().max(held.len());
         if held.len() < slots {
-            steps.push(Step::Fill { expert, to });
+            moves.push(ExpertMove::Fill { expert, to });
         }
         for &other in held {
             if self.layer.hosts(other).len() > 1 {
-                steps.push(Step::Copy { expert, to, other });
+                moves.push(ExpertMove::Copy { expert, to, other });
             }
-            if !self.layer.has(from, other) {
-                steps.push(Step::Swap { from, expert, to, other });
+            if !self.layer.holds(from, other) {
+                moves.push(ExpertMove::Swap { from, expert, to, other });
             }
         }
-        steps
+        moves
     }
 
-    /// What the slowest rank could hold in place of an expert that others
-    /// hold too.
-    fn trades(&self, slowest: Rank, quick: &[Rank]) -> Vec<Step> {
+    /// Returns the moves that replace an expert of a slow rank, which other
+    /// ranks hold too, by an expert of a fast rank.
+    fn replacement_moves(
+        &self,
+        slow_rank: Rank,
+        fast_ranks: &[Rank],
+    ) -> Vec<ExpertMove> {
         let layer = self.layer;
-        let held = layer.held(slowest).iter();
-        let spare = held.filter(|it| layer.hosts(**it).len() > 1);
-        let light = || {
-            let held = quick.iter().flat_map(|rank| layer.held(*rank));
-            held.filter(|it| !layer.has(slowest, **it))
+        let held = layer.experts_at(slow_rank).iter();
+        let dispensable = held.filter(|it| layer.hosts(**it).len() > 1);
+        let fast_rank_experts = || {
+            let held =
+                fast_ranks.iter().flat_map(|rank| layer.experts_at(*rank));
+            held.filter(|it| !layer.holds(slow_rank, **it))
         };
-        spare
+        dispensable
             .flat_map(|&other| {
-                light().map(move |&expert| Step::Copy {
+                fast_rank_experts().map(move |&expert| ExpertMove::Copy {
                     expert,
-                    to: slowest,
+                    to: slow_rank,
                     other,
                 })
             })
             .collect()
     }
 
-    /// The longest time among the ranks that a move touches.
-    fn longest_after(&self, step: Step) -> f64 {
-        match step {
-            Step::Fill { expert, to } => self.after_copy(expert, to, None),
-            Step::Copy { expert, to, other } => {
-                self.after_copy(expert, to, Some(other))
+    /// Returns the maximum time among the ranks that a move affects.
+    fn max_time_after(&self, candidate: ExpertMove) -> f64 {
+        match candidate {
+            ExpertMove::Fill { expert, to } => {
+                self.max_time_after_copy(expert, to, None)
+            }
+            ExpertMove::Copy { expert, to, other } => {
+                self.max_time_after_copy(expert, to, Some(other))
             }
-            Step::Swap { from, expert, to, other } => {
-                self.after_swap(from, expert, to, other)
+            ExpertMove::Swap { from, expert, to, other } => {
+                self.max_time_after_swap(from, expert, to, other)
             }
         }
     }
 
-    fn after_copy(
+    /// Returns the maximum time among the affected ranks after a copy of
+    /// `expert` is added to a rank, in place of `other` if given.
+    fn max_time_after_copy(
         &self,
         expert: Expert,
         to: Rank,
         other: Option<Expert>,
     ) -> f64 {
-        let old = self.each(expert, &[], None);
-        let new = self.each(expert, &[to], None);
-        let mut at_to = self.times[usize::from(to)] + new;
-        let mut longest: f64 = 0.0;
+        let old = self.time_per_host(expert, &[], None);
+        let new = self.time_per_host(expert, &[to], None);
+        let mut time_at_to = self.rank_times[usize::from(to)] + new;
+        let mut longest_time: f64 = 0.0;
         let (mut other_old, mut other_new) = (0.0, 0.0);
         if let Some(other) = other {
-            other_old = self.each(other, &[], None);
-            other_new = self.each(other, &[], Some(to));
-            at_to -= other_old;
+            other_old = self.time_per_host(other, &[], None);
+            other_new = self.time_per_host(other, &[], Some(to));
+            time_at_to -= other_old;
             for &host in self.layer.hosts(other) {
                 if host == to {
                     continue;
                 }
                 let mut time =
-                    self.times[usize::from(host)] + other_new - other_old;
-                if self.layer.has(host, expert) {
+                    self.rank_times[usize::from(host)] + other_new - other_old;
+                if self.layer.holds(host, expert) {
                     time += new - old;
                 }
-                longest = longest.max(time);
+                longest_time = longest_time.max(time);
             }
         }
         for &host in self.layer.hosts(expert) {
             let shared =
-                other.is_some_and(|other| self.layer.has(host, other));
+                other.is_some_and(|other| self.layer.holds(host, other));
             let extra = if shared { other_new - other_old } else { 0.0 };
-            let time = self.times[usize::from(host)] + new - old + extra;
-            longest = longest.max(time);
+            let time = self.rank_times[usize::from(host)] + new - old + extra;
+            longest_time = longest_time.max(time);
         }
-        longest.max(at_to)
+        longest_time.max(time_at_to)
     }
 
-    fn after_swap(
+    /// Returns the approximate maximum time of two ranks after they swap
+    /// experts.
+    fn max_time_after_swap(
         &self,
         from: Rank,
         expert: Expert,
         to: Rank,
         other: Expert,
     ) -> f64 {
-        // The hosts of either expert change by one; with equal speeds the
-        // shares stay, and a small error elsewhere is seen when the times
-        // are worked out anew after the move.
-        let mine = self.each(expert, &[], None);
-        let theirs = self.each(other, &[], None);
-        let mine_there = self.each(expert, &[to], Some(from));
-        let theirs_here = self.each(other, &[from], Some(to));
-        let at_from = self.times[usize::from(from)] - mine + theirs_here;
-        let at_to = self.times[usize::from(to)] - theirs + mine_there;
-        at_from.max(at_to)
+        // Each expert changes one of its hosts. With equal speeds, the shares
+        // of the other hosts stay the same. With unequal speeds, their times
+        // are off by a small error until all times are recomputed after the
+        // move.
+        let expert_time = self.time_per_host(expert, &[], None);
+        let other_time = self.time_per_host(other, &[], None);
+        let expert_time_at_to = self.time_per_host(expert, &[to], Some(from));
+        let other_time_at_from = self.time_per_host(other, &[from], Some(to));
+        let time_at_from = self.rank_times[usize::from(from)] - expert_time
+            + other_time_at_from;
+        let time_at_to =
+            self.rank_times[usize::from(to)] - other_time + expert_time_at_to;
+        time_at_from.max(time_at_to)
     }
 
-    /// What an expert costs each host, with hosts added or one left out.
-    fn each(&self, expert: Expert, added: &[Rank], out: Option<Rank>) -> f64 {
+    /// Returns the time that an expert takes on each host if hosts are added
+    /// or one host is removed.
+    fn time_per_host(
+        &self,
+        expert: Expert,
+        added_hosts: &[Rank],
+        removed_host: Option<Rank>,
+    ) -> f64 {
         let hosts = self.layer.hosts(expert);
         let load = self.loads[usize::from(expert)];
-        if added.is_empty() && out.is_none() {
-            return share(load, hosts, self.speeds);
+        if added_hosts.is_empty() && removed_host.is_none() {
+            return time_per_host(load, hosts, self.speeds);
         }
         let speed = |rank: &Rank| self.speeds[usize::from(*rank)];
-        let stay = hosts.iter().filter(|it| Some(**it) != out);
-        let sum: f64 = stay.chain(added).map(speed).sum();
+        let stay = hosts.iter().filter(|it| Some(**it) != removed_host);
+        let sum: f64 = stay.chain(added_hosts).map(speed).sum();
         load / sum
     }
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -16,7 +16,9 @@
         object::Organisation,
     },
     kernel::{clock::Millis, id, wire::Urgency},
-    mapswitch::{Generation, Member, Message, Proposal, Version, Weights},
+    mapswitch::{
+        Generation, Member, Proposal, Version, VoteMessage, WeightsStatus,
+    },
 };
 use goldenscript::{Command, Context, Runner};
 
@@ -37,7 +39,7 @@
     log: Vec<Vec<u8>>,
     replicas: BTreeMap<String, State>,
     group: Vec<Member>,
-    network: Vec<Message>,
+    network: Vec<VoteMessage>,
 }
 
 impl World {
@@ -138,8 +140,9 @@
             version: Version(version),
             boundary,
         };
-        let ask = Message::Ask(proposal);
-        let answer = self.group[rank].take(ask, Weights::Loaded);
+        let ask = VoteMessage::VoteRequest(proposal);
+        let answer =
+            self.group[rank].handle_message(ask, WeightsStatus::Loaded);
         self.network.extend(answer);
         format!("{answer:?}")
     }
@@ -147,9 +150,9 @@
     /// `deliver rank=N`: a member gets all votes so far.
     fn deliver(&mut self, rank: usize) -> String {
         for message in self.network.clone() {
-            self.group[rank].take(message, Weights::Loaded);
+            self.group[rank].handle_message(message, WeightsStatus::Loaded);
         }
-        format!("{:?}", self.group[rank].next())
+        format!("{:?}", self.group[rank].next_step())
     }
 }
 
@@ -223,7 +226,7 @@
             }
             "step" => {
                 let rank = number(args.take_key("rank"), 0)?;
-                format!("{:?}", self.group[rank].run())
+                format!("{:?}", self.group[rank].run_step())
             }
             "deliver" => {
                 let rank = number(args.take_key("rank"), 0)?;
@@ -231,7 +234,7 @@
             }
             "renew" => {
                 let rank = number(args.take_key("rank"), 0)?;
-                self.group[rank].move_on(Generation(2), Version(0));
+                self.group[rank].join_generation(Generation(2), Version(0));
                 String::new()
             }
             other => return Err(format!("no command {other}").into()),
