--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -1,8 +1,10 @@
-//! The loop of an agent: look at the engine, do what is due, tell the others.
+//! The loop of an agent: read the engine's state, send the orders that are
+//! needed and notify the other agents.
 //!
-//! The coordinator is whoever leads with the highest fencing number. Rank 0
-//! takes the lead when nobody does; when it is silent, the next ranks in
-//! turn wait a little longer each, so that mostly one of them takes over.
+//! The coordinator is the agent that leads with the highest fencing number.
+//! Rank 0 takes over if the group has no coordinator. If rank 0 is silent,
+//! each following rank waits slightly longer than the rank before, so that
+//! usually only one of them takes over.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -28,14 +30,14 @@
     time::{Instant, sleep_until},
 };
 
-use self::chair::candidate;
+use self::chair::wait_for_fencing_number_record;
 use crate::{
-    engine::Engine,
-    lead::Lead,
-    plan::{Plan, Sheet},
-    rota::Rota,
+    engine::EngineClient,
+    lead::GroupCoordinator,
+    plan::{MapPlan, PlanUpdate},
+    rota::CountReportSchedule,
     settings::Settings,
-    wire::{Envelope, Message, News},
+    wire::{AgentMessage, GroupMessage, UrgentStatus},
 };
 
 mod chair;
@@ -43,160 +45,177 @@
 mod readings;
 mod words;
 
-/// How often the engine is looked at while nothing is going on.
-const CALM_TIME: Millis = Millis(50);
+/// The interval at which the agent polls its engine while no switch is in
+/// progress.
+const IDLE_POLL_INTERVAL: Millis = Millis(50);
 
-/// How often while a change of map is under way: less than a pass takes.
-const BUSY_TIME: Millis = Millis(30);
+/// The polling interval while a switch of maps is in progress: shorter than a
+/// pass.
+const SWITCH_POLL_INTERVAL: Millis = Millis(30);
 
-/// How often the holder looks while the hold is on its way: the group may
-/// stand from then on until all are armed.
-const HOLD_TIME: Millis = Millis(6);
+/// The polling interval of the holder's agent while the hold is ordered: from
+/// then on the group may be stopped until all ranks are armed.
+const HOLD_POLL_INTERVAL: Millis = Millis(6);
 
-/// How often entries are told of the load.
-const LOAD_TIME: Millis = Millis(400);
+/// The interval at which the agent reports the engine's load to entry
+/// processes.
+const LOAD_REPORT_INTERVAL: Millis = Millis(400);
 
-/// Ranks up to which words are repeated every [`BUSY_TIME`].
-const BUSY_RANKS: u64 = 16;
+/// The number of ranks up to which messages are repeated every
+/// [`SWITCH_POLL_INTERVAL`].
+const MAX_RANKS_AT_SHORTEST_MESSAGE_INTERVAL: u64 = 16;
 
-/// The longest that a stopping agent stays for a change of the map. One takes
-/// half a second at 72 ranks; the platform gives a process some seconds.
-const STOP_TIME: Millis = Millis(2_000);
+/// How long a stopping agent waits at most for a switch of maps to end. A
+/// switch takes half a second at 72 ranks; the platform gives a process some
+/// seconds to stop.
+const STOP_TIMEOUT: Millis = Millis(2_000);
 
-/// Entries that haven't asked for so long get no more reports.
-const FORGET_TIME: Millis = Millis(4_000);
+/// The time after which the subscription of an entry process expires unless
+/// renewed.
+const SUBSCRIPTION_TTL: Millis = Millis(4_000);
 
-/// A fencing number on its way from the platform's log.
-type Candidacy = JoinHandle<Option<Position>>;
+/// A task that acquires a fencing number from the platform's log.
+type FencingNumberTask = JoinHandle<Option<Position>>;
 
-/// An agent.
+/// The agent of one engine.
 pub struct Agent {
     settings: Settings,
     log: Logger,
-    engine: Engine,
+    engine_client: EngineClient,
     entries_socket: UdpSocket,
     agents_socket: UdpSocket,
-    own: SocketAddr,
-    /// Entries that asked for reports, and when.
-    entries: BTreeMap<SocketAddr, Millis>,
-    /// What entries say of the service.
-    shape: Option<Subscribe>,
-    state: Option<EngineState>,
-    /// Which start of the engine all below is of.
-    start: Option<u64>,
-    /// Whether the engine's process is known to be gone.
-    engine_ended: Ended,
-    /// What engines of others asked for in a formation of the group.
-    distant: BTreeMap<SocketAddr, (Epoch, Cooldown)>,
-    /// The group that the engine last named.
-    group: Option<Name>,
-    /// Engines of the service that are of other groups.
-    strangers: BTreeSet<SocketAddr>,
-    experts: Option<(Epoch, order::Version, Vec<Vec<u16>>)>,
-    counts: Option<(Epoch, Vec<Vec<u64>>)>,
-    rota: Option<Rota>,
-    plan: Option<Plan>,
-    /// The coordinator's last word, where it is, and when it came.
-    word: Option<(Directive, SocketAddr, Millis)>,
-    /// The pass for which it last heard that the coordinator's rank arms.
-    sealed: Option<(Epoch, u64)>,
-    /// The highest fencing number met.
-    fence: u64,
-    /// The newest era of the platform's log that is known of.
-    era: Era,
-    lead: Option<Lead>,
-    /// A number that is being fetched from the platform's log.
-    candidacy: Option<Candidacy>,
-    begun: Millis,
-    /// The formation and the pass that the engine first reported.
-    first: Option<(Epoch, u64)>,
-    /// Since when it is to stop.
-    stopping: Option<Millis>,
-    /// Whether the engine is to be looked at without a pause.
-    prompt: bool,
-    last: Times,
+    own_address: SocketAddr,
+    /// The entry processes that subscribed to load reports, and when each last
+    /// renewed its subscription.
+    subscribed_entries: BTreeMap<SocketAddr, Millis>,
+    /// The service's targets and expert layout, as last received from an entry
+    /// process.
+    service_shape: Option<Subscribe>,
+    engine_state: Option<EngineState>,
+    /// When the engine's process started. The state read from the engine
+    /// belongs to this process.
+    engine_start_unix_ms: Option<u64>,
+    /// Whether the engine's process is known to have ended.
+    engine_process: EngineProcessState,
+    /// The cooldowns that the engines of other ranks requested, each with the
+    /// group formation in which it was requested.
+    remote_engine_cooldowns: BTreeMap<SocketAddr, (Epoch, Cooldown)>,
+    /// The group that the engine last named as its own.
+    engine_group: Option<Name>,
+    /// The engines of the service that belong to other groups.
+    engines_of_other_groups: BTreeSet<SocketAddr>,
+    experts_of_map: Option<(Epoch, order::Version, Vec<Vec<u16>>)>,
+    last_selection_counts: Option<(Epoch, Vec<Vec<u64>>)>,
+    count_schedule: Option<CountReportSchedule>,
+    held_plan: Option<MapPlan>,
+    /// The last directive, the address of the coordinator that sent it, and
+    /// when it arrived.
+    last_directive: Option<(Directive, SocketAddr, Millis)>,
+    /// The formation and pass for which the agent last received the
+    /// announcement that the coordinator's own rank arms.
+    announced_coordinator_arming: Option<(Epoch, u64)>,
+    /// The highest fencing number that the agent has received.
+    max_known_fencing_number: u64,
+    /// The newest known era of the platform's log.
+    newest_log_era: Era,
+    coordinator: Option<GroupCoordinator>,
+    /// The task that acquires a fencing number, if one is running.
+    fencing_number_task: Option<FencingNumberTask>,
+    agent_start: Millis,
+    /// The formation and pass of the engine's first report to this agent
+    /// process.
+    first_reported_pass: Option<(Epoch, u64)>,
+    /// When the agent was asked to stop, if at all.
+    stop_request_time: Option<Millis>,
+    /// Whether the agent must poll the engine again without waiting for the
+    /// interval.
+    poll_again_at_once: bool,
+    last_actions: LastActions,
 }
 
-/// Whether an engine's process is gone. One that doesn't answer may live.
+/// Whether an engine's process has ended. A process that doesn't answer may
+/// still run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Ended {
-    Yes,
-    No,
+enum EngineProcessState {
+    Ended,
+    NotKnownEnded,
 }
 
-/// An *arm* without an answer.
+/// An *arm* order that the engine didn't answer.
 #[derive(Clone, Copy)]
-struct Unanswered {
+struct UnansweredArm {
     epoch: Epoch,
-    /// The pass that it is for.
-    step: u64,
-    at: Millis,
+    /// The pass at which the order was to switch maps.
+    switch_pass: u64,
+    order_time: Millis,
 }
 
-/// When things were done last.
+/// When the agent last took each kind of action, and with which content.
 #[derive(Default)]
-struct Times {
-    load: Millis,
-    status: Millis,
-    speech: Millis,
-    candidacy: Option<Millis>,
-    said: Option<Directive>,
-    /// The last *arm* that went unanswered.
-    unanswered_arm: Option<Unanswered>,
-    /// The word for which a hold was ordered last, and when.
-    hold: Option<Directive>,
-    held: Millis,
-    /// What the coordinator was told last.
-    told: Option<News>,
-    /// The plan that was handed out last, and when.
-    planned: Option<order::Version>,
-    handed: Millis,
-    /// When an engine was asked from afar, and how often.
-    reach: Millis,
-    reached: usize,
-    /// The aim for which an order was taken last, and when.
-    taken: Option<(Directive, Millis)>,
+struct LastActions {
+    load_report_time: Millis,
+    status_time: Millis,
+    directive_time: Millis,
+    fencing_number_request_time: Option<Millis>,
+    sent_directive: Option<Directive>,
+    /// The last *arm* order that the engine didn't answer.
+    unanswered_arm: Option<UnansweredArm>,
+    /// The directive for which the agent last ordered a hold.
+    hold_directive: Option<Directive>,
+    hold_order_time: Millis,
+    /// The urgent part of the status that the agent last sent to the
+    /// coordinator.
+    sent_urgent_status: Option<UrgentStatus>,
+    /// The version of the plan that the agent last distributed as coordinator.
+    distributed_plan_version: Option<order::Version>,
+    plan_distribution_time: Millis,
+    /// When the agent last called the engine of a silent agent.
+    silent_engine_call_time: Millis,
+    silent_engine_call_count: usize,
+    /// The directive for which the engine last accepted an order, and when.
+    accepted_order: Option<(Directive, Millis)>,
 }
 
 impl Agent {
-    /// An agent that has looked at nothing yet.
+    /// Creates an agent that has not polled its engine yet.
     pub async fn new(settings: Settings, log: Logger) -> io::Result<Agent> {
         let at = |port| SocketAddr::new(settings.address, port);
-        let own = at(settings.agent_port);
+        let own_address = at(settings.agent_port);
         Ok(Agent {
-            engine: Engine::new(settings.engine),
+            engine_client: EngineClient::new(settings.engine),
             entries_socket: UdpSocket::bind(at(settings.peer_port)).await?,
-            agents_socket: UdpSocket::bind(own).await?,
-            own,
+            agents_socket: UdpSocket::bind(own_address).await?,
+            own_address,
             log,
-            entries: BTreeMap::new(),
-            shape: None,
-            state: None,
-            start: None,
-            engine_ended: Ended::No,
-            distant: BTreeMap::new(),
-            group: None,
-            strangers: BTreeSet::new(),
-            experts: None,
-            counts: None,
-            rota: None,
-            plan: None,
-            word: None,
-            sealed: None,
-            fence: 0,
-            era: Era::default(),
-            lead: None,
-            candidacy: None,
-            begun: Millis::now(),
-            first: None,
-            stopping: None,
-            prompt: false,
-            last: Times::default(),
+            subscribed_entries: BTreeMap::new(),
+            service_shape: None,
+            engine_state: None,
+            engine_start_unix_ms: None,
+            engine_process: EngineProcessState::NotKnownEnded,
+            remote_engine_cooldowns: BTreeMap::new(),
+            engine_group: None,
+            engines_of_other_groups: BTreeSet::new(),
+            experts_of_map: None,
+            last_selection_counts: None,
+            count_schedule: None,
+            held_plan: None,
+            last_directive: None,
+            announced_coordinator_arming: None,
+            max_known_fencing_number: 0,
+            newest_log_era: Era::default(),
+            coordinator: None,
+            fencing_number_task: None,
+            agent_start: Millis::now(),
+            first_reported_pass: None,
+            stop_request_time: None,
+            poll_again_at_once: false,
+            last_actions: LastActions::default(),
             settings,
         })
     }
 
-    /// Runs until it is told to stop and no change of the map needs it.
+    /// Runs the agent until it is asked to stop and no switch of maps needs
+    /// it.
     pub async fn run(
         mut self,
         stop: impl Future<Output = ()>,
@@ -204,230 +223,273 @@
         let mut stop = std::pin::pin!(stop);
         let mut from_entries = vec![0; gossip::MAX_DATAGRAM_BYTES];
         let mut from_agents = vec![0; gossip::MAX_DATAGRAM_BYTES];
-        let mut next = Instant::now();
+        let mut next_poll = Instant::now();
         loop {
-            // Words of others go first: one that was frozen learns that it
-            // no longer leads before it acts.
+            // Messages of other agents come first: an agent that was frozen
+            // has to learn that it was replaced as coordinator before it acts.
             tokio::select! {
                 biased;
-                () = &mut stop, if self.stopping.is_none() => {
-                    self.stopping = Some(Millis::now());
-                    if let Some(lead) = &mut self.lead {
-                        lead.plan_no_more();
+                () = &mut stop, if self.stop_request_time.is_none() => {
+                    self.stop_request_time = Some(Millis::now());
+                    if let Some(coordinator) = &mut self.coordinator {
+                        coordinator.stop_planning();
                     }
                 }
                 got = self.agents_socket.recv_from(&mut from_agents) => {
                     if let Ok((length, _)) = got {
-                        self.hear(&from_agents[..length]).await;
+                        self.handle_agent_message(&from_agents[..length]).await;
                     }
                 }
                 got = self.entries_socket.recv_from(&mut from_entries) => {
                     if let Ok((length, from)) = got {
-                        self.subscribe(&from_entries[..length], from);
+                        self.handle_subscription(&from_entries[..length], from);
                     }
                 }
-                number = candidate(&mut self.candidacy) => {
-                    self.candidacy = None;
-                    self.take_number(number).await;
+                record = wait_for_fencing_number_record(&mut self.fencing_number_task) => {
+                    self.fencing_number_task = None;
+                    self.become_coordinator(record).await;
                 }
-                () = sleep_until(next) => {
+                () = sleep_until(next_poll) => {
                     self.poll_engine().await;
-                    next = Instant::now() + self.pause().duration();
+                    next_poll = Instant::now() + self.poll_interval().duration();
                 }
             }
-            if self.may_end() {
-                self.say_farewell().await;
+            if self.can_stop() {
+                self.broadcast_coordinator_stop().await;
                 return Ok(());
             }
-            // What was just ordered or heard shows in the next report.
-            if std::mem::take(&mut self.prompt) {
-                next = Instant::now();
+            // The next report shows the effect of an order or directive.
+            if std::mem::take(&mut self.poll_again_at_once) {
+                next_poll = Instant::now();
             }
         }
     }
 
-    /// Whether it was told to stop and a change of the map, which may hold
-    /// the group, no longer needs it.
-    fn may_end(&self) -> bool {
-        let Some(since) = self.stopping else { return false };
-        let aim = self.word.as_ref().map_or(Aim::Rest, |it| it.0.aim);
-        aim == Aim::Rest || Millis::now().since(since) > STOP_TIME
+    /// Returns whether the agent was asked to stop and no switch of maps,
+    /// which may hold the group, needs it any more.
+    fn can_stop(&self) -> bool {
+        let Some(since) = self.stop_request_time else { return false };
+        let aim =
+            self.last_directive.as_ref().map_or(Aim::Rest, |it| it.0.aim);
+        aim == Aim::Rest || Millis::now().since(since) > STOP_TIMEOUT
     }
 
-    fn pause(&self) -> Millis {
-        let aim = self.word.as_ref().map_or(Aim::Rest, |it| it.0.aim);
-        let rank = self.report().map(|it| it.rank);
+    fn poll_interval(&self) -> Millis {
+        let aim =
+            self.last_directive.as_ref().map_or(Aim::Rest, |it| it.0.aim);
+        let rank = self.engine_report().map(|it| it.rank);
         match aim {
-            Aim::Rest => CALM_TIME,
-            Aim::Held { holder, .. } if Some(holder) == rank => HOLD_TIME,
-            _ => BUSY_TIME,
+            Aim::Rest => IDLE_POLL_INTERVAL,
+            Aim::Held { holder, .. } if Some(holder) == rank => {
+                HOLD_POLL_INTERVAL
+            }
+            _ => SWITCH_POLL_INTERVAL,
         }
     }
 
-    fn subscribe(&mut self, bytes: &[u8], from: SocketAddr) {
-        let Some(asked) = gossip::decode::<Subscribe>(bytes) else {
-            warn!(self.log, "strange_datagram"; "from" => %from);
+    fn handle_subscription(&mut self, datagram: &[u8], sender: SocketAddr) {
+        let Some(subscription) = gossip::decode::<Subscribe>(datagram) else {
+            warn!(self.log, "strange_datagram"; "from" => %sender);
             return;
         };
         let now = Millis::now();
-        self.learn_era(asked.log_era);
-        if self.entries.insert(from, now).is_none() {
-            info!(self.log, "entry_met"; "entry" => %from);
+        self.record_log_era(subscription.log_era);
+        if self.subscribed_entries.insert(sender, now).is_none() {
+            info!(self.log, "entry_met"; "entry" => %sender);
         }
-        self.entries.retain(|_, heard| now.since(*heard) < FORGET_TIME);
-        if !asked.targets.is_empty() {
-            self.shape = Some(asked);
-        } else if asked.list_id != self.list() {
-            // The next report says so, and the entry tells all again.
-            self.last.load = Millis(0);
+        self.subscribed_entries.retain(|_, last_received| {
+            now.since(*last_received) < SUBSCRIPTION_TTL
+        });
+        if !subscription.targets.is_empty() {
+            self.service_shape = Some(subscription);
+        } else if subscription.list_id != self.target_list_id() {
+            // The load report names the list that the agent has, and the entry
+            // process then sends the full list again.
+            self.last_actions.load_report_time = Millis(0);
         }
     }
 
-    /// Takes a word of another agent in.
-    async fn hear(&mut self, bytes: &[u8]) {
+    /// Handles a datagram from another agent.
+    async fn handle_agent_message(&mut self, datagram: &[u8]) {
         let now = Millis::now();
-        let heard = gossip::decode::<Envelope<Message>>(bytes);
-        let Some(Envelope { group, message }) = heard else {
+        let decoded = gossip::decode::<GroupMessage<AgentMessage>>(datagram);
+        let Some(GroupMessage { group_name, message }) = decoded else {
             warn!(self.log, "strange_datagram");
             return;
         };
-        // Ranks of another group have maps and passes of their own.
-        if self.group() != Some(&group) {
+        // The ranks of another group have their own maps and passes.
+        if self.engine_group() != Some(&group_name) {
             return;
         }
         match message {
-            Message::Status(status) => {
-                if let Some(lead) = &mut self.lead {
-                    if status.fence > lead.fence() {
-                        self.step_down(status.fence);
+            AgentMessage::Status(status) => {
+                if let Some(coordinator) = &mut self.coordinator {
+                    if status.max_known_fencing_number
+                        > coordinator.fencing_number()
+                    {
+                        self.step_down_as_coordinator(
+                            status.max_known_fencing_number,
+                        );
                         return;
                     }
-                    lead.take(*status, now);
-                    lead.advance(self.shape.as_ref(), now);
-                    self.speak(now).await;
+                    coordinator.merge_status(*status, now);
+                    coordinator
+                        .advance_switch(self.service_shape.as_ref(), now);
+                    self.broadcast_directive(now).await;
                 }
             }
-            Message::Directive(word, from) => {
-                if word.fence < self.fence {
+            AgentMessage::Directive(directive, from) => {
+                if directive.fence < self.max_known_fencing_number {
                     return;
                 }
-                self.fence = word.fence;
-                if self.lead.as_ref().is_some_and(|it| it.fence() < word.fence)
+                self.max_known_fencing_number = directive.fence;
+                if self
+                    .coordinator
+                    .as_ref()
+                    .is_some_and(|it| it.fencing_number() < directive.fence)
                 {
-                    self.step_down(word.fence);
+                    self.step_down_as_coordinator(directive.fence);
                 }
-                let before = self.word.as_ref().map(|it| it.0);
-                self.note_seal(&word);
-                self.word = Some((word, from, now));
-                if before != Some(word) {
+                let before = self.last_directive.as_ref().map(|it| it.0);
+                self.record_coordinator_arming(&directive);
+                self.last_directive = Some((directive, from, now));
+                if before != Some(directive) {
                     self.poll_engine().await;
-                    self.prompt = matches!(word.aim, Aim::Held { .. });
+                    self.poll_again_at_once =
+                        matches!(directive.aim, Aim::Held { .. });
                 }
             }
-            Message::Choices(choices) => {
-                let shape = self.shape.as_ref();
-                let experts = shape.map_or(0, |it| it.experts_per_set.into());
-                if let Some(lead) = &mut self.lead {
-                    lead.count(choices, experts);
+            AgentMessage::SelectionGrowth(growth) => {
+                let shape = self.service_shape.as_ref();
+                let experts_per_set =
+                    shape.map_or(0, |it| it.experts_per_set.into());
+                if let Some(coordinator) = &mut self.coordinator {
+                    coordinator.add_selection_growth(growth, experts_per_set);
                 }
             }
-            Message::Farewell(fence) => self.hear_farewell(fence),
-            Message::Plan(sheet) => self.take_plan(sheet).await,
+            AgentMessage::CoordinatorStop(fencing_number) => {
+                self.handle_coordinator_stop(fencing_number)
+            }
+            AgentMessage::Plan(update) => {
+                self.accept_and_forward_plan(update).await
+            }
         }
     }
 
-    /// Takes a plan, and passes it on.
-    async fn take_plan(&mut self, mut sheet: Sheet) {
-        if sheet.fence < self.fence {
+    /// Accepts a plan update and forwards it to the agents that the update
+    /// names.
+    async fn accept_and_forward_plan(&mut self, mut update: PlanUpdate) {
+        if update.fencing_number < self.max_known_fencing_number {
             return;
         }
-        self.fence = sheet.fence;
-        let has = self.plan.as_ref().map(|it| it.version);
-        if has == Some(sheet.version) {
+        self.max_known_fencing_number = update.fencing_number;
+        let has = self.held_plan.as_ref().map(|it| it.map_version);
+        if has == Some(update.map_version) {
             return;
         }
-        match sheet.plan(self.plan.as_ref()) {
-            Ok(plan) => self.plan = Some(plan),
-            Err(misfit) => info!(self.log, "plan_misfit";
-                "version" => sheet.version.0, "why" => ?misfit,
+        match update.rebuild_plan(self.held_plan.as_ref()) {
+            Ok(plan) => self.held_plan = Some(plan),
+            Err(error) => info!(self.log, "plan_misfit";
+                "version" => update.map_version.0, "why" => ?error,
                 "has" => ?has),
         }
-        let pass_on = std::mem::take(&mut sheet.pass_on);
-        self.tell(&Message::Plan(sheet), &pass_on).await;
+        let forward_to_agents = std::mem::take(&mut update.forward_to_agents);
+        self.send_to_agents(&AgentMessage::Plan(update), &forward_to_agents)
+            .await;
     }
 
-    /// Looks at the engine, does what is due and tells the others.
+    /// Polls the engine, sends the order that is needed and reports to entry
+    /// processes and the coordinator.
     async fn poll_engine(&mut self) {
-        let before = self.standing();
-        self.refresh().await;
-        if let Some((word, _, _)) = self.word
-            && self.carry_out(word).await
+        let before = self.group_standing();
+        self.read_engine_state().await;
+        if let Some((directive, _, _)) = self.last_directive
+            && self.send_required_order(directive).await
         {
-            self.refresh().await;
+            self.read_engine_state().await;
         }
         let now = Millis::now();
-        let changed = self.standing() != before;
+        let changed = self.group_standing() != before;
         if changed {
-            info!(self.log, "standing"; "now" => ?self.standing());
+            info!(self.log, "standing"; "now" => ?self.group_standing());
         }
-        if changed || now.since(self.last.load) >= LOAD_TIME {
-            self.last.load = now;
-            self.tell_entries().await;
+        if changed
+            || now.since(self.last_actions.load_report_time)
+                >= LOAD_REPORT_INTERVAL
+        {
+            self.last_actions.load_report_time = now;
+            self.report_load_to_entries().await;
         }
-        self.count(now).await;
-        self.tell_coordinator(now).await;
-        self.consider_leading(now).await;
+        self.report_selection_growth(now).await;
+        self.report_status_to_coordinator(now).await;
+        self.coordinate_or_seek_role(now).await;
     }
 
-    fn note_seal(&mut self, word: &Directive) {
-        if let Some(step) = order::coordinator_arm_step(word) {
-            self.sealed = Some((word.epoch, step));
+    fn record_coordinator_arming(&mut self, directive: &Directive) {
+        if let Some(step) = order::coordinator_arm_step(directive) {
+            self.announced_coordinator_arming = Some((directive.epoch, step));
         }
     }
 
-    /// The group that its engine is a rank of.
-    fn group(&self) -> Option<&Name> {
-        self.group.as_ref()
+    /// Returns the group to which the agent's engine belongs.
+    fn engine_group(&self) -> Option<&Name> {
+        self.engine_group.as_ref()
     }
 
-    /// The list of engines that it knows; 0 for none.
-    fn list(&self) -> u64 {
-        self.shape.as_ref().map_or(0, |it| it.list_id)
+    /// Returns the id of the list of the service's engines that the agent has;
+    /// 0 without a list.
+    fn target_list_id(&self) -> u64 {
+        self.service_shape.as_ref().map_or(0, |it| it.list_id)
     }
 
-    fn report(&self) -> Option<&Report> {
-        self.state.as_ref()?.report.as_ref()
+    fn engine_report(&self) -> Option<&Report> {
+        self.engine_state.as_ref()?.report.as_ref()
     }
 
-    fn standing(&self) -> Option<(Epoch, GroupState)> {
-        self.report().map(|it| (it.epoch, it.standing))
+    fn group_standing(&self) -> Option<(Epoch, GroupState)> {
+        self.engine_report().map(|it| (it.epoch, it.standing))
     }
 
-    async fn tell(&self, message: &Message, agents: &[SocketAddr]) {
-        let Some(group) = self.group().cloned() else { return };
-        let bytes = gossip::encode(&Envelope { group, message });
+    async fn send_to_agents(
+        &self,
+        message: &AgentMessage,
+        agents: &[SocketAddr],
+    ) {
+        let Some(group_name) = self.engine_group().cloned() else { return };
+        let bytes = gossip::encode(&GroupMessage { group_name, message });
         for agent in agents {
-            send(&self.log, &self.agents_socket, &bytes, *agent).await;
+            send_datagram(&self.log, &self.agents_socket, &bytes, *agent)
+                .await;
         }
     }
 
-    /// How often words are repeated while a change is under way. A larger
-    /// group says them less often, so that the coordinator's link and
-    /// processor bear it.
-    fn busy_time(&self) -> Millis {
-        let ranks = self.report().map_or(0, |it| u64::from(it.ranks));
-        Millis(BUSY_TIME.0 * ranks.div_ceil(BUSY_RANKS).max(1))
+    /// Returns the interval at which messages are repeated while a switch is
+    /// in progress. A larger group repeats them less often, to limit the load
+    /// on the coordinator's link and processor.
+    fn switch_message_interval(&self) -> Millis {
+        let ranks = self.engine_report().map_or(0, |it| u64::from(it.ranks));
+        Millis(
+            SWITCH_POLL_INTERVAL.0
+                * ranks
+                    .div_ceil(MAX_RANKS_AT_SHORTEST_MESSAGE_INTERVAL)
+                    .max(1),
+        )
     }
 
-    fn agents(&self) -> impl Iterator<Item = SocketAddr> {
+    fn agent_addresses(&self) -> impl Iterator<Item = SocketAddr> {
         let port = self.settings.agent_port;
-        let agents = self.shape.iter().flat_map(|it| &it.targets);
+        let agents = self.service_shape.iter().flat_map(|it| &it.targets);
         agents.map(move |it| SocketAddr::new(it.ip(), port))
     }
 }
 
-async fn send(log: &Logger, socket: &UdpSocket, bytes: &[u8], to: SocketAddr) {
-    if let Err(error) = socket.send_to(bytes, to).await {
-        slog::debug!(log, "not_told"; "peer" => %to, "error" => %error);
+async fn send_datagram(
+    log: &Logger,
+    socket: &UdpSocket,
+    bytes: &[u8],
+    receiver: SocketAddr,
+) {
+    if let Err(error) = socket.send_to(bytes, receiver).await {
+        slog::debug!(log, "not_told"; "peer" => %receiver, "error" => %error);
     }
 }
--- a/cowsliproad-rank/src/agent/chair.rs
+++ b/cowsliproad-rank/src/agent/chair.rs
@@ -1,4 +1,5 @@
-//! Who leads: when an agent takes the lead, and when it gives it up.
+//! Election of the coordinator: when an agent takes over the role and when it
+//! steps down.
 
 use std::net::SocketAddr;
 
@@ -11,137 +12,174 @@
 use cowsliproad_platform::log::{COORDINATORS_TOPIC, Client};
 use slog::{Logger, info, warn};
 
-use super::{Agent, Candidacy};
-use crate::lead::{Lead, Start};
+use super::{Agent, FencingNumberTask};
+use crate::lead::{CoordinatorStart, GroupCoordinator};
 
-/// How long rank 0 waits for another coordinator before it leads.
-const FIRST_TIMEOUT: Millis = Millis(250);
+/// How long rank 0 waits for a first directive before it becomes the
+/// coordinator.
+const FIRST_DIRECTIVE_TIMEOUT: Millis = Millis(250);
 
-/// How long rank 1 waits, and each next rank more. Three words may be lost.
-const NEXT_TIMEOUT: Millis = Millis(1_300);
-const RANK_STAGGER: Millis = Millis(400);
+/// How long a rank waits without a directive before it takes over as the
+/// coordinator, plus a delay per rank. Three lost directives cause no change
+/// of coordinator.
+const DIRECTIVE_TIMEOUT: Millis = Millis(1_300);
+const TAKEOVER_DELAY_PER_RANK: Millis = Millis(400);
 
-/// How long rank 0 waits in the middle of a change, when a word comes every
-/// 30 ms and the group may stand still.
-const BUSY_TIMEOUT: Millis = Millis(350);
+/// How long rank 0 waits for a directive during a switch, when directives
+/// arrive every 30 ms and the group may be held.
+const SWITCH_DIRECTIVE_TIMEOUT: Millis = Millis(350);
 
-/// The pause before the platform's log is asked for a number again.
-const RETRY_INTERVAL: Millis = Millis(1_000);
+/// The pause before the agent asks the platform's log for a fencing number
+/// again.
+const FENCING_NUMBER_RETRY_INTERVAL: Millis = Millis(1_000);
 
-/// Records that are appended for a number, where the log turns out to be in a
-/// later era.
-const MAX_RECORDS: usize = 3;
+/// The most records that an agent appends for one fencing number. Another
+/// record is needed if the log turns out to be in a later era.
+const MAX_FENCING_NUMBER_RECORDS: usize = 3;
 
 impl Agent {
-    /// Leads, if nobody else does by now.
-    pub(super) async fn take_number(&mut self, record: Option<Position>) {
+    /// Becomes the coordinator with the fencing number of a record, unless the
+    /// group has a coordinator by now.
+    pub(super) async fn become_coordinator(
+        &mut self,
+        record: Option<Position>,
+    ) {
         let now = Millis::now();
         if let Some(record) = record {
-            self.learn_era(record.era);
+            self.record_log_era(record.era);
         }
-        let Some(fence) = record.and_then(fence::fencing_number) else {
+        let Some(fencing_number) = record.and_then(fence::fencing_number)
+        else {
             info!(self.log, "no_fencing_number"; "record" => ?record);
             return;
         };
-        let stops = self.stopping.is_some();
-        if stops || fence <= self.fence || !self.misses_coordinator(now) {
-            info!(self.log, "number_unused"; "fence" => fence);
+        let is_stopping = self.stop_request_time.is_some();
+        if is_stopping
+            || fencing_number <= self.max_known_fencing_number
+            || !self.has_lost_coordinator(now)
+        {
+            info!(self.log, "number_unused"; "fence" => fencing_number);
             return;
         }
-        info!(self.log, "leads"; "fence" => fence);
-        self.fence = fence;
+        info!(self.log, "leads"; "fence" => fencing_number);
+        self.max_known_fencing_number = fencing_number;
         let price = self.settings.move_price;
-        let Some(rank) = self.report().map(|it| it.rank) else { return };
-        let before = self.word.as_ref();
-        let predecessor = before.map(|it| (it.1.ip(), it.0.fence));
-        let start = Start { fence, rank, predecessor };
-        self.lead = Some(Lead::new(start, price, self.log.clone()));
-        self.speak(now).await;
+        let Some(own_rank) = self.engine_report().map(|it| it.rank) else {
+            return;
+        };
+        let before = self.last_directive.as_ref();
+        let predecessor_vm_and_fencing_number =
+            before.map(|it| (it.1.ip(), it.0.fence));
+        let start = CoordinatorStart {
+            fencing_number,
+            own_rank,
+            predecessor_vm_and_fencing_number,
+        };
+        self.coordinator =
+            Some(GroupCoordinator::new(start, price, self.log.clone()));
+        self.broadcast_directive(now).await;
     }
 
-    /// Whether the group is open and nobody has led it for too long.
-    pub(super) fn misses_coordinator(&self, now: Millis) -> bool {
-        let Some(report) = self.report() else { return false };
-        if report.standing == GroupState::Broken || self.shape.is_none() {
+    /// Returns whether the group is complete and has received no directive for
+    /// too long.
+    pub(super) fn has_lost_coordinator(&self, now: Millis) -> bool {
+        let Some(report) = self.engine_report() else { return false };
+        if report.standing == GroupState::Broken
+            || self.service_shape.is_none()
+        {
             return false;
         }
         let busy = |it: &Directive| it.aim != Aim::Rest;
-        let timeout = match (report.rank, &self.word) {
-            (0, None) => FIRST_TIMEOUT,
-            (rank, Some((word, _, _))) if busy(word) => {
-                BUSY_TIMEOUT + Millis(RANK_STAGGER.0 * u64::from(rank) / 4)
+        let timeout = match (report.rank, &self.last_directive) {
+            (0, None) => FIRST_DIRECTIVE_TIMEOUT,
+            (rank, Some((directive, _, _))) if busy(directive) => {
+                SWITCH_DIRECTIVE_TIMEOUT
+                    + Millis(TAKEOVER_DELAY_PER_RANK.0 * u64::from(rank) / 4)
             }
             (rank, _) => {
-                NEXT_TIMEOUT + Millis(RANK_STAGGER.0 * u64::from(rank))
+                DIRECTIVE_TIMEOUT
+                    + Millis(TAKEOVER_DELAY_PER_RANK.0 * u64::from(rank))
             }
         };
-        let heard = self.word.as_ref().map_or(self.begun, |it| it.2);
-        now.since(heard) > timeout
+        let last_received =
+            self.last_directive.as_ref().map_or(self.agent_start, |it| it.2);
+        now.since(last_received) > timeout
     }
 
-    /// Takes in that a coordinator stops: the first in line need not wait
-    /// until it is missed.
-    pub(super) fn hear_farewell(&mut self, fence: u64) {
-        if let Some((word, _, heard)) = &mut self.word
-            && word.fence == fence
+    /// Handles the message of a stopping coordinator: the first successor
+    /// takes over without waiting for its timeout.
+    pub(super) fn handle_coordinator_stop(&mut self, fencing_number: u64) {
+        if let Some((directive, _, last_received)) = &mut self.last_directive
+            && directive.fence == fencing_number
         {
-            info!(self.log, "coordinator_stops"; "fence" => fence);
-            *heard = *heard - NEXT_TIMEOUT;
-            self.prompt = true;
+            info!(self.log, "coordinator_stops"; "fence" => fencing_number);
+            *last_received = *last_received - DIRECTIVE_TIMEOUT;
+            self.poll_again_at_once = true;
         }
     }
 
-    /// Takes the lead when nobody has it.
-    pub(super) async fn consider_leading(&mut self, now: Millis) {
-        if self.lead.is_some() {
-            self.reach_silent(now).await;
-            self.speak(now).await;
+    /// Continues as the coordinator, or starts to acquire a fencing number if
+    /// the group has no coordinator.
+    pub(super) async fn coordinate_or_seek_role(&mut self, now: Millis) {
+        if self.coordinator.is_some() {
+            self.call_silent_engine(now).await;
+            self.broadcast_directive(now).await;
             return;
         }
-        let stops = self.stopping.is_some();
-        if stops || self.candidacy.is_some() || !self.misses_coordinator(now) {
+        let is_stopping = self.stop_request_time.is_some();
+        if is_stopping
+            || self.fencing_number_task.is_some()
+            || !self.has_lost_coordinator(now)
+        {
             return;
         }
-        let again = |at: Millis| now.since(at) > RETRY_INTERVAL;
-        if self.last.candidacy.is_none_or(again) {
-            self.last.candidacy = Some(now);
+        let again = |at: Millis| now.since(at) > FENCING_NUMBER_RETRY_INTERVAL;
+        if self.last_actions.fencing_number_request_time.is_none_or(again) {
+            self.last_actions.fencing_number_request_time = Some(now);
             info!(self.log, "asks_for_number";
-                "standing" => ?self.standing());
+                "standing" => ?self.group_standing());
             let (log, vm) = (self.settings.log, self.settings.vm.clone());
-            let task = record(log, vm, self.era, self.log.clone());
-            self.candidacy = Some(tokio::task::spawn_local(task));
+            let task = append_fencing_number_record(
+                log,
+                vm,
+                self.newest_log_era,
+                self.log.clone(),
+            );
+            self.fencing_number_task = Some(tokio::task::spawn_local(task));
         }
     }
 
-    /// Takes in which era the platform's log is in. Fencing numbers of a later
-    /// one are higher than all before.
-    pub(super) fn learn_era(&mut self, era: Era) {
-        if era > self.era {
+    /// Records the era of the platform's log. The fencing numbers of a later
+    /// era are higher than all earlier ones.
+    pub(super) fn record_log_era(&mut self, era: Era) {
+        if era > self.newest_log_era {
             info!(self.log, "log_era"; "era" => era.0,
-                "before" => self.era.0);
-            self.era = era;
+                "before" => self.newest_log_era.0);
+            self.newest_log_era = era;
         }
     }
 
-    pub(super) fn step_down(&mut self, fence: u64) {
-        info!(self.log, "steps_down"; "fence" => fence);
-        self.fence = self.fence.max(fence);
-        self.lead = None;
-        self.last.said = None;
+    pub(super) fn step_down_as_coordinator(&mut self, fencing_number: u64) {
+        info!(self.log, "steps_down"; "fence" => fencing_number);
+        self.max_known_fencing_number =
+            self.max_known_fencing_number.max(fencing_number);
+        self.coordinator = None;
+        self.last_actions.sent_directive = None;
     }
 }
 
-/// Appends a record of ours whose place in the log makes a fencing number.
-async fn record(
-    log: SocketAddr,
-    vm: Name,
+/// Appends a record with the VM's name to the platform's log. The record's
+/// position determines a fencing number.
+async fn append_fencing_number_record(
+    log_address: SocketAddr,
+    vm_name: Name,
     mut era: Era,
     logger: Logger,
 ) -> Option<Position> {
-    let mut client = Client::new(log);
-    for _ in 0..MAX_RECORDS {
+    let mut client = Client::new(log_address);
+    for _ in 0..MAX_FENCING_NUMBER_RECORDS {
         client.raise_era(era);
-        match client.append(COORDINATORS_TOPIC, vm.as_bytes()).await {
+        match client.append(COORDINATORS_TOPIC, vm_name.as_bytes()).await {
             Ok(record) if fence::is_position_unique(record, era) => {
                 return Some(record);
             }
@@ -159,9 +197,10 @@
     None
 }
 
-/// The record that was asked for, once it has come.
-pub(super) async fn candidate(
-    candidacy: &mut Option<Candidacy>,
+/// Waits for the record of a running fencing number task; never returns if no
+/// task runs.
+pub(super) async fn wait_for_fencing_number_record(
+    candidacy: &mut Option<FencingNumberTask>,
 ) -> Option<Position> {
     match candidacy {
         Some(task) => task.await.ok().flatten(),
--- a/cowsliproad-rank/src/agent/orders.rs
+++ b/cowsliproad-rank/src/agent/orders.rs
@@ -1,5 +1,5 @@
-//! Orders of an agent: to its own engine, and from afar where an agent is
-//! silent or the hold must not be its own.
+//! The orders of an agent: to its own engine, and over the network to the
+//! engine of a silent agent or to the engine of the holder.
 
 use std::net::SocketAddr;
 
@@ -11,96 +11,114 @@
 use cowsliproad_routing::cooldown::Cooldown;
 use slog::info;
 
-use super::{Agent, Unanswered};
-use crate::{engine::Engine, wire::Status};
+use super::{Agent, UnansweredArm};
+use crate::{engine::EngineClient, wire::RankStatus};
 
-/// How long an order that was taken is given to show in the report before it
-/// is repeated, which does no harm where copies take longer.
-const TAKEN_TIME: Millis = Millis(120);
+/// How long an accepted order may take to appear in the engine's report before
+/// the order is repeated. Repeating an order is harmless where copies take
+/// longer.
+const ORDER_REPEAT_INTERVAL: Millis = Millis(120);
 
-/// The longest time after which an unanswered order was seen carried out, and
-/// some more.
-const LATE_TIME: Millis = Millis(13_000);
+/// The time after which an unanswered order is no longer executed, with a
+/// margin.
+const LATE_ORDER_EXECUTION_TIMEOUT: Millis = Millis(13_000);
 
-/// How often an engine whose agent is silent is asked from afar.
-const REACH_TIME: Millis = Millis(100);
+/// The interval at which the coordinator calls the engines of silent agents.
+const SILENT_ENGINE_POLL_INTERVAL: Millis = Millis(100);
 
 impl Agent {
-    /// Gives the order that is due, if any, and says whether it gave one.
-    pub(super) async fn carry_out(&mut self, word: Directive) -> bool {
-        let plan = self.plan.as_ref();
-        let plan = plan.filter(|it| it.epoch == word.epoch);
-        let plan = plan.map(|it| (it.version, &it.experts));
-        let Some(due) =
-            self.report().and_then(|it| order::next_order(&word, it, plan))
+    /// Sends the order that a directive requires of the agent's own engine, if
+    /// any, and returns whether an order was sent.
+    pub(super) async fn send_required_order(
+        &mut self,
+        directive: Directive,
+    ) -> bool {
+        let plan = self.held_plan.as_ref();
+        let plan = plan.filter(|it| it.group_epoch == directive.epoch);
+        let plan = plan.map(|it| (it.map_version, &it.experts));
+        let Some(due) = self
+            .engine_report()
+            .and_then(|it| order::next_order(&directive, it, plan))
         else {
             return false;
         };
-        if let Some((taken, at)) = self.last.taken
-            && taken == word
-            && Millis::now().since(at) < TAKEN_TIME
+        if let Some((taken, at)) = self.last_actions.accepted_order
+            && taken == directive
+            && Millis::now().since(at) < ORDER_REPEAT_INTERVAL
         {
             return false;
         }
-        let given = self.engine.order(&due, word.epoch, word.fence).await;
-        let name = name(&due);
+        let given = self
+            .engine_client
+            .send_order(&due, directive.epoch, directive.fence)
+            .await;
+        let name = order_name(&due);
         match given {
             Ok(OrderResult::Taken) => {
-                self.last.taken = Some((word, Millis::now()));
+                self.last_actions.accepted_order =
+                    Some((directive, Millis::now()));
                 info!(self.log, "order_taken"; "order" => name,
-                    "aim" => ?word.aim);
+                    "aim" => ?directive.aim);
             }
             Ok(OrderResult::Unfit) => {
                 info!(self.log, "order_refused"; "order" => name,
-                    "aim" => ?word.aim, "report" => ?self.report());
+                    "aim" => ?directive.aim, "report" => ?self.engine_report());
             }
             Ok(OrderResult::Fenced) => {
                 info!(self.log, "order_fenced"; "order" => name,
-                    "fence" => word.fence);
-                self.word = None;
-                if self.lead.is_some() {
-                    self.step_down(word.fence);
+                    "fence" => directive.fence);
+                self.last_directive = None;
+                if self.coordinator.is_some() {
+                    self.step_down_as_coordinator(directive.fence);
                 }
             }
             Err(error) => {
-                if let order::Order::Arm(_, step) = due {
-                    let (epoch, at) = (word.epoch, Millis::now());
-                    let arm = Unanswered { epoch, step, at };
-                    self.last.unanswered_arm = Some(arm);
+                if let order::Order::Arm(_, switch_pass) = due {
+                    let (epoch, order_time) = (directive.epoch, Millis::now());
+                    let arm = UnansweredArm { epoch, switch_pass, order_time };
+                    self.last_actions.unanswered_arm = Some(arm);
                 }
                 info!(self.log, "order_unanswered"; "order" => name,
-                    "aim" => ?word.aim, "error" => %error);
+                    "aim" => ?directive.aim, "error" => %error);
             }
         }
         true
     }
 
-    /// Does an agent's work for it, while it is silent and the group may stand
-    /// still for it. Calls from afar are dear and hold the caller up, so one
-    /// VM is reached at a time.
-    pub(super) async fn reach_silent(&mut self, now: Millis) {
-        let (Some(lead), Some(shape)) = (&self.lead, &self.shape) else {
+    /// Acts for a silent agent while the group may be held because of that
+    /// agent. Calls over the network are slow and block the caller, so only
+    /// one VM is called at a time.
+    pub(super) async fn call_silent_engine(&mut self, now: Millis) {
+        let (Some(coordinator), Some(shape)) =
+            (&self.coordinator, &self.service_shape)
+        else {
             return;
         };
-        let calm = lead.directive().aim == Aim::Rest;
-        if calm || now.since(self.last.reach) < REACH_TIME {
+        let calm = coordinator.directive().aim == Aim::Rest;
+        if calm
+            || now.since(self.last_actions.silent_engine_call_time)
+                < SILENT_ENGINE_POLL_INTERVAL
+        {
             return;
         }
         let silent = |it: &&SocketAddr| {
-            !self.strangers.contains(it) && lead.is_silent(it.ip(), now)
+            !self.engines_of_other_groups.contains(it)
+                && coordinator.is_agent_silent(it.ip(), now)
         };
         let silent: Vec<SocketAddr> =
             shape.targets.iter().filter(silent).copied().collect();
         let count = silent.len().max(1);
-        let Some(target) = silent.get(self.last.reached % count) else {
+        let Some(target) =
+            silent.get(self.last_actions.silent_engine_call_count % count)
+        else {
             return;
         };
-        self.last.reached += 1;
-        self.last.reach = now;
-        let (target, epoch) = (*target, lead.directive().epoch);
-        let mut engine = self.distant(target, epoch);
-        let state = engine.state().await;
-        self.note_distant(target, epoch, &engine);
+        self.last_actions.silent_engine_call_count += 1;
+        self.last_actions.silent_engine_call_time = now;
+        let (target, epoch) = (*target, coordinator.directive().epoch);
+        let mut engine = self.remote_engine_client(target, epoch);
+        let state = engine.fetch_state().await;
+        self.record_remote_engine_cooldown(target, epoch, &engine);
         let state = match state {
             Ok(state) => state,
             Err(error) => {
@@ -109,21 +127,23 @@
                 return;
             }
         };
-        // An order of this group would give another's rank a map that no other
-        // rank of it has.
-        if state.group.as_ref() != self.group() {
-            self.strangers.insert(target);
+        // An order of this group would give a rank of another group a map that
+        // no other rank of that group has.
+        if state.group.as_ref() != self.engine_group() {
+            self.engines_of_other_groups.insert(target);
             return;
         }
         let Some(report) = state.report else { return };
-        let Some(lead) = &self.lead else { return };
-        let word = lead.directive();
-        let plan = lead.plan().filter(|it| it.epoch == word.epoch);
-        let plan = plan.map(|it| (it.version, &it.experts));
-        // An engine that took an order of ours refuses those with lower
-        // numbers, whatever its agent may yet do. So one that is armed is
-        // armed once more.
-        let again = match word.aim {
+        let Some(coordinator) = &self.coordinator else { return };
+        let directive = coordinator.directive();
+        let plan = coordinator
+            .current_plan()
+            .filter(|it| it.group_epoch == directive.epoch);
+        let plan = plan.map(|it| (it.map_version, &it.experts));
+        // An engine that accepted an order of this coordinator refuses orders
+        // with lower fencing numbers, even if its agent still sends some. So
+        // an engine that is already armed receives the *arm* order again.
+        let again = match directive.aim {
             Aim::Armed { version, step, .. }
                 if report.armed == Some((version, step)) =>
             {
@@ -131,47 +151,62 @@
             }
             _ => None,
         };
-        let due = order::next_order(&word, &report, plan).or(again);
-        let mut fence = 0;
+        let due = order::next_order(&directive, &report, plan).or(again);
+        let mut max_known_fencing_number = 0;
         if let Some(due) = due {
-            match self.order_from_afar(&mut engine, target, &due, word).await {
+            match self
+                .send_order_to_remote_engine(
+                    &mut engine,
+                    target,
+                    &due,
+                    directive,
+                )
+                .await
+            {
                 Some(OrderResult::Fenced) => return,
-                Some(OrderResult::Taken) => fence = word.fence,
+                Some(OrderResult::Taken) => {
+                    max_known_fencing_number = directive.fence
+                }
                 Some(OrderResult::Unfit) | None => {}
             }
         }
-        let status = Status {
-            agent: SocketAddr::new(target.ip(), self.settings.agent_port),
-            fence,
-            plan: None,
-            experts: None,
-            pace: state.slowdown_factor as f32,
-            arms: ArmOrderStatus::InDoubt,
-            seal: SealStatus::Unknown,
-            report,
+        let status = RankStatus {
+            agent_address: SocketAddr::new(
+                target.ip(),
+                self.settings.agent_port,
+            ),
+            max_known_fencing_number,
+            held_plan_version: None,
+            map_version_and_experts_by_set: None,
+            slowdown_factor: state.slowdown_factor as f32,
+            arm_order_status: ArmOrderStatus::InDoubt,
+            coordinator_arming_notice: SealStatus::Unknown,
+            engine_report: report,
         };
-        if let Some(lead) = &mut self.lead {
-            lead.take(status, Millis::now());
-            lead.advance(self.shape.as_ref(), Millis::now());
+        if let Some(coordinator) = &mut self.coordinator {
+            coordinator.merge_status(status, Millis::now());
+            coordinator
+                .advance_switch(self.service_shape.as_ref(), Millis::now());
         }
     }
 
-    /// Whether an *arm* of this agent, or of its process before this one, may
-    /// still be carried out. Those for passes that were begun can't, and the
-    /// process before ordered none for passes farther than
-    /// [`MAX_BOUNDARY_LEAD`] from the first that this one saw. Without that
-    /// bound a group whose coordinator froze stood for 3.9 s: five agents had
-    /// been restarted two seconds before, and nothing could be called off for
-    /// thirteen.
-    pub(super) fn arms(&self, report: &Report) -> ArmOrderStatus {
+    /// Returns whether the engine may still execute an *arm* order of this
+    /// agent or of the agent's previous process. An *arm* for a pass that has
+    /// begun can't be executed any more. The previous process ordered no *arm*
+    /// for a pass farther than [`MAX_BOUNDARY_LEAD`] from the first pass that
+    /// this process saw. Without that bound a group whose coordinator froze
+    /// was held for 3.9 s: five agents had restarted two seconds before, so
+    /// that nothing could be cancelled for 13 s.
+    pub(super) fn arm_order_status(&self, report: &Report) -> ArmOrderStatus {
         let now = Millis::now();
-        let recent = |at: Millis| now.since(at) < LATE_TIME;
-        let open = self.last.unanswered_arm.is_some_and(|arm| {
+        let recent = |at: Millis| now.since(at) < LATE_ORDER_EXECUTION_TIMEOUT;
+        let open = self.last_actions.unanswered_arm.is_some_and(|arm| {
             arm.epoch == report.epoch
-                && arm.step > report.step
-                && recent(arm.at)
+                && arm.switch_pass > report.step
+                && recent(arm.order_time)
         });
-        let inherited = recent(self.begun) && self.inherits(report);
+        let inherited = recent(self.agent_start)
+            && self.may_previous_process_orders_apply(report);
         if open || inherited {
             ArmOrderStatus::InDoubt
         } else {
@@ -179,95 +214,117 @@
         }
     }
 
-    /// Whether the group is still at the passes that the process before this
-    /// one had to do with.
-    fn inherits(&self, report: &Report) -> bool {
-        self.first.is_none_or(|(epoch, step)| {
+    /// Returns whether the group is still at passes for which the agent's
+    /// previous process may have sent orders.
+    fn may_previous_process_orders_apply(&self, report: &Report) -> bool {
+        self.first_reported_pass.is_none_or(|(epoch, step)| {
             epoch == report.epoch && report.step <= step + MAX_BOUNDARY_LEAD
         })
     }
 
-    /// Whether it heard that the coordinator's rank arms, as far as it knows.
-    pub(super) fn seal(&self, report: &Report) -> SealStatus {
-        match self.sealed {
+    /// Returns whether the agent has received the announcement that the
+    /// coordinator's own rank arms, as far as the agent knows.
+    pub(super) fn coordinator_arming_notice(
+        &self,
+        report: &Report,
+    ) -> SealStatus {
+        match self.announced_coordinator_arming {
             Some((epoch, step)) if epoch == report.epoch => {
                 SealStatus::Received(step)
             }
-            _ if self.inherits(report) => SealStatus::Unknown,
+            _ if self.may_previous_process_orders_apply(report) => {
+                SealStatus::Unknown
+            }
             _ => SealStatus::NotReceived,
         }
     }
 
-    /// Orders the hold, which another rank's engine has to take from afar.
-    pub(super) async fn order_hold(&mut self) {
+    /// Sends the *hold* order to the holder's engine, which is another rank's
+    /// engine and is called over the network.
+    pub(super) async fn send_hold_order(&mut self) {
         let now = Millis::now();
-        let Some((vm, due)) = self.lead.as_ref().and_then(|it| it.hold())
+        let Some((vm, due)) =
+            self.coordinator.as_ref().and_then(|it| it.hold_order_to_send())
         else {
             return;
         };
-        let word = self.lead.as_ref().map(|it| it.directive());
+        let directive = self.coordinator.as_ref().map(|it| it.directive());
         let target = self
-            .shape
+            .service_shape
             .iter()
             .flat_map(|it| &it.targets)
             .find(|it| it.ip() == vm);
-        let (Some(word), Some(target)) = (word, target.copied()) else {
+        let (Some(directive), Some(target)) = (directive, target.copied())
+        else {
             return;
         };
-        let again = self.last.hold == Some(word)
-            && now.since(self.last.held) < TAKEN_TIME;
+        let again = self.last_actions.hold_directive == Some(directive)
+            && now.since(self.last_actions.hold_order_time)
+                < ORDER_REPEAT_INTERVAL;
         if again {
             return;
         }
-        self.last.hold = Some(word);
-        self.last.held = now;
-        let mut engine = self.distant(target, word.epoch);
-        self.order_from_afar(&mut engine, target, &due, word).await;
+        self.last_actions.hold_directive = Some(directive);
+        self.last_actions.hold_order_time = now;
+        let mut engine = self.remote_engine_client(target, directive.epoch);
+        self.send_order_to_remote_engine(&mut engine, target, &due, directive)
+            .await;
     }
 
-    /// A client of another's engine, with what that asked for in this
-    /// formation. One that starts again takes part in a later one.
-    fn distant(&self, target: SocketAddr, epoch: Epoch) -> Engine {
-        let known = self.distant.get(&target);
+    /// Returns a client of another rank's engine, with the cooldown that the
+    /// engine requested in this formation. An engine that restarts belongs to
+    /// a later formation.
+    fn remote_engine_client(
+        &self,
+        target: SocketAddr,
+        epoch: Epoch,
+    ) -> EngineClient {
+        let known = self.remote_engine_cooldowns.get(&target);
         let known = known.filter(|it| it.0 == epoch);
         let cooldown = known.map_or(Cooldown::default(), |it| it.1);
-        Engine::new(target).with_cooldown(cooldown)
+        EngineClient::new(target).with_cooldown(cooldown)
     }
 
-    fn note_distant(
+    fn record_remote_engine_cooldown(
         &mut self,
         target: SocketAddr,
         epoch: Epoch,
-        engine: &Engine,
+        engine: &EngineClient,
     ) {
         let now = Millis::now();
-        self.distant.retain(|_, it| it.1.cooldown_end(now).is_some());
+        self.remote_engine_cooldowns
+            .retain(|_, it| it.1.cooldown_end(now).is_some());
         if engine.cooldown().cooldown_end(now).is_some() {
-            self.distant.insert(target, (epoch, engine.cooldown()));
+            self.remote_engine_cooldowns
+                .insert(target, (epoch, engine.cooldown()));
         }
     }
 
-    /// Gives an order to another's engine, and steps down if a higher number
-    /// was seen there. Without an answer nobody knows.
-    async fn order_from_afar(
+    /// Sends an order to another rank's engine, and steps down if the engine
+    /// has seen a higher fencing number. Returns `None` if no answer came, so
+    /// that the outcome is unknown.
+    async fn send_order_to_remote_engine(
         &mut self,
-        engine: &mut Engine,
+        engine: &mut EngineClient,
         target: SocketAddr,
         due: &order::Order,
-        word: Directive,
+        directive: Directive,
     ) -> Option<OrderResult> {
-        let given = engine.order(due, word.epoch, word.fence).await.ok();
-        self.note_distant(target, word.epoch, engine);
-        info!(self.log, "order_from_afar"; "order" => name(due),
-            "aim" => ?word.aim, "target" => %target, "outcome" => ?given);
+        let given = engine
+            .send_order(due, directive.epoch, directive.fence)
+            .await
+            .ok();
+        self.record_remote_engine_cooldown(target, directive.epoch, engine);
+        info!(self.log, "order_from_afar"; "order" => order_name(due),
+            "aim" => ?directive.aim, "target" => %target, "outcome" => ?given);
         if given == Some(OrderResult::Fenced) {
-            self.step_down(word.fence);
+            self.step_down_as_coordinator(directive.fence);
         }
         given
     }
 }
 
-fn name(order: &order::Order) -> &'static str {
+fn order_name(order: &order::Order) -> &'static str {
     match order {
         order::Order::Prepare(..) => "prepare",
         order::Order::Arm(..) => "arm",
--- a/cowsliproad-rank/src/agent/readings.rs
+++ b/cowsliproad-rank/src/agent/readings.rs
@@ -1,4 +1,4 @@
-//! What an agent reads at its engine.
+//! The data that an agent reads from its engine.
 
 use std::io;
 
@@ -6,45 +6,49 @@
 use cowsliproad_placement::growth::CountGrowth;
 use slog::info;
 
-use super::{Agent, Ended};
+use super::{Agent, EngineProcessState};
 use crate::{
-    rota::{Due, Rota},
-    wire::{Choices, Message},
+    rota::{CountReportAction, CountReportSchedule},
+    wire::{AgentMessage, SelectionGrowth},
 };
 
-/// Bytes of counts that a coordinator is sent in a millisecond: 1 Mbit/s, an
-/// eighth of the smallest link of a VM.
-const COUNT_RATE: u64 = 125;
+/// The rate at which agents send selection counts to a coordinator, in bytes
+/// per millisecond: 1 Mbit/s, an eighth of a VM's smallest link.
+const MAX_SELECTION_COUNT_BYTES_PER_MS: u64 = 125;
 
 impl Agent {
-    /// Reads the engine's report, and its lists where the map is new.
-    pub(super) async fn refresh(&mut self) {
-        match self.engine.state().await {
+    /// Reads the engine's report, and the engine's expert lists if the map is
+    /// new.
+    pub(super) async fn read_engine_state(&mut self) {
+        match self.engine_client.fetch_state().await {
             Ok(state) => {
-                self.note_start(state.start_unix_ms);
-                self.engine_ended = Ended::No;
-                self.group = state.group.clone().or(self.group.take());
-                self.state = Some(state);
+                self.reset_after_engine_restart(state.start_unix_ms);
+                self.engine_process = EngineProcessState::NotKnownEnded;
+                self.engine_group =
+                    state.group.clone().or(self.engine_group.take());
+                self.engine_state = Some(state);
             }
             Err(error) => {
-                if self.state.take().is_some() {
-                    let cooldown =
-                        self.engine.cooldown().remaining_time(Millis::now());
+                if self.engine_state.take().is_some() {
+                    let cooldown = self
+                        .engine_client
+                        .cooldown()
+                        .remaining_time(Millis::now());
                     info!(self.log, "engine_lost"; "error" => %error,
                         "cooldown" => cooldown.0);
                 }
-                self.note_loss(&error);
+                self.record_engine_loss(&error);
                 return;
             }
         }
-        let Some(report) = self.report() else { return };
+        let Some(report) = self.engine_report() else { return };
         let (epoch, map, step) = (report.epoch, report.map, report.step);
-        self.first.get_or_insert((epoch, step));
-        let known = self.experts.as_ref().map(|it| (it.0, it.1));
+        self.first_reported_pass.get_or_insert((epoch, step));
+        let known = self.experts_of_map.as_ref().map(|it| (it.0, it.1));
         if known != Some((epoch, map)) {
-            match self.engine.lists().await {
+            match self.engine_client.fetch_expert_lists().await {
                 Ok(lists) => {
-                    self.experts =
+                    self.experts_of_map =
                         Some((epoch, lists.map_version, lists.experts_by_set));
                 }
                 Err(error) => {
@@ -54,63 +58,89 @@
         }
     }
 
-    /// Sees from a failed call whether nobody listens any more, and tells
-    /// entries at once, which ask under which work the engine ended.
-    fn note_loss(&mut self, error: &io::Error) {
+    /// Detects from a failed call that no process listens at the engine's
+    /// address, and then reports the loss to entry processes at once: they
+    /// look for the work that ended the engine.
+    fn record_engine_loss(&mut self, error: &io::Error) {
         let gone = error.kind() == io::ErrorKind::ConnectionRefused;
-        if gone && self.engine_ended == Ended::No {
-            self.engine_ended = Ended::Yes;
-            self.last.load = Millis(0);
+        if gone && self.engine_process == EngineProcessState::NotKnownEnded {
+            self.engine_process = EngineProcessState::Ended;
+            self.last_actions.load_report_time = Millis(0);
         }
     }
 
-    /// Forgets what was of another start of the engine: it holds no map, no
-    /// order and no counts of before.
-    fn note_start(&mut self, start: u64) {
-        let before = self.start.replace(start);
-        if before.is_none_or(|it| it == start) {
+    /// Discards the data of the engine's previous process if the engine has
+    /// restarted: the new process has none of the earlier maps, orders and
+    /// counts.
+    fn reset_after_engine_restart(&mut self, start_unix_ms: u64) {
+        let before = self.engine_start_unix_ms.replace(start_unix_ms);
+        if before.is_none_or(|it| it == start_unix_ms) {
             return;
         }
-        info!(self.log, "engine_restarted"; "start" => start);
-        self.experts = None;
-        self.counts = None;
-        self.first = None;
-        self.last.unanswered_arm = None;
-        self.last.taken = None;
+        info!(self.log, "engine_restarted"; "start" => start_unix_ms);
+        self.experts_of_map = None;
+        self.last_selection_counts = None;
+        self.first_reported_pass = None;
+        self.last_actions.unanswered_arm = None;
+        self.last_actions.accepted_order = None;
     }
 
-    /// Reads what was chosen when it is the rank's turn, and says so.
-    pub(super) async fn count(&mut self, now: Millis) {
-        let (Some(shape), Some(report)) = (&self.shape, self.report()) else {
+    /// Reads the selection counts if the schedule requires this, and sends
+    /// their growth to the coordinator.
+    pub(super) async fn report_selection_growth(&mut self, now: Millis) {
+        let (Some(shape), Some(report)) =
+            (&self.service_shape, self.engine_report())
+        else {
             return;
         };
         let experts = usize::from(shape.experts_per_set);
         let numbers =
             u64::from(shape.layer_sets) * u64::from(shape.experts_per_set);
-        let round = Millis(numbers * u64::from(report.ranks) / COUNT_RATE);
-        let Some((_, to, _)) = self.word else { return };
+        let round_duration = Millis(
+            numbers * u64::from(report.ranks)
+                / MAX_SELECTION_COUNT_BYTES_PER_MS,
+        );
+        let Some((_, to, _)) = self.last_directive else { return };
         let (rank, ranks) = (report.rank, report.ranks);
-        let new = || Rota::new(now, round, rank, ranks);
-        let due = self.rota.get_or_insert_with(new).turn(now, round);
-        if due == Due::Nothing {
+        let new =
+            || CountReportSchedule::new(now, round_duration, rank, ranks);
+        let due = self
+            .count_schedule
+            .get_or_insert_with(new)
+            .take_required_action(now, round_duration);
+        if due == CountReportAction::Nothing {
             return;
         }
-        let choices = match self.engine.choices(experts).await {
-            Ok(choices) => (choices.epoch, choices.selections_by_set),
-            Err(error) => {
-                info!(self.log, "no_counts"; "error" => %error);
-                return;
-            }
-        };
-        let before = self.counts.replace(choices.clone());
+        let counts =
+            match self.engine_client.fetch_selection_counts(experts).await {
+                Ok(counts) => (counts.epoch, counts.selections_by_set),
+                Err(error) => {
+                    info!(self.log, "no_counts"; "error" => %error);
+                    return;
+                }
+            };
+        let before = self.last_selection_counts.replace(counts.clone());
         let growth = before
-            .filter(|it| due == Due::Say && it.0 == choices.0)
-            .and_then(|it| CountGrowth::between(&it.1, &choices.1));
+            .filter(|it| {
+                due == CountReportAction::ReportGrowth && it.0 == counts.0
+            })
+            .and_then(|it| CountGrowth::between(&it.1, &counts.1));
         let Some(CountGrowth { scale, units }) = growth else { return };
-        let choices = Choices { scale, units };
-        match &mut self.lead {
-            Some(lead) => lead.count(choices, experts),
-            None => self.tell(&Message::Choices(choices), &[to]).await,
+        let reported_growth = SelectionGrowth {
+            selections_per_growth_unit: scale,
+            growth_in_units: units,
+        };
+        match &mut self.coordinator {
+            Some(coordinator) => {
+                coordinator.add_selection_growth(reported_growth, experts)
+            }
+            None => {
+                self.send_to_agents(
+                    &AgentMessage::SelectionGrowth(reported_growth),
+                    &[to],
+                )
+                .await
+            }
         }
     }
 }
--- a/cowsliproad-rank/src/agent/words.rs
+++ b/cowsliproad-rank/src/agent/words.rs
@@ -1,4 +1,5 @@
-//! What an agent tells entries, the coordinator and, as coordinator, all.
+//! The messages of an agent to entry processes, to the coordinator and, as
+//! coordinator, to all agents.
 
 use std::net::SocketAddr;
 
@@ -9,26 +10,28 @@
 use cowsliproad_mapswitch::order::{self, Aim, GroupState};
 use slog::info;
 
-use super::{Agent, Ended, send};
+use super::{Agent, EngineProcessState, send_datagram};
 use crate::{
-    lead::Lead,
-    plan::Plan,
-    wire::{Message, Status},
+    lead::GroupCoordinator,
+    plan::MapPlan,
+    wire::{AgentMessage, RankStatus},
 };
 
-/// Agents that the coordinator sends a plan to itself.
-const FAN_OUT: usize = 16;
+/// The number of agents to which the coordinator itself sends a plan.
+const MAX_DIRECT_PLAN_RECIPIENTS: usize = 16;
 
-/// How often the coordinator speaks, and agents report to it, in calm times.
-const SPEAK_TIME: Millis = Millis(400);
+/// The interval of the coordinator's directives, and of the agents' statuses,
+/// while no switch is in progress.
+const IDLE_MESSAGE_INTERVAL: Millis = Millis(400);
 
-/// Without a word for so long an agent tells all others that it is there.
-const SEEK_TIME: Millis = Millis(900);
+/// The time without a directive after which an agent sends its status to all
+/// agents.
+const COORDINATOR_SILENCE_TIMEOUT: Millis = Millis(900);
 
 impl Agent {
-    pub(super) async fn tell_entries(&mut self) {
-        let Some(state) = &self.state else {
-            return self.tell_loss().await;
+    pub(super) async fn report_load_to_entries(&mut self) {
+        let Some(state) = &self.engine_state else {
+            return self.report_engine_loss_to_entries().await;
         };
         let report = state.report.as_ref();
         let load = Datagram::Load(EngineLoad {
@@ -41,166 +44,213 @@
             forward_pass: report.map_or(0, |it| it.step),
             group_accepts_requests: report
                 .is_none_or(|it| it.standing == GroupState::Open),
-            list_id: self.list(),
+            list_id: self.target_list_id(),
             start_unix_ms: state.start_unix_ms,
-            leaving: self.engine.is_leaving(),
+            leaving: self.engine_client.is_engine_leaving(),
         });
-        self.say_to_entries(&load).await;
+        self.send_to_entries(&load).await;
     }
 
-    /// Tells entries that the engine's process is gone, while it is.
-    async fn tell_loss(&self) {
-        let (Some(start), Ended::Yes) = (self.start, self.engine_ended) else {
+    /// Reports to entry processes that the engine's process has ended, as long
+    /// as this is so.
+    async fn report_engine_loss_to_entries(&self) {
+        let (Some(start), EngineProcessState::Ended) =
+            (self.engine_start_unix_ms, self.engine_process)
+        else {
             return;
         };
         let target = self.settings.engine;
-        self.say_to_entries(&Datagram::EngineExit(EngineExit {
+        self.send_to_entries(&Datagram::EngineExit(EngineExit {
             target,
             start_unix_ms: start,
         }))
         .await;
     }
 
-    async fn say_to_entries(&self, word: &Datagram) {
-        let bytes = gossip::encode(word);
-        for entry in self.entries.keys() {
-            send(&self.log, &self.entries_socket, &bytes, *entry).await;
+    async fn send_to_entries(&self, datagram: &Datagram) {
+        let bytes = gossip::encode(datagram);
+        for entry in self.subscribed_entries.keys() {
+            send_datagram(&self.log, &self.entries_socket, &bytes, *entry)
+                .await;
         }
     }
 
-    pub(super) async fn tell_coordinator(&mut self, now: Millis) {
-        let Some((word, to, heard)) = self.word else {
-            return self.seek_coordinator(now).await;
+    pub(super) async fn report_status_to_coordinator(&mut self, now: Millis) {
+        let Some((directive, to, last_received)) = self.last_directive else {
+            return self.broadcast_rank_status(now).await;
         };
-        if self.lead.is_none() && now.since(heard) > SEEK_TIME {
-            return self.seek_coordinator(now).await;
+        if self.coordinator.is_none()
+            && now.since(last_received) > COORDINATOR_SILENCE_TIMEOUT
+        {
+            return self.broadcast_rank_status(now).await;
         }
-        let busy = word.aim != Aim::Rest;
-        let time = if busy { self.busy_time() } else { SPEAK_TIME };
-        let Some(status) = self.status() else { return };
-        let news = status.news();
-        let new = self.last.told.as_ref() != Some(&news);
-        if !new && now.since(self.last.status) < time {
+        let busy = directive.aim != Aim::Rest;
+        let time = if busy {
+            self.switch_message_interval()
+        } else {
+            IDLE_MESSAGE_INTERVAL
+        };
+        let Some(status) = self.rank_status() else { return };
+        let urgent_status = status.urgent_part();
+        let new = self.last_actions.sent_urgent_status.as_ref()
+            != Some(&urgent_status);
+        if !new && now.since(self.last_actions.status_time) < time {
             return;
         }
-        self.last.status = now;
-        self.last.told = Some(news);
-        if let Some(lead) = &mut self.lead {
-            lead.take(status, now);
-            lead.advance(self.shape.as_ref(), now);
-            self.speak(now).await;
+        self.last_actions.status_time = now;
+        self.last_actions.sent_urgent_status = Some(urgent_status);
+        if let Some(coordinator) = &mut self.coordinator {
+            coordinator.merge_status(status, now);
+            coordinator.advance_switch(self.service_shape.as_ref(), now);
+            self.broadcast_directive(now).await;
             return;
         }
-        self.tell(&Message::Status(Box::new(status)), &[to]).await;
+        self.send_to_agents(&AgentMessage::Status(Box::new(status)), &[to])
+            .await;
     }
 
-    /// Tells all agents that it hears from no coordinator. One that was
-    /// frozen or cut off may be missing in the coordinator's list.
-    async fn seek_coordinator(&mut self, now: Millis) {
-        if now.since(self.last.status) < SPEAK_TIME {
+    /// Sends the status to all agents when no directive arrives. The
+    /// coordinator may not know an agent that was frozen or cut off.
+    async fn broadcast_rank_status(&mut self, now: Millis) {
+        if now.since(self.last_actions.status_time) < IDLE_MESSAGE_INTERVAL {
             return;
         }
-        let Some(status) = self.status() else { return };
-        self.last.status = now;
-        let others = self.agents().filter(|it| *it != self.own);
+        let Some(status) = self.rank_status() else { return };
+        self.last_actions.status_time = now;
+        let others =
+            self.agent_addresses().filter(|it| *it != self.own_address);
         let others: Vec<SocketAddr> = others.collect();
-        self.tell(&Message::Status(Box::new(status)), &others).await;
+        self.send_to_agents(&AgentMessage::Status(Box::new(status)), &others)
+            .await;
     }
 
-    fn status(&self) -> Option<Status> {
-        let report = self.report()?.clone();
+    fn rank_status(&self) -> Option<RankStatus> {
+        let report = self.engine_report()?.clone();
         let epoch = report.epoch;
-        let experts = self.experts.as_ref();
-        let experts =
-            experts.filter(|it| it.0 == epoch && self.is_asked(it.1));
-        Some(Status {
-            agent: self.own,
-            fence: self.fence,
-            plan: self.plan.as_ref().map(|it| it.version),
-            experts: experts.map(|it| (it.1, it.2.clone())),
-            pace: self
-                .state
+        let experts = self.experts_of_map.as_ref();
+        let experts = experts.filter(|it| {
+            it.0 == epoch && self.coordinator_needs_expert_lists(it.1)
+        });
+        Some(RankStatus {
+            agent_address: self.own_address,
+            max_known_fencing_number: self.max_known_fencing_number,
+            held_plan_version: self
+                .held_plan
+                .as_ref()
+                .map(|it| it.map_version),
+            map_version_and_experts_by_set: experts
+                .map(|it| (it.1, it.2.clone())),
+            slowdown_factor: self
+                .engine_state
                 .as_ref()
                 .map_or(1.0, |it| it.slowdown_factor as f32),
-            arms: self.arms(&report),
-            seal: self.seal(&report),
-            report,
+            arm_order_status: self.arm_order_status(&report),
+            coordinator_arming_notice: self.coordinator_arming_notice(&report),
+            engine_report: report,
         })
     }
 
-    /// Whether the coordinator needs the lists of the map in use: it plans
-    /// from them unless it made that map itself. They are most of a status,
-    /// and at 72 ranks reading them took its VM longer than a change.
-    fn is_asked(&self, map: order::Version) -> bool {
-        let plan = self.plan.as_ref();
+    /// Returns whether the coordinator needs the expert lists of the map in
+    /// use. The coordinator plans from the lists unless it made that map
+    /// itself. The lists are most of a status: at 72 ranks, reading all of
+    /// them took the coordinator's VM longer than a switch.
+    fn coordinator_needs_expert_lists(
+        &self,
+        map_version: order::Version,
+    ) -> bool {
+        let plan = self.held_plan.as_ref();
         let knows = plan.is_some_and(|plan| {
-            plan.version == map && plan.fence == self.fence
+            plan.map_version == map_version
+                && plan.fencing_number == self.max_known_fencing_number
         });
-        let rests = self.word.as_ref().is_none_or(|it| it.0.aim == Aim::Rest);
+        let rests = self
+            .last_directive
+            .as_ref()
+            .is_none_or(|it| it.0.aim == Aim::Rest);
         rests && !knows
     }
 
-    /// Says the coordinator's word, if this agent is it.
-    pub(super) async fn speak(&mut self, now: Millis) {
-        let Some(lead) = &self.lead else { return };
-        let word = lead.directive();
-        let new = self.last.said != Some(word);
-        let busy = word.aim != Aim::Rest;
-        let time = if busy { self.busy_time() } else { SPEAK_TIME };
-        if !new && now.since(self.last.speech) < time {
+    /// Sends the coordinator's directive to all agents, if this agent is the
+    /// coordinator.
+    pub(super) async fn broadcast_directive(&mut self, now: Millis) {
+        let Some(coordinator) = &self.coordinator else { return };
+        let directive = coordinator.directive();
+        let new = self.last_actions.sent_directive != Some(directive);
+        let busy = directive.aim != Aim::Rest;
+        let time = if busy {
+            self.switch_message_interval()
+        } else {
+            IDLE_MESSAGE_INTERVAL
+        };
+        if !new && now.since(self.last_actions.directive_time) < time {
             return;
         }
-        self.last.speech = now;
-        self.last.said = Some(word);
-        if let Some(plan) = lead.plan().cloned() {
-            self.hand_out(plan, now).await;
+        self.last_actions.directive_time = now;
+        self.last_actions.sent_directive = Some(directive);
+        if let Some(plan) = coordinator.current_plan().cloned() {
+            self.distribute_plan(plan, now).await;
         }
-        let mut agents: Vec<SocketAddr> = self.agents().collect();
-        if let Some(lead) = &self.lead {
-            let known = lead.agents().filter(|it| !agents.contains(it));
+        let mut agents: Vec<SocketAddr> = self.agent_addresses().collect();
+        if let Some(coordinator) = &self.coordinator {
+            let known = coordinator
+                .reporting_agents()
+                .filter(|it| !agents.contains(it));
             agents.extend(known.collect::<Vec<_>>());
         }
-        agents.retain(|it| *it != self.own);
-        let message = Message::Directive(word, self.own);
-        self.tell(&message, &agents).await;
-        self.note_seal(&word);
-        self.word = Some((word, self.own, now));
+        agents.retain(|it| *it != self.own_address);
+        let message = AgentMessage::Directive(directive, self.own_address);
+        self.send_to_agents(&message, &agents).await;
+        self.record_coordinator_arming(&directive);
+        self.last_directive = Some((directive, self.own_address, now));
         if new {
-            self.prompt = self.carry_out(word).await;
+            self.poll_again_at_once =
+                self.send_required_order(directive).await;
         }
-        self.order_hold().await;
+        self.send_hold_order().await;
     }
 
-    /// Sends a plan to those that lack it, and to most of them through
-    /// others: whole to 72 ranks it would take the own link half a second.
-    /// What was lost is sent again with the next word; one rank without the
-    /// plan holds the change up for all.
-    async fn hand_out(&mut self, plan: Plan, now: Millis) {
-        let again = self.busy_time();
-        let new = self.last.planned != Some(plan.version);
-        if !new && now.since(self.last.handed) < again {
+    /// Sends the plan to the agents that lack it, to most of them through
+    /// other agents: sending the whole plan to 72 ranks would occupy the
+    /// coordinator's link for half a second. A lost plan is sent again with
+    /// the next directive, since a single rank without the plan delays the
+    /// switch for all.
+    async fn distribute_plan(&mut self, plan: MapPlan, now: Millis) {
+        let again = self.switch_message_interval();
+        let new = self.last_actions.distributed_plan_version
+            != Some(plan.map_version);
+        if !new && now.since(self.last_actions.plan_distribution_time) < again
+        {
             return;
         }
-        self.last.planned = Some(plan.version);
-        self.last.handed = now;
-        self.plan = Some(plan);
-        let sheets = self.lead.as_ref().map(Lead::sheets);
-        for (sheet, mut agents) in sheets.unwrap_or_default() {
-            agents.retain(|it| *it != self.own);
-            let size = agents.len().div_ceil(FAN_OUT).max(1);
+        self.last_actions.distributed_plan_version = Some(plan.map_version);
+        self.last_actions.plan_distribution_time = now;
+        self.held_plan = Some(plan);
+        let updates =
+            self.coordinator.as_ref().map(GroupCoordinator::plan_updates);
+        for (update, mut agents) in updates.unwrap_or_default() {
+            agents.retain(|it| *it != self.own_address);
+            let size =
+                agents.len().div_ceil(MAX_DIRECT_PLAN_RECIPIENTS).max(1);
             for chunk in agents.chunks(size) {
-                let sheet = sheet.with_pass_on(&chunk[1..]);
-                self.tell(&Message::Plan(sheet), &chunk[..1]).await;
+                let update = update.with_forwarding_to(&chunk[1..]);
+                self.send_to_agents(&AgentMessage::Plan(update), &chunk[..1])
+                    .await;
             }
         }
     }
 
-    /// Lets others know at once that nobody leads.
-    pub(super) async fn say_farewell(&mut self) {
-        let Some(lead) = self.lead.take() else { return };
-        info!(self.log, "says_farewell"; "fence" => lead.fence());
-        let others = self.agents().filter(|it| *it != self.own);
+    /// Notifies the other agents that this coordinator stops, so that they
+    /// don't wait for a timeout.
+    pub(super) async fn broadcast_coordinator_stop(&mut self) {
+        let Some(coordinator) = self.coordinator.take() else { return };
+        info!(self.log, "says_farewell"; "fence" => coordinator.fencing_number());
+        let others =
+            self.agent_addresses().filter(|it| *it != self.own_address);
         let others: Vec<SocketAddr> = others.collect();
-        self.tell(&Message::Farewell(lead.fence()), &others).await;
+        self.send_to_agents(
+            &AgentMessage::CoordinatorStop(coordinator.fencing_number()),
+            &others,
+        )
+        .await;
     }
 }
--- a/cowsliproad-rank/src/engine.rs
+++ b/cowsliproad-rank/src/engine.rs
@@ -1,8 +1,8 @@
-//! Calls to an engine.
+//! A client for calls to an engine.
 //!
-//! An engine that turns a call away may state when it takes calls again. It
-//! gets none before that, unless its process ends: the next one under its
-//! address asked for nothing.
+//! An engine that refuses a call may state in Retry-After when it accepts
+//! calls again. The client sends no call before that time, unless the engine's
+//! process ends: the next process at the address has asked for no pause.
 
 use std::{io, net::SocketAddr, time::SystemTime};
 
@@ -22,145 +22,155 @@
 use http::{Request, Response, StatusCode};
 use http_body_util::Full;
 
-/// The time for an answer of the engine.
-const ANSWER_TIME: Millis = Millis(150);
+/// The timeout for an engine's answer to a request other than an order.
+const ANSWER_TIMEOUT: Millis = Millis(150);
 
-/// The time for an answer to an order. An engine answers within 5 ms, also
-/// from afar; a group may stand still while an order is waited for, and one
-/// that went unanswered is repeated without harm.
-const ORDER_TIME: Millis = Millis(40);
+/// The timeout for the answer to an order. An engine answers within 5 ms, also
+/// over the network. The group may be held while an agent waits for an answer,
+/// and repeating an unanswered order is harmless.
+const ORDER_TIMEOUT: Millis = Millis(40);
 
-/// The largest answer that is taken: counts of some hundred thousand experts.
-const MAX_BYTES: usize = 4 << 20;
+/// The largest accepted answer body: the counts of some hundred thousand
+/// experts.
+const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// How often a connection is made to an engine that is left alone and has
-/// closed the last one, to learn whether its process is there.
-const LOOK_INTERVAL: Millis = Millis(500);
+/// The interval at which the client reconnects to an engine in its cooldown
+/// that has closed the last connection, to detect whether the engine's process
+/// still runs.
+const PROCESS_CHECK_INTERVAL: Millis = Millis(500);
 
 /// A client of one engine.
 #[derive(Debug)]
-pub struct Engine {
+pub struct EngineClient {
     connection: SingleConnection,
     cooldown: Cooldown,
-    /// When it was last looked whether the process is there.
-    looked: Millis,
-    leaving: bool,
+    /// When the client last checked that the engine's process runs.
+    last_process_check: Millis,
+    engine_is_leaving: bool,
 }
 
-impl Engine {
-    /// A client that has not connected yet.
-    pub fn new(address: SocketAddr) -> Engine {
-        Engine {
-            connection: SingleConnection::new(address),
+impl EngineClient {
+    /// Creates a client that is not connected yet.
+    pub fn new(engine_address: SocketAddr) -> EngineClient {
+        EngineClient {
+            connection: SingleConnection::new(engine_address),
             cooldown: Cooldown::default(),
-            looked: Millis(0),
-            leaving: false,
+            last_process_check: Millis(0),
+            engine_is_leaving: false,
         }
     }
 
-    /// A client of an engine that asked to be left alone before.
-    pub fn with_cooldown(self, cooldown: Cooldown) -> Engine {
-        Engine { cooldown, ..self }
+    /// Returns the client with a cooldown that the engine requested earlier.
+    pub fn with_cooldown(self, cooldown: Cooldown) -> EngineClient {
+        EngineClient { cooldown, ..self }
     }
 
-    /// How long the engine asked to be left alone.
+    /// Returns the cooldown that the engine requested.
     pub fn cooldown(&self) -> Cooldown {
         self.cooldown
     }
 
-    /// Whether its last answer said that it is leaving.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving
+    /// Returns whether the engine's last answer announced that the engine is
+    /// leaving.
+    pub fn is_engine_leaving(&self) -> bool {
+        self.engine_is_leaving
     }
 
-    /// Load and standing.
-    pub async fn state(&mut self) -> io::Result<EngineState> {
-        let (_, body) = self.call(engine::state_request()).await?;
+    /// Fetches the engine's load and its rank's report.
+    pub async fn fetch_state(&mut self) -> io::Result<EngineState> {
+        let (_, body) = self.send_request(engine::state_request()).await?;
         Ok(engine::decode_state(&body)?)
     }
 
-    /// How often requests chose each expert.
-    pub async fn choices(
+    /// Fetches how often requests have selected each expert.
+    pub async fn fetch_selection_counts(
         &mut self,
-        experts: usize,
+        experts_per_set: usize,
     ) -> io::Result<SelectionCounts> {
-        let (_, body) = self.call(engine::selection_counts_request()).await?;
-        Ok(engine::decode_selection_counts(&body, experts)?)
+        let (_, body) =
+            self.send_request(engine::selection_counts_request()).await?;
+        Ok(engine::decode_selection_counts(&body, experts_per_set)?)
     }
 
-    /// The experts that the engine has.
-    pub async fn lists(&mut self) -> io::Result<ExpertLists> {
-        let (_, body) = self.call(engine::expert_lists_request()).await?;
+    /// Fetches the lists of the experts that the engine holds.
+    pub async fn fetch_expert_lists(&mut self) -> io::Result<ExpertLists> {
+        let (_, body) =
+            self.send_request(engine::expert_lists_request()).await?;
         Ok(engine::decode_expert_lists(&body)?)
     }
 
-    /// Gives an order. An error leaves open whether it is carried out.
-    pub async fn order(
+    /// Sends an order to the engine. After an error the engine may or may not
+    /// execute the order.
+    pub async fn send_order(
         &mut self,
         order: &Order,
         epoch: Epoch,
-        fence: u64,
+        fencing_number: u64,
     ) -> io::Result<OrderResult> {
-        let request = engine::order_request(order, epoch, fence);
-        let (status, _) = self.call_within(ORDER_TIME, request).await?;
+        let request = engine::order_request(order, epoch, fencing_number);
+        let (status, _) =
+            self.send_request_within(ORDER_TIMEOUT, request).await?;
         Ok(engine::decode_verdict(status))
     }
 
-    async fn call(
+    async fn send_request(
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> io::Result<(StatusCode, Bytes)> {
-        self.call_within(ANSWER_TIME, request).await
+        self.send_request_within(ANSWER_TIMEOUT, request).await
     }
 
-    async fn call_within(
+    async fn send_request_within(
         &mut self,
-        time: Millis,
+        timeout: Millis,
         request: Request<Full<Bytes>>,
     ) -> io::Result<(StatusCode, Bytes)> {
-        self.keep_cooldown().await?;
-        let time = time.duration();
-        let call = self.connection.call(request, MAX_BYTES, time).await;
+        self.fail_during_cooldown().await?;
+        let timeout = timeout.duration();
+        let call =
+            self.connection.call(request, MAX_ANSWER_BYTES, timeout).await;
         let answer = call.map_err(|error| match error {
             Error::Refused(_) => {
                 io::Error::new(io::ErrorKind::ConnectionRefused, error)
             }
             error => io::Error::other(error),
         })?;
-        self.note_stated(&answer);
+        self.record_answer_headers(&answer);
         Ok((answer.status(), answer.into_body()))
     }
 
-    fn note_stated(&mut self, answer: &Response<Bytes>) {
+    fn record_answer_headers(&mut self, answer: &Response<Bytes>) {
         let headers = answer.headers();
         let now = SystemTime::now;
-        let stated = retry_after::read(answer.status(), headers, now);
-        if let RetryAfter::Wait(wait) = stated {
+        let stated_retry_after =
+            retry_after::read(answer.status(), headers, now);
+        if let RetryAfter::Wait(wait) = stated_retry_after {
             self.cooldown.apply_retry_after(wait, Millis::now());
         }
         let leaving = headers.get(&header::LEAVING);
-        self.leaving = leaving.is_some_and(header::is_flag_set);
+        self.engine_is_leaving = leaving.is_some_and(header::is_flag_set);
     }
 
-    /// Fails for as long as the engine is to be left alone. Its process's end
-    /// shows in the connection that is kept.
-    async fn keep_cooldown(&mut self) -> io::Result<()> {
+    /// Returns an error while the engine is in its cooldown. The end of the
+    /// engine's process shows on the connection that the client keeps open.
+    async fn fail_during_cooldown(&mut self) -> io::Result<()> {
         let now = Millis::now();
         if self.cooldown.cooldown_end(now).is_none() {
             return Ok(());
         }
         if self.connection.is_closed()
-            && now.since(self.looked) >= LOOK_INTERVAL
+            && now.since(self.last_process_check) >= PROCESS_CHECK_INTERVAL
         {
-            self.looked = now;
-            let time = ANSWER_TIME.duration();
-            if let Err(Error::Refused(why)) = self.connection.open(time).await
+            self.last_process_check = now;
+            let timeout = ANSWER_TIMEOUT.duration();
+            if let Err(Error::Refused(why)) =
+                self.connection.open(timeout).await
             {
                 self.cooldown = Cooldown::default();
                 let kind = io::ErrorKind::ConnectionRefused;
                 return Err(io::Error::new(kind, why));
             }
         }
-        Err(io::Error::other("the engine asked to be left alone"))
+        Err(io::Error::other("the engine is in its cooldown"))
     }
 }
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -1,5 +1,5 @@
-//! The coordinator of a group: what it knows of all ranks, when it plans, and
-//! what it says.
+//! The coordinator of a group: its view of all ranks, its plans for better
+//! expert maps and its directives to the agents.
 
 use std::{
     collections::BTreeMap,
@@ -23,239 +23,291 @@
 use slog::{Logger, info};
 
 use crate::{
-    plan::{Plan, Sheet},
-    wire::{Choices, Status},
+    plan::{MapPlan, PlanUpdate},
+    wire::{RankStatus, SelectionGrowth},
 };
 
-/// A report older than this isn't planned or acted on.
-const FRESH: Millis = Millis(900);
+/// The age above which the coordinator ignores a rank's report.
+const MAX_REPORT_AGE: Millis = Millis(900);
 
-/// An agent that is silent for so long may be frozen or gone, and its engine
-/// is asked from afar. It is a little more than agents need to report in
-/// calm times.
-const SILENT: Millis = Millis(600);
+/// The silence after which an agent may be frozen or gone, so that the
+/// coordinator calls the agent's engine itself. Slightly longer than the
+/// status interval while no switch is in progress.
+const AGENT_SILENCE_TIMEOUT: Millis = Millis(600);
 
-/// How often the counts are summed.
-const SAMPLE_TIME: Millis = Millis(50);
+/// The interval at which the total selection counts are sampled.
+const COUNT_SAMPLE_INTERVAL: Millis = Millis(50);
 
-/// The shortest time between two searches for a better map.
-const PLAN_TIME: Millis = Millis(50);
+/// The minimum interval between two searches for a better map.
+const MIN_PLAN_INTERVAL: Millis = Millis(50);
 
-/// A coordinator and its view of the group.
+/// The coordinator of a group, with its view of the ranks.
 #[derive(Debug)]
-pub struct Lead {
-    coordinator: Coordinator,
-    /// The VM of the one that led before, and its fencing number.
-    predecessor: Option<(IpAddr, u64)>,
-    ranks: BTreeMap<u16, (Status, Millis)>,
-    /// What all ranks together counted since this one leads.
-    total: CumulativeCounts,
-    demand: DemandEstimator,
-    sampled: Millis,
-    planned: Millis,
-    plan: Option<Plan>,
-    /// The plan that was made before this one.
-    before: Option<Plan>,
-    /// The plan whose map is in use, if this one made it.
-    used: Option<Plan>,
-    price: f64,
-    /// Whether it is to begin no further change.
-    stopping: bool,
+pub struct GroupCoordinator {
+    switch_coordinator: Coordinator,
+    /// The VM of the previous coordinator, and that coordinator's fencing
+    /// number.
+    predecessor_vm_and_fencing_number: Option<(IpAddr, u64)>,
+    statuses_by_rank: BTreeMap<u16, (RankStatus, Millis)>,
+    /// How often the requests of all ranks selected each expert, since this
+    /// coordinator started.
+    total_selection_counts: CumulativeCounts,
+    demand_estimator: DemandEstimator,
+    last_sample_time: Millis,
+    last_plan_search: Millis,
+    current_plan: Option<MapPlan>,
+    /// The plan that preceded the current plan.
+    previous_plan: Option<MapPlan>,
+    /// The plan whose map is in use, if this coordinator made the plan.
+    plan_in_use: Option<MapPlan>,
+    expert_move_cost: f64,
+    /// Whether this coordinator must not start another switch of maps.
+    must_not_start_switch: bool,
     log: Logger,
 }
 
-/// What a coordinator begins with.
+/// The initial values of a new coordinator.
 #[derive(Clone, Copy, Debug)]
-pub struct Start {
-    /// Its fencing number.
-    pub fence: u64,
-    /// Its own rank.
-    pub rank: u16,
-    /// The VM of the one that led before, and its fencing number.
-    pub predecessor: Option<(IpAddr, u64)>,
+pub struct CoordinatorStart {
+    /// The new coordinator's fencing number.
+    pub fencing_number: u64,
+    /// The rank of the new coordinator's own engine.
+    pub own_rank: u16,
+    /// The VM of the previous coordinator, and that coordinator's fencing
+    /// number.
+    pub predecessor_vm_and_fencing_number: Option<(IpAddr, u64)>,
 }
 
-impl Lead {
-    /// A coordinator that has heard nothing yet.
-    pub fn new(start: Start, price: f64, log: Logger) -> Lead {
-        Lead {
-            coordinator: Coordinator::new(
+impl GroupCoordinator {
+    /// Creates a coordinator that has received no status yet.
+    pub fn new(
+        start: CoordinatorStart,
+        expert_move_cost: f64,
+        log: Logger,
+    ) -> GroupCoordinator {
+        GroupCoordinator {
+            switch_coordinator: Coordinator::new(
                 CoordinatorConfig::new(),
-                start.fence,
-                start.rank,
+                start.fencing_number,
+                start.own_rank,
             ),
-            predecessor: start.predecessor,
-            ranks: BTreeMap::new(),
-            total: CumulativeCounts::new(),
-            demand: DemandEstimator::new(),
-            sampled: Millis(0),
-            planned: Millis(0),
-            plan: None,
-            before: None,
-            used: None,
-            price,
-            stopping: false,
+            predecessor_vm_and_fencing_number: start
+                .predecessor_vm_and_fencing_number,
+            statuses_by_rank: BTreeMap::new(),
+            total_selection_counts: CumulativeCounts::new(),
+            demand_estimator: DemandEstimator::new(),
+            last_sample_time: Millis(0),
+            last_plan_search: Millis(0),
+            current_plan: None,
+            previous_plan: None,
+            plan_in_use: None,
+            expert_move_cost,
+            must_not_start_switch: false,
             log,
         }
     }
 
-    /// Its fencing number.
-    pub fn fence(&self) -> u64 {
-        self.coordinator.fence()
+    /// Returns the coordinator's fencing number.
+    pub fn fencing_number(&self) -> u64 {
+        self.switch_coordinator.fence()
     }
 
-    /// Its word to all.
+    /// Returns the directive that the coordinator sends to all agents.
     pub fn directive(&self) -> Directive {
-        self.coordinator.directive()
+        self.switch_coordinator.directive()
     }
 
-    /// The plan in force.
-    pub fn plan(&self) -> Option<&Plan> {
-        self.plan.as_ref()
+    /// Returns the plan that the agents have to prepare or switch to.
+    pub fn current_plan(&self) -> Option<&MapPlan> {
+        self.current_plan.as_ref()
     }
 
-    /// The agents that it heard from.
-    pub fn agents(&self) -> impl Iterator<Item = SocketAddr> {
-        self.ranks.values().map(|it| it.0.agent)
+    /// Returns the agents from which the coordinator has a status.
+    pub fn reporting_agents(&self) -> impl Iterator<Item = SocketAddr> {
+        self.statuses_by_rank.values().map(|it| it.0.agent_address)
     }
 
-    /// The plan in force for the agents that lack it: those that have the one
-    /// before need only what differs.
-    pub fn sheets(&self) -> Vec<(Sheet, Vec<SocketAddr>)> {
-        let Some(plan) = &self.plan else { return Vec::new() };
-        let version = Some(plan.version);
-        let lacks = |it: &&(Status, Millis)| it.0.plan != version;
-        let before = self.before.as_ref();
-        let knows = |it: &&(Status, Millis)| {
-            before.is_some_and(|before| it.0.plan == Some(before.version))
+    /// Returns the current plan for the agents that lack it. Agents that have
+    /// the previous plan receive only the differences.
+    pub fn plan_updates(&self) -> Vec<(PlanUpdate, Vec<SocketAddr>)> {
+        let Some(plan) = &self.current_plan else { return Vec::new() };
+        let version = Some(plan.map_version);
+        let lacks =
+            |it: &&(RankStatus, Millis)| it.0.held_plan_version != version;
+        let before = self.previous_plan.as_ref();
+        let knows = |it: &&(RankStatus, Millis)| {
+            before.is_some_and(|before| {
+                it.0.held_plan_version == Some(before.map_version)
+            })
         };
-        let lacking = self.ranks.values().filter(lacks);
+        let lacking = self.statuses_by_rank.values().filter(lacks);
         let (knowing, others): (Vec<_>, Vec<_>) = lacking.partition(knows);
-        let agents = |ranks: Vec<&(Status, Millis)>| {
-            ranks.into_iter().map(|it| it.0.agent).collect()
+        let agents = |ranks: Vec<&(RankStatus, Millis)>| {
+            ranks.into_iter().map(|it| it.0.agent_address).collect()
         };
-        let since = before.map(|it| (Sheet::since(it, plan), agents(knowing)));
-        let whole = (Sheet::whole(plan), agents(others));
-        since.into_iter().chain([whole]).collect()
+        let difference_updates = before.map(|it| {
+            (PlanUpdate::with_differences(it, plan), agents(knowing))
+        });
+        let whole_update = (PlanUpdate::with_whole_map(plan), agents(others));
+        difference_updates.into_iter().chain([whole_update]).collect()
     }
 
-    /// Whether nothing was heard of a rank for some time, by its VM.
-    pub fn is_silent(&self, vm: IpAddr, now: Millis) -> bool {
-        let heard = self.ranks.values().filter(|it| it.0.agent.ip() == vm);
-        heard.map(|it| now.since(it.1)).all(|age| age > SILENT)
+    /// Returns whether the agent on a VM has sent no status for some time.
+    pub fn is_agent_silent(&self, vm_address: IpAddr, now: Millis) -> bool {
+        let statuses = self
+            .statuses_by_rank
+            .values()
+            .filter(|it| it.0.agent_address.ip() == vm_address);
+        statuses
+            .map(|it| now.since(it.1))
+            .all(|age| age > AGENT_SILENCE_TIMEOUT)
     }
 
-    /// Begins no further change.
-    pub fn plan_no_more(&mut self) {
-        self.stopping = true;
+    /// Prevents the coordinator from starting another switch of maps.
+    pub fn stop_planning(&mut self) {
+        self.must_not_start_switch = true;
     }
 
-    /// Takes a rank's status in.
-    pub fn take(&mut self, mut status: Status, now: Millis) {
-        let rank = status.report.rank;
-        if let Some((known, _)) = self.ranks.get_mut(&rank) {
-            let newer = known.report.epoch <= status.report.epoch;
+    /// Merges a rank's status into the coordinator's view of the group.
+    pub fn merge_status(&mut self, mut status: RankStatus, now: Millis) {
+        let rank = status.engine_report.rank;
+        if let Some((known, _)) = self.statuses_by_rank.get_mut(&rank) {
+            let newer =
+                known.engine_report.epoch <= status.engine_report.epoch;
             if !newer {
                 return;
             }
-            // A report from afar comes without lists.
-            status.experts = status.experts.or(known.experts.take());
+            // A status that the coordinator read from the engine itself has no
+            // expert lists.
+            status.map_version_and_experts_by_set = status
+                .map_version_and_experts_by_set
+                .or(known.map_version_and_experts_by_set.take());
         }
-        self.ranks.insert(rank, (status, now));
+        self.statuses_by_rank.insert(rank, (status, now));
     }
 
-    /// Takes what a rank counted in.
-    pub fn count(&mut self, choices: Choices, experts: usize) {
-        let Choices { scale, units } = choices;
-        CountGrowth { scale, units }.add_to_counts(&mut self.total, experts);
+    /// Adds the growth of a rank's selection counts to the total.
+    pub fn add_selection_growth(
+        &mut self,
+        growth: SelectionGrowth,
+        experts_per_set: usize,
+    ) {
+        let SelectionGrowth {
+            selections_per_growth_unit: scale,
+            growth_in_units: units,
+        } = growth;
+        CountGrowth { scale, units }
+            .add_to_counts(&mut self.total_selection_counts, experts_per_set);
     }
 
-    /// Goes on by what all ranks report now.
-    pub fn advance(&mut self, shape: Option<&Subscribe>, now: Millis) {
-        let snapshots = self.snapshots(now);
-        let absent = self.absent(shape, now);
-        let event = self.coordinator.advance(&snapshots, absent, now);
-        self.note(event);
-        if absent != MissingRanks::None {
+    /// Advances the switch of maps according to the reports of all ranks, and
+    /// plans a better map if no switch is in progress.
+    pub fn advance_switch(
+        &mut self,
+        service_shape: Option<&Subscribe>,
+        now: Millis,
+    ) {
+        let snapshots = self.recent_snapshots(now);
+        let missing_ranks = self.missing_ranks(service_shape, now);
+        let event =
+            self.switch_coordinator.advance(&snapshots, missing_ranks, now);
+        self.handle_switch_event(event);
+        if missing_ranks != MissingRanks::None {
             return;
         }
-        self.sample(now);
-        self.drop_overtaken();
+        self.sample_selection_counts(now);
+        self.abandon_outdated_plan();
         let is_open =
             |it: &RankSnapshot| it.report.standing == GroupState::Open;
         let open = snapshots.iter().all(is_open);
-        let due = now.since(self.planned) >= PLAN_TIME;
-        if let Some(shape) = shape
-            && self.coordinator.is_idle()
+        let due = now.since(self.last_plan_search) >= MIN_PLAN_INTERVAL;
+        if let Some(service_shape) = service_shape
+            && self.switch_coordinator.is_idle()
             && self.directive().epoch == snapshots[0].report.epoch
             && open
             && due
-            && !self.stopping
+            && !self.must_not_start_switch
         {
-            self.planned = now;
-            self.consider(shape, &snapshots, now);
+            self.last_plan_search = now;
+            self.start_switch_to_better_map(service_shape, &snapshots, now);
         }
     }
 
-    /// What is known freshly of the ranks.
-    fn snapshots(&self, now: Millis) -> Vec<RankSnapshot> {
-        let fresh = self.ranks.values().filter(|it| now.since(it.1) < FRESH);
-        fresh.map(|it| self.snapshot(&it.0)).collect()
+    /// Returns snapshots of the ranks whose reports are recent.
+    fn recent_snapshots(&self, now: Millis) -> Vec<RankSnapshot> {
+        let fresh = self
+            .statuses_by_rank
+            .values()
+            .filter(|it| now.since(it.1) < MAX_REPORT_AGE);
+        fresh.map(|it| self.rank_snapshot(&it.0)).collect()
     }
 
-    /// What a status says. An agent that has not heard of this coordinator
-    /// may yet do what another told it.
-    fn snapshot(&self, status: &Status) -> RankSnapshot {
-        let obeys = if status.fence >= self.fence() {
+    /// Converts a rank's status into a snapshot. An agent that has not yet
+    /// received a directive of this coordinator may still obey another one.
+    fn rank_snapshot(&self, status: &RankStatus) -> RankSnapshot {
+        let obeys = if status.max_known_fencing_number >= self.fencing_number()
+        {
             ObeyedCoordinator::This
         } else {
             ObeyedCoordinator::Another
         };
-        let (report, seal) = (status.report.clone(), status.seal);
-        RankSnapshot { report, arms: status.arms, seal, obeys }
+        let (report, seal) =
+            (status.engine_report.clone(), status.coordinator_arming_notice);
+        RankSnapshot { report, arms: status.arm_order_status, seal, obeys }
     }
 
-    /// Who of the group is missing among them.
-    fn absent(&self, shape: Option<&Subscribe>, now: Millis) -> MissingRanks {
-        let fresh = |it: &&(Status, Millis)| now.since(it.1) < FRESH;
-        let fresh: Vec<&Status> =
-            self.ranks.values().filter(fresh).map(|it| &it.0).collect();
-        let ranks = fresh.first().map_or(0, |it| it.report.ranks);
+    /// Returns which ranks of the group have no recent report.
+    fn missing_ranks(
+        &self,
+        service_shape: Option<&Subscribe>,
+        now: Millis,
+    ) -> MissingRanks {
+        let fresh =
+            |it: &&(RankStatus, Millis)| now.since(it.1) < MAX_REPORT_AGE;
+        let fresh: Vec<&RankStatus> = self
+            .statuses_by_rank
+            .values()
+            .filter(fresh)
+            .map(|it| &it.0)
+            .collect();
+        let ranks = fresh.first().map_or(0, |it| it.engine_report.ranks);
         if ranks > 0 && fresh.len() == usize::from(ranks) {
             return MissingRanks::None;
         }
-        let Some((vm, fence)) = self.predecessor else {
+        let Some((vm, fence)) = self.predecessor_vm_and_fencing_number else {
             return MissingRanks::Others;
         };
-        let known =
-            shape.is_some_and(|it| it.targets.iter().any(|it| it.ip() == vm));
+        let known = service_shape
+            .is_some_and(|it| it.targets.iter().any(|it| it.ip() == vm));
         let only = fresh.len() + 1 == usize::from(ranks);
-        if only && known && !fresh.iter().any(|it| it.agent.ip() == vm) {
+        if only && known && !fresh.iter().any(|it| it.agent_address.ip() == vm)
+        {
             MissingRanks::Predecessor(fence)
         } else {
             MissingRanks::Others
         }
     }
 
-    /// The engine that is to hold the group, and what to order there.
-    pub fn hold(&self) -> Option<(IpAddr, Order)> {
-        let word = self.directive();
-        self.ranks.values().find_map(|(status, _)| {
-            let order = due_hold_order(&word, &status.report)?;
-            Some((status.agent.ip(), order))
+    /// Returns the VM of the engine that has to hold the group, and the *hold*
+    /// order to send to this engine.
+    pub fn hold_order_to_send(&self) -> Option<(IpAddr, Order)> {
+        let directive = self.directive();
+        self.statuses_by_rank.values().find_map(|(status, _)| {
+            let order = due_hold_order(&directive, &status.engine_report)?;
+            Some((status.agent_address.ip(), order))
         })
     }
 
-    fn note(&mut self, event: SwitchEvent) {
+    fn handle_switch_event(&mut self, event: SwitchEvent) {
         match event {
             SwitchEvent::None => {}
             SwitchEvent::Changed(version) => {
                 info!(self.log, "map_changed"; "version" => version.0);
-                self.used = self.plan.clone();
+                self.plan_in_use = self.current_plan.clone();
             }
             SwitchEvent::Abandoned(version) => {
                 info!(self.log, "plan_given_up"; "version" => version.0);
-                self.drop_plan();
+                self.drop_current_plan();
             }
             SwitchEvent::Resumed(version) => {
                 info!(self.log, "change_taken_up"; "version" => version.0);
@@ -265,71 +317,80 @@
             }
             SwitchEvent::Reset(epoch) => {
                 info!(self.log, "group_formed"; "epoch" => epoch.0);
-                // What is liked doesn't change because a rank was away.
-                self.drop_plan();
+                // The demand estimate stays: the demand for experts doesn't
+                // change because a rank was away.
+                self.drop_current_plan();
             }
         }
     }
 
-    /// Drops a plan whose demand has shifted since, while no rank has armed
-    /// for it. Its copies would be waited for, and its map be out of date when
-    /// it comes.
-    fn drop_overtaken(&mut self) {
-        if self.demand.demand_shifted_at() < self.planned {
+    /// Abandons the current plan if demand has shifted since the plan was made
+    /// and no rank has armed for it. The switch would wait for copies to a map
+    /// that is out of date.
+    fn abandon_outdated_plan(&mut self) {
+        if self.demand_estimator.demand_shifted_at() < self.last_plan_search {
             return;
         }
-        if let Some(version) = self.coordinator.abandon_plan() {
+        if let Some(version) = self.switch_coordinator.abandon_plan() {
             info!(self.log, "plan_overtaken"; "version" => version.0);
-            self.drop_plan();
+            self.drop_current_plan();
         }
     }
 
-    /// Drops the plan in force. Agents may have it already, so the next one
-    /// is told by what differs from it.
-    fn drop_plan(&mut self) {
-        self.before = self.plan.take().or(self.before.take());
+    /// Drops the current plan. Agents may already have it, so the next plan is
+    /// sent as the differences from it.
+    fn drop_current_plan(&mut self) {
+        self.previous_plan =
+            self.current_plan.take().or(self.previous_plan.take());
     }
 
-    fn sample(&mut self, now: Millis) {
-        if now.since(self.sampled) < SAMPLE_TIME {
+    fn sample_selection_counts(&mut self, now: Millis) {
+        if now.since(self.last_sample_time) < COUNT_SAMPLE_INTERVAL {
             return;
         }
-        self.sampled = now;
-        self.demand.record_counts(now, self.total.clone());
+        self.last_sample_time = now;
+        self.demand_estimator
+            .record_counts(now, self.total_selection_counts.clone());
     }
 
-    /// Begins a better map if there is one.
-    fn consider(
+    /// Searches for a better map, and starts a switch if there is one.
+    fn start_switch_to_better_map(
         &mut self,
-        shape: &Subscribe,
+        service_shape: &Subscribe,
         snapshots: &[RankSnapshot],
         now: Millis,
     ) {
-        let Some(loads) = self.demand.current_loads() else { return };
+        let Some(loads) = self.demand_estimator.current_loads() else {
+            return;
+        };
         let shape_of_map = Shape {
             ranks: snapshots.len(),
-            experts: usize::from(shape.experts_per_set),
-            layers: usize::from(shape.layer_sets),
-            slots_per_rank: usize::from(shape.slots_per_set),
+            experts: usize::from(service_shape.experts_per_set),
+            layers: usize::from(service_shape.layer_sets),
+            slots_per_rank: usize::from(service_shape.slots_per_set),
         };
-        let Some(present) = self.present(shape_of_map, snapshots) else {
+        let Some(present) = self.assemble_map_in_use(shape_of_map, snapshots)
+        else {
             return;
         };
         let config = live::LivePlanConfig::new(usize::from(
-            shape.max_new_experts_per_set,
+            service_shape.max_new_experts_per_set,
         ))
-        .with_max_new_experts_per_rank(burst(Millis(shape.expert_copy_ms)))
-        .with_copy_cost(self.price);
-        let speeds: Vec<f64> = self.ranks.values().map(speed).collect();
+        .with_max_new_experts_per_rank(max_new_experts_per_rank(Millis(
+            service_shape.expert_copy_ms,
+        )))
+        .with_copy_cost(self.expert_move_cost);
+        let speeds: Vec<f64> =
+            self.statuses_by_rank.values().map(relative_rank_speed).collect();
         let plan = live::plan(shape_of_map, config, &present, &loads, &speeds);
         let Some(plan) = plan else {
             return;
         };
-        let version = self.coordinator.begin_plan(snapshots, now);
+        let map_version = self.switch_coordinator.begin_plan(snapshots, now);
         let ideal = ideal_time(&loads, &speeds);
         let bound =
             bound::min_step_time(shape_of_map, &loads, &speeds) / ideal;
-        info!(self.log, "map_planned"; "version" => version.0,
+        info!(self.log, "map_planned"; "version" => map_version.0,
             "skew" => format!("{:.3}", plan.relative_step_time_before),
             "expected" => format!("{:.3}", plan.relative_step_time_after),
             "bound" => format!("{bound:.3}"),
@@ -337,36 +398,37 @@
             "copies" => plan.move_count, "step" => snapshots[0].report.step,
             "counted" => loads.iter().flatten().sum::<f64>());
         let directive = self.directive();
-        let last = self.plan.replace(Plan {
-            fence: directive.fence,
-            epoch: directive.epoch,
-            version,
+        let last = self.current_plan.replace(MapPlan {
+            fencing_number: directive.fence,
+            group_epoch: directive.epoch,
+            map_version,
             experts: Arc::new(plan.map.experts_by_layer_and_rank()),
         });
-        self.before = last.or(self.before.take());
+        self.previous_plan = last.or(self.previous_plan.take());
     }
 
-    /// The map in use, put together from what each rank has.
-    fn present(
+    /// Returns the map in use, assembled from the expert lists of all ranks.
+    fn assemble_map_in_use(
         &self,
         shape: Shape,
         snapshots: &[RankSnapshot],
     ) -> Option<Map> {
         let version: Version = snapshots.first()?.report.map;
-        if let Some(plan) = &self.used
-            && plan.version == version
+        if let Some(plan) = &self.plan_in_use
+            && plan.map_version == version
             && snapshots.iter().all(|it| it.report.map == version)
         {
             return Map::from_experts(shape, &plan.experts);
         }
         let mut experts: ExpertsByLayerAndRank =
             vec![vec![Vec::new(); shape.ranks]; shape.layers];
-        for (status, _) in self.ranks.values() {
-            let (listed, sets) = status.experts.as_ref()?;
-            if *listed != version || status.report.map != version {
+        for (status, _) in self.statuses_by_rank.values() {
+            let (listed, sets) =
+                status.map_version_and_experts_by_set.as_ref()?;
+            if *listed != version || status.engine_report.map != version {
                 return None;
             }
-            let rank = usize::from(status.report.rank);
+            let rank = usize::from(status.engine_report.rank);
             for (set, held) in sets.iter().enumerate() {
                 *experts.get_mut(set)?.get_mut(rank)? = held.clone();
             }
@@ -375,23 +437,24 @@
     }
 }
 
-/// Experts that a map may bring anew to a rank: as many as are copied in the
-/// time that the rest of a change takes, and one at least.
-fn burst(copy_time: Millis) -> usize {
-    let most = CHANGE_TIME.0.checked_div(copy_time.0);
+/// Returns how many new experts a map may assign to a rank: as many as are
+/// copied in the time that the rest of a switch takes, but at least one.
+fn max_new_experts_per_rank(copy_duration: Millis) -> usize {
+    let most = MAP_SWITCH_DURATION.0.checked_div(copy_duration.0);
     most.map_or(usize::MAX, |it| it.max(1) as usize)
 }
 
-/// What a change of map takes beside its copies: words, orders and the passes
-/// up to its boundary. With copies of 76 ms in groups of 24, heavy days were
-/// worth 0.71 at five copies a rank, 0.75 at three, 0.77 at two and 0.76 at
-/// one.
-const CHANGE_TIME: Millis = Millis(180);
+/// The duration of a switch of maps without its copies: messages, orders and
+/// the passes before the boundary. With copies of 76 ms in groups of 24 ranks,
+/// the result under heavy load was 0.71 at five copies a rank, 0.75 at three,
+/// 0.77 at two and 0.76 at one.
+const MAP_SWITCH_DURATION: Millis = Millis(180);
 
-/// How fast a rank works, beside the usual.
-fn speed(rank: &(Status, Millis)) -> f64 {
-    1.0 / f64::from(rank.0.pace).max(MIN_PACE)
+/// Returns a rank's speed relative to its normal speed.
+fn relative_rank_speed(rank: &(RankStatus, Millis)) -> f64 {
+    1.0 / f64::from(rank.0.slowdown_factor).max(MIN_SLOWDOWN_FACTOR)
 }
 
-/// An engine isn't taken to be faster than this.
-const MIN_PACE: f64 = 0.5;
+/// The lower bound of a rank's slowdown factor: no engine counts as more than
+/// twice as fast as normal.
+const MIN_SLOWDOWN_FACTOR: f64 = 0.5;
--- a/cowsliproad-rank/src/lib.rs
+++ b/cowsliproad-rank/src/lib.rs
@@ -1,16 +1,16 @@
 //! The agent beside a model engine whose ranks share experts.
 //!
-//! It reports its engine's load and standing to the entries that ask for it,
-//! and carries out the group's changes of map at its own engine, where
-//! reports, counts and orders cost nothing. One agent of the group is the
-//! coordinator. It needs no store: state lives in the engines, and only its
-//! fencing number comes from the platform's log.
+//! The agent reports the engine's load and state to the entry processes that
+//! subscribe, and executes the group's switches of maps at its own engine,
+//! where reports, counts and orders are cheap. One agent of the group is the
+//! coordinator. The coordinator needs no store: state lives in the engines,
+//! and only the fencing number comes from the platform's log.
 //!
 //! * [`settings`]: the settings file;
 //! * [`agent`]: the loop of an agent;
 //! * [`lead`]: the coordinator;
-//! * [`plan`]: a map on its way to all agents;
-//! * [`rota`]: when a rank counts;
+//! * [`plan`]: the transfer of a map to all agents;
+//! * [`rota`]: the schedule by which a rank reports its counts;
 //! * [`engine`]: calls to the engine;
 //! * [`wire`]: the datagrams between agents.
 
@@ -32,26 +32,29 @@
 pub mod settings;
 pub mod wire;
 
-/// Runs an agent until it is told to stop.
-pub async fn run(path: PathBuf, settings: Settings) -> io::Result<()> {
+/// Runs an agent until the process is asked to stop.
+pub async fn run(
+    settings_path: PathBuf,
+    settings: Settings,
+) -> io::Result<()> {
     let log = log::logger("rank", &settings.vm, settings.log_level);
     info!(log, "started"; "engine" => %settings.engine);
     let agent = Agent::new(settings, log.clone()).await?;
     tokio::select! {
         outcome = agent.run(program::stop_signal()) => outcome?,
-        () = program::watch_settings(path, |read| note(&log, read)) => {}
+        () = program::watch_settings(settings_path, |reloaded| log_settings_reload(&log, reloaded)) => {}
     }
     info!(log, "stopped");
     Ok(())
 }
 
-/// Notes settings that were read again. An agent keeps nothing that a
-/// restart would lose, so new settings hold from its next start.
-fn note(
+/// Logs that the settings file was read again. An agent keeps no state that a
+/// restart would lose, so new settings apply from its next start.
+fn log_settings_reload(
     log: &Logger,
-    read: Result<Settings, cowsliproad_kernel::settings::Error>,
+    reloaded: Result<Settings, cowsliproad_kernel::settings::Error>,
 ) {
-    match read {
+    match reloaded {
         Ok(_) => info!(log, "settings_read"; "in_force" => "at next start"),
         Err(error) => warn!(log, "settings_refused"; "error" => %error),
     }
--- a/cowsliproad-rank/src/plan.rs
+++ b/cowsliproad-rank/src/plan.rs
@@ -1,139 +1,164 @@
-//! A map on its way from the coordinator to all agents.
+//! The transfer of an expert map from the coordinator to all agents.
 //!
-//! Engines are ordered a whole map, but a new one differs from the one
-//! before in a few lists. So an agent that has the last one is sent what
-//! differs: a datagram of one packet instead of some eight, any of which may
-//! be lost. A whole map is sent to those that lack the one before.
+//! Engines are ordered a whole map, but a new map differs from the previous
+//! map in only a few lists. So an agent that has the previous map receives the
+//! differences: a datagram of one packet instead of about eight, any of which
+//! may be lost. Agents that lack the previous map receive the whole map.
 //!
-//! Ranks don't compare maps, so a plan is only taken when its digest fits:
-//! an agent that would put together another map than the rest has none.
+//! Ranks don't compare maps. So an agent accepts a plan only if the digest
+//! matches: an agent that would assemble a different map than the other agents
+//! rejects the plan.
 
 use std::{net::SocketAddr, sync::Arc};
 
 use cowsliproad_mapswitch::order::{Epoch, ExpertsByLayerAndRank, Version};
 use serde::{Deserialize, Serialize};
 
-/// A map that is to be prepared.
+/// An expert map that all ranks have to prepare.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
-    /// The coordinator's fencing number.
-    pub fence: u64,
-    /// The formation that it is for.
-    pub epoch: Epoch,
-    /// Its number.
-    pub version: Version,
-    /// The experts of every rank.
+pub struct MapPlan {
+    /// The fencing number of the coordinator that made the plan.
+    pub fencing_number: u64,
+    /// The group formation for which the plan is valid.
+    pub group_epoch: Epoch,
+    /// The version of the planned map.
+    pub map_version: Version,
+    /// The experts that every rank holds under the planned map.
     pub experts: Arc<ExpertsByLayerAndRank>,
 }
 
-/// A plan as it is sent.
+/// A plan in the form in which agents send it to each other.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Sheet {
-    /// The coordinator's fencing number.
+pub struct PlanUpdate {
+    /// The fencing number of the coordinator that made the plan.
     #[serde(rename = "f")]
-    pub fence: u64,
-    /// The formation that it is for.
+    pub fencing_number: u64,
+    /// The group formation for which the plan is valid.
     #[serde(rename = "e")]
-    pub epoch: Epoch,
-    /// Its number.
+    pub group_epoch: Epoch,
+    /// The version of the planned map.
     #[serde(rename = "v")]
-    pub version: Version,
-    /// What it says.
+    pub map_version: Version,
+    /// The whole map, or its differences from a base plan.
     #[serde(rename = "c")]
-    content: Content,
-    /// Of all experts of the map.
+    plan_content: PlanContent,
+    /// The digest of the experts of all ranks under the planned map.
     #[serde(rename = "d")]
-    digest: u64,
-    /// Agents that whoever gets this passes it on to.
+    map_digest: u64,
+    /// The agents to which the receiver forwards the plan.
     #[serde(rename = "p")]
-    pub pass_on: Vec<SocketAddr>,
+    pub forward_to_agents: Vec<SocketAddr>,
 }
 
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-enum Content {
+enum PlanContent {
     /// The experts of every rank.
     #[serde(rename = "w")]
     Whole(Arc<ExpertsByLayerAndRank>),
-    /// What differs from another plan.
+    /// The version of the base plan, and the expert lists that differ from
+    /// that plan.
     #[serde(rename = "s")]
-    Since(Version, Vec<List>),
+    Differences(Version, Vec<ExpertsOfRankInSet>),
 }
 
-/// A set, a rank and the experts that it has there.
+/// The experts that one rank holds in one set of layers: the index of the set,
+/// the rank and its experts.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-struct List(u16, u16, Vec<u16>);
+struct ExpertsOfRankInSet(u16, u16, Vec<u16>);
 
-/// Why a sheet makes no plan.
+/// The reason why an agent can't rebuild a plan from an update.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Misfit {
-    /// The plan that it starts from isn't there.
+pub enum PlanUpdateError {
+    /// The agent doesn't have the base plan of the update.
     NoBase,
-    /// The map is not the one that was sent.
+    /// The rebuilt map's digest differs from that of the sent map.
     Digest,
 }
 
-impl Sheet {
-    /// A plan as whoever has nothing needs it.
-    pub fn whole(plan: &Plan) -> Sheet {
-        Sheet::new(plan, Content::Whole(plan.experts.clone()))
+impl PlanUpdate {
+    /// Creates an update that holds the whole plan, for agents that lack the
+    /// base plan.
+    pub fn with_whole_map(plan: &MapPlan) -> PlanUpdate {
+        PlanUpdate::new(plan, PlanContent::Whole(plan.experts.clone()))
     }
 
-    /// A plan as whoever has another one needs it.
-    pub fn since(base: &Plan, plan: &Plan) -> Sheet {
+    /// Creates an update that holds the differences from a base plan, for
+    /// agents that have the base plan.
+    pub fn with_differences(base: &MapPlan, plan: &MapPlan) -> PlanUpdate {
         let mut lists = Vec::new();
         let sets = base.experts.iter().zip(plan.experts.iter()).enumerate();
         for (set, (old, new)) in sets {
             let ranks = old.iter().zip(new).enumerate();
             for (rank, (_, held)) in ranks.filter(|(_, it)| it.0 != it.1) {
-                lists.push(List(set as u16, rank as u16, held.clone()));
+                lists.push(ExpertsOfRankInSet(
+                    set as u16,
+                    rank as u16,
+                    held.clone(),
+                ));
             }
         }
-        Sheet::new(plan, Content::Since(base.version, lists))
+        PlanUpdate::new(
+            plan,
+            PlanContent::Differences(base.map_version, lists),
+        )
     }
 
-    /// The same, to be passed on to some agents.
-    pub fn with_pass_on(&self, agents: &[SocketAddr]) -> Sheet {
-        Sheet { pass_on: agents.to_vec(), ..self.clone() }
+    /// Returns a copy of the update that the receiver forwards to these
+    /// agents.
+    pub fn with_forwarding_to(&self, agents: &[SocketAddr]) -> PlanUpdate {
+        PlanUpdate { forward_to_agents: agents.to_vec(), ..self.clone() }
     }
 
-    fn new(plan: &Plan, content: Content) -> Sheet {
-        let Plan { fence, epoch, version, .. } = *plan;
-        let digest = digest(&plan.experts);
-        Sheet { fence, epoch, version, content, digest, pass_on: Vec::new() }
+    fn new(plan: &MapPlan, plan_content: PlanContent) -> PlanUpdate {
+        let MapPlan { fencing_number, group_epoch, map_version, .. } = *plan;
+        let map_digest = digest_of_experts(&plan.experts);
+        PlanUpdate {
+            fencing_number,
+            group_epoch,
+            map_version,
+            plan_content,
+            map_digest,
+            forward_to_agents: Vec::new(),
+        }
     }
 
-    /// The plan, for an agent that has another one.
-    pub fn plan(&self, held: Option<&Plan>) -> Result<Plan, Misfit> {
-        let experts = match &self.content {
-            Content::Whole(experts) => experts.clone(),
-            Content::Since(base, lists) => {
-                let held = held.filter(|it| it.version == *base);
-                let held = held.ok_or(Misfit::NoBase)?;
-                Arc::new(changed(&held.experts, lists)?)
+    /// Rebuilds the plan of the update. `held_plan` is the plan that the agent
+    /// already has, if any.
+    pub fn rebuild_plan(
+        &self,
+        held_plan: Option<&MapPlan>,
+    ) -> Result<MapPlan, PlanUpdateError> {
+        let experts = match &self.plan_content {
+            PlanContent::Whole(experts) => experts.clone(),
+            PlanContent::Differences(base, lists) => {
+                let held = held_plan.filter(|it| it.map_version == *base);
+                let held = held.ok_or(PlanUpdateError::NoBase)?;
+                Arc::new(with_replaced_lists(&held.experts, lists)?)
             }
         };
-        if digest(&experts) != self.digest {
-            return Err(Misfit::Digest);
+        if digest_of_experts(&experts) != self.map_digest {
+            return Err(PlanUpdateError::Digest);
         }
-        let Sheet { fence, epoch, version, .. } = *self;
-        Ok(Plan { fence, epoch, version, experts })
+        let PlanUpdate { fencing_number, group_epoch, map_version, .. } =
+            *self;
+        Ok(MapPlan { fencing_number, group_epoch, map_version, experts })
     }
 }
 
-fn changed(
+fn with_replaced_lists(
     base: &ExpertsByLayerAndRank,
-    lists: &[List],
-) -> Result<ExpertsByLayerAndRank, Misfit> {
+    lists: &[ExpertsOfRankInSet],
+) -> Result<ExpertsByLayerAndRank, PlanUpdateError> {
     let mut experts = base.clone();
-    for List(set, rank, held) in lists {
+    for ExpertsOfRankInSet(set, rank, held) in lists {
         let ranks = experts.get_mut(usize::from(*set));
         let list = ranks.and_then(|it| it.get_mut(usize::from(*rank)));
-        *list.ok_or(Misfit::Digest)? = held.clone();
+        *list.ok_or(PlanUpdateError::Digest)? = held.clone();
     }
     Ok(experts)
 }
 
-fn digest(experts: &ExpertsByLayerAndRank) -> u64 {
+fn digest_of_experts(experts: &ExpertsByLayerAndRank) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for held in experts.iter().flatten() {
         hasher.update(&(held.len() as u16).to_le_bytes());
--- a/cowsliproad-rank/src/rota.rs
+++ b/cowsliproad-rank/src/rota.rs
@@ -1,70 +1,94 @@
-//! When a rank counts, so that what the coordinator hears is fresh and no
-//! more than its link bears.
+//! The schedule by which a rank reports its selection counts, so that the
+//! counts are recent and the coordinator's link can carry them.
 //!
-//! A rank counts for a short window and says what it counted. In a small
-//! group the windows follow one another. In a large one each rank has its
-//! turn once a round, and the turns are spread over it: at any moment some
-//! ranks speak for all, of the last moments. Were each to say at its turn
-//! what it counted since the last one, a shift of demand would show only
-//! after a whole round, a second at 72 ranks.
+//! A rank counts selections for a short window and reports them. In a small
+//! group the windows follow each other without a gap. In a large group each
+//! rank reports once a round, and the ranks are spread evenly over the round:
+//! at any time a few ranks report their latest selections as a sample for all.
+//! If each rank reported all selections since its last report, a shift of
+//! demand would show only after a whole round, which is a second at 72 ranks.
 
 use cowsliproad_kernel::clock::Millis;
 
-/// How long a rank counts, where its turn doesn't come sooner. Twenty samples
-/// of 200 ms tell a shift from chance; see [`cowsliproad_placement::demand`].
-pub const LONGEST: Millis = Millis(200);
+/// The longest window in which a rank counts selections. Twenty samples of 200
+/// ms distinguish a shift of demand from chance; see
+/// [`cowsliproad_placement::demand`].
+pub const MAX_COUNTING_WINDOW: Millis = Millis(200);
 
-/// The shortest that it counts: an engine counts once a pass, and passes of
-/// a busy group take 50 ms and more.
-pub const SHORTEST: Millis = Millis(45);
+/// The shortest window in which a rank counts selections. An engine updates
+/// its counts once a pass, and the passes of a busy group take 50 ms and more.
+pub const MIN_COUNTING_WINDOW: Millis = Millis(45);
 
-/// A rank's turns.
+/// The times at which a rank reads and reports its selection counts.
 #[derive(Clone, Copy, Debug)]
-pub struct Rota {
-    /// When its window began, if it counts.
-    begun: Option<Millis>,
-    /// When its next turn is.
-    next: Millis,
+pub struct CountReportSchedule {
+    /// The start of the current counting window, or `None` between two
+    /// windows.
+    window_start: Option<Millis>,
+    /// The start of the next counting window.
+    next_window_start: Millis,
 }
 
-/// What is due.
+/// The action that the schedule requires at a given time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Due {
-    /// Nothing.
+pub enum CountReportAction {
+    /// No action is required.
     Nothing,
-    /// The counts are to be read and kept.
-    Begin,
-    /// They are to be read again, and what they grew by is to be said.
-    Say,
+    /// Read the engine's counts as the start of a window.
+    StartWindow,
+    /// Read the engine's counts, and report their growth since the start of
+    /// the window.
+    ReportGrowth,
 }
 
-impl Rota {
-    /// The turns of a rank among others, the first within a round.
-    pub fn new(now: Millis, round: Millis, rank: u16, ranks: u16) -> Rota {
-        let offset = round.0 * u64::from(rank) / u64::from(ranks.max(1));
-        Rota { begun: None, next: now + Millis(offset) }
+impl CountReportSchedule {
+    /// Creates the schedule of one rank. Its first window starts within the
+    /// first round, at an offset that depends on the rank.
+    pub fn new(
+        now: Millis,
+        round_duration: Millis,
+        rank: u16,
+        rank_count: u16,
+    ) -> CountReportSchedule {
+        let offset =
+            round_duration.0 * u64::from(rank) / u64::from(rank_count.max(1));
+        CountReportSchedule {
+            window_start: None,
+            next_window_start: now + Millis(offset),
+        }
     }
 
-    /// What is due now, which is taken as done.
-    pub fn turn(&mut self, now: Millis, round: Millis) -> Due {
-        match self.begun {
-            None if now < self.next => Due::Nothing,
+    /// Returns the action that is required now, and records the action as
+    /// done.
+    pub fn take_required_action(
+        &mut self,
+        now: Millis,
+        round_duration: Millis,
+    ) -> CountReportAction {
+        match self.window_start {
+            None if now < self.next_window_start => CountReportAction::Nothing,
             None => {
-                self.begun = Some(now);
-                Due::Begin
+                self.window_start = Some(now);
+                CountReportAction::StartWindow
+            }
+            Some(window_start)
+                if now.since(window_start)
+                    < counting_window_duration(round_duration) =>
+            {
+                CountReportAction::Nothing
             }
-            Some(begun) if now.since(begun) < window(round) => Due::Nothing,
-            Some(begun) => {
-                self.next = begun + round;
-                self.begun = (round <= LONGEST).then_some(now);
-                Due::Say
+            Some(window_start) => {
+                self.next_window_start = window_start + round_duration;
+                self.window_start =
+                    (round_duration <= MAX_COUNTING_WINDOW).then_some(now);
+                CountReportAction::ReportGrowth
             }
         }
     }
 }
 
-/// How long a rank counts at a time. As long as the turns allow it, windows
-/// follow one another.
-pub fn window(round: Millis) -> Millis {
-    round.clamp(SHORTEST, LONGEST)
+/// Returns the length of a counting window: a whole round where the bounds
+/// allow this, so that windows follow each other without a gap.
+pub fn counting_window_duration(round_duration: Millis) -> Millis {
+    round_duration.clamp(MIN_COUNTING_WINDOW, MAX_COUNTING_WINDOW)
 }
--- a/cowsliproad-rank/src/settings.rs
+++ b/cowsliproad-rank/src/settings.rs
@@ -1,36 +1,36 @@
-//! The agent's settings file.
+//! The settings file of an agent.
 
 use std::net::{IpAddr, SocketAddr};
 
 use cowsliproad_kernel::{Name, log::Level, settings::Validate};
 use serde::{Deserialize, Serialize};
 
-/// All that an agent is told before it starts.
+/// The settings of an agent.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The VM's name, for logs.
+    /// The name of the VM, for logs.
     pub vm: Name,
-    /// The VM's address.
+    /// The address of the VM.
     pub address: IpAddr,
-    /// The engine on this VM.
+    /// The address of the engine on this VM.
     pub engine: SocketAddr,
-    /// The port on which entries and agents reach one another.
+    /// The port for datagrams between entry processes and agents.
     pub peer_port: u16,
-    /// The port on which agents reach one another.
+    /// The port for datagrams between agents.
     pub agent_port: u16,
-    /// The platform's log.
+    /// The address of the platform's log.
     pub log: SocketAddr,
-    /// What moving an expert to a rank costs, as a share of the mean load of
-    /// a rank that a better map must save for it.
+    /// The cost of moving an expert to a rank: the share of a rank's mean load
+    /// that a better map has to save for each move.
     pub move_price: f64,
-    /// How much is logged.
+    /// The level from which messages are logged.
     #[serde(default)]
     pub log_level: Level,
 }
 
 impl Settings {
-    /// Settings to start from.
+    /// Returns example settings.
     pub fn example() -> Settings {
         let local = |port| SocketAddr::from(([127, 0, 0, 1], port));
         Settings {
--- a/cowsliproad-rank/src/wire.rs
+++ b/cowsliproad-rank/src/wire.rs
@@ -1,4 +1,4 @@
-//! The datagrams between agents of one group.
+//! The datagrams between the agents of one group.
 
 use std::net::SocketAddr;
 
@@ -8,98 +8,118 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::plan::Sheet;
+use crate::plan::PlanUpdate;
 
-/// A datagram between agents. A service may have several groups, each with a
-/// coordinator of its own, and agents know the engines of all of them.
+/// A datagram between agents, labelled with a group. A service may have
+/// several groups, each with its own coordinator, and agents know the engines
+/// of all groups.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Envelope<T> {
-    /// The group that it is for.
+pub struct GroupMessage<T> {
+    /// The group whose agents the datagram addresses.
     #[serde(rename = "g")]
-    pub group: Name,
-    /// What it says.
+    pub group_name: Name,
+    /// The content of the datagram.
     #[serde(rename = "m")]
     pub message: T,
 }
 
-/// What agents take from one another.
+/// A message from one agent to another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Message {
-    /// From each agent to the coordinator.
+pub enum AgentMessage {
+    /// The state of a rank, from each agent to the coordinator.
     #[serde(rename = "s")]
-    Status(Box<Status>),
-    /// From each agent to the coordinator.
+    Status(Box<RankStatus>),
+    /// The growth of a rank's selection counts, from each agent to the
+    /// coordinator.
     #[serde(rename = "c")]
-    Choices(Choices),
-    /// From the coordinator: what is to be brought about.
+    SelectionGrowth(SelectionGrowth),
+    /// The coordinator's directive to all agents, and the coordinator's
+    /// address.
     #[serde(rename = "d")]
     Directive(Directive, SocketAddr),
-    /// From a coordinator that stops: its fencing number.
+    /// The fencing number of a coordinator that stops.
     #[serde(rename = "f")]
-    Farewell(u64),
-    /// From the coordinator: the map that is to be prepared.
+    CoordinatorStop(u64),
+    /// The coordinator's map that all ranks have to prepare.
     #[serde(rename = "p")]
-    Plan(Sheet),
+    Plan(PlanUpdate),
 }
 
-/// What an agent knows of its engine.
+/// The state of a rank, as its agent knows it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Status {
-    /// The agent.
+pub struct RankStatus {
+    /// The address of the rank's agent.
     #[serde(rename = "a")]
-    pub agent: SocketAddr,
-    /// What its engine reports.
+    pub agent_address: SocketAddr,
+    /// The report of the rank's engine.
     #[serde(rename = "r")]
-    pub report: Report,
-    /// What the agent vouches for beside it.
+    pub engine_report: Report,
+    /// Whether an *arm* order that the report doesn't show may still be
+    /// executed.
     #[serde(rename = "o")]
-    pub arms: ArmOrderStatus,
-    /// Whether it heard that the coordinator's rank arms.
+    pub arm_order_status: ArmOrderStatus,
+    /// Whether the agent has received the announcement that the coordinator's
+    /// own rank arms.
     #[serde(rename = "l")]
-    pub seal: SealStatus,
-    /// How many times as long as usual its engine's work takes.
+    pub coordinator_arming_notice: SealStatus,
+    /// The factor by which the engine's work takes longer than normal.
     #[serde(rename = "t")]
-    pub pace: f32,
-    /// The highest fencing number that it knows.
+    pub slowdown_factor: f32,
+    /// The highest fencing number that the agent has received.
     #[serde(rename = "f")]
-    pub fence: u64,
-    /// The plan that it has.
+    pub max_known_fencing_number: u64,
+    /// The version of the plan that the agent has.
     #[serde(rename = "p")]
-    pub plan: Option<Version>,
-    /// The engine's experts by set, and the map that they are of, where the
-    /// coordinator needs them.
+    pub held_plan_version: Option<Version>,
+    /// The engine's experts by set, with the version of their map. Present
+    /// only if the coordinator needs the lists.
     #[serde(rename = "x")]
-    pub experts: Option<(Version, Vec<Vec<u16>>)>,
+    pub map_version_and_experts_by_set: Option<(Version, Vec<Vec<u16>>)>,
 }
 
-/// The part of a status that a coordinator acts on at once.
+/// The part of a rank's status whose changes are sent to the coordinator
+/// without delay.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
-    report: Report,
-    arms: ArmOrderStatus,
-    seal: SealStatus,
-    fence: u64,
-    plan: Option<Version>,
+pub struct UrgentStatus {
+    engine_report: Report,
+    arm_order_status: ArmOrderStatus,
+    coordinator_arming_notice: SealStatus,
+    max_known_fencing_number: u64,
+    held_plan_version: Option<Version>,
 }
 
-impl Status {
-    /// What of it the coordinator acts on at once.
-    pub fn news(&self) -> News {
-        // Each pass would be news otherwise.
-        let report = Report { step: 0, ..self.report.clone() };
-        let Status { arms, seal, fence, plan, .. } = *self;
-        News { report, arms, seal, fence, plan }
+impl RankStatus {
+    /// Returns the part of the status whose changes are sent to the
+    /// coordinator without delay.
+    pub fn urgent_part(&self) -> UrgentStatus {
+        // The pass number is left out: it changes with each pass.
+        let engine_report = Report { step: 0, ..self.engine_report.clone() };
+        let RankStatus {
+            arm_order_status,
+            coordinator_arming_notice,
+            max_known_fencing_number,
+            held_plan_version,
+            ..
+        } = *self;
+        UrgentStatus {
+            engine_report,
+            arm_order_status,
+            coordinator_arming_notice,
+            max_known_fencing_number,
+            held_plan_version,
+        }
     }
 }
 
-/// How much oftener a rank's requests chose each expert than when it said so
-/// last. A lost one makes the demand seem a little smaller for a moment.
+/// The growth of a rank's selection counts in one window: how often requests
+/// selected each expert. A lost datagram makes the demand seem slightly lower
+/// for a moment.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Choices {
-    /// What one unit stands for.
+pub struct SelectionGrowth {
+    /// The number of selections that one unit of growth stands for.
     #[serde(rename = "s")]
-    pub scale: u64,
-    /// Units by set and expert, one set after the other.
+    pub selections_per_growth_unit: u64,
+    /// The growth of the count of each expert in units, one set after another.
     #[serde(rename = "u", with = "serde_bytes")]
-    pub units: Vec<u8>,
+    pub growth_in_units: Vec<u8>,
 }
--- a/cowsliproad-rank/tests/rota.rs
+++ b/cowsliproad-rank/tests/rota.rs
@@ -1,20 +1,28 @@
 //! The turns in which ranks count.
 
 use cowsliproad_kernel::clock::Millis;
-use cowsliproad_rank::rota::{Due, LONGEST, Rota, SHORTEST};
+use cowsliproad_rank::rota::{
+    CountReportAction, CountReportSchedule, MAX_COUNTING_WINDOW,
+    MIN_COUNTING_WINDOW,
+};
 
 /// The windows that a rank speaks of in some seconds, looking every 20 ms.
-fn windows(rank: u16, ranks: u16, round: Millis) -> Vec<(u64, u64)> {
-    let mut rota = Rota::new(Millis(0), round, rank, ranks);
-    let mut begun = 0;
+fn reported_windows(
+    rank: u16,
+    rank_count: u16,
+    round_duration: Millis,
+) -> Vec<(u64, u64)> {
+    let mut schedule =
+        CountReportSchedule::new(Millis(0), round_duration, rank, rank_count);
+    let mut window_start = 0;
     let mut windows = Vec::new();
     for now in (0..4_000).step_by(20) {
-        match rota.turn(Millis(now), round) {
-            Due::Nothing => {}
-            Due::Begin => begun = now,
-            Due::Say => {
-                windows.push((begun, now));
-                begun = now;
+        match schedule.take_required_action(Millis(now), round_duration) {
+            CountReportAction::Nothing => {}
+            CountReportAction::StartWindow => window_start = now,
+            CountReportAction::ReportGrowth => {
+                windows.push((window_start, now));
+                window_start = now;
             }
         }
     }
@@ -23,9 +31,9 @@
 
 #[test]
 fn in_a_small_group_nothing_goes_uncounted() {
-    for round in [SHORTEST, LONGEST] {
-        let windows = windows(3, 16, round);
-        let least = 4_000 / (round.0 + 25) as usize;
+    for round_duration in [MIN_COUNTING_WINDOW, MAX_COUNTING_WINDOW] {
+        let windows = reported_windows(3, 16, round_duration);
+        let least = 4_000 / (round_duration.0 + 25) as usize;
         assert!(windows.len() >= least, "{windows:?}");
         for pair in windows.windows(2) {
             assert_eq!(pair[0].1, pair[1].0);
@@ -35,11 +43,13 @@
 
 #[test]
 fn in_a_large_group_each_speaks_once_a_round_of_the_last_moments() {
-    let round = Millis(1_000);
-    let all: Vec<_> = (0..72).map(|it| windows(it, 72, round)).collect();
+    let round_duration = Millis(1_000);
+    let all: Vec<_> =
+        (0..72).map(|it| reported_windows(it, 72, round_duration)).collect();
     for windows in &all {
         assert!((3..=4).contains(&windows.len()), "{windows:?}");
-        let short = |it: &(u64, u64)| it.1 - it.0 <= LONGEST.0 + 20;
+        let short =
+            |it: &(u64, u64)| it.1 - it.0 <= MAX_COUNTING_WINDOW.0 + 20;
         assert!(windows.iter().all(short), "{windows:?}");
     }
     // In every quarter of a second about a quarter of them speaks.
