--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -179,11 +179,12 @@
 impl Agent {
     /// Creates an agent that has not polled its engine yet.
     pub async fn new(settings: Settings, log: Logger) -> io::Result<Agent> {
-        let at = |port| SocketAddr::new(settings.address, port);
-        let own_address = at(settings.agent_port);
+        let at = |port| SocketAddr::new(settings.vm_address, port);
+        let own_address = at(settings.agent_datagram_port);
         Ok(Agent {
-            engine_client: EngineClient::new(settings.engine),
-            entries_socket: UdpSocket::bind(at(settings.peer_port)).await?,
+            engine_client: EngineClient::new(settings.engine_address),
+            entries_socket: UdpSocket::bind(at(settings.entry_datagram_port))
+                .await?,
             agents_socket: UdpSocket::bind(own_address).await?,
             own_address,
             log,
@@ -477,7 +478,7 @@
     }
 
     fn agent_addresses(&self) -> impl Iterator<Item = SocketAddr> {
-        let port = self.settings.agent_port;
+        let port = self.settings.agent_datagram_port;
         let agents = self.service_shape.iter().flat_map(|it| &it.targets);
         agents.map(move |it| SocketAddr::new(it.ip(), port))
     }
--- a/cowsliproad-rank/src/agent/chair.rs
+++ b/cowsliproad-rank/src/agent/chair.rs
@@ -63,7 +63,7 @@
         }
         info!(self.log, "leads"; "fence" => fencing_number);
         self.max_known_fencing_number = fencing_number;
-        let price = self.settings.move_price;
+        let price = self.settings.expert_move_cost;
         let Some(own_rank) = self.engine_report().map(|it| it.rank) else {
             return;
         };
@@ -138,7 +138,10 @@
             self.last_actions.fencing_number_request_time = Some(now);
             info!(self.log, "asks_for_number";
                 "standing" => ?self.group_standing());
-            let (log, vm) = (self.settings.log, self.settings.vm.clone());
+            let (log, vm) = (
+                self.settings.platform_log_address,
+                self.settings.vm_name.clone(),
+            );
             let task = append_fencing_number_record(
                 log,
                 vm,
--- a/cowsliproad-rank/src/agent/orders.rs
+++ b/cowsliproad-rank/src/agent/orders.rs
@@ -173,7 +173,7 @@
         let status = RankStatus {
             agent_address: SocketAddr::new(
                 target.ip(),
-                self.settings.agent_port,
+                self.settings.agent_datagram_port,
             ),
             max_known_fencing_number,
             held_plan_version: None,
--- a/cowsliproad-rank/src/agent/words.rs
+++ b/cowsliproad-rank/src/agent/words.rs
@@ -35,7 +35,7 @@
         };
         let report = state.report.as_ref();
         let load = Datagram::Load(EngineLoad {
-            target: self.settings.engine,
+            target: self.settings.engine_address,
             running: state.running_requests,
             queued: state.queued_requests,
             pace_percent: (state.slowdown_factor * 100.0) as u32,
@@ -59,7 +59,7 @@
         else {
             return;
         };
-        let target = self.settings.engine;
+        let target = self.settings.engine_address;
         self.send_to_entries(&Datagram::EngineExit(EngineExit {
             target,
             start_unix_ms: start,
--- a/cowsliproad-rank/src/lib.rs
+++ b/cowsliproad-rank/src/lib.rs
@@ -37,8 +37,8 @@
     settings_path: PathBuf,
     settings: Settings,
 ) -> io::Result<()> {
-    let log = log::logger("rank", &settings.vm, settings.log_level);
-    info!(log, "started"; "engine" => %settings.engine);
+    let log = log::logger("rank", &settings.vm_name, settings.log_level);
+    info!(log, "started"; "engine" => %settings.engine_address);
     let agent = Agent::new(settings, log.clone()).await?;
     tokio::select! {
         outcome = agent.run(program::stop_signal()) => outcome?,
--- a/cowsliproad-rank/src/settings.rs
+++ b/cowsliproad-rank/src/settings.rs
@@ -10,20 +10,27 @@
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// The name of the VM, for logs.
-    pub vm: Name,
+    #[serde(rename = "vm")]
+    pub vm_name: Name,
     /// The address of the VM.
-    pub address: IpAddr,
+    #[serde(rename = "address")]
+    pub vm_address: IpAddr,
     /// The address of the engine on this VM.
-    pub engine: SocketAddr,
+    #[serde(rename = "engine")]
+    pub engine_address: SocketAddr,
     /// The port for datagrams between entry processes and agents.
-    pub peer_port: u16,
+    #[serde(rename = "peer_port")]
+    pub entry_datagram_port: u16,
     /// The port for datagrams between agents.
-    pub agent_port: u16,
+    #[serde(rename = "agent_port")]
+    pub agent_datagram_port: u16,
     /// The address of the platform's log.
-    pub log: SocketAddr,
+    #[serde(rename = "log")]
+    pub platform_log_address: SocketAddr,
     /// The cost of moving an expert to a rank: the share of a rank's mean load
     /// that a better map has to save for each move.
-    pub move_price: f64,
+    #[serde(rename = "move_price")]
+    pub expert_move_cost: f64,
     /// The level from which messages are logged.
     #[serde(default)]
     pub log_level: Level,
@@ -34,13 +41,13 @@
     pub fn example() -> Settings {
         let local = |port| SocketAddr::from(([127, 0, 0, 1], port));
         Settings {
-            vm: "agent-1".into(),
-            address: local(0).ip(),
-            engine: local(8228),
-            peer_port: 7340,
-            agent_port: 7341,
-            log: local(8223),
-            move_price: 0.03,
+            vm_name: "agent-1".into(),
+            vm_address: local(0).ip(),
+            engine_address: local(8228),
+            entry_datagram_port: 7340,
+            agent_datagram_port: 7341,
+            platform_log_address: local(8223),
+            expert_move_cost: 0.03,
             log_level: Level::Info,
         }
     }
@@ -48,14 +55,14 @@
 
 impl Validate for Settings {
     fn validate(&self) -> Result<(), (&'static str, String)> {
-        if self.vm.is_empty() {
+        if self.vm_name.is_empty() {
             return Err(("vm", "a name is needed".into()));
         }
-        if self.peer_port == self.agent_port {
+        if self.entry_datagram_port == self.agent_datagram_port {
             let reason = "a port other than peer_port is needed";
             return Err(("agent_port", reason.into()));
         }
-        if !(0.0..=1.0).contains(&self.move_price) {
+        if !(0.0..=1.0).contains(&self.expert_move_cost) {
             return Err(("move_price", "0 to 1 is needed".into()));
         }
         Ok(())
--- a/cowsliproad-rank/tests/group/main.rs
+++ b/cowsliproad-rank/tests/group/main.rs
@@ -100,12 +100,12 @@
     fn agent(&self, number: u8) -> Agent {
         let vm = vm(self.net, number);
         let settings = Settings {
-            vm: format!("agent-{number}").into(),
-            address: vm.into(),
-            engine: (vm, ENGINES).into(),
-            peer_port: PEERS,
-            agent_port: AGENTS,
-            log: self.log_address,
+            vm_name: format!("agent-{number}").into(),
+            vm_address: vm.into(),
+            engine_address: (vm, ENGINES).into(),
+            entry_datagram_port: PEERS,
+            agent_datagram_port: AGENTS,
+            platform_log_address: self.log_address,
             ..Settings::example()
         };
         let name = format!("cowsliproad-{vm}.json");
