--- a/cowsliproad-rank/tests/group/main.rs
+++ b/cowsliproad-rank/tests/group/main.rs
@@ -1,7 +1,8 @@
-//! Agents as separate processes beside a lock-step group.
+//! Tests of agents as separate processes beside the engines of a lock-step
+//! group.
 //!
-//! An entry's part, asking the agents to report, is played here. No test
-//! counts on how long a change takes, only that it comes.
+//! The test subscribes to load reports in place of an entry process. No test
+//! depends on the duration of a switch of maps, only on its completion.
 
 use std::{
     fs,
@@ -29,101 +30,112 @@
 
 mod siege;
 
-const PATIENCE: Duration = Duration::from_secs(30);
-const ENGINES: u16 = 19_080;
-const PEERS: u16 = 19_081;
-const AGENTS: u16 = 19_082;
-const RANKS: u8 = 4;
-const EXPERTS: usize = 16;
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
+const ENGINE_PORT: u16 = 19_080;
+const ENTRY_DATAGRAM_PORT: u16 = 19_081;
+const AGENT_DATAGRAM_PORT: u16 = 19_082;
+const RANK_COUNT: u8 = 4;
+const EXPERTS_PER_SET: usize = 16;
 
-/// Networks of this test program, so that its tests can run at once.
-static NETWORK: AtomicU8 = AtomicU8::new(1);
+/// The number of the next test's network. Each test has its own network, so
+/// that tests can run in parallel.
+static NEXT_NETWORK_NUMBER: AtomicU8 = AtomicU8::new(1);
 
-struct Plant {
-    net: (u8, u8),
+struct TestGroup {
+    network: (u8, u8),
     group: Arc<Group>,
     log: Arc<Log>,
     log_address: SocketAddr,
-    agents: Vec<Agent>,
-    loads: Arc<std::sync::Mutex<Vec<EngineLoad>>>,
-    losts: Arc<std::sync::Mutex<Vec<EngineExit>>>,
+    agents: Vec<AgentProcess>,
+    load_reports: Arc<std::sync::Mutex<Vec<EngineLoad>>>,
+    engine_exit_reports: Arc<std::sync::Mutex<Vec<EngineExit>>>,
 }
 
-struct Agent {
+struct AgentProcess {
     child: Child,
-    file: PathBuf,
+    settings_file: PathBuf,
 }
 
-impl Plant {
-    async fn start() -> Plant {
-        let (plant, engines) = Plant::prepare().await;
-        plant.ask(engines).await;
-        plant
+impl TestGroup {
+    async fn start_with_subscription() -> TestGroup {
+        let (test_group, engines) =
+            TestGroup::start_without_subscription().await;
+        test_group.subscribe_to_agents(engines).await;
+        test_group
     }
 
-    /// The same, once the map follows a first demand.
-    async fn balanced() -> Plant {
-        let plant = Plant::start().await;
-        plant.group.concentrate_demand(0);
-        plant.until_balanced().await;
-        plant
+    /// Starts a group and its agents, and waits until the map follows a first
+    /// demand.
+    async fn start_balanced() -> TestGroup {
+        let test_group = TestGroup::start_with_subscription().await;
+        test_group.group.concentrate_demand(0);
+        test_group.wait_until_balanced().await;
+        test_group
     }
 
-    /// A group and its agents, which nobody asks yet.
-    async fn prepare() -> (Plant, Vec<SocketAddr>) {
+    /// Starts a group and its agents, without a subscription to load reports.
+    async fn start_without_subscription() -> (TestGroup, Vec<SocketAddr>) {
         let block = 16 + (std::process::id() % 200) as u8;
-        let net = (block, NETWORK.fetch_add(1, Ordering::Relaxed));
-        let address = SocketAddr::from((vm(net, 250), ENGINES));
+        let network =
+            (block, NEXT_NETWORK_NUMBER.fetch_add(1, Ordering::Relaxed));
+        let address =
+            SocketAddr::from((vm_address(network, 250), ENGINE_PORT));
         let (log, log_address) = log::start(address).await.expect("a log");
-        let numbers = 1..=RANKS;
-        let engines: Vec<SocketAddr> =
-            numbers.clone().map(|it| (vm(net, it), ENGINES).into()).collect();
+        let numbers = 1..=RANK_COUNT;
+        let engines: Vec<SocketAddr> = numbers
+            .clone()
+            .map(|it| (vm_address(network, it), ENGINE_PORT).into())
+            .collect();
         let pass = Duration::from_millis(20);
-        let group = group::start(&engines, (2, EXPERTS), pass).await;
+        let group = group::start(&engines, (2, EXPERTS_PER_SET), pass).await;
         let group = group.expect("a group");
-        let mut plant = Plant {
-            net,
+        let mut test_group = TestGroup {
+            network,
             group,
             log,
             log_address,
             agents: Vec::new(),
-            loads: Arc::default(),
-            losts: Arc::default(),
+            load_reports: Arc::default(),
+            engine_exit_reports: Arc::default(),
         };
-        for number in numbers {
-            let agent = plant.agent(number);
-            plant.agents.push(agent);
+        for vm_number in numbers {
+            let agent = test_group.start_agent(vm_number);
+            test_group.agents.push(agent);
         }
-        (plant, engines)
+        (test_group, engines)
     }
 
-    fn agent(&self, number: u8) -> Agent {
-        let vm = vm(self.net, number);
+    fn start_agent(&self, number: u8) -> AgentProcess {
+        let vm = vm_address(self.network, number);
         let settings = Settings {
             vm_name: format!("agent-{number}").into(),
             vm_address: vm.into(),
-            engine_address: (vm, ENGINES).into(),
-            entry_datagram_port: PEERS,
-            agent_datagram_port: AGENTS,
+            engine_address: (vm, ENGINE_PORT).into(),
+            entry_datagram_port: ENTRY_DATAGRAM_PORT,
+            agent_datagram_port: AGENT_DATAGRAM_PORT,
             platform_log_address: self.log_address,
             ..Settings::example()
         };
         let name = format!("cowsliproad-{vm}.json");
-        let file = std::env::temp_dir().join(name);
+        let settings_file = std::env::temp_dir().join(name);
         let text = cowsliproad_kernel::settings::to_json(&settings);
-        fs::write(&file, text).expect("a settings file");
-        Agent { child: spawn(&file), file }
+        fs::write(&settings_file, text).expect("a settings file");
+        AgentProcess { child: spawn_agent(&settings_file), settings_file }
     }
 
-    /// Asks all agents to report, as an entry does, and keeps what they say.
-    async fn ask(&self, targets: Vec<SocketAddr>) {
-        let own = SocketAddr::from((vm(self.net, 200), PEERS));
+    /// Subscribes to the load reports of all agents, as an entry process does,
+    /// and records the received datagrams.
+    async fn subscribe_to_agents(&self, targets: Vec<SocketAddr>) {
+        let own = SocketAddr::from((
+            vm_address(self.network, 200),
+            ENTRY_DATAGRAM_PORT,
+        ));
         let socket = Arc::new(UdpSocket::bind(own).await.expect("a socket"));
         let message = gossip::encode(&Subscribe {
             list_id: gossip::target_list_id(&targets),
             targets: targets.clone(),
             layer_sets: 2,
-            experts_per_set: EXPERTS as u16,
+            experts_per_set: EXPERTS_PER_SET as u16,
             slots_per_set: 6,
             max_new_experts_per_set: 2,
             expert_copy_ms: 0,
@@ -133,23 +145,28 @@
         tokio::spawn(async move {
             loop {
                 for target in &targets {
-                    let agent = SocketAddr::new(target.ip(), PEERS);
+                    let agent =
+                        SocketAddr::new(target.ip(), ENTRY_DATAGRAM_PORT);
                     let _ = asking.send_to(&message, agent).await;
                 }
                 sleep(Duration::from_millis(200)).await;
             }
         });
-        let (loads, losts) = (self.loads.clone(), self.losts.clone());
+        let (load_reports, engine_exit_reports) =
+            (self.load_reports.clone(), self.engine_exit_reports.clone());
         tokio::spawn(async move {
             let mut buffer = [0; 2_048];
             while let Ok((length, _)) = socket.recv_from(&mut buffer).await {
                 let read = gossip::decode::<Datagram>(&buffer[..length]);
                 match read {
                     Some(Datagram::Load(load)) => {
-                        loads.lock().expect("no panic").push(load);
+                        load_reports.lock().expect("no panic").push(load);
                     }
                     Some(Datagram::EngineExit(lost)) => {
-                        losts.lock().expect("no panic").push(lost);
+                        engine_exit_reports
+                            .lock()
+                            .expect("no panic")
+                            .push(lost);
                     }
                     _ => {}
                 }
@@ -157,10 +174,12 @@
         });
     }
 
-    /// Waits until the demand is spread well, with no pass ever mixed.
-    async fn until_balanced(&self) {
+    /// Waits until the load of the ranks is balanced, and checks that no pass
+    /// mixed two maps.
+    async fn wait_until_balanced(&self) {
         let group = &self.group;
-        until("the map follows the demand", || group.load_skew() < 1.35).await;
+        wait_until("the map follows the demand", || group.load_skew() < 1.35)
+            .await;
         assert_eq!(
             group.pass_counts().mixed_passes,
             0,
@@ -169,229 +188,241 @@
         );
     }
 
-    fn signal(&self, agent: usize, signal: Signal) {
-        let pid = Pid::from_child(&self.agents[agent].child);
+    fn send_signal_to_agent(&self, agent_index: usize, signal: Signal) {
+        let pid = Pid::from_child(&self.agents[agent_index].child);
         kill_process(pid, signal).expect("the process is there");
     }
 }
 
-impl Agent {
-    /// Starts again once the process has ended and its address is free.
-    fn restart(&mut self) {
-        self.child.wait().expect("it ends");
-        self.child = spawn(&self.file);
+impl AgentProcess {
+    /// Waits until the agent's process has ended and its address is free, and
+    /// starts the agent again.
+    fn restart_after_exit(&mut self) {
+        self.child.wait().expect("the process ends");
+        self.child = spawn_agent(&self.settings_file);
     }
 }
 
-/// Where the lines of an agent go, of all its processes.
-fn output(file: &Path) -> PathBuf {
-    file.with_extension("log")
+/// Returns the path of the log file to which all processes of an agent write.
+fn agent_log_path(settings_file: &Path) -> PathBuf {
+    settings_file.with_extension("log")
 }
 
-fn spawn(file: &Path) -> Child {
+fn spawn_agent(settings_file: &Path) -> Child {
     let output = fs::File::options()
         .create(true)
         .append(true)
-        .open(output(file))
+        .open(agent_log_path(settings_file))
         .expect("a file");
     Command::new(env!("CARGO_BIN_EXE_cowsliproad-rank"))
-        .env(SETTINGS_VARIABLE, file)
+        .env(SETTINGS_VARIABLE, settings_file)
         .stdout(output)
         .spawn()
         .expect("the program starts")
 }
 
-impl Drop for Agent {
+impl Drop for AgentProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
         if !std::thread::panicking() {
-            let _ = fs::remove_file(output(&self.file));
+            let _ = fs::remove_file(agent_log_path(&self.settings_file));
         }
-        let _ = fs::remove_file(&self.file);
+        let _ = fs::remove_file(&self.settings_file);
     }
 }
 
-fn vm(net: (u8, u8), number: u8) -> Ipv4Addr {
-    Ipv4Addr::new(127, net.0, net.1, number)
+fn vm_address(network: (u8, u8), vm_number: u8) -> Ipv4Addr {
+    Ipv4Addr::new(127, network.0, network.1, vm_number)
 }
 
-async fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let begun = Instant::now();
+async fn wait_until(condition_name: &str, mut holds: impl FnMut() -> bool) {
+    let start = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < PATIENCE, "never: {what}");
+        assert!(
+            start.elapsed() < CONDITION_TIMEOUT,
+            "timed out: {condition_name}"
+        );
         sleep(Duration::from_millis(20)).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_map_follows_a_demand_that_shifts() {
-    let plant = Plant::start().await;
+async fn map_follows_shifting_demand() {
+    let test_group = TestGroup::start_with_subscription().await;
     for first in [0, 5, 11] {
-        plant.group.concentrate_demand(first);
-        plant.until_balanced().await;
+        test_group.group.concentrate_demand(first);
+        test_group.wait_until_balanced().await;
     }
-    assert!(plant.group.pass_counts().expert_map_changes >= 3);
+    assert!(test_group.group.pass_counts().expert_map_changes >= 3);
     assert_eq!(
-        plant.log.record_count(COORDINATORS_TOPIC),
+        test_group.log.record_count(COORDINATORS_TOPIC),
         1,
-        "one led all the time"
+        "the coordinator was replaced"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_and_late_orders_mix_no_maps() {
-    let plant = Plant::start().await;
-    plant.group.delay_every_nth_order(3);
+    let test_group = TestGroup::start_with_subscription().await;
+    test_group.group.delay_every_nth_order(3);
     for first in [0, 7] {
-        plant.group.concentrate_demand(first);
-        plant.until_balanced().await;
+        test_group.group.concentrate_demand(first);
+        test_group.wait_until_balanced().await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_coordinator_is_followed_by_another() {
-    let mut plant = Plant::balanced().await;
+async fn killed_coordinator_is_replaced() {
+    let mut test_group = TestGroup::start_balanced().await;
     for round in 0..2 {
-        // The first to lead is rank 0; it is killed as a change is due.
-        plant.group.concentrate_demand(5 + 3 * round);
-        plant.signal(round, Signal::KILL);
-        plant.agents[round].restart();
-        plant.until_balanced().await;
+        // Rank 0 is the first coordinator. It is killed when a switch of maps
+        // is needed.
+        test_group.group.concentrate_demand(5 + 3 * round);
+        test_group.send_signal_to_agent(round, Signal::KILL);
+        test_group.agents[round].restart_after_exit();
+        test_group.wait_until_balanced().await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_coordinator_holds_nobody_up_and_stops_when_it_wakes() {
-    let plant = Plant::balanced().await;
-    plant.group.concentrate_demand(8);
-    plant.signal(0, Signal::STOP);
-    plant.group.set_vm_state(0, VmState::Frozen);
-    let steps = plant.group.pass_counts().begun_passes;
-    until("the group goes on", || {
-        plant.group.pass_counts().begun_passes > steps + 100
+async fn frozen_coordinator_is_replaced_and_steps_down() {
+    let test_group = TestGroup::start_balanced().await;
+    test_group.group.concentrate_demand(8);
+    test_group.send_signal_to_agent(0, Signal::STOP);
+    test_group.group.set_vm_state(0, VmState::Frozen);
+    let steps = test_group.group.pass_counts().begun_passes;
+    wait_until("the group runs more passes", || {
+        test_group.group.pass_counts().begun_passes > steps + 100
     })
     .await;
-    plant.group.set_vm_state(0, VmState::Responsive);
-    plant.signal(0, Signal::CONT);
-    plant.until_balanced().await;
+    test_group.group.set_vm_state(0, VmState::Responsive);
+    test_group.send_signal_to_agent(0, Signal::CONT);
+    test_group.wait_until_balanced().await;
     assert!(
-        plant.log.record_count(COORDINATORS_TOPIC) >= 2,
-        "another took over"
+        test_group.log.record_count(COORDINATORS_TOPIC) >= 2,
+        "no other rank took over"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_group_that_forms_anew_is_balanced_again() {
-    let plant = Plant::balanced().await;
-    plant.group.start_new_epoch();
-    assert!(plant.group.load_skew() > 1.35);
-    plant.until_balanced().await;
+async fn reformed_group_is_balanced_again() {
+    let test_group = TestGroup::start_balanced().await;
+    test_group.group.start_new_epoch();
+    assert!(test_group.group.load_skew() > 1.35);
+    test_group.wait_until_balanced().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_the_log_nobody_leads_and_load_is_reported() {
-    let plant = Plant::start().await;
-    plant.log.set_fault(log::Fault::Refusing);
-    until("every agent reports", || {
-        let loads = plant.loads.lock().expect("no panic");
+async fn agents_report_load_without_the_platform_log() {
+    let test_group = TestGroup::start_with_subscription().await;
+    test_group.log.set_fault(log::Fault::Refusing);
+    wait_until("every agent reports", || {
+        let load_reports = test_group.load_reports.lock().expect("no panic");
         let mut targets: Vec<SocketAddr> =
-            loads.iter().map(|it| it.target).collect();
+            load_reports.iter().map(|it| it.target).collect();
         targets.sort();
         targets.dedup();
-        targets.len() == usize::from(RANKS)
+        targets.len() == usize::from(RANK_COUNT)
     })
     .await;
-    plant.log.set_fault(log::Fault::None);
-    plant.group.concentrate_demand(0);
-    plant.until_balanced().await;
+    test_group.log.set_fault(log::Fault::None);
+    test_group.group.concentrate_demand(0);
+    test_group.wait_until_balanced().await;
 }
 
-/// Agents are restarted one after the other, as on an update of all VMs,
-/// while demand shifts and each of them may be in the middle of a change.
+/// Restarts the agents one after another, as in an update of all VMs, while
+/// demand shifts and a switch of maps may be in progress.
 #[tokio::test(flavor = "multi_thread")]
-async fn graceful_restarts_hold_no_group() {
-    let mut plant = Plant::balanced().await;
-    for agent in 0..usize::from(RANKS) {
-        plant.group.concentrate_demand(3 * agent + 1);
-        // Some passes later a change is most likely under way.
-        let turns = || {
-            plant.group.pass_counts().begun_passes
-                + plant.group.pass_counts().held_back_intervals
+async fn graceful_agent_restarts_hold_no_group() {
+    let mut test_group = TestGroup::start_balanced().await;
+    for agent in 0..usize::from(RANK_COUNT) {
+        test_group.group.concentrate_demand(3 * agent + 1);
+        // After some passes a switch of maps is most likely in progress.
+        let passes_and_held_back_intervals = || {
+            test_group.group.pass_counts().begun_passes
+                + test_group.group.pass_counts().held_back_intervals
         };
-        let begun = turns();
-        until("the group goes on", || turns() > begun + 20).await;
-        plant.signal(agent, Signal::TERM);
-        plant.agents[agent].restart();
+        let start = passes_and_held_back_intervals();
+        wait_until("the group runs more passes", || {
+            passes_and_held_back_intervals() > start + 20
+        })
+        .await;
+        test_group.send_signal_to_agent(agent, Signal::TERM);
+        test_group.agents[agent].restart_after_exit();
     }
-    plant.until_balanced().await;
+    test_group.wait_until_balanced().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_coordinator_that_stops_is_followed_before_it_is_missed() {
-    let mut plant = Plant::balanced().await;
-    plant.signal(0, Signal::TERM);
-    let ended = plant.agents[0].child.wait().expect("it ends");
+async fn stopping_coordinator_is_replaced_before_the_timeout() {
+    let mut test_group = TestGroup::start_balanced().await;
+    test_group.send_signal_to_agent(0, Signal::TERM);
+    let ended = test_group.agents[0].child.wait().expect("the process ends");
     let stopped = Instant::now();
     assert!(ended.success());
-    until("another leads", || plant.log.record_count(COORDINATORS_TOPIC) == 2)
-        .await;
-    // Unannounced it would be missed after 1.7 s, by rank 1.
+    wait_until("another rank is the coordinator", || {
+        test_group.log.record_count(COORDINATORS_TOPIC) == 2
+    })
+    .await;
+    // Without the coordinator's message, rank 1 would take over after 1.7 s.
     assert!(stopped.elapsed() < Duration::from_millis(1_300), "{stopped:?}");
 }
 
-/// Agents were restarted a moment before, and so can't vouch for what their
-/// processes before them ordered last, when the coordinator freezes with the
-/// group held. What those ordered is long past.
+/// Guards against a group that stays held after its coordinator froze.
+/// Recently restarted agents don't know the last orders of their previous
+/// processes, but these orders belong to passes that are long over, so the
+/// switch can be cancelled.
 #[tokio::test(flavor = "multi_thread")]
-async fn agents_that_were_restarted_let_a_change_be_called_off() {
-    let mut plant = Plant::balanced().await;
-    for agent in 1..usize::from(RANKS) {
-        plant.signal(agent, Signal::KILL);
-        plant.agents[agent].restart();
+async fn restarted_agents_allow_a_switch_to_be_cancelled() {
+    let mut test_group = TestGroup::start_balanced().await;
+    for agent in 1..usize::from(RANK_COUNT) {
+        test_group.send_signal_to_agent(agent, Signal::KILL);
+        test_group.agents[agent].restart_after_exit();
     }
-    let steps = plant.group.pass_counts().begun_passes;
-    until("the group goes on", || {
-        plant.group.pass_counts().begun_passes > steps + 40
+    let steps = test_group.group.pass_counts().begun_passes;
+    wait_until("the group runs more passes", || {
+        test_group.group.pass_counts().begun_passes > steps + 40
     })
     .await;
     for first in [8, 13, 3, 10, 5] {
-        plant.group.concentrate_demand(first);
-        let held = plant.group.pass_counts().held_back_intervals;
-        until("a change is made or the group is held", || {
-            plant.group.load_skew() < 1.35
-                || plant.group.pass_counts().held_back_intervals > held
+        test_group.group.concentrate_demand(first);
+        let held = test_group.group.pass_counts().held_back_intervals;
+        wait_until("a switch is complete or the group is held", || {
+            test_group.group.load_skew() < 1.35
+                || test_group.group.pass_counts().held_back_intervals > held
         })
         .await;
     }
-    plant.group.concentrate_demand(0);
-    plant.signal(0, Signal::STOP);
-    plant.group.set_vm_state(0, VmState::Frozen);
-    let steps = plant.group.pass_counts().begun_passes;
-    until("the group goes on", || {
-        plant.group.pass_counts().begun_passes > steps + 100
+    test_group.group.concentrate_demand(0);
+    test_group.send_signal_to_agent(0, Signal::STOP);
+    test_group.group.set_vm_state(0, VmState::Frozen);
+    let steps = test_group.group.pass_counts().begun_passes;
+    wait_until("the group runs more passes", || {
+        test_group.group.pass_counts().begun_passes > steps + 100
     })
     .await;
-    plant.group.set_vm_state(0, VmState::Responsive);
-    plant.signal(0, Signal::CONT);
-    plant.until_balanced().await;
+    test_group.group.set_vm_state(0, VmState::Responsive);
+    test_group.send_signal_to_agent(0, Signal::CONT);
+    test_group.wait_until_balanced().await;
 }
 
-/// A service with two groups: entries tell agents of the engines of both.
+/// A service with two groups: entry processes send the engines of both groups
+/// to all agents.
 #[tokio::test(flavor = "multi_thread")]
-async fn groups_of_one_service_keep_to_their_own_maps() {
-    let (one, mut engines) = Plant::prepare().await;
-    let (other, more) = Plant::prepare().await;
+async fn groups_of_one_service_keep_separate_maps() {
+    let (one, mut engines) = TestGroup::start_without_subscription().await;
+    let (other, more) = TestGroup::start_without_subscription().await;
     one.group.set_group_name("one");
     other.group.set_group_name("other");
     engines.extend(more);
-    one.ask(engines.clone()).await;
-    other.ask(engines).await;
+    one.subscribe_to_agents(engines.clone()).await;
+    other.subscribe_to_agents(engines).await;
     for first in [0, 5, 11] {
         one.group.concentrate_demand(first);
         other.group.concentrate_demand(first + 2);
-        one.until_balanced().await;
-        other.until_balanced().await;
+        one.wait_until_balanced().await;
+        other.wait_until_balanced().await;
     }
     assert_eq!(
         one.group.pass_counts().mixed_passes
@@ -400,119 +431,143 @@
     );
 }
 
-/// An agent stands on its engine's own VM and knows best that its process is
-/// gone. One whose engine only doesn't answer says nothing.
+/// An agent runs on its engine's own VM and detects reliably that the engine's
+/// process has ended. An agent whose engine just doesn't answer reports no
+/// end.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_agent_says_that_its_engines_process_is_gone() {
-    let (plant, engines) = Plant::prepare().await;
-    plant.ask(engines.clone()).await;
+async fn agent_reports_the_end_of_its_engine_process() {
+    let (test_group, engines) = TestGroup::start_without_subscription().await;
+    test_group.subscribe_to_agents(engines.clone()).await;
     let reports_of = |engine: SocketAddr| {
-        let loads = plant.loads.lock().expect("no panic");
-        loads.iter().filter(|it| it.target == engine).count()
+        let load_reports = test_group.load_reports.lock().expect("no panic");
+        load_reports.iter().filter(|it| it.target == engine).count()
     };
-    until("every agent reports", || {
+    wait_until("every agent reports", || {
         engines.iter().all(|it| reports_of(*it) > 0)
     })
     .await;
-    plant.group.set_vm_state(3, VmState::Frozen);
-    plant.group.kill_rank(2);
-    let losts = || plant.losts.lock().expect("no panic").clone();
-    until("it is said, and said again", || losts().len() > 2).await;
-    assert!(losts().iter().all(|it| it.target == engines[2]));
+    test_group.group.set_vm_state(3, VmState::Frozen);
+    test_group.group.kill_rank(2);
+    let engine_exit_reports =
+        || test_group.engine_exit_reports.lock().expect("no panic").clone();
+    wait_until("the engine's end is reported repeatedly", || {
+        engine_exit_reports().len() > 2
+    })
+    .await;
+    assert!(engine_exit_reports().iter().all(|it| it.target == engines[2]));
     let before = reports_of(engines[2]);
     let others = reports_of(engines[1]);
-    until("the others report", || reports_of(engines[1]) > others + 1).await;
+    wait_until("the others report", || reports_of(engines[1]) > others + 1)
+        .await;
     assert_eq!(reports_of(engines[2]), before);
 }
 
-/// Guards against an agent that goes on calling its engine, or another's, or
-/// orders something of it, within the Retry-After of a refusal.
+/// Guards against an agent that calls or orders its own or another engine
+/// within the Retry-After of a refusal.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_agent_calls_no_engine_within_its_retry_after() {
-    let plant = Plant::balanced().await;
-    for rank in 0..usize::from(RANKS) {
-        let before = plant.group.call_count(rank);
-        plant.group.set_retry_after(rank, Some("2.5"));
-        // The group has a change of the map to see to.
-        plant.group.concentrate_demand(4 * (rank + 1) % EXPERTS);
+async fn agents_call_no_engine_within_its_retry_after() {
+    let test_group = TestGroup::start_balanced().await;
+    for rank in 0..usize::from(RANK_COUNT) {
+        let before = test_group.group.call_count(rank);
+        test_group.group.set_retry_after(rank, Some("2.5"));
+        // The shifted demand requires a switch of maps.
+        test_group.group.concentrate_demand(4 * (rank + 1) % EXPERTS_PER_SET);
         sleep(Duration::from_millis(2_000)).await;
-        let calls = plant.group.call_count(rank) - before;
-        // Each agent may be turned away once. One call was under way.
-        let most = u64::from(RANKS) + 1;
+        let calls = test_group.group.call_count(rank) - before;
+        // The engine may refuse one call of each agent, and one call was in
+        // flight.
+        let most = u64::from(RANK_COUNT) + 1;
         assert!((1..=most).contains(&calls), "rank {rank}: {calls} calls");
-        plant.group.set_retry_after(rank, None);
-        let before = plant.group.call_count(rank);
-        until("it is called again", || {
-            plant.group.call_count(rank) > before + 10
+        test_group.group.set_retry_after(rank, None);
+        let before = test_group.group.call_count(rank);
+        wait_until("the engine is called again", || {
+            test_group.group.call_count(rank) > before + 10
         })
         .await;
     }
-    assert_eq!(plant.group.pass_counts().mixed_passes, 0);
+    assert_eq!(test_group.group.pass_counts().mixed_passes, 0);
 }
 
-/// Guards against a cooldown that outlives the process that asked for it.
+/// Guards against a cooldown that stays in force after the end of the process
+/// that requested it.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engines_end_is_seen_within_its_retry_after() {
-    let (plant, engines) = Plant::prepare().await;
-    plant.ask(engines.clone()).await;
+async fn engine_end_is_detected_within_retry_after() {
+    let (test_group, engines) = TestGroup::start_without_subscription().await;
+    test_group.subscribe_to_agents(engines.clone()).await;
     let lost = || {
-        let losts = plant.losts.lock().expect("no panic");
-        losts.iter().any(|it| it.target == engines[2])
+        let engine_exit_reports =
+            test_group.engine_exit_reports.lock().expect("no panic");
+        engine_exit_reports.iter().any(|it| it.target == engines[2])
     };
-    until("every agent reports", || {
-        let loads = plant.loads.lock().expect("no panic");
-        engines.iter().all(|it| loads.iter().any(|load| load.target == *it))
+    wait_until("every agent reports", || {
+        let load_reports = test_group.load_reports.lock().expect("no panic");
+        engines
+            .iter()
+            .all(|it| load_reports.iter().any(|load| load.target == *it))
+    })
+    .await;
+    test_group.group.set_retry_after(2, Some("1000000000"));
+    let before = test_group.group.call_count(2);
+    wait_until("the engine refuses a call", || {
+        test_group.group.call_count(2) > before
     })
     .await;
-    plant.group.set_retry_after(2, Some("1000000000"));
-    let before = plant.group.call_count(2);
-    until("it is turned away", || plant.group.call_count(2) > before).await;
     sleep(Duration::from_millis(200)).await;
     assert!(!lost());
-    plant.group.kill_rank(2);
-    plant.group.set_retry_after(2, None);
-    until("its end is told", lost).await;
-    let before = plant.group.call_count(2);
-    plant.group.restart_rank(2, engines[2]).await;
-    until("it is called", || plant.group.call_count(2) > before + 3).await;
+    test_group.group.kill_rank(2);
+    test_group.group.set_retry_after(2, None);
+    wait_until("the engine's end is reported", lost).await;
+    let before = test_group.group.call_count(2);
+    test_group.group.restart_rank(2, engines[2]).await;
+    wait_until("the engine is called", || {
+        test_group.group.call_count(2) > before + 3
+    })
+    .await;
 }
 
-/// Guards against a leaving that only the engine's agent was told of.
+/// Guards against an engine's announcement to leave that reaches its agent but
+/// not the entry processes.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_agent_says_that_its_engine_is_leaving() {
-    let (plant, engines) = Plant::prepare().await;
-    plant.ask(engines.clone()).await;
-    plant.group.set_leaving(1);
+async fn agent_reports_that_its_engine_is_leaving() {
+    let (test_group, engines) = TestGroup::start_without_subscription().await;
+    test_group.subscribe_to_agents(engines.clone()).await;
+    test_group.group.set_leaving(1);
     let leaving = |engine: SocketAddr| {
-        let loads = plant.loads.lock().expect("no panic");
-        loads.iter().any(|it| it.target == engine && it.leaving)
+        let load_reports = test_group.load_reports.lock().expect("no panic");
+        load_reports.iter().any(|it| it.target == engine && it.leaving)
     };
-    until("it is said", || leaving(engines[1])).await;
+    wait_until("the agent reports that its engine is leaving", || {
+        leaving(engines[1])
+    })
+    .await;
     assert!(!leaving(engines[0]));
 }
 
-/// Guards against two coordinators with one fencing number: the log gives the
-/// offset that the number of the first came from out again.
+/// Guards against two coordinators with the same fencing number: after a
+/// rollback the log assigns the offset behind the first coordinator's number
+/// again.
 #[tokio::test(flavor = "multi_thread")]
-async fn fencing_numbers_grow_over_a_rollback() {
+async fn fencing_numbers_grow_after_a_log_rollback() {
     let before_all = Instant::now();
-    let (mut plant, engines) = Plant::prepare().await;
-    plant.log.set_era(Some(3));
-    plant.ask(engines).await;
+    let (mut test_group, engines) =
+        TestGroup::start_without_subscription().await;
+    test_group.log.set_era(Some(3));
+    test_group.subscribe_to_agents(engines).await;
     let mut last = 0;
     for round in 0..3 {
-        plant.group.concentrate_demand(3 * round);
-        plant.until_balanced().await;
-        let fence = plant.group.max_fencing_token();
+        test_group.group.concentrate_demand(3 * round);
+        test_group.wait_until_balanced().await;
+        let fence = test_group.group.max_fencing_token();
         assert!(fence > last, "{fence} after {last}");
         last = fence;
-        plant.log.roll_back(before_all);
-        // Nobody is left who knows the number.
-        for agent in 0..usize::from(RANKS) {
-            plant.signal(agent, Signal::KILL);
+        test_group.log.roll_back(before_all);
+        // After this no agent knows the fencing number of the last
+        // coordinator.
+        for agent in 0..usize::from(RANK_COUNT) {
+            test_group.send_signal_to_agent(agent, Signal::KILL);
         }
-        for agent in &mut plant.agents {
-            agent.restart();
+        for agent in &mut test_group.agents {
+            agent.restart_after_exit();
         }
     }
 }
--- a/cowsliproad-rank/tests/group/siege.rs
+++ b/cowsliproad-rank/tests/group/siege.rs
@@ -1,80 +1,87 @@
-//! The platform's log comes back from older copies while agents are killed,
-//! one or all of them, and stand still, and demand shifts; in series drawn
-//! from a seed. No two coordinators ever have one fencing number, and no pass
-//! is of two maps.
+//! Random faults: the platform's log is restored from older copies while one
+//! or all agents are killed or frozen, and demand shifts. The sequence of
+//! faults is drawn from a seed. No two coordinators may ever have the same
+//! fencing number, and no pass may mix two maps.
 //!
 //! `FIRST_SEED=1 SEEDS=50 cargo test -p cowsliproad-rank --test group siege -- --nocapture`
-//! plays more of them and prints a line for each.
+//! runs 50 seeds and prints a line for each.
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 use super::*;
 
-/// Troubles of one seed.
-const ROUNDS: usize = 16;
+/// The number of faults that one seed injects.
+const FAULTS_PER_SEED: usize = 16;
 
-/// How old a copy may be, in milliseconds.
-const MAX_AGE: u64 = 4_000;
+/// The maximum age of a restored copy of the log, in milliseconds.
+const MAX_LOG_COPY_AGE_MS: u64 = 4_000;
 
-struct Siege {
-    plant: Plant,
-    begun: Instant,
+struct FaultSequence {
+    test_group: TestGroup,
+    start_time: Instant,
     random: StdRng,
-    rollbacks: usize,
+    rollback_count: usize,
 }
 
-impl Siege {
-    async fn start(seed: u64) -> Siege {
-        let begun = Instant::now();
-        let (plant, engines) = Plant::prepare().await;
-        plant.log.set_era(Some(seed % 2));
-        plant.ask(engines).await;
+impl FaultSequence {
+    async fn start(seed: u64) -> FaultSequence {
+        let start_time = Instant::now();
+        let (test_group, engines) =
+            TestGroup::start_without_subscription().await;
+        test_group.log.set_era(Some(seed % 2));
+        test_group.subscribe_to_agents(engines).await;
         let random = StdRng::seed_from_u64(seed);
-        Siege { plant, begun, random, rollbacks: 0 }
+        FaultSequence { test_group, start_time, random, rollback_count: 0 }
     }
 
-    fn draw_time(&mut self, to: u64) -> Duration {
-        Duration::from_millis(self.random.random_range(0..to))
+    fn draw_duration(&mut self, max_ms: u64) -> Duration {
+        Duration::from_millis(self.random.random_range(0..max_ms))
     }
 
-    async fn make_trouble(&mut self) {
-        let agent = self.random.random_range(0..usize::from(RANKS));
+    async fn inject_random_fault(&mut self) {
+        let agent = self.random.random_range(0..usize::from(RANK_COUNT));
         match self.random.random_range(0..6) {
             0 | 1 => {
-                let copy = Instant::now() - self.draw_time(MAX_AGE);
-                self.plant.log.roll_back(copy.max(self.begun));
-                self.rollbacks += 1;
+                let copy =
+                    Instant::now() - self.draw_duration(MAX_LOG_COPY_AGE_MS);
+                self.test_group.log.roll_back(copy.max(self.start_time));
+                self.rollback_count += 1;
             }
-            2 => self.kill(agent..=agent),
-            3 => self.kill(0..=usize::from(RANKS) - 1),
+            2 => self.kill_and_restart_agents(agent..=agent),
+            3 => self.kill_and_restart_agents(0..=usize::from(RANK_COUNT) - 1),
             4 => {
-                let time = self.draw_time(1_500);
-                self.plant.signal(agent, Signal::STOP);
+                let time = self.draw_duration(1_500);
+                self.test_group.send_signal_to_agent(agent, Signal::STOP);
                 sleep(time).await;
-                self.plant.signal(agent, Signal::CONT);
+                self.test_group.send_signal_to_agent(agent, Signal::CONT);
             }
             _ => {
-                let first = self.random.random_range(0..EXPERTS);
-                self.plant.group.concentrate_demand(first);
+                let first = self.random.random_range(0..EXPERTS_PER_SET);
+                self.test_group.group.concentrate_demand(first);
             }
         }
     }
 
-    fn kill(&mut self, agents: std::ops::RangeInclusive<usize>) {
+    fn kill_and_restart_agents(
+        &mut self,
+        agents: std::ops::RangeInclusive<usize>,
+    ) {
         for agent in agents.clone() {
-            self.plant.signal(agent, Signal::KILL);
+            self.test_group.send_signal_to_agent(agent, Signal::KILL);
         }
         for agent in agents {
-            self.plant.agents[agent].restart();
+            self.test_group.agents[agent].restart_after_exit();
         }
     }
 
-    /// The fencing numbers of all that ever led.
-    fn numbers(&self) -> Vec<u64> {
+    /// Returns the fencing numbers of all coordinators so far, from the
+    /// agents' log files.
+    fn all_fencing_numbers(&self) -> Vec<u64> {
         let mut numbers = Vec::new();
-        for agent in &self.plant.agents {
-            let text = fs::read_to_string(output(&agent.file));
-            let text = text.expect("its lines");
+        for agent in &self.test_group.agents {
+            let text =
+                fs::read_to_string(agent_log_path(&agent.settings_file));
+            let text = text.expect("a readable log file");
             let leads = text.lines().filter(|it| it.contains("event=leads "));
             let fence = |it: &str| {
                 let fields = &mut it.split_whitespace();
@@ -88,21 +95,25 @@
     }
 }
 
-async fn play(seed: u64) {
-    let mut siege = Siege::start(seed).await;
-    for _ in 0..ROUNDS {
-        siege.make_trouble().await;
-        let pause = siege.draw_time(700);
+async fn run_fault_sequence(seed: u64) {
+    let mut fault_sequence = FaultSequence::start(seed).await;
+    for _ in 0..FAULTS_PER_SEED {
+        fault_sequence.inject_random_fault().await;
+        let pause = fault_sequence.draw_duration(700);
         sleep(pause).await;
     }
-    let plant = &siege.plant;
-    plant.group.concentrate_demand(3);
-    println!("seed {seed}: lines in {:?}", output(&plant.agents[0].file));
-    plant.until_balanced().await;
-    let (numbers, tally) = (siege.numbers(), plant.group.pass_counts());
+    let test_group = &fault_sequence.test_group;
+    test_group.group.concentrate_demand(3);
+    println!(
+        "seed {seed}: lines in {:?}",
+        agent_log_path(&test_group.agents[0].settings_file)
+    );
+    test_group.wait_until_balanced().await;
+    let (numbers, tally) =
+        (fault_sequence.all_fencing_numbers(), test_group.group.pass_counts());
     println!(
         "seed {seed}: {} rollbacks, numbers {numbers:?}, {tally:?}",
-        siege.rollbacks
+        fault_sequence.rollback_count
     );
     assert!(!numbers.is_empty());
     let twice = numbers.windows(2).find(|it| it[0] == it[1]);
@@ -111,10 +122,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_siege_of_rollbacks_gives_no_number_out_twice() {
-    let number = |name: &str| std::env::var(name).ok()?.parse().ok();
-    let first = number("FIRST_SEED").unwrap_or(1);
-    for seed in (first..).take(number("SEEDS").unwrap_or(1) as usize) {
-        play(seed).await;
+async fn rollbacks_reuse_no_fencing_number() {
+    let variable = |name: &str| std::env::var(name).ok()?.parse().ok();
+    let first = variable("FIRST_SEED").unwrap_or(1);
+    for seed in (first..).take(variable("SEEDS").unwrap_or(1) as usize) {
+        run_fault_sequence(seed).await;
     }
 }
--- a/cowsliproad-rank/tests/lead.rs
+++ b/cowsliproad-rank/tests/lead.rs
@@ -1,5 +1,6 @@
-//! When a coordinator plans, without a network: reports and counts are given
-//! to it, and its word is what is looked at.
+//! Tests of when the coordinator makes and drops plans, without a network: the
+//! tests pass statuses and counts to the coordinator and check its plan and
+//! directive.
 
 use cowsliproad_kernel::{clock::Millis, gossip::Subscribe};
 use cowsliproad_mapswitch::order::{
@@ -11,18 +12,18 @@
 };
 use slog::{Discard, Logger, o};
 
-const RANKS: u16 = 4;
-const EXPERTS: usize = 16;
+const RANK_COUNT: u16 = 4;
+const EXPERTS_PER_SET: usize = 16;
 
-/// A group whose agents all see what happens at once.
-struct Group {
+/// A group whose coordinator receives the status of every rank at once.
+struct TestGroup {
     coordinator: GroupCoordinator,
-    reports: Vec<Report>,
+    reports_by_rank: Vec<Report>,
     now: Millis,
 }
 
-impl Group {
-    fn new() -> Group {
+impl TestGroup {
+    fn new() -> TestGroup {
         let start = CoordinatorStart {
             fencing_number: 1,
             own_rank: 0,
@@ -30,26 +31,26 @@
         };
         let coordinator =
             GroupCoordinator::new(start, 0.03, Logger::root(Discard, o!()));
-        let report = |rank| Report::new(Epoch(1), rank, RANKS);
-        let reports = (0..RANKS).map(report).collect();
-        Group { coordinator, reports, now: Millis(10_000) }
+        let report = |rank| Report::new(Epoch(1), rank, RANK_COUNT);
+        let reports_by_rank = (0..RANK_COUNT).map(report).collect();
+        TestGroup { coordinator, reports_by_rank, now: Millis(10_000) }
     }
 
-    /// Tells all there is to tell, with some counts that put one expert far
-    /// before all others.
-    fn advance_group(&mut self, popular_expert: usize) {
+    /// Passes the counts and the status of every rank to the coordinator. One
+    /// expert is selected far more often than all others.
+    fn pass_statuses_to_coordinator(&mut self, popular_expert: usize) {
         self.now = self.now + Millis(60);
-        for rank in 0..RANKS {
-            let mut growth_in_units = vec![10; EXPERTS];
+        for rank in 0..RANK_COUNT {
+            let mut growth_in_units = vec![10; EXPERTS_PER_SET];
             growth_in_units[popular_expert] = 250;
             self.coordinator.add_selection_growth(
                 SelectionGrowth {
                     selections_per_growth_unit: 100,
                     growth_in_units,
                 },
-                EXPERTS,
+                EXPERTS_PER_SET,
             );
-            let report = &mut self.reports[usize::from(rank)];
+            let report = &mut self.reports_by_rank[usize::from(rank)];
             report.step += 1;
             let status = self.rank_status(rank);
             self.coordinator.merge_status(status, self.now);
@@ -58,7 +59,7 @@
             targets: Vec::new(),
             list_id: 1,
             layer_sets: 1,
-            experts_per_set: EXPERTS as u16,
+            experts_per_set: EXPERTS_PER_SET as u16,
             slots_per_set: 8,
             max_new_experts_per_set: 2,
             log_era: Default::default(),
@@ -68,9 +69,9 @@
     }
 
     fn rank_status(&self, rank: u16) -> RankStatus {
-        let report = self.reports[usize::from(rank)].clone();
+        let report = self.reports_by_rank[usize::from(rank)].clone();
         let experts_of_rank =
-            (0..EXPERTS as u16).filter(|it| it % RANKS == rank);
+            (0..EXPERTS_PER_SET as u16).filter(|it| it % RANK_COUNT == rank);
         RankStatus {
             agent_address: ([127, 0, 0, 1 + rank as u8], 1).into(),
             max_known_fencing_number: 1,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The ranks that are to have an expert by the plan in force.
+    /// Returns the number of ranks that hold an expert under the current plan.
     fn planned_rank_count(&self, expert: u16) -> usize {
         let Some(plan) = self.coordinator.current_plan() else { return 0 };
         let ranks = plan.experts[0].iter();
@@ -95,33 +96,36 @@
 }
 
 #[test]
-fn a_plan_is_dropped_once_the_demand_has_moved_on() {
-    let mut group = Group::new();
+fn plan_is_dropped_when_demand_shifts() {
+    let mut group = TestGroup::new();
     while group.coordinator.current_plan().is_none() {
-        group.advance_group(0);
+        group.pass_statuses_to_coordinator(0);
     }
     assert!(group.planned_rank_count(0) > 1);
-    // The copies for it have not come yet.
+    // The ranks have not copied the experts of the first plan yet.
     for _ in 0..4 {
-        group.advance_group(5);
+        group.pass_statuses_to_coordinator(5);
     }
-    assert!(group.planned_rank_count(5) > 1, "the old plan is waited for");
+    assert!(
+        group.planned_rank_count(5) > 1,
+        "the outdated plan is still in force"
+    );
     let aim = group.coordinator.directive().aim;
     assert!(matches!(aim, Aim::Prepared(_)), "{aim:?}");
 }
 
 #[test]
-fn a_plan_that_ranks_arm_for_is_carried_through() {
-    let mut group = Group::new();
+fn plan_is_kept_once_ranks_arm() {
+    let mut group = TestGroup::new();
     while group.coordinator.current_plan().is_none() {
-        group.advance_group(0);
+        group.pass_statuses_to_coordinator(0);
     }
     let version = group.coordinator.current_plan().map(|it| it.map_version);
-    for report in &mut group.reports {
+    for report in &mut group.reports_by_rank {
         report.prepared = version;
     }
     for _ in 0..6 {
-        group.advance_group(5);
+        group.pass_statuses_to_coordinator(5);
     }
     assert_eq!(
         group.coordinator.current_plan().map(|it| it.map_version),
--- a/cowsliproad-rank/tests/plan.rs
+++ b/cowsliproad-rank/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans on their way to agents.
+//! Tests of how plans are sent to agents.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 use cowsliproad_mapswitch::order::{Epoch, ExpertsByLayerAndRank, Version};
 use cowsliproad_rank::plan::{MapPlan, PlanUpdate, PlanUpdateError};
 
-/// The bytes that one packet of a datagram carries.
+/// The payload of one network packet.
 const MAX_PACKET_BYTES: usize = 1_400;
 
 fn map_plan(map_version: u64, experts: ExpertsByLayerAndRank) -> MapPlan {
@@ -19,13 +19,14 @@
     }
 }
 
-/// 12 sets of 144 experts at 72 ranks, dealt in turn.
+/// Returns a map of 12 sets of 144 experts, dealt in turn to 72 ranks.
 fn experts_dealt_in_turn() -> ExpertsByLayerAndRank {
     let rank = |rank: u16| vec![rank, rank + 72, (rank + 1) % 72];
     vec![(0..72).map(rank).collect(); 12]
 }
 
-/// The same after some hundred copies.
+/// Returns the map of `experts_dealt_in_turn` after a hundred experts were
+/// copied to other ranks.
 fn experts_after_copies() -> ExpertsByLayerAndRank {
     let mut experts = experts_dealt_in_turn();
     for copy in 0..100_u16 {
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn a_plan_arrives_whole_and_by_what_differs() {
+fn whole_and_difference_updates_rebuild_the_plan() {
     let (base, next) = (
         map_plan(7, experts_dealt_in_turn()),
         map_plan(8, experts_after_copies()),
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn what_differs_makes_no_plan_from_another_one() {
+fn difference_update_rejects_a_wrong_base_plan() {
     let (base, next) = (
         map_plan(7, experts_dealt_in_turn()),
         map_plan(8, experts_after_copies()),
@@ -65,7 +66,7 @@
         difference_update.rebuild_plan(Some(&next)),
         Err(PlanUpdateError::NoBase)
     );
-    // The same number, but not the same map.
+    // This base plan has the expected version but a different map.
     let other = map_plan(7, experts_after_copies());
     assert_eq!(difference_update.rebuild_plan(Some(&other)), Ok(next.clone()));
     let mut shifted = experts_dealt_in_turn();
--- a/cowsliproad-rank/tests/rota.rs
+++ b/cowsliproad-rank/tests/rota.rs
@@ -1,4 +1,4 @@
-//! The turns in which ranks count.
+//! Tests of the schedule by which ranks report selection counts.
 
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_rank::rota::{
@@ -6,7 +6,8 @@
     MIN_COUNTING_WINDOW,
 };
 
-/// The windows that a rank speaks of in some seconds, looking every 20 ms.
+/// Returns the start and end of each counting window that a rank reports in 4
+/// s, with the schedule checked every 20 ms.
 fn reported_windows(
     rank: u16,
     rank_count: u16,
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn in_a_small_group_nothing_goes_uncounted() {
+fn small_group_counts_without_gaps() {
     for round_duration in [MIN_COUNTING_WINDOW, MAX_COUNTING_WINDOW] {
         let windows = reported_windows(3, 16, round_duration);
         let least = 4_000 / (round_duration.0 + 25) as usize;
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn in_a_large_group_each_speaks_once_a_round_of_the_last_moments() {
+fn large_group_spreads_short_windows_over_the_round() {
     let round_duration = Millis(1_000);
     let all: Vec<_> =
         (0..72).map(|it| reported_windows(it, 72, round_duration)).collect();
@@ -52,7 +53,7 @@
             |it: &(u64, u64)| it.1 - it.0 <= MAX_COUNTING_WINDOW.0 + 20;
         assert!(windows.iter().all(short), "{windows:?}");
     }
-    // In every quarter of a second about a quarter of them speaks.
+    // About a quarter of the ranks report in every quarter of a second.
     for from in (1_000..3_000).step_by(250) {
         let within = |it: &&(u64, u64)| (from..from + 250).contains(&it.1);
         let said = all.iter().flatten().filter(within).count();
