--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -47,7 +47,7 @@
 
 /// The interval at which the agent polls its engine while no switch is in
 /// progress.
-const IDLE_POLL_INTERVAL: Millis = Millis(50);
+const IDLE_ENGINE_POLL_INTERVAL: Millis = Millis(50);
 
 /// The polling interval while a switch of maps is in progress: shorter than a
 /// pass.
@@ -68,7 +68,7 @@
 /// How long a stopping agent waits at most for a switch of maps to end. A
 /// switch takes half a second at 72 ranks; the platform gives a process some
 /// seconds to stop.
-const STOP_TIMEOUT: Millis = Millis(2_000);
+const AGENT_STOP_TIMEOUT: Millis = Millis(2_000);
 
 /// The time after which the subscription of an entry process expires unless
 /// renewed.
@@ -252,10 +252,10 @@
                 }
                 () = sleep_until(next_poll) => {
                     self.poll_engine().await;
-                    next_poll = Instant::now() + self.poll_interval().duration();
+                    next_poll = Instant::now() + self.engine_poll_interval().duration();
                 }
             }
-            if self.can_stop() {
+            if self.can_agent_stop() {
                 self.broadcast_coordinator_stop().await;
                 return Ok(());
             }
@@ -268,19 +268,19 @@
 
     /// Returns whether the agent was asked to stop and no switch of maps,
     /// which may hold the group, needs it any more.
-    fn can_stop(&self) -> bool {
+    fn can_agent_stop(&self) -> bool {
         let Some(since) = self.stop_request_time else { return false };
         let aim =
             self.last_directive.as_ref().map_or(Aim::Rest, |it| it.0.aim);
-        aim == Aim::Rest || Millis::now().since(since) > STOP_TIMEOUT
+        aim == Aim::Rest || Millis::now().since(since) > AGENT_STOP_TIMEOUT
     }
 
-    fn poll_interval(&self) -> Millis {
+    fn engine_poll_interval(&self) -> Millis {
         let aim =
             self.last_directive.as_ref().map_or(Aim::Rest, |it| it.0.aim);
         let rank = self.engine_report().map(|it| it.rank);
         match aim {
-            Aim::Rest => IDLE_POLL_INTERVAL,
+            Aim::Rest => IDLE_ENGINE_POLL_INTERVAL,
             Aim::Held { holder, .. } if Some(holder) == rank => {
                 HOLD_POLL_INTERVAL
             }
@@ -423,7 +423,7 @@
         }
         self.report_selection_growth(now).await;
         self.report_status_to_coordinator(now).await;
-        self.coordinate_or_seek_role(now).await;
+        self.act_as_coordinator_or_candidate(now).await;
     }
 
     fn record_coordinator_arming(&mut self, directive: &Directive) {
--- a/cowsliproad-rank/src/agent/chair.rs
+++ b/cowsliproad-rank/src/agent/chair.rs
@@ -13,7 +13,7 @@
 use slog::{Logger, info, warn};
 
 use super::{Agent, FencingNumberTask};
-use crate::lead::{CoordinatorStart, GroupCoordinator};
+use crate::lead::{CoordinatorParameters, GroupCoordinator};
 
 /// How long rank 0 waits for a first directive before it becomes the
 /// coordinator.
@@ -70,7 +70,7 @@
         let before = self.last_directive.as_ref();
         let predecessor_vm_and_fencing_number =
             before.map(|it| (it.1.ip(), it.0.fence));
-        let start = CoordinatorStart {
+        let start = CoordinatorParameters {
             fencing_number,
             own_rank,
             predecessor_vm_and_fencing_number,
@@ -120,7 +120,10 @@
 
     /// Continues as the coordinator, or starts to acquire a fencing number if
     /// the group has no coordinator.
-    pub(super) async fn coordinate_or_seek_role(&mut self, now: Millis) {
+    pub(super) async fn act_as_coordinator_or_candidate(
+        &mut self,
+        now: Millis,
+    ) {
         if self.coordinator.is_some() {
             self.call_silent_engine(now).await;
             self.broadcast_directive(now).await;
--- a/cowsliproad-rank/src/agent/orders.rs
+++ b/cowsliproad-rank/src/agent/orders.rs
@@ -94,7 +94,7 @@
         else {
             return;
         };
-        let calm = coordinator.directive().aim == Aim::Rest;
+        let calm = coordinator.current_directive().aim == Aim::Rest;
         if calm
             || now.since(self.last_actions.silent_engine_call_time)
                 < SILENT_ENGINE_POLL_INTERVAL
@@ -115,7 +115,7 @@
         };
         self.last_actions.silent_engine_call_count += 1;
         self.last_actions.silent_engine_call_time = now;
-        let (target, epoch) = (*target, coordinator.directive().epoch);
+        let (target, epoch) = (*target, coordinator.current_directive().epoch);
         let mut engine = self.remote_engine_client(target, epoch);
         let state = engine.fetch_state().await;
         self.record_remote_engine_cooldown(target, epoch, &engine);
@@ -135,7 +135,7 @@
         }
         let Some(report) = state.report else { return };
         let Some(coordinator) = &self.coordinator else { return };
-        let directive = coordinator.directive();
+        let directive = coordinator.current_directive();
         let plan = coordinator
             .current_plan()
             .filter(|it| it.group_epoch == directive.epoch);
@@ -248,7 +248,8 @@
         else {
             return;
         };
-        let directive = self.coordinator.as_ref().map(|it| it.directive());
+        let directive =
+            self.coordinator.as_ref().map(|it| it.current_directive());
         let target = self
             .service_shape
             .iter()
@@ -294,9 +295,9 @@
         let now = Millis::now();
         self.remote_engine_cooldowns
             .retain(|_, it| it.1.cooldown_end(now).is_some());
-        if engine.cooldown().cooldown_end(now).is_some() {
+        if engine.requested_cooldown().cooldown_end(now).is_some() {
             self.remote_engine_cooldowns
-                .insert(target, (epoch, engine.cooldown()));
+                .insert(target, (epoch, engine.requested_cooldown()));
         }
     }
 
--- a/cowsliproad-rank/src/agent/readings.rs
+++ b/cowsliproad-rank/src/agent/readings.rs
@@ -32,7 +32,7 @@
                 if self.engine_state.take().is_some() {
                     let cooldown = self
                         .engine_client
-                        .cooldown()
+                        .requested_cooldown()
                         .remaining_time(Millis::now());
                     info!(self.log, "engine_lost"; "error" => %error,
                         "cooldown" => cooldown.0);
--- a/cowsliproad-rank/src/agent/words.rs
+++ b/cowsliproad-rank/src/agent/words.rs
@@ -51,8 +51,8 @@
         self.send_to_entries(&load).await;
     }
 
-    /// Reports to entry processes that the engine's process has ended, as long
-    /// as this is so.
+    /// Reports to entry processes that the engine's process has ended, until
+    /// the engine answers again.
     async fn report_engine_loss_to_entries(&self) {
         let (Some(start), EngineProcessState::Ended) =
             (self.engine_start_unix_ms, self.engine_process)
@@ -91,7 +91,7 @@
             IDLE_MESSAGE_INTERVAL
         };
         let Some(status) = self.rank_status() else { return };
-        let urgent_status = status.urgent_part();
+        let urgent_status = status.urgent_status();
         let new = self.last_actions.sent_urgent_status.as_ref()
             != Some(&urgent_status);
         if !new && now.since(self.last_actions.status_time) < time {
@@ -174,7 +174,7 @@
     /// coordinator.
     pub(super) async fn broadcast_directive(&mut self, now: Millis) {
         let Some(coordinator) = &self.coordinator else { return };
-        let directive = coordinator.directive();
+        let directive = coordinator.current_directive();
         let new = self.last_actions.sent_directive != Some(directive);
         let busy = directive.aim != Aim::Rest;
         let time = if busy {
--- a/cowsliproad-rank/src/engine.rs
+++ b/cowsliproad-rank/src/engine.rs
@@ -23,16 +23,16 @@
 use http_body_util::Full;
 
 /// The timeout for an engine's answer to a request other than an order.
-const ANSWER_TIMEOUT: Millis = Millis(150);
+const ENGINE_ANSWER_TIMEOUT: Millis = Millis(150);
 
 /// The timeout for the answer to an order. An engine answers within 5 ms, also
 /// over the network. The group may be held while an agent waits for an answer,
 /// and repeating an unanswered order is harmless.
-const ORDER_TIMEOUT: Millis = Millis(40);
+const ORDER_ANSWER_TIMEOUT: Millis = Millis(40);
 
 /// The largest accepted answer body: the counts of some hundred thousand
 /// experts.
-const MAX_ANSWER_BYTES: usize = 4 << 20;
+const MAX_ENGINE_ANSWER_BYTES: usize = 4 << 20;
 
 /// The interval at which the client reconnects to an engine in its cooldown
 /// that has closed the last connection, to detect whether the engine's process
@@ -66,7 +66,7 @@
     }
 
     /// Returns the cooldown that the engine requested.
-    pub fn cooldown(&self) -> Cooldown {
+    pub fn requested_cooldown(&self) -> Cooldown {
         self.cooldown
     }
 
@@ -109,7 +109,7 @@
     ) -> io::Result<OrderResult> {
         let request = engine::order_request(order, epoch, fencing_number);
         let (status, _) =
-            self.send_request_within(ORDER_TIMEOUT, request).await?;
+            self.send_request_within(ORDER_ANSWER_TIMEOUT, request).await?;
         Ok(engine::decode_verdict(status))
     }
 
@@ -117,7 +117,7 @@
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> io::Result<(StatusCode, Bytes)> {
-        self.send_request_within(ANSWER_TIMEOUT, request).await
+        self.send_request_within(ENGINE_ANSWER_TIMEOUT, request).await
     }
 
     async fn send_request_within(
@@ -127,8 +127,10 @@
     ) -> io::Result<(StatusCode, Bytes)> {
         self.fail_during_cooldown().await?;
         let timeout = timeout.duration();
-        let call =
-            self.connection.call(request, MAX_ANSWER_BYTES, timeout).await;
+        let call = self
+            .connection
+            .call(request, MAX_ENGINE_ANSWER_BYTES, timeout)
+            .await;
         let answer = call.map_err(|error| match error {
             Error::Refused(_) => {
                 io::Error::new(io::ErrorKind::ConnectionRefused, error)
@@ -162,7 +164,7 @@
             && now.since(self.last_process_check) >= PROCESS_CHECK_INTERVAL
         {
             self.last_process_check = now;
-            let timeout = ANSWER_TIMEOUT.duration();
+            let timeout = ENGINE_ANSWER_TIMEOUT.duration();
             if let Err(Error::Refused(why)) =
                 self.connection.open(timeout).await
             {
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -28,7 +28,7 @@
 };
 
 /// The age above which the coordinator ignores a rank's report.
-const MAX_REPORT_AGE: Millis = Millis(900);
+const MAX_RANK_REPORT_AGE: Millis = Millis(900);
 
 /// The silence after which an agent may be frozen or gone, so that the
 /// coordinator calls the agent's engine itself. Slightly longer than the
@@ -36,7 +36,7 @@
 const AGENT_SILENCE_TIMEOUT: Millis = Millis(600);
 
 /// The interval at which the total selection counts are sampled.
-const COUNT_SAMPLE_INTERVAL: Millis = Millis(50);
+const SELECTION_COUNT_SAMPLE_INTERVAL: Millis = Millis(50);
 
 /// The minimum interval between two searches for a better map.
 const MIN_PLAN_INTERVAL: Millis = Millis(50);
@@ -68,7 +68,7 @@
 
 /// The initial values of a new coordinator.
 #[derive(Clone, Copy, Debug)]
-pub struct CoordinatorStart {
+pub struct CoordinatorParameters {
     /// The new coordinator's fencing number.
     pub fencing_number: u64,
     /// The rank of the new coordinator's own engine.
@@ -81,7 +81,7 @@
 impl GroupCoordinator {
     /// Creates a coordinator that has received no status yet.
     pub fn new(
-        start: CoordinatorStart,
+        start: CoordinatorParameters,
         expert_move_cost: f64,
         log: Logger,
     ) -> GroupCoordinator {
@@ -113,7 +113,7 @@
     }
 
     /// Returns the directive that the coordinator sends to all agents.
-    pub fn directive(&self) -> Directive {
+    pub fn current_directive(&self) -> Directive {
         self.switch_coordinator.directive()
     }
 
@@ -223,7 +223,7 @@
         let due = now.since(self.last_plan_search) >= MIN_PLAN_INTERVAL;
         if let Some(service_shape) = service_shape
             && self.switch_coordinator.is_idle()
-            && self.directive().epoch == snapshots[0].report.epoch
+            && self.current_directive().epoch == snapshots[0].report.epoch
             && open
             && due
             && !self.must_not_start_switch
@@ -238,7 +238,7 @@
         let fresh = self
             .statuses_by_rank
             .values()
-            .filter(|it| now.since(it.1) < MAX_REPORT_AGE);
+            .filter(|it| now.since(it.1) < MAX_RANK_REPORT_AGE);
         fresh.map(|it| self.rank_snapshot(&it.0)).collect()
     }
 
@@ -263,7 +263,7 @@
         now: Millis,
     ) -> MissingRanks {
         let fresh =
-            |it: &&(RankStatus, Millis)| now.since(it.1) < MAX_REPORT_AGE;
+            |it: &&(RankStatus, Millis)| now.since(it.1) < MAX_RANK_REPORT_AGE;
         let fresh: Vec<&RankStatus> = self
             .statuses_by_rank
             .values()
@@ -291,7 +291,7 @@
     /// Returns the VM of the engine that has to hold the group, and the *hold*
     /// order to send to this engine.
     pub fn hold_order_to_send(&self) -> Option<(IpAddr, Order)> {
-        let directive = self.directive();
+        let directive = self.current_directive();
         self.statuses_by_rank.values().find_map(|(status, _)| {
             let order = due_hold_order(&directive, &status.engine_report)?;
             Some((status.agent_address.ip(), order))
@@ -345,7 +345,7 @@
     }
 
     fn sample_selection_counts(&mut self, now: Millis) {
-        if now.since(self.last_sample_time) < COUNT_SAMPLE_INTERVAL {
+        if now.since(self.last_sample_time) < SELECTION_COUNT_SAMPLE_INTERVAL {
             return;
         }
         self.last_sample_time = now;
@@ -397,7 +397,7 @@
             "slowest" => speeds.iter().copied().fold(1.0, f64::min),
             "copies" => plan.move_count, "step" => snapshots[0].report.step,
             "counted" => loads.iter().flatten().sum::<f64>());
-        let directive = self.directive();
+        let directive = self.current_directive();
         let last = self.current_plan.replace(MapPlan {
             fencing_number: directive.fence,
             group_epoch: directive.epoch,
@@ -445,9 +445,9 @@
 }
 
 /// The duration of a switch of maps without its copies: messages, orders and
-/// the passes before the boundary. With copies of 76 ms in groups of 24 ranks,
-/// the result under heavy load was 0.71 at five copies a rank, 0.75 at three,
-/// 0.77 at two and 0.76 at one.
+/// the passes before the boundary. In groups of 24 ranks with copies of 76 ms,
+/// results under heavy load were best at two copies a rank: 0.77, against 0.71
+/// at five, 0.75 at three and 0.76 at one.
 const MAP_SWITCH_DURATION: Millis = Millis(180);
 
 /// Returns a rank's speed relative to its normal speed.
--- a/cowsliproad-rank/src/plan.rs
+++ b/cowsliproad-rank/src/plan.rs
@@ -52,7 +52,7 @@
 
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 enum PlanContent {
-    /// The experts of every rank.
+    /// The whole map: all experts, by layer and rank.
     #[serde(rename = "w")]
     Whole(Arc<ExpertsByLayerAndRank>),
     /// The version of the base plan, and the expert lists that differ from
@@ -133,7 +133,7 @@
             PlanContent::Differences(base, lists) => {
                 let held = held_plan.filter(|it| it.map_version == *base);
                 let held = held.ok_or(PlanUpdateError::NoBase)?;
-                Arc::new(with_replaced_lists(&held.experts, lists)?)
+                Arc::new(replace_expert_lists(&held.experts, lists)?)
             }
         };
         if digest_of_experts(&experts) != self.map_digest {
@@ -145,7 +145,7 @@
     }
 }
 
-fn with_replaced_lists(
+fn replace_expert_lists(
     base: &ExpertsByLayerAndRank,
     lists: &[ExpertsOfRankInSet],
 ) -> Result<ExpertsByLayerAndRank, PlanUpdateError> {
--- a/cowsliproad-rank/src/rota.rs
+++ b/cowsliproad-rank/src/rota.rs
@@ -34,7 +34,7 @@
 pub enum CountReportAction {
     /// No action is required.
     Nothing,
-    /// Read the engine's counts as the start of a window.
+    /// Read the engine's counts at the start of a counting window.
     StartWindow,
     /// Read the engine's counts, and report their growth since the start of
     /// the window.
--- a/cowsliproad-rank/src/settings.rs
+++ b/cowsliproad-rank/src/settings.rs
@@ -9,13 +9,13 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The name of the VM, for logs.
+    /// The name of the agent's VM, for logs.
     #[serde(rename = "vm")]
     pub vm_name: Name,
-    /// The address of the VM.
+    /// The address of the agent's VM.
     #[serde(rename = "address")]
     pub vm_address: IpAddr,
-    /// The address of the engine on this VM.
+    /// The address of the model engine on the agent's VM.
     #[serde(rename = "engine")]
     pub engine_address: SocketAddr,
     /// The port for datagrams between entry processes and agents.
--- a/cowsliproad-rank/src/wire.rs
+++ b/cowsliproad-rank/src/wire.rs
@@ -91,7 +91,7 @@
 impl RankStatus {
     /// Returns the part of the status whose changes are sent to the
     /// coordinator without delay.
-    pub fn urgent_part(&self) -> UrgentStatus {
+    pub fn urgent_status(&self) -> UrgentStatus {
         // The pass number is left out: it changes with each pass.
         let engine_report = Report { step: 0, ..self.engine_report.clone() };
         let RankStatus {
--- a/cowsliproad-rank/tests/group/main.rs
+++ b/cowsliproad-rank/tests/group/main.rs
@@ -462,8 +462,8 @@
     assert_eq!(reports_of(engines[2]), before);
 }
 
-/// Guards against an agent that calls or orders its own or another engine
-/// within the Retry-After of a refusal.
+/// Guards against an agent that sends a call or an order to its own or another
+/// engine within the Retry-After of a refusal.
 #[tokio::test(flavor = "multi_thread")]
 async fn agents_call_no_engine_within_its_retry_after() {
     let test_group = TestGroup::start_balanced().await;
@@ -544,8 +544,8 @@
 }
 
 /// Guards against two coordinators with the same fencing number: after a
-/// rollback the log assigns the offset behind the first coordinator's number
-/// again.
+/// rollback the log assigns the offset that determined the first coordinator's
+/// number a second time.
 #[tokio::test(flavor = "multi_thread")]
 async fn fencing_numbers_grow_after_a_log_rollback() {
     let before_all = Instant::now();
@@ -561,7 +561,7 @@
         assert!(fence > last, "{fence} after {last}");
         last = fence;
         test_group.log.roll_back(before_all);
-        // After this no agent knows the fencing number of the last
+        // After the kills no agent knows the fencing number of the last
         // coordinator.
         for agent in 0..usize::from(RANK_COUNT) {
             test_group.send_signal_to_agent(agent, Signal::KILL);
--- a/cowsliproad-rank/tests/lead.rs
+++ b/cowsliproad-rank/tests/lead.rs
@@ -7,7 +7,7 @@
     Aim, ArmOrderStatus, Epoch, Report, SealStatus, Version,
 };
 use cowsliproad_rank::{
-    lead::{CoordinatorStart, GroupCoordinator},
+    lead::{CoordinatorParameters, GroupCoordinator},
     wire::{RankStatus, SelectionGrowth},
 };
 use slog::{Discard, Logger, o};
@@ -24,7 +24,7 @@
 
 impl TestGroup {
     fn new() -> TestGroup {
-        let start = CoordinatorStart {
+        let start = CoordinatorParameters {
             fencing_number: 1,
             own_rank: 0,
             predecessor_vm_and_fencing_number: None,
@@ -110,7 +110,7 @@
         group.planned_rank_count(5) > 1,
         "the outdated plan is still in force"
     );
-    let aim = group.coordinator.directive().aim;
+    let aim = group.coordinator.current_directive().aim;
     assert!(matches!(aim, Aim::Prepared(_)), "{aim:?}");
 }
 
@@ -131,6 +131,6 @@
         group.coordinator.current_plan().map(|it| it.map_version),
         version
     );
-    let aim = group.coordinator.directive().aim;
+    let aim = group.coordinator.current_directive().aim;
     assert!(matches!(aim, Aim::Held { .. }), "{aim:?}");
 }
