--- a/cowsliproad-admission/src/budget.rs
+++ b/cowsliproad-admission/src/budget.rs
@@ -3,46 +3,52 @@
 //! A fixed number of attempts per request multiplies the load just when
 //! targets fail. With a budget, each retry spends credit that earlier
 //! successes earned, so a full outage is amplified by little more than the
-//! reserve.
+//! retries that were saved up.
 
-/// A retry budget shared by the requests of one service at one entry.
+/// A retry budget shared by the requests of one service at one entry process.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    /// Retries that may be spent, in thousandths of a retry.
-    balance_milli: u64,
-    /// Credit for each successful request, in thousandths of a retry.
-    credit_milli: u64,
-    /// Upper bound of the balance, in thousandths of a retry.
-    max_balance_milli: u64,
+    /// Retries that may be spent, in thousandths of a retry (milliretries).
+    balance_milliretries: u64,
+    /// The credit that each successful request adds to the balance, in
+    /// thousandths of a retry.
+    success_credit_milliretries: u64,
+    /// The upper bound of the balance of saved retries, in thousandths of a
+    /// retry.
+    max_balance_milliretries: u64,
 }
 
-/// The cost of one retry, in thousandths of a retry.
-const RETRY_COST_MILLI: u64 = 1000;
+/// The cost of one retry, in the unit of a [`RetryBudget`]'s balance.
+const MILLIRETRIES_PER_RETRY: u64 = 1000;
 
 impl RetryBudget {
-    /// Creates a full budget: every 100 successes earn `percent` retries, and
-    /// at most `reserve` retries can be saved up.
-    pub fn new(percent: u32, reserve: u32) -> RetryBudget {
-        let max_balance_milli = u64::from(reserve) * RETRY_COST_MILLI;
+    /// Creates a full budget: every 100 successful requests earn
+    /// `retry_percent` retries, and at most `max_saved_retries` retries can be
+    /// saved up.
+    pub fn new(retry_percent: u32, max_saved_retries: u32) -> RetryBudget {
+        let max_balance_milliretries =
+            u64::from(max_saved_retries) * MILLIRETRIES_PER_RETRY;
         RetryBudget {
-            balance_milli: max_balance_milli,
-            credit_milli: u64::from(percent) * 10,
-            max_balance_milli,
+            balance_milliretries: max_balance_milliretries,
+            success_credit_milliretries: u64::from(retry_percent) * 10,
+            max_balance_milliretries,
         }
     }
 
     /// Records a successful request and credits its share of a retry.
     pub fn record_success(&mut self) {
-        self.balance_milli = (self.balance_milli + self.credit_milli)
-            .min(self.max_balance_milli);
+        self.balance_milliretries = (self.balance_milliretries
+            + self.success_credit_milliretries)
+            .min(self.max_balance_milliretries);
     }
 
-    /// Spends one retry; returns false if the budget is exhausted.
+    /// Takes one retry from the budget; returns false if the budget is
+    /// exhausted.
     pub fn try_spend(&mut self) -> bool {
-        if self.balance_milli < RETRY_COST_MILLI {
+        if self.balance_milliretries < MILLIRETRIES_PER_RETRY {
             return false;
         }
-        self.balance_milli -= RETRY_COST_MILLI;
+        self.balance_milliretries -= MILLIRETRIES_PER_RETRY;
         true
     }
 }
--- a/cowsliproad-admission/src/lib.rs
+++ b/cowsliproad-admission/src/lib.rs
@@ -1,5 +1,5 @@
-//! Admission control: which requests may run, in which order, and how often
-//! a request may be retried.
+//! Admission control: which requests may run, in which order, and how often a
+//! request may be retried.
 //!
 //! * [`ticket`]: tokens that bind non-repeatable work to one agent process;
 //! * [`register`]: an agent's record of the tickets submitted to it;
@@ -7,8 +7,10 @@
 //! * [`patience`]: whether a stream that waited should still be started;
 //! * [`limit`]: the rate limit that a target sets for all VMs together;
 //! * [`quarantine`]: crash-inducing requests, which are refused;
-//! * [`budget`]: limits retries to a fraction of successes at one entry;
-//! * [`window`]: limits retries over a sliding window across all entries.
+//! * [`budget`]: limits retries to a fraction of successes at one entry
+//!   process;
+//! * [`window`]: limits retries over a sliding window across all entry
+//!   processes.
 //!
 //! The crate does no I/O and reads no clock: time is passed as an argument.
 
--- a/cowsliproad-admission/src/limit.rs
+++ b/cowsliproad-admission/src/limit.rs
@@ -5,43 +5,45 @@
 //! This module decides two things:
 //!
 //! * *Which limit is in force* ([`CurrentLimit`]). Responses overtake one
-//!   another, are delayed in stalled VMs, and are forwarded by other entries.
-//!   A lower limit counts from the time its response was read. A higher limit,
-//!   or the end of a limit, counts only from the time its request was sent: a
-//!   response that was in transit when the target began to name a limit
-//!   doesn't contradict that limit.
+//!   another, are delayed in stalled VMs, and are forwarded by other entry
+//!   processes. A lower limit counts from the time its response was read. A
+//!   higher limit, or the end of a limit, counts only from the time its
+//!   request was sent: a response that was in transit when the target began to
+//!   name a limit doesn't contradict that limit.
 //! * *Who may send* ([`Limiter`]). Static shares of a limit don't work: with
-//!   one request per second, each of a hundred entries would get one request
-//!   in a hundred seconds, and the target would be idle while the one entry
-//!   that has callers waits. So for each target one entry runs the limiter,
-//!   and the other entries request a permit from it for each request. A new
-//!   limiter starts as if a permit had just been granted. It grants at most
-//!   the fraction of the limit that equals the fraction of all entries it
-//!   reaches, so after a network partition the parts together grant one limit.
+//!   one request per second, each of a hundred entry processes would get one
+//!   request in a hundred seconds, and the target would be idle while the one
+//!   entry process that has callers waits. So for each target one entry
+//!   process runs the limiter, and the other entry processes request a permit
+//!   from it for each request. A new limiter starts as if a permit had just
+//!   been granted. It grants at most the fraction of the limit that equals the
+//!   fraction of all entry processes it reaches, so after a network partition
+//!   the parts together grant one limit.
 
 use cowsliproad_kernel::clock::Millis;
 
 /// Lower bound for the rate of permits: a target with a lower limit still gets
-/// one request in ten seconds from all entries together, because only its
-/// response shows that the limit has ended.
+/// one request in ten seconds from all entry processes together, because only
+/// the target's response shows that the limit has ended.
 const MIN_REQUESTS_PER_SECOND: f64 = 0.1;
 
-/// How late a permit may be used and still count from the time it became free.
-/// A permit is requested when a request arrives, some time after that.
+/// How late a permit may be granted and still count from the time at which the
+/// permit became free. A permit is requested only when a request arrives, some
+/// time after the permit became free.
 const MAX_PERMIT_LATENESS_MS: f64 = 250.0;
 
-/// A limiter is stale after this time plus [`IDLE_TIMEOUT_INTERVALS`] permit
-/// intervals in which no permit was requested: another entry may have run a
-/// limiter for the target meanwhile.
-const IDLE_TIMEOUT: Millis = Millis(1_000);
-const IDLE_TIMEOUT_INTERVALS: f64 = 2.0;
+/// A limiter is stale after this time plus [`LIMITER_IDLE_TIMEOUT_INTERVALS`]
+/// permit intervals in which no permit was requested: another entry process
+/// may have run a limiter for the target meanwhile.
+const LIMITER_IDLE_TIMEOUT: Millis = Millis(1_000);
+const LIMITER_IDLE_TIMEOUT_INTERVALS: f64 = 2.0;
 
-/// The longest time for which entries that reach one another may not know of
-/// a target's last response yet.
+/// The longest time that gossip about a target's last response takes between
+/// entry processes that reach one another.
 const MAX_GOSSIP_DELAY_MS: f64 = 4_000.0;
 
-/// The longest header value that is parsed as a number, in bytes.
-const MAX_NUMBER_LEN: usize = 24;
+/// The longest value of a limit header that is parsed as a number, in bytes.
+const MAX_LIMIT_HEADER_LEN: usize = 24;
 
 /// A rate limit in requests per second; finite and not negative.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
@@ -63,7 +65,7 @@
         let is_digits = |it: &str| {
             !it.is_empty() && it.bytes().all(|it| it.is_ascii_digit())
         };
-        if text.len() > MAX_NUMBER_LEN
+        if text.len() > MAX_LIMIT_HEADER_LEN
             || !is_digits(integer)
             || !is_digits(fraction)
         {
@@ -80,43 +82,45 @@
     /// Returns the interval between two requests at this rate, in
     /// microseconds.
     pub fn interval_us(self) -> u32 {
-        (self.interval_ms(1.0) * 1_000.0) as u32
+        (self.permit_interval_ms(1.0) * 1_000.0) as u32
     }
 
     /// Returns the interval between two permits of a limiter that grants a
-    /// fraction `share` of the rate, in milliseconds.
-    fn interval_ms(self, share: f64) -> f64 {
-        1_000.0 / (self.0.max(MIN_REQUESTS_PER_SECOND) * share)
+    /// fraction `limit_share` of the rate, in milliseconds.
+    fn permit_interval_ms(self, limit_share: f64) -> f64 {
+        1_000.0 / (self.0.max(MIN_REQUESTS_PER_SECOND) * limit_share)
     }
 }
 
-/// The last known limit of a target, as entries exchange it.
+/// The last known limit of a target, as entry processes exchange it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitReport {
     /// The target's limit; `None` once the target no longer names a limit.
     pub rate: Option<Rate>,
-    /// How long the reported limit, or the absence of a limit, has applied.
+    /// How long the reported limit, or the absence of a limit, has been in
+    /// force.
     pub age: Millis,
 }
 
-/// The limit of one target, merged from its responses and from other entries.
+/// The limit of one target, merged from the target's responses and from the
+/// reports of other entry processes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CurrentLimit {
     /// The latest limit; `None` if the target never named a limit.
     latest: Option<TimedLimit>,
-    /// When the limit last changed to another value.
+    /// When the target's limit last changed to another value.
     changed_at: Millis,
     /// Whether the last response named a limit that is not a number.
-    is_invalid: bool,
+    is_limit_invalid: bool,
 }
 
-/// A limit and the time from which it applies.
+/// A target's limit and the time from which the limit applies.
 #[derive(Clone, Copy, Debug)]
 struct TimedLimit {
     rate: Option<Rate>,
     /// When the limit began to apply, in milliseconds; negative if another
-    /// entry observed the limit before this process started.
-    since_ms: i64,
+    /// entry process observed the limit before this process started.
+    in_force_since_ms: i64,
 }
 
 /// The effect of a response or a report on the limit in force.
@@ -124,13 +128,13 @@
 pub enum LimitChange {
     /// The limit in force is unchanged.
     None,
-    /// The limit is new or lower.
+    /// The limit in force is new or lower.
     Tightened,
-    /// The limit is higher or gone.
+    /// The limit in force is higher or has ended.
     Loosened,
 }
 
-/// The effect of a target's response on its limit.
+/// The effect of a target's response on the target's limit in force.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LimitUpdate {
     /// How the limit in force changed.
@@ -141,16 +145,16 @@
 }
 
 impl CurrentLimit {
-    /// Returns the limit in force.
+    /// Returns the target's limit in force.
     pub fn rate(&self) -> Option<Rate> {
         self.latest?.rate
     }
 
-    /// Returns the latest limit as a report to other entries, or `None` if the
-    /// target never named a limit.
+    /// Returns the latest limit as a report to other entry processes, or
+    /// `None` if the target never named a limit.
     pub fn report(&self, now: Millis) -> Option<LimitReport> {
-        let TimedLimit { rate, since_ms } = self.latest?;
-        let age = Millis((now.0 as i64 - since_ms).max(0) as u64);
+        let TimedLimit { rate, in_force_since_ms } = self.latest?;
+        let age = Millis((now.0 as i64 - in_force_since_ms).max(0) as u64);
         Some(LimitReport { rate, age })
     }
 
@@ -168,14 +172,18 @@
         now: Millis,
     ) -> LimitUpdate {
         let rate = header.and_then(Rate::parse);
-        let is_invalid = header.is_some() && rate.is_none();
-        let was_invalid = std::mem::replace(&mut self.is_invalid, is_invalid);
+        let is_limit_invalid = header.is_some() && rate.is_none();
+        let was_limit_invalid =
+            std::mem::replace(&mut self.is_limit_invalid, is_limit_invalid);
         let change = self.observe_response(rate, sent_at, now);
-        LimitUpdate { change, newly_invalid: is_invalid && !was_invalid }
+        LimitUpdate {
+            change,
+            newly_invalid: is_limit_invalid && !was_limit_invalid,
+        }
     }
 
-    /// Merges the limit that a response named, whose request was sent at
-    /// `sent_at`.
+    /// Merges the limit that a response named; the request of the response was
+    /// sent at `sent_at`.
     pub fn observe_response(
         &mut self,
         rate: Option<Rate>,
@@ -187,27 +195,28 @@
         self.merge_report(LimitReport { rate, age }, now)
     }
 
-    /// Merges the limit that another entry reports; an older report than the
-    /// latest limit is ignored.
+    /// Merges the limit that another entry process reports; a report that is
+    /// older than the latest limit is ignored.
     pub fn merge_report(
         &mut self,
         report: LimitReport,
         now: Millis,
     ) -> LimitChange {
         let LimitReport { rate, age } = report;
-        let since_ms = now.0 as i64 - age.0.min(i64::MAX as u64 / 2) as i64;
+        let in_force_since_ms =
+            now.0 as i64 - age.0.min(i64::MAX as u64 / 2) as i64;
         let Some(latest) = self.latest else {
             if rate.is_none() {
                 return LimitChange::None;
             }
-            self.latest = Some(TimedLimit { rate, since_ms });
+            self.latest = Some(TimedLimit { rate, in_force_since_ms });
             self.changed_at = now;
             return LimitChange::Tightened;
         };
-        if since_ms <= latest.since_ms {
+        if in_force_since_ms <= latest.in_force_since_ms {
             return LimitChange::None;
         }
-        self.latest = Some(TimedLimit { rate, since_ms });
+        self.latest = Some(TimedLimit { rate, in_force_since_ms });
         if latest.rate == rate {
             return LimitChange::None;
         }
@@ -233,84 +242,88 @@
 pub enum PermitDecision {
     /// The permit is granted; the request may be sent after this delay.
     Permit(Millis),
-    /// No permit is free until this time has passed.
+    /// No permit is granted now; the next permit is free after this time.
     Later(Millis),
 }
 
-/// Spaces out the requests of all entries to a target that names a limit.
+/// Spaces out the requests that all entry processes together send to one
+/// target, by the limit that the target names.
 #[derive(Clone, Copy, Debug)]
 pub struct Limiter {
     rate: Rate,
-    /// When the next permit is free, in milliseconds.
+    /// When the limiter's next permit is free, in milliseconds.
     next_permit_ms: f64,
-    /// When a permit was last requested.
-    last_request: Millis,
+    /// When a permit was last requested from the limiter.
+    last_permit_request: Millis,
 }
 
 impl Limiter {
-    /// Creates a limiter whose predecessor at another entry may have granted a
-    /// permit just now. `since_response` is the age of the target's last known
-    /// response and shortens the first wait: at a low rate, a limiter that
-    /// always waited for a whole interval would never grant a permit where
-    /// limiters are replaced often.
+    /// Creates a limiter whose predecessor at another entry process may have
+    /// granted a permit just now. `since_response` is the age of the target's
+    /// last known response and shortens the first wait: at a low rate, a
+    /// limiter that always waited for a whole interval would never grant a
+    /// permit where limiters are replaced often.
     pub fn new(rate: Rate, since_response: Millis, now: Millis) -> Limiter {
-        let interval_ms = rate.interval_ms(1.0);
-        let min_wait_ms = interval_ms.min(MAX_GOSSIP_DELAY_MS);
-        let wait_ms = (interval_ms - since_response.0 as f64)
-            .clamp(min_wait_ms, interval_ms);
+        let permit_interval_ms = rate.permit_interval_ms(1.0);
+        let min_wait_ms = permit_interval_ms.min(MAX_GOSSIP_DELAY_MS);
+        let wait_ms = (permit_interval_ms - since_response.0 as f64)
+            .clamp(min_wait_ms, permit_interval_ms);
         let next_permit_ms = now.0 as f64 + wait_ms;
-        Limiter { rate, next_permit_ms, last_request: now }
+        Limiter { rate, next_permit_ms, last_permit_request: now }
     }
 
-    /// Returns whether no permit was requested here for so long that another
-    /// entry may have run a limiter meanwhile. The time grows with the permit
-    /// interval, because at a low rate permits are requested rarely.
-    pub fn is_stale(&self, share: f64, now: Millis) -> bool {
-        let intervals_ms =
-            IDLE_TIMEOUT_INTERVALS * self.rate.interval_ms(share);
-        now.since(self.last_request)
-            > IDLE_TIMEOUT + Millis(intervals_ms as u64)
+    /// Returns whether no permit was requested from this limiter for so long
+    /// that another entry process may have run a limiter meanwhile. That time
+    /// grows with the permit interval, because at a low rate permits are
+    /// requested rarely.
+    pub fn is_stale(&self, limit_share: f64, now: Millis) -> bool {
+        let intervals_ms = LIMITER_IDLE_TIMEOUT_INTERVALS
+            * self.rate.permit_interval_ms(limit_share);
+        now.since(self.last_permit_request)
+            > LIMITER_IDLE_TIMEOUT + Millis(intervals_ms as u64)
     }
 
-    /// Returns the time until a permit is free.
+    /// Returns the time until the next permit is free.
     pub fn permit_wait(&self, now: Millis) -> Millis {
         Millis((self.next_permit_ms - now.0 as f64).max(0.0).ceil() as u64)
     }
 
-    /// Grants a permit if one becomes free within `max_wait`. `share` is the
-    /// fraction of the limit that this limiter may grant, above 0 and up to 1.
+    /// Grants a permit if one becomes free within `max_wait`. `limit_share` is
+    /// the fraction of the limit that this limiter may grant, above 0 and up
+    /// to 1.
     pub fn acquire(
         &mut self,
         rate: Rate,
-        share: f64,
+        limit_share: f64,
         max_wait: Millis,
         now: Millis,
     ) -> PermitDecision {
-        let interval_ms = rate.interval_ms(share);
+        let permit_interval_ms = rate.permit_interval_ms(limit_share);
         let now_ms = now.0 as f64;
         // Permits scheduled under an earlier limit don't delay or speed up
         // permits under the new limit.
         if rate > self.rate {
             self.next_permit_ms =
-                self.next_permit_ms.min(now_ms + interval_ms);
+                self.next_permit_ms.min(now_ms + permit_interval_ms);
         } else if rate < self.rate {
             self.next_permit_ms =
-                self.next_permit_ms.max(now_ms + interval_ms);
+                self.next_permit_ms.max(now_ms + permit_interval_ms);
         }
         self.rate = rate;
-        self.last_request = now;
+        self.last_permit_request = now;
         let wait = self.permit_wait(now);
         if wait > max_wait {
             return PermitDecision::Later(wait);
         }
         self.next_permit_ms =
             self.next_permit_ms.max(now_ms - MAX_PERMIT_LATENESS_MS)
-                + interval_ms;
+                + permit_interval_ms;
         PermitDecision::Permit(wait)
     }
 }
 
-/// A permit to send one request to a target, as the requesting entry holds it.
+/// A permit to send one request to a target, as the entry process that
+/// requested the permit holds it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Permit {
     /// The target's limit when the permit was granted.
@@ -323,8 +336,10 @@
 
 impl Permit {
     /// Returns whether a request may be sent with this permit now. A permit
-    /// that was granted under a higher limit than `rate` is not valid.
-    pub fn is_valid(&self, rate: Rate, now: Millis) -> bool {
-        self.valid_from <= now && now <= self.valid_until && self.rate <= rate
+    /// that was granted under a higher limit than `current_rate` is not valid.
+    pub fn is_valid(&self, current_rate: Rate, now: Millis) -> bool {
+        self.valid_from <= now
+            && now <= self.valid_until
+            && self.rate <= current_rate
     }
 }
--- a/cowsliproad-admission/src/patience.rs
+++ b/cowsliproad-admission/src/patience.rs
@@ -22,11 +22,11 @@
 }
 
 impl CallerTry {
-    /// Classifies an attempt by the time left until the caller's deadline. A
-    /// caller with much less than the maximum has already made an attempt
-    /// elsewhere.
-    pub fn new(time_left: Millis, max_time: Millis) -> CallerTry {
-        if max_time.since(time_left) > MAX_TRANSIT_TIME {
+    /// Classifies a caller's attempt by the time left until the caller's
+    /// deadline. A caller with much less time than the maximum has already
+    /// made an attempt at another entry process.
+    pub fn new(time_left: Millis, max_time_to_deadline: Millis) -> CallerTry {
+        if max_time_to_deadline.since(time_left) > MAX_FIRST_ATTEMPT_TRANSIT {
             CallerTry::Return
         } else {
             CallerTry::First
@@ -34,21 +34,22 @@
     }
 }
 
-/// The longest time that a first attempt may take to arrive when packets are
-/// retransmitted.
-const MAX_TRANSIT_TIME: Millis = Millis(300);
+/// The longest time for which the first attempt of a caller may be in transit
+/// to an entry process when packets are retransmitted.
+const MAX_FIRST_ATTEMPT_TRANSIT: Millis = Millis(300);
 
 /// A queued stream request that could be started now.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingStream {
     /// When the stream request arrived.
     pub arrived: Millis,
-    /// How long the caller waits for an event before it disconnects.
+    /// How long the caller waits for an event of the stream before
+    /// disconnecting.
     pub silence_timeout: Millis,
     /// The intended time to the first event of the stream, usually met even
     /// while a backlog of streams is started.
     pub first_event_aim: Millis,
-    /// The time until the caller's deadline.
+    /// The time left until the deadline of the stream's caller.
     pub time_left: Millis,
     /// Whether the stream request is a first attempt or a retry.
     pub caller_try: CallerTry,
@@ -81,25 +82,28 @@
     }
 }
 
-/// Adds random jitter to a retry time that many callers get, so that their
-/// retries don't arrive all at once: up to a quarter of the retry time, or up
-/// to [`MIN_JITTER_RANGE`] if that is longer. `random` is a random number from
-/// 0 to 1.
-pub fn jittered_retry(wait: Millis, random: f64) -> Millis {
-    let max_jitter = Millis(wait.0 / JITTER_DIVISOR).max(MIN_JITTER_RANGE);
-    wait + Millis((max_jitter.0 as f64 * random) as u64)
+/// Adds random jitter to the time after which callers are asked to retry, so
+/// that the retries of many callers don't arrive all at once: up to a quarter
+/// of that time, or up to [`MIN_JITTER_RANGE`] if that is longer. `random` is
+/// a random number from 0 to 1.
+pub fn jittered_retry(retry_after: Millis, random: f64) -> Millis {
+    let max_jitter =
+        Millis(retry_after.0 / RETRY_JITTER_DIVISOR).max(MIN_JITTER_RANGE);
+    retry_after + Millis((max_jitter.0 as f64 * random) as u64)
 }
 
-/// The jitter of a retry time is at most the retry time divided by this.
-const JITTER_DIVISOR: u64 = 4;
+/// The jitter added to a retry time is at most the retry time divided by this.
+const RETRY_JITTER_DIVISOR: u64 = 4;
 
-/// Lower bound for the maximum jitter, so that short retry times are spread
-/// too.
+/// Lower bound for the maximum retry jitter, so that short retry times are
+/// spread too.
 const MIN_JITTER_RANGE: Millis = Millis(100);
 
-/// The shortest backoff: streams that can still start are dispatched first.
+/// The shortest backoff of a caller whose stream is not started: streams that
+/// can still start are dispatched first.
 const MIN_BACKOFF: Millis = Millis(100);
 
-/// The longest backoff. The callers of a two-second backlog retry within one
-/// second, and each of them can then wait as long as on its first attempt.
+/// The longest backoff of a caller whose stream is not started. The callers of
+/// a two-second backlog retry within one second, and each of them can then
+/// wait as long as on its first attempt.
 const MAX_BACKOFF: Millis = Millis(1_100);
--- a/cowsliproad-admission/src/quarantine.rs
+++ b/cowsliproad-admission/src/quarantine.rs
@@ -2,12 +2,13 @@
 //! them.
 //!
 //! The attempts of one caller have different request ids and arrive at any
-//! entry. A crash-inducing request would be new to each entry, and would crash
-//! one target after the other, unless entries recognise the request by a
-//! digest of its content ([`WorkDigest`]). Each entry records which requests
-//! were running when a target crashed, and gossips this to the other entries
-//! ([`Suspect`]). Once [`CRASH_THRESHOLD`] targets have crashed under one
-//! request, all entries refuse that request ([`CrashLedger::verdict`]).
+//! entry process. A crash-inducing request would be new to each entry process,
+//! and would crash one target after the other, unless entry processes
+//! recognise the request by a digest of its content ([`WorkDigest`]). Each
+//! entry process records which requests were running when a target crashed,
+//! and gossips this to the other entry processes ([`Suspect`]). Once
+//! [`CRASH_THRESHOLD`] targets have crashed under one request, all entry
+//! processes refuse that request ([`CrashLedger::verdict`]).
 //!
 //! Where targets work in lock-step, the crash of one target stops its whole
 //! group, and three crashes would stop the group three times. So requests that
@@ -22,22 +23,22 @@
 //! reasons, so a crash alone proves little. Three rules limit wrong refusals:
 //!
 //! * When a target survives a request, all crashes known so far no longer
-//!   count against the request, at all entries, and from then on the request
-//!   is refused only after [`SURVIVED_CRASH_THRESHOLD`] further crashes. A
-//!   frequent request runs on many targets that are killed, and is survived
-//!   all along.
-//! * A crash report is retracted at all entries once the target shows signs of
-//!   life ([`CrashLedger::retract_crash`]), because a target behind a network
-//!   partition looks like a crashed one. The next crash of that target has
-//!   another id ([`CrashLedger::crash_id`]) and counts again.
+//!   count against the request, at all entry processes, and from then on the
+//!   request is refused only after [`SURVIVED_CRASH_THRESHOLD`] further
+//!   crashes. A frequent request runs on many targets that are killed, and is
+//!   survived all along.
+//! * A crash report is retracted at all entry processes once the target shows
+//!   signs of life ([`CrashLedger::retract_crash`]), because a target behind a
+//!   network partition looks like a crashed one. The next crash of that target
+//!   has another id ([`CrashLedger::crash_id`]) and counts again.
 //! * Everything known about a request expires [`SUSPECT_TTL`] after the
 //!   request last arrived, and [`REJECT_TTL`] after it was first refused, so
 //!   that targets that were repaired get the request again. Retrying it sooner
 //!   would cost a target each time.
 //!
-//! The sets that entries gossip (crashes, excused crashes, retracted crashes)
-//! only grow, so messages may arrive late, twice and in any order, and all
-//! entries converge.
+//! The sets that entry processes gossip (crashes, excused crashes, retracted
+//! crashes) only grow, so messages may arrive late, twice and in any order,
+//! and all entry processes converge.
 
 use std::{
     cmp::Reverse,
@@ -46,86 +47,93 @@
 
 use cowsliproad_kernel::{clock::Millis, gossip::Suspect};
 
-use self::case::Case;
+use self::case::QuarantineCase;
 pub use self::work::{CrashId, WorkDigest};
 
 mod case;
 mod work;
 
-/// Target crashes after which a request is refused that no target is known to
-/// have survived. A lower threshold would refuse requests that ran by chance
-/// on two targets that were killed.
+/// The number of target crashes after which a request is refused, if no target
+/// is known to have survived the request. A lower threshold would refuse
+/// requests that ran by chance on two targets that were killed.
 pub const CRASH_THRESHOLD: usize = 3;
 
-/// Target crashes after which a request is refused that a target survived in
-/// the last minutes, counted from the last survival.
+/// The number of target crashes since the last survival after which a request
+/// is refused, if a target survived the request in the last minutes.
 pub const SURVIVED_CRASH_THRESHOLD: usize = 6;
 
-/// How long a request is suspected after it last arrived at any entry. Each
-/// entry decides by its own clock.
+/// How long a request is suspected after it last arrived at any entry process.
+/// Each entry process decides by its own clock.
 pub const SUSPECT_TTL: Millis = Millis(10 * 60 * 1_000);
 
 /// The longest time for which a request is refused. Finding out whether the
 /// request still crashes targets then costs three targets an hour.
 pub const REJECT_TTL: Millis = Millis(60 * 60 * 1_000);
 
-/// How long a request is suspended after the first crash of a rank under it.
+/// How long a request is suspended after the first crash of a rank that ran
+/// the request.
 pub const SUSPENSION_TTL: Millis = Millis(30_000);
 
-/// How long an entry broadcasts its own observation: eight digests, of which
-/// seven may be lost.
+/// How long an entry process broadcasts what it observed itself: in eight
+/// gossip messages, one every half second, of which seven may be lost.
 const BROADCAST_TTL: Millis = Millis(4_000);
 
-/// How long an entry relays the observation of another entry, to entries that
-/// the observer can't reach: two digests.
+/// How long an entry process relays what another entry process observed, for
+/// the entry processes that the observer can't reach: in two gossip messages,
+/// one every half second.
 const RELAY_TTL: Millis = Millis(1_000);
 
-/// The number of crashes from which a case is relayed. With one crash, every
-/// request that ran on killed targets would be relayed.
+/// The number of target crashes from which the case of a request is relayed to
+/// other entry processes. With one crash, every request that ran on killed
+/// targets would be relayed.
 const MIN_RELAY_CRASHES: usize = 2;
 
-/// Cases that are broadcast in one digest, 8 to 35 bytes each: a third of the
-/// largest datagram.
+/// Quarantine cases that are broadcast in one gossip message, 8 to 35 bytes
+/// each: a third of the largest datagram.
 const MAX_BROADCAST_CASES: usize = 512;
 
-/// Cases that are kept, 350 bytes each. A target that crashes adds some 50
-/// cases: the requests that were running or queued there.
-const MAX_CASES: usize = 4_096;
+/// Quarantine cases that a ledger keeps, 350 bytes each. A target that crashes
+/// adds some 50 cases: the requests that were running or queued there.
+const MAX_QUARANTINE_CASES: usize = 4_096;
 
-/// Crashes that count against one request.
-const MAX_CRASHES: usize = 8;
+/// Target crashes that are recorded against one request.
+const MAX_CRASHES_PER_REQUEST: usize = 8;
 
-/// Excused crashes that are remembered for one request.
-const MAX_EXCUSED_CRASHES: usize = 16;
+/// Target crashes remembered per request that no longer count against the
+/// request, because a target survived the request later.
+const MAX_EXCUSED_CRASHES_PER_REQUEST: usize = 16;
 
-/// Retracted crashes that are remembered: those of a whole availability zone
-/// that was cut off.
+/// Retracted crash reports that are remembered: enough for all targets of an
+/// availability zone that a network partition made look crashed.
 const MAX_RETRACTIONS: usize = 1_024;
 
-/// Crash reports that may be retracted for one start of a target. A target
-/// that is cut off more often within an hour is no longer taken for crashed.
+/// Crash reports that may be retracted for one start of a target. Further
+/// losses of contact with the target within an hour don't count as crashes.
 const MAX_RETRACTIONS_PER_START: usize = 16;
 
-/// Survived requests in each of two generations, 9 bytes each.
-const MAX_SURVIVED: usize = 4_096;
+/// Requests in each of the two generations of survived requests, 9 bytes each.
+const MAX_SURVIVED_PER_GENERATION: usize = 4_096;
 
-/// The time after which a new generation of survived requests begins.
-const SURVIVED_TTL: Millis = Millis(5 * 60 * 1_000);
+/// The time after which a new generation of survived requests begins and the
+/// older of the two generations is forgotten.
+const SURVIVED_GENERATION_INTERVAL: Millis = Millis(5 * 60 * 1_000);
 
 /// The longest gossip delay that is tolerated in the reported time of a
-/// request's last arrival. Without a tolerance, each exchange between entries
-/// would move that time forward by the delay and postpone the expiry.
+/// request's last arrival. Without a tolerance, each exchange between entry
+/// processes would move that time forward by the delay and postpone the
+/// expiry.
 const MAX_GOSSIP_DELAY: Millis = Millis(1_000);
 
-/// The longest suspension, before a suspended request is refused.
+/// The longest suspension of a request: [`SUSPENSION_TTL`] doubles with each
+/// further crash until [`CRASH_THRESHOLD`] crashes refuse the request.
 const MAX_SUSPENSION: Millis =
     Millis(SUSPENSION_TTL.0 << (CRASH_THRESHOLD - 2));
 
-/// The interval between removals of expired cases.
+/// The interval between removals of expired quarantine cases.
 const SWEEP_INTERVAL: Millis = Millis(10_000);
 
 /// Added to all clock readings of a ledger, so that times before the start of
-/// the process, which other entries report, are not negative.
+/// the process, which other entry processes report, are not negative.
 const CLOCK_OFFSET: Millis = Millis(24 * 60 * 60 * 1_000);
 
 /// Whether a request may run.
@@ -142,9 +150,10 @@
 /// How an observation or a gossip message changed the state of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QuarantineChange {
-    /// The state is unchanged.
+    /// The state of the request is unchanged.
     None,
-    /// The request is suspected, or its suspicion changed.
+    /// The request is newly suspected, or its recorded crashes or survival
+    /// changed.
     Suspected,
     /// The request is now suspended.
     Suspended,
@@ -154,28 +163,31 @@
     Freed,
 }
 
-/// The crash-inducing requests that one entry or agent knows of.
+/// The suspected, suspended and refused requests that one entry process or
+/// agent has recorded.
 #[derive(Debug, Default)]
 pub struct CrashLedger {
-    cases: HashMap<WorkDigest, Case>,
-    /// Retracted crashes, and when each was retracted or last reported by an
-    /// entry that missed the retraction.
+    cases: HashMap<WorkDigest, QuarantineCase>,
+    /// Retracted crashes, and when each crash was retracted or last reported
+    /// by an entry process that missed the retraction.
     retracted: HashMap<CrashId, Millis>,
-    survived: SurvivedWork,
-    last_sweep: Millis,
+    survived_work: SurvivedWork,
+    last_sweep_at: Millis,
 }
 
-/// Requests that targets survived, in two generations.
+/// Requests that targets survived, in two generations. Once the newer
+/// generation is full or too old, it replaces the older one, so memory stays
+/// bounded without an expiry time per request.
 #[derive(Debug, Default)]
 struct SurvivedWork {
-    newer: HashSet<WorkDigest>,
-    older: HashSet<WorkDigest>,
-    /// When the newer generation began.
-    newer_since: Millis,
+    newer_generation: HashSet<WorkDigest>,
+    older_generation: HashSet<WorkDigest>,
+    /// When the newer generation of survived requests began.
+    newer_generation_start: Millis,
 }
 
 impl CrashLedger {
-    /// Creates an empty ledger.
+    /// Creates a ledger without crashes.
     pub fn new() -> CrashLedger {
         CrashLedger::default()
     }
@@ -192,7 +204,7 @@
             let left = (since + REJECT_TTL).since(now);
             return QuarantineVerdict::Refused(SUSPECT_TTL.min(left));
         }
-        case.suspension(now)
+        case.remaining_suspension(now)
             .map_or(QuarantineVerdict::Allowed, QuarantineVerdict::Suspended)
     }
 
@@ -207,7 +219,7 @@
         let Some(case) = self.cases.get_mut(&work) else {
             return QuarantineChange::None;
         };
-        if case.survived
+        if case.survived_by_target
             || case.crashes.is_empty()
             || case.refused_since.is_some()
         {
@@ -220,10 +232,10 @@
         QuarantineChange::Suspended
     }
 
-    /// Records that a refused request arrived again.
+    /// Records that a refused or suspended request arrived again.
     pub fn record_arrival(&mut self, work: WorkDigest, now: Millis) {
         if let Some(case) = self.cases.get_mut(&work) {
-            case.last_seen = now + CLOCK_OFFSET;
+            case.last_arrival = now + CLOCK_OFFSET;
         }
     }
 
@@ -252,17 +264,17 @@
         work: WorkDigest,
         now: Millis,
     ) -> QuarantineChange {
-        self.survived.insert(work, now);
+        self.survived_work.insert_survived(work, now);
         let now = now + CLOCK_OFFSET;
         let Some(case) = self.cases.get_mut(&work) else {
             return QuarantineChange::None;
         };
-        if case.survived && case.crashes.is_empty() {
+        if case.survived_by_target && case.crashes.is_empty() {
             return QuarantineChange::None;
         }
-        case.survived = true;
+        case.survived_by_target = true;
         for crash in std::mem::take(&mut case.crashes) {
-            case.excuse(crash);
+            case.excuse_crash(crash);
         }
         case.broadcast_until = now + BROADCAST_TTL;
         match case.update_refusal(now) {
@@ -271,7 +283,8 @@
         }
     }
 
-    /// Merges what another entry, or an earlier process, knows of a request.
+    /// Merges what another process, or the stored state of an earlier process,
+    /// reports about a request.
     pub fn merge(
         &mut self,
         suspect: &Suspect,
@@ -280,8 +293,8 @@
         self.merge_suspect(suspect, RELAY_TTL, now)
     }
 
-    /// Merges an observation and broadcasts the case for `broadcast_ttl` if
-    /// the observation changed the case.
+    /// Merges an observation of a request, and broadcasts the request's case
+    /// for `broadcast_ttl` if the observation changed the case.
     fn merge_suspect(
         &mut self,
         suspect: &Suspect,
@@ -297,12 +310,12 @@
         if !self.cases.contains_key(&work) {
             self.evict_if_full();
         }
-        let survived = self.survived.contains(work);
-        let case = self.cases.entry(work).or_insert_with(|| Case {
+        let survived_by_target = self.survived_work.has_survived(work);
+        let case = self.cases.entry(work).or_insert_with(|| QuarantineCase {
             crashes: BTreeSet::new(),
-            excused: Vec::new(),
-            survived,
-            last_seen: now - suspect.since_last_seen,
+            excused_crashes: Vec::new(),
+            survived_by_target,
+            last_arrival: now - suspect.since_last_seen,
             refused_since: None,
             suspended_until: None,
             broadcast_until: now,
@@ -312,30 +325,38 @@
             case.suspended_until = None;
             case.crashes.clear();
         }
-        if now.since(case.last_seen)
+        if now.since(case.last_arrival)
             > suspect.since_last_seen + MAX_GOSSIP_DELAY
         {
-            case.last_seen = now - suspect.since_last_seen;
+            case.last_arrival = now - suspect.since_last_seen;
         }
-        let before = (case.crashes.len(), case.excused.len(), case.survived);
+        let before = (
+            case.crashes.len(),
+            case.excused_crashes.len(),
+            case.survived_by_target,
+        );
         // A sender that doesn't report the survival, or still counts a crash
         // that was excused or retracted, has missed that update and would soon
         // refuse a request that every caller sends.
-        let mut missed_update = case.survived && !suspect.survived;
-        case.survived |= suspect.survived;
+        let mut missed_update = case.survived_by_target && !suspect.survived;
+        case.survived_by_target |= suspect.survived;
         for crash in suspect.excused_crashes.iter().map(|it| CrashId(*it)) {
-            case.excuse(crash);
+            case.excuse_crash(crash);
         }
         for crash in suspect.crashes.iter().map(|it| CrashId(*it)) {
             if let Some(reported_at) = self.retracted.get_mut(&crash) {
                 *reported_at = now;
-            } else if case.excused.contains(&crash) {
+            } else if case.excused_crashes.contains(&crash) {
                 missed_update = true;
-            } else if case.crashes.len() < MAX_CRASHES {
+            } else if case.crashes.len() < MAX_CRASHES_PER_REQUEST {
                 case.crashes.insert(crash);
             }
         }
-        let after = (case.crashes.len(), case.excused.len(), case.survived);
+        let after = (
+            case.crashes.len(),
+            case.excused_crashes.len(),
+            case.survived_by_target,
+        );
         // Each crash extends a suspension at most once: a later message about
         // the same crash may have been delayed in a stalled process.
         let may_extend = after.0 > before.0 || case.suspended_until.is_none();
@@ -343,7 +364,7 @@
             may_extend && case.extend_suspension(suspect.suspended_for, now);
         let has_changed = after != before || suspends;
         let is_relayed = case.crashes.len() >= MIN_RELAY_CRASHES
-            || case.survived
+            || case.survived_by_target
             || suspends;
         if missed_update
             || has_changed && (is_relayed || broadcast_ttl == BROADCAST_TTL)
@@ -395,76 +416,79 @@
         freed
     }
 
-    /// Returns the id for a crash of the target that started at `start`: the
-    /// first id of that start that was not retracted.
-    pub fn crash_id(&self, target: &str, start: u64) -> CrashId {
-        let mut crash = CrashId::new(target, start);
+    /// Returns the id for a new crash of the target that started at
+    /// `target_start`: the first id for that start that was not retracted.
+    pub fn crash_id(&self, target: &str, target_start: u64) -> CrashId {
+        let mut crash = CrashId::new(target, target_start);
         for _ in 0..MAX_RETRACTIONS_PER_START {
             if !self.is_retracted(crash) {
                 break;
             }
-            crash = crash.next();
+            crash = crash.next_crash_id();
         }
         crash
     }
 
-    /// Returns whether a crash was retracted.
+    /// Returns whether the report of a target crash was retracted.
     pub fn is_retracted(&self, crash: CrashId) -> bool {
         self.retracted.contains_key(&crash)
     }
 
-    /// Returns whether the ledger has a case for a request.
+    /// Returns whether the ledger has a quarantine case for a request.
     pub fn has_case(&self, work: WorkDigest) -> bool {
         self.cases.contains_key(&work)
     }
 
-    /// Returns whether a crash counts against any request.
+    /// Returns whether a target crash counts against any request.
     pub fn counts_crash(&self, crash: CrashId) -> bool {
         self.cases.values().any(|it| it.crashes.contains(&crash))
     }
 
-    /// Returns the number of crashes that count against a request.
+    /// Returns the number of target crashes that count against a request.
     pub fn crash_count(&self, work: WorkDigest) -> usize {
         self.cases.get(&work).map_or(0, |it| it.crashes.len())
     }
 
-    /// Returns the number of requests that the ledger has a case for.
+    /// Returns the number of requests that the ledger has a quarantine case
+    /// for.
     pub fn case_count(&self) -> usize {
         self.cases.len()
     }
 
-    /// Returns the case of a request as a gossip message, to be sent or
-    /// stored.
+    /// Returns the quarantine case of a request as a gossip message, to be
+    /// sent or stored.
     pub fn suspect(&self, work: WorkDigest, now: Millis) -> Option<Suspect> {
         let now = now + CLOCK_OFFSET;
-        self.cases.get(&work).map(|it| it.suspect(work, now))
+        self.cases.get(&work).map(|it| it.to_suspect(work, now))
     }
 
-    /// Returns the cases to broadcast: refused requests and recent changes.
+    /// Returns the quarantine cases to broadcast: those of refused requests
+    /// and those that changed recently.
     pub fn updates(&self, now: Millis) -> Vec<Suspect> {
-        self.select(now, |case, now| case.is_broadcast(now))
+        self.select_broadcast_suspects(now, |case, now| case.is_broadcast(now))
     }
 
-    /// Returns the cases to broadcast and those of suspended requests, for
-    /// entries that may have missed a suspension.
+    /// Returns the quarantine cases to broadcast and those of suspended
+    /// requests, for entry processes that may have missed a suspension.
     pub fn updates_and_suspensions(&self, now: Millis) -> Vec<Suspect> {
-        self.select(now, |case, now| {
-            case.is_broadcast(now) || case.suspension(now).is_some()
+        self.select_broadcast_suspects(now, |case, now| {
+            case.is_broadcast(now) || case.remaining_suspension(now).is_some()
         })
     }
 
-    /// Returns up to [`MAX_BROADCAST_CASES`] selected cases: refused requests
-    /// first, then those with the most crashes.
-    fn select(
+    /// Returns up to [`MAX_BROADCAST_CASES`] of the quarantine cases that
+    /// `is_selected` accepts: refused requests first, then the requests with
+    /// the most crashes.
+    fn select_broadcast_suspects(
         &self,
         now: Millis,
-        is_selected: impl Fn(&Case, Millis) -> bool,
+        is_selected: impl Fn(&QuarantineCase, Millis) -> bool,
     ) -> Vec<Suspect> {
         let now = now + CLOCK_OFFSET;
-        let mut selected: Vec<(&WorkDigest, &Case)> =
+        let mut selected: Vec<(&WorkDigest, &QuarantineCase)> =
             self.cases.iter().filter(|it| is_selected(it.1, now)).collect();
-        // An entry's own observations come before relayed ones, because they
-        // are broadcast for longer.
+        // Cases that this process observed itself come before relayed cases,
+        // because they are broadcast for longer.
         selected.sort_by_key(|(_, case)| {
             let crashes = Reverse(case.crashes.len());
             (
@@ -474,23 +498,23 @@
             )
         });
         selected.truncate(MAX_BROADCAST_CASES);
-        selected.into_iter().map(|it| it.1.suspect(*it.0, now)).collect()
+        selected.into_iter().map(|it| it.1.to_suspect(*it.0, now)).collect()
     }
 
-    /// Returns the unexpired cases with the most crashes, for a peer that was
-    /// unreachable.
+    /// Returns the unexpired quarantine cases with the most crashes, for a
+    /// peer that was unreachable.
     pub fn snapshot(&self, now: Millis) -> Vec<Suspect> {
         let now = now + CLOCK_OFFSET;
         let cases = self.cases.iter().filter(|it| !it.1.is_expired(now));
         let mut cases: Vec<Suspect> =
-            cases.map(|it| it.1.suspect(*it.0, now)).collect();
+            cases.map(|it| it.1.to_suspect(*it.0, now)).collect();
         cases
             .sort_by_key(|it| (Reverse(it.crashes.len()), it.since_last_seen));
         cases.truncate(MAX_BROADCAST_CASES);
         cases
     }
 
-    /// Returns the crashes whose retraction is still broadcast.
+    /// Returns the ids of the crashes whose retraction is still broadcast.
     pub fn recent_retractions(&self, now: Millis) -> Vec<u64> {
         let now = now + CLOCK_OFFSET;
         let is_recent = |at: Millis| now.since(at) < BROADCAST_TTL;
@@ -498,16 +522,16 @@
         recent.take(MAX_BROADCAST_CASES).map(|it| it.0.0).collect()
     }
 
-    /// Removes expired cases and retractions, at most once in
+    /// Removes expired quarantine cases and retractions, at most once in
     /// [`SWEEP_INTERVAL`]. Returns the requests whose cases were removed.
     pub fn evict_expired(&mut self, now: Millis) -> Vec<WorkDigest> {
-        if now.since(self.last_sweep) < SWEEP_INTERVAL {
+        if now.since(self.last_sweep_at) < SWEEP_INTERVAL {
             return Vec::new();
         }
-        self.last_sweep = now;
+        self.last_sweep_at = now;
         let now = now + CLOCK_OFFSET;
         self.retracted.retain(|_, at| now.since(*at) < REJECT_TTL);
-        let is_expired = |it: &Case| it.is_expired(now);
+        let is_expired = |it: &QuarantineCase| it.is_expired(now);
         let expired = self.cases.iter().filter(|it| is_expired(it.1));
         let expired: Vec<WorkDigest> = expired.map(|it| *it.0).collect();
         for work in &expired {
@@ -516,14 +540,15 @@
         expired
     }
 
-    /// Evicts a case if the ledger is full: one that is not refused, with the
-    /// fewest crashes, whose request arrived the longest time ago.
+    /// Evicts one quarantine case if the ledger is full: preferably the case
+    /// of a request that is not refused, then the case with the fewest
+    /// crashes, then the case whose request arrived the longest time ago.
     fn evict_if_full(&mut self) {
-        if self.cases.len() < MAX_CASES {
+        if self.cases.len() < MAX_QUARANTINE_CASES {
             return;
         }
-        let priority = |it: &Case| {
-            (it.refused_since.is_some(), it.crashes.len(), it.last_seen)
+        let priority = |it: &QuarantineCase| {
+            (it.refused_since.is_some(), it.crashes.len(), it.last_arrival)
         };
         let lowest = self.cases.iter().min_by_key(|it| priority(it.1));
         if let Some(lowest) = lowest.map(|it| *it.0) {
@@ -533,16 +558,19 @@
 }
 
 impl SurvivedWork {
-    fn insert(&mut self, work: WorkDigest, now: Millis) {
-        let is_old = now.since(self.newer_since) >= SURVIVED_TTL;
-        if is_old || self.newer.len() >= MAX_SURVIVED {
-            self.older = std::mem::take(&mut self.newer);
-            self.newer_since = now;
+    fn insert_survived(&mut self, work: WorkDigest, now: Millis) {
+        let is_old = now.since(self.newer_generation_start)
+            >= SURVIVED_GENERATION_INTERVAL;
+        if is_old || self.newer_generation.len() >= MAX_SURVIVED_PER_GENERATION
+        {
+            self.older_generation = std::mem::take(&mut self.newer_generation);
+            self.newer_generation_start = now;
         }
-        self.newer.insert(work);
+        self.newer_generation.insert(work);
     }
 
-    fn contains(&self, work: WorkDigest) -> bool {
-        self.newer.contains(&work) || self.older.contains(&work)
+    fn has_survived(&self, work: WorkDigest) -> bool {
+        self.newer_generation.contains(&work)
+            || self.older_generation.contains(&work)
     }
 }
--- a/cowsliproad-admission/src/quarantine/case.rs
+++ b/cowsliproad-admission/src/quarantine/case.rs
@@ -1,74 +1,78 @@
-//! The quarantine state of one request digest.
+//! The quarantine state of the requests that have one digest.
 
 use std::collections::BTreeSet;
 
 use cowsliproad_kernel::{clock::Millis, gossip::Suspect};
 
 use super::{
-    CRASH_THRESHOLD, CrashId, MAX_EXCUSED_CRASHES, MAX_SUSPENSION,
+    CRASH_THRESHOLD, CrashId, MAX_EXCUSED_CRASHES_PER_REQUEST, MAX_SUSPENSION,
     QuarantineChange, REJECT_TTL, SURVIVED_CRASH_THRESHOLD, SUSPECT_TTL,
     WorkDigest,
 };
 
-/// The quarantine state of one request digest. All times include
-/// [`super::CLOCK_OFFSET`].
+/// The quarantine state of the requests that have one digest. All times
+/// include [`super::CLOCK_OFFSET`].
 #[derive(Clone, Debug)]
-pub(super) struct Case {
+pub(super) struct QuarantineCase {
     /// Target crashes that count against the request.
     pub(super) crashes: BTreeSet<CrashId>,
-    /// Target crashes from before a target survived the request, which no
-    /// longer count; newest last.
-    pub(super) excused: Vec<CrashId>,
+    /// Target crashes that no longer count against the request, because a
+    /// target survived the request later; newest last.
+    pub(super) excused_crashes: Vec<CrashId>,
     /// Whether a target is known to have survived the request.
-    pub(super) survived: bool,
-    /// When the request last arrived at any entry.
-    pub(super) last_seen: Millis,
-    /// The time since which the request is refused, if it is.
+    pub(super) survived_by_target: bool,
+    /// When the request last arrived at any entry process.
+    pub(super) last_arrival: Millis,
+    /// The time since which the request is refused; `None` if the request is
+    /// not refused.
     pub(super) refused_since: Option<Millis>,
-    /// The time until which the request is suspended.
+    /// The time until which the request is suspended, if a target crash
+    /// suspended the request.
     pub(super) suspended_until: Option<Millis>,
-    /// The time until which this entry broadcasts the case to others.
+    /// The time until which this process broadcasts the case to entry
+    /// processes.
     pub(super) broadcast_until: Millis,
 }
 
-impl Case {
-    /// Stops counting a crash against the request.
-    pub(super) fn excuse(&mut self, crash: CrashId) {
+impl QuarantineCase {
+    /// Stops counting a target crash against the request.
+    pub(super) fn excuse_crash(&mut self, crash: CrashId) {
         self.crashes.remove(&crash);
-        if !self.excused.contains(&crash) {
-            self.excused.push(crash);
+        if !self.excused_crashes.contains(&crash) {
+            self.excused_crashes.push(crash);
         }
-        if self.excused.len() > MAX_EXCUSED_CRASHES {
-            self.excused.remove(0);
+        if self.excused_crashes.len() > MAX_EXCUSED_CRASHES_PER_REQUEST {
+            self.excused_crashes.remove(0);
         }
     }
 
-    /// Merges the remaining suspension time that another entry reports;
+    /// Merges the remaining suspension time that another process reports, and
     /// returns whether the suspension was extended.
     pub(super) fn extend_suspension(
         &mut self,
-        reported: Option<Millis>,
+        reported_time: Option<Millis>,
         now: Millis,
     ) -> bool {
-        let Some(reported) = reported else { return false };
-        let until = now + reported.min(MAX_SUSPENSION);
+        let Some(reported_time) = reported_time else { return false };
+        let until = now + reported_time.min(MAX_SUSPENSION);
         let is_longer = self.suspended_until.is_none_or(|it| until > it);
-        let extends = is_longer && !self.survived && !self.crashes.is_empty();
+        let extends =
+            is_longer && !self.survived_by_target && !self.crashes.is_empty();
         if extends {
             self.suspended_until = Some(until);
         }
         extends
     }
 
-    /// Updates whether the request is refused, after its crashes or its
-    /// survival changed. A request that no crash counts against, or that a
-    /// target survived, is not suspended either.
+    /// Updates whether the request is refused, after the set of counted
+    /// crashes or the record of a survival changed. A request that no crash
+    /// counts against, or that a target survived, is not suspended either.
     pub(super) fn update_refusal(&mut self, now: Millis) -> QuarantineChange {
         let was_suspended = self.suspended_until.is_some_and(|it| it > now);
-        if self.survived || self.crashes.is_empty() {
+        if self.survived_by_target || self.crashes.is_empty() {
             self.suspended_until = None;
         }
-        let threshold = if self.survived {
+        let threshold = if self.survived_by_target {
             SURVIVED_CRASH_THRESHOLD
         } else {
             CRASH_THRESHOLD
@@ -92,36 +96,42 @@
         }
     }
 
-    /// Returns whether the case has expired.
+    /// Returns whether the quarantine case has expired.
     pub(super) fn is_expired(&self, now: Millis) -> bool {
         let refusal_expired = |since| now.since(since) >= REJECT_TTL;
-        now.since(self.last_seen) >= SUSPECT_TTL
+        now.since(self.last_arrival) >= SUSPECT_TTL
             || self.refused_since.is_some_and(refusal_expired)
     }
 
-    /// Returns whether the case is broadcast: a refused request always, any
-    /// other request for a time after a change.
+    /// Returns whether the quarantine case is broadcast: the case of a refused
+    /// request always, any other case for a time after a change.
     pub(super) fn is_broadcast(&self, now: Millis) -> bool {
         !self.is_expired(now)
             && (self.refused_since.is_some() || now < self.broadcast_until)
     }
 
-    /// Returns the remaining time of the suspension, if there is one.
-    pub(super) fn suspension(&self, now: Millis) -> Option<Millis> {
+    /// Returns the remaining time of the request's suspension, if the request
+    /// is suspended.
+    pub(super) fn remaining_suspension(&self, now: Millis) -> Option<Millis> {
         let left = self.suspended_until.map(|it| it.since(now));
         left.filter(|it| *it > Millis(0))
     }
 
-    /// Returns the case as the gossip message that entries exchange.
-    pub(super) fn suspect(&self, work: WorkDigest, now: Millis) -> Suspect {
+    /// Converts the quarantine case to the gossip message that entry processes
+    /// exchange.
+    pub(super) fn to_suspect(&self, work: WorkDigest, now: Millis) -> Suspect {
         Suspect {
             work_digest: work.0,
             crashes: self.crashes.iter().map(|it| it.0).collect(),
-            excused_crashes: self.excused.iter().map(|it| it.0).collect(),
-            survived: self.survived,
-            since_last_seen: now.since(self.last_seen),
+            excused_crashes: self
+                .excused_crashes
+                .iter()
+                .map(|it| it.0)
+                .collect(),
+            survived: self.survived_by_target,
+            since_last_seen: now.since(self.last_arrival),
             rejected_for: self.refused_since.map(|it| now.since(it)),
-            suspended_for: self.suspension(now),
+            suspended_for: self.remaining_suspension(now),
         }
     }
 }
--- a/cowsliproad-admission/src/quarantine/work.rs
+++ b/cowsliproad-admission/src/quarantine/work.rs
@@ -1,11 +1,12 @@
-//! Digests of requests and of target crashes that are equal at all entries.
+//! Digests of requests and ids of target crashes, which all entry processes
+//! compute alike.
 
 use std::fmt;
 
 /// The digest of a request's content, which doesn't depend on the request id
-/// and is the same at all entries. Among a million different requests, some
-/// 10^11 pairs, the probability that two have the same 64-bit digest is below
-/// 10^-7.
+/// and is the same at all entry processes. Among a million different requests,
+/// about 5 * 10^11 pairs, the probability that two requests have the same
+/// 64-bit digest is below 10^-7.
 #[derive(Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct WorkDigest(pub u64);
 
@@ -17,7 +18,8 @@
         WorkDigest(digest(parts))
     }
 
-    /// Computes the digest of a submission, alike at agents and entries.
+    /// Computes the digest of a submitted request, which is the same at agents
+    /// and at entry processes.
     pub fn of_submission(
         organisation: &str,
         request_type: &str,
@@ -27,26 +29,27 @@
         WorkDigest::new(&parts)
     }
 
-    /// Combines the digest with a service name, because the digests that
-    /// agents report don't include the service.
+    /// Combines the digest of a request with a service name, because the
+    /// digests that agents report don't include the service.
     pub fn for_service(self, service: &str) -> WorkDigest {
         WorkDigest(digest(&[service.as_bytes(), &self.0.to_be_bytes()]))
     }
 }
 
-/// Identifies one crash of a target, the same at all entries.
+/// Identifies one crash of a target; all entry processes compute the same id.
 #[derive(Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct CrashId(pub u64);
 
 impl CrashId {
-    /// Computes the id of the first crash of a target that started at `start`.
-    pub fn new(target: &str, start: u64) -> CrashId {
-        CrashId(digest(&[target.as_bytes(), &start.to_be_bytes()]))
+    /// Computes the id of the first crash of a target that started at
+    /// `target_start`.
+    pub fn new(target: &str, target_start: u64) -> CrashId {
+        CrashId(digest(&[target.as_bytes(), &target_start.to_be_bytes()]))
     }
 
     /// Computes the id of the next crash of the same target start, once the
     /// crash with this id was retracted.
-    pub(super) fn next(self) -> CrashId {
+    pub(super) fn next_crash_id(self) -> CrashId {
         CrashId(digest(&[&self.0.to_be_bytes()]))
     }
 }
--- a/cowsliproad-admission/src/queue.rs
+++ b/cowsliproad-admission/src/queue.rs
@@ -8,8 +8,8 @@
 //! slots to itself, and leaves the work of other organisations unaffected.
 //!
 //! To prevent starvation of background work, one turn in
-//! [`AGED_TURN_INTERVAL`] serves the work that has exceeded the aging delay
-//! of its class by the longest time, whatever its class. Aging by adding the
+//! [`AGED_TURN_INTERVAL`] serves the work that has exceeded the aging delay of
+//! its class by the longest time, whatever its class. Aging by adding the
 //! delay to the rank would make urgent work wait behind background work: under
 //! lasting overload, all queued background work exceeds its delay.
 //!
@@ -22,8 +22,8 @@
 
 use cowsliproad_kernel::{Name, clock::Millis, wire::Urgency};
 
-/// One turn in this many serves aged work, so that at least this fraction of
-/// the slots is open to aged work.
+/// One in this many items that the queue hands out is an aged item, if there
+/// is one, so that aged work gets at least that fraction of the slots.
 pub const AGED_TURN_INTERVAL: u64 = 16;
 
 /// A queued request with the properties that decide its place in the queue.
@@ -42,7 +42,7 @@
 }
 
 impl<T> QueueItem<T> {
-    /// Returns the key under which queued items are counted for fair sharing.
+    /// Returns the key by which queued items are counted for fair sharing.
     fn sharing_key(&self) -> (Name, Urgency) {
         (self.organisation.clone(), self.urgency)
     }
@@ -57,7 +57,7 @@
 }
 
 impl QueueConfig {
-    /// Returns the default limits of a queue.
+    /// Returns the default capacity and aging delays of a queue.
     pub fn new() -> QueueConfig {
         QueueConfig {
             capacity: 4096,
@@ -71,8 +71,8 @@
         QueueConfig { capacity, ..self }
     }
 
-    /// Returns how long work of a class is queued before aged turns may serve
-    /// the work.
+    /// Returns how long work of an urgency class is queued before aged turns
+    /// may serve the work.
     pub fn aging_delay(&self, urgency: Urgency) -> Millis {
         match urgency {
             Urgency::Urgent => Millis(0),
@@ -91,7 +91,7 @@
 /// The rate at which a target serves the queue.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceRate {
-    /// The number of items served concurrently.
+    /// The number of items that the target serves concurrently.
     pub slots: u32,
     /// The mean time for which an item holds a slot, in microseconds.
     pub service_us: u32,
@@ -106,51 +106,52 @@
 /// The result of pushing an item onto the queue.
 #[derive(Debug)]
 pub enum PushOutcome<T> {
-    /// The new item is queued.
+    /// The pushed item is queued.
     Queued,
-    /// The new item is queued, and this item was removed to make room; its
-    /// sender may retry after the given time.
+    /// The pushed item is queued. The item given here was removed to make
+    /// room, and its sender may retry after the given time.
     Displaced(QueueItem<T>, Millis),
-    /// The new item is refused; its sender may retry after the given time.
+    /// The pushed item is refused; its sender may retry after the given time.
     Refused(QueueItem<T>, Millis),
 }
 
-/// The position of an item: its class, its virtual arrival time and its
-/// arrival number.
-type Rank = (Urgency, Millis, u64);
+/// The position of an item in the queue: the item's urgency class, virtual
+/// arrival time and arrival number.
+type QueueRank = (Urgency, Millis, u64);
 
 /// A queue of requests that wait for a slot at one target.
 #[derive(Debug)]
 pub struct Queue<T> {
     config: QueueConfig,
-    /// The number of items that have arrived.
+    /// The number of items that have arrived at the queue.
     arrival_count: u64,
-    items: BTreeMap<Rank, QueueItem<T>>,
+    items: BTreeMap<QueueRank, QueueItem<T>>,
     /// The ranks of all items by deadline and arrival number.
-    deadlines: BTreeMap<(Millis, u64), Rank>,
-    /// The ranks of all items by the time at which aged turns may serve the
+    ranks_by_deadline: BTreeMap<(Millis, u64), QueueRank>,
+    /// The ranks of all items by the time from which aged turns may serve the
     /// item, and by arrival number.
-    aging: BTreeMap<(Millis, u64), Rank>,
-    /// The time at which aged turns may serve an item, by arrival number.
-    aged_from: HashMap<u64, Millis>,
-    /// The number of items that were served.
+    ranks_by_aging_time: BTreeMap<(Millis, u64), QueueRank>,
+    /// The time from which aged turns may serve an item, by the item's arrival
+    /// number.
+    aging_time_by_arrival_number: HashMap<u64, Millis>,
+    /// The number of items that the queue has handed out to be served.
     served_count: u64,
-    /// The number of queued items by organisation and class.
-    queued: HashMap<(Name, Urgency), u32>,
+    /// The number of queued items by organisation and urgency class.
+    queued_counts: HashMap<(Name, Urgency), u32>,
 }
 
 impl<T> Queue<T> {
-    /// Creates an empty queue.
+    /// Creates a queue without items.
     pub fn new(config: QueueConfig) -> Queue<T> {
         Queue {
             config,
             arrival_count: 0,
             items: BTreeMap::new(),
-            deadlines: BTreeMap::new(),
-            aging: BTreeMap::new(),
-            aged_from: HashMap::new(),
+            ranks_by_deadline: BTreeMap::new(),
+            ranks_by_aging_time: BTreeMap::new(),
+            aging_time_by_arrival_number: HashMap::new(),
             served_count: 0,
-            queued: HashMap::new(),
+            queued_counts: HashMap::new(),
         }
     }
 
@@ -200,7 +201,7 @@
     pub fn pop(&mut self, now: Millis) -> Option<QueueItem<T>> {
         let first = *self.items.first_key_value()?.0;
         self.served_count += 1;
-        let aged = self.aging.first_key_value();
+        let aged = self.ranks_by_aging_time.first_key_value();
         let aged = aged.filter(|(aged_from, _)| aged_from.0 <= now);
         let rank = match aged {
             Some((_, rank))
@@ -219,7 +220,8 @@
         service_rate: ServiceRate,
         now: Millis,
     ) -> Option<QueueItem<T>> {
-        let (&(deadline, _), &rank) = self.deadlines.first_key_value()?;
+        let (&(deadline, _), &rank) =
+            self.ranks_by_deadline.first_key_value()?;
         if now + service_rate.service_time() <= deadline {
             return None;
         }
@@ -249,7 +251,7 @@
         late.into_iter().filter_map(|rank| self.remove(rank)).collect()
     }
 
-    /// Removes the first item whose work matches.
+    /// Removes the first queued item whose work matches a predicate.
     pub fn remove_first(
         &mut self,
         mut matches: impl FnMut(&T) -> bool,
@@ -265,23 +267,23 @@
         item: &QueueItem<T>,
         service_rate: ServiceRate,
         now: Millis,
-    ) -> Rank {
+    ) -> QueueRank {
         self.arrival_count += 1;
         // Queued work of other classes adds no penalty: an organisation's
         // background work must not delay its own urgent work.
-        let queued = self.queued.get(&item.sharing_key()).copied();
+        let queued = self.queued_counts.get(&item.sharing_key()).copied();
         let ahead = u64::from(queued.unwrap_or(0));
         let penalty =
             service_rate.queue_wait(ahead).0 / u64::from(item.weight.max(1));
         (item.urgency, now + Millis(penalty), self.arrival_count)
     }
 
-    fn insert(&mut self, rank: Rank, item: QueueItem<T>, now: Millis) {
-        *self.queued.entry(item.sharing_key()).or_default() += 1;
-        self.deadlines.insert((item.deadline, rank.2), rank);
+    fn insert(&mut self, rank: QueueRank, item: QueueItem<T>, now: Millis) {
+        *self.queued_counts.entry(item.sharing_key()).or_default() += 1;
+        self.ranks_by_deadline.insert((item.deadline, rank.2), rank);
         let aged_from = now + self.config.aging_delay(item.urgency);
-        self.aging.insert((aged_from, rank.2), rank);
-        self.aged_from.insert(rank.2, aged_from);
+        self.ranks_by_aging_time.insert((aged_from, rank.2), rank);
+        self.aging_time_by_arrival_number.insert(rank.2, aged_from);
         self.items.insert(rank, item);
     }
 
@@ -290,23 +292,25 @@
         self.remove(rank)
     }
 
-    fn remove(&mut self, rank: Rank) -> Option<QueueItem<T>> {
+    fn remove(&mut self, rank: QueueRank) -> Option<QueueItem<T>> {
         let item = self.items.remove(&rank)?;
-        self.deadlines.remove(&(item.deadline, rank.2));
-        if let Some(aged_from) = self.aged_from.remove(&rank.2) {
-            self.aging.remove(&(aged_from, rank.2));
+        self.ranks_by_deadline.remove(&(item.deadline, rank.2));
+        if let Some(aged_from) =
+            self.aging_time_by_arrival_number.remove(&rank.2)
+        {
+            self.ranks_by_aging_time.remove(&(aged_from, rank.2));
         }
         let key = item.sharing_key();
-        let queued = self.queued.get_mut(&key)?;
+        let queued = self.queued_counts.get_mut(&key)?;
         *queued -= 1;
         if *queued == 0 {
-            self.queued.remove(&key);
+            self.queued_counts.remove(&key);
         }
         Some(item)
     }
 
-    /// Estimates the time until all items queued now have got a slot, as the
-    /// retry time for a refused sender.
+    /// Estimates the time until all items that are queued now have got a slot:
+    /// the time after which the sender of a refused item is asked to retry.
     pub fn retry_after(&self, service_rate: ServiceRate) -> Millis {
         service_rate
             .queue_wait(self.items.len() as u64)
@@ -315,21 +319,23 @@
     }
 }
 
-/// The shortest retry time that a refused sender gets.
+/// The shortest time after which the sender of a refused request is asked to
+/// retry.
 const MIN_RETRY_AFTER: Millis = Millis(50);
 
 impl ServiceRate {
-    /// Returns the time until `ahead` items have got a slot.
-    pub fn queue_wait(self, ahead: u64) -> Millis {
+    /// Returns the time until `items_ahead` items have got a slot.
+    pub fn queue_wait(self, items_ahead: u64) -> Millis {
         let slots = u64::from(self.slots.max(1));
-        let slot_wait_us = ahead * u64::from(self.service_us) / slots;
+        let slot_wait_us = items_ahead * u64::from(self.service_us) / slots;
         let limit_wait_us = u64::from(self.next_start_us)
-            + ahead * u64::from(self.start_interval_us);
+            + items_ahead * u64::from(self.start_interval_us);
         Millis(slot_wait_us.max(limit_wait_us) / 1000)
     }
 
-    /// Returns the service time that would make the queue as slow as it is if
-    /// the slots were its only limit, in microseconds.
+    /// Returns the service time, in microseconds, with which the slots alone
+    /// would make the queue as slow as the slots and the target's rate limit
+    /// together do.
     pub fn effective_service_us(self) -> u32 {
         self.service_us.max(self.start_interval_us.saturating_mul(self.slots))
     }
--- a/cowsliproad-admission/src/register.rs
+++ b/cowsliproad-admission/src/register.rs
@@ -22,7 +22,7 @@
 /// How long a ticket may be submitted after it was issued.
 pub const TICKET_TTL: Millis = Millis(10 * 60 * 1000);
 
-/// How long a record is kept after its ticket expires.
+/// How long the record of a ticket is kept after the ticket expires.
 pub const RECORD_RETENTION: Millis = Millis(60 * 60 * 1000);
 
 /// The recorded state of a ticket.
@@ -58,13 +58,13 @@
 /// The ticket records of one agent process.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct TicketRegister {
-    /// The maximum number of records.
+    /// The maximum number of ticket records.
     capacity: usize,
     #[serde(rename = "marks")]
     states: HashMap<id::Request, TicketState>,
     /// The expiry of each recorded ticket, earliest first.
     expiries: BTreeSet<(Millis, id::Request)>,
-    /// Whether no more work is accepted.
+    /// Whether the register is sealed: no more tickets are accepted.
     sealed: bool,
 }
 
@@ -102,7 +102,7 @@
         if self.states.len() >= self.capacity {
             return SubmitVerdict::Full;
         }
-        self.record(ticket, TicketState::Accepted);
+        self.record_state(ticket, TicketState::Accepted);
         SubmitVerdict::Run
     }
 
@@ -117,35 +117,35 @@
         }
     }
 
-    /// Changes accepted work to refused, for work that provably never reached
-    /// the target.
+    /// Changes an accepted ticket to a refused one; for tickets whose work
+    /// provably never reached the target.
     pub fn refuse_unsent(&mut self, request: id::Request) {
         if let Some(state) = self.states.get_mut(&request) {
             *state = TicketState::Refused;
         }
     }
 
-    /// Returns the number of records.
+    /// Returns the number of ticket records.
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// Returns whether the register has no records.
+    /// Returns whether the register has no ticket records.
     pub fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
 
-    /// Permanently stops accepting work.
+    /// Seals the register, which permanently stops accepting tickets.
     pub fn seal(&mut self) {
         self.sealed = true;
     }
 
-    fn record(&mut self, ticket: &Ticket, state: TicketState) {
+    fn record_state(&mut self, ticket: &Ticket, state: TicketState) {
         self.states.insert(ticket.request, state);
         self.expiries.insert((ticket.expiry, ticket.request));
     }
 
-    /// Removes the records whose retention time is over.
+    /// Removes the ticket records whose retention time is over.
     fn remove_expired(&mut self, now: Millis) {
         while let Some(&(expiry, request)) = self.expiries.first() {
             if expiry + RECORD_RETENTION > now {
--- a/cowsliproad-admission/src/ticket.rs
+++ b/cowsliproad-admission/src/ticket.rs
@@ -2,14 +2,14 @@
 //!
 //! A ticket binds a piece of non-repeatable work to one process start of one
 //! agent, the only process that can say reliably whether the work ran. Any
-//! entry issues tickets without contacting an agent, because a ticket is
-//! authenticated with a key that entries and agents share. The expiry is a
-//! time on the agent's own monotonic clock, which entries know from its
-//! heartbeats.
+//! entry process issues tickets without contacting an agent, because a ticket
+//! is authenticated with a key that entry processes and agents share. The
+//! expiry is a time on the agent's own monotonic clock, which entry processes
+//! know from its heartbeats.
 //!
-//! A resume token has the same format and identifies a request whose answer
-//! an agent keeps. [`Purpose`] distinguishes tickets from resume tokens and is
-//! covered by the authentication code.
+//! A resume token has the same format and identifies a request whose answer an
+//! agent keeps. [`Purpose`] distinguishes tickets from resume tokens and
+//! is covered by the authentication code.
 
 use std::fmt;
 
@@ -17,7 +17,7 @@
 use cowsliproad_kernel::{Name, clock::Millis, id, secret};
 use serde::{Deserialize, Serialize};
 
-/// The length of the key that entries and agents share, in bytes.
+/// The length of the key that entry processes and agents share, in bytes.
 pub const KEY_BYTES: usize = 32;
 
 /// The length of a token's authentication code, in bytes.
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Rate limits that targets name in their responses, tested through entries
-//! and agents.
+//! Rate limits that targets name in their responses, tested through entry
+//! processes and agents.
 //!
 //! A target under pressure that named a limit kept getting its usual share of
 //! requests: its agent sent it every request that had a slot, because nothing
@@ -27,42 +27,43 @@
 };
 
 const ORGANISATION: &str = "harju-hangars";
-/// A request type served by the plain target.
+/// The path of a request type whose target is a plain HTTP server.
 const PLAIN_PATH: &str = "/v1/access/gate-check";
-/// A request type served by the engine.
+/// The path of a request type whose target is an engine.
 const ENGINE_PATH: &str = "/v1/drafting/lease-draft";
 
-/// The length of the window in which requests are counted.
-const WINDOW: Duration = Duration::from_secs(4);
+/// The length of the time window in which arriving requests are counted.
+const COUNT_WINDOW: Duration = Duration::from_secs(4);
 
-/// The limit that targets name, in requests per second.
+/// The rate limit that targets name, in requests per second.
 const LIMIT_PER_SECOND: usize = 5;
 
-/// Requests that may arrive within a window beyond the limit: one at the end
-/// of the window, and one from a permit that is used late.
-const EXTRA_REQUESTS: usize = 2;
+/// Requests that may arrive at a target within a window beyond the limit: one
+/// request at the end of the window, and one from a permit that is used late.
+const MAX_EXTRA_REQUESTS: usize = 2;
 
-/// The answers to a load, by result.
+/// The answers to the requests that a test sent, by result.
 #[derive(Debug, Default)]
-struct Answers {
+struct LoadAnswers {
     succeeded: usize,
-    /// Answers that say the request did not run.
+    /// The number of answers that say the request did not run.
     refused: usize,
-    other: Vec<(StatusCode, Bytes)>,
-    /// The longest time until a refusal.
+    other_answers: Vec<(StatusCode, Bytes)>,
+    /// The longest time from sending a request until the request was refused.
     max_refusal_time: Duration,
 }
 
-async fn plant() -> Plant {
+async fn start_cluster() -> Plant {
     let config = Config { engines: 1, plains: 1, entries: 3, ..Config::new() };
-    let plant = Plant::start(config).await.expect("it starts");
-    plant.settle().await.expect("agents are linked");
-    plant
+    let cluster = Plant::start(config).await.expect("it starts");
+    cluster.settle().await.expect("agents are linked");
+    cluster
 }
 
-/// Returns the back end of each target and the path that it serves.
-fn backends(plant: &Plant) -> Vec<(Backend, &'static str)> {
-    let backends = plant.sites.iter().map(|it| it.backend.clone());
+/// Returns the back end of each target and a request path that the target
+/// serves.
+fn backends_with_paths(cluster: &Plant) -> Vec<(Backend, &'static str)> {
+    let backends = cluster.sites.iter().map(|it| it.backend.clone());
     backends
         .map(|it| match it {
             Backend::Plain(_) => (it, PLAIN_PATH),
@@ -71,31 +72,31 @@
         .collect()
 }
 
-fn limit(backend: &Backend) -> &Limit {
+fn backend_limit(backend: &Backend) -> &Limit {
     match backend {
         Backend::Plain(plain) => &plain.limit,
         Backend::Engine(engine) => &engine.limit,
     }
 }
 
-/// Sends requests through all entries in turn, one per `pause`, for a duration
-/// of `time`.
-async fn load(
-    plant: &Plant,
+/// Sends requests through all entry processes in turn, one per
+/// `request_interval`, for a time of `duration`.
+async fn send_load(
+    cluster: &Plant,
     path: &str,
-    pause: Duration,
-    time: Duration,
-) -> Answers {
+    request_interval: Duration,
+    duration: Duration,
+) -> LoadAnswers {
     let client = Arc::new(Client::new());
     let mut calls = JoinSet::new();
-    let mut ticks = interval(pause);
-    let end = Instant::now() + time;
+    let mut ticks = interval(request_interval);
+    let end = Instant::now() + duration;
     for turn in 0.. {
         ticks.tick().await;
         if Instant::now() >= end {
             break;
         }
-        let gateway = &plant.gateways[turn % plant.gateways.len()];
+        let gateway = &cluster.gateways[turn % cluster.gateways.len()];
         let entry = gateway.entry.as_ref().expect("the entry is up");
         let address = entry.handle.http;
         let body = match path {
@@ -117,31 +118,31 @@
             (answer.expect("an answer"), start.elapsed())
         });
     }
-    let mut heard = Answers::default();
+    let mut answers = LoadAnswers::default();
     while let Some(answer) = calls.join_next().await {
         let (answer, took) = answer.expect("no panic");
         let body = String::from_utf8_lossy(answer.body());
         if answer.status() == StatusCode::OK {
-            heard.succeeded += 1;
+            answers.succeeded += 1;
         } else if body.contains("NOT_RUN") {
-            heard.refused += 1;
-            heard.max_refusal_time = heard.max_refusal_time.max(took);
+            answers.refused += 1;
+            answers.max_refusal_time = answers.max_refusal_time.max(took);
         } else {
-            heard.other.push((answer.status(), answer.into_body()));
+            answers.other_answers.push((answer.status(), answer.into_body()));
         }
     }
-    heard
+    answers
 }
 
-/// Returns the maximum number of requests that arrived within one window, of
-/// those since `after`.
-fn max_in_window(limit: &Limit, after: Instant) -> usize {
+/// Returns the maximum number of requests that arrived at a target within one
+/// [`COUNT_WINDOW`], counting only requests that arrived since `since`.
+fn max_arrivals_in_window(limit: &Limit, since: Instant) -> usize {
     let mut arrivals = limit.times();
-    arrivals.retain(|it| *it >= after);
+    arrivals.retain(|it| *it >= since);
     let count_from = |from: &Instant| {
         arrivals
             .iter()
-            .filter(|it| (*from..*from + WINDOW).contains(it))
+            .filter(|it| (*from..*from + COUNT_WINDOW).contains(it))
             .count()
     };
     arrivals.iter().map(count_from).max().unwrap_or(0)
@@ -149,32 +150,38 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_agent_enforces_its_targets_limit() {
-    const TIME: Duration = Duration::from_secs(6);
-    let plant = plant().await;
-    for (backend, path) in backends(&plant) {
-        limit(&backend).set(Some("5"));
+    const LOAD_DURATION: Duration = Duration::from_secs(6);
+    let cluster = start_cluster().await;
+    for (backend, path) in backends_with_paths(&cluster) {
+        backend_limit(&backend).set(Some("5"));
         let start = Instant::now();
-        let pause = Duration::from_millis(100);
-        let heard = load(&plant, path, pause, TIME).await;
-        assert!(heard.other.is_empty(), "{path}: {:?}", heard.other);
-        // Requests that held a slot of the agent when the first response
-        // named the limit don't count.
+        let request_interval = Duration::from_millis(100);
+        let answers =
+            send_load(&cluster, path, request_interval, LOAD_DURATION).await;
+        assert!(
+            answers.other_answers.is_empty(),
+            "{path}: {:?}",
+            answers.other_answers
+        );
+        // Requests that held a slot of the agent when the target's first
+        // response named the limit don't count.
         let limit_known = start + Duration::from_millis(500);
-        let most = max_in_window(limit(&backend), limit_known);
-        let allowed =
-            LIMIT_PER_SECOND * WINDOW.as_secs() as usize + EXTRA_REQUESTS;
+        let most =
+            max_arrivals_in_window(backend_limit(&backend), limit_known);
+        let allowed = LIMIT_PER_SECOND * COUNT_WINDOW.as_secs() as usize
+            + MAX_EXTRA_REQUESTS;
         assert!(most <= allowed, "{path}: {most} in 4 s");
         let least = LIMIT_PER_SECOND * 5 * 8 / 10;
         assert!(
-            heard.succeeded >= least,
+            answers.succeeded >= least,
             "{path}: target left idle, {} succeeded",
-            heard.succeeded
+            answers.succeeded
         );
         // Requests to the engine may wait for longer than this test lasts.
         let may_wait = path == ENGINE_PATH;
-        assert!(may_wait || heard.refused > 0, "{path}: {heard:?}");
+        assert!(may_wait || answers.refused > 0, "{path}: {answers:?}");
         let most = Duration::from_millis(100);
-        assert!(heard.max_refusal_time < most, "{path}: {heard:?}");
+        assert!(answers.max_refusal_time < most, "{path}: {answers:?}");
     }
 }
 
@@ -189,45 +196,55 @@
         plain: plain::Config { slots: 2, service_us: 200_000 },
         ..Config::new()
     };
-    let plant = Plant::start(config).await.expect("it starts");
-    plant.settle().await.expect("agents are linked");
-    for (backend, _) in backends(&plant) {
-        limit(&backend).set(Some("1"));
+    let cluster = Plant::start(config).await.expect("it starts");
+    cluster.settle().await.expect("agents are linked");
+    for (backend, _) in backends_with_paths(&cluster) {
+        backend_limit(&backend).set(Some("1"));
     }
-    // Fast, so that all requests are queued before the first response names
-    // the limit.
-    let pause = Duration::from_millis(2);
+    // Requests are sent so fast that all requests are queued before the
+    // target's first response names the limit.
+    let request_interval = Duration::from_millis(2);
     let time = Duration::from_millis(120);
-    let heard = load(&plant, PLAIN_PATH, pause, time).await;
-    assert!(heard.other.is_empty(), "{:?}", heard.other);
-    assert!(heard.refused >= 30, "{heard:?}");
-    // The first response arrives after 0.2 s.
+    let answers =
+        send_load(&cluster, PLAIN_PATH, request_interval, time).await;
+    assert!(answers.other_answers.is_empty(), "{:?}", answers.other_answers);
+    assert!(answers.refused >= 30, "{answers:?}");
+    // The target's first response arrives after 0.2 s.
     let most = Duration::from_millis(500);
-    assert!(heard.max_refusal_time < most, "{heard:?}");
+    assert!(answers.max_refusal_time < most, "{answers:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_limit_ends_when_responses_stop_naming_it() {
-    let plant = plant().await;
-    for (backend, path) in backends(&plant) {
-        let pause = Duration::from_millis(50);
-        limit(&backend).set(Some("2"));
-        load(&plant, path, pause, Duration::from_secs(2)).await;
-        limit(&backend).set(None);
+    let cluster = start_cluster().await;
+    for (backend, path) in backends_with_paths(&cluster) {
+        let request_interval = Duration::from_millis(50);
+        backend_limit(&backend).set(Some("2"));
+        send_load(&cluster, path, request_interval, Duration::from_secs(2))
+            .await;
+        backend_limit(&backend).set(None);
         sleep(Duration::from_millis(600)).await;
-        load(&plant, path, pause, Duration::from_secs(1)).await;
-        let heard = load(&plant, path, pause, Duration::from_secs(2)).await;
+        send_load(&cluster, path, request_interval, Duration::from_secs(1))
+            .await;
+        let answers = send_load(
+            &cluster,
+            path,
+            request_interval,
+            Duration::from_secs(2),
+        )
+        .await;
         assert!(
-            heard.succeeded >= 38,
-            "{path}: the limit is still applied, {heard:?}"
+            answers.succeeded >= 38,
+            "{path}: the limit is still applied, {answers:?}"
         );
         for invalid in ["none", "-1", "NaN", "", "1e3"] {
-            limit(&backend).set(Some(invalid));
+            backend_limit(&backend).set(Some(invalid));
             let time = Duration::from_millis(500);
-            let heard = load(&plant, path, pause, time).await;
+            let answers =
+                send_load(&cluster, path, request_interval, time).await;
             assert!(
-                heard.succeeded >= 9,
-                "{path}: {invalid:?} limits requests, {heard:?}"
+                answers.succeeded >= 9,
+                "{path}: {invalid:?} limits requests, {answers:?}"
             );
         }
     }
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -1,12 +1,13 @@
-//! Crash-inducing requests, sent through entries and agents to targets that
-//! crash when they run the request.
+//! Crash-inducing requests, sent through entry processes and agents to targets
+//! that crash when they run the request.
 //!
 //! A crash-inducing request arrived again with new request ids and through
-//! other entries, and crashed one target after the other. A single request
-//! crashed four targets, because each attempt goes to another target.
+//! other entry processes, and crashed one target after the other. A single
+//! request crashed four targets, because each attempt goes to another target.
 //! Attempts are counted per request id, so nothing was remembered of earlier
 //! crashes, and all targets of a service crashed. These tests check that a
-//! request is refused after three crashes, and nothing else with it.
+//! request is refused after three crashes, and that no other request is
+//! refused with it.
 
 use std::{
     sync::Arc,
@@ -30,25 +31,25 @@
 
 const ORGANISATION: &str = "harju-hangars";
 const OTHER_ORGANISATION: &str = "wattleford";
-/// A request type whose requests need a ticket.
+/// The path of a request type whose requests need a ticket.
 const TICKETED_PATH: &str = "/v1/access/tow-call";
-/// A request type whose requests may be repeated.
+/// The path of a request type whose requests may be repeated.
 const REPEATABLE_PATH: &str = "/v1/access/gate-check";
-/// A request type that is answered as a stream.
+/// The path of a request type that is answered as a stream.
 const STREAM_PATH: &str = "/v1/drafting/lease-draft";
 /// The text in a request body that makes a target crash.
 const CRASH_MARKER: &str = "deadly";
 
-/// The time within which all entries must know of a crash.
+/// The time within which all entry processes must know of a target crash.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A deployment whose targets crash when they run a request with
 /// [`CRASH_MARKER`] in its body.
 struct Deployment {
-    plant: Plant,
+    cluster: Plant,
     targets: Vec<Arc<Mortal>>,
     client: Client,
-    /// The idempotency key sent with all requests, if any.
+    /// The idempotency key that is sent with all requests, if there is one.
     idempotency_key: Option<String>,
 }
 
@@ -76,20 +77,20 @@
             engine,
             ..Config::new()
         };
-        let mut plant = Plant::start(config).await.expect("it starts");
+        let mut cluster = Plant::start(config).await.expect("it starts");
         let mut targets = Vec::new();
-        for index in 0..plant.sites.len() {
-            plant.kill_agent(index).await;
-            let backend = plant.sites[index].target;
+        for index in 0..cluster.sites.len() {
+            cluster.kill_agent(index).await;
+            let backend = cluster.sites[index].target;
             let started = mortal::start(ANY, backend, mortal.clone()).await;
             let (mortal, address) = started.expect("a target");
-            plant.sites[index].target = address;
+            cluster.sites[index].target = address;
             targets.push(mortal);
-            plant.start_agent(index).await.expect("it starts");
+            cluster.start_agent(index).await.expect("it starts");
         }
-        plant.settle().await.expect("agents are linked");
+        cluster.settle().await.expect("agents are linked");
         Deployment {
-            plant,
+            cluster,
             targets,
             client: Client::new(),
             idempotency_key: None,
@@ -101,15 +102,15 @@
         self.targets.iter().map(|it| it.ends()).sum()
     }
 
-    async fn post(
+    async fn post_request(
         &self,
-        entry: usize,
+        entry_index: usize,
         organisation: &str,
         path: &str,
         ticket: Option<&str>,
         body: &str,
     ) -> Response<Bytes> {
-        let entry = self.plant.gateways[entry].entry.as_ref();
+        let entry = self.cluster.gateways[entry_index].entry.as_ref();
         let address = entry.expect("the entry is up").handle.http;
         let key = format!("Bearer {}", workload::key(organisation));
         let mut request = Request::post(format!("http://{address}{path}"))
@@ -127,94 +128,101 @@
         answer.expect("an answer")
     }
 
-    /// Sends a request, with a new ticket if its type requires one.
-    async fn send(
+    /// Sends a request; if its type requires a ticket, sends the request again
+    /// with a new ticket.
+    async fn send_with_ticket(
         &self,
-        entry: usize,
+        entry_index: usize,
         organisation: &str,
         path: &str,
         body: &str,
     ) -> Response<Bytes> {
-        let first = self.post(entry, organisation, path, None, body).await;
+        let first = self
+            .post_request(entry_index, organisation, path, None, body)
+            .await;
         if first.status() != StatusCode::PRECONDITION_REQUIRED {
             return first;
         }
         let ticket = first.headers()["request-ticket"].to_str();
         let ticket = Some(ticket.expect("it is text"));
-        self.post(entry, organisation, path, ticket, body).await
+        self.post_request(entry_index, organisation, path, ticket, body).await
     }
 
     /// Sends a crash-inducing request until three targets have crashed.
-    async fn crash_three(&self, path: &str, body: &str) {
+    async fn crash_three_targets(&self, path: &str, body: &str) {
         let mut sent = 0;
         while self.crash_count() < 3 {
             assert!(sent < 10, "the request crashes no target");
-            self.send(sent % 3, ORGANISATION, path, body).await;
+            self.send_with_ticket(sent % 3, ORGANISATION, path, body).await;
             sent += 1;
         }
     }
 
-    /// Asserts that every entry refuses a request and no target crashes.
+    /// Asserts that every entry process refuses a request and that no target
+    /// crashes.
     async fn assert_refused(&self, path: &str, body: &str) {
         let before = self.crash_count();
         for entry in [0, 1, 2, 0, 1, 2] {
-            let answer = self.send(entry, ORGANISATION, path, body).await;
+            let answer =
+                self.send_with_ticket(entry, ORGANISATION, path, body).await;
             assert_eq!(self.crash_count(), before);
-            let said: Value =
+            let answer_body: Value =
                 serde_json::from_slice(answer.body()).expect("JSON");
-            assert_eq!(said["title"], json!("Quarantined"));
-            assert_eq!(said["ran"], json!("NOT_RUN"));
-            assert!(said["retry_after_ms"].is_u64());
+            assert_eq!(answer_body["title"], json!("Quarantined"));
+            assert_eq!(answer_body["ran"], json!("NOT_RUN"));
+            assert!(answer_body["retry_after_ms"].is_u64());
         }
     }
 }
 
-fn crashing_call() -> String {
+fn crashing_body() -> String {
     json!({ "id": CRASH_MARKER }).to_string()
 }
 
-fn crashing_stream() -> String {
+fn crashing_stream_body() -> String {
     json!({ "messages": [CRASH_MARKER], "max_tokens": 20 }).to_string()
 }
 
-/// Asserts that a request is refused after three crashes.
-async fn check_quarantine(path: &str, body: &str) {
+/// Asserts that a request is refused after three targets crashed under it.
+async fn check_refused_after_three_crashes(path: &str, body: &str) {
     let deployment = Deployment::start().await;
-    deployment.crash_three(path, body).await;
+    deployment.crash_three_targets(path, body).await;
     sleep(PROPAGATION_TIMEOUT).await;
     deployment.assert_refused(path, body).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn agents_detect_a_crashing_call() {
-    check_quarantine(REPEATABLE_PATH, &crashing_call()).await;
+async fn agents_detect_a_crashing_request() {
+    check_refused_after_three_crashes(REPEATABLE_PATH, &crashing_body()).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn agents_detect_crashing_ticketed_work() {
-    check_quarantine(TICKETED_PATH, &crashing_call()).await;
+    check_refused_after_three_crashes(TICKETED_PATH, &crashing_body()).await;
 }
 
 /// Requests with the same idempotency key go to the same target while that
 /// target is up.
 #[tokio::test(flavor = "multi_thread")]
-async fn agents_detect_crashing_work_with_a_key() {
+async fn agents_detect_crashing_work_with_an_idempotency_key() {
     let mut deployment = Deployment::start().await;
     deployment.idempotency_key = Some("of-the-gate".into());
-    deployment.crash_three(REPEATABLE_PATH, &crashing_call()).await;
+    deployment.crash_three_targets(REPEATABLE_PATH, &crashing_body()).await;
     sleep(PROPAGATION_TIMEOUT).await;
-    deployment.assert_refused(REPEATABLE_PATH, &crashing_call()).await;
+    deployment.assert_refused(REPEATABLE_PATH, &crashing_body()).await;
     deployment.idempotency_key = Some("another".into());
-    deployment.assert_refused(REPEATABLE_PATH, &crashing_call()).await;
+    deployment.assert_refused(REPEATABLE_PATH, &crashing_body()).await;
     let other = json!({ "id": "other" }).to_string();
-    let served =
-        deployment.send(0, ORGANISATION, REPEATABLE_PATH, &other).await;
+    let served = deployment
+        .send_with_ticket(0, ORGANISATION, REPEATABLE_PATH, &other)
+        .await;
     assert_eq!(served.status(), StatusCode::OK);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn agents_detect_a_crashing_stream() {
-    check_quarantine(STREAM_PATH, &crashing_stream()).await;
+    check_refused_after_three_crashes(STREAM_PATH, &crashing_stream_body())
+        .await;
 }
 
 /// Guards against one request that crashes four targets, because each of its
@@ -224,15 +232,25 @@
     for _ in 0..3 {
         let deployment = Deployment::start().await;
         let answer = deployment
-            .send(0, ORGANISATION, REPEATABLE_PATH, &crashing_call())
+            .send_with_ticket(
+                0,
+                ORGANISATION,
+                REPEATABLE_PATH,
+                &crashing_body(),
+            )
             .await;
-        let said: Value = serde_json::from_slice(answer.body()).expect("JSON");
-        assert!(deployment.crash_count() <= 3, "{said}");
-        assert_eq!(said["ran"], json!("OUTCOME_UNKNOWN"), "{said}");
+        let answer_body: Value =
+            serde_json::from_slice(answer.body()).expect("JSON");
+        assert!(deployment.crash_count() <= 3, "{answer_body}");
+        assert_eq!(
+            answer_body["ran"],
+            json!("OUTCOME_UNKNOWN"),
+            "{answer_body}"
+        );
     }
 }
 
-/// Guards against a crash that is missed because the process closes its
+/// Guards against a crash that is missed because the target process closes its
 /// connections before its listener.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_crash_is_detected_if_the_listener_closes_last() {
@@ -240,9 +258,9 @@
     let mortal = mortal::Config::new(CRASH_MARKER).with_lag(listener_delay);
     let deployment =
         Deployment::start_with_targets(engine::Config::new(), mortal).await;
-    deployment.crash_three(TICKETED_PATH, &crashing_call()).await;
+    deployment.crash_three_targets(TICKETED_PATH, &crashing_body()).await;
     sleep(PROPAGATION_TIMEOUT).await;
-    deployment.assert_refused(TICKETED_PATH, &crashing_call()).await;
+    deployment.assert_refused(TICKETED_PATH, &crashing_body()).await;
 }
 
 /// Guards against a crash that is missed because the caller has disconnected,
@@ -256,11 +274,11 @@
         let deployment =
             Deployment::start_with_targets(engine::Config::new(), mortal)
                 .await;
-        let body = crashing_call();
+        let body = crashing_body();
         let mut sent = 0;
         while deployment.crash_count() < 3 {
             assert!(sent < 10, "the request crashes no target");
-            let call = deployment.send(
+            let call = deployment.send_with_ticket(
                 sent % 3,
                 ORGANISATION,
                 REPEATABLE_PATH,
@@ -285,30 +303,35 @@
     let mortal = mortal::Config::new(CRASH_MARKER).with_down(down);
     let deployment =
         Deployment::start_with_targets(engine::Config::new(), mortal).await;
-    deployment.send(0, ORGANISATION, TICKETED_PATH, &crashing_call()).await;
+    deployment
+        .send_with_ticket(0, ORGANISATION, TICKETED_PATH, &crashing_body())
+        .await;
     assert_eq!(deployment.crash_count(), 1);
     for number in 0..30 {
         let body = json!({ "id": format!("other-{number}") }).to_string();
-        let answer =
-            deployment.send(0, ORGANISATION, TICKETED_PATH, &body).await;
-        let said = String::from_utf8_lossy(answer.body()).into_owned();
-        assert_eq!(answer.status(), StatusCode::OK, "{number}: {said}");
+        let answer = deployment
+            .send_with_ticket(0, ORGANISATION, TICKETED_PATH, &body)
+            .await;
+        let answer_body = String::from_utf8_lossy(answer.body()).into_owned();
+        assert_eq!(answer.status(), StatusCode::OK, "{number}: {answer_body}");
     }
     sleep(down + PROPAGATION_TIMEOUT).await;
-    deployment.plant.settle().await.expect("it is back");
+    deployment.cluster.settle().await.expect("it is back");
 }
 
-/// While every target is down, the answer comes at once and says correctly
-/// whether the request ran and when to retry.
+/// While every target is down, an entry process answers a request at once, and
+/// says correctly whether the request ran and when to retry.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_target_is_reported_while_all_are_down() {
+async fn requests_fail_at_once_while_all_targets_are_down() {
     let down = Duration::from_secs(20);
     let mortal = mortal::Config::new(CRASH_MARKER).with_down(down);
     let deployment =
         Deployment::start_with_targets(engine::Config::new(), mortal).await;
     for number in 0..5 {
         let body = json!({ "id": CRASH_MARKER, "number": number }).to_string();
-        deployment.send(0, ORGANISATION, TICKETED_PATH, &body).await;
+        deployment
+            .send_with_ticket(0, ORGANISATION, TICKETED_PATH, &body)
+            .await;
     }
     assert_eq!(deployment.crash_count(), 5);
     let other = json!({ "id": "other" }).to_string();
@@ -316,13 +339,19 @@
         [(TICKETED_PATH, "NOT_FORWARDED"), (REPEATABLE_PATH, "NOT_RUN")]
     {
         let start = Instant::now();
-        let answer = deployment.send(0, ORGANISATION, path, &other).await;
+        let answer =
+            deployment.send_with_ticket(0, ORGANISATION, path, &other).await;
         assert!(start.elapsed() < Duration::from_secs(1));
-        let said: Value = serde_json::from_slice(answer.body()).expect("JSON");
-        assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE, "{said}");
-        assert_eq!(said["title"], json!("NoTarget"), "{said}");
-        assert_eq!(said["ran"], json!(ran), "{said}");
-        assert!(said["retry_after_ms"].is_u64(), "{said}");
+        let answer_body: Value =
+            serde_json::from_slice(answer.body()).expect("JSON");
+        assert_eq!(
+            answer.status(),
+            StatusCode::SERVICE_UNAVAILABLE,
+            "{answer_body}"
+        );
+        assert_eq!(answer_body["title"], json!("NoTarget"), "{answer_body}");
+        assert_eq!(answer_body["ran"], json!(ran), "{answer_body}");
+        assert!(answer_body["retry_after_ms"].is_u64(), "{answer_body}");
     }
 }
 
@@ -331,41 +360,43 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn similar_work_is_not_refused() {
     let deployment = Deployment::start().await;
-    deployment.crash_three(REPEATABLE_PATH, &crashing_call()).await;
+    deployment.crash_three_targets(REPEATABLE_PATH, &crashing_body()).await;
     sleep(PROPAGATION_TIMEOUT).await;
     let other = json!({ "id": "other" }).to_string();
-    let served =
-        deployment.send(0, ORGANISATION, REPEATABLE_PATH, &other).await;
+    let served = deployment
+        .send_with_ticket(0, ORGANISATION, REPEATABLE_PATH, &other)
+        .await;
     assert_eq!(served.status(), StatusCode::OK);
     let another = json!({ "id": "another", "note": CRASH_MARKER }).to_string();
     for (organisation, path, body) in [
-        (ORGANISATION, TICKETED_PATH, crashing_call()),
-        (OTHER_ORGANISATION, "/v1/access/label-print", crashing_call()),
+        (ORGANISATION, TICKETED_PATH, crashing_body()),
+        (OTHER_ORGANISATION, "/v1/access/label-print", crashing_body()),
         (ORGANISATION, REPEATABLE_PATH, another),
     ] {
         let before = deployment.crash_count();
-        let answer = deployment.send(0, organisation, path, &body).await;
-        let said = String::from_utf8_lossy(answer.body()).into_owned();
-        assert!(deployment.crash_count() > before, "{path}: {said}");
+        let answer =
+            deployment.send_with_ticket(0, organisation, path, &body).await;
+        let answer_body = String::from_utf8_lossy(answer.body()).into_owned();
+        assert!(deployment.crash_count() > before, "{path}: {answer_body}");
     }
 }
 
-/// Guards against crashes that are forgotten when all entries restart at once:
-/// the agents report the crashes again.
+/// Guards against crashes that are forgotten when all entry processes restart
+/// at once: the agents report the crashes again.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_entries_learn_of_crashes_from_agents() {
     let mut deployment = Deployment::start().await;
-    deployment.crash_three(REPEATABLE_PATH, &crashing_call()).await;
+    deployment.crash_three_targets(REPEATABLE_PATH, &crashing_body()).await;
     sleep(PROPAGATION_TIMEOUT).await;
     for index in 0..3 {
-        deployment.plant.kill_entry(index).await;
+        deployment.cluster.kill_entry(index).await;
     }
     for index in 0..3 {
-        deployment.plant.start_entry(index).await.expect("it starts");
+        deployment.cluster.start_entry(index).await.expect("it starts");
     }
-    deployment.plant.settle().await.expect("agents are linked");
+    deployment.cluster.settle().await.expect("agents are linked");
     sleep(PROPAGATION_TIMEOUT).await;
-    deployment.assert_refused(REPEATABLE_PATH, &crashing_call()).await;
+    deployment.assert_refused(REPEATABLE_PATH, &crashing_body()).await;
 }
 
 /// Guards against a stream that has begun and is reported as not run, because
@@ -376,40 +407,57 @@
     let deployment = Deployment::start_with_engines(slow).await;
     let body = json!({ "messages": ["a lease"], "max_tokens": 20 });
     let body = body.to_string();
-    let call = deployment.send(0, ORGANISATION, STREAM_PATH, &body);
+    let call =
+        deployment.send_with_ticket(0, ORGANISATION, STREAM_PATH, &body);
     let crash = async {
         sleep(Duration::from_millis(400)).await;
         deployment.targets.iter().for_each(|it| it.end());
     };
     let (answer, ()) = tokio::join!(call, crash);
-    let said: Value = serde_json::from_slice(answer.body()).expect("JSON");
-    assert_eq!(said["ran"], json!("OUTCOME_UNKNOWN"), "{said}");
+    let answer_body: Value =
+        serde_json::from_slice(answer.body()).expect("JSON");
+    assert_eq!(answer_body["ran"], json!("OUTCOME_UNKNOWN"), "{answer_body}");
 }
 
-/// Guards against work that crashed its target but is reported as not run
-/// when its ticket is sent again after the work was quarantined.
+/// Guards against work that crashed its target but is reported as not run when
+/// its ticket is sent again after the work was quarantined.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_ticket_that_ran_is_not_reported_as_not_run() {
     let deployment = Deployment::start().await;
     let first = deployment
-        .post(0, ORGANISATION, TICKETED_PATH, None, &crashing_call())
+        .post_request(0, ORGANISATION, TICKETED_PATH, None, &crashing_body())
         .await;
     let ticket = first.headers()["request-ticket"].to_str();
     let ticket = Some(ticket.expect("it is text"));
     deployment
-        .post(0, ORGANISATION, TICKETED_PATH, ticket, &crashing_call())
+        .post_request(0, ORGANISATION, TICKETED_PATH, ticket, &crashing_body())
         .await;
     assert_eq!(deployment.crash_count(), 1);
-    deployment.crash_three(TICKETED_PATH, &crashing_call()).await;
+    deployment.crash_three_targets(TICKETED_PATH, &crashing_body()).await;
     sleep(PROPAGATION_TIMEOUT).await;
     let before = deployment.crash_count();
     for entry in 0..3 {
         let answer = deployment
-            .post(entry, ORGANISATION, TICKETED_PATH, ticket, &crashing_call())
+            .post_request(
+                entry,
+                ORGANISATION,
+                TICKETED_PATH,
+                ticket,
+                &crashing_body(),
+            )
             .await;
-        let said: Value = serde_json::from_slice(answer.body()).expect("JSON");
-        assert_eq!(said["title"], json!("TargetFailed"), "{said}");
-        assert_eq!(said["ran"], json!("OUTCOME_UNKNOWN"), "{said}");
+        let answer_body: Value =
+            serde_json::from_slice(answer.body()).expect("JSON");
+        assert_eq!(
+            answer_body["title"],
+            json!("TargetFailed"),
+            "{answer_body}"
+        );
+        assert_eq!(
+            answer_body["ran"],
+            json!("OUTCOME_UNKNOWN"),
+            "{answer_body}"
+        );
     }
     assert_eq!(deployment.crash_count(), before);
 }
