--- a/cowsliproad-admission/src/budget.rs
+++ b/cowsliproad-admission/src/budget.rs
@@ -44,7 +44,7 @@
 
     /// Takes one retry from the budget; returns false if the budget is
     /// exhausted.
-    pub fn try_spend(&mut self) -> bool {
+    pub fn try_spend_retry(&mut self) -> bool {
         if self.balance_milliretries < MILLIRETRIES_PER_RETRY {
             return false;
         }
--- a/cowsliproad-admission/src/limit.rs
+++ b/cowsliproad-admission/src/limit.rs
@@ -81,7 +81,7 @@
 
     /// Returns the interval between two requests at this rate, in
     /// microseconds.
-    pub fn interval_us(self) -> u32 {
+    pub fn request_interval_us(self) -> u32 {
         (self.permit_interval_ms(1.0) * 1_000.0) as u32
     }
 
@@ -99,7 +99,7 @@
     pub rate: Option<Rate>,
     /// How long the reported limit, or the absence of a limit, has been in
     /// force.
-    pub age: Millis,
+    pub in_force_for: Millis,
 }
 
 /// The limit of one target, merged from the target's responses and from the
@@ -154,8 +154,9 @@
     /// `None` if the target never named a limit.
     pub fn report(&self, now: Millis) -> Option<LimitReport> {
         let TimedLimit { rate, in_force_since_ms } = self.latest?;
-        let age = Millis((now.0 as i64 - in_force_since_ms).max(0) as u64);
-        Some(LimitReport { rate, age })
+        let in_force_for =
+            Millis((now.0 as i64 - in_force_since_ms).max(0) as u64);
+        Some(LimitReport { rate, in_force_for })
     }
 
     /// Returns when the limit last changed to another value.
@@ -191,20 +192,21 @@
         now: Millis,
     ) -> LimitChange {
         let is_looser = is_looser(self.rate(), rate);
-        let age = if is_looser { now.since(sent_at) } else { Millis(0) };
-        self.merge_report(LimitReport { rate, age }, now)
+        let in_force_for =
+            if is_looser { now.since(sent_at) } else { Millis(0) };
+        self.merge_limit_report(LimitReport { rate, in_force_for }, now)
     }
 
     /// Merges the limit that another entry process reports; a report that is
     /// older than the latest limit is ignored.
-    pub fn merge_report(
+    pub fn merge_limit_report(
         &mut self,
         report: LimitReport,
         now: Millis,
     ) -> LimitChange {
-        let LimitReport { rate, age } = report;
+        let LimitReport { rate, in_force_for } = report;
         let in_force_since_ms =
-            now.0 as i64 - age.0.min(i64::MAX as u64 / 2) as i64;
+            now.0 as i64 - in_force_for.0.min(i64::MAX as u64 / 2) as i64;
         let Some(latest) = self.latest else {
             if rate.is_none() {
                 return LimitChange::None;
@@ -291,7 +293,7 @@
     /// Grants a permit if one becomes free within `max_wait`. `limit_share` is
     /// the fraction of the limit that this limiter may grant, above 0 and up
     /// to 1.
-    pub fn acquire(
+    pub fn acquire_permit(
         &mut self,
         rate: Rate,
         limit_share: f64,
--- a/cowsliproad-admission/src/patience.rs
+++ b/cowsliproad-admission/src/patience.rs
@@ -25,8 +25,13 @@
     /// Classifies a caller's attempt by the time left until the caller's
     /// deadline. A caller with much less time than the maximum has already
     /// made an attempt at another entry process.
-    pub fn new(time_left: Millis, max_time_to_deadline: Millis) -> CallerTry {
-        if max_time_to_deadline.since(time_left) > MAX_FIRST_ATTEMPT_TRANSIT {
+    pub fn new(
+        time_to_deadline: Millis,
+        max_time_to_deadline: Millis,
+    ) -> CallerTry {
+        if max_time_to_deadline.since(time_to_deadline)
+            > MAX_FIRST_ATTEMPT_TRANSIT
+        {
             CallerTry::Return
         } else {
             CallerTry::First
@@ -50,7 +55,7 @@
     /// while a backlog of streams is started.
     pub first_event_aim: Millis,
     /// The time left until the deadline of the stream's caller.
-    pub time_left: Millis,
+    pub time_to_deadline: Millis,
     /// Whether the stream request is a first attempt or a retry.
     pub caller_try: CallerTry,
 }
@@ -69,7 +74,7 @@
     /// from 0 to 1 that spreads the backoff.
     pub fn decide(&self, now: Millis, random: f64) -> Admission {
         let silence_left = (self.arrived + self.silence_timeout).since(now);
-        let third = Millis(self.time_left.0 / 3);
+        let third = Millis(self.time_to_deadline.0 / 3);
         let is_too_late = silence_left < self.first_event_aim
             && self.caller_try == CallerTry::First;
         if !is_too_late || third < MIN_BACKOFF {
@@ -86,7 +91,7 @@
 /// that the retries of many callers don't arrive all at once: up to a quarter
 /// of that time, or up to [`MIN_JITTER_RANGE`] if that is longer. `random` is
 /// a random number from 0 to 1.
-pub fn jittered_retry(retry_after: Millis, random: f64) -> Millis {
+pub fn add_retry_jitter(retry_after: Millis, random: f64) -> Millis {
     let max_jitter =
         Millis(retry_after.0 / RETRY_JITTER_DIVISOR).max(MIN_JITTER_RANGE);
     retry_after + Millis((max_jitter.0 as f64 * random) as u64)
--- a/cowsliproad-admission/src/quarantine.rs
+++ b/cowsliproad-admission/src/quarantine.rs
@@ -210,7 +210,7 @@
 
     /// Suspends a request that a rank of a group was running when it crashed,
     /// unless a target is known to have survived the request.
-    pub fn suspend(
+    pub fn suspend_request(
         &mut self,
         work: WorkDigest,
         now: Millis,
@@ -285,7 +285,7 @@
 
     /// Merges what another process, or the stored state of an earlier process,
     /// reports about a request.
-    pub fn merge(
+    pub fn merge_remote_suspect(
         &mut self,
         suspect: &Suspect,
         now: Millis,
@@ -440,7 +440,7 @@
     }
 
     /// Returns whether a target crash counts against any request.
-    pub fn counts_crash(&self, crash: CrashId) -> bool {
+    pub fn is_crash_counted(&self, crash: CrashId) -> bool {
         self.cases.values().any(|it| it.crashes.contains(&crash))
     }
 
@@ -464,13 +464,16 @@
 
     /// Returns the quarantine cases to broadcast: those of refused requests
     /// and those that changed recently.
-    pub fn updates(&self, now: Millis) -> Vec<Suspect> {
+    pub fn broadcast_suspects(&self, now: Millis) -> Vec<Suspect> {
         self.select_broadcast_suspects(now, |case, now| case.is_broadcast(now))
     }
 
     /// Returns the quarantine cases to broadcast and those of suspended
     /// requests, for entry processes that may have missed a suspension.
-    pub fn updates_and_suspensions(&self, now: Millis) -> Vec<Suspect> {
+    pub fn broadcast_and_suspended_suspects(
+        &self,
+        now: Millis,
+    ) -> Vec<Suspect> {
         self.select_broadcast_suspects(now, |case, now| {
             case.is_broadcast(now) || case.remaining_suspension(now).is_some()
         })
@@ -515,7 +518,7 @@
     }
 
     /// Returns the ids of the crashes whose retraction is still broadcast.
-    pub fn recent_retractions(&self, now: Millis) -> Vec<u64> {
+    pub fn recently_retracted_crash_ids(&self, now: Millis) -> Vec<u64> {
         let now = now + CLOCK_OFFSET;
         let is_recent = |at: Millis| now.since(at) < BROADCAST_TTL;
         let recent = self.retracted.iter().filter(|it| is_recent(*it.1));
--- a/cowsliproad-admission/src/queue.rs
+++ b/cowsliproad-admission/src/queue.rs
@@ -252,7 +252,7 @@
     }
 
     /// Removes the first queued item whose work matches a predicate.
-    pub fn remove_first(
+    pub fn remove_first_matching(
         &mut self,
         mut matches: impl FnMut(&T) -> bool,
     ) -> Option<QueueItem<T>> {
--- a/cowsliproad-admission/src/ticket.rs
+++ b/cowsliproad-admission/src/ticket.rs
@@ -8,7 +8,7 @@
 //! know from its heartbeats.
 //!
 //! A resume token has the same format and identifies a request whose answer an
-//! agent keeps. [`Purpose`] distinguishes tickets from resume tokens and
+//! agent keeps. [`TokenPurpose`] distinguishes tickets from resume tokens and
 //! is covered by the authentication code.
 
 use std::fmt;
@@ -28,7 +28,7 @@
 
 /// What a token authorises its holder to do.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Purpose {
+pub enum TokenPurpose {
     /// The token authorises running its work at most once.
     Ticket,
     /// The token authorises fetching the kept answer of a request.
@@ -40,7 +40,7 @@
 pub struct Ticket {
     /// Whether the token is a ticket or a resume token.
     #[serde(rename = "p")]
-    pub purpose: Purpose,
+    pub purpose: TokenPurpose,
     /// The organisation that may use the token.
     #[serde(rename = "o")]
     pub organisation: Name,
--- a/cowsliproad-admission/src/window.rs
+++ b/cowsliproad-admission/src/window.rs
@@ -71,7 +71,11 @@
     /// Counts a retry and returns true if this entry process's part of the
     /// retry budget allows a retry. `entry_count` is the number of entry
     /// processes that share the budget.
-    pub fn try_spend(&mut self, entry_count: usize, now: Millis) -> bool {
+    pub fn try_spend_retry(
+        &mut self,
+        entry_count: usize,
+        now: Millis,
+    ) -> bool {
         self.current_step_counts(now);
         let requests: u32 = self.step_counts.iter().map(|it| it.1).sum();
         let retries: u32 = self.step_counts.iter().map(|it| it.2).sum();
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -169,8 +169,9 @@
             Err(failure) => return failure,
         };
         let mut inner = self.lock();
-        let queued =
-            inner.queue.remove_first(|it| it.request == cancel.request);
+        let queued = inner
+            .queue
+            .remove_first_matching(|it| it.request == cancel.request);
         if queued.is_some() {
             let failure = Failure::new(Code::Cancelled, Execution::NotRun);
             inner.give_up(&work, failure);
@@ -200,7 +201,8 @@
             return;
         }
         let mut inner = self.lock();
-        let queued = inner.queue.remove_first(|it| it.request == work.request);
+        let queued =
+            inner.queue.remove_first_matching(|it| it.request == work.request);
         if let Some(item) = queued {
             let failure = Failure::new(Code::Cancelled, Execution::NotRun);
             inner.give_up(&item.work, failure);
@@ -374,7 +376,7 @@
         let (slots, service_us) =
             (self.settings.slots, inner.service_us as u32);
         let (rate, next) = self.pace.limit(Millis::now());
-        let start_interval_us = rate.map_or(0, Rate::interval_us);
+        let start_interval_us = rate.map_or(0, Rate::request_interval_us);
         let next_start_us = u32::try_from(next.0.saturating_mul(1_000));
         let next_start_us = next_start_us.unwrap_or(u32::MAX);
         ServiceRate { slots, service_us, start_interval_us, next_start_us }
--- a/cowsliproad-agent/src/gate/submit.rs
+++ b/cowsliproad-agent/src/gate/submit.rs
@@ -6,7 +6,7 @@
 use cowsliproad_admission::{
     queue::{PushOutcome, QueueItem},
     register::SubmitVerdict,
-    ticket::{self, Purpose, Ticket},
+    ticket::{self, Ticket, TokenPurpose},
 };
 use cowsliproad_kernel::{
     clock::Millis,
@@ -84,16 +84,16 @@
         };
         match verdict {
             SubmitVerdict::Run => self.enqueue(inner, submit, now),
-            SubmitVerdict::Seen => inner
+            SubmitVerdict::Duplicate => inner
                 .works
                 .get(&ticket.request)
                 .cloned()
                 .ok_or(Failure::new(Code::AnswerDropped, Execution::Ran)),
-            SubmitVerdict::Burned if recalled => Err(QUARANTINED),
-            SubmitVerdict::Burned if leaving => {
+            SubmitVerdict::Refused if recalled => Err(QUARANTINED),
+            SubmitVerdict::Refused if leaving => {
                 Err(Failure::new(Code::Leaving, Execution::NotRun))
             }
-            SubmitVerdict::Burned => {
+            SubmitVerdict::Refused => {
                 Err(Failure::new(Code::TicketBurned, Execution::NotRun))
             }
             SubmitVerdict::Expired => {
@@ -103,7 +103,7 @@
                 Code::TicketExpired,
                 Execution::OutcomeUnknown,
             )),
-            SubmitVerdict::Full => {
+            SubmitVerdict::RegisterFull => {
                 Err(Failure::new(Code::RegisterFull, Execution::NotForwarded)
                     .with_retry_after(Millis(1_000)))
             }
@@ -188,7 +188,7 @@
         let text = std::str::from_utf8(text).map_err(|_| forged)?;
         let ticket =
             ticket::verify(text, &self.ticket_key).map_err(|_| forged)?;
-        let fits = ticket.purpose == Purpose::Ticket
+        let fits = ticket.purpose == TokenPurpose::Ticket
             && ticket.organisation == submit.organisation
             && ticket.request_type == submit.request_type
             && ticket.request == submit.request;
--- a/cowsliproad-agent/src/pace.rs
+++ b/cowsliproad-agent/src/pace.rs
@@ -167,7 +167,12 @@
             inner.limiter = None;
             return Ok(());
         };
-        match inner.limiter(rate, now).acquire(rate, 1.0, Millis(0), now) {
+        match inner.limiter(rate, now).acquire_permit(
+            rate,
+            1.0,
+            Millis(0),
+            now,
+        ) {
             PermitDecision::Permit(_) => Ok(()),
             PermitDecision::Later(after) => Err(after),
         }
--- a/cowsliproad-bench/src/experiment/limits.rs
+++ b/cowsliproad-bench/src/experiment/limits.rs
@@ -300,7 +300,7 @@
 
     fn hear(&mut self, entry: usize, word: LimitReport) {
         let now = Millis(self.now);
-        self.entries[entry].limit.merge_report(word, now);
+        self.entries[entry].limit.merge_limit_report(word, now);
         self.news(entry);
     }
 
@@ -361,7 +361,7 @@
         let now = Millis(self.now);
         let new = limit::Limiter::new(rate, Millis(0), now);
         let pace = self.entries[entry].pace.get_or_insert(new);
-        pace.acquire(rate, share, Millis(0), now)
+        pace.acquire_permit(rate, share, Millis(0), now)
             == PermitDecision::Permit(Millis(0))
     }
 
@@ -417,17 +417,17 @@
         let heard = known.values().filter(|it| self.now - it.0 < silence);
         let share = (heard.count() + 1) as f64 / (known.len() + 1) as f64;
         let entry = &mut self.entries[entry];
-        let Some(LimitReport { rate: Some(rate), age }) =
+        let Some(LimitReport { rate: Some(rate), in_force_for }) =
             entry.limit.report(now)
         else {
             return PermitDecision::Permit(Millis(0));
         };
-        let new = limit::Limiter::new(rate, age, now);
+        let new = limit::Limiter::new(rate, in_force_for, now);
         let pace = entry.pace.get_or_insert(new);
         if substitute && pace.is_stale(share, now) {
             *pace = new;
         }
-        pace.acquire(rate, share, Millis(0), now)
+        pace.acquire_permit(rate, share, Millis(0), now)
     }
 
     fn score(&self) -> Score {
--- a/cowsliproad-bench/src/experiment/quarantine.rs
+++ b/cowsliproad-bench/src/experiment/quarantine.rs
@@ -384,7 +384,7 @@
 
     fn hear(&mut self, entry: usize, suspect: &Suspect) {
         let now = Millis(self.now);
-        let change = self.ledgers[entry].merge(suspect, now);
+        let change = self.ledgers[entry].merge_remote_suspect(suspect, now);
         if change != QuarantineChange::None {
             self.write(entry, WorkDigest(suspect.work_digest));
         }
@@ -428,7 +428,7 @@
         if self.policy < Policy::Told {
             return;
         }
-        let told = self.ledgers[entry].updates(Millis(self.now));
+        let told = self.ledgers[entry].broadcast_suspects(Millis(self.now));
         if told.is_empty() {
             return;
         }
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -16,7 +16,7 @@
     quarantine::{CrashId, CrashLedger, WorkDigest as Kind},
     queue::{Queue, QueueConfig, QueueItem, ServiceRate},
     register::TicketRegister,
-    ticket::{Purpose, Ticket},
+    ticket::{Ticket, TokenPurpose},
 };
 use cowsliproad_agent::work::Work;
 use cowsliproad_config::{
@@ -332,7 +332,7 @@
         let start = Instant::now();
         for request in 0..count {
             let ticket = Ticket {
-                purpose: Purpose::Ticket,
+                purpose: TokenPurpose::Ticket,
                 organisation: "a".into(),
                 service: "s".into(),
                 request_type: "t".into(),
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -199,12 +199,12 @@
             return Admission::Now;
         }
         let Call { arrived, caller_try, .. } = *self;
-        let time_left = self.left();
+        let time_to_deadline = self.left();
         let stream = PendingStream {
             arrived,
             silence_timeout,
             first_event_aim,
-            time_left,
+            time_to_deadline,
             caller_try,
         };
         stream.decide(now, entry.draw())
@@ -284,7 +284,7 @@
             "cost" => choice.cost as u64, "at_target" => endpoint.record.occupancy(now),
             "own" => endpoint.record.in_flight(), "report_age" => age,
             "limit" => choice.limit.map(|it| it.per_second()),
-            "limit_age" => report.map(|it| it.age.0),
+            "limit_age" => report.map(|it| it.in_force_for.0),
             "denied" => self.denied,
             "left" => self.left().0, "try" => self.tries + 1);
     }
--- a/cowsliproad-direct/src/call/failure.rs
+++ b/cowsliproad-direct/src/call/failure.rs
@@ -150,7 +150,7 @@
             Reason::Busy(after) => {
                 entry.measure.limited("refused");
                 let after = after.clamp(MIN_RETURN, MAX_RETURN);
-                let after = patience::jittered_retry(after, entry.draw());
+                let after = patience::add_retry_jitter(after, entry.draw());
                 ("not run: targets take no more\n", after)
             }
             Reason::Poison(after) => {
@@ -183,7 +183,7 @@
         if self.route.streams() {
             return longest;
         }
-        let after = patience::jittered_retry(FULL_BACKOFF, entry.draw());
+        let after = patience::add_retry_jitter(FULL_BACKOFF, entry.draw());
         longest.min(after)
     }
 }
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -460,7 +460,7 @@
     /// Spends a retry of a service, if there is one left.
     pub fn spend_retry(&self, service: &Name, now: Millis) -> bool {
         let entries = self.peers.borrow().entries();
-        self.budget(service, |it| it.try_spend(entries, now))
+        self.budget(service, |it| it.try_spend_retry(entries, now))
     }
 
     /// A random number from 0 to 1.
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -392,9 +392,10 @@
         if rate.is_none() != limit.requests_per_second.is_none() {
             return;
         }
-        let report = LimitReport { rate, age: limit.in_force_for };
+        let report = LimitReport { rate, in_force_for: limit.in_force_for };
         let endpoint = self.endpoint(&limit.target);
-        let change = endpoint.borrow_mut().limit.merge_report(report, now);
+        let change =
+            endpoint.borrow_mut().limit.merge_limit_report(report, now);
         self.limit_changed(&limit.target, change, Source::Peer);
     }
 
@@ -468,7 +469,7 @@
     /// What is known of a target's limit.
     fn current_limit(&self, target: &Target, now: Millis) -> RateLimit {
         let report = self.endpoint(&target.id).borrow().limit.report(now);
-        let never = LimitReport { rate: None, age: Millis(u64::MAX) };
+        let never = LimitReport { rate: None, in_force_for: Millis(u64::MAX) };
         limit_of(target, report.unwrap_or(never))
     }
 
@@ -481,11 +482,12 @@
         now: Millis,
     ) -> PermitDecision {
         let report = self.endpoint(&target.id).borrow().limit.report(now);
-        let Some(LimitReport { rate: Some(rate), age }) = report else {
+        let Some(LimitReport { rate: Some(rate), in_force_for }) = report
+        else {
             return PermitDecision::Permit(Millis(0));
         };
         let share = self.peers.borrow().reached(now);
-        let new = (target.start, limit::Limiter::new(rate, age, now));
+        let new = (target.start, limit::Limiter::new(rate, in_force_for, now));
         let mut limits = self.limits.borrow_mut();
         let kept = limits.limiters.entry(target.id.clone()).or_insert(new);
         let stands_in = owner == Owner::Substitute;
@@ -493,7 +495,7 @@
         if kept.0 != target.start || stale {
             *kept = new;
         }
-        kept.1.acquire(rate, share, patience, now)
+        kept.1.acquire_permit(rate, share, patience, now)
     }
 
     /// Takes in the answer to a question.
@@ -522,6 +524,6 @@
         target: target.id.clone(),
         target_start_unix_ms: target.start.0,
         requests_per_second: report.rate.map(Rate::per_second),
-        in_force_for: report.age,
+        in_force_for: report.in_force_for,
     }
 }
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -144,10 +144,13 @@
         now: Millis,
     ) -> (Suspects, Vec<u64>) {
         let suspects = match update {
-            Update::Changed => self.ledger.updates(now),
-            Update::All => self.ledger.updates_and_suspensions(now),
+            Update::Changed => self.ledger.broadcast_suspects(now),
+            Update::All => self.ledger.broadcast_and_suspended_suspects(now),
         };
-        (Suspects::pack(suspects), self.ledger.recent_retractions(now))
+        (
+            Suspects::pack(suspects),
+            self.ledger.recently_retracted_crash_ids(now),
+        )
     }
 
     fn note(&mut self, work: WorkDigest) {
@@ -174,7 +177,7 @@
         self.own.retain(|it| ledger.has_case(*it));
         self.written.retain(|it| ledger.has_case(*it));
         self.lost.retain(|it, _| ledger.has_case(*it));
-        self.ended.retain(|end, _| ledger.counts_crash(*end));
+        self.ended.retain(|end, _| ledger.is_crash_counted(*end));
     }
 
     /// Work that the log is to be told of now, or when there is some.
@@ -234,7 +237,7 @@
         quarantine.own.insert(work);
         let change = quarantine.ledger.record_crash(work, end, now);
         let suspended = match extent {
-            Extent::Group => quarantine.ledger.suspend(work, now),
+            Extent::Group => quarantine.ledger.suspend_request(work, now),
             Extent::Target => QuarantineChange::None,
         };
         drop(quarantine);
@@ -303,7 +306,7 @@
         if quarantine.ledger.is_retracted(end) {
             return;
         }
-        let held = quarantine.ledger.counts_crash(end);
+        let held = quarantine.ledger.is_crash_counted(end);
         let freed = quarantine.ledger.retract_crash(end, now);
         quarantine.ended.remove(&end);
         drop(quarantine);
@@ -341,7 +344,7 @@
         source: Source,
     ) -> QuarantineChange {
         let mut quarantine = self.quarantine.borrow_mut();
-        let change = quarantine.ledger.merge(suspect, now);
+        let change = quarantine.ledger.merge_remote_suspect(suspect, now);
         for end in suspect.crashes.iter().map(|it| CrashId(*it)) {
             if change != QuarantineChange::None
                 && !quarantine.ledger.is_retracted(end)
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -11,7 +11,7 @@
 use cowsliproad_admission::{
     patience,
     register::TICKET_TTL,
-    ticket::{self, Purpose, Ticket},
+    ticket::{self, Ticket, TokenPurpose},
 };
 use cowsliproad_config::object::RequestType;
 use cowsliproad_kernel::{
@@ -325,7 +325,7 @@
         };
         let (beat, at) = target.beat().ok_or_else(no_target)?;
         let ticket = Ticket {
-            purpose: Purpose::Ticket,
+            purpose: TokenPurpose::Ticket,
             organisation: checked.organisation.declared.name.clone(),
             service: checked.service.name.clone(),
             request_type: checked.request_type.name.clone(),
@@ -352,7 +352,7 @@
         let first = choose::first_to_return(&checked.service, &[], deadline);
         first.map_err(|wait| {
             let Some(wait) = wait else { return no_target() };
-            let after = patience::jittered_retry(wait, rand::random());
+            let after = patience::add_retry_jitter(wait, rand::random());
             let failure = Failure::new(Code::Overloaded, Execution::NotRun);
             Refused::new(failure.with_retry_after(after))
         })
@@ -422,7 +422,7 @@
             .to_string();
         let ticket = ticket::verify(&text, &self.shared.ticket_key)
             .map_err(|_| refused(Code::ForgedToken, ""))?;
-        let fits = ticket.purpose == Purpose::Ticket
+        let fits = ticket.purpose == TokenPurpose::Ticket
             && ticket.organisation == checked.organisation.declared.name
             && ticket.service == checked.service.name
             && ticket.request_type == checked.request_type.name;
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -20,7 +20,7 @@
 
 use cowsliproad_admission::{
     quarantine::{QuarantineVerdict, WorkDigest},
-    ticket::{self, Purpose, Ticket},
+    ticket::{self, Ticket, TokenPurpose},
 };
 use cowsliproad_config::object::{Repeat, RequestType};
 use cowsliproad_kernel::{
@@ -416,7 +416,7 @@
             .map(|(beat, at)| beat.sender_clock + Millis::now().since(at));
         let token = match &self.task {
             Task::Work(order) => Ticket {
-                purpose: Purpose::Resume,
+                purpose: TokenPurpose::Resume,
                 organisation: order.organisation.clone(),
                 service: order.service.name.clone(),
                 request_type: order.request_type.name.clone(),
--- a/cowsliproad-entry/src/forward/failure.rs
+++ b/cowsliproad-entry/src/forward/failure.rs
@@ -127,7 +127,7 @@
             return true;
         }
         let budget = &order.service.budget;
-        lock(budget).try_spend()
+        lock(budget).try_spend_retry()
     }
 
     /// What was given out belongs to an attempt that will not be finished.
@@ -140,7 +140,7 @@
 
     pub(super) fn fail(&mut self, mut failure: Failure) {
         if failure.code == Code::Overloaded {
-            let spread = |it| patience::jittered_retry(it, rand::random());
+            let spread = |it| patience::add_retry_jitter(it, rand::random());
             failure.retry_after = failure.retry_after.map(spread);
         }
         self.finished = true;
--- a/cowsliproad-entry/src/quarantine.rs
+++ b/cowsliproad-entry/src/quarantine.rs
@@ -39,7 +39,7 @@
         let work =
             WorkDigest(suspect.work_digest).for_service(&target.service);
         let suspect = Suspect { work_digest: work.0, ..suspect };
-        let change = ledger.merge(&suspect, now);
+        let change = ledger.merge_remote_suspect(&suspect, now);
         if matches!(
             change,
             QuarantineChange::Refused | QuarantineChange::Freed
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -135,7 +135,7 @@
                     let work = World::work(number);
                     self.ledger.record_crash(work, end, self.now);
                     if begun >> number & 1 == 0 {
-                        self.ledger.suspend(work, self.now);
+                        self.ledger.suspend_request(work, self.now);
                     }
                     self.crashed[number as usize].push(self.now);
                 }
--- a/tests/properties/direct.rs
+++ b/tests/properties/direct.rs
@@ -204,7 +204,7 @@
             if kind == 0 {
                 window.record_request(now);
                 requests.push(now);
-            } else if window.try_spend(4, now) {
+            } else if window.try_spend_retry(4, now) {
                 retries.push(now);
             }
         }
--- a/tests/properties/limits.rs
+++ b/tests/properties/limits.rs
@@ -76,14 +76,15 @@
 fn who_heard_of_a_limit_before_this_process_began_is_believed_by_age() {
     let mut known = CurrentLimit::default();
     let now = Millis(1_000);
-    let old = LimitReport { rate: Some(rate(1.0)), age: Millis(60_000) };
-    let over = LimitReport { rate: None, age: Millis(30_000) };
-    assert_eq!(known.merge_report(old, now), LimitChange::Tightened);
-    assert_eq!(known.merge_report(over, now), LimitChange::Loosened);
-    assert_eq!(known.merge_report(old, now), LimitChange::None);
+    let old =
+        LimitReport { rate: Some(rate(1.0)), in_force_for: Millis(60_000) };
+    let over = LimitReport { rate: None, in_force_for: Millis(30_000) };
+    assert_eq!(known.merge_limit_report(old, now), LimitChange::Tightened);
+    assert_eq!(known.merge_limit_report(over, now), LimitChange::Loosened);
+    assert_eq!(known.merge_limit_report(old, now), LimitChange::None);
     assert_eq!(known.rate(), None);
-    let never = LimitReport { rate: None, age: Millis(u64::MAX) };
-    assert_eq!(known.merge_report(never, now), LimitChange::None);
+    let never = LimitReport { rate: None, in_force_for: Millis(u64::MAX) };
+    assert_eq!(known.merge_limit_report(never, now), LimitChange::None);
 }
 
 #[test]
@@ -124,7 +125,7 @@
         let mut limiter = Limiter::new(rate, begun, begun);
         for step in 0..50 {
             let now = begun + Millis(step * 100);
-            let verdict = limiter.acquire(rate, 1.0, Millis(0), now);
+            let verdict = limiter.acquire_permit(rate, 1.0, Millis(0), now);
             permits += u32::from(verdict == PermitDecision::Permit(Millis(0)));
         }
         if permits > 0 {
@@ -153,8 +154,12 @@
         let mut permits = Vec::new();
         for (pause, patience) in questions {
             now += pause;
-            let verdict =
-                limiter.acquire(rate, share, Millis(patience), Millis(now));
+            let verdict = limiter.acquire_permit(
+                rate,
+                share,
+                Millis(patience),
+                Millis(now),
+            );
             match verdict {
                 PermitDecision::Permit(after) => {
                     prop_assert!(after <= Millis(patience));
--- a/tests/properties/patience.rs
+++ b/tests/properties/patience.rs
@@ -15,12 +15,12 @@
 
 fn asked(waited: u64, caller_try: CallerTry) -> (PendingStream, Millis) {
     let arrived = Millis(10_000);
-    let time_left = MOST.since(Millis(waited));
+    let time_to_deadline = MOST.since(Millis(waited));
     let asked = PendingStream {
         arrived,
         silence_timeout: SILENCE,
         first_event_aim: AIM,
-        time_left,
+        time_to_deadline,
         caller_try,
     };
     (asked, arrived + Millis(waited))
@@ -81,10 +81,10 @@
         let (asked, now) = asked(waited, CallerTry::First);
         match asked.decide(now, draw) {
             Admission::RetryAfter(after) => {
-                prop_assert!(after <= Millis(asked.time_left.0 / 3));
+                prop_assert!(after <= Millis(asked.time_to_deadline.0 / 3));
                 prop_assert!((100..=1_100).contains(&after.0));
             }
-            Admission::Now => prop_assert!(asked.time_left.0 / 3 < 100),
+            Admission::Now => prop_assert!(asked.time_to_deadline.0 / 3 < 100),
         }
     }
 }
--- a/tests/properties/quarantine.rs
+++ b/tests/properties/quarantine.rs
@@ -60,7 +60,10 @@
     let mut now = NOW;
     for (ends, time) in [(1, SUSPENSION_TTL.0), (2, 2 * SUSPENSION_TTL.0)] {
         ledger.record_crash(poison, end(ends), now);
-        assert_eq!(ledger.suspend(poison, now), QuarantineChange::Suspended);
+        assert_eq!(
+            ledger.suspend_request(poison, now),
+            QuarantineChange::Suspended
+        );
         let left = |it: &CrashLedger, now| it.verdict(poison, now);
         let time = Millis(time);
         assert_eq!(left(&ledger, now), QuarantineVerdict::Suspended(time));
@@ -79,15 +82,18 @@
 fn what_some_target_outlives_is_not_suspended() {
     let common = work("common");
     let mut ledger = after(1, common);
-    assert_eq!(ledger.suspend(common, NOW), QuarantineChange::Suspended);
+    assert_eq!(
+        ledger.suspend_request(common, NOW),
+        QuarantineChange::Suspended
+    );
     assert_eq!(ledger.record_survival(common, NOW), QuarantineChange::Freed);
     assert!(!is_refused(&ledger, common, NOW));
     ledger.record_crash(common, end(1), NOW);
-    assert_eq!(ledger.suspend(common, NOW), QuarantineChange::None);
+    assert_eq!(ledger.suspend_request(common, NOW), QuarantineChange::None);
     // An end that was none suspends nothing.
     let rare = work("rare");
     ledger.record_crash(rare, end(2), NOW);
-    ledger.suspend(rare, NOW);
+    ledger.suspend_request(rare, NOW);
     assert_eq!(ledger.retract_crash(end(2), NOW), [rare]);
     assert!(!is_refused(&ledger, rare, NOW));
 }
@@ -99,18 +105,19 @@
     let poison = work("poison");
     let mut ledgers =
         [after(1, poison), CrashLedger::new(), CrashLedger::new()];
-    ledgers[0].suspend(poison, NOW);
-    let first = ledgers[0].updates_and_suspensions(NOW);
+    ledgers[0].suspend_request(poison, NOW);
+    let first = ledgers[0].broadcast_and_suspended_suspects(NOW);
     let over = NOW + SUSPENSION_TTL;
     let mut now = NOW;
     while now < over {
         for from in 0..ledgers.len() {
-            let told =
-                Suspects::pack(ledgers[from].updates_and_suspensions(now));
+            let told = Suspects::pack(
+                ledgers[from].broadcast_and_suspended_suspects(now),
+            );
             now = now + Millis(20);
             for ledger in &mut ledgers {
                 told.unpack().chain(first.clone()).for_each(|it| {
-                    ledger.merge(&it, now);
+                    ledger.merge_remote_suspect(&it, now);
                 });
             }
         }
@@ -121,7 +128,7 @@
     let late = over + Millis(100);
     for ledger in &mut ledgers {
         first.iter().for_each(|it| {
-            ledger.merge(it, late);
+            ledger.merge_remote_suspect(it, late);
         });
         assert!(!is_refused(ledger, poison, late));
     }
@@ -130,9 +137,9 @@
         ledgers[1].record_crash(poison, end(7), late),
         QuarantineChange::Suspected
     );
-    ledgers[1].suspend(poison, late);
-    for told in ledgers[1].updates(late) {
-        ledgers[2].merge(&told, late);
+    ledgers[1].suspend_request(poison, late);
+    for told in ledgers[1].broadcast_suspects(late) {
+        ledgers[2].merge_remote_suspect(&told, late);
     }
     assert!(is_refused(&ledgers[2], poison, late + SUSPENSION_TTL));
 }
@@ -204,15 +211,15 @@
 fn an_excuse_goes_before_what_is_told_late() {
     let common = work("common");
     let mut ledger = after(2, common);
-    let late = ledger.updates(NOW);
+    let late = ledger.broadcast_suspects(NOW);
     ledger.record_survival(common, NOW);
     let later = NOW + Millis(10_000);
-    assert!(ledger.updates(later).is_empty());
-    ledger.merge(&late[0], later);
+    assert!(ledger.broadcast_suspects(later).is_empty());
+    ledger.merge_remote_suspect(&late[0], later);
     assert_eq!(ledger.crash_count(common), 0);
-    let corrected = ledger.updates(later);
+    let corrected = ledger.broadcast_suspects(later);
     let mut other = after(2, common);
-    other.merge(&corrected[0], later);
+    other.merge_remote_suspect(&corrected[0], later);
     assert_eq!(other.crash_count(common), 0);
 }
 
@@ -223,13 +230,13 @@
     let mut other = CrashLedger::new();
     other.record_survival(common, NOW);
     // It hears that three ended, and knows better.
-    for told in ledger.updates(NOW) {
-        other.merge(&told, NOW);
+    for told in ledger.broadcast_suspects(NOW) {
+        other.merge_remote_suspect(&told, NOW);
     }
     assert!(!is_refused(&other, common, NOW));
-    let told = other.updates(NOW);
+    let told = other.broadcast_suspects(NOW);
     let changes: Vec<QuarantineChange> =
-        told.iter().map(|it| ledger.merge(it, NOW)).collect();
+        told.iter().map(|it| ledger.merge_remote_suspect(it, NOW)).collect();
     assert_eq!(changes, [QuarantineChange::Freed]);
 }
 
@@ -239,13 +246,13 @@
     let innocent = work("innocent");
     let mut ledger = after(3, innocent);
     let mut other = CrashLedger::new();
-    for told in ledger.updates(NOW) {
-        other.merge(&told, NOW);
+    for told in ledger.broadcast_suspects(NOW) {
+        other.merge_remote_suspect(&told, NOW);
     }
     assert!(is_refused(&other, innocent, NOW));
     assert_eq!(ledger.retract_crash(end(1), NOW), [innocent]);
     assert!(!is_refused(&ledger, innocent, NOW));
-    for lives in ledger.recent_retractions(NOW) {
+    for lives in ledger.recently_retracted_crash_ids(NOW) {
         other.retract_crash(CrashId(lives), NOW);
     }
     assert!(!is_refused(&other, innocent, NOW));
@@ -259,9 +266,12 @@
         rejected_for: None,
         suspended_for: None,
     };
-    other.merge(&late, NOW + Millis(8_000));
+    other.merge_remote_suspect(&late, NOW + Millis(8_000));
     assert!(!is_refused(&other, innocent, NOW + Millis(8_000)));
-    assert_eq!(other.recent_retractions(NOW + Millis(8_000)), [end(1).0]);
+    assert_eq!(
+        other.recently_retracted_crash_ids(NOW + Millis(8_000)),
+        [end(1).0]
+    );
 }
 
 /// A zone is cut off and its targets are taken for ended, and later they end
@@ -322,10 +332,10 @@
     let mut now = NOW;
     while now < NOW + SUSPECT_TTL + Millis(2_000) {
         for (from, to) in [(0, 1), (1, 0)] {
-            for told in ledgers[from].updates(now) {
-                ledgers[to].merge(&told, now + Millis(5));
+            for told in ledgers[from].broadcast_suspects(now) {
+                ledgers[to].merge_remote_suspect(&told, now + Millis(5));
             }
-            for lives in ledgers[from].recent_retractions(now) {
+            for lives in ledgers[from].recently_retracted_crash_ids(now) {
                 ledgers[to].retract_crash(CrashId(lives), now + Millis(5));
             }
         }
@@ -333,8 +343,8 @@
     }
     for ledger in &ledgers {
         assert!(!is_refused(ledger, deadly, now));
-        assert!(ledger.updates(now).is_empty());
-        assert!(ledger.recent_retractions(now).is_empty());
+        assert!(ledger.broadcast_suspects(now).is_empty());
+        assert!(ledger.recently_retracted_crash_ids(now).is_empty());
     }
 }
 
@@ -345,14 +355,14 @@
     let mut old = after(3, deadly);
     let idle = SUSPECT_TTL - Millis(2_000);
     let mut young = CrashLedger::new();
-    for told in old.updates(NOW + idle) {
+    for told in old.broadcast_suspects(NOW + idle) {
         // Its clock began a second ago.
-        young.merge(&told, Millis(1_000));
+        young.merge_remote_suspect(&told, Millis(1_000));
     }
     assert!(is_refused(&young, deadly, Millis(2_900)));
     assert!(!is_refused(&young, deadly, Millis(3_000)));
-    for told in young.updates(Millis(2_900)) {
-        old.merge(&told, NOW + idle + Millis(1_900));
+    for told in young.broadcast_suspects(Millis(2_900)) {
+        old.merge_remote_suspect(&told, NOW + idle + Millis(1_900));
     }
     assert!(!is_refused(&old, deadly, NOW + SUSPECT_TTL));
 }
@@ -367,7 +377,7 @@
         ledger.record_survival(work, NOW);
         ledger.record_crash(work, end(number / 50), NOW);
     }
-    let told = ledger.updates(NOW);
+    let told = ledger.broadcast_suspects(NOW);
     assert!(told.len() <= 512, "{}", told.len());
     let bytes = gossip::encode(&Suspects::pack(told.clone())).len();
     assert!(bytes < gossip::MAX_DATAGRAM_BYTES / 3, "{bytes}");
@@ -383,7 +393,7 @@
     for (piece, target) in [("a", 1), ("b", 1), ("c", 2), ("proven", 2)] {
         ledger.record_crash(work(piece), end(target), NOW);
     }
-    let mut told = ledger.updates(NOW);
+    let mut told = ledger.broadcast_suspects(NOW);
     let packed = gossip::encode(&Suspects::pack(told.clone()));
     let packed: Suspects = gossip::decode(&packed).expect("suspects");
     let mut unpacked: Vec<Suspect> = packed.unpack().collect();
@@ -424,11 +434,11 @@
 }
 
 fn tell(from: &CrashLedger, to: &mut CrashLedger, now: Millis) {
-    for lives in from.recent_retractions(now) {
+    for lives in from.recently_retracted_crash_ids(now) {
         to.retract_crash(CrashId(lives), now);
     }
-    for told in from.updates(now) {
-        to.merge(&told, now);
+    for told in from.broadcast_suspects(now) {
+        to.merge_remote_suspect(&told, now);
     }
 }
 
--- a/tests/properties/queue.rs
+++ b/tests/properties/queue.rs
@@ -193,7 +193,7 @@
             if success {
                 budget.record_success();
                 successes += 1;
-            } else if budget.try_spend() {
+            } else if budget.try_spend_retry() {
                 retries += 1;
             }
         }
--- a/tests/properties/register.rs
+++ b/tests/properties/register.rs
@@ -5,7 +5,7 @@
 use cowsliproad::{
     admission::{
         register::{SubmitVerdict, TicketRegister},
-        ticket::{self, Purpose, Ticket},
+        ticket::{self, Ticket, TokenPurpose},
     },
     kernel::{clock::Millis, id},
 };
@@ -32,7 +32,7 @@
 
 fn ticket(request: u64) -> Ticket {
     Ticket {
-        purpose: Purpose::Ticket,
+        purpose: TokenPurpose::Ticket,
         organisation: "a".into(),
         service: "s".into(),
         request_type: "t".into(),
@@ -54,12 +54,12 @@
     fn note(&mut self, request: u64, verdict: SubmitVerdict) {
         match verdict {
             SubmitVerdict::Run => *self.ran.entry(request).or_default() += 1,
-            SubmitVerdict::Burned | SubmitVerdict::Expired => {
+            SubmitVerdict::Refused | SubmitVerdict::Expired => {
                 self.not_run.insert(request);
             }
-            SubmitVerdict::Seen
+            SubmitVerdict::Duplicate
             | SubmitVerdict::TooOld
-            | SubmitVerdict::Full => {}
+            | SubmitVerdict::RegisterFull => {}
         }
     }
 
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -8,7 +8,7 @@
     admission::{
         queue::{PushOutcome, Queue, QueueConfig, QueueItem, ServiceRate},
         register::TicketRegister,
-        ticket::{Purpose, Ticket},
+        ticket::{Ticket, TokenPurpose},
     },
     config::{
         Object, State,
@@ -58,7 +58,7 @@
     /// `ticket NAME`: an entry makes a ticket for this agent.
     fn ticket(&mut self, name: &str) -> String {
         let ticket = Ticket {
-            purpose: Purpose::Ticket,
+            purpose: TokenPurpose::Ticket,
             organisation: "harju".into(),
             service: "access".into(),
             request_type: "tow-call".into(),
