--- a/cowsliproad-bench/src/experiment/placement.rs
+++ b/cowsliproad-bench/src/experiment/placement.rs
@@ -12,10 +12,10 @@
 use cowsliproad_kernel::plugin::inventory;
 use cowsliproad_placement::{
     bound,
-    load::{Counts, Loads},
+    load::{SmoothedLoads, TokenCounts},
     map::{Map, Shape, ideal_time},
     pack,
-    plan::{self, Config},
+    plan::{self, PlanConfig},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
@@ -32,9 +32,9 @@
 
 /// The sizes that are tried, the last of which is reported by name.
 const SHAPES: [Shape; 3] = [
-    Shape { ranks: 16, experts: 64, layers: 61, slots: 5 },
-    Shape { ranks: 64, experts: 256, layers: 61, slots: 5 },
-    Shape { ranks: 256, experts: 256, layers: 61, slots: 2 },
+    Shape { ranks: 16, experts: 64, layers: 61, slots_per_rank: 5 },
+    Shape { ranks: 64, experts: 256, layers: 61, slots_per_rank: 5 },
+    Shape { ranks: 256, experts: 256, layers: 61, slots_per_rank: 2 },
 ];
 
 /// Intervals of ten seconds in a run.
@@ -146,7 +146,7 @@
     }
 
     /// Tokens of each expert in an interval.
-    fn loads(&self) -> Counts {
+    fn loads(&self) -> TokenCounts {
         let turn = self.interval as f64 / 90.0 * std::f64::consts::TAU;
         let swing = match self.weather {
             Weather::Drift => 0.25,
@@ -170,7 +170,7 @@
     }
 
     /// The same with the noise of counting.
-    fn measured(&mut self, loads: &Counts) -> Counts {
+    fn measured(&mut self, loads: &TokenCounts) -> TokenCounts {
         let mut measured = loads.clone();
         for count in measured.iter_mut().flatten() {
             let noise = count.sqrt() * normal(&mut self.random);
@@ -235,7 +235,7 @@
     let mut world = World::new(shape, seed, weather);
     let truth = world.loads();
     let mut map = first_map(shape, &truth, &world.speeds);
-    let mut loads = Loads::new();
+    let mut loads = SmoothedLoads::new();
     let mut speeds = vec![1.0; shape.ranks];
     let mut score = Score::default();
     for interval in 0..INTERVALS {
@@ -243,10 +243,10 @@
         let truth = world.loads();
         let ideal = ideal_time(&truth, &world.speeds);
         score.skews.push(map.step_time(&truth, &world.speeds) / ideal);
-        let least = bound::step_time(shape, &truth, &world.speeds);
+        let least = bound::min_step_time(shape, &truth, &world.speeds);
         score.bounds.push(least / ideal);
         let counts = world.measured(&truth);
-        loads.add(&counts);
+        loads.record_interval(&counts);
         for (old, new) in speeds.iter_mut().zip(world.measured_speeds()) {
             *old += (new - *old) * 0.3;
         }
@@ -254,7 +254,7 @@
         let next = decide(shape, policy, interval, &map, &loads, &speeds);
         score.plan_ms.push(start.elapsed().as_secs_f64() * 1e3);
         if let Some(next) = next {
-            score.moves += map.moves_to(&next);
+            score.moves += map.move_count_to(&next);
             score.lost += step_time_lost(&map, &next);
             map = next;
         }
@@ -264,13 +264,14 @@
 
 /// Where every policy starts: packed, then improved until no move pays even
 /// without a price, so that what follows is due to change and noise alone.
-fn first_map(shape: Shape, truth: &Counts, speeds: &[f64]) -> Map {
+fn first_map(shape: Shape, truth: &TokenCounts, speeds: &[f64]) -> Map {
     let mut map = pack::pack(shape, truth, speeds);
-    let mut loads = Loads::new();
+    let mut loads = SmoothedLoads::new();
     for _ in 0..READY {
-        loads.add(truth);
+        loads.record_interval(truth);
     }
-    let config = Config::new().with_move_weight(0.0).with_threshold(0.0);
+    let config =
+        PlanConfig::new().with_move_weight(0.0).with_min_layer_saving(0.0);
     for _ in 0..POLISH {
         match plan::plan(shape, config, &map, &loads, speeds) {
             Some(better) => map = better.map,
@@ -285,25 +286,27 @@
     policy: Policy,
     interval: usize,
     map: &Map,
-    loads: &Loads,
+    loads: &SmoothedLoads,
     speeds: &[f64],
 ) -> Option<Map> {
-    if !loads.is_ready() {
+    if !loads.has_enough_intervals() {
         return None;
     }
     match policy {
         Policy::Static => None,
         Policy::Repack => interval
             .is_multiple_of(REPACK_EVERY)
-            .then(|| pack::pack(shape, &loads.mean(), speeds)),
+            .then(|| pack::pack(shape, &loads.mean_counts(), speeds)),
         Policy::Greedy => {
-            let config =
-                Config::new().with_move_weight(0.0).with_threshold(0.0);
+            let config = PlanConfig::new()
+                .with_move_weight(0.0)
+                .with_min_layer_saving(0.0);
             plan::plan(shape, config, map, loads, speeds).map(|it| it.map)
         }
         Policy::Planner(skew, moves) => {
-            let config =
-                Config::new().with_skew_weight(skew).with_move_weight(moves);
+            let config = PlanConfig::new()
+                .with_skew_weight(skew)
+                .with_move_weight(moves);
             plan::plan(shape, config, map, loads, speeds).map(|it| it.map)
         }
     }
@@ -312,12 +315,12 @@
 /// The share of an interval's step time that loading weights costs: the rank
 /// that loads most holds the others back.
 fn step_time_lost(old: &Map, new: &Map) -> f64 {
-    let ranks = old.layers[0].ranks();
+    let ranks = old.layers[0].rank_count();
     let mut loaded = vec![0usize; ranks];
     for (old, new) in old.layers.iter().zip(&new.layers) {
         for (rank, loaded) in loaded.iter_mut().enumerate() {
-            let held = new.held(rank as u16).iter();
-            *loaded += held.filter(|it| !old.has(rank as u16, **it)).count();
+            let held = new.experts_at(rank as u16).iter();
+            *loaded += held.filter(|it| !old.holds(rank as u16, **it)).count();
         }
     }
     let most = loaded.into_iter().max().unwrap_or(0) as f64;
--- a/cowsliproad-entry/src/control.rs
+++ b/cowsliproad-entry/src/control.rs
@@ -14,7 +14,7 @@
 use cowsliproad_config::{
     State,
     fold::{self, Change, Progress, Verdict},
-    object::{Key, Kind},
+    object::{ObjectKey, ObjectKind},
 };
 use cowsliproad_kernel::{
     Name,
@@ -116,12 +116,12 @@
     pub async fn run(mut self, mut events: mpsc::Receiver<Event>) {
         self.publish();
         while let Some(event) = events.recv().await {
-            let before = self.state.next();
+            let before = self.state.next_offset();
             self.take(event);
             while let Ok(event) = events.try_recv() {
                 self.take(event);
             }
-            if self.state.next() != before {
+            if self.state.next_offset() != before {
                 self.publish();
             }
         }
@@ -141,10 +141,10 @@
 
     fn records(&mut self, records: ConfigRecords) {
         for (offset, bytes) in (records.first_offset..).zip(records.records) {
-            if offset < self.state.next() {
+            if offset < self.state.next_offset() {
                 continue;
             }
-            match self.state.apply(offset, &bytes) {
+            match self.state.apply_record(offset, &bytes) {
                 Ok(outcome) => {
                     self.log_verdict(offset, outcome);
                     self.note_snapshot(&bytes);
@@ -160,19 +160,19 @@
     }
 
     fn snapshot(&mut self, snapshot: &ConfigSnapshot) {
-        if snapshot.next_offset <= self.state.next() {
+        if snapshot.next_offset <= self.state.next_offset() {
             return;
         }
         let Some(other) = fold::decode_state(&snapshot.state) else { return };
-        if self.state.advance(other) == Progress::Advanced {
+        if self.state.adopt_if_newer(other) == Progress::Advanced {
             self.recent.clear();
             info!(self.shared.log, "config_snapshot";
-                "next" => self.state.next());
+                "next" => self.state.next_offset());
         }
     }
 
     fn lacking(&self, next: u64) -> Option<Frame> {
-        let own = self.state.next();
+        let own = self.state.next_offset();
         if next >= own {
             return None;
         }
@@ -216,10 +216,10 @@
         let view = View::new(state, &old, |declared| {
             let target = known
                 .remove(&declared.name)
-                .filter(|it| it.address == declared.agent)
+                .filter(|it| it.address == declared.agent_address)
                 .filter(|it| it.service == declared.service)
                 .unwrap_or_else(|| self.open(declared));
-            let drain = Key::new(Kind::Drain, &declared.name);
+            let drain = ObjectKey::new(ObjectKind::Drain, &declared.name);
             let drained = self.state.get(&drain).is_some();
             target.drained.store(drained, Ordering::Relaxed);
             kept.insert(declared.name.clone(), target.clone());
@@ -248,9 +248,9 @@
         if bytes.len() < MIN_SNAPSHOT {
             return;
         }
-        let record = fold::decode(bytes).map(|record| record.change);
+        let record = fold::decode_record(bytes).map(|record| record.change);
         if let Some(Change::Snapshot(state)) = record {
-            self.shared.published.set_snapshot(state.next());
+            self.shared.published.set_snapshot(state.next_offset());
         }
     }
 
--- a/cowsliproad-entry/src/links.rs
+++ b/cowsliproad-entry/src/links.rs
@@ -142,7 +142,7 @@
         sender: &Sender,
         offset: u64,
     ) {
-        let own = shared.published.load().state.next();
+        let own = shared.published.load().state.next_offset();
         if offset > own {
             // A broken link is compared anew when it is back.
             let _ = sender.send(Frame::PullConfig(own)).await;
@@ -262,7 +262,7 @@
         cooldown: Millis(0),
         presence: Presence::Here,
         inherited_incarnations: Vec::new(),
-        next_config_offset: shared.published.load().state.next(),
+        next_config_offset: shared.published.load().state.next_offset(),
     }
 }
 
--- a/cowsliproad-rank/src/agent/words.rs
+++ b/cowsliproad-rank/src/agent/words.rs
@@ -6,7 +6,7 @@
     clock::Millis,
     gossip::{self, Datagram, EngineExit, EngineLoad},
 };
-use cowsliproad_mapswitch::order::{self, Aim, Standing};
+use cowsliproad_mapswitch::order::{self, Aim, GroupState};
 use slog::info;
 
 use super::{Agent, Ended, send};
@@ -40,7 +40,7 @@
             group_epoch: report.map_or(0, |it| it.epoch.0),
             forward_pass: report.map_or(0, |it| it.step),
             group_accepts_requests: report
-                .is_none_or(|it| it.standing == Standing::Open),
+                .is_none_or(|it| it.standing == GroupState::Open),
             list_id: self.list(),
             start_unix_ms: state.start_unix_ms,
             leaving: self.engine.is_leaving(),
--- a/cowsliproad-rank/src/engine.rs
+++ b/cowsliproad-rank/src/engine.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use cowsliproad_kernel::clock::Millis;
-use cowsliproad_mapswitch::order::{Epoch, Order, Verdict};
+use cowsliproad_mapswitch::order::{Epoch, Order, OrderResult};
 use cowsliproad_net::{
     client::Error,
     retry_after::{self, RetryAfter},
@@ -100,7 +100,7 @@
         order: &Order,
         epoch: Epoch,
         fence: u64,
-    ) -> io::Result<Verdict> {
+    ) -> io::Result<OrderResult> {
         let request = engine::order_request(order, epoch, fence);
         let (status, _) = self.call_within(ORDER_TIME, request).await?;
         Ok(engine::decode_verdict(status))
@@ -136,7 +136,7 @@
         let now = SystemTime::now;
         let stated = retry_after::read(answer.status(), headers, now);
         if let RetryAfter::Wait(wait) = stated {
-            self.cooldown.extend(wait, Millis::now());
+            self.cooldown.apply_retry_after(wait, Millis::now());
         }
         let leaving = headers.get(&header::LEAVING);
         self.leaving = leaving.is_some_and(header::is_flag_set);
@@ -146,7 +146,7 @@
     /// shows in the connection that is kept.
     async fn keep_cooldown(&mut self) -> io::Result<()> {
         let now = Millis::now();
-        if self.cooldown.end(now).is_none() {
+        if self.cooldown.cooldown_end(now).is_none() {
             return Ok(());
         }
         if self.connection.is_closed()
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -9,13 +9,14 @@
 
 use cowsliproad_kernel::{clock::Millis, gossip::Subscribe};
 use cowsliproad_mapswitch::order::{
-    Absent, Config, Coordinator, Directive, Event, Experts, Follows, Order,
-    Snapshot, Standing, Version, due_at_holder,
+    Coordinator, CoordinatorConfig, Directive, ExpertsByLayerAndRank,
+    GroupState, MissingRanks, ObeyedCoordinator, Order, RankSnapshot,
+    SwitchEvent, Version, due_hold_order,
 };
 use cowsliproad_placement::{
     bound,
-    demand::{Counts, Demand},
-    growth::Growth,
+    demand::{CumulativeCounts, DemandEstimator},
+    growth::CountGrowth,
     live,
     map::{Map, Shape, ideal_time},
 };
@@ -48,8 +49,8 @@
     predecessor: Option<(IpAddr, u64)>,
     ranks: BTreeMap<u16, (Status, Millis)>,
     /// What all ranks together counted since this one leads.
-    total: Counts,
-    demand: Demand,
+    total: CumulativeCounts,
+    demand: DemandEstimator,
     sampled: Millis,
     planned: Millis,
     plan: Option<Plan>,
@@ -79,14 +80,14 @@
     pub fn new(start: Start, price: f64, log: Logger) -> Lead {
         Lead {
             coordinator: Coordinator::new(
-                Config::new(),
+                CoordinatorConfig::new(),
                 start.fence,
                 start.rank,
             ),
             predecessor: start.predecessor,
             ranks: BTreeMap::new(),
-            total: Counts::new(),
-            demand: Demand::new(),
+            total: CumulativeCounts::new(),
+            demand: DemandEstimator::new(),
             sampled: Millis(0),
             planned: Millis(0),
             plan: None,
@@ -166,7 +167,7 @@
     /// Takes what a rank counted in.
     pub fn count(&mut self, choices: Choices, experts: usize) {
         let Choices { scale, units } = choices;
-        Growth { scale, units }.add_to(&mut self.total, experts);
+        CountGrowth { scale, units }.add_to_counts(&mut self.total, experts);
     }
 
     /// Goes on by what all ranks report now.
@@ -175,16 +176,17 @@
         let absent = self.absent(shape, now);
         let event = self.coordinator.advance(&snapshots, absent, now);
         self.note(event);
-        if absent != Absent::Nobody {
+        if absent != MissingRanks::None {
             return;
         }
         self.sample(now);
         self.drop_overtaken();
-        let is_open = |it: &Snapshot| it.report.standing == Standing::Open;
+        let is_open =
+            |it: &RankSnapshot| it.report.standing == GroupState::Open;
         let open = snapshots.iter().all(is_open);
         let due = now.since(self.planned) >= PLAN_TIME;
         if let Some(shape) = shape
-            && self.coordinator.is_resting()
+            && self.coordinator.is_idle()
             && self.directive().epoch == snapshots[0].report.epoch
             && open
             && due
@@ -196,42 +198,42 @@
     }
 
     /// What is known freshly of the ranks.
-    fn snapshots(&self, now: Millis) -> Vec<Snapshot> {
+    fn snapshots(&self, now: Millis) -> Vec<RankSnapshot> {
         let fresh = self.ranks.values().filter(|it| now.since(it.1) < FRESH);
         fresh.map(|it| self.snapshot(&it.0)).collect()
     }
 
     /// What a status says. An agent that has not heard of this coordinator
     /// may yet do what another told it.
-    fn snapshot(&self, status: &Status) -> Snapshot {
-        let follows = if status.fence >= self.fence() {
-            Follows::Us
+    fn snapshot(&self, status: &Status) -> RankSnapshot {
+        let obeys = if status.fence >= self.fence() {
+            ObeyedCoordinator::This
         } else {
-            Follows::Another
+            ObeyedCoordinator::Another
         };
         let (report, seal) = (status.report.clone(), status.seal);
-        Snapshot { report, arms: status.arms, seal, follows }
+        RankSnapshot { report, arms: status.arms, seal, obeys }
     }
 
     /// Who of the group is missing among them.
-    fn absent(&self, shape: Option<&Subscribe>, now: Millis) -> Absent {
+    fn absent(&self, shape: Option<&Subscribe>, now: Millis) -> MissingRanks {
         let fresh = |it: &&(Status, Millis)| now.since(it.1) < FRESH;
         let fresh: Vec<&Status> =
             self.ranks.values().filter(fresh).map(|it| &it.0).collect();
         let ranks = fresh.first().map_or(0, |it| it.report.ranks);
         if ranks > 0 && fresh.len() == usize::from(ranks) {
-            return Absent::Nobody;
+            return MissingRanks::None;
         }
         let Some((vm, fence)) = self.predecessor else {
-            return Absent::Others;
+            return MissingRanks::Others;
         };
         let known =
             shape.is_some_and(|it| it.targets.iter().any(|it| it.ip() == vm));
         let only = fresh.len() + 1 == usize::from(ranks);
         if only && known && !fresh.iter().any(|it| it.agent.ip() == vm) {
-            Absent::Predecessor(fence)
+            MissingRanks::Predecessor(fence)
         } else {
-            Absent::Others
+            MissingRanks::Others
         }
     }
 
@@ -239,29 +241,29 @@
     pub fn hold(&self) -> Option<(IpAddr, Order)> {
         let word = self.directive();
         self.ranks.values().find_map(|(status, _)| {
-            let order = due_at_holder(&word, &status.report)?;
+            let order = due_hold_order(&word, &status.report)?;
             Some((status.agent.ip(), order))
         })
     }
 
-    fn note(&mut self, event: Event) {
+    fn note(&mut self, event: SwitchEvent) {
         match event {
-            Event::None => {}
-            Event::Changed(version) => {
+            SwitchEvent::None => {}
+            SwitchEvent::Changed(version) => {
                 info!(self.log, "map_changed"; "version" => version.0);
                 self.used = self.plan.clone();
             }
-            Event::GivenUp(version) => {
+            SwitchEvent::Abandoned(version) => {
                 info!(self.log, "plan_given_up"; "version" => version.0);
                 self.drop_plan();
             }
-            Event::TakenUp(version) => {
+            SwitchEvent::Resumed(version) => {
                 info!(self.log, "change_taken_up"; "version" => version.0);
             }
-            Event::CalledOff(version) => {
+            SwitchEvent::Cancelled(version) => {
                 info!(self.log, "change_called_off"; "version" => version.0);
             }
-            Event::Reset(epoch) => {
+            SwitchEvent::Reset(epoch) => {
                 info!(self.log, "group_formed"; "epoch" => epoch.0);
                 // What is liked doesn't change because a rank was away.
                 self.drop_plan();
@@ -273,10 +275,10 @@
     /// for it. Its copies would be waited for, and its map be out of date when
     /// it comes.
     fn drop_overtaken(&mut self) {
-        if self.demand.shifted() < self.planned {
+        if self.demand.demand_shifted_at() < self.planned {
             return;
         }
-        if let Some(version) = self.coordinator.drop_plan() {
+        if let Some(version) = self.coordinator.abandon_plan() {
             info!(self.log, "plan_overtaken"; "version" => version.0);
             self.drop_plan();
         }
@@ -293,57 +295,63 @@
             return;
         }
         self.sampled = now;
-        self.demand.add(now, self.total.clone());
+        self.demand.record_counts(now, self.total.clone());
     }
 
     /// Begins a better map if there is one.
     fn consider(
         &mut self,
         shape: &Subscribe,
-        snapshots: &[Snapshot],
+        snapshots: &[RankSnapshot],
         now: Millis,
     ) {
-        let Some(loads) = self.demand.loads() else { return };
+        let Some(loads) = self.demand.current_loads() else { return };
         let shape_of_map = Shape {
             ranks: snapshots.len(),
             experts: usize::from(shape.experts_per_set),
             layers: usize::from(shape.layer_sets),
-            slots: usize::from(shape.slots_per_set),
+            slots_per_rank: usize::from(shape.slots_per_set),
         };
         let Some(present) = self.present(shape_of_map, snapshots) else {
             return;
         };
-        let config =
-            live::Config::new(usize::from(shape.max_new_experts_per_set))
-                .with_burst(burst(Millis(shape.expert_copy_ms)))
-                .with_price(self.price);
+        let config = live::LivePlanConfig::new(usize::from(
+            shape.max_new_experts_per_set,
+        ))
+        .with_max_new_experts_per_rank(burst(Millis(shape.expert_copy_ms)))
+        .with_copy_cost(self.price);
         let speeds: Vec<f64> = self.ranks.values().map(speed).collect();
         let plan = live::plan(shape_of_map, config, &present, &loads, &speeds);
         let Some(plan) = plan else {
             return;
         };
-        let version = self.coordinator.begin(snapshots, now);
+        let version = self.coordinator.begin_plan(snapshots, now);
         let ideal = ideal_time(&loads, &speeds);
-        let bound = bound::step_time(shape_of_map, &loads, &speeds) / ideal;
+        let bound =
+            bound::min_step_time(shape_of_map, &loads, &speeds) / ideal;
         info!(self.log, "map_planned"; "version" => version.0,
-            "skew" => format!("{:.3}", plan.before),
-            "expected" => format!("{:.3}", plan.after),
+            "skew" => format!("{:.3}", plan.relative_step_time_before),
+            "expected" => format!("{:.3}", plan.relative_step_time_after),
             "bound" => format!("{bound:.3}"),
             "slowest" => speeds.iter().copied().fold(1.0, f64::min),
-            "copies" => plan.moves, "step" => snapshots[0].report.step,
+            "copies" => plan.move_count, "step" => snapshots[0].report.step,
             "counted" => loads.iter().flatten().sum::<f64>());
         let directive = self.directive();
         let last = self.plan.replace(Plan {
             fence: directive.fence,
             epoch: directive.epoch,
             version,
-            experts: Arc::new(plan.map.experts()),
+            experts: Arc::new(plan.map.experts_by_layer_and_rank()),
         });
         self.before = last.or(self.before.take());
     }
 
     /// The map in use, put together from what each rank has.
-    fn present(&self, shape: Shape, snapshots: &[Snapshot]) -> Option<Map> {
+    fn present(
+        &self,
+        shape: Shape,
+        snapshots: &[RankSnapshot],
+    ) -> Option<Map> {
         let version: Version = snapshots.first()?.report.map;
         if let Some(plan) = &self.used
             && plan.version == version
@@ -351,7 +359,7 @@
         {
             return Map::from_experts(shape, &plan.experts);
         }
-        let mut experts: Experts =
+        let mut experts: ExpertsByLayerAndRank =
             vec![vec![Vec::new(); shape.ranks]; shape.layers];
         for (status, _) in self.ranks.values() {
             let (listed, sets) = status.experts.as_ref()?;
--- a/tests/order/main.rs
+++ b/tests/order/main.rs
@@ -1,11 +1,13 @@
-//! The change of maps by orders, explored completely in small scopes.
+//! Explores every reachable state of a small group whose maps are switched by
+//! orders.
 //!
-//! Three ranks with an agent each. Orders may be lost, carried out at any
-//! later time and any number of times; words of coordinators may be heard
-//! late, again or never; what a coordinator has seen of a rank may be old;
-//! a coordinator's VM may freeze and wake at any point, and a successor may
-//! take over at any point, rightly or not. In every world that can come of
-//! it, no pass begins with two maps, and any hold can still be released.
+//! The group has three ranks with an agent each. An order may be lost, or
+//! executed at any later time and any number of times. A coordinator's
+//! directive may be received late, repeatedly or never, and a coordinator's
+//! snapshot of a rank may be outdated. A coordinator's VM may freeze and wake
+//! at any time, and a successor may take over at any time, even if the
+//! coordinator is alive. In every reachable state, no pass begins with two
+//! maps, and every hold can still be released.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, VecDeque},
@@ -16,45 +18,49 @@
 use cowsliproad::{
     kernel::clock::Millis,
     mapswitch::order::{
-        self, Absent, Aim, Arms, Config, Coordinator, Directive, Epoch,
-        Follows, Order, Report, Seal, Snapshot, Standing, VERSIONS, Version,
+        self, Aim, ArmOrderStatus, Coordinator, CoordinatorConfig, Directive,
+        Epoch, GroupState, MissingRanks, ObeyedCoordinator, Order,
+        RankSnapshot, Report, SealStatus, VERSIONS_PER_COORDINATOR, Version,
     },
 };
 
-const RANKS: u16 = 3;
+const RANK_COUNT: u16 = 3;
 const EPOCH: Epoch = Epoch(1);
 
-/// The rank beside the first coordinator, and beside its successor.
-const FIRST: u16 = 1;
-const SECOND: u16 = 0;
+/// The ranks on the VMs of the first coordinator and of its successor.
+const FIRST_COORDINATOR_RANK: u16 = 1;
+const SUCCESSOR_COORDINATOR_RANK: u16 = 0;
 
-/// The first map of the first coordinator.
-const FIRST_MAP: u64 = VERSIONS;
+/// The version of the first coordinator's first map.
+const FIRST_VERSION: u64 = VERSIONS_PER_COORDINATOR;
 
-/// Worlds that a scope may have; a larger one would take too long.
-const MAX_WORLDS: usize = 600_000;
+/// The maximum number of states in a scenario; a larger scenario would take
+/// too long.
+const MAX_STATES: usize = 600_000;
 
-/// What may happen.
+/// The limits of the exploration of one scenario.
 #[derive(Clone, Copy)]
-struct Scope {
-    /// Passes that are begun.
-    steps: u64,
-    /// Orders that may be lost or late.
-    late: usize,
-    /// Plans that the first coordinator makes.
-    plans: u64,
+struct Scenario {
+    /// The number of passes that the group may begin.
+    max_passes: u64,
+    /// The number of orders that may go unanswered and be lost or executed
+    /// late.
+    max_unanswered_orders: usize,
+    /// The number of plans that the first coordinator makes.
+    max_plans: u64,
     takeover: Takeover,
-    snapshots: Sights,
+    snapshot_age: SnapshotAge,
 }
 
-/// How old what a coordinator looks at may be. With old snapshots the scopes
-/// with a takeover have too many worlds.
+/// Whether a coordinator's snapshots may be outdated. Scenarios with both
+/// outdated snapshots and a takeover have too many states.
 #[derive(Clone, Copy, Eq, PartialEq)]
-enum Sights {
+enum SnapshotAge {
     Any,
     Fresh,
 }
 
+/// Whether the first coordinator may freeze and a successor may take over.
 #[derive(Clone, Copy, Eq, PartialEq)]
 enum Takeover {
     Never,
@@ -64,8 +70,8 @@
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 struct Engine {
     map: u64,
-    prepared: Option<u64>,
-    newest: u64,
+    prepared_map: Option<u64>,
+    newest_prepared_map: u64,
     armed: Option<(u64, u64)>,
     held: Option<u64>,
     fence: u64,
@@ -74,31 +80,33 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct Agent {
     fence: u64,
-    word: Option<Directive>,
-    /// The pass of its last unanswered *arm*.
-    unanswered: u64,
-    /// The pass for which it heard that the coordinator's rank arms.
-    sealed: Option<u64>,
+    directive: Option<Directive>,
+    /// The pass of the agent's last unanswered *arm* order, or 0.
+    unanswered_arm_step: u64,
+    /// The pass for which the agent has received the seal: the announcement
+    /// that the coordinator's own rank arms.
+    coordinator_arm_step: Option<u64>,
 }
 
-/// A coordinator and what it saw last of each rank.
+/// A coordinator, with its last snapshot of each rank and the fencing number
+/// that the rank's agent then obeyed.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-struct Chair {
+struct CoordinatorView {
     coordinator: Coordinator,
-    seen: BTreeMap<u16, (Snapshot, u64)>,
+    snapshots_by_rank: BTreeMap<u16, (RankSnapshot, u64)>,
 }
 
-/// An order that went unanswered.
+/// An unanswered order to a rank's engine, which may be executed later.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-struct Late {
+struct LateOrder {
     rank: u16,
-    order: Plain,
+    order: ComparableOrder,
     fence: u64,
 }
 
-/// An order as it can be compared.
+/// An [`Order`] in a form that can be ordered and hashed.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-enum Plain {
+enum ComparableOrder {
     Prepare(u64),
     Arm(u64, u64),
     Disarm(u64),
@@ -107,55 +115,63 @@
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-struct World {
+struct SystemState {
     step: u64,
-    mixed: bool,
+    has_mixed_maps: bool,
     engines: Vec<Engine>,
     agents: Vec<Agent>,
-    chairs: Vec<Chair>,
+    coordinator_views: Vec<CoordinatorView>,
     /// Whether the first coordinator's VM is frozen.
-    frozen: bool,
-    froze: bool,
-    late: BTreeSet<Late>,
-    lost: usize,
-    planned: u64,
+    is_frozen: bool,
+    /// Whether the first coordinator's VM has ever been frozen.
+    has_frozen: bool,
+    late_orders: BTreeSet<LateOrder>,
+    unanswered_order_count: usize,
+    plans_made: u64,
 }
 
-impl World {
-    fn new() -> World {
-        // Preparing is done: its orders change no pass.
+impl SystemState {
+    fn new() -> SystemState {
+        // All ranks start with the first map prepared. *Prepare* orders affect
+        // no pass, so their delivery is not explored.
         let engine = Engine {
             map: 0,
-            prepared: Some(FIRST_MAP),
-            newest: FIRST_MAP,
+            prepared_map: Some(FIRST_VERSION),
+            newest_prepared_map: FIRST_VERSION,
             armed: None,
             held: None,
             fence: 0,
         };
-        let (word, sealed) = (None, None);
-        let agent = Agent { fence: 0, word, unanswered: 0, sealed };
-        let mut first = chair(1, FIRST);
-        let report = |rank| Report::new(EPOCH, rank, RANKS);
-        let snapshot = |rank| Snapshot {
+        let (directive, coordinator_arm_step) = (None, None);
+        let agent = Agent {
+            fence: 0,
+            directive,
+            unanswered_arm_step: 0,
+            coordinator_arm_step,
+        };
+        let mut first = new_coordinator_view(1, FIRST_COORDINATOR_RANK);
+        let report = |rank| Report::new(EPOCH, rank, RANK_COUNT);
+        let snapshot = |rank| RankSnapshot {
             report: report(rank),
-            arms: Arms::Answered,
-            seal: Seal::Unheard,
-            follows: Follows::Us,
+            arms: ArmOrderStatus::Answered,
+            seal: SealStatus::NotReceived,
+            obeys: ObeyedCoordinator::This,
         };
-        let snapshots: Vec<Snapshot> = (0..RANKS).map(snapshot).collect();
-        first.coordinator.advance(&snapshots, Absent::Nobody, Millis(0));
-        first.coordinator.begin(&snapshots, Millis(0));
-        World {
+        let snapshots: Vec<RankSnapshot> =
+            (0..RANK_COUNT).map(snapshot).collect();
+        first.coordinator.advance(&snapshots, MissingRanks::None, Millis(0));
+        first.coordinator.begin_plan(&snapshots, Millis(0));
+        SystemState {
             step: 0,
-            mixed: false,
-            engines: vec![engine; RANKS.into()],
-            agents: vec![agent; RANKS.into()],
-            chairs: vec![first],
-            frozen: false,
-            froze: false,
-            late: BTreeSet::new(),
-            lost: 0,
-            planned: 1,
+            has_mixed_maps: false,
+            engines: vec![engine; RANK_COUNT.into()],
+            agents: vec![agent; RANK_COUNT.into()],
+            coordinator_views: vec![first],
+            is_frozen: false,
+            has_frozen: false,
+            late_orders: BTreeSet::new(),
+            unanswered_order_count: 0,
+            plans_made: 1,
         }
     }
 
@@ -164,301 +180,374 @@
         Report {
             epoch: EPOCH,
             rank,
-            ranks: RANKS,
-            standing: Standing::Open,
+            ranks: RANK_COUNT,
+            standing: GroupState::Open,
             step: self.step,
             map: Version(engine.map),
-            prepared: engine.prepared.map(Version),
+            prepared: engine.prepared_map.map(Version),
             armed: engine.armed.map(|(map, step)| (Version(map), step)),
             held: engine.held,
         }
     }
 
-    fn arms(&self, rank: u16) -> Arms {
-        let step = self.agents[usize::from(rank)].unanswered;
-        if step > self.step { Arms::InDoubt } else { Arms::Answered }
+    fn arm_orders(&self, rank: u16) -> ArmOrderStatus {
+        let step = self.agents[usize::from(rank)].unanswered_arm_step;
+        if step > self.step {
+            ArmOrderStatus::InDoubt
+        } else {
+            ArmOrderStatus::Answered
+        }
     }
 
-    fn seal(&self, rank: u16) -> Seal {
-        let sealed = self.agents[usize::from(rank)].sealed;
-        sealed.map_or(Seal::Unheard, Seal::Heard)
+    fn seal_status(&self, rank: u16) -> SealStatus {
+        let coordinator_arm_step =
+            self.agents[usize::from(rank)].coordinator_arm_step;
+        coordinator_arm_step
+            .map_or(SealStatus::NotReceived, SealStatus::Received)
     }
 
-    fn is_out_of_reach(&self, rank: u16) -> bool {
-        self.frozen && rank == FIRST
+    fn is_unreachable(&self, rank: u16) -> bool {
+        self.is_frozen && rank == FIRST_COORDINATOR_RANK
     }
 
-    /// All worlds that may come next.
-    fn next(&self, scope: &Scope) -> Vec<World> {
-        let mut worlds = Vec::new();
-        self.pass(scope, &mut worlds);
-        self.land_late(&mut worlds);
-        for rank in 0..RANKS {
-            if self.is_out_of_reach(rank) {
+    /// Returns all states that one event in this state can lead to.
+    fn next_states(&self, scenario: &Scenario) -> Vec<SystemState> {
+        let mut next_states = Vec::new();
+        self.begin_pass(scenario, &mut next_states);
+        self.execute_late_order(&mut next_states);
+        for rank in 0..RANK_COUNT {
+            if self.is_unreachable(rank) {
                 continue;
             }
-            self.hear(rank, &mut worlds);
-            self.obey(rank, scope, &mut worlds);
-            if scope.snapshots == Sights::Any {
-                self.tell(rank, &mut worlds);
+            self.receive_directive(rank, &mut next_states);
+            self.send_next_order(rank, scenario, &mut next_states);
+            if scenario.snapshot_age == SnapshotAge::Any {
+                self.send_snapshot(rank, &mut next_states);
             }
         }
-        for chair in 0..self.chairs.len() {
-            if chair == 0 && self.frozen {
+        for view_index in 0..self.coordinator_views.len() {
+            if view_index == 0 && self.is_frozen {
                 continue;
             }
-            self.look(chair, scope, &mut worlds);
-            self.order_hold(chair, scope, &mut worlds);
+            self.advance_coordinator(view_index, scenario, &mut next_states);
+            self.send_hold_order(view_index, scenario, &mut next_states);
         }
-        self.freeze(scope, &mut worlds);
-        worlds
+        self.freeze_or_take_over(scenario, &mut next_states);
+        next_states
     }
 
-    fn pass(&self, scope: &Scope, worlds: &mut Vec<World>) {
+    fn begin_pass(
+        &self,
+        scenario: &Scenario,
+        next_states: &mut Vec<SystemState>,
+    ) {
         let next = self.step + 1;
         let held = self.engines.iter().any(|it| it.held == Some(next));
-        if held || next > scope.steps {
+        if held || next > scenario.max_passes {
             return;
         }
-        let mut world = self.clone();
-        world.step = next;
-        for engine in &mut world.engines {
+        let mut state = self.clone();
+        state.step = next;
+        for engine in &mut state.engines {
             if let Some((map, step)) = engine.armed
                 && step == next
             {
                 engine.map = map;
                 engine.armed = None;
-                engine.prepared = None;
+                engine.prepared_map = None;
             }
         }
-        let map = world.engines[0].map;
-        world.mixed = world.engines.iter().any(|it| it.map != map);
-        // Orders for passes that were begun can do nothing any more.
-        world.late.retain(|it| match it.order {
-            Plain::Arm(_, step) | Plain::Hold(step) | Plain::Go(step) => {
-                step > next
-            }
-            Plain::Prepare(_) | Plain::Disarm(_) => true,
+        let map = state.engines[0].map;
+        state.has_mixed_maps = state.engines.iter().any(|it| it.map != map);
+        // An order for a pass that has begun no longer has an effect.
+        state.late_orders.retain(|it| match it.order {
+            ComparableOrder::Arm(_, step)
+            | ComparableOrder::Hold(step)
+            | ComparableOrder::Go(step) => step > next,
+            ComparableOrder::Prepare(_) | ComparableOrder::Disarm(_) => true,
         });
-        worlds.push(world);
+        next_states.push(state);
     }
 
-    /// Late orders land, or it is too late for them.
-    fn land_late(&self, worlds: &mut Vec<World>) {
-        if !self.late.is_empty() {
-            let mut world = self.clone();
-            world.late.clear();
-            for agent in &mut world.agents {
-                agent.unanswered = 0;
+    /// Adds the states in which one late order is executed, and the state in
+    /// which all late orders have expired.
+    fn execute_late_order(&self, next_states: &mut Vec<SystemState>) {
+        if !self.late_orders.is_empty() {
+            let mut state = self.clone();
+            state.late_orders.clear();
+            for agent in &mut state.agents {
+                agent.unanswered_arm_step = 0;
             }
-            worlds.push(world);
+            next_states.push(state);
         }
-        for late in &self.late {
-            let mut world = self.clone();
-            world.carry_out(late.rank, late.order, late.fence);
-            worlds.push(world);
+        for late in &self.late_orders {
+            let mut state = self.clone();
+            state.execute_order(late.rank, late.order, late.fence);
+            next_states.push(state);
         }
     }
 
-    fn hear(&self, rank: u16, worlds: &mut Vec<World>) {
-        for chair in &self.chairs {
-            let word = chair.coordinator.directive();
+    fn receive_directive(
+        &self,
+        rank: u16,
+        next_states: &mut Vec<SystemState>,
+    ) {
+        for view in &self.coordinator_views {
+            let directive = view.coordinator.directive();
             let agent = &self.agents[usize::from(rank)];
-            if word.fence < agent.fence {
+            if directive.fence < agent.fence {
                 continue;
             }
-            let mut world = self.clone();
-            let agent = &mut world.agents[usize::from(rank)];
-            agent.fence = word.fence;
-            agent.sealed = order::seals(&word).or(agent.sealed);
-            // Other words give an agent nothing to do.
-            agent.word = match word.aim {
+            let mut state = self.clone();
+            let agent = &mut state.agents[usize::from(rank)];
+            agent.fence = directive.fence;
+            agent.coordinator_arm_step =
+                order::coordinator_arm_step(&directive)
+                    .or(agent.coordinator_arm_step);
+            // In this exploration, an agent acts only on directives to arm,
+            // disarm or release.
+            agent.directive = match directive.aim {
                 Aim::Armed { .. }
                 | Aim::Sealed { .. }
                 | Aim::Disarmed
-                | Aim::Released(_) => Some(word),
+                | Aim::Released(_) => Some(directive),
                 Aim::Rest | Aim::Prepared(_) | Aim::Held { .. } => None,
             };
-            if world != *self {
-                worlds.push(world);
+            if state != *self {
+                next_states.push(state);
             }
         }
     }
 
-    fn obey(&self, rank: u16, scope: &Scope, worlds: &mut Vec<World>) {
+    fn send_next_order(
+        &self,
+        rank: u16,
+        scenario: &Scenario,
+        next_states: &mut Vec<SystemState>,
+    ) {
         let agent = &self.agents[usize::from(rank)];
-        let Some(word) = agent.word else { return };
+        let Some(directive) = agent.directive else { return };
         let experts = Arc::new(Vec::new());
-        let plan = match word.aim {
+        let plan = match directive.aim {
             Aim::Prepared(version) => Some((version, &experts)),
             _ => None,
         };
-        let Some(due) = order::due(&word, &self.report(rank), plan) else {
+        let Some(order) =
+            order::next_order(&directive, &self.report(rank), plan)
+        else {
             return;
         };
-        let due = plain(&due);
-        self.give(rank, due, word.fence, scope, worlds);
+        let order = comparable_order(&order);
+        self.send_order(rank, order, directive.fence, scenario, next_states);
     }
 
-    /// An order that is answered, or goes unanswered.
-    fn give(
+    /// Adds the state in which an order is executed and answered, and the
+    /// state in which it goes unanswered and may be executed later.
+    fn send_order(
         &self,
         rank: u16,
-        due: Plain,
+        sent_order: ComparableOrder,
         fence: u64,
-        scope: &Scope,
-        worlds: &mut Vec<World>,
+        scenario: &Scenario,
+        next_states: &mut Vec<SystemState>,
     ) {
-        let mut world = self.clone();
-        world.carry_out(rank, due, fence);
-        worlds.push(world);
-        if self.lost >= scope.late {
+        let mut state = self.clone();
+        state.execute_order(rank, sent_order, fence);
+        next_states.push(state);
+        if self.unanswered_order_count >= scenario.max_unanswered_orders {
             return;
         }
-        let mut world = self.clone();
-        world.lost += 1;
-        world.late.insert(Late { rank, order: due, fence });
-        if let Plain::Arm(_, step) = due {
-            world.agents[usize::from(rank)].unanswered = step;
+        let mut state = self.clone();
+        state.unanswered_order_count += 1;
+        state.late_orders.insert(LateOrder { rank, order: sent_order, fence });
+        if let ComparableOrder::Arm(_, step) = sent_order {
+            state.agents[usize::from(rank)].unanswered_arm_step = step;
         }
-        worlds.push(world);
+        next_states.push(state);
     }
 
-    /// A rank's agent tells a coordinator how its engine stands.
-    fn tell(&self, rank: u16, worlds: &mut Vec<World>) {
+    /// Adds the states in which one coordinator receives a rank's snapshot.
+    fn send_snapshot(&self, rank: u16, next_states: &mut Vec<SystemState>) {
         let agent = &self.agents[usize::from(rank)];
-        let snapshot = Snapshot {
+        let snapshot = RankSnapshot {
             report: self.report(rank),
-            arms: self.arms(rank),
-            seal: self.seal(rank),
-            follows: Follows::Another,
+            arms: self.arm_orders(rank),
+            seal: self.seal_status(rank),
+            obeys: ObeyedCoordinator::Another,
         };
-        for index in 0..self.chairs.len() {
-            if index == 0 && self.frozen {
+        for view_index in 0..self.coordinator_views.len() {
+            if view_index == 0 && self.is_frozen {
                 continue;
             }
-            let told = (snapshot.clone(), agent.fence);
-            let seen = self.chairs[index].seen.get(&rank);
-            // A report that shows another pass and nothing else is news only
-            // together with another rank's.
-            let same = |it: &(Snapshot, u64)| {
+            let reported = (snapshot.clone(), agent.fence);
+            let previous = self.coordinator_views[view_index]
+                .snapshots_by_rank
+                .get(&rank);
+            // Skip a snapshot that differs from the stored snapshot only in
+            // its pass: the next changed snapshot updates the pass of all
+            // stored snapshots.
+            let is_unchanged = |it: &(RankSnapshot, u64)| {
                 let mut old = it.clone();
                 old.0.report.step = self.step;
-                old == told
+                old == reported
             };
-            if seen.is_some_and(same) {
+            if previous.is_some_and(is_unchanged) {
                 continue;
             }
-            let mut world = self.clone();
-            world.chairs[index].seen.insert(rank, told);
-            for (snapshot, _) in world.chairs[index].seen.values_mut() {
+            let mut state = self.clone();
+            state.coordinator_views[view_index]
+                .snapshots_by_rank
+                .insert(rank, reported);
+            for (snapshot, _) in state.coordinator_views[view_index]
+                .snapshots_by_rank
+                .values_mut()
+            {
                 snapshot.report.step = self.step;
             }
-            worlds.push(world);
+            next_states.push(state);
         }
     }
 
-    fn look(&self, index: usize, scope: &Scope, worlds: &mut Vec<World>) {
-        let snapshots = match scope.snapshots {
-            Sights::Any => self.chairs[index].snapshots(),
-            Sights::Fresh => self.fresh(index),
+    /// Adds the states in which a coordinator acts on its snapshots.
+    fn advance_coordinator(
+        &self,
+        view_index: usize,
+        scenario: &Scenario,
+        next_states: &mut Vec<SystemState>,
+    ) {
+        let snapshots = match scenario.snapshot_age {
+            SnapshotAge::Any => self.coordinator_views[view_index].snapshots(),
+            SnapshotAge::Fresh => self.current_snapshots(view_index),
         };
-        let all = snapshots.len() == usize::from(RANKS);
-        if all {
-            self.look_at(index, &snapshots, Absent::Nobody, scope, worlds);
+        let is_complete = snapshots.len() == usize::from(RANK_COUNT);
+        if is_complete {
+            self.advance_with_snapshots(
+                view_index,
+                &snapshots,
+                MissingRanks::None,
+                scenario,
+                next_states,
+            );
         }
-        // A successor may take its predecessor to be gone, rightly or not.
-        let others: Vec<Snapshot> = snapshots
+        // A successor may assume that its predecessor is gone, even if the
+        // predecessor is alive.
+        let others: Vec<RankSnapshot> = snapshots
             .iter()
-            .filter(|it| it.report.rank != FIRST)
+            .filter(|it| it.report.rank != FIRST_COORDINATOR_RANK)
             .cloned()
             .collect();
-        if index == 1 && others.len() + 1 == usize::from(RANKS) {
-            let absent = Absent::Predecessor(1);
-            self.look_at(index, &others, absent, scope, worlds);
+        if view_index == 1 && others.len() + 1 == usize::from(RANK_COUNT) {
+            let missing = MissingRanks::Predecessor(1);
+            self.advance_with_snapshots(
+                view_index,
+                &others,
+                missing,
+                scenario,
+                next_states,
+            );
         }
     }
 
-    /// What all ranks in reach would say now.
-    fn fresh(&self, index: usize) -> Vec<Snapshot> {
-        let fence = self.chairs[index].coordinator.fence();
-        let in_reach = (0..RANKS).filter(|it| !self.is_out_of_reach(*it));
+    /// Returns up-to-date snapshots of all reachable ranks for a coordinator.
+    fn current_snapshots(&self, view_index: usize) -> Vec<RankSnapshot> {
+        let fence = self.coordinator_views[view_index].coordinator.fence();
+        let reachable = (0..RANK_COUNT).filter(|it| !self.is_unreachable(*it));
         let snapshot = |rank: u16| {
             let agent = &self.agents[usize::from(rank)];
-            Snapshot {
+            RankSnapshot {
                 report: self.report(rank),
-                arms: self.arms(rank),
-                seal: self.seal(rank),
-                follows: follows(agent.fence, fence),
+                arms: self.arm_orders(rank),
+                seal: self.seal_status(rank),
+                obeys: obeyed_coordinator(agent.fence, fence),
             }
         };
-        in_reach.map(snapshot).collect()
+        reachable.map(snapshot).collect()
     }
 
-    fn look_at(
+    fn advance_with_snapshots(
         &self,
-        index: usize,
-        snapshots: &[Snapshot],
-        absent: Absent,
-        scope: &Scope,
-        worlds: &mut Vec<World>,
+        view_index: usize,
+        snapshots: &[RankSnapshot],
+        missing: MissingRanks,
+        scenario: &Scenario,
+        next_states: &mut Vec<SystemState>,
     ) {
-        let mut world = self.clone();
-        let coordinator = &mut world.chairs[index].coordinator;
-        coordinator.advance(snapshots, absent, Millis(0));
-        let plans = index == 0
-            && self.planned < scope.plans
-            && coordinator.is_resting()
+        let mut state = self.clone();
+        let coordinator = &mut state.coordinator_views[view_index].coordinator;
+        coordinator.advance(snapshots, missing, Millis(0));
+        let may_plan = view_index == 0
+            && self.plans_made < scenario.max_plans
+            && coordinator.is_idle()
             && coordinator.directive().epoch == EPOCH;
-        if plans {
-            coordinator.begin(snapshots, Millis(0));
-            world.planned += 1;
+        if may_plan {
+            coordinator.begin_plan(snapshots, Millis(0));
+            state.plans_made += 1;
         }
-        if world != *self {
-            worlds.push(world);
+        if state != *self {
+            next_states.push(state);
         }
     }
 
-    fn order_hold(
+    fn send_hold_order(
         &self,
-        index: usize,
-        scope: &Scope,
-        worlds: &mut Vec<World>,
+        view_index: usize,
+        scenario: &Scenario,
+        next_states: &mut Vec<SystemState>,
     ) {
-        let word = self.chairs[index].coordinator.directive();
-        for rank in 0..RANKS {
+        let directive =
+            self.coordinator_views[view_index].coordinator.directive();
+        for rank in 0..RANK_COUNT {
             let report = self.report(rank);
-            let due = order::due_at_holder(&word, &report);
-            if let Some(due) = due
-                && !self.is_out_of_reach(rank)
+            let order = order::due_hold_order(&directive, &report);
+            if let Some(order) = order
+                && !self.is_unreachable(rank)
             {
-                self.give(rank, plain(&due), word.fence, scope, worlds);
+                self.send_order(
+                    rank,
+                    comparable_order(&order),
+                    directive.fence,
+                    scenario,
+                    next_states,
+                );
             }
         }
     }
 
-    fn freeze(&self, scope: &Scope, worlds: &mut Vec<World>) {
-        if scope.takeover == Takeover::Never {
+    fn freeze_or_take_over(
+        &self,
+        scenario: &Scenario,
+        next_states: &mut Vec<SystemState>,
+    ) {
+        if scenario.takeover == Takeover::Never {
             return;
         }
-        if !self.froze {
-            let mut world = self.clone();
-            (world.frozen, world.froze) = (true, true);
-            worlds.push(world);
+        if !self.has_frozen {
+            let mut state = self.clone();
+            (state.is_frozen, state.has_frozen) = (true, true);
+            next_states.push(state);
         }
-        if self.frozen {
-            let mut world = self.clone();
-            world.frozen = false;
-            worlds.push(world);
+        if self.is_frozen {
+            let mut state = self.clone();
+            state.is_frozen = false;
+            next_states.push(state);
         }
-        if self.chairs.len() == 1 {
-            let mut world = self.clone();
-            world.chairs.push(chair(2, SECOND));
-            worlds.push(world);
+        if self.coordinator_views.len() == 1 {
+            let mut state = self.clone();
+            state
+                .coordinator_views
+                .push(new_coordinator_view(2, SUCCESSOR_COORDINATOR_RANK));
+            next_states.push(state);
         }
     }
 
-    fn carry_out(&mut self, rank: u16, order: Plain, fence: u64) {
+    /// Executes an order at a rank's engine, unless the engine has seen a
+    /// higher fencing number.
+    fn execute_order(
+        &mut self,
+        rank: u16,
+        order: ComparableOrder,
+        fence: u64,
+    ) {
         let step = self.step;
         let engine = &mut self.engines[usize::from(rank)];
         if fence < engine.fence {
@@ -466,211 +555,233 @@
         }
         engine.fence = fence;
         match order {
-            Plain::Prepare(map) => {
-                if map > engine.newest && engine.armed.is_none() {
-                    engine.newest = map;
-                    engine.prepared = Some(map);
+            ComparableOrder::Prepare(map) => {
+                if map > engine.newest_prepared_map && engine.armed.is_none() {
+                    engine.newest_prepared_map = map;
+                    engine.prepared_map = Some(map);
                 }
             }
-            Plain::Arm(map, at) => {
-                if engine.prepared == Some(map) && at > step {
-                    engine.armed = Some((map, at));
+            ComparableOrder::Arm(map, pass) => {
+                if engine.prepared_map == Some(map) && pass > step {
+                    engine.armed = Some((map, pass));
                 }
             }
-            Plain::Disarm(map) => {
+            ComparableOrder::Disarm(map) => {
                 if engine.armed.is_some_and(|it| it.0 == map) {
                     engine.armed = None;
                 }
             }
-            Plain::Hold(at) => {
-                if at > step {
-                    engine.held = Some(at);
+            ComparableOrder::Hold(pass) => {
+                if pass > step {
+                    engine.held = Some(pass);
                 }
             }
-            Plain::Go(at) => {
-                if engine.held == Some(at) {
+            ComparableOrder::Go(pass) => {
+                if engine.held == Some(pass) {
                     engine.held = None;
                 }
             }
         }
     }
 
-    fn is_free(&self) -> bool {
-        self.engines.iter().all(|it| it.held.is_none_or(|at| at <= self.step))
+    /// Returns whether no engine holds the group before a pass to come.
+    fn is_group_released(&self) -> bool {
+        self.engines
+            .iter()
+            .all(|it| it.held.is_none_or(|pass| pass <= self.step))
     }
 }
 
-impl Chair {
-    fn snapshots(&self) -> Vec<Snapshot> {
+impl CoordinatorView {
+    fn snapshots(&self) -> Vec<RankSnapshot> {
         let fence = self.coordinator.fence();
-        let snapshot = |(snapshot, known): &(Snapshot, u64)| {
+        let snapshot = |(snapshot, known_fence): &(RankSnapshot, u64)| {
             let mut snapshot = snapshot.clone();
-            snapshot.follows = follows(*known, fence);
+            snapshot.obeys = obeyed_coordinator(*known_fence, fence);
             snapshot
         };
-        self.seen.values().map(snapshot).collect()
+        self.snapshots_by_rank.values().map(snapshot).collect()
     }
 }
 
-fn chair(fence: u64, rank: u16) -> Chair {
-    let config = Config::new().with_lead(2, 2);
+fn new_coordinator_view(fence: u64, rank: u16) -> CoordinatorView {
+    let config = CoordinatorConfig::new().with_boundary_lead(2, 2);
     let coordinator = Coordinator::new(config, fence, rank);
-    Chair { coordinator, seen: BTreeMap::new() }
+    CoordinatorView { coordinator, snapshots_by_rank: BTreeMap::new() }
 }
 
-/// Whose word an agent that knows one fencing number obeys.
-fn follows(known: u64, fence: u64) -> Follows {
-    if known >= fence { Follows::Us } else { Follows::Another }
+/// Returns whose directives an agent obeys, given the fencing number that the
+/// agent obeys and the number of the coordinator that asks.
+fn obeyed_coordinator(known_fence: u64, fence: u64) -> ObeyedCoordinator {
+    if known_fence >= fence {
+        ObeyedCoordinator::This
+    } else {
+        ObeyedCoordinator::Another
+    }
 }
 
-fn plain(order: &Order) -> Plain {
+fn comparable_order(order: &Order) -> ComparableOrder {
     match order {
-        Order::Prepare(version, _) => Plain::Prepare(version.0),
-        Order::Arm(version, step) => Plain::Arm(version.0, *step),
-        Order::Disarm(version) => Plain::Disarm(version.0),
-        Order::Hold(step) => Plain::Hold(*step),
-        Order::Go(step) => Plain::Go(*step),
+        Order::Prepare(version, _) => ComparableOrder::Prepare(version.0),
+        Order::Arm(version, step) => ComparableOrder::Arm(version.0, *step),
+        Order::Disarm(version) => ComparableOrder::Disarm(version.0),
+        Order::Hold(step) => ComparableOrder::Hold(*step),
+        Order::Go(step) => ComparableOrder::Go(*step),
     }
 }
 
-fn hash(world: &World) -> u128 {
+fn state_hash(state: &SystemState) -> u128 {
     let half = |seed: u8| {
         let mut hasher = DefaultHasher::new();
         seed.hash(&mut hasher);
-        world.hash(&mut hasher);
+        state.hash(&mut hasher);
         u128::from(hasher.finish())
     };
     half(1) << 64 | half(2)
 }
 
-/// Explores a scope. No world may be mixed, and from each one must lead a
-/// way to one in which nothing is held.
-fn check(scope: Scope) {
-    // Worlds are kept as 128 bits of their hash: among a few million the
-    // chance that two share them is below one in 10^24.
+/// Explores a scenario. Checks that no pass of any state has two maps, and
+/// that from every state, a state can be reached in which no rank holds the
+/// group.
+fn check_scenario(scenario: Scenario) {
+    // States are stored as 128-bit hashes. Among a few million states, the
+    // probability of a collision is below 10^-24.
     let mut numbers: HashMap<u128, u32> = HashMap::new();
-    let mut comes_from: Vec<Vec<u32>> = vec![Vec::new()];
-    let mut free = vec![true];
+    let mut predecessors: Vec<Vec<u32>> = vec![Vec::new()];
+    let mut is_group_released = vec![true];
     let mut changed = false;
-    let mut queue = VecDeque::from([(World::new(), 0)]);
-    numbers.insert(hash(&World::new()), 0);
-    while let Some((world, number)) = queue.pop_front() {
-        for next in world.next(&scope) {
-            assert!(!next.mixed, "two maps in one pass: {next:#?}");
-            changed |= next.engines.iter().all(|it| it.map == FIRST_MAP);
-            let count = numbers.len() as u32;
-            let known = *numbers.entry(hash(&next)).or_insert(count);
-            if known == count {
-                assert!(numbers.len() < MAX_WORLDS, "too large a scope");
-                comes_from.push(Vec::new());
-                free.push(next.is_free());
-                queue.push_back((next, count));
+    let mut queue = VecDeque::from([(SystemState::new(), 0)]);
+    numbers.insert(state_hash(&SystemState::new()), 0);
+    while let Some((state, number)) = queue.pop_front() {
+        for next in state.next_states(&scenario) {
+            assert!(!next.has_mixed_maps, "two maps in one pass: {next:#?}");
+            changed |= next.engines.iter().all(|it| it.map == FIRST_VERSION);
+            let next_number = numbers.len() as u32;
+            let found =
+                *numbers.entry(state_hash(&next)).or_insert(next_number);
+            if found == next_number {
+                assert!(
+                    numbers.len() < MAX_STATES,
+                    "the scenario has too many states"
+                );
+                predecessors.push(Vec::new());
+                is_group_released.push(next.is_group_released());
+                queue.push_back((next, next_number));
             }
-            comes_from[known as usize].push(number);
+            predecessors[found as usize].push(number);
         }
     }
-    assert!(changed, "no change was ever made");
-    let mut can: Vec<bool> = free.clone();
-    let mut reached: VecDeque<u32> =
-        (0..free.len() as u32).filter(|it| free[*it as usize]).collect();
+    assert!(changed, "no state has completed a switch");
+    let mut can_be_released: Vec<bool> = is_group_released.clone();
+    let mut reached: VecDeque<u32> = (0..is_group_released.len() as u32)
+        .filter(|it| is_group_released[*it as usize])
+        .collect();
     while let Some(number) = reached.pop_front() {
-        for before in &comes_from[number as usize] {
-            if !can[*before as usize] {
-                can[*before as usize] = true;
-                reached.push_back(*before);
+        for predecessor in &predecessors[number as usize] {
+            if !can_be_released[*predecessor as usize] {
+                can_be_released[*predecessor as usize] = true;
+                reached.push_back(*predecessor);
             }
         }
     }
-    let stuck = can.iter().filter(|it| !**it).count();
-    assert_eq!(stuck, 0, "worlds that are held for ever");
-    println!("{} worlds", numbers.len());
+    let never_released = can_be_released.iter().filter(|it| !**it).count();
+    assert_eq!(never_released, 0, "states whose hold can never be released");
+    println!("{} states", numbers.len());
 }
 
 #[test]
-fn lost_and_late_orders_mix_no_maps_and_hold_nothing_for_ever() {
-    check(Scope {
-        steps: 3,
-        late: 2,
-        plans: 1,
+fn lost_and_late_orders_neither_mix_maps_nor_block() {
+    check_scenario(Scenario {
+        max_passes: 3,
+        max_unanswered_orders: 2,
+        max_plans: 1,
         takeover: Takeover::Never,
-        snapshots: Sights::Any,
+        snapshot_age: SnapshotAge::Any,
     });
 }
 
 #[test]
-fn two_changes_in_a_row_do_not_meet_each_others_late_orders() {
-    check(Scope {
-        steps: 4,
-        late: 1,
-        plans: 2,
+fn late_orders_do_not_affect_the_next_switch() {
+    check_scenario(Scenario {
+        max_passes: 4,
+        max_unanswered_orders: 1,
+        max_plans: 2,
         takeover: Takeover::Never,
-        snapshots: Sights::Any,
+        snapshot_age: SnapshotAge::Any,
     });
 }
 
 #[test]
 fn a_frozen_coordinator_and_its_successor_mix_no_maps() {
-    check(Scope {
-        steps: 3,
-        late: 0,
-        plans: 1,
+    check_scenario(Scenario {
+        max_passes: 3,
+        max_unanswered_orders: 0,
+        max_plans: 1,
         takeover: Takeover::Once,
-        snapshots: Sights::Fresh,
+        snapshot_age: SnapshotAge::Fresh,
     });
 }
 
 #[test]
-fn a_takeover_beside_a_late_order_mixes_no_maps() {
-    check(Scope {
-        steps: 2,
-        late: 1,
-        plans: 1,
+fn a_takeover_with_a_late_order_mixes_no_maps() {
+    check_scenario(Scenario {
+        max_passes: 2,
+        max_unanswered_orders: 1,
+        max_plans: 1,
         takeover: Takeover::Once,
-        snapshots: Sights::Fresh,
+        snapshot_age: SnapshotAge::Fresh,
     });
 }
 
-/// What the successor of a frozen coordinator sees: all others are armed.
-fn left_by_a_frozen(seal: Seal) -> Vec<Snapshot> {
-    let snapshot = |rank| Snapshot {
+/// Returns the snapshots that the successor of a frozen coordinator has: all
+/// reachable ranks are armed and have this seal status.
+fn snapshots_after_freeze(seal_status: SealStatus) -> Vec<RankSnapshot> {
+    let snapshot = |rank| RankSnapshot {
         report: Report {
             epoch: EPOCH,
             rank,
-            ranks: RANKS,
-            standing: Standing::Open,
+            ranks: RANK_COUNT,
+            standing: GroupState::Open,
             step: 1,
             map: Version(0),
-            prepared: Some(Version(FIRST_MAP)),
-            armed: Some((Version(FIRST_MAP), 3)),
-            held: (rank == SECOND).then_some(3),
+            prepared: Some(Version(FIRST_VERSION)),
+            armed: Some((Version(FIRST_VERSION), 3)),
+            held: (rank == SUCCESSOR_COORDINATOR_RANK).then_some(3),
         },
-        arms: Arms::Answered,
-        seal,
-        follows: Follows::Us,
+        arms: ArmOrderStatus::Answered,
+        seal: seal_status,
+        obeys: ObeyedCoordinator::This,
     };
-    (0..RANKS).filter(|it| *it != FIRST).map(snapshot).collect()
+    (0..RANK_COUNT)
+        .filter(|it| *it != FIRST_COORDINATOR_RANK)
+        .map(snapshot)
+        .collect()
 }
 
-fn aim_of_a_successor(seal: Seal, predecessor: u64) -> Aim {
-    let mut successor = chair(2, SECOND).coordinator;
-    let snapshots = left_by_a_frozen(seal);
-    let absent = Absent::Predecessor(predecessor);
+/// Returns the aim of the successor of a frozen coordinator, if the reachable
+/// ranks have this seal status.
+fn successor_aim(seal_status: SealStatus, predecessor_fence: u64) -> Aim {
+    let mut successor =
+        new_coordinator_view(2, SUCCESSOR_COORDINATOR_RANK).coordinator;
+    let snapshots = snapshots_after_freeze(seal_status);
+    let missing = MissingRanks::Predecessor(predecessor_fence);
     for _ in 0..2 {
-        successor.advance(&snapshots, absent, Millis(0));
+        successor.advance(&snapshots, missing, Millis(0));
     }
     successor.directive().aim
 }
 
 #[test]
-fn a_change_whose_coordinator_froze_before_its_rank_armed_is_called_off() {
-    assert_eq!(aim_of_a_successor(Seal::Unheard, 1), Aim::Disarmed);
-    assert_eq!(aim_of_a_successor(Seal::Heard(2), 1), Aim::Disarmed);
+fn a_switch_is_cancelled_if_the_frozen_rank_is_not_armed() {
+    assert_eq!(successor_aim(SealStatus::NotReceived, 1), Aim::Disarmed);
+    assert_eq!(successor_aim(SealStatus::Received(2), 1), Aim::Disarmed);
 }
 
 #[test]
-fn one_whose_coordinator_may_have_armed_is_waited_for() {
-    assert_eq!(aim_of_a_successor(Seal::Heard(3), 1), Aim::Rest);
-    assert_eq!(aim_of_a_successor(Seal::Unknown, 1), Aim::Rest);
-    // That one had taken the change over from another.
-    assert_eq!(aim_of_a_successor(Seal::Unheard, 7), Aim::Rest);
+fn a_switch_is_kept_if_the_frozen_rank_may_be_armed() {
+    assert_eq!(successor_aim(SealStatus::Received(3), 1), Aim::Rest);
+    assert_eq!(successor_aim(SealStatus::Unknown, 1), Aim::Rest);
+    // The frozen coordinator had itself taken over the switch from an earlier
+    // coordinator.
+    assert_eq!(successor_aim(SealStatus::NotReceived, 7), Aim::Rest);
 }
--- a/tests/properties/direct.rs
+++ b/tests/properties/direct.rs
@@ -7,74 +7,87 @@
     relay::events::EventSplitter,
     routing::{
         catalog::{
-            Access, Builder, Kind, Organisation, Refusal, Route, Share,
+            CatalogBuilder, Organisation, Route, RouteAccess, RouteError,
+            RouteKind, ServiceShare,
         },
         formation::Formation,
-        pick::{self, Candidate, Distance, Record, Usual},
+        pick::{self, Locality, ServiceLatency, TargetCandidate, TargetStats},
     },
 };
 use proptest::prelude::*;
 
-fn route(prefix: &str, access: Access) -> Route {
+fn route(prefix: &str, access: RouteAccess) -> Route {
     Route {
         name: prefix.into(),
         host: "Host.example".into(),
-        prefix: prefix.into(),
-        kind: Kind::Once,
-        timeout: None,
-        aim: None,
-        silence: None,
+        path_prefix: prefix.into(),
+        kind: RouteKind::NonIdempotent,
+        response_timeout: None,
+        latency_goal: None,
+        caller_idle_timeout: None,
         priority: 1,
-        shares: vec![
-            Share { service: "a".into(), weight: 90.0 },
-            Share { service: "b".into(), weight: 10.0 },
+        service_shares: vec![
+            ServiceShare { service: "a".into(), relative_weight: 90.0 },
+            ServiceShare { service: "b".into(), relative_weight: 10.0 },
         ],
-        attempts: 1,
+        max_attempts: 1,
         access,
     }
 }
 
 #[test]
 fn host_prefix_and_key_decide() {
-    let mut made = Builder::new(3);
-    made.route(route("/a/", Access::Keyed));
-    made.route(route("/a/b/", Access::Public));
-    made.keyed();
+    let mut made = CatalogBuilder::new(3);
+    made.add_route(route("/a/", RouteAccess::KeyRequired));
+    made.add_route(route("/a/b/", RouteAccess::Public));
+    made.require_caller_keys();
     let harju = Organisation { name: "harju".into(), priority: None };
-    made.organisation(harju, vec!["key".into()]);
+    made.add_organisation(harju, vec!["key".into()]);
     let catalog = made.build();
     let find = |host: &str, path: &str, key: Option<&str>| {
-        catalog.find(host, path, key).map(|it| it.route.name.to_string())
+        catalog.find_route(host, path, key).map(|it| it.route.name.to_string())
     };
     let key = Some("key");
     assert_eq!(find("host.example:80", "/a/x", key), Ok("/a/".into()));
     assert_eq!(find("HOST.example", "/a/b/x", None), Ok("/a/b/".into()));
-    assert_eq!(find("host.example", "/a/bx", None), Err(Refusal::BadKey));
-    assert_eq!(find("host.example", "/ab", key), Err(Refusal::NoRoute));
-    assert_eq!(find("other", "/a/x", key), Err(Refusal::NoRoute));
+    assert_eq!(find("host.example", "/a/bx", None), Err(RouteError::BadKey));
+    assert_eq!(find("host.example", "/ab", key), Err(RouteError::NoRoute));
+    assert_eq!(find("other", "/a/x", key), Err(RouteError::NoRoute));
 }
 
 #[test]
 fn shares_of_a_route_are_kept() {
-    let route = route("/a/", Access::Public);
-    let at = |draw: f64| route.draw(draw).map(|it| it.to_string());
+    let route = route("/a/", RouteAccess::Public);
+    let at = |draw: f64| route.choose_service(draw).map(|it| it.to_string());
     assert_eq!(at(0.0).as_deref(), Some("a"));
     assert_eq!(at(0.89).as_deref(), Some("a"));
     assert_eq!(at(0.91).as_deref(), Some("b"));
     assert_eq!(at(1.0).as_deref(), Some("b"));
 }
 
-fn cost(record: &Record, distance: Distance, pace: u32, now: Millis) -> f64 {
-    let usual_ms = Usual::new([known()].iter()).alone(record, now);
-    let candidate = Candidate { record, slots: 8, distance, pace, usual_ms };
-    pick::cost(&candidate, now)
+fn cost(
+    stats: &TargetStats,
+    locality: Locality,
+    service_time_percent: u32,
+    now: Millis,
+) -> f64 {
+    let latency_ms =
+        ServiceLatency::new([known()].iter()).target_latency_ms(stats, now);
+    let candidate = TargetCandidate {
+        stats,
+        slots: 8,
+        locality,
+        service_time_percent,
+        latency_ms,
+    };
+    pick::expected_cost_ms(&candidate, now)
 }
 
-/// A record with usual answers in 20 ms.
-fn known() -> Record {
-    let mut record = Record::new();
-    record.success(Millis(20), Millis(0));
-    record
+/// The stats of a target that answers in 20 ms.
+fn known() -> TargetStats {
+    let mut stats = TargetStats::new();
+    stats.record_success(Millis(20), Millis(0));
+    stats
 }
 
 /// Access and towing calls: a few a second, none of which may be sent to a
@@ -83,10 +96,11 @@
 fn one_failure_moves_the_next_call_elsewhere_and_is_forgiven() {
     let well = known();
     let mut failing = known();
-    failing.failure(Millis(100));
-    let near =
-        |record: &Record, now| cost(record, Distance::Near, 100, Millis(now));
-    let far = cost(&well, Distance::Far, 100, Millis(150));
+    failing.record_failure(Millis(100));
+    let near = |stats: &TargetStats, now| {
+        cost(stats, Locality::SameZone, 100, Millis(now))
+    };
+    let far = cost(&well, Locality::OtherZone, 100, Millis(150));
     assert!(near(&failing, 150) > far, "also a far one is better");
     let forgiven = near(&failing, 15_100) - near(&well, 15_100);
     assert!(forgiven < 4.0, "forgiven to {forgiven} ms");
@@ -94,10 +108,10 @@
 
 #[test]
 fn a_target_that_was_never_asked_is_tried() {
-    let (new, known) = (Record::new(), known());
+    let (new, known) = (TargetStats::new(), known());
     let now = Millis(0);
-    let new = cost(&new, Distance::Near, 100, now);
-    assert!(new <= cost(&known, Distance::Near, 100, now));
+    let new = cost(&new, Locality::SameZone, 100, now);
+    assert!(new <= cost(&known, Locality::SameZone, 100, now));
 }
 
 /// Guards against a target that is left idle for good after one slow answer,
@@ -106,21 +120,21 @@
 fn a_slow_target_is_measured_again_by_one_request_at_a_time() {
     let quick = known();
     for (took, interval) in [(21, 100), (120, 10_000), (1_020, 100_000)] {
-        let mut slow = Record::new();
-        slow.success(Millis(took), Millis(0));
-        let least = |record: &Record, now| {
-            let usual = Usual::new([quick, *record].iter());
-            usual.alone(record, Millis(now))
+        let mut slow = TargetStats::new();
+        slow.record_success(Millis(took), Millis(0));
+        let least = |stats: &TargetStats, now| {
+            let usual = ServiceLatency::new([quick, *stats].iter());
+            usual.target_latency_ms(stats, Millis(now))
         };
         assert_eq!(least(&slow, interval), took as f64);
         assert_eq!(least(&slow, interval + 1), 20.0);
-        slow.start();
+        slow.record_send();
         assert_eq!(least(&slow, interval + 1), took as f64);
-        slow.end();
+        slow.record_completion();
         let mut failed = slow;
-        failed.failure(Millis(interval + 1));
+        failed.record_failure(Millis(interval + 1));
         assert_eq!(least(&failed, 2 * interval), took as f64);
-        slow.success(Millis(20), Millis(60_000));
+        slow.record_success(Millis(20), Millis(60_000));
         assert!(least(&slow, 60_000) < 20.1, "the old time is forgotten");
     }
 }
@@ -128,20 +142,26 @@
 /// A group is back and some 200 requests go to its ranks at once.
 #[test]
 fn ranks_in_step_are_filled_evenly_whatever_their_answers_took() {
-    let (mut short, mut long) = (known(), Record::new());
-    long.success(Millis(60), Millis(0));
-    let usual_ms = Usual::new([short, long].iter()).in_step();
+    let (mut short, mut long) = (known(), TargetStats::new());
+    long.record_success(Millis(60), Millis(0));
+    let latency_ms =
+        ServiceLatency::new([short, long].iter()).lockstep_latency_ms();
     let now = Millis(0);
     for _ in 0..20 {
-        let cost = |record: &Record| {
-            let (distance, pace) = (Distance::Near, 100);
-            let candidate =
-                Candidate { record, slots: 12, distance, pace, usual_ms };
-            pick::cost(&candidate, now)
+        let cost = |stats: &TargetStats| {
+            let (locality, service_time_percent) = (Locality::SameZone, 100);
+            let candidate = TargetCandidate {
+                stats,
+                slots: 12,
+                locality,
+                service_time_percent,
+                latency_ms,
+            };
+            pick::expected_cost_ms(&candidate, now)
         };
         let next =
             if cost(&short) <= cost(&long) { &mut short } else { &mut long };
-        next.start();
+        next.record_send();
     }
     assert_eq!((short.in_flight(), long.in_flight()), (10, 10));
 }
@@ -149,37 +169,37 @@
 #[test]
 fn a_slow_rank_gets_nothing_while_others_have_room() {
     let mut busy = known();
-    (0..7).for_each(|_| busy.start());
+    (0..7).for_each(|_| busy.record_send());
     let idle = known();
     let now = Millis(0);
-    let slow = cost(&idle, Distance::Near, 1_200, now);
-    assert!(slow > cost(&busy, Distance::Far, 100, now));
+    let slow = cost(&idle, Locality::SameZone, 1_200, now);
+    assert!(slow > cost(&busy, Locality::OtherZone, 100, now));
 }
 
 #[test]
 fn own_sends_since_a_report_count() {
-    let mut record = known();
+    let mut stats = known();
     let now = Millis(5_000);
-    record.report(3, now);
-    record.start();
-    record.start();
-    assert_eq!(record.occupancy(now), 5);
-    record.end();
-    assert_eq!(record.occupancy(now), 4);
-    record.report(9, now);
-    assert_eq!(record.occupancy(now), 9);
+    stats.record_load_report(3, now);
+    stats.record_send();
+    stats.record_send();
+    assert_eq!(stats.estimated_occupancy(now), 5);
+    stats.record_completion();
+    assert_eq!(stats.estimated_occupancy(now), 4);
+    stats.record_load_report(9, now);
+    assert_eq!(stats.estimated_occupancy(now), 9);
 }
 
 #[test]
 fn an_old_report_fades_and_own_requests_do_not() {
-    let mut record = known();
-    record.report(200, Millis(5_000));
-    record.start();
-    assert_eq!(record.occupancy(Millis(6_000)), 201);
-    assert_eq!(record.occupancy(Millis(6_500)), 101);
-    assert_eq!(record.occupancy(Millis(20_000)), 1);
-    record.report(u32::MAX, Millis(20_000));
-    assert_eq!(record.occupancy(Millis(20_000)), 1);
+    let mut stats = known();
+    stats.record_load_report(200, Millis(5_000));
+    stats.record_send();
+    assert_eq!(stats.estimated_occupancy(Millis(6_000)), 201);
+    assert_eq!(stats.estimated_occupancy(Millis(6_500)), 101);
+    assert_eq!(stats.estimated_occupancy(Millis(20_000)), 1);
+    stats.record_load_report(u32::MAX, Millis(20_000));
+    assert_eq!(stats.estimated_occupancy(Millis(20_000)), 1);
 }
 
 proptest! {
@@ -265,30 +285,36 @@
     let now = Millis(10_000);
     let halted = |epoch| {
         let mut group = Formation::new(1, true);
-        assert!(group.is_open(now));
-        assert_eq!(group.halt(epoch, now), epoch == 1);
+        assert!(group.accepts_requests(now));
+        assert_eq!(group.halt_for_lost_rank(epoch, now), epoch == 1);
         group
     };
-    assert!(halted(2).is_open(now), "a rank of another formation");
+    assert!(halted(2).accepts_requests(now), "a rank of another formation");
     let mut group = halted(1);
-    assert!(!group.is_open(now));
-    assert!(!group.halt(1, now), "it is halted once");
+    assert!(!group.accepts_requests(now));
+    assert!(!group.halt_for_lost_rank(1, now), "it is halted once");
     // Reports from before the end, and the pass that was under way.
     for (after, step) in [(50, 900), (150, 40), (200, 41), (900, 41)] {
-        assert!(!group.step(1, step, now + Millis(after)), "{after}");
+        assert!(
+            !group.record_reported_step(1, step, now + Millis(after)),
+            "{after}"
+        );
     }
-    assert!(group.step(1, 42, now + Millis(1_000)));
-    assert!(group.is_open(now + Millis(1_000)));
+    assert!(group.record_reported_step(1, 42, now + Millis(1_000)));
+    assert!(group.accepts_requests(now + Millis(1_000)));
     let mut group = halted(1);
-    assert!(group.learn(1, false));
-    assert!(!group.is_open(now + Millis(60_000)), "it broke");
-    assert!(!group.learn(1, true), "it stays broken in its formation");
-    assert!(group.learn(2, true));
-    assert!(group.is_open(now));
+    assert!(group.merge_rank_report(1, false));
+    assert!(!group.accepts_requests(now + Millis(60_000)), "it broke");
+    assert!(
+        !group.merge_rank_report(1, true),
+        "it stays broken in its formation"
+    );
+    assert!(group.merge_rank_report(2, true));
+    assert!(group.accepts_requests(now));
     // A wrong word that nothing refuted doesn't hide a later one.
     let mut group = halted(1);
     let later = now + Millis(60_000);
-    assert!(group.is_open(later));
-    assert!(group.halt(1, later));
-    assert!(!group.is_open(later));
+    assert!(group.accepts_requests(later));
+    assert!(group.halt_for_lost_rank(1, later));
+    assert!(!group.accepts_requests(later));
 }
--- a/tests/properties/live.rs
+++ b/tests/properties/live.rs
@@ -4,14 +4,17 @@
 use cowsliproad::{
     kernel::clock::Millis,
     placement::{
-        demand::{Demand, LONG, SPANS},
-        live::{self, Config},
+        demand::{
+            DEMAND_SHIFT_THRESHOLDS, DemandEstimator, MAX_DEMAND_WINDOW,
+        },
+        live::{self, LivePlanConfig},
         map::{Map, Shape},
     },
 };
 use proptest::prelude::*;
 
-const SHAPE: Shape = Shape { ranks: 16, experts: 64, layers: 2, slots: 5 };
+const SHAPE: Shape =
+    Shape { ranks: 16, experts: 64, layers: 2, slots_per_rank: 5 };
 const SPARE: usize = 2;
 
 /// A demand by Zipf's law, its ranking turned by some places: a third of it
@@ -34,8 +37,10 @@
     for (old, new) in before.layers.iter().zip(&after.layers) {
         assert!(new.is_valid(SHAPE));
         for rank in 0..SHAPE.ranks as u16 {
-            let fresh =
-                new.held(rank).iter().filter(|it| !old.has(rank, **it));
+            let fresh = new
+                .experts_at(rank)
+                .iter()
+                .filter(|it| !old.holds(rank, **it));
             assert!(fresh.count() <= SPARE, "too many new at rank {rank}");
         }
     }
@@ -44,11 +49,16 @@
 #[test]
 fn three_maps_bring_the_first_map_near_balance() {
     let (loads, speeds) = (liked(0), vec![1.0; SHAPE.ranks]);
-    let mut map = Map::dealt(SHAPE);
+    let mut map = Map::round_robin(SHAPE);
     assert!(skew(&map, &loads, &speeds) > 2.5);
     for _ in 0..3 {
-        let plan =
-            live::plan(SHAPE, Config::new(SPARE), &map, &loads, &speeds);
+        let plan = live::plan(
+            SHAPE,
+            LivePlanConfig::new(SPARE),
+            &map,
+            &loads,
+            &speeds,
+        );
         let Some(plan) = plan else { break };
         check_step(&map, &plan.map);
         map = plan.map;
@@ -60,9 +70,9 @@
 fn a_slow_rank_is_relieved_of_its_experts() {
     let loads = liked(0);
     let mut speeds = vec![1.0; SHAPE.ranks];
-    let mut map = Map::dealt(SHAPE);
+    let mut map = Map::round_robin(SHAPE);
     for _ in 0..3 {
-        let config = Config::new(SPARE);
+        let config = LivePlanConfig::new(SPARE);
         if let Some(plan) = live::plan(SHAPE, config, &map, &loads, &speeds) {
             map = plan.map;
         }
@@ -70,7 +80,7 @@
     speeds[3] = 1.0 / 12.0;
     assert!(skew(&map, &loads, &speeds) > 6.0);
     for _ in 0..4 {
-        let config = Config::new(SPARE);
+        let config = LivePlanConfig::new(SPARE);
         if let Some(plan) = live::plan(SHAPE, config, &map, &loads, &speeds) {
             check_step(&map, &plan.map);
             map = plan.map;
@@ -84,8 +94,9 @@
 fn an_even_demand_moves_nothing() {
     let loads = vec![vec![100.0; SHAPE.experts]; SHAPE.layers];
     let speeds = vec![1.0; SHAPE.ranks];
-    let map = Map::dealt(SHAPE);
-    let plan = live::plan(SHAPE, Config::new(SPARE), &map, &loads, &speeds);
+    let map = Map::round_robin(SHAPE);
+    let plan =
+        live::plan(SHAPE, LivePlanConfig::new(SPARE), &map, &loads, &speeds);
     assert!(plan.is_none());
 }
 
@@ -94,8 +105,8 @@
     let layers = || before.layers.iter().zip(&after.layers);
     let at = |rank: u16| {
         layers().map(move |(old, new)| {
-            let held = new.held(rank).iter();
-            held.filter(|it| !old.has(rank, **it)).count()
+            let held = new.experts_at(rank).iter();
+            held.filter(|it| !old.holds(rank, **it)).count()
         })
     };
     (0..SHAPE.ranks as u16).map(|rank| at(rank).sum()).collect()
@@ -107,10 +118,11 @@
 #[test]
 fn a_map_waits_for_one_copy_at_each_rank_where_copies_take_long() {
     let (loads, speeds) = (liked(0), vec![1.0; SHAPE.ranks]);
-    let mut map = Map::dealt(SHAPE);
+    let mut map = Map::round_robin(SHAPE);
     let mut skews = vec![skew(&map, &loads, &speeds)];
     for _ in 0..6 {
-        let config = Config::new(SPARE).with_burst(1);
+        let config =
+            LivePlanConfig::new(SPARE).with_max_new_experts_per_rank(1);
         let plan = live::plan(SHAPE, config, &map, &loads, &speeds);
         let Some(plan) = plan else { break };
         check_step(&map, &plan.map);
@@ -128,7 +140,7 @@
 /// to all.
 #[test]
 fn requests_with_likes_of_their_own_are_no_shift() {
-    let mut demand = Demand::new();
+    let mut demand = DemandEstimator::new();
     let mut total = counts(&liked(0), 0);
     for round in 0..100_u64 {
         let turn = 7 * (round / 3 % 9) as usize;
@@ -136,26 +148,26 @@
         for (loads, times) in &likes {
             add(&mut total, &counts(loads, *times));
         }
-        demand.add(Millis(1_000 + 50 * round), total.clone());
+        demand.record_counts(Millis(1_000 + 50 * round), total.clone());
     }
-    assert_eq!(demand.shifted(), Millis(0));
+    assert_eq!(demand.demand_shifted_at(), Millis(0));
 }
 
 #[test]
 fn a_shift_shows_in_the_counts_of_a_tenth_of_a_second() {
-    let mut demand = Demand::new();
+    let mut demand = DemandEstimator::new();
     let mut total = counts(&liked(0), 0);
     for round in 0..44_u64 {
         let now = Millis(1_000 + 50 * round);
         let loads = if round <= 40 { liked(0) } else { liked(20) };
         add(&mut total, &counts(&loads, 10));
-        demand.add(now, total.clone());
+        demand.record_counts(now, total.clone());
         if round <= 40 {
-            assert_eq!(demand.shifted(), Millis(0));
+            assert_eq!(demand.demand_shifted_at(), Millis(0));
         }
     }
     // What was counted before it is not planned for any more.
-    assert_eq!(demand.shifted(), Millis(1_000 + 50 * 40));
+    assert_eq!(demand.demand_shifted_at(), Millis(1_000 + 50 * 40));
 }
 
 fn add(total: &mut [Vec<u64>], new: &[Vec<u64>]) {
@@ -175,15 +187,16 @@
 #[test]
 fn a_shift_of_demand_shows_within_half_a_second() {
     let (before, after) = (liked(0), liked(20));
-    let mut demand = Demand::new();
+    let mut demand = DemandEstimator::new();
     let mut total = counts(&before, 0);
     let mut now = Millis(0);
-    let step = Millis(SPANS[0].0.0 / 2);
-    let mut grow = |demand: &mut Demand, loads: &[Vec<f64>], now: Millis| {
-        add(&mut total, &counts(loads, 1));
-        demand.add(now, total.clone());
-    };
-    while now < LONG {
+    let step = Millis(DEMAND_SHIFT_THRESHOLDS[0].0.0 / 2);
+    let mut grow =
+        |demand: &mut DemandEstimator, loads: &[Vec<f64>], now: Millis| {
+            add(&mut total, &counts(loads, 1));
+            demand.record_counts(now, total.clone());
+        };
+    while now < MAX_DEMAND_WINDOW {
         grow(&mut demand, &before, now);
         now = now + step;
     }
@@ -191,11 +204,11 @@
         grow(&mut demand, &after, now);
         now = now + step;
     }
-    let seen = demand.loads().expect("there are counts");
+    let seen = demand.current_loads().expect("there are counts");
     let speeds = vec![1.0; SHAPE.ranks];
-    let mut map = Map::dealt(SHAPE);
+    let mut map = Map::round_robin(SHAPE);
     for _ in 0..3 {
-        let config = Config::new(SPARE);
+        let config = LivePlanConfig::new(SPARE);
         if let Some(plan) = live::plan(SHAPE, config, &map, &seen, &speeds) {
             map = plan.map;
         }
@@ -218,12 +231,13 @@
         for rank in slow {
             speeds[rank] = 0.2;
         }
-        let mut map = Map::dealt(SHAPE);
+        let mut map = Map::round_robin(SHAPE);
         for turn in turns {
             // Each layer likes others.
             let layer = |it| liked(turn + 13 * it).swap_remove(0);
             let loads: Vec<_> = (0..SHAPE.layers).map(layer).collect();
-            let config = Config::new(SPARE).with_burst(burst);
+            let config = LivePlanConfig::new(SPARE)
+                .with_max_new_experts_per_rank(burst);
             let plan = live::plan(SHAPE, config, &map, &loads, &speeds);
             let Some(plan) = plan else { continue };
             check_step(&map, &plan.map);
