--- a/cowsliproad-admission/src/patience.rs
+++ b/cowsliproad-admission/src/patience.rs
@@ -23,8 +23,8 @@
 
 impl CallerTry {
     /// Classifies a caller's attempt by the time left until the caller's
-    /// deadline. A caller with much less time than the maximum has already
-    /// made an attempt at another entry process.
+    /// deadline. A caller with much less time left than the maximum has
+    /// already made an attempt, possibly at another entry process.
     pub fn new(
         time_to_deadline: Millis,
         max_time_to_deadline: Millis,
--- a/cowsliproad-admission/src/quarantine.rs
+++ b/cowsliproad-admission/src/quarantine.rs
@@ -13,8 +13,8 @@
 //! Where targets work in lock-step, the crash of one target stops its whole
 //! group, and three crashes would stop the group three times. So requests that
 //! a rank was running when it crashed, and had not begun to answer, are
-//! suspended at once ([`CrashLedger::suspend`]): no target gets them for
-//! [`SUSPENSION_TTL`], and for twice as long after each further crash.
+//! suspended at once ([`CrashLedger::suspend_request`]): no target gets them
+//! for [`SUSPENSION_TTL`], and for twice as long after each further crash.
 //! Meanwhile this also rejects requests that the rank ran by chance. Their
 //! number is bounded by what one rank runs, and requests that a target has
 //! survived are not suspended.
--- a/tests/cooldowns.rs
+++ b/tests/cooldowns.rs
@@ -255,7 +255,7 @@
     assert_eq!(arrival_count(&cluster, 0), before);
 }
 
-/// Guards against callers that wait in vain, or are all told to retry at the
+/// Guards against callers that wait in vain, or are all asked to retry at the
 /// same moment, while every target of a service is in a cooldown.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_are_refused_while_all_targets_cool_down() {
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -148,8 +148,8 @@
         self.post_request(entry_index, organisation, path, ticket, body).await
     }
 
-    /// Sends a crash-inducing request until three targets have crashed.
-    async fn crash_three_targets(&self, path: &str, body: &str) {
+    /// Sends a crash-inducing request until there were three target crashes.
+    async fn cause_three_crashes(&self, path: &str, body: &str) {
         let mut sent = 0;
         while self.crash_count() < 3 {
             assert!(sent < 10, "the request crashes no target");
@@ -183,10 +183,11 @@
     json!({ "messages": [CRASH_MARKER], "max_tokens": 20 }).to_string()
 }
 
-/// Asserts that a request is refused after three targets crashed under it.
+/// Asserts that a crash-inducing request is refused after three target
+/// crashes.
 async fn check_refused_after_three_crashes(path: &str, body: &str) {
     let deployment = Deployment::start().await;
-    deployment.crash_three_targets(path, body).await;
+    deployment.cause_three_crashes(path, body).await;
     sleep(PROPAGATION_TIMEOUT).await;
     deployment.assert_refused(path, body).await;
 }
@@ -207,7 +208,7 @@
 async fn agents_detect_crashing_work_with_an_idempotency_key() {
     let mut deployment = Deployment::start().await;
     deployment.idempotency_key = Some("of-the-gate".into());
-    deployment.crash_three_targets(REPEATABLE_PATH, &crashing_body()).await;
+    deployment.cause_three_crashes(REPEATABLE_PATH, &crashing_body()).await;
     sleep(PROPAGATION_TIMEOUT).await;
     deployment.assert_refused(REPEATABLE_PATH, &crashing_body()).await;
     deployment.idempotency_key = Some("another".into());
@@ -258,7 +259,7 @@
     let mortal = mortal::Config::new(CRASH_MARKER).with_lag(listener_delay);
     let deployment =
         Deployment::start_with_targets(engine::Config::new(), mortal).await;
-    deployment.crash_three_targets(TICKETED_PATH, &crashing_body()).await;
+    deployment.cause_three_crashes(TICKETED_PATH, &crashing_body()).await;
     sleep(PROPAGATION_TIMEOUT).await;
     deployment.assert_refused(TICKETED_PATH, &crashing_body()).await;
 }
@@ -360,7 +361,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn similar_work_is_not_refused() {
     let deployment = Deployment::start().await;
-    deployment.crash_three_targets(REPEATABLE_PATH, &crashing_body()).await;
+    deployment.cause_three_crashes(REPEATABLE_PATH, &crashing_body()).await;
     sleep(PROPAGATION_TIMEOUT).await;
     let other = json!({ "id": "other" }).to_string();
     let served = deployment
@@ -386,7 +387,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_entries_learn_of_crashes_from_agents() {
     let mut deployment = Deployment::start().await;
-    deployment.crash_three_targets(REPEATABLE_PATH, &crashing_body()).await;
+    deployment.cause_three_crashes(REPEATABLE_PATH, &crashing_body()).await;
     sleep(PROPAGATION_TIMEOUT).await;
     for index in 0..3 {
         deployment.cluster.kill_entry(index).await;
@@ -433,7 +434,7 @@
         .post_request(0, ORGANISATION, TICKETED_PATH, ticket, &crashing_body())
         .await;
     assert_eq!(deployment.crash_count(), 1);
-    deployment.crash_three_targets(TICKETED_PATH, &crashing_body()).await;
+    deployment.cause_three_crashes(TICKETED_PATH, &crashing_body()).await;
     sleep(PROPAGATION_TIMEOUT).await;
     let before = deployment.crash_count();
     for entry in 0..3 {
