--- a/cowsliproad-bench/src/experiment/pace.rs
+++ b/cowsliproad-bench/src/experiment/pace.rs
@@ -36,7 +36,12 @@
 
 /// The users' departure boards, by their configuration.
 const PLANT: Plant = Plant {
-    shape: Shape { ranks: 12, experts: 96, layers: 3, slots_per_rank: 11 },
+    shape: Shape {
+        rank_count: 12,
+        expert_count: 96,
+        layer_count: 3,
+        slots_per_rank: 11,
+    },
     spare: 4,
     copy_ms: 400.0,
     slots: 12,
--- a/cowsliproad-bench/src/experiment/pace/group.rs
+++ b/cowsliproad-bench/src/experiment/pace/group.rs
@@ -223,7 +223,12 @@
 impl Run {
     fn new(plant: Plant, policy: Policy, seed: u64) -> Run {
         let mut random = StdRng::seed_from_u64(seed);
-        let Shape { ranks, experts, layers, .. } = plant.shape;
+        let Shape {
+            rank_count: ranks,
+            expert_count: experts,
+            layer_count: layers,
+            ..
+        } = plant.shape;
         let likes = Likes::new(layers, experts, &mut random);
         let passes = Histogram::new(3).expect("three digits are allowed");
         Run {
@@ -283,7 +288,7 @@
             }
         }
         let skew = self.skew(&loads);
-        let ranks = self.plant.shape.ranks as f64;
+        let ranks = self.plant.shape.rank_count as f64;
         let streams = self.ranks.iter().map(Vec::len).sum::<usize>() as f64;
         let read = reads / self.plant.read_per_ms / ranks;
         let even = self.plant.pass.even_ms(streams / ranks) + read;
@@ -305,7 +310,7 @@
         if self.policy.maps.is_none() {
             return 1.0;
         }
-        let speeds = vec![1.0; self.plant.shape.ranks];
+        let speeds = vec![1.0; self.plant.shape.rank_count];
         let ideal = ideal_time(loads, &speeds);
         if ideal == 0.0 {
             return 1.0;
@@ -359,7 +364,7 @@
         let Admission::Within(bound) = self.policy.admission else {
             return f64::INFINITY;
         };
-        let ranks = self.plant.shape.ranks as f64;
+        let ranks = self.plant.shape.rank_count as f64;
         let view = View {
             streams: self.reported.iter().sum::<f64>() / ranks,
             factors: self.strain.factors(),
@@ -456,12 +461,13 @@
         let config = live::LivePlanConfig::new(self.plant.spare)
             .with_max_new_experts_per_rank(maps.burst)
             .with_copy_cost(maps.price);
-        let speeds = vec![1.0; shape.ranks];
+        let speeds = vec![1.0; shape.rank_count];
         let plan = live::plan(shape, config, &self.map, &loads, &speeds);
         let Some(plan) = plan else { return };
-        let most = (0..shape.ranks as u16).map(|rank| {
+        let most = (0..shape.rank_count as u16).map(|rank| {
             let layers = self.map.layers.iter().zip(&plan.map.layers);
-            let news = layers.map(|(old, new)| old.added_copies_at(rank, new));
+            let news =
+                layers.map(|(old, new)| old.count_added_copies_at(rank, new));
             news.sum::<usize>()
         });
         let most = most.max().unwrap_or_default() as f64;
--- a/cowsliproad-bench/src/experiment/placement.rs
+++ b/cowsliproad-bench/src/experiment/placement.rs
@@ -32,9 +32,24 @@
 
 /// The sizes that are tried, the last of which is reported by name.
 const SHAPES: [Shape; 3] = [
-    Shape { ranks: 16, experts: 64, layers: 61, slots_per_rank: 5 },
-    Shape { ranks: 64, experts: 256, layers: 61, slots_per_rank: 5 },
-    Shape { ranks: 256, experts: 256, layers: 61, slots_per_rank: 2 },
+    Shape {
+        rank_count: 16,
+        expert_count: 64,
+        layer_count: 61,
+        slots_per_rank: 5,
+    },
+    Shape {
+        rank_count: 64,
+        expert_count: 256,
+        layer_count: 61,
+        slots_per_rank: 5,
+    },
+    Shape {
+        rank_count: 256,
+        expert_count: 256,
+        layer_count: 61,
+        slots_per_rank: 2,
+    },
 ];
 
 /// Intervals of ten seconds in a run.
@@ -104,9 +119,9 @@
     fn new(shape: Shape, seed: u64, weather: Weather) -> World {
         let mut random = StdRng::seed_from_u64(seed);
         let mut draw = |spread: f64| {
-            (0..shape.layers)
+            (0..shape.layer_count)
                 .map(|_| {
-                    (0..shape.experts)
+                    (0..shape.expert_count)
                         .map(|_| spread * normal(&mut random))
                         .collect()
                 })
@@ -114,10 +129,10 @@
         };
         let logits = draw(0.5);
         let phase = draw(3.0);
-        let mut speeds = vec![1.0; shape.ranks];
+        let mut speeds = vec![1.0; shape.rank_count];
         if weather == Weather::Drift {
             for _ in 0..random.random_range(1..=3) {
-                let slow = random.random_range(0..shape.ranks);
+                let slow = random.random_range(0..shape.rank_count);
                 speeds[slow] = random.random_range(0.7..0.85);
             }
         }
@@ -140,7 +155,7 @@
             }
         }
         if self.interval.is_multiple_of(45) {
-            let healed = self.random.random_range(0..self.shape.ranks);
+            let healed = self.random.random_range(0..self.shape.rank_count);
             self.speeds[healed] = self.random.random_range(0.7..1.0);
         }
     }
@@ -163,7 +178,7 @@
                     })
                     .collect();
                 let sum: f64 = weights.iter().sum();
-                let tokens = 400.0 * self.shape.experts as f64;
+                let tokens = 400.0 * self.shape.expert_count as f64;
                 weights.iter().map(|it| it / sum * tokens).collect()
             })
             .collect()
@@ -236,7 +251,7 @@
     let truth = world.loads();
     let mut map = first_map(shape, &truth, &world.speeds);
     let mut loads = SmoothedLoads::new();
-    let mut speeds = vec![1.0; shape.ranks];
+    let mut speeds = vec![1.0; shape.rank_count];
     let mut score = Score::default();
     for interval in 0..INTERVALS {
         world.advance();
@@ -254,7 +269,7 @@
         let next = decide(shape, policy, interval, &map, &loads, &speeds);
         score.plan_ms.push(start.elapsed().as_secs_f64() * 1e3);
         if let Some(next) = next {
-            score.moves += map.move_count_to(&next);
+            score.moves += map.count_moves_to(&next);
             score.lost += step_time_lost(&map, &next);
             map = next;
         }
@@ -333,7 +348,7 @@
     let shapes = if quick { &SHAPES[..1] } else { &SHAPES[..] };
     let planner = Policy::Planner(HANGAR.0, HANGAR.1);
     for shape in shapes {
-        let size = format!("{}x{}", shape.ranks, shape.experts);
+        let size = format!("{}x{}", shape.rank_count, shape.expert_count);
         eprintln!("{size}");
         let score = |policy| {
             play(*shape, policy, 1_000 + options.seed, Weather::Drift)
--- a/cowsliproad-bench/src/experiment/switch.rs
+++ b/cowsliproad-bench/src/experiment/switch.rs
@@ -10,10 +10,10 @@
 
 use cowsliproad_kernel::{clock::Millis, plugin::inventory};
 use cowsliproad_mapswitch::order::{
-    ArmOrderStatus, Coordinator, CoordinatorConfig, Directive, Epoch,
-    ExpertsByLayerAndRank, MissingRanks, ObeyedCoordinator, Order,
-    RankSnapshot, Report, SealStatus, SwitchEvent, Version,
-    coordinator_arm_step, due_hold_order, next_order,
+    ArmOrderStatus, Coordinator, CoordinatorArmingNotice, CoordinatorConfig,
+    Directive, Epoch, ExpertsByLayerAndRank, MissingRanks, ObeyedCoordinator,
+    Order, RankSnapshot, Report, SwitchEvent, Version,
+    announced_coordinator_arming_step, due_hold_order, next_order,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
@@ -120,13 +120,15 @@
     /// What the coordinator sees of all ranks, whose agents have heard its
     /// word.
     fn snapshots(&self, word: &Directive) -> Vec<RankSnapshot> {
-        let seal = coordinator_arm_step(word)
-            .map_or(SealStatus::NotReceived, SealStatus::Received);
+        let seal = announced_coordinator_arming_step(word).map_or(
+            CoordinatorArmingNotice::NotReceived,
+            CoordinatorArmingNotice::Received,
+        );
         let snapshot = |report: &Report| RankSnapshot {
             report: report.clone(),
-            arms: ArmOrderStatus::Answered,
-            seal,
-            obeys: ObeyedCoordinator::This,
+            arm_order_status: ArmOrderStatus::Answered,
+            coordinator_arming_notice: seal,
+            obeyed_coordinator: ObeyedCoordinator::This,
         };
         self.ranks.iter().map(snapshot).collect()
     }
@@ -166,8 +168,11 @@
             }
         }
         let snapshots = group.snapshots(&word);
-        match coordinator.advance(&snapshots, MissingRanks::None, Millis(now))
-        {
+        match coordinator.advance_switch(
+            &snapshots,
+            MissingRanks::None,
+            Millis(now),
+        ) {
             SwitchEvent::Changed(_) => {
                 score.changes += 1;
                 score.times.push(now - begun);
--- a/cowsliproad-mapswitch/src/lib.rs
+++ b/cowsliproad-mapswitch/src/lib.rs
@@ -89,7 +89,7 @@
     /// Asks the receiver to vote on a proposal.
     VoteRequest(Proposal),
     /// Tells the receiver how the member of this rank voted on a proposal.
-    VoteCast(Proposal, Rank, Vote),
+    Cast(Proposal, Rank, Vote),
 }
 
 /// Whether a member has loaded the weights of a proposed map.
@@ -157,12 +157,12 @@
     }
 
     /// The number of the member's next step.
-    pub fn step(&self) -> u64 {
+    pub fn next_step_number(&self) -> u64 {
         self.step
     }
 
     /// The version of the expert map that the member uses.
-    pub fn map(&self) -> Version {
+    pub fn map_version(&self) -> Version {
         self.map
     }
 
@@ -230,9 +230,9 @@
                     return None;
                 }
                 let vote = self.vote(proposal, weights);
-                Some(VoteMessage::VoteCast(proposal, self.rank, vote))
+                Some(VoteMessage::Cast(proposal, self.rank, vote))
             }
-            VoteMessage::VoteCast(proposal, rank, vote) => {
+            VoteMessage::Cast(proposal, rank, vote) => {
                 if let Some(ballot) = &mut self.undecided_ballot
                     && ballot.proposal == proposal
                 {
--- a/cowsliproad-mapswitch/src/order.rs
+++ b/cowsliproad-mapswitch/src/order.rs
@@ -170,7 +170,7 @@
 /// Whether a rank's agent has received the seal: the announcement that the
 /// coordinator's own rank arms.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub enum SealStatus {
+pub enum CoordinatorArmingNotice {
     /// The agent has received no announcement that the coordinator's rank
     /// arms.
     #[serde(rename = "Unheard")]
@@ -203,12 +203,12 @@
     pub report: Report,
     /// Whether an *arm* order that the report doesn't show may still be
     /// executed.
-    pub arms: ArmOrderStatus,
+    pub arm_order_status: ArmOrderStatus,
     /// Whether the rank's agent has received the seal: the announcement that
     /// the coordinator's own rank arms.
-    pub seal: SealStatus,
+    pub coordinator_arming_notice: CoordinatorArmingNotice,
     /// Which coordinator's directives the rank's agent obeys.
-    pub obeys: ObeyedCoordinator,
+    pub obeyed_coordinator: ObeyedCoordinator,
 }
 
 /// The ranks from which a coordinator has no recent report.
@@ -226,7 +226,7 @@
 
 /// The state that a coordinator wants all ranks to reach.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub enum Aim {
+pub enum DesiredState {
     /// No state is required of the ranks: no switch is in progress.
     Rest,
     /// All ranks have copied the experts of this map.
@@ -270,11 +270,13 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Directive {
     /// The coordinator's fencing number.
-    pub fence: u64,
+    #[serde(rename = "fence")]
+    pub fencing_number: u64,
     /// The group formation for which the directive is valid.
     pub epoch: Epoch,
     /// The state that all ranks have to reach.
-    pub aim: Aim,
+    #[serde(rename = "aim")]
+    pub desired_state: DesiredState,
 }
 
 /// Returns the order that an agent has to send to its own engine, given the
@@ -288,24 +290,24 @@
     if directive.epoch != report.epoch {
         return None;
     }
-    match directive.aim {
-        Aim::Rest => None,
-        Aim::Prepared(version) => {
+    match directive.desired_state {
+        DesiredState::Rest => None,
+        DesiredState::Prepared(version) => {
             let is_prepared = report.prepared == Some(version);
             let is_acceptable = report.armed.is_none() && report.map < version;
             let (planned, experts) = plan?;
             (!is_prepared && is_acceptable && planned == version)
                 .then(|| Order::Prepare(version, experts.clone()))
         }
-        Aim::Held { .. } => None,
-        Aim::Armed { version, step, except } => {
+        DesiredState::Held { .. } => None,
+        DesiredState::Armed { version, step, except } => {
             due_arm_order(report, version, step, except)
         }
-        Aim::Sealed { version, step, except } => {
+        DesiredState::Sealed { version, step, except } => {
             due_arm_order(report, version, step, Some(except))
         }
-        Aim::Disarmed => report.armed.map(|it| Order::Disarm(it.0)),
-        Aim::Released(step) => {
+        DesiredState::Disarmed => report.armed.map(|it| Order::Disarm(it.0)),
+        DesiredState::Released(step) => {
             (report.held == Some(step)).then_some(Order::Go(step))
         }
     }
@@ -328,10 +330,12 @@
 
 /// Returns the pass of the switch for which a directive announces that the
 /// coordinator's own rank arms (the seal), or `None` if it announces nothing.
-pub fn coordinator_arm_step(directive: &Directive) -> Option<u64> {
-    match directive.aim {
-        Aim::Sealed { step, .. } => Some(step),
-        Aim::Armed { step, except: None, .. } => Some(step),
+pub fn announced_coordinator_arming_step(
+    directive: &Directive,
+) -> Option<u64> {
+    match directive.desired_state {
+        DesiredState::Sealed { step, .. } => Some(step),
+        DesiredState::Armed { step, except: None, .. } => Some(step),
         _ => None,
     }
 }
@@ -344,7 +348,9 @@
     directive: &Directive,
     report: &Report,
 ) -> Option<Order> {
-    let Aim::Held { step, holder } = directive.aim else { return None };
+    let DesiredState::Held { step, holder } = directive.desired_state else {
+        return None;
+    };
     let is_due = report.rank == holder
         && report.epoch == directive.epoch
         && report.held != Some(step)
--- a/cowsliproad-mapswitch/src/order/coordinator.rs
+++ b/cowsliproad-mapswitch/src/order/coordinator.rs
@@ -4,8 +4,8 @@
 use cowsliproad_kernel::clock::Millis;
 
 use super::{
-    Aim, ArmOrderStatus, Directive, Epoch, MissingRanks, ObeyedCoordinator,
-    RankSnapshot, Report, SealStatus, Version,
+    ArmOrderStatus, CoordinatorArmingNotice, DesiredState, Directive, Epoch,
+    MissingRanks, ObeyedCoordinator, RankSnapshot, Report, Version,
 };
 
 /// Settings of a coordinator of map switches.
@@ -72,12 +72,12 @@
 
 /// The phase of a coordinator's current switch.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-enum Phase {
+enum SwitchPhase {
     Idle,
     Preparing { version: Version, since: Millis },
     Holding { version: Version, step: u64, holder: u16 },
     Arming { version: Version, step: u64, except: Option<u16> },
-    Sealing { version: Version, step: u64 },
+    AnnouncingOwnArming { version: Version, step: u64 },
     Disarming { step: u64 },
     Releasing { version: Version, step: u64 },
 }
@@ -108,12 +108,12 @@
 pub struct Coordinator {
     boundary_lead_passes: (u64, u64),
     expert_copy_timeout: Millis,
-    fence: u64,
+    fencing_number: u64,
     own_rank: u16,
     epoch: Epoch,
     /// The newest map version that this coordinator planned.
     newest_planned_version: Version,
-    phase: Phase,
+    phase: SwitchPhase,
     timings: ArmingTimings,
 }
 
@@ -173,7 +173,7 @@
 
     /// The number of passes within which arming all ranks is expected to
     /// finish. The next pass may begin at any moment, so it is not counted.
-    fn expected_arming_passes(&self) -> u64 {
+    fn expected_arming_pass_count(&self) -> u64 {
         let time = (self.arming_time.0 + self.arming_time.0 / 4)
             .max(MIN_ARMING_TIME.0);
         time / self.mean_pass_time.0 + 2
@@ -188,47 +188,57 @@
     /// It has received no reports yet.
     pub fn new(
         config: CoordinatorConfig,
-        fence: u64,
+        fencing_number: u64,
         own_rank: u16,
     ) -> Coordinator {
         Coordinator {
             boundary_lead_passes: config.boundary_lead_passes,
             expert_copy_timeout: config.expert_copy_timeout,
-            fence,
+            fencing_number,
             own_rank,
             epoch: Epoch(0),
             newest_planned_version: Version(0),
-            phase: Phase::Idle,
+            phase: SwitchPhase::Idle,
             timings: ArmingTimings::new(),
         }
     }
 
     /// The coordinator's fencing number.
-    pub fn fence(&self) -> u64 {
-        self.fence
+    pub fn fencing_number(&self) -> u64 {
+        self.fencing_number
     }
 
     /// Returns whether no switch is in progress, so that a plan may begin.
     pub fn is_idle(&self) -> bool {
-        self.phase == Phase::Idle
+        self.phase == SwitchPhase::Idle
     }
 
     /// Returns the coordinator's directive, to be sent to all agents.
     pub fn directive(&self) -> Directive {
         let aim = match self.phase {
-            Phase::Idle => Aim::Rest,
-            Phase::Preparing { version, .. } => Aim::Prepared(version),
-            Phase::Holding { step, holder, .. } => Aim::Held { step, holder },
-            Phase::Arming { version, step, except } => {
-                Aim::Armed { version, step, except }
+            SwitchPhase::Idle => DesiredState::Rest,
+            SwitchPhase::Preparing { version, .. } => {
+                DesiredState::Prepared(version)
             }
-            Phase::Sealing { version, step } => {
-                Aim::Sealed { version, step, except: self.own_rank }
+            SwitchPhase::Holding { step, holder, .. } => {
+                DesiredState::Held { step, holder }
+            }
+            SwitchPhase::Arming { version, step, except } => {
+                DesiredState::Armed { version, step, except }
+            }
+            SwitchPhase::AnnouncingOwnArming { version, step } => {
+                DesiredState::Sealed { version, step, except: self.own_rank }
+            }
+            SwitchPhase::Disarming { .. } => DesiredState::Disarmed,
+            SwitchPhase::Releasing { step, .. } => {
+                DesiredState::Released(step)
             }
-            Phase::Disarming { .. } => Aim::Disarmed,
-            Phase::Releasing { step, .. } => Aim::Released(step),
         };
-        Directive { fence: self.fence, epoch: self.epoch, aim }
+        Directive {
+            fencing_number: self.fencing_number,
+            epoch: self.epoch,
+            desired_state: aim,
+        }
     }
 
     /// Begins to prepare a new map and returns its version. Requires snapshots
@@ -238,16 +248,18 @@
         snapshots: &[RankSnapshot],
         now: Millis,
     ) -> Version {
-        let newest =
-            snapshots.iter().map(|it| newest_known_version(&it.report)).max();
+        let newest = snapshots
+            .iter()
+            .map(|it| newest_known_map_version(&it.report))
+            .max();
         let known = newest
             .unwrap_or(self.newest_planned_version)
             .max(self.newest_planned_version);
-        let own = self.fence * VERSIONS_PER_COORDINATOR;
+        let own = self.fencing_number * VERSIONS_PER_COORDINATOR;
         let version = Version(own.max(known.0 + 1));
         self.newest_planned_version = version;
-        self.phase = Phase::Preparing { version, since: now };
-        self.timings.start_counting_passes(latest_begun_step(snapshots), now);
+        self.phase = SwitchPhase::Preparing { version, since: now };
+        self.timings.start_counting_passes(latest_begun_pass(snapshots), now);
         version
     }
 
@@ -255,13 +267,15 @@
     /// *hold* or *arm* order was sent for it, and ranks may finish copying
     /// its experts without harm.
     pub fn abandon_plan(&mut self) -> Option<Version> {
-        let Phase::Preparing { version, .. } = self.phase else { return None };
-        self.phase = Phase::Idle;
+        let SwitchPhase::Preparing { version, .. } = self.phase else {
+            return None;
+        };
+        self.phase = SwitchPhase::Idle;
         Some(version)
     }
 
     /// Advances the switch according to the latest reports.
-    pub fn advance(
+    pub fn advance_switch(
         &mut self,
         snapshots: &[RankSnapshot],
         missing: MissingRanks,
@@ -276,43 +290,45 @@
         }
         if epoch != self.epoch {
             self.epoch = epoch;
-            self.phase = Phase::Idle;
+            self.phase = SwitchPhase::Idle;
             return SwitchEvent::Reset(epoch);
         }
         match (self.phase, missing) {
-            (Phase::Idle, MissingRanks::None) => {
+            (SwitchPhase::Idle, MissingRanks::None) => {
                 self.resume_or_release(snapshots)
             }
-            (Phase::Idle, MissingRanks::Predecessor(fence)) => {
-                self.cancel_switch(snapshots, fence)
+            (SwitchPhase::Idle, MissingRanks::Predecessor(fencing_number)) => {
+                self.cancel_switch(snapshots, fencing_number)
             }
             // Keep disarming even if all ranks have reported: an agent may
             // still act on the directive to disarm.
             (
-                Phase::Disarming { step },
+                SwitchPhase::Disarming { step },
                 MissingRanks::Predecessor(_) | MissingRanks::None,
-            ) => self.release_hold_if_disarmed(snapshots, step),
-            (Phase::Releasing { version, step }, _) => {
+            ) => self.release_hold_if_all_disarmed(snapshots, step),
+            (SwitchPhase::Releasing { version, step }, _) => {
                 self.finish_switch_if_released(snapshots, version, step)
             }
-            (Phase::Preparing { version, since }, _) => self
+            (SwitchPhase::Preparing { version, since }, _) => self
                 .begin_hold_if_prepared(
                     snapshots, missing, version, since, now,
                 ),
             (_, MissingRanks::Predecessor(_) | MissingRanks::Others) => {
                 SwitchEvent::None
             }
-            (Phase::Holding { version, step, holder }, _) => {
+            (SwitchPhase::Holding { version, step, holder }, _) => {
                 self.begin_arming_if_held(snapshots, version, step, holder)
             }
-            (Phase::Arming { version, step, except }, _) => {
-                self.seal_or_release_if_armed(
+            (SwitchPhase::Arming { version, step, except }, _) => {
+                self.announce_or_release_if_armed(
                     snapshots, version, step, except, now,
                 );
                 SwitchEvent::None
             }
-            (Phase::Sealing { version, step }, _) => {
-                self.arm_own_rank_if_sealed(snapshots, version, step);
+            (SwitchPhase::AnnouncingOwnArming { version, step }, _) => {
+                self.arm_own_rank_if_notice_confirmed(
+                    snapshots, version, step,
+                );
                 SwitchEvent::None
             }
         }
@@ -326,7 +342,7 @@
     ) -> SwitchEvent {
         let armed = snapshots.iter().find_map(|it| it.report.armed);
         if let Some((version, step)) = armed {
-            self.phase = Phase::Arming { version, step, except: None };
+            self.phase = SwitchPhase::Arming { version, step, except: None };
             return SwitchEvent::Resumed(version);
         }
         let Some(step) = snapshots.iter().find_map(|it| it.report.held) else {
@@ -336,10 +352,13 @@
         // prepared the next map. Completing the switch is safe whether or not
         // such an order exists.
         self.phase = match version_prepared_by_all(snapshots) {
-            Some(version) => Phase::Arming { version, step, except: None },
-            None => {
-                Phase::Releasing { version: snapshots[0].report.map, step }
+            Some(version) => {
+                SwitchPhase::Arming { version, step, except: None }
             }
+            None => SwitchPhase::Releasing {
+                version: snapshots[0].report.map,
+                step,
+            },
         };
         SwitchEvent::None
     }
@@ -348,7 +367,7 @@
     fn cancel_switch(
         &mut self,
         snapshots: &[RankSnapshot],
-        predecessor_fence: u64,
+        predecessor_fencing_number: u64,
     ) -> SwitchEvent {
         let held = snapshots.iter().find_map(|it| it.report.held);
         let Some(step) = held else { return SwitchEvent::None };
@@ -363,22 +382,24 @@
             it.report.armed.is_none() && it.report.step < step
         };
         let coordinator_unarmed = snapshots.iter().any(unarmed)
-            || holder_lacks_seal(snapshots, step);
-        let latest =
-            snapshots.iter().map(|it| newest_known_version(&it.report)).max();
+            || has_holder_missed_arming_notice(snapshots, step);
+        let latest = snapshots
+            .iter()
+            .map(|it| newest_known_map_version(&it.report))
+            .max();
         let began_by_predecessor = latest.is_some_and(|it| {
-            it.0 / VERSIONS_PER_COORDINATOR == predecessor_fence
+            it.0 / VERSIONS_PER_COORDINATOR == predecessor_fencing_number
         });
         if !all_settled || !coordinator_unarmed || !began_by_predecessor {
             return SwitchEvent::None;
         }
         let version = armed.map_or(snapshots[0].report.map, |it| it.0);
-        self.phase = Phase::Disarming { step };
+        self.phase = SwitchPhase::Disarming { step };
         SwitchEvent::Cancelled(version)
     }
 
     /// Releases the hold of the group once no rank is armed or may still arm.
-    fn release_hold_if_disarmed(
+    fn release_hold_if_all_disarmed(
         &mut self,
         snapshots: &[RankSnapshot],
         step: u64,
@@ -388,7 +409,7 @@
         };
         if snapshots.iter().all(is_clear) {
             let version = snapshots[0].report.map;
-            self.phase = Phase::Releasing { version, step };
+            self.phase = SwitchPhase::Releasing { version, step };
         }
         SwitchEvent::None
     }
@@ -406,24 +427,24 @@
         let is_prepared =
             |it: &RankSnapshot| it.report.prepared == Some(version);
         if missing == MissingRanks::None && snapshots.iter().all(is_prepared) {
-            self.timings.begin_arming(latest_begun_step(snapshots), now);
-            let step = self.next_boundary(snapshots);
+            self.timings.begin_arming(latest_begun_pass(snapshots), now);
+            let step = self.choose_boundary_pass(snapshots);
             let holder = self.choose_holding_rank(snapshots);
-            self.phase = Phase::Holding { version, step, holder };
+            self.phase = SwitchPhase::Holding { version, step, holder };
             return SwitchEvent::None;
         }
         if now.since(since) > self.expert_copy_timeout {
-            self.phase = Phase::Idle;
+            self.phase = SwitchPhase::Idle;
             return SwitchEvent::Abandoned(version);
         }
         SwitchEvent::None
     }
 
     /// Returns the boundary: the first pass that is to use the new map.
-    fn next_boundary(&self, snapshots: &[RankSnapshot]) -> u64 {
+    fn choose_boundary_pass(&self, snapshots: &[RankSnapshot]) -> u64 {
         let (min, max) = self.boundary_lead_passes;
-        latest_begun_step(snapshots)
-            + self.timings.expected_arming_passes().clamp(min, max)
+        latest_begun_pass(snapshots)
+            + self.timings.expected_arming_pass_count().clamp(min, max)
     }
 
     /// Returns the rank that is to hold the group: the lowest rank other than
@@ -445,12 +466,12 @@
         let held = snapshots.iter().any(|it| it.report.held == Some(step));
         if held {
             let except = Some(self.own_rank);
-            self.phase = Phase::Arming { version, step, except };
-        } else if latest_begun_step(snapshots) >= step {
+            self.phase = SwitchPhase::Arming { version, step, except };
+        } else if latest_begun_pass(snapshots) >= step {
             // The group has begun the boundary pass with the old map. No rank
             // is armed, so a later boundary is safe.
-            let step = self.next_boundary(snapshots);
-            self.phase = Phase::Holding { version, step, holder };
+            let step = self.choose_boundary_pass(snapshots);
+            self.phase = SwitchPhase::Holding { version, step, holder };
         }
         SwitchEvent::None
     }
@@ -458,7 +479,7 @@
     /// Releases the hold of the group once all ranks are armed. Once all ranks
     /// but the coordinator's are armed, announces that its rank arms next (the
     /// seal).
-    fn seal_or_release_if_armed(
+    fn announce_or_release_if_armed(
         &mut self,
         snapshots: &[RankSnapshot],
         version: Version,
@@ -470,25 +491,25 @@
         // rank.
         let is_armed = |it: &RankSnapshot| {
             it.report.armed == Some((version, step))
-                && it.obeys == ObeyedCoordinator::This
+                && it.obeyed_coordinator == ObeyedCoordinator::This
                 || it.report.map == version
         };
         if snapshots.iter().all(is_armed) {
             self.timings.finish_arming(now);
-            self.phase = Phase::Releasing { version, step };
+            self.phase = SwitchPhase::Releasing { version, step };
             return;
         }
         let is_other = |it: &&RankSnapshot| Some(it.report.rank) != except;
         if except.is_some() && snapshots.iter().filter(is_other).all(is_armed)
         {
-            self.phase = Phase::Sealing { version, step };
+            self.phase = SwitchPhase::AnnouncingOwnArming { version, step };
         }
     }
 
     /// Arms the coordinator's own rank once the agent of the rank that holds
     /// the group has confirmed the seal: the announcement that the
     /// coordinator's rank arms.
-    fn arm_own_rank_if_sealed(
+    fn arm_own_rank_if_notice_confirmed(
         &mut self,
         snapshots: &[RankSnapshot],
         version: Version,
@@ -497,11 +518,12 @@
         let holder = self.choose_holding_rank(snapshots);
         let has_confirmed = |it: &RankSnapshot| {
             it.report.rank == holder
-                && it.seal == SealStatus::Received(step)
-                && it.obeys == ObeyedCoordinator::This
+                && it.coordinator_arming_notice
+                    == CoordinatorArmingNotice::Received(step)
+                && it.obeyed_coordinator == ObeyedCoordinator::This
         };
         if snapshots.iter().any(has_confirmed) {
-            self.phase = Phase::Arming { version, step, except: None };
+            self.phase = SwitchPhase::Arming { version, step, except: None };
         }
     }
 
@@ -518,14 +540,14 @@
         if held || !changed {
             return SwitchEvent::None;
         }
-        self.phase = Phase::Idle;
+        self.phase = SwitchPhase::Idle;
         SwitchEvent::Changed(version)
     }
 }
 
 /// Returns the newest map version that a rank uses, has prepared or is armed
 /// for.
-fn newest_known_version(report: &Report) -> Version {
+fn newest_known_map_version(report: &Report) -> Version {
     let armed = report.armed.map(|it| it.0);
     let prepared = report.prepared.max(armed);
     prepared.map_or(report.map, |it| it.max(report.map))
@@ -535,19 +557,22 @@
 /// coordinator changes it: no unanswered *arm* order may still be executed
 /// there, and the rank's agent obeys this coordinator alone.
 fn is_armed_state_final(snapshot: &RankSnapshot) -> bool {
-    snapshot.arms == ArmOrderStatus::Answered
-        && snapshot.obeys == ObeyedCoordinator::This
+    snapshot.arm_order_status == ArmOrderStatus::Answered
+        && snapshot.obeyed_coordinator == ObeyedCoordinator::This
 }
 
 /// Returns whether the agent of the rank that holds the group has certainly
 /// not received the seal: the announcement that the unreachable coordinator's
 /// rank arms. The holding rank is the lowest rank but that coordinator's.
-fn holder_lacks_seal(snapshots: &[RankSnapshot], step: u64) -> bool {
+fn has_holder_missed_arming_notice(
+    snapshots: &[RankSnapshot],
+    step: u64,
+) -> bool {
     let holder = snapshots.iter().min_by_key(|it| it.report.rank);
-    holder.is_some_and(|it| match it.seal {
-        SealStatus::NotReceived => true,
-        SealStatus::Received(at) => at != step,
-        SealStatus::Unknown => false,
+    holder.is_some_and(|it| match it.coordinator_arming_notice {
+        CoordinatorArmingNotice::NotReceived => true,
+        CoordinatorArmingNotice::Received(at) => at != step,
+        CoordinatorArmingNotice::Unknown => false,
     })
 }
 
@@ -562,6 +587,6 @@
 }
 
 /// Returns the latest pass that any rank has begun.
-fn latest_begun_step(snapshots: &[RankSnapshot]) -> u64 {
+fn latest_begun_pass(snapshots: &[RankSnapshot]) -> u64 {
     snapshots.iter().map(|it| it.report.step).max().unwrap_or_default()
 }
--- a/cowsliproad-placement/src/bound.rs
+++ b/cowsliproad-placement/src/bound.rs
@@ -24,7 +24,7 @@
     let fastest = speeds.iter().copied().fold(0.0, f64::max);
     let total: f64 = loads.iter().sum();
     let balanced = total / speeds.iter().sum::<f64>();
-    let slots = (shape.ranks * shape.slots_per_rank) as f64;
+    let slots = (shape.rank_count * shape.slots_per_rank) as f64;
     let is_feasible = |time: f64| {
         let copies =
             loads.iter().map(|load| (load / (time * fastest)).ceil().max(1.0));
--- a/cowsliproad-placement/src/demand.rs
+++ b/cowsliproad-placement/src/demand.rs
@@ -80,9 +80,9 @@
         let (_, newest) = self.samples.back()?;
         let oldest = self
             .samples
-            .get(self.first_sample_since_shift())
+            .get(self.first_sample_index_since_shift())
             .or(self.samples.front())?;
-        let loads = count_increase(newest, &oldest.1);
+        let loads = increase_of_counts(newest, &oldest.1);
         let counted: f64 = loads.iter().flatten().sum();
         (counted > 0.0).then_some(loads)
     }
@@ -101,7 +101,8 @@
             let split = self.samples.iter().rposition(old)?;
             // If the samples before the split cover less than a window, their
             // counts are few and differ by chance.
-            let before = self.samples.get(self.first_sample_since_shift())?.0;
+            let before =
+                self.samples.get(self.first_sample_index_since_shift())?.0;
             if self.samples[split].0.since(before) < window {
                 return None;
             }
@@ -121,16 +122,18 @@
     /// Returns the share of the demand that moved to other experts after a
     /// sample, less the expected sampling noise; `None` if there is no
     /// earlier sample to compare.
-    fn moved_demand_share(&self, split: usize) -> Option<f64> {
-        let first = self.first_sample_since_shift();
-        if split <= first {
+    fn moved_demand_share(&self, split_sample: usize) -> Option<f64> {
+        let first = self.first_sample_index_since_shift();
+        if split_sample <= first {
             return None;
         }
         let (_, newest) = self.samples.back()?;
-        let (_, middle) = &self.samples[split];
+        let (_, middle) = &self.samples[split_sample];
         let (_, oldest) = self.samples.get(first)?;
-        let (after, before) =
-            (count_increase(newest, middle), count_increase(middle, oldest));
+        let (after, before) = (
+            increase_of_counts(newest, middle),
+            increase_of_counts(middle, oldest),
+        );
         Some(
             demand_variation_distance(&after, &before)
                 - sampling_noise(&after)
@@ -140,7 +143,7 @@
 
     /// Returns the index of the first sample taken since the last shift of the
     /// demand.
-    fn first_sample_since_shift(&self) -> usize {
+    fn first_sample_index_since_shift(&self) -> usize {
         let since =
             |it: &(Millis, CumulativeCounts)| it.0 >= self.demand_shifted_at;
         self.samples.iter().position(since).unwrap_or(self.samples.len())
@@ -162,7 +165,7 @@
 
 /// Returns the increase of each cumulative count from an old to a new sample,
 /// indexed by layer and then by expert.
-fn count_increase(
+fn increase_of_counts(
     new: &CumulativeCounts,
     old: &CumulativeCounts,
 ) -> Vec<Vec<f64>> {
@@ -194,11 +197,12 @@
 fn sampling_noise(loads: &[Vec<f64>]) -> f64 {
     let layers = loads.iter().map(|loads| {
         let counted = loads.iter().sum::<f64>().max(1.0);
-        MEAN_ABSOLUTE_DEVIATION / 2.0 * (loads.len() as f64 / counted).sqrt()
+        MEAN_DEVIATION_PER_STANDARD_DEVIATION / 2.0
+            * (loads.len() as f64 / counted).sqrt()
     });
     layers.sum::<f64>() / loads.len().max(1) as f64
 }
 
 /// The mean absolute deviation of a count, in standard deviations, as of a
 /// normal distribution.
-const MEAN_ABSOLUTE_DEVIATION: f64 = 0.8;
+const MEAN_DEVIATION_PER_STANDARD_DEVIATION: f64 = 0.8;
--- a/cowsliproad-placement/src/growth.rs
+++ b/cowsliproad-placement/src/growth.rs
@@ -10,17 +10,17 @@
 /// The growth of a rank's counts, quantized to one byte for each expert.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CountGrowth {
-    /// The number of counts that one unit of `units` stands for.
-    pub scale: u64,
-    /// The growth of each expert's count in units of `scale` counts, one layer
+    /// The number of counts that one unit of `growth_in_units` stands for.
+    pub counts_per_unit: u64,
+    /// The growth of each expert's count in units of `counts_per_unit` counts, one layer
     /// after the other.
-    pub units: Vec<u8>,
+    pub growth_in_units: Vec<u8>,
 }
 
 impl CountGrowth {
     /// Returns the growth from old to new counts of a rank, or `None` if any
     /// count decreased, as after a restart.
-    pub fn between(
+    pub fn from_counts(
         old_counts: &CumulativeCounts,
         new_counts: &CumulativeCounts,
     ) -> Option<CountGrowth> {
@@ -37,8 +37,8 @@
         let scale = max.div_ceil(u64::from(u8::MAX)).max(1);
         let unit = |it: u64| ((it + scale / 2) / scale) as u8;
         Some(CountGrowth {
-            scale,
-            units: grown.into_iter().map(unit).collect(),
+            counts_per_unit: scale,
+            growth_in_units: grown.into_iter().map(unit).collect(),
         })
     }
 
@@ -49,13 +49,13 @@
         counts: &mut CumulativeCounts,
         experts_per_layer: usize,
     ) {
-        let layers = self.units.chunks(experts_per_layer.max(1));
+        let layers = self.growth_in_units.chunks(experts_per_layer.max(1));
         if counts.len() != layers.len() {
             *counts = vec![vec![0; experts_per_layer]; layers.len()];
         }
         for (counts, units) in counts.iter_mut().zip(layers) {
             for (count, unit) in counts.iter_mut().zip(units) {
-                *count += u64::from(*unit) * self.scale;
+                *count += u64::from(*unit) * self.counts_per_unit;
             }
         }
     }
--- a/cowsliproad-placement/src/live.rs
+++ b/cowsliproad-placement/src/live.rs
@@ -42,7 +42,7 @@
     pub fn new(max_new_experts_per_layer: usize) -> LivePlanConfig {
         let max_new_experts_per_rank = usize::MAX;
         let (copy_cost, min_layer_saving, min_total_saving) =
-            (COPY_COST, MIN_LAYER_SAVING, MIN_TOTAL_SAVING);
+            (COPY_COST_SHARE, MIN_LAYER_SAVING_SHARE, MIN_TOTAL_SAVING_SHARE);
         LivePlanConfig {
             max_new_experts_per_layer,
             max_new_experts_per_rank,
@@ -82,16 +82,16 @@
 /// for. With a demand that shifts every 4 s, 0.03 moves a third of the experts
 /// that 0.006 does at the same serving speed. Only the last few percent of
 /// balance are given up.
-const COPY_COST: f64 = 0.03;
+const COPY_COST_SHARE: f64 = 0.03;
 
 /// The minimum saving of a changed layer, as a share of its slowest rank's
 /// time. Counts of 500 ms differ by some 2% by chance.
-const MIN_LAYER_SAVING: f64 = 0.03;
+const MIN_LAYER_SAVING_SHARE: f64 = 0.03;
 
 /// The minimum saving of all changed layers together, as a share of the step
 /// time. Each change of map risks slowing the group while orders go
 /// unanswered.
-const MIN_TOTAL_SAVING: f64 = 0.04;
+const MIN_TOTAL_SAVING_SHARE: f64 = 0.04;
 
 /// The maximum number of changes tried in a layer. A rank may receive only a
 /// few experts, and only a few ranks need to receive any.
@@ -105,9 +105,9 @@
     /// The number of copies of experts to be moved to other ranks.
     pub move_count: usize,
     /// The step time under the present map, relative to perfect balance.
-    pub relative_step_time_before: f64,
+    pub present_step_time_ratio_to_ideal: f64,
     /// The expected step time under the new map, relative to perfect balance.
-    pub relative_step_time_after: f64,
+    pub planned_step_time_ratio_to_ideal: f64,
 }
 
 /// Plans a small change of the present expert map; `None` if no change saves
@@ -120,20 +120,21 @@
     speeds: &[f64],
 ) -> Option<LivePlan> {
     let (map, move_count) =
-        search_layers(shape, config, present, loads, speeds);
+        search_better_map(shape, config, present, loads, speeds);
     if move_count == 0 {
         return None;
     }
     let ideal = crate::map::ideal_time(loads, speeds);
     let relative_time = |map: &Map| step_time(map, loads, speeds) / ideal;
-    let (relative_step_time_before, relative_step_time_after) =
+    let (present_step_time_ratio_to_ideal, planned_step_time_ratio_to_ideal) =
         (relative_time(present), relative_time(&map));
-    let saves_enough = relative_step_time_before - relative_step_time_after
-        > config.min_total_saving * relative_step_time_before;
+    let saves_enough = present_step_time_ratio_to_ideal
+        - planned_step_time_ratio_to_ideal
+        > config.min_total_saving * present_step_time_ratio_to_ideal;
     saves_enough.then_some(LivePlan {
         move_count,
-        relative_step_time_before,
-        relative_step_time_after,
+        present_step_time_ratio_to_ideal,
+        planned_step_time_ratio_to_ideal,
         map,
     })
 }
@@ -141,7 +142,7 @@
 /// Returns the best map found by local search, and the number of copies of
 /// experts that it moves. Each change is made in the layer that is least
 /// balanced at that point.
-fn search_layers(
+fn search_better_map(
     shape: Shape,
     config: LivePlanConfig,
     present: &Map,
@@ -154,7 +155,7 @@
             LayerSearch::new(shape, config, layer, loads, speeds)
         })
         .collect();
-    let mut new_experts_by_rank = vec![0; shape.ranks];
+    let mut new_experts_by_rank = vec![0; shape.rank_count];
     while let Some(search) = searches
         .iter_mut()
         .filter(|it| it.tried_changes < MAX_CHANGES_PER_LAYER)
@@ -203,7 +204,7 @@
         let candidate =
             CandidateLayer::new(shape, config, present, loads, speeds);
         let initial_time = candidate.slowest_rank_time();
-        let mean_load = loads.iter().sum::<f64>() / shape.ranks as f64;
+        let mean_load = loads.iter().sum::<f64>() / shape.rank_count as f64;
         let (copy_cost, best_net_saving) =
             (config.copy_cost, config.min_layer_saving * initial_time);
         // A layer without load stays unchanged.
@@ -239,7 +240,7 @@
         };
         self.candidate.apply_change(change, new_experts_by_rank);
         let copies =
-            self.candidate.present.added_copies(&self.candidate.layer);
+            self.candidate.present.count_added_copies(&self.candidate.layer);
         let saving = self.initial_time - self.candidate.slowest_rank_time();
         let net_saving =
             saving - self.copy_cost * self.mean_load * copies as f64;
--- a/cowsliproad-placement/src/live/search.rs
+++ b/cowsliproad-placement/src/live/search.rs
@@ -4,7 +4,7 @@
 use crate::map::{Expert, Layer, Rank, Shape};
 
 /// The exponent of the ranks' times in the sum that the search minimizes.
-const TIME_EXPONENT: i32 = 8;
+const RANK_TIME_EXPONENT: i32 = 8;
 
 /// A change of the hosts of one or two experts of a layer. A host of an expert
 /// is a rank that holds the expert.
@@ -105,7 +105,7 @@
         &self,
         new_experts_by_rank: &[usize],
     ) -> Option<HostChange> {
-        let ranks = 0..self.shape.ranks as Rank;
+        let ranks = 0..self.shape.rank_count as Rank;
         let by_time = |a: &Rank, b: &Rank| {
             self.rank_time(*a).total_cmp(&self.rank_time(*b))
         };
@@ -127,7 +127,7 @@
                 if receiver == relieved || self.layer.holds(receiver, expert) {
                     continue;
                 }
-                if self.remaining_new_experts(
+                if self.remaining_new_expert_quota(
                     receiver,
                     expert,
                     new_experts_by_rank,
@@ -174,7 +174,7 @@
                 keep_better_change(ChangeKind::Copy, Some(replaced));
             }
             let can_return = !self.layer.holds(relieved, replaced)
-                && self.remaining_new_experts(
+                && self.remaining_new_expert_quota(
                     relieved,
                     replaced,
                     new_experts_by_rank,
@@ -187,7 +187,7 @@
 
     /// Returns how many more new experts a rank may receive. No limit applies
     /// to an expert that the rank holds in the present map.
-    fn remaining_new_experts(
+    fn remaining_new_expert_quota(
         &self,
         rank: Rank,
         expert: Expert,
@@ -198,7 +198,7 @@
         }
         let in_layer = self
             .max_new_experts_per_layer
-            .saturating_sub(self.new_expert_count(rank));
+            .saturating_sub(self.count_new_experts(rank));
         in_layer.min(
             self.max_new_experts_per_rank
                 .saturating_sub(new_experts_by_rank[usize::from(rank)]),
@@ -206,12 +206,12 @@
     }
 
     /// Returns the number of experts that are new to a rank in this layer.
-    fn new_expert_count(&self, rank: Rank) -> usize {
-        self.present.added_copies_at(rank, &self.layer)
+    fn count_new_experts(&self, rank: Rank) -> usize {
+        self.present.count_added_copies_at(rank, &self.layer)
     }
 
     /// Returns by how much a change lowers the sum of the eighth powers
-    /// ([`TIME_EXPONENT`]) of all ranks' times.
+    /// ([`RANK_TIME_EXPONENT`]) of all ranks' times.
     fn balance_gain(&self, change: HostChange) -> f64 {
         let mut deltas = RankTimeDeltas::new(self.speeds);
         let hosts = self.layer.hosts(change.expert);
@@ -249,8 +249,8 @@
             .iter()
             .map(|(rank, delta)| {
                 let time = self.rank_time(rank);
-                time.powi(TIME_EXPONENT)
-                    - (time + delta).max(0.0).powi(TIME_EXPONENT)
+                time.powi(RANK_TIME_EXPONENT)
+                    - (time + delta).max(0.0).powi(RANK_TIME_EXPONENT)
             })
             .sum()
     }
@@ -266,17 +266,17 @@
         let ranks = &[relieved, receiver][usize::from(relieved == receiver)..];
         for &rank in ranks {
             new_experts_by_rank[usize::from(rank)] -=
-                self.new_expert_count(rank);
+                self.count_new_experts(rank);
         }
-        self.update_layer(change);
+        self.move_copies_in_layer(change);
         for &rank in ranks {
             new_experts_by_rank[usize::from(rank)] +=
-                self.new_expert_count(rank);
+                self.count_new_experts(rank);
         }
         self.rank_times = rank_times(&self.layer, self.loads, self.speeds);
     }
 
-    fn update_layer(&mut self, change: HostChange) {
+    fn move_copies_in_layer(&mut self, change: HostChange) {
         let HostChange { relieved, expert, receiver, replaced, kind } = change;
         if let Some(replaced) = replaced {
             self.layer.remove_copy(receiver, replaced);
--- a/cowsliproad-placement/src/load.rs
+++ b/cowsliproad-placement/src/load.rs
@@ -18,7 +18,7 @@
 
 /// The difference of a new token count from its average, in standard
 /// deviations, beyond which the count is a jump and not noise.
-const MIN_JUMP_DEVIATIONS: f64 = 5.0;
+const MIN_JUMP_IN_STANDARD_DEVIATIONS: f64 = 5.0;
 
 /// Token counts, indexed by layer and then by expert.
 pub type TokenCounts = Vec<Vec<f64>>;
@@ -50,7 +50,7 @@
         }
         for (old, new) in average.iter_mut().zip(counts) {
             for (old, new) in old.iter_mut().zip(new) {
-                *old += (new - *old) * new_count_weight(*old, *new);
+                *old += (new - *old) * weight_of_new_count(*old, *new);
             }
         }
     }
@@ -88,9 +88,11 @@
 /// like a Poisson variable. A jump far beyond that variation replaces the
 /// average almost completely: the callers' prompts have changed suddenly, for
 /// example because a menu changed.
-fn new_count_weight(average: f64, new_count: f64) -> f64 {
+fn weight_of_new_count(average: f64, new_count: f64) -> f64 {
     let deviation = average.max(1.0).sqrt();
-    if (new_count - average).abs() > MIN_JUMP_DEVIATIONS * deviation {
+    if (new_count - average).abs()
+        > MIN_JUMP_IN_STANDARD_DEVIATIONS * deviation
+    {
         JUMPED_COUNT_WEIGHT
     } else {
         NOISY_COUNT_WEIGHT
--- a/cowsliproad-placement/src/map.rs
+++ b/cowsliproad-placement/src/map.rs
@@ -10,11 +10,11 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Shape {
     /// The number of ranks in the group.
-    pub ranks: usize,
+    pub rank_count: usize,
     /// The number of experts in each layer.
-    pub experts: usize,
+    pub expert_count: usize,
     /// The number of layers.
-    pub layers: usize,
+    pub layer_count: usize,
     /// The number of experts that a rank can hold in each layer.
     pub slots_per_rank: usize,
 }
@@ -41,9 +41,9 @@
         Layer {
             experts_by_rank: vec![
                 Vec::with_capacity(shape.slots_per_rank);
-                shape.ranks
+                shape.rank_count
             ],
-            hosts_by_expert: vec![Vec::new(); shape.experts],
+            hosts_by_expert: vec![Vec::new(); shape.expert_count],
         }
     }
 
@@ -99,14 +99,14 @@
 
     /// Returns the number of copies of experts that `other` has at ranks that
     /// don't hold these experts in this layer.
-    pub fn added_copies(&self, other: &Layer) -> usize {
+    pub fn count_added_copies(&self, other: &Layer) -> usize {
         let ranks = 0..self.experts_by_rank.len() as Rank;
-        ranks.map(|rank| self.added_copies_at(rank, other)).sum()
+        ranks.map(|rank| self.count_added_copies_at(rank, other)).sum()
     }
 
     /// Returns the number of experts that a rank holds in `other` but not in
     /// this layer.
-    pub fn added_copies_at(&self, rank: Rank, other: &Layer) -> usize {
+    pub fn count_added_copies_at(&self, rank: Rank, other: &Layer) -> usize {
         let others = other.experts_at(rank).iter();
         others.filter(|it| !self.holds(rank, **it)).count()
     }
@@ -133,10 +133,13 @@
     /// one copy each.
     pub fn round_robin(shape: Shape) -> Map {
         let mut layer = Layer::new(shape);
-        for expert in 0..shape.experts {
-            layer.add_copy((expert % shape.ranks) as Rank, expert as Expert);
+        for expert in 0..shape.expert_count {
+            layer.add_copy(
+                (expert % shape.rank_count) as Rank,
+                expert as Expert,
+            );
         }
-        Map { layers: vec![layer; shape.layers] }
+        Map { layers: vec![layer; shape.layer_count] }
     }
 
     /// Builds a map from lists of the experts that ranks hold, indexed by
@@ -146,13 +149,13 @@
         shape: Shape,
         experts: &[Vec<Vec<Expert>>],
     ) -> Option<Map> {
-        let mut layers = Vec::with_capacity(shape.layers);
+        let mut layers = Vec::with_capacity(shape.layer_count);
         for ranks in experts {
             let mut layer = Layer::new(shape);
             for (rank, held) in ranks.iter().enumerate() {
                 for &expert in held {
-                    let is_known = usize::from(expert) < shape.experts;
-                    if rank >= shape.ranks || !is_known {
+                    let is_known = usize::from(expert) < shape.expert_count;
+                    if rank >= shape.rank_count || !is_known {
                         return None;
                     }
                     if !layer.holds(rank as Rank, expert) {
@@ -162,7 +165,7 @@
             }
             layers.push(layer);
         }
-        let is_valid = layers.len() == shape.layers
+        let is_valid = layers.len() == shape.layer_count
             && layers.iter().all(|it| it.is_valid(shape));
         is_valid.then_some(Map { layers })
     }
@@ -185,9 +188,9 @@
 
     /// Returns the number of copies of experts that ranks have to receive to
     /// switch from this map to another.
-    pub fn move_count_to(&self, other: &Map) -> usize {
+    pub fn count_moves_to(&self, other: &Map) -> usize {
         let pairs = self.layers.iter().zip(&other.layers);
-        pairs.map(|(own, others)| own.added_copies(others)).sum()
+        pairs.map(|(own, others)| own.count_added_copies(others)).sum()
     }
 }
 
--- a/cowsliproad-placement/src/pack.rs
+++ b/cowsliproad-placement/src/pack.rs
@@ -15,9 +15,9 @@
 /// Computes one layer of an expert map from scratch for these loads and rank
 /// speeds.
 pub fn pack_layer(shape: Shape, loads: &[f64], speeds: &[f64]) -> Layer {
-    let copy_counts = copy_counts(shape, loads);
+    let copies_per_expert = choose_copies_per_expert(shape, loads);
     let mut by_load_per_copy: Vec<(f64, Expert)> = Vec::new();
-    for (expert, count) in copy_counts.iter().enumerate() {
+    for (expert, count) in copies_per_expert.iter().enumerate() {
         let load_per_copy = loads[expert] / f64::from(*count);
         for _ in 0..*count {
             by_load_per_copy.push((load_per_copy, expert as Expert));
@@ -25,9 +25,9 @@
     }
     by_load_per_copy.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
     let mut layer = Layer::new(shape);
-    let mut assigned_loads = vec![0.0; shape.ranks];
+    let mut assigned_loads = vec![0.0; shape.rank_count];
     for (load_per_copy, expert) in by_load_per_copy {
-        let free = (0..shape.ranks).filter(|rank| {
+        let free = (0..shape.rank_count).filter(|rank| {
             let rank = *rank as Rank;
             layer.experts_at(rank).len() < shape.slots_per_rank
                 && !layer.holds(rank, expert)
@@ -50,10 +50,10 @@
 
 /// Returns the number of copies to make of each expert. The spare slots go to
 /// the experts with the largest load per copy, up to one copy for each rank.
-fn copy_counts(shape: Shape, loads: &[f64]) -> Vec<u32> {
-    let mut copy_counts = vec![1u32; shape.experts];
-    let spare =
-        (shape.ranks * shape.slots_per_rank).saturating_sub(shape.experts);
+fn choose_copies_per_expert(shape: Shape, loads: &[f64]) -> Vec<u32> {
+    let mut copies_per_expert = vec![1u32; shape.expert_count];
+    let spare = (shape.rank_count * shape.slots_per_rank)
+        .saturating_sub(shape.expert_count);
     let mut heap: BinaryHeap<ExpertByLoad> = loads
         .iter()
         .enumerate()
@@ -61,25 +61,25 @@
         .collect();
     for _ in 0..spare {
         let Some(heaviest) = heap.pop() else { break };
-        let count = &mut copy_counts[heaviest.expert];
-        if *count as usize >= shape.ranks {
+        let count = &mut copies_per_expert[heaviest.expert];
+        if *count as usize >= shape.rank_count {
             continue;
         }
         *count += 1;
         let load_per_copy = loads[heaviest.expert] / f64::from(*count);
         heap.push(ExpertByLoad { load_per_copy, expert: heaviest.expert });
     }
-    copy_counts
+    copies_per_expert
 }
 
 /// Places each expert that no rank holds in the slot of a copy whose expert
 /// other ranks hold too.
 fn place_unhosted_experts(shape: Shape, layer: &mut Layer) {
-    for expert in 0..shape.experts as Expert {
+    for expert in 0..shape.expert_count as Expert {
         if !layer.hosts(expert).is_empty() {
             continue;
         }
-        let spare = (0..shape.ranks as Rank).find_map(|rank| {
+        let spare = (0..shape.rank_count as Rank).find_map(|rank| {
             let held = layer.experts_at(rank);
             let replicated =
                 held.iter().find(|it| layer.hosts(**it).len() > 1);
--- a/cowsliproad-placement/src/plan.rs
+++ b/cowsliproad-placement/src/plan.rs
@@ -78,14 +78,14 @@
     /// The number of copies of experts to be moved to other ranks.
     pub move_count: usize,
     /// The share of the step time that the new map is expected to save.
-    pub saving: f64,
+    pub saved_step_time_share: f64,
 }
 
 /// The cost of moving one copy of an expert, as a share of the mean layer
 /// time, if saved time and moved copies have equal weights. With the default
 /// interval, a saving of this size repays the move before the popularity of
 /// experts has drifted.
-const MOVE_COST: f64 = 0.002;
+const MOVE_COST_SHARE: f64 = 0.002;
 
 /// The maximum number of slow ranks for which a move is searched, one after
 /// the other.
@@ -112,10 +112,10 @@
     }
     let mean = loads.mean_counts();
     let total = present.step_time(&mean, speeds);
-    let move_cost = config.move_weight * MOVE_COST * total
-        / shape.layers as f64
+    let move_cost = config.move_weight * MOVE_COST_SHARE * total
+        / shape.layer_count as f64
         / config.skew_weight.max(f64::MIN_POSITIVE);
-    let mut changes: Vec<LayerChange> = (0..shape.layers)
+    let mut changes: Vec<LayerChange> = (0..shape.layer_count)
         .filter_map(|layer_index| {
             let (planning_loads, validation_loads) =
                 (loads.planning_average(), loads.validation_average());
@@ -143,7 +143,11 @@
         saving += change.saving;
         map.layers[change.layer_index] = change.layer;
     }
-    (move_count > 0).then(|| Plan { map, move_count, saving: saving / total })
+    (move_count > 0).then(|| Plan {
+        map,
+        move_count,
+        saved_step_time_share: saving / total,
+    })
 }
 
 /// A change of one layer that saves more than it costs.
@@ -179,11 +183,11 @@
         .clamp(MOVES_PER_LAYER_BOUNDS.0, MOVES_PER_LAYER_BOUNDS.1);
     for _ in 0..max_layer_moves {
         let Some(it) = find_move(&layer, &times, loads, speeds) else { break };
-        it.apply_to(&mut layer);
+        it.apply_to_layer(&mut layer);
         times = layer.rank_times(loads, speeds);
         let after = times.iter().copied().fold(0.0, f64::max);
         let saving = before - after;
-        let move_count = present.added_copies(&layer);
+        let move_count = present.count_added_copies(&layer);
         let value = saving - move_cost * move_count as f64;
         if value > best.as_ref().map_or(0.0, |it| it.0) {
             let layer = layer.clone();
@@ -217,7 +221,7 @@
 }
 
 impl ExpertMove {
-    fn apply_to(self, layer: &mut Layer) {
+    fn apply_to_layer(self, layer: &mut Layer) {
         match self {
             ExpertMove::Swap { from, expert, to, other } => {
                 layer.remove_copy(from, expert);
--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -17,7 +17,7 @@
     position::{Era, Position},
 };
 use cowsliproad_mapswitch::order::{
-    self, Aim, Directive, Epoch, GroupState, Report,
+    self, DesiredState, Directive, Epoch, GroupState, Report,
 };
 use cowsliproad_platform::engine::EngineState;
 use cowsliproad_routing::cooldown::Cooldown;
@@ -250,16 +250,24 @@
     /// the group, no longer needs it.
     fn may_end(&self) -> bool {
         let Some(since) = self.stopping else { return false };
-        let aim = self.word.as_ref().map_or(Aim::Rest, |it| it.0.aim);
-        aim == Aim::Rest || Millis::now().since(since) > STOP_TIME
+        let aim = self
+            .word
+            .as_ref()
+            .map_or(DesiredState::Rest, |it| it.0.desired_state);
+        aim == DesiredState::Rest || Millis::now().since(since) > STOP_TIME
     }
 
     fn pause(&self) -> Millis {
-        let aim = self.word.as_ref().map_or(Aim::Rest, |it| it.0.aim);
+        let aim = self
+            .word
+            .as_ref()
+            .map_or(DesiredState::Rest, |it| it.0.desired_state);
         let rank = self.report().map(|it| it.rank);
         match aim {
-            Aim::Rest => CALM_TIME,
-            Aim::Held { holder, .. } if Some(holder) == rank => HOLD_TIME,
+            DesiredState::Rest => CALM_TIME,
+            DesiredState::Held { holder, .. } if Some(holder) == rank => {
+                HOLD_TIME
+            }
             _ => BUSY_TIME,
         }
     }
@@ -308,20 +316,26 @@
                 }
             }
             Message::Directive(word, from) => {
-                if word.fence < self.fence {
+                if word.fencing_number < self.fence {
                     return;
                 }
-                self.fence = word.fence;
-                if self.lead.as_ref().is_some_and(|it| it.fence() < word.fence)
+                self.fence = word.fencing_number;
+                if self
+                    .lead
+                    .as_ref()
+                    .is_some_and(|it| it.fence() < word.fencing_number)
                 {
-                    self.step_down(word.fence);
+                    self.step_down(word.fencing_number);
                 }
                 let before = self.word.as_ref().map(|it| it.0);
                 self.note_seal(&word);
                 self.word = Some((word, from, now));
                 if before != Some(word) {
                     self.poll_engine().await;
-                    self.prompt = matches!(word.aim, Aim::Held { .. });
+                    self.prompt = matches!(
+                        word.desired_state,
+                        DesiredState::Held { .. }
+                    );
                 }
             }
             Message::Choices(choices) => {
@@ -380,7 +394,7 @@
     }
 
     fn note_seal(&mut self, word: &Directive) {
-        if let Some(step) = order::coordinator_arm_step(word) {
+        if let Some(step) = order::announced_coordinator_arming_step(word) {
             self.sealed = Some((word.epoch, step));
         }
     }
--- a/cowsliproad-rank/src/agent/chair.rs
+++ b/cowsliproad-rank/src/agent/chair.rs
@@ -7,7 +7,9 @@
     clock::Millis,
     position::{Era, Position},
 };
-use cowsliproad_mapswitch::order::{Aim, Directive, GroupState, fence};
+use cowsliproad_mapswitch::order::{
+    DesiredState, Directive, GroupState, fence,
+};
 use cowsliproad_platform::log::{COORDINATORS_TOPIC, Client};
 use slog::{Logger, info, warn};
 
@@ -53,7 +55,7 @@
         let price = self.settings.move_price;
         let Some(rank) = self.report().map(|it| it.rank) else { return };
         let before = self.word.as_ref();
-        let predecessor = before.map(|it| (it.1.ip(), it.0.fence));
+        let predecessor = before.map(|it| (it.1.ip(), it.0.fencing_number));
         let start = Start { fence, rank, predecessor };
         self.lead = Some(Lead::new(start, price, self.log.clone()));
         self.speak(now).await;
@@ -65,7 +67,7 @@
         if report.standing == GroupState::Broken || self.shape.is_none() {
             return false;
         }
-        let busy = |it: &Directive| it.aim != Aim::Rest;
+        let busy = |it: &Directive| it.desired_state != DesiredState::Rest;
         let timeout = match (report.rank, &self.word) {
             (0, None) => FIRST_TIMEOUT,
             (rank, Some((word, _, _))) if busy(word) => {
@@ -83,7 +85,7 @@
     /// until it is missed.
     pub(super) fn hear_farewell(&mut self, fence: u64) {
         if let Some((word, _, heard)) = &mut self.word
-            && word.fence == fence
+            && word.fencing_number == fence
         {
             info!(self.log, "coordinator_stops"; "fence" => fence);
             *heard = *heard - NEXT_TIMEOUT;
--- a/cowsliproad-rank/src/agent/orders.rs
+++ b/cowsliproad-rank/src/agent/orders.rs
@@ -5,8 +5,8 @@
 
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_mapswitch::order::{
-    self, Aim, ArmOrderStatus, Directive, Epoch, MAX_BOUNDARY_LEAD,
-    OrderResult, Report, SealStatus,
+    self, ArmOrderStatus, CoordinatorArmingNotice, DesiredState, Directive,
+    Epoch, MAX_BOUNDARY_LEAD, OrderResult, Report,
 };
 use cowsliproad_routing::cooldown::Cooldown;
 use slog::info;
@@ -42,24 +42,25 @@
         {
             return false;
         }
-        let given = self.engine.order(&due, word.epoch, word.fence).await;
+        let given =
+            self.engine.order(&due, word.epoch, word.fencing_number).await;
         let name = name(&due);
         match given {
             Ok(OrderResult::Taken) => {
                 self.last.taken = Some((word, Millis::now()));
                 info!(self.log, "order_taken"; "order" => name,
-                    "aim" => ?word.aim);
+                    "aim" => ?word.desired_state);
             }
             Ok(OrderResult::Unfit) => {
                 info!(self.log, "order_refused"; "order" => name,
-                    "aim" => ?word.aim, "report" => ?self.report());
+                    "aim" => ?word.desired_state, "report" => ?self.report());
             }
             Ok(OrderResult::Fenced) => {
                 info!(self.log, "order_fenced"; "order" => name,
-                    "fence" => word.fence);
+                    "fence" => word.fencing_number);
                 self.word = None;
                 if self.lead.is_some() {
-                    self.step_down(word.fence);
+                    self.step_down(word.fencing_number);
                 }
             }
             Err(error) => {
@@ -69,7 +70,7 @@
                     self.last.unanswered_arm = Some(arm);
                 }
                 info!(self.log, "order_unanswered"; "order" => name,
-                    "aim" => ?word.aim, "error" => %error);
+                    "aim" => ?word.desired_state, "error" => %error);
             }
         }
         true
@@ -82,7 +83,7 @@
         let (Some(lead), Some(shape)) = (&self.lead, &self.shape) else {
             return;
         };
-        let calm = lead.directive().aim == Aim::Rest;
+        let calm = lead.directive().desired_state == DesiredState::Rest;
         if calm || now.since(self.last.reach) < REACH_TIME {
             return;
         }
@@ -123,8 +124,8 @@
         // An engine that took an order of ours refuses those with lower
         // numbers, whatever its agent may yet do. So one that is armed is
         // armed once more.
-        let again = match word.aim {
-            Aim::Armed { version, step, .. }
+        let again = match word.desired_state {
+            DesiredState::Armed { version, step, .. }
                 if report.armed == Some((version, step)) =>
             {
                 Some(order::Order::Arm(version, step))
@@ -136,7 +137,7 @@
         if let Some(due) = due {
             match self.order_from_afar(&mut engine, target, &due, word).await {
                 Some(OrderResult::Fenced) => return,
-                Some(OrderResult::Taken) => fence = word.fence,
+                Some(OrderResult::Taken) => fence = word.fencing_number,
                 Some(OrderResult::Unfit) | None => {}
             }
         }
@@ -147,7 +148,7 @@
             experts: None,
             pace: state.slowdown_factor as f32,
             arms: ArmOrderStatus::InDoubt,
-            seal: SealStatus::Unknown,
+            seal: CoordinatorArmingNotice::Unknown,
             report,
         };
         if let Some(lead) = &mut self.lead {
@@ -188,13 +189,13 @@
     }
 
     /// Whether it heard that the coordinator's rank arms, as far as it knows.
-    pub(super) fn seal(&self, report: &Report) -> SealStatus {
+    pub(super) fn seal(&self, report: &Report) -> CoordinatorArmingNotice {
         match self.sealed {
             Some((epoch, step)) if epoch == report.epoch => {
-                SealStatus::Received(step)
+                CoordinatorArmingNotice::Received(step)
             }
-            _ if self.inherits(report) => SealStatus::Unknown,
-            _ => SealStatus::NotReceived,
+            _ if self.inherits(report) => CoordinatorArmingNotice::Unknown,
+            _ => CoordinatorArmingNotice::NotReceived,
         }
     }
 
@@ -256,12 +257,13 @@
         due: &order::Order,
         word: Directive,
     ) -> Option<OrderResult> {
-        let given = engine.order(due, word.epoch, word.fence).await.ok();
+        let given =
+            engine.order(due, word.epoch, word.fencing_number).await.ok();
         self.note_distant(target, word.epoch, engine);
         info!(self.log, "order_from_afar"; "order" => name(due),
-            "aim" => ?word.aim, "target" => %target, "outcome" => ?given);
+            "aim" => ?word.desired_state, "target" => %target, "outcome" => ?given);
         if given == Some(OrderResult::Fenced) {
-            self.step_down(word.fence);
+            self.step_down(word.fencing_number);
         }
         given
     }
--- a/cowsliproad-rank/src/agent/readings.rs
+++ b/cowsliproad-rank/src/agent/readings.rs
@@ -105,8 +105,14 @@
         let before = self.counts.replace(choices.clone());
         let growth = before
             .filter(|it| due == Due::Say && it.0 == choices.0)
-            .and_then(|it| CountGrowth::between(&it.1, &choices.1));
-        let Some(CountGrowth { scale, units }) = growth else { return };
+            .and_then(|it| CountGrowth::from_counts(&it.1, &choices.1));
+        let Some(CountGrowth {
+            counts_per_unit: scale,
+            growth_in_units: units,
+        }) = growth
+        else {
+            return;
+        };
         let choices = Choices { scale, units };
         match &mut self.lead {
             Some(lead) => lead.count(choices, experts),
--- a/cowsliproad-rank/src/agent/words.rs
+++ b/cowsliproad-rank/src/agent/words.rs
@@ -6,7 +6,7 @@
     clock::Millis,
     gossip::{self, Datagram, EngineExit, EngineLoad},
 };
-use cowsliproad_mapswitch::order::{self, Aim, GroupState};
+use cowsliproad_mapswitch::order::{self, DesiredState, GroupState};
 use slog::info;
 
 use super::{Agent, Ended, send};
@@ -75,7 +75,7 @@
         if self.lead.is_none() && now.since(heard) > SEEK_TIME {
             return self.seek_coordinator(now).await;
         }
-        let busy = word.aim != Aim::Rest;
+        let busy = word.desired_state != DesiredState::Rest;
         let time = if busy { self.busy_time() } else { SPEAK_TIME };
         let Some(status) = self.status() else { return };
         let news = status.news();
@@ -136,7 +136,10 @@
         let knows = plan.is_some_and(|plan| {
             plan.version == map && plan.fence == self.fence
         });
-        let rests = self.word.as_ref().is_none_or(|it| it.0.aim == Aim::Rest);
+        let rests = self
+            .word
+            .as_ref()
+            .is_none_or(|it| it.0.desired_state == DesiredState::Rest);
         rests && !knows
     }
 
@@ -145,7 +148,7 @@
         let Some(lead) = &self.lead else { return };
         let word = lead.directive();
         let new = self.last.said != Some(word);
-        let busy = word.aim != Aim::Rest;
+        let busy = word.desired_state != DesiredState::Rest;
         let time = if busy { self.busy_time() } else { SPEAK_TIME };
         if !new && now.since(self.last.speech) < time {
             return;
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -101,7 +101,7 @@
 
     /// Its fencing number.
     pub fn fence(&self) -> u64 {
-        self.coordinator.fence()
+        self.coordinator.fencing_number()
     }
 
     /// Its word to all.
@@ -167,14 +167,15 @@
     /// Takes what a rank counted in.
     pub fn count(&mut self, choices: Choices, experts: usize) {
         let Choices { scale, units } = choices;
-        CountGrowth { scale, units }.add_to_counts(&mut self.total, experts);
+        CountGrowth { counts_per_unit: scale, growth_in_units: units }
+            .add_to_counts(&mut self.total, experts);
     }
 
     /// Goes on by what all ranks report now.
     pub fn advance(&mut self, shape: Option<&Subscribe>, now: Millis) {
         let snapshots = self.snapshots(now);
         let absent = self.absent(shape, now);
-        let event = self.coordinator.advance(&snapshots, absent, now);
+        let event = self.coordinator.advance_switch(&snapshots, absent, now);
         self.note(event);
         if absent != MissingRanks::None {
             return;
@@ -212,7 +213,12 @@
             ObeyedCoordinator::Another
         };
         let (report, seal) = (status.report.clone(), status.seal);
-        RankSnapshot { report, arms: status.arms, seal, obeys }
+        RankSnapshot {
+            report,
+            arm_order_status: status.arms,
+            coordinator_arming_notice: seal,
+            obeyed_coordinator: obeys,
+        }
     }
 
     /// Who of the group is missing among them.
@@ -307,9 +313,9 @@
     ) {
         let Some(loads) = self.demand.current_loads() else { return };
         let shape_of_map = Shape {
-            ranks: snapshots.len(),
-            experts: usize::from(shape.experts_per_set),
-            layers: usize::from(shape.layer_sets),
+            rank_count: snapshots.len(),
+            expert_count: usize::from(shape.experts_per_set),
+            layer_count: usize::from(shape.layer_sets),
             slots_per_rank: usize::from(shape.slots_per_set),
         };
         let Some(present) = self.present(shape_of_map, snapshots) else {
@@ -330,15 +336,15 @@
         let bound =
             bound::min_step_time(shape_of_map, &loads, &speeds) / ideal;
         info!(self.log, "map_planned"; "version" => version.0,
-            "skew" => format!("{:.3}", plan.relative_step_time_before),
-            "expected" => format!("{:.3}", plan.relative_step_time_after),
+            "skew" => format!("{:.3}", plan.present_step_time_ratio_to_ideal),
+            "expected" => format!("{:.3}", plan.planned_step_time_ratio_to_ideal),
             "bound" => format!("{bound:.3}"),
             "slowest" => speeds.iter().copied().fold(1.0, f64::min),
             "copies" => plan.move_count, "step" => snapshots[0].report.step,
             "counted" => loads.iter().flatten().sum::<f64>());
         let directive = self.directive();
         let last = self.plan.replace(Plan {
-            fence: directive.fence,
+            fence: directive.fencing_number,
             epoch: directive.epoch,
             version,
             experts: Arc::new(plan.map.experts_by_layer_and_rank()),
@@ -360,7 +366,7 @@
             return Map::from_experts(shape, &plan.experts);
         }
         let mut experts: ExpertsByLayerAndRank =
-            vec![vec![Vec::new(); shape.ranks]; shape.layers];
+            vec![vec![Vec::new(); shape.rank_count]; shape.layer_count];
         for (status, _) in self.ranks.values() {
             let (listed, sets) = status.experts.as_ref()?;
             if *listed != version || status.report.map != version {
--- a/cowsliproad-rank/src/wire.rs
+++ b/cowsliproad-rank/src/wire.rs
@@ -4,7 +4,7 @@
 
 use cowsliproad_kernel::Name;
 use cowsliproad_mapswitch::order::{
-    ArmOrderStatus, Directive, Report, SealStatus, Version,
+    ArmOrderStatus, CoordinatorArmingNotice, Directive, Report, Version,
 };
 use serde::{Deserialize, Serialize};
 
@@ -56,7 +56,7 @@
     pub arms: ArmOrderStatus,
     /// Whether it heard that the coordinator's rank arms.
     #[serde(rename = "l")]
-    pub seal: SealStatus,
+    pub seal: CoordinatorArmingNotice,
     /// How many times as long as usual its engine's work takes.
     #[serde(rename = "t")]
     pub pace: f32,
@@ -77,7 +77,7 @@
 pub struct News {
     report: Report,
     arms: ArmOrderStatus,
-    seal: SealStatus,
+    seal: CoordinatorArmingNotice,
     fence: u64,
     plan: Option<Version>,
 }
--- a/cowsliproad-rank/tests/lead.rs
+++ b/cowsliproad-rank/tests/lead.rs
@@ -3,7 +3,8 @@
 
 use cowsliproad_kernel::{clock::Millis, gossip::Subscribe};
 use cowsliproad_mapswitch::order::{
-    Aim, ArmOrderStatus, Epoch, Report, SealStatus, Version,
+    ArmOrderStatus, CoordinatorArmingNotice, DesiredState, Epoch, Report,
+    Version,
 };
 use cowsliproad_rank::{
     lead::{Lead, Start},
@@ -66,7 +67,7 @@
             experts: Some((Version(0), vec![dealt.collect()])),
             pace: 1.0,
             arms: ArmOrderStatus::Answered,
-            seal: SealStatus::NotReceived,
+            seal: CoordinatorArmingNotice::NotReceived,
             report,
         }
     }
@@ -91,8 +92,8 @@
         group.go_on(5);
     }
     assert!(group.hosts(5) > 1, "the old plan is waited for");
-    let aim = group.lead.directive().aim;
-    assert!(matches!(aim, Aim::Prepared(_)), "{aim:?}");
+    let aim = group.lead.directive().desired_state;
+    assert!(matches!(aim, DesiredState::Prepared(_)), "{aim:?}");
 }
 
 #[test]
@@ -109,6 +110,6 @@
         group.go_on(5);
     }
     assert_eq!(group.lead.plan().map(|it| it.version), version);
-    let aim = group.lead.directive().aim;
-    assert!(matches!(aim, Aim::Held { .. }), "{aim:?}");
+    let aim = group.lead.directive().desired_state;
+    assert!(matches!(aim, DesiredState::Held { .. }), "{aim:?}");
 }
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -27,14 +27,14 @@
 const START_TIME: Millis = Millis(1_000_000);
 
 /// A set of requests, as a bit mask over the request numbers.
-type RequestSet = u32;
+type RequestBitSet = u32;
 
 /// An event in the explored group.
 #[derive(Clone, Copy, Debug)]
 enum Action {
     /// Some requests run on one rank. If the rank crashes, the requests in
     /// `answering` had begun to answer before the crash.
-    Run { requests: RequestSet, answering: RequestSet },
+    Run { requests: RequestBitSet, answering: RequestBitSet },
     /// No request runs until the next suspension expires.
     Wait,
 }
@@ -42,7 +42,7 @@
 /// The state of a group after some actions.
 struct GroupState {
     /// The crash-inducing requests.
-    crash_inducing: RequestSet,
+    crash_inducing: RequestBitSet,
     /// The number of requests.
     request_count: u32,
     ledger: CrashLedger,
@@ -51,15 +51,15 @@
     /// The times of the crashes in which each request ran.
     crash_times: Vec<Vec<Millis>>,
     /// The requests that some target has run without a crash.
-    survived_requests: RequestSet,
+    survived_requests: RequestBitSet,
 }
 
 /// The part of a group's state that determines which actions may follow: each
 /// request's verdict and number of crashes, and the survived requests.
-type StateKey = (Vec<(QuarantineVerdict, usize)>, RequestSet);
+type StateKey = (Vec<(QuarantineVerdict, usize)>, RequestBitSet);
 
 impl GroupState {
-    fn new(request_count: u32, crash_inducing: RequestSet) -> GroupState {
+    fn new(request_count: u32, crash_inducing: RequestBitSet) -> GroupState {
         GroupState {
             crash_inducing,
             request_count,
@@ -72,9 +72,9 @@
     }
 
     /// Returns the state of a new group after these actions.
-    fn replay(
+    fn state_after_actions(
         request_count: u32,
-        crash_inducing: RequestSet,
+        crash_inducing: RequestBitSet,
         actions: &[Action],
     ) -> GroupState {
         let mut state = GroupState::new(request_count, crash_inducing);
@@ -82,26 +82,27 @@
         state
     }
 
-    fn work(request_number: u32) -> WorkDigest {
+    fn work_digest(request_number: u32) -> WorkDigest {
         WorkDigest::new(&[&request_number.to_be_bytes()])
     }
 
-    fn verdict(&self, request_number: u32) -> QuarantineVerdict {
-        self.ledger.verdict(GroupState::work(request_number), self.now)
+    fn quarantine_verdict(&self, request_number: u32) -> QuarantineVerdict {
+        self.ledger.verdict(GroupState::work_digest(request_number), self.now)
     }
 
     /// Returns the numbers of the requests in a set.
-    fn request_numbers_in(
+    fn request_numbers_of_set(
         &self,
-        set: RequestSet,
+        set: RequestBitSet,
     ) -> impl Iterator<Item = u32> + use<> {
         (0..self.request_count).filter(move |it| set >> it & 1 == 1)
     }
 
     /// Returns the requests that are neither suspended nor refused.
-    fn runnable_requests(&self) -> RequestSet {
-        let runnable_requests =
-            |it: &u32| self.verdict(*it) == QuarantineVerdict::Allowed;
+    fn runnable_requests(&self) -> RequestBitSet {
+        let runnable_requests = |it: &u32| {
+            self.quarantine_verdict(*it) == QuarantineVerdict::Allowed
+        };
         (0..self.request_count)
             .filter(runnable_requests)
             .fold(0, |set, it| set | 1 << it)
@@ -131,7 +132,7 @@
 
     /// Returns the time until the next suspension expires, if any.
     fn time_to_next_expiry(&self) -> Option<Millis> {
-        let remaining = |it| match self.verdict(it) {
+        let remaining = |it| match self.quarantine_verdict(it) {
             QuarantineVerdict::Suspended(remaining) => Some(remaining),
             QuarantineVerdict::Allowed | QuarantineVerdict::Refused(_) => None,
         };
@@ -147,9 +148,9 @@
             Action::Run { requests, .. }
                 if requests & self.crash_inducing == 0 =>
             {
-                for request_number in self.request_numbers_in(requests) {
+                for request_number in self.request_numbers_of_set(requests) {
                     self.ledger.record_survival(
-                        GroupState::work(request_number),
+                        GroupState::work_digest(request_number),
                         self.now,
                     );
                 }
@@ -159,8 +160,8 @@
             Action::Run { requests, answering } => {
                 let end = CrashId::new("i-1", self.crash_count);
                 self.crash_count += 1;
-                for request_number in self.request_numbers_in(requests) {
-                    let work = GroupState::work(request_number);
+                for request_number in self.request_numbers_of_set(requests) {
+                    let work = GroupState::work_digest(request_number);
                     self.ledger.record_crash(work, end, self.now);
                     if answering >> request_number & 1 == 0 {
                         self.ledger.suspend(work, self.now);
@@ -175,7 +176,8 @@
     /// Checks the guarantees of the suspension of crash-inducing requests in
     /// the state after these actions.
     fn check_guarantees(&self, actions: &[Action]) {
-        for request_number in self.request_numbers_in(self.crash_inducing) {
+        for request_number in self.request_numbers_of_set(self.crash_inducing)
+        {
             let times = &self.crash_times[request_number as usize];
             assert!(times.len() <= CRASH_THRESHOLD, "{actions:?}");
             for (index, pair) in times.windows(2).enumerate() {
@@ -183,19 +185,25 @@
                 assert!(pair[1].since(pair[0]) >= min_gap, "{actions:?}");
             }
         }
-        for request_number in self.request_numbers_in(self.survived_requests) {
-            let ends =
-                self.ledger.crash_count(GroupState::work(request_number));
+        for request_number in
+            self.request_numbers_of_set(self.survived_requests)
+        {
+            let ends = self
+                .ledger
+                .crash_count(GroupState::work_digest(request_number));
             let is_refused = ends >= SURVIVED_CRASH_THRESHOLD;
-            let is_free =
-                self.verdict(request_number) == QuarantineVerdict::Allowed;
+            let is_free = self.quarantine_verdict(request_number)
+                == QuarantineVerdict::Allowed;
             assert!(is_free != is_refused, "{request_number}: {actions:?}");
         }
     }
 
-    fn state_key(&self) -> StateKey {
+    fn exploration_key(&self) -> StateKey {
         let requests = (0..self.request_count).map(|it| {
-            (self.verdict(it), self.ledger.crash_count(GroupState::work(it)))
+            (
+                self.quarantine_verdict(it),
+                self.ledger.crash_count(GroupState::work_digest(it)),
+            )
         });
         (requests.collect(), self.survived_requests)
     }
@@ -205,7 +213,7 @@
 /// the number of states and the maximum number of crashes in any state.
 fn explore_states(
     request_count: u32,
-    crash_inducing: RequestSet,
+    crash_inducing: RequestBitSet,
     max_actions: usize,
 ) -> (usize, u64) {
     let (mut visited, mut max_crashes) = (BTreeSet::new(), 0);
@@ -213,11 +221,14 @@
     for _ in 0..=max_actions {
         let mut next = Vec::new();
         for path in paths {
-            let state =
-                GroupState::replay(request_count, crash_inducing, &path);
+            let state = GroupState::state_after_actions(
+                request_count,
+                crash_inducing,
+                &path,
+            );
             state.check_guarantees(&path);
             max_crashes = max_crashes.max(state.crash_count);
-            if !visited.insert(format!("{:?}", state.state_key())) {
+            if !visited.insert(format!("{:?}", state.exploration_key())) {
                 continue;
             }
             next.extend(state.possible_actions().into_iter().map(|it| {
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn an_era_learned_after_the_append_call_is_too_late() {
+fn numbers_are_reused_if_the_era_is_read_after_the_call() {
     assert!(find_violation(|record, _| fence::fencing_number(record)).0);
 }
 
--- a/tests/mapswitch/main.rs
+++ b/tests/mapswitch/main.rs
@@ -109,10 +109,10 @@
     fn run_step(&self, rank: usize) -> Option<SystemState> {
         let mut next = self.clone();
         let member = next.members[rank].as_mut()?;
-        if member.step() >= STEPS_PER_GENERATION {
+        if member.next_step_number() >= STEPS_PER_GENERATION {
             return None;
         }
-        let step = (member.generation(), member.step());
+        let step = (member.generation(), member.next_step_number());
         let map = member.run_step()?;
         let first_map = *next.used_maps.entry(step).or_insert(map);
         assert_eq!(first_map, map, "two maps in step {step:?}: {self:?}");
@@ -214,7 +214,7 @@
         let end_state = state.clone().run_until_stable();
         for member in end_state.members.iter().flatten() {
             assert_eq!(
-                member.step(),
+                member.next_step_number(),
                 STEPS_PER_GENERATION,
                 "a member is blocked: {state:?}"
             );
@@ -251,7 +251,7 @@
     }
     let end_state = state.run_until_stable();
     let member = end_state.members[0].as_ref().expect("alive");
-    assert_eq!(member.step(), STEPS_PER_GENERATION);
+    assert_eq!(member.next_step_number(), STEPS_PER_GENERATION);
 }
 
 #[test]
--- a/tests/order/main.rs
+++ b/tests/order/main.rs
@@ -18,9 +18,10 @@
 use cowsliproad::{
     kernel::clock::Millis,
     mapswitch::order::{
-        self, Aim, ArmOrderStatus, Coordinator, CoordinatorConfig, Directive,
-        Epoch, GroupState, MissingRanks, ObeyedCoordinator, Order,
-        RankSnapshot, Report, SealStatus, VERSIONS_PER_COORDINATOR, Version,
+        self, ArmOrderStatus, Coordinator, CoordinatorArmingNotice,
+        CoordinatorConfig, DesiredState, Directive, Epoch, GroupState,
+        MissingRanks, ObeyedCoordinator, Order, RankSnapshot, Report,
+        VERSIONS_PER_COORDINATOR, Version,
     },
 };
 
@@ -85,7 +86,7 @@
     unanswered_arm_step: u64,
     /// The pass for which the agent has received the seal: the announcement
     /// that the coordinator's own rank arms.
-    coordinator_arm_step: Option<u64>,
+    announced_coordinator_arming_step: Option<u64>,
 }
 
 /// A coordinator, with its last snapshot of each rank and the fencing number
@@ -142,24 +143,28 @@
             held: None,
             fence: 0,
         };
-        let (directive, coordinator_arm_step) = (None, None);
+        let (directive, announced_coordinator_arming_step) = (None, None);
         let agent = Agent {
             fence: 0,
             directive,
             unanswered_arm_step: 0,
-            coordinator_arm_step,
+            announced_coordinator_arming_step,
         };
         let mut first = new_coordinator_view(1, FIRST_COORDINATOR_RANK);
         let report = |rank| Report::new(EPOCH, rank, RANK_COUNT);
         let snapshot = |rank| RankSnapshot {
             report: report(rank),
-            arms: ArmOrderStatus::Answered,
-            seal: SealStatus::NotReceived,
-            obeys: ObeyedCoordinator::This,
+            arm_order_status: ArmOrderStatus::Answered,
+            coordinator_arming_notice: CoordinatorArmingNotice::NotReceived,
+            obeyed_coordinator: ObeyedCoordinator::This,
         };
         let snapshots: Vec<RankSnapshot> =
             (0..RANK_COUNT).map(snapshot).collect();
-        first.coordinator.advance(&snapshots, MissingRanks::None, Millis(0));
+        first.coordinator.advance_switch(
+            &snapshots,
+            MissingRanks::None,
+            Millis(0),
+        );
         first.coordinator.begin_plan(&snapshots, Millis(0));
         SystemState {
             step: 0,
@@ -190,7 +195,7 @@
         }
     }
 
-    fn arm_orders(&self, rank: u16) -> ArmOrderStatus {
+    fn arm_order_status(&self, rank: u16) -> ArmOrderStatus {
         let step = self.agents[usize::from(rank)].unanswered_arm_step;
         if step > self.step {
             ArmOrderStatus::InDoubt
@@ -199,11 +204,13 @@
         }
     }
 
-    fn seal_status(&self, rank: u16) -> SealStatus {
-        let coordinator_arm_step =
-            self.agents[usize::from(rank)].coordinator_arm_step;
-        coordinator_arm_step
-            .map_or(SealStatus::NotReceived, SealStatus::Received)
+    fn arming_notice(&self, rank: u16) -> CoordinatorArmingNotice {
+        let announced_coordinator_arming_step =
+            self.agents[usize::from(rank)].announced_coordinator_arming_step;
+        announced_coordinator_arming_step.map_or(
+            CoordinatorArmingNotice::NotReceived,
+            CoordinatorArmingNotice::Received,
+        )
     }
 
     fn is_unreachable(&self, rank: u16) -> bool {
@@ -213,30 +220,34 @@
     /// Returns all states that one event in this state can lead to.
     fn next_states(&self, scenario: &Scenario) -> Vec<SystemState> {
         let mut next_states = Vec::new();
-        self.begin_pass(scenario, &mut next_states);
-        self.execute_late_order(&mut next_states);
+        self.add_pass_state(scenario, &mut next_states);
+        self.add_late_order_states(&mut next_states);
         for rank in 0..RANK_COUNT {
             if self.is_unreachable(rank) {
                 continue;
             }
-            self.receive_directive(rank, &mut next_states);
-            self.send_next_order(rank, scenario, &mut next_states);
+            self.add_directive_states(rank, &mut next_states);
+            self.add_next_order_states(rank, scenario, &mut next_states);
             if scenario.snapshot_age == SnapshotAge::Any {
-                self.send_snapshot(rank, &mut next_states);
+                self.add_snapshot_states(rank, &mut next_states);
             }
         }
         for view_index in 0..self.coordinator_views.len() {
             if view_index == 0 && self.is_frozen {
                 continue;
             }
-            self.advance_coordinator(view_index, scenario, &mut next_states);
-            self.send_hold_order(view_index, scenario, &mut next_states);
+            self.add_coordinator_states(
+                view_index,
+                scenario,
+                &mut next_states,
+            );
+            self.add_hold_order_states(view_index, scenario, &mut next_states);
         }
-        self.freeze_or_take_over(scenario, &mut next_states);
+        self.add_freeze_and_takeover_states(scenario, &mut next_states);
         next_states
     }
 
-    fn begin_pass(
+    fn add_pass_state(
         &self,
         scenario: &Scenario,
         next_states: &mut Vec<SystemState>,
@@ -271,7 +282,7 @@
 
     /// Adds the states in which one late order is executed, and the state in
     /// which all late orders have expired.
-    fn execute_late_order(&self, next_states: &mut Vec<SystemState>) {
+    fn add_late_order_states(&self, next_states: &mut Vec<SystemState>) {
         if !self.late_orders.is_empty() {
             let mut state = self.clone();
             state.late_orders.clear();
@@ -287,7 +298,7 @@
         }
     }
 
-    fn receive_directive(
+    fn add_directive_states(
         &self,
         rank: u16,
         next_states: &mut Vec<SystemState>,
@@ -295,23 +306,25 @@
         for view in &self.coordinator_views {
             let directive = view.coordinator.directive();
             let agent = &self.agents[usize::from(rank)];
-            if directive.fence < agent.fence {
+            if directive.fencing_number < agent.fence {
                 continue;
             }
             let mut state = self.clone();
             let agent = &mut state.agents[usize::from(rank)];
-            agent.fence = directive.fence;
-            agent.coordinator_arm_step =
-                order::coordinator_arm_step(&directive)
-                    .or(agent.coordinator_arm_step);
+            agent.fence = directive.fencing_number;
+            agent.announced_coordinator_arming_step =
+                order::announced_coordinator_arming_step(&directive)
+                    .or(agent.announced_coordinator_arming_step);
             // In this exploration, an agent acts only on directives to arm,
             // disarm or release.
-            agent.directive = match directive.aim {
-                Aim::Armed { .. }
-                | Aim::Sealed { .. }
-                | Aim::Disarmed
-                | Aim::Released(_) => Some(directive),
-                Aim::Rest | Aim::Prepared(_) | Aim::Held { .. } => None,
+            agent.directive = match directive.desired_state {
+                DesiredState::Armed { .. }
+                | DesiredState::Sealed { .. }
+                | DesiredState::Disarmed
+                | DesiredState::Released(_) => Some(directive),
+                DesiredState::Rest
+                | DesiredState::Prepared(_)
+                | DesiredState::Held { .. } => None,
             };
             if state != *self {
                 next_states.push(state);
@@ -319,7 +332,7 @@
         }
     }
 
-    fn send_next_order(
+    fn add_next_order_states(
         &self,
         rank: u16,
         scenario: &Scenario,
@@ -328,8 +341,8 @@
         let agent = &self.agents[usize::from(rank)];
         let Some(directive) = agent.directive else { return };
         let experts = Arc::new(Vec::new());
-        let plan = match directive.aim {
-            Aim::Prepared(version) => Some((version, &experts)),
+        let plan = match directive.desired_state {
+            DesiredState::Prepared(version) => Some((version, &experts)),
             _ => None,
         };
         let Some(order) =
@@ -338,12 +351,18 @@
             return;
         };
         let order = comparable_order(&order);
-        self.send_order(rank, order, directive.fence, scenario, next_states);
+        self.add_order_states(
+            rank,
+            order,
+            directive.fencing_number,
+            scenario,
+            next_states,
+        );
     }
 
     /// Adds the state in which an order is executed and answered, and the
     /// state in which it goes unanswered and may be executed later.
-    fn send_order(
+    fn add_order_states(
         &self,
         rank: u16,
         sent_order: ComparableOrder,
@@ -367,13 +386,17 @@
     }
 
     /// Adds the states in which one coordinator receives a rank's snapshot.
-    fn send_snapshot(&self, rank: u16, next_states: &mut Vec<SystemState>) {
+    fn add_snapshot_states(
+        &self,
+        rank: u16,
+        next_states: &mut Vec<SystemState>,
+    ) {
         let agent = &self.agents[usize::from(rank)];
         let snapshot = RankSnapshot {
             report: self.report(rank),
-            arms: self.arm_orders(rank),
-            seal: self.seal_status(rank),
-            obeys: ObeyedCoordinator::Another,
+            arm_order_status: self.arm_order_status(rank),
+            coordinator_arming_notice: self.arming_notice(rank),
+            obeyed_coordinator: ObeyedCoordinator::Another,
         };
         for view_index in 0..self.coordinator_views.len() {
             if view_index == 0 && self.is_frozen {
@@ -409,7 +432,7 @@
     }
 
     /// Adds the states in which a coordinator acts on its snapshots.
-    fn advance_coordinator(
+    fn add_coordinator_states(
         &self,
         view_index: usize,
         scenario: &Scenario,
@@ -421,7 +444,7 @@
         };
         let is_complete = snapshots.len() == usize::from(RANK_COUNT);
         if is_complete {
-            self.advance_with_snapshots(
+            self.add_states_after_snapshots(
                 view_index,
                 &snapshots,
                 MissingRanks::None,
@@ -438,7 +461,7 @@
             .collect();
         if view_index == 1 && others.len() + 1 == usize::from(RANK_COUNT) {
             let missing = MissingRanks::Predecessor(1);
-            self.advance_with_snapshots(
+            self.add_states_after_snapshots(
                 view_index,
                 &others,
                 missing,
@@ -450,21 +473,22 @@
 
     /// Returns up-to-date snapshots of all reachable ranks for a coordinator.
     fn current_snapshots(&self, view_index: usize) -> Vec<RankSnapshot> {
-        let fence = self.coordinator_views[view_index].coordinator.fence();
+        let fence =
+            self.coordinator_views[view_index].coordinator.fencing_number();
         let reachable = (0..RANK_COUNT).filter(|it| !self.is_unreachable(*it));
         let snapshot = |rank: u16| {
             let agent = &self.agents[usize::from(rank)];
             RankSnapshot {
                 report: self.report(rank),
-                arms: self.arm_orders(rank),
-                seal: self.seal_status(rank),
-                obeys: obeyed_coordinator(agent.fence, fence),
+                arm_order_status: self.arm_order_status(rank),
+                coordinator_arming_notice: self.arming_notice(rank),
+                obeyed_coordinator: obeyed_coordinator(agent.fence, fence),
             }
         };
         reachable.map(snapshot).collect()
     }
 
-    fn advance_with_snapshots(
+    fn add_states_after_snapshots(
         &self,
         view_index: usize,
         snapshots: &[RankSnapshot],
@@ -474,7 +498,7 @@
     ) {
         let mut state = self.clone();
         let coordinator = &mut state.coordinator_views[view_index].coordinator;
-        coordinator.advance(snapshots, missing, Millis(0));
+        coordinator.advance_switch(snapshots, missing, Millis(0));
         let may_plan = view_index == 0
             && self.plans_made < scenario.max_plans
             && coordinator.is_idle()
@@ -488,7 +512,7 @@
         }
     }
 
-    fn send_hold_order(
+    fn add_hold_order_states(
         &self,
         view_index: usize,
         scenario: &Scenario,
@@ -502,10 +526,10 @@
             if let Some(order) = order
                 && !self.is_unreachable(rank)
             {
-                self.send_order(
+                self.add_order_states(
                     rank,
                     comparable_order(&order),
-                    directive.fence,
+                    directive.fencing_number,
                     scenario,
                     next_states,
                 );
@@ -513,7 +537,7 @@
         }
     }
 
-    fn freeze_or_take_over(
+    fn add_freeze_and_takeover_states(
         &self,
         scenario: &Scenario,
         next_states: &mut Vec<SystemState>,
@@ -594,10 +618,11 @@
 
 impl CoordinatorView {
     fn snapshots(&self) -> Vec<RankSnapshot> {
-        let fence = self.coordinator.fence();
+        let fence = self.coordinator.fencing_number();
         let snapshot = |(snapshot, known_fence): &(RankSnapshot, u64)| {
             let mut snapshot = snapshot.clone();
-            snapshot.obeys = obeyed_coordinator(*known_fence, fence);
+            snapshot.obeyed_coordinator =
+                obeyed_coordinator(*known_fence, fence);
             snapshot
         };
         self.snapshots_by_rank.values().map(snapshot).collect()
@@ -735,7 +760,9 @@
 
 /// Returns the snapshots that the successor of a frozen coordinator has: all
 /// reachable ranks are armed and have this seal status.
-fn snapshots_after_freeze(seal_status: SealStatus) -> Vec<RankSnapshot> {
+fn snapshots_after_coordinator_freeze(
+    arming_notice: CoordinatorArmingNotice,
+) -> Vec<RankSnapshot> {
     let snapshot = |rank| RankSnapshot {
         report: Report {
             epoch: EPOCH,
@@ -748,9 +775,9 @@
             armed: Some((Version(FIRST_VERSION), 3)),
             held: (rank == SUCCESSOR_COORDINATOR_RANK).then_some(3),
         },
-        arms: ArmOrderStatus::Answered,
-        seal: seal_status,
-        obeys: ObeyedCoordinator::This,
+        arm_order_status: ArmOrderStatus::Answered,
+        coordinator_arming_notice: arming_notice,
+        obeyed_coordinator: ObeyedCoordinator::This,
     };
     (0..RANK_COUNT)
         .filter(|it| *it != FIRST_COORDINATOR_RANK)
@@ -760,28 +787,46 @@
 
 /// Returns the aim of the successor of a frozen coordinator, if the reachable
 /// ranks have this seal status.
-fn successor_aim(seal_status: SealStatus, predecessor_fence: u64) -> Aim {
+fn desired_state_of_successor(
+    arming_notice: CoordinatorArmingNotice,
+    predecessor_fencing_number: u64,
+) -> DesiredState {
     let mut successor =
         new_coordinator_view(2, SUCCESSOR_COORDINATOR_RANK).coordinator;
-    let snapshots = snapshots_after_freeze(seal_status);
-    let missing = MissingRanks::Predecessor(predecessor_fence);
+    let snapshots = snapshots_after_coordinator_freeze(arming_notice);
+    let missing = MissingRanks::Predecessor(predecessor_fencing_number);
     for _ in 0..2 {
-        successor.advance(&snapshots, missing, Millis(0));
+        successor.advance_switch(&snapshots, missing, Millis(0));
     }
-    successor.directive().aim
+    successor.directive().desired_state
 }
 
 #[test]
 fn a_switch_is_cancelled_if_the_frozen_rank_is_not_armed() {
-    assert_eq!(successor_aim(SealStatus::NotReceived, 1), Aim::Disarmed);
-    assert_eq!(successor_aim(SealStatus::Received(2), 1), Aim::Disarmed);
+    assert_eq!(
+        desired_state_of_successor(CoordinatorArmingNotice::NotReceived, 1),
+        DesiredState::Disarmed
+    );
+    assert_eq!(
+        desired_state_of_successor(CoordinatorArmingNotice::Received(2), 1),
+        DesiredState::Disarmed
+    );
 }
 
 #[test]
 fn a_switch_is_kept_if_the_frozen_rank_may_be_armed() {
-    assert_eq!(successor_aim(SealStatus::Received(3), 1), Aim::Rest);
-    assert_eq!(successor_aim(SealStatus::Unknown, 1), Aim::Rest);
+    assert_eq!(
+        desired_state_of_successor(CoordinatorArmingNotice::Received(3), 1),
+        DesiredState::Rest
+    );
+    assert_eq!(
+        desired_state_of_successor(CoordinatorArmingNotice::Unknown, 1),
+        DesiredState::Rest
+    );
     // The frozen coordinator had itself taken over the switch from an earlier
     // coordinator.
-    assert_eq!(successor_aim(SealStatus::NotReceived, 7), Aim::Rest);
+    assert_eq!(
+        desired_state_of_successor(CoordinatorArmingNotice::NotReceived, 7),
+        DesiredState::Rest
+    );
 }
--- a/tests/properties/live.rs
+++ b/tests/properties/live.rs
@@ -13,19 +13,23 @@
 };
 use proptest::prelude::*;
 
-const SHAPE: Shape =
-    Shape { ranks: 16, experts: 64, layers: 2, slots_per_rank: 5 };
+const SHAPE: Shape = Shape {
+    rank_count: 16,
+    expert_count: 64,
+    layer_count: 2,
+    slots_per_rank: 5,
+};
 const SPARE: usize = 2;
 
 /// A demand by Zipf's law, its ranking turned by some places: a third of it
 /// goes to four experts, as on both users' engines.
 fn liked(turn: usize) -> Vec<Vec<f64>> {
     let weight = |expert: usize| {
-        let place = (expert * 37 + turn) % SHAPE.experts;
+        let place = (expert * 37 + turn) % SHAPE.expert_count;
         10_000.0 / (place as f64 + 1.0)
     };
-    let layer: Vec<f64> = (0..SHAPE.experts).map(weight).collect();
-    vec![layer; SHAPE.layers]
+    let layer: Vec<f64> = (0..SHAPE.expert_count).map(weight).collect();
+    vec![layer; SHAPE.layer_count]
 }
 
 fn skew(map: &Map, loads: &[Vec<f64>], speeds: &[f64]) -> f64 {
@@ -36,7 +40,7 @@
 fn check_step(before: &Map, after: &Map) {
     for (old, new) in before.layers.iter().zip(&after.layers) {
         assert!(new.is_valid(SHAPE));
-        for rank in 0..SHAPE.ranks as u16 {
+        for rank in 0..SHAPE.rank_count as u16 {
             let fresh = new
                 .experts_at(rank)
                 .iter()
@@ -48,7 +52,7 @@
 
 #[test]
 fn three_maps_bring_the_first_map_near_balance() {
-    let (loads, speeds) = (liked(0), vec![1.0; SHAPE.ranks]);
+    let (loads, speeds) = (liked(0), vec![1.0; SHAPE.rank_count]);
     let mut map = Map::round_robin(SHAPE);
     assert!(skew(&map, &loads, &speeds) > 2.5);
     for _ in 0..3 {
@@ -69,7 +73,7 @@
 #[test]
 fn a_slow_rank_is_relieved_of_its_experts() {
     let loads = liked(0);
-    let mut speeds = vec![1.0; SHAPE.ranks];
+    let mut speeds = vec![1.0; SHAPE.rank_count];
     let mut map = Map::round_robin(SHAPE);
     for _ in 0..3 {
         let config = LivePlanConfig::new(SPARE);
@@ -92,8 +96,8 @@
 
 #[test]
 fn an_even_demand_moves_nothing() {
-    let loads = vec![vec![100.0; SHAPE.experts]; SHAPE.layers];
-    let speeds = vec![1.0; SHAPE.ranks];
+    let loads = vec![vec![100.0; SHAPE.expert_count]; SHAPE.layer_count];
+    let speeds = vec![1.0; SHAPE.rank_count];
     let map = Map::round_robin(SHAPE);
     let plan =
         live::plan(SHAPE, LivePlanConfig::new(SPARE), &map, &loads, &speeds);
@@ -109,7 +113,7 @@
             held.filter(|it| !old.holds(rank, **it)).count()
         })
     };
-    (0..SHAPE.ranks as u16).map(|rank| at(rank).sum()).collect()
+    (0..SHAPE.rank_count as u16).map(|rank| at(rank).sum()).collect()
 }
 
 /// A copy that takes 0.4 s: with two layers of two new experts the first map
@@ -117,7 +121,7 @@
 /// for.
 #[test]
 fn a_map_waits_for_one_copy_at_each_rank_where_copies_take_long() {
-    let (loads, speeds) = (liked(0), vec![1.0; SHAPE.ranks]);
+    let (loads, speeds) = (liked(0), vec![1.0; SHAPE.rank_count]);
     let mut map = Map::round_robin(SHAPE);
     let mut skews = vec![skew(&map, &loads, &speeds)];
     for _ in 0..6 {
@@ -205,7 +209,7 @@
         now = now + step;
     }
     let seen = demand.current_loads().expect("there are counts");
-    let speeds = vec![1.0; SHAPE.ranks];
+    let speeds = vec![1.0; SHAPE.rank_count];
     let mut map = Map::round_robin(SHAPE);
     for _ in 0..3 {
         let config = LivePlanConfig::new(SPARE);
@@ -227,7 +231,7 @@
         slow in prop::collection::vec(0_usize..16, 0..4),
         burst in 1_usize..5,
     ) {
-        let mut speeds = vec![1.0; SHAPE.ranks];
+        let mut speeds = vec![1.0; SHAPE.rank_count];
         for rank in slow {
             speeds[rank] = 0.2;
         }
@@ -235,7 +239,7 @@
         for turn in turns {
             // Each layer likes others.
             let layer = |it| liked(turn + 13 * it).swap_remove(0);
-            let loads: Vec<_> = (0..SHAPE.layers).map(layer).collect();
+            let loads: Vec<_> = (0..SHAPE.layer_count).map(layer).collect();
             let config = LivePlanConfig::new(SPARE)
                 .with_max_new_experts_per_rank(burst);
             let plan = live::plan(SHAPE, config, &map, &loads, &speeds);
--- a/tests/properties/placement.rs
+++ b/tests/properties/placement.rs
@@ -10,20 +10,24 @@
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-const SHAPE: Shape =
-    Shape { ranks: 8, experts: 24, layers: 3, slots_per_rank: 4 };
+const SHAPE: Shape = Shape {
+    rank_count: 8,
+    expert_count: 24,
+    layer_count: 3,
+    slots_per_rank: 4,
+};
 
 fn counts(seed: u64) -> TokenCounts {
     let mut random = StdRng::seed_from_u64(seed);
     let mut draw = || random.random_range(0.0f64..5.0).exp();
-    (0..SHAPE.layers)
-        .map(|_| (0..SHAPE.experts).map(|_| draw()).collect())
+    (0..SHAPE.layer_count)
+        .map(|_| (0..SHAPE.expert_count).map(|_| draw()).collect())
         .collect()
 }
 
 fn speeds(seed: u64) -> Vec<f64> {
     let mut random = StdRng::seed_from_u64(seed);
-    (0..SHAPE.ranks).map(|_| random.random_range(0.5..1.0)).collect()
+    (0..SHAPE.rank_count).map(|_| random.random_range(0.5..1.0)).collect()
 }
 
 fn loads(counts: &[TokenCounts]) -> SmoothedLoads {
@@ -66,7 +70,7 @@
             plan::plan(SHAPE, config, &present, &loads, &speeds)
         {
             prop_assert!(is_valid(&plan.map));
-            prop_assert_eq!(plan.move_count, present.move_count_to(&plan.map));
+            prop_assert_eq!(plan.move_count, present.count_moves_to(&plan.map));
             prop_assert!(plan.move_count <= most_moves);
             let before = present.step_time(&now, &speeds);
             prop_assert!(plan.map.step_time(&now, &speeds) < before);
@@ -76,7 +80,7 @@
     #[test]
     fn noise_alone_moves_nothing_that_does_not_help(seed in any::<u64>()) {
         let mut random = StdRng::seed_from_u64(seed);
-        let (truth, speeds) = (counts(seed), vec![1.0; SHAPE.ranks]);
+        let (truth, speeds) = (counts(seed), vec![1.0; SHAPE.rank_count]);
         let present = settled(&truth, &speeds);
         let mut loads = SmoothedLoads::new();
         for _ in 0..20 {
