--- a/cowsliproad-bench/src/experiment/pace/group.rs
+++ b/cowsliproad-bench/src/experiment/pace/group.rs
@@ -12,7 +12,7 @@
 use cowsliproad_placement::{
     demand::{CumulativeCounts, DemandEstimator},
     live,
-    map::{Map, Shape, ideal_time},
+    map::{Map, Shape, ideal_step_time},
 };
 use hdrhistogram::Histogram;
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -311,7 +311,7 @@
             return 1.0;
         }
         let speeds = vec![1.0; self.plant.shape.rank_count];
-        let ideal = ideal_time(loads, &speeds);
+        let ideal = ideal_step_time(loads, &speeds);
         if ideal == 0.0 {
             return 1.0;
         }
--- a/cowsliproad-bench/src/experiment/placement.rs
+++ b/cowsliproad-bench/src/experiment/placement.rs
@@ -13,7 +13,7 @@
 use cowsliproad_placement::{
     bound,
     load::{SmoothedLoads, TokenCounts},
-    map::{Map, Shape, ideal_time},
+    map::{Map, Shape, ideal_step_time},
     pack,
     plan::{self, PlanConfig},
 };
@@ -256,7 +256,7 @@
     for interval in 0..INTERVALS {
         world.advance();
         let truth = world.loads();
-        let ideal = ideal_time(&truth, &world.speeds);
+        let ideal = ideal_step_time(&truth, &world.speeds);
         score.skews.push(map.step_time(&truth, &world.speeds) / ideal);
         let least = bound::min_step_time(shape, &truth, &world.speeds);
         score.bounds.push(least / ideal);
--- a/cowsliproad-mapswitch/src/order.rs
+++ b/cowsliproad-mapswitch/src/order.rs
@@ -8,7 +8,8 @@
 //! 1. *prepare*: every rank copies the experts that are new to it, until all
 //!    ranks report that they have them;
 //! 2. *hold*: one rank, the holder, is ordered to stop the group before the
-//!    boundary step, until it reports the hold;
+//!    boundary, the first pass that uses the new map, until it reports the
+//!    hold;
 //! 3. *arm*: every rank is ordered to switch at the boundary, until **all**
 //!    ranks report that they are armed; the coordinator's own rank arms last.
 //!    The hold makes a late or lost *arm* harmless: the group waits at the
@@ -26,14 +27,15 @@
 //! orders over the network and whose own agent can release the hold. The
 //! successor may cancel the switch only if the former coordinator alone is
 //! missing and its rank can't be armed. That rank arms last, and only after
-//! the holder's agent has confirmed the announcement of it (the *seal*). If
-//! any other rank is not armed, or if the holder has received no seal and
-//! obeys the successor, the former coordinator's rank can never be armed.
+//! the holder's agent has confirmed the announcement of it (the *arming
+//! notice*). If any other rank is not armed, or if the holder has received no
+//! arming notice and obeys the successor, the former coordinator's rank can never be armed.
 //! Armed ranks are disarmed first. An unanswered *arm* forbids cancelling, as
 //! it may still be executed. A switch that the former coordinator had itself
 //! taken over is not cancelled either: an earlier coordinator's directive may
-//! have armed its rank. Without the seal, a coordinator that froze while the
-//! other ranks armed blocked its group for the 4 s that its VM was frozen.
+//! have armed its rank. Without the arming notice, a coordinator that froze
+//! while the other ranks armed blocked its group for the 4 s that its VM was
+//! frozen.
 //!
 //! A [`Coordinator`] keeps no state that it could not read from the reports,
 //! so its successor continues where it stopped. Each coordinator has a
@@ -51,7 +53,7 @@
 
 pub use crate::Version;
 pub use coordinator::{
-    Coordinator, CoordinatorConfig, MAX_BOUNDARY_LEAD, SwitchEvent,
+    Coordinator, CoordinatorConfig, MAX_BOUNDARY_LEAD_PASSES, SwitchEvent,
     VERSIONS_PER_COORDINATOR,
 };
 
@@ -132,15 +134,17 @@
 /// An order to an engine, as part of a switch of maps.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Order {
-    /// Copy the experts that this map newly assigns to the rank.
+    /// Copy the experts that the map of this version newly assigns to the
+    /// rank.
     Prepare(Version, Arc<ExpertsByLayerAndRank>),
-    /// Switch to this map at the start of this pass.
+    /// Switch to the map of this version at the start of the pass of this
+    /// number.
     Arm(Version, u64),
     /// Cancel the switch to this map for which the rank is armed.
     Disarm(Version),
-    /// Hold the group: don't begin this pass until a *go* order.
+    /// Hold the group: don't begin the pass of this number until a *go* order.
     Hold(u64),
-    /// Release the hold of the group before this pass.
+    /// Release the hold of the group before the pass of this number.
     Go(u64),
 }
 
@@ -167,8 +171,8 @@
     InDoubt,
 }
 
-/// Whether a rank's agent has received the seal: the announcement that the
-/// coordinator's own rank arms.
+/// Whether a rank's agent has received the arming notice: the announcement
+/// that the coordinator's own rank arms.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum CoordinatorArmingNotice {
     /// The agent has received no announcement that the coordinator's rank
@@ -176,7 +180,7 @@
     #[serde(rename = "Unheard")]
     NotReceived,
     /// The agent has received the announcement that the coordinator's rank
-    /// arms for a switch at this pass.
+    /// arms for a switch at the pass of this number.
     #[serde(rename = "Heard")]
     Received(u64),
     /// The agent started too recently to know whether its previous process
@@ -204,8 +208,8 @@
     /// Whether an *arm* order that the report doesn't show may still be
     /// executed.
     pub arm_order_status: ArmOrderStatus,
-    /// Whether the rank's agent has received the seal: the announcement that
-    /// the coordinator's own rank arms.
+    /// Whether the rank's agent has received the arming notice: the
+    /// announcement that the coordinator's own rank arms.
     pub coordinator_arming_notice: CoordinatorArmingNotice,
     /// Which coordinator's directives the rank's agent obeys.
     pub obeyed_coordinator: ObeyedCoordinator,
@@ -231,15 +235,17 @@
     Rest,
     /// All ranks have copied the experts of this map.
     Prepared(Version),
-    /// One rank, the holder, holds the group before this pass. The coordinator
+    /// One rank, the holder, makes the group wait before pass `step`. The
+    /// coordinator
     /// sends the *hold* order to the holder's engine over the network.
     Held {
-        /// The pass that the group must not begin.
+        /// The number of the pass that the group must not begin.
         step: u64,
         /// The rank that holds the group.
         holder: u16,
     },
-    /// All ranks but `except` are armed to switch to this map at this pass.
+    /// All ranks but `except` are armed to switch to map `version` at pass
+    /// `step`.
     Armed {
         /// The new map.
         version: Version,
@@ -251,7 +257,7 @@
     },
     /// All ranks but the coordinator's are armed, and the coordinator's rank
     /// arms next. Each agent confirms that it has received this announcement,
-    /// the seal.
+    /// the arming notice.
     Sealed {
         /// The new map.
         version: Version,
@@ -262,7 +268,7 @@
     },
     /// No rank is armed to switch maps.
     Disarmed,
-    /// No rank holds the group before this pass.
+    /// No rank makes the group wait before the pass of this number.
     Released(u64),
 }
 
@@ -329,7 +335,8 @@
 }
 
 /// Returns the pass of the switch for which a directive announces that the
-/// coordinator's own rank arms (the seal), or `None` if it announces nothing.
+/// coordinator's own rank arms (the arming notice), or `None` if the directive
+/// announces nothing.
 pub fn announced_coordinator_arming_step(
     directive: &Directive,
 ) -> Option<u64> {
--- a/cowsliproad-mapswitch/src/order/coordinator.rs
+++ b/cowsliproad-mapswitch/src/order/coordinator.rs
@@ -19,7 +19,7 @@
     /// Returns the default settings.
     pub fn new() -> CoordinatorConfig {
         CoordinatorConfig {
-            boundary_lead_passes: BOUNDARY_LEAD_PASSES,
+            boundary_lead_passes: BOUNDARY_LEAD_PASS_RANGE,
             expert_copy_timeout: EXPERT_COPY_TIMEOUT,
         }
     }
@@ -49,11 +49,11 @@
 /// boundary is as far ahead as recent arming took, so that the group doesn't
 /// stop while orders go unanswered. With half of the orders lost, arming takes
 /// some 200 ms.
-const BOUNDARY_LEAD_PASSES: (u64, u64) = (2, MAX_BOUNDARY_LEAD);
+const BOUNDARY_LEAD_PASS_RANGE: (u64, u64) = (2, MAX_BOUNDARY_LEAD_PASSES);
 
 /// The maximum number of passes between an *arm* order and the pass at which
 /// the rank switches maps.
-pub const MAX_BOUNDARY_LEAD: u64 = 10;
+pub const MAX_BOUNDARY_LEAD_PASSES: u64 = 10;
 
 /// The minimum time to plan for the arming of all ranks. *Hold*, *arm* and
 /// *go* together take 30 to 60 ms when every order is answered, and the
@@ -87,16 +87,16 @@
 pub enum SwitchEvent {
     /// No transition to be logged.
     None,
-    /// All ranks have switched to this map.
+    /// All ranks have switched to the map of this version.
     Changed(Version),
-    /// The plan for this map was abandoned before any rank was armed to switch
-    /// to it.
+    /// The plan for the map of this version was abandoned before any rank was
+    /// armed to switch maps.
     Abandoned(Version),
-    /// This coordinator has begun to complete a switch to this map that
-    /// another coordinator started.
+    /// This coordinator has begun to complete a switch, started by another
+    /// coordinator, to the map of this version.
     Resumed(Version),
-    /// This coordinator has begun to cancel a switch to this map that another
-    /// coordinator started.
+    /// This coordinator has begun to cancel a switch, started by another
+    /// coordinator, to the map of this version.
     Cancelled(Version),
     /// The group formed again under this epoch, and the coordinator discarded
     /// the state of the previous formation.
@@ -145,14 +145,14 @@
         }
     }
 
-    /// Starts counting passes at this pass, to derive their duration.
+    /// Starts counting passes at `pass`, to derive their mean duration.
     fn start_counting_passes(&mut self, pass: u64, now: Millis) {
         self.first_counted_pass = pass;
         self.counting_began = now;
     }
 
-    /// Updates the duration of a pass from the passes since counting began,
-    /// and records the start of arming.
+    /// Updates the mean duration of a pass from the passes counted since the
+    /// plan began, and records the start of arming.
     fn begin_arming(&mut self, latest_pass: u64, now: Millis) {
         let passes = latest_pass.saturating_sub(self.first_counted_pass);
         if let Some(pass) =
@@ -295,7 +295,7 @@
         }
         match (self.phase, missing) {
             (SwitchPhase::Idle, MissingRanks::None) => {
-                self.resume_or_release(snapshots)
+                self.resume_switch_or_release_hold(snapshots)
             }
             (SwitchPhase::Idle, MissingRanks::Predecessor(fencing_number)) => {
                 self.cancel_switch(snapshots, fencing_number)
@@ -320,7 +320,7 @@
                 self.begin_arming_if_held(snapshots, version, step, holder)
             }
             (SwitchPhase::Arming { version, step, except }, _) => {
-                self.announce_or_release_if_armed(
+                self.announce_own_arming_or_release_hold(
                     snapshots, version, step, except, now,
                 );
                 SwitchEvent::None
@@ -336,7 +336,7 @@
 
     /// Completes a switch that another coordinator left unfinished, or
     /// releases a hold that belongs to no switch.
-    fn resume_or_release(
+    fn resume_switch_or_release_hold(
         &mut self,
         snapshots: &[RankSnapshot],
     ) -> SwitchEvent {
@@ -348,10 +348,10 @@
         let Some(step) = snapshots.iter().find_map(|it| it.report.held) else {
             return SwitchEvent::None;
         };
-        // An *arm* order for this pass may still reach any rank that has
+        // An *arm* order for pass `step` may still reach any rank that has
         // prepared the next map. Completing the switch is safe whether or not
         // such an order exists.
-        self.phase = match version_prepared_by_all(snapshots) {
+        self.phase = match map_version_prepared_by_all_ranks(snapshots) {
             Some(version) => {
                 SwitchPhase::Arming { version, step, except: None }
             }
@@ -477,9 +477,9 @@
     }
 
     /// Releases the hold of the group once all ranks are armed. Once all ranks
-    /// but the coordinator's are armed, announces that its rank arms next (the
-    /// seal).
-    fn announce_or_release_if_armed(
+    /// but the coordinator's are armed, announces that the coordinator's rank
+    /// arms next (the arming notice).
+    fn announce_own_arming_or_release_hold(
         &mut self,
         snapshots: &[RankSnapshot],
         version: Version,
@@ -507,8 +507,8 @@
     }
 
     /// Arms the coordinator's own rank once the agent of the rank that holds
-    /// the group has confirmed the seal: the announcement that the
-    /// coordinator's rank arms.
+    /// the group has confirmed the arming notice: the announcement that
+    /// the coordinator's rank arms.
     fn arm_own_rank_if_notice_confirmed(
         &mut self,
         snapshots: &[RankSnapshot],
@@ -562,8 +562,8 @@
 }
 
 /// Returns whether the agent of the rank that holds the group has certainly
-/// not received the seal: the announcement that the unreachable coordinator's
-/// rank arms. The holding rank is the lowest rank but that coordinator's.
+/// not received the arming notice: the announcement that the unreachable
+/// coordinator's rank arms. The holding rank is the lowest rank but that coordinator's.
 fn has_holder_missed_arming_notice(
     snapshots: &[RankSnapshot],
     step: u64,
@@ -578,7 +578,9 @@
 
 /// Returns the version of the map that all ranks have prepared and no rank
 /// uses yet; `None` if there is no such map.
-fn version_prepared_by_all(snapshots: &[RankSnapshot]) -> Option<Version> {
+fn map_version_prepared_by_all_ranks(
+    snapshots: &[RankSnapshot],
+) -> Option<Version> {
     let version = snapshots.first()?.report.prepared?;
     let is_ready = |it: &RankSnapshot| {
         it.report.prepared == Some(version) && it.report.map < version
--- a/cowsliproad-mapswitch/src/order/fence.rs
+++ b/cowsliproad-mapswitch/src/order/fence.rs
@@ -8,7 +8,7 @@
 //! A position identifies one record only if the log stayed in one era from the
 //! append call to its answer: a record that was appended before a rollback may
 //! be acknowledged after it, and its offset is then assigned a second time. So
-//! the appender has to know the era before the call.
+//! the appender has to know the log's era before the call.
 
 use cowsliproad_kernel::position::{Era, Position};
 
@@ -24,7 +24,7 @@
     u64::MAX / VERSIONS_PER_COORDINATOR / FENCING_NUMBERS_PER_ERA;
 
 /// Returns the fencing number of the coordinator that appended a record. The
-/// number is never 0. `None` if the record's era or offset is too large.
+/// number is never 0. `None` if the log's era or the record's offset is too large.
 pub fn fencing_number(record: Position) -> Option<u64> {
     let Position { era, offset } = record;
     let is_in_range =
@@ -32,8 +32,8 @@
     is_in_range.then(|| era.0 * FENCING_NUMBERS_PER_ERA + offset + 1)
 }
 
-/// Returns whether a record's position identifies it uniquely, given the era
-/// that the appender knew before the append call.
+/// Returns whether a record's position identifies it uniquely, given the log's
+/// era that the appender knew before the append call.
 pub fn is_position_unique(record: Position, era_before_call: Era) -> bool {
     record.era == era_before_call
 }
--- a/cowsliproad-placement/src/growth.rs
+++ b/cowsliproad-placement/src/growth.rs
@@ -12,8 +12,8 @@
 pub struct CountGrowth {
     /// The number of counts that one unit of `growth_in_units` stands for.
     pub counts_per_unit: u64,
-    /// The growth of each expert's count in units of `counts_per_unit` counts, one layer
-    /// after the other.
+    /// The growth of each expert's count in units of `counts_per_unit` counts,
+    /// one layer after the other.
     pub growth_in_units: Vec<u8>,
 }
 
--- a/cowsliproad-placement/src/live.rs
+++ b/cowsliproad-placement/src/live.rs
@@ -124,7 +124,7 @@
     if move_count == 0 {
         return None;
     }
-    let ideal = crate::map::ideal_time(loads, speeds);
+    let ideal = crate::map::ideal_step_time(loads, speeds);
     let relative_time = |map: &Map| step_time(map, loads, speeds) / ideal;
     let (present_step_time_ratio_to_ideal, planned_step_time_ratio_to_ideal) =
         (relative_time(present), relative_time(&map));
@@ -160,7 +160,8 @@
         .iter_mut()
         .filter(|it| it.tried_changes < MAX_CHANGES_PER_LAYER)
         .max_by(|a, b| {
-            a.relative_slowest_time().total_cmp(&b.relative_slowest_time())
+            a.slowest_rank_time_per_mean_load()
+                .total_cmp(&b.slowest_rank_time_per_mean_load())
         })
     {
         search.relieve_slowest_rank(&mut new_experts_by_rank);
@@ -223,7 +224,7 @@
 
     /// Returns the slowest rank's time in the layer under search, relative to
     /// the mean load of a rank.
-    fn relative_slowest_time(&self) -> f64 {
+    fn slowest_rank_time_per_mean_load(&self) -> f64 {
         self.candidate.slowest_rank_time() / self.mean_load
     }
 
@@ -238,7 +239,7 @@
             self.tried_changes = MAX_CHANGES_PER_LAYER;
             return;
         };
-        self.candidate.apply_change(change, new_experts_by_rank);
+        self.candidate.apply_host_change(change, new_experts_by_rank);
         let copies =
             self.candidate.present.count_added_copies(&self.candidate.layer);
         let saving = self.initial_time - self.candidate.slowest_rank_time();
--- a/cowsliproad-placement/src/live/search.rs
+++ b/cowsliproad-placement/src/live/search.rs
@@ -256,7 +256,7 @@
     }
 
     /// Applies a change and updates the counts of new experts by rank.
-    pub(super) fn apply_change(
+    pub(super) fn apply_host_change(
         &mut self,
         change: HostChange,
         new_experts_by_rank: &mut [usize],
--- a/cowsliproad-placement/src/load.rs
+++ b/cowsliproad-placement/src/load.rs
@@ -87,7 +87,7 @@
 /// Returns the weight of a new token count in its moving average. Counts vary
 /// like a Poisson variable. A jump far beyond that variation replaces the
 /// average almost completely: the callers' prompts have changed suddenly, for
-/// example because a menu changed.
+/// example with a new prompt template.
 fn weight_of_new_count(average: f64, new_count: f64) -> f64 {
     let deviation = average.max(1.0).sqrt();
     if (new_count - average).abs()
--- a/cowsliproad-placement/src/map.rs
+++ b/cowsliproad-placement/src/map.rs
@@ -204,7 +204,7 @@
 
 /// Returns the time of a step under perfect balance: all ranks share all load
 /// in proportion to their speed.
-pub fn ideal_time(loads: &[Vec<f64>], speeds: &[f64]) -> f64 {
+pub fn ideal_step_time(loads: &[Vec<f64>], speeds: &[f64]) -> f64 {
     let speed: f64 = speeds.iter().sum();
     loads.iter().flatten().sum::<f64>() / speed
 }
--- a/cowsliproad-placement/src/plan.rs
+++ b/cowsliproad-placement/src/plan.rs
@@ -274,19 +274,19 @@
             if to == slow_rank || layer.holds(to, expert) {
                 continue;
             }
-            for candidate in state.moves_between(slow_rank, expert, to) {
-                let time = state.max_time_after(candidate);
+            for candidate in state.moves_between_ranks(slow_rank, expert, to) {
+                let time = state.max_rank_time_after_move(candidate);
                 let limit = best.as_ref().map_or(longest_time, |it| it.0);
-                if time < limit * REQUIRED_TIME_FACTOR {
+                if time < limit * MAX_TIME_RATIO_AFTER_MOVE {
                     best = Some((time, candidate));
                 }
             }
         }
     }
     for candidate in state.replacement_moves(slow_rank, fast_ranks) {
-        let time = state.max_time_after(candidate);
+        let time = state.max_rank_time_after_move(candidate);
         let limit = best.as_ref().map_or(longest_time, |it| it.0);
-        if time < limit * REQUIRED_TIME_FACTOR {
+        if time < limit * MAX_TIME_RATIO_AFTER_MOVE {
             best = Some((time, candidate));
         }
     }
@@ -295,7 +295,7 @@
 
 /// A move must lower the maximum time below this fraction of the best maximum
 /// time so far, so that rounding errors cause no moves.
-const REQUIRED_TIME_FACTOR: f64 = 1.0 - 1e-6;
+const MAX_TIME_RATIO_AFTER_MOVE: f64 = 1.0 - 1e-6;
 
 /// A layer of the expert map, with the loads of its experts and the times and
 /// speeds of the ranks.
@@ -309,7 +309,7 @@
 impl LayerState<'_> {
     /// Returns the moves that bring `expert` or a copy of it from one rank to
     /// another.
-    fn moves_between(
+    fn moves_between_ranks(
         &self,
         from: Rank,
         expert: Expert,
@@ -359,23 +359,23 @@
     }
 
     /// Returns the maximum time among the ranks that a move affects.
-    fn max_time_after(&self, candidate: ExpertMove) -> f64 {
+    fn max_rank_time_after_move(&self, candidate: ExpertMove) -> f64 {
         match candidate {
             ExpertMove::Fill { expert, to } => {
-                self.max_time_after_copy(expert, to, None)
+                self.max_rank_time_after_copy(expert, to, None)
             }
             ExpertMove::Copy { expert, to, other } => {
-                self.max_time_after_copy(expert, to, Some(other))
+                self.max_rank_time_after_copy(expert, to, Some(other))
             }
             ExpertMove::Swap { from, expert, to, other } => {
-                self.max_time_after_swap(from, expert, to, other)
+                self.max_rank_time_after_swap(from, expert, to, other)
             }
         }
     }
 
     /// Returns the maximum time among the affected ranks after a copy of
     /// `expert` is added to a rank, in place of `other` if given.
-    fn max_time_after_copy(
+    fn max_rank_time_after_copy(
         &self,
         expert: Expert,
         to: Rank,
@@ -414,7 +414,7 @@
 
     /// Returns the approximate maximum time of two ranks after they swap
     /// experts.
-    fn max_time_after_swap(
+    fn max_rank_time_after_swap(
         &self,
         from: Rank,
         expert: Expert,
--- a/cowsliproad-rank/src/agent/orders.rs
+++ b/cowsliproad-rank/src/agent/orders.rs
@@ -6,7 +6,7 @@
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_mapswitch::order::{
     self, ArmOrderStatus, CoordinatorArmingNotice, DesiredState, Directive,
-    Epoch, MAX_BOUNDARY_LEAD, OrderResult, Report,
+    Epoch, MAX_BOUNDARY_LEAD_PASSES, OrderResult, Report,
 };
 use cowsliproad_routing::cooldown::Cooldown;
 use slog::info;
@@ -160,7 +160,7 @@
     /// Whether an *arm* of this agent, or of its process before this one, may
     /// still be carried out. Those for passes that were begun can't, and the
     /// process before ordered none for passes farther than
-    /// [`MAX_BOUNDARY_LEAD`] from the first that this one saw. Without that
+    /// [`MAX_BOUNDARY_LEAD_PASSES`] from the first that this one saw. Without that
     /// bound a group whose coordinator froze stood for 3.9 s: five agents had
     /// been restarted two seconds before, and nothing could be called off for
     /// thirteen.
@@ -184,7 +184,8 @@
     /// one had to do with.
     fn inherits(&self, report: &Report) -> bool {
         self.first.is_none_or(|(epoch, step)| {
-            epoch == report.epoch && report.step <= step + MAX_BOUNDARY_LEAD
+            epoch == report.epoch
+                && report.step <= step + MAX_BOUNDARY_LEAD_PASSES
         })
     }
 
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -18,7 +18,7 @@
     demand::{CumulativeCounts, DemandEstimator},
     growth::CountGrowth,
     live,
-    map::{Map, Shape, ideal_time},
+    map::{Map, Shape, ideal_step_time},
 };
 use slog::{Logger, info};
 
@@ -332,7 +332,7 @@
             return;
         };
         let version = self.coordinator.begin_plan(snapshots, now);
-        let ideal = ideal_time(&loads, &speeds);
+        let ideal = ideal_step_time(&loads, &speeds);
         let bound =
             bound::min_step_time(shape_of_map, &loads, &speeds) / ideal;
         info!(self.log, "map_planned"; "version" => version.0,
--- a/tests/order/main.rs
+++ b/tests/order/main.rs
@@ -33,7 +33,7 @@
 const SUCCESSOR_COORDINATOR_RANK: u16 = 0;
 
 /// The version of the first coordinator's first map.
-const FIRST_VERSION: u64 = VERSIONS_PER_COORDINATOR;
+const FIRST_MAP_VERSION: u64 = VERSIONS_PER_COORDINATOR;
 
 /// The maximum number of states in a scenario; a larger scenario would take
 /// too long.
@@ -84,8 +84,8 @@
     directive: Option<Directive>,
     /// The pass of the agent's last unanswered *arm* order, or 0.
     unanswered_arm_step: u64,
-    /// The pass for which the agent has received the seal: the announcement
-    /// that the coordinator's own rank arms.
+    /// The pass for which the agent has received the announcement that the
+    /// coordinator's own rank arms.
     announced_coordinator_arming_step: Option<u64>,
 }
 
@@ -137,8 +137,8 @@
         // no pass, so their delivery is not explored.
         let engine = Engine {
             map: 0,
-            prepared_map: Some(FIRST_VERSION),
-            newest_prepared_map: FIRST_VERSION,
+            prepared_map: Some(FIRST_MAP_VERSION),
+            newest_prepared_map: FIRST_MAP_VERSION,
             armed: None,
             held: None,
             fence: 0,
@@ -680,7 +680,8 @@
     while let Some((state, number)) = queue.pop_front() {
         for next in state.next_states(&scenario) {
             assert!(!next.has_mixed_maps, "two maps in one pass: {next:#?}");
-            changed |= next.engines.iter().all(|it| it.map == FIRST_VERSION);
+            changed |=
+                next.engines.iter().all(|it| it.map == FIRST_MAP_VERSION);
             let next_number = numbers.len() as u32;
             let found =
                 *numbers.entry(state_hash(&next)).or_insert(next_number);
@@ -759,7 +760,8 @@
 }
 
 /// Returns the snapshots that the successor of a frozen coordinator has: all
-/// reachable ranks are armed and have this seal status.
+/// reachable ranks are armed, and their agents have or haven't received the
+/// arming notice (the announcement that the coordinator's rank arms).
 fn snapshots_after_coordinator_freeze(
     arming_notice: CoordinatorArmingNotice,
 ) -> Vec<RankSnapshot> {
@@ -771,8 +773,8 @@
             standing: GroupState::Open,
             step: 1,
             map: Version(0),
-            prepared: Some(Version(FIRST_VERSION)),
-            armed: Some((Version(FIRST_VERSION), 3)),
+            prepared: Some(Version(FIRST_MAP_VERSION)),
+            armed: Some((Version(FIRST_MAP_VERSION), 3)),
             held: (rank == SUCCESSOR_COORDINATOR_RANK).then_some(3),
         },
         arm_order_status: ArmOrderStatus::Answered,
@@ -785,8 +787,8 @@
         .collect()
 }
 
-/// Returns the aim of the successor of a frozen coordinator, if the reachable
-/// ranks have this seal status.
+/// Returns the state that the successor of a frozen coordinator wants, given
+/// whether the reachable ranks' agents have received the arming notice.
 fn desired_state_of_successor(
     arming_notice: CoordinatorArmingNotice,
     predecessor_fencing_number: u64,
--- a/tests/properties/live.rs
+++ b/tests/properties/live.rs
@@ -33,7 +33,7 @@
 }
 
 fn skew(map: &Map, loads: &[Vec<f64>], speeds: &[f64]) -> f64 {
-    let ideal = cowsliproad::placement::map::ideal_time(loads, speeds);
+    let ideal = cowsliproad::placement::map::ideal_step_time(loads, speeds);
     live::step_time(map, loads, speeds) / ideal
 }
 
--- a/tests/properties/placement.rs
+++ b/tests/properties/placement.rs
@@ -3,7 +3,7 @@
 use cowsliproad::placement::{
     bound,
     load::{SmoothedLoads, TokenCounts},
-    map::{Map, Shape, ideal_time},
+    map::{Map, Shape, ideal_step_time},
     pack,
     plan::{self, PlanConfig},
 };
@@ -53,7 +53,7 @@
         let time = map.step_time(&counts, &speeds);
         let least = bound::min_step_time(SHAPE, &counts, &speeds);
         prop_assert!(time >= least * 0.999_999, "{time} {least}");
-        prop_assert!(least >= ideal_time(&counts, &speeds) * 0.999_999);
+        prop_assert!(least >= ideal_step_time(&counts, &speeds) * 0.999_999);
     }
 
     #[test]
