--- a/cowsliproad-mapswitch/src/order.rs
+++ b/cowsliproad-mapswitch/src/order.rs
@@ -29,13 +29,13 @@
 //! missing and its rank can't be armed. That rank arms last, and only after
 //! the holder's agent has confirmed the announcement of it (the *arming
 //! notice*). If any other rank is not armed, or if the holder has received no
-//! arming notice and obeys the successor, the former coordinator's rank can never be armed.
-//! Armed ranks are disarmed first. An unanswered *arm* forbids cancelling, as
-//! it may still be executed. A switch that the former coordinator had itself
-//! taken over is not cancelled either: an earlier coordinator's directive may
-//! have armed its rank. Without the arming notice, a coordinator that froze
-//! while the other ranks armed blocked its group for the 4 s that its VM was
-//! frozen.
+//! arming notice and obeys the successor, the former coordinator's rank can
+//! never be armed. Armed ranks are disarmed first. An unanswered *arm* forbids
+//! cancelling, as it may still be executed. A switch that the former
+//! coordinator had itself taken over is not cancelled either: an earlier
+//! coordinator's directive may have armed its rank. Without the arming notice,
+//! a coordinator that froze while the other ranks armed blocked its group for
+//! the 4 s that its VM was frozen.
 //!
 //! A [`Coordinator`] keeps no state that it could not read from the reports,
 //! so its successor continues where it stopped. Each coordinator has a
--- a/cowsliproad-mapswitch/src/order/coordinator.rs
+++ b/cowsliproad-mapswitch/src/order/coordinator.rs
@@ -563,7 +563,8 @@
 
 /// Returns whether the agent of the rank that holds the group has certainly
 /// not received the arming notice: the announcement that the unreachable
-/// coordinator's rank arms. The holding rank is the lowest rank but that coordinator's.
+/// coordinator's rank arms. The holding rank is the lowest rank but that
+/// coordinator's.
 fn has_holder_missed_arming_notice(
     snapshots: &[RankSnapshot],
     step: u64,
--- a/cowsliproad-mapswitch/src/order/fence.rs
+++ b/cowsliproad-mapswitch/src/order/fence.rs
@@ -24,7 +24,8 @@
     u64::MAX / VERSIONS_PER_COORDINATOR / FENCING_NUMBERS_PER_ERA;
 
 /// Returns the fencing number of the coordinator that appended a record. The
-/// number is never 0. `None` if the log's era or the record's offset is too large.
+/// number is never 0. `None` if the log's era or the record's offset is too
+/// large.
 pub fn fencing_number(record: Position) -> Option<u64> {
     let Position { era, offset } = record;
     let is_in_range =
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -24,7 +24,8 @@
 const MAX_LOG_ROLLBACKS: u64 = 2;
 
 /// Derives a fencing number from a record's position and the log's era that
-/// the agent knew before its call; `None` if the agent must not use the record.
+/// the agent knew before its call; `None` if the agent must not use the
+/// record.
 type FencingNumberRule = fn(Position, Era) -> Option<u64>;
 
 /// An unanswered call that appends a record to the log.
