--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -23,8 +23,9 @@
 
 const MAX_LOG_ROLLBACKS: u64 = 2;
 
-/// Derives a fencing number from a record's position and the era that the
-/// agent knew before its call; `None` if the agent must not use the record.
+/// Derives a fencing number from a record's position and the log's era that
+/// the agent knew before its call; `None` if the agent must not use the
+/// record.
 type FencingNumberRule = fn(Position, Era) -> Option<u64>;
 
 /// An unanswered call that appends a record to the log.
@@ -202,7 +203,7 @@
 }
 
 #[test]
-fn an_era_learned_after_the_append_call_is_too_late() {
+fn numbers_are_reused_if_the_era_is_read_after_the_call() {
     assert!(find_violation(|record, _| fence::fencing_number(record)).0);
 }
 
