--- a/cowsliproad-admission/src/register.rs
+++ b/cowsliproad-admission/src/register.rs
@@ -22,7 +22,7 @@
 /// How long a ticket may be submitted after it was issued.
 pub const TICKET_TTL: Millis = Millis(10 * 60 * 1000);
 
-/// How long a record is kept after its ticket expires.
+/// How long the record of a ticket is kept after the ticket expires.
 pub const RECORD_RETENTION: Millis = Millis(60 * 60 * 1000);
 
 /// The recorded state of a ticket.
@@ -42,9 +42,9 @@
     /// The ticket's work is accepted and recorded now, and is to be run.
     Run,
     /// The ticket's work was accepted before: the kept answer is returned.
-    Seen,
+    Duplicate,
     /// The ticket was refused before: its work never runs.
-    Burned,
+    Refused,
     /// The ticket expired without a record: its work never runs.
     Expired,
     /// The ticket's record may have been removed: whether its work ran is
@@ -52,19 +52,19 @@
     TooOld,
     /// The register is full. Nothing was recorded, so a later submission of
     /// the ticket may still be accepted.
-    Full,
+    RegisterFull,
 }
 
 /// The ticket records of one agent process.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct TicketRegister {
-    /// The maximum number of records.
+    /// The maximum number of ticket records.
     capacity: usize,
     #[serde(rename = "marks")]
     states: HashMap<id::Request, TicketState>,
     /// The expiry of each recorded ticket, earliest first.
     expiries: BTreeSet<(Millis, id::Request)>,
-    /// Whether no more work is accepted.
+    /// Whether the register is sealed: no more tickets are accepted.
     sealed: bool,
 }
 
@@ -84,8 +84,8 @@
     pub fn submit(&mut self, ticket: &Ticket, now: Millis) -> SubmitVerdict {
         self.remove_expired(now);
         match self.states.get(&ticket.request) {
-            Some(TicketState::Accepted) => return SubmitVerdict::Seen,
-            Some(TicketState::Refused) => return SubmitVerdict::Burned,
+            Some(TicketState::Accepted) => return SubmitVerdict::Duplicate,
+            Some(TicketState::Refused) => return SubmitVerdict::Refused,
             None => {}
         }
         if ticket.expiry + RECORD_RETENTION <= now {
@@ -97,12 +97,12 @@
         if self.sealed {
             // A sealed register refuses every further submission, so the
             // refusal is permanent without a record.
-            return SubmitVerdict::Burned;
+            return SubmitVerdict::Refused;
         }
         if self.states.len() >= self.capacity {
-            return SubmitVerdict::Full;
+            return SubmitVerdict::RegisterFull;
         }
-        self.record(ticket, TicketState::Accepted);
+        self.record_state(ticket, TicketState::Accepted);
         SubmitVerdict::Run
     }
 
@@ -111,41 +111,41 @@
         match self.submit(ticket, now) {
             SubmitVerdict::Run => {
                 self.states.insert(ticket.request, TicketState::Refused);
-                SubmitVerdict::Burned
+                SubmitVerdict::Refused
             }
             other => other,
         }
     }
 
-    /// Changes accepted work to refused, for work that provably never reached
-    /// the target.
+    /// Changes an accepted ticket to a refused one; for tickets whose work
+    /// provably never reached the target.
     pub fn refuse_unsent(&mut self, request: id::Request) {
         if let Some(state) = self.states.get_mut(&request) {
             *state = TicketState::Refused;
         }
     }
 
-    /// Returns the number of records.
+    /// Returns the number of ticket records.
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// Returns whether the register has no records.
+    /// Returns whether the register has no ticket records.
     pub fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
 
-    /// Permanently stops accepting work.
+    /// Seals the register, which permanently stops accepting tickets.
     pub fn seal(&mut self) {
         self.sealed = true;
     }
 
-    fn record(&mut self, ticket: &Ticket, state: TicketState) {
+    fn record_state(&mut self, ticket: &Ticket, state: TicketState) {
         self.states.insert(ticket.request, state);
         self.expiries.insert((ticket.expiry, ticket.request));
     }
 
-    /// Removes the records whose retention time is over.
+    /// Removes the ticket records whose retention time is over.
     fn remove_expired(&mut self, now: Millis) {
         while let Some(&(expiry, request)) = self.expiries.first() {
             if expiry + RECORD_RETENTION > now {
--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -19,7 +19,7 @@
     position::{Era, Position},
 };
 use cowsliproad_mapswitch::order::{
-    self, Aim, Directive, Epoch, GroupState, Report,
+    self, DesiredState, Directive, Epoch, GroupState, Report,
 };
 use cowsliproad_platform::engine::EngineState;
 use cowsliproad_routing::cooldown::Cooldown;
@@ -238,21 +238,25 @@
                 }
                 got = self.agents_socket.recv_from(&mut from_agents) => {
                     if let Ok((length, _)) = got {
-                        self.handle_agent_message(&from_agents[..length]).await;
+                        self.handle_agent_message(&from_agents[..length])
+                            .await;
                     }
                 }
                 got = self.entries_socket.recv_from(&mut from_entries) => {
                     if let Ok((length, from)) = got {
-                        self.handle_subscription(&from_entries[..length], from);
+                        self.handle_subscription(
+                            &from_entries[..length], from);
                     }
                 }
-                record = wait_for_fencing_number_record(&mut self.fencing_number_task) => {
+                record = wait_for_fencing_number_record(
+                    &mut self.fencing_number_task) => {
                     self.fencing_number_task = None;
                     self.become_coordinator(record).await;
                 }
                 () = sleep_until(next_poll) => {
                     self.poll_engine().await;
-                    next_poll = Instant::now() + self.engine_poll_interval().duration();
+                    next_poll =
+                        Instant::now() + self.engine_poll_interval().duration();
                 }
             }
             if self.can_agent_stop() {
@@ -270,18 +274,23 @@
     /// which may hold the group, needs it any more.
     fn can_agent_stop(&self) -> bool {
         let Some(since) = self.stop_request_time else { return false };
-        let aim =
-            self.last_directive.as_ref().map_or(Aim::Rest, |it| it.0.aim);
-        aim == Aim::Rest || Millis::now().since(since) > AGENT_STOP_TIMEOUT
+        let aim = self
+            .last_directive
+            .as_ref()
+            .map_or(DesiredState::Rest, |it| it.0.desired_state);
+        aim == DesiredState::Rest
+            || Millis::now().since(since) > AGENT_STOP_TIMEOUT
     }
 
     fn engine_poll_interval(&self) -> Millis {
-        let aim =
-            self.last_directive.as_ref().map_or(Aim::Rest, |it| it.0.aim);
+        let aim = self
+            .last_directive
+            .as_ref()
+            .map_or(DesiredState::Rest, |it| it.0.desired_state);
         let rank = self.engine_report().map(|it| it.rank);
         match aim {
-            Aim::Rest => IDLE_ENGINE_POLL_INTERVAL,
-            Aim::Held { holder, .. } if Some(holder) == rank => {
+            DesiredState::Rest => IDLE_ENGINE_POLL_INTERVAL,
+            DesiredState::Held { holder, .. } if Some(holder) == rank => {
                 HOLD_POLL_INTERVAL
             }
             _ => SWITCH_POLL_INTERVAL,
@@ -340,24 +349,24 @@
                 }
             }
             AgentMessage::Directive(directive, from) => {
-                if directive.fence < self.max_known_fencing_number {
+                if directive.fencing_number < self.max_known_fencing_number {
                     return;
                 }
-                self.max_known_fencing_number = directive.fence;
-                if self
-                    .coordinator
-                    .as_ref()
-                    .is_some_and(|it| it.fencing_number() < directive.fence)
-                {
-                    self.step_down_as_coordinator(directive.fence);
+                self.max_known_fencing_number = directive.fencing_number;
+                if self.coordinator.as_ref().is_some_and(|it| {
+                    it.fencing_number() < directive.fencing_number
+                }) {
+                    self.step_down_as_coordinator(directive.fencing_number);
                 }
                 let before = self.last_directive.as_ref().map(|it| it.0);
                 self.record_coordinator_arming(&directive);
                 self.last_directive = Some((directive, from, now));
                 if before != Some(directive) {
                     self.poll_engine().await;
-                    self.poll_again_at_once =
-                        matches!(directive.aim, Aim::Held { .. });
+                    self.poll_again_at_once = matches!(
+                        directive.desired_state,
+                        DesiredState::Held { .. }
+                    );
                 }
             }
             AgentMessage::SelectionGrowth(growth) => {
@@ -427,7 +436,8 @@
     }
 
     fn record_coordinator_arming(&mut self, directive: &Directive) {
-        if let Some(step) = order::coordinator_arm_step(directive) {
+        if let Some(step) = order::announced_coordinator_arming_step(directive)
+        {
             self.announced_coordinator_arming = Some((directive.epoch, step));
         }
     }
--- a/cowsliproad-rank/src/agent/chair.rs
+++ b/cowsliproad-rank/src/agent/chair.rs
@@ -8,7 +8,9 @@
     clock::Millis,
     position::{Era, Position},
 };
-use cowsliproad_mapswitch::order::{Aim, Directive, GroupState, fence};
+use cowsliproad_mapswitch::order::{
+    DesiredState, Directive, GroupState, fence,
+};
 use cowsliproad_platform::log::{COORDINATORS_TOPIC, Client};
 use slog::{Logger, info, warn};
 
@@ -69,7 +71,7 @@
         };
         let before = self.last_directive.as_ref();
         let predecessor_vm_and_fencing_number =
-            before.map(|it| (it.1.ip(), it.0.fence));
+            before.map(|it| (it.1.ip(), it.0.fencing_number));
         let start = CoordinatorParameters {
             fencing_number,
             own_rank,
@@ -89,7 +91,7 @@
         {
             return false;
         }
-        let busy = |it: &Directive| it.aim != Aim::Rest;
+        let busy = |it: &Directive| it.desired_state != DesiredState::Rest;
         let timeout = match (report.rank, &self.last_directive) {
             (0, None) => FIRST_DIRECTIVE_TIMEOUT,
             (rank, Some((directive, _, _))) if busy(directive) => {
@@ -110,7 +112,7 @@
     /// takes over without waiting for its timeout.
     pub(super) fn handle_coordinator_stop(&mut self, fencing_number: u64) {
         if let Some((directive, _, last_received)) = &mut self.last_directive
-            && directive.fence == fencing_number
+            && directive.fencing_number == fencing_number
         {
             info!(self.log, "coordinator_stops"; "fence" => fencing_number);
             *last_received = *last_received - DIRECTIVE_TIMEOUT;
--- a/cowsliproad-rank/src/agent/orders.rs
+++ b/cowsliproad-rank/src/agent/orders.rs
@@ -5,8 +5,8 @@
 
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_mapswitch::order::{
-    self, Aim, ArmOrderStatus, Directive, Epoch, MAX_BOUNDARY_LEAD,
-    OrderResult, Report, SealStatus,
+    self, ArmOrderStatus, CoordinatorArmingNotice, DesiredState, Directive,
+    Epoch, MAX_BOUNDARY_LEAD_PASSES, OrderResult, Report,
 };
 use cowsliproad_routing::cooldown::Cooldown;
 use slog::info;
@@ -50,7 +50,7 @@
         }
         let given = self
             .engine_client
-            .send_order(&due, directive.epoch, directive.fence)
+            .send_order(&due, directive.epoch, directive.fencing_number)
             .await;
         let name = order_name(&due);
         match given {
@@ -58,18 +58,19 @@
                 self.last_actions.accepted_order =
                     Some((directive, Millis::now()));
                 info!(self.log, "order_taken"; "order" => name,
-                    "aim" => ?directive.aim);
+                    "aim" => ?directive.desired_state);
             }
             Ok(OrderResult::Unfit) => {
                 info!(self.log, "order_refused"; "order" => name,
-                    "aim" => ?directive.aim, "report" => ?self.engine_report());
+                    "aim" => ?directive.desired_state,
+                    "report" => ?self.engine_report());
             }
             Ok(OrderResult::Fenced) => {
                 info!(self.log, "order_fenced"; "order" => name,
-                    "fence" => directive.fence);
+                    "fence" => directive.fencing_number);
                 self.last_directive = None;
                 if self.coordinator.is_some() {
-                    self.step_down_as_coordinator(directive.fence);
+                    self.step_down_as_coordinator(directive.fencing_number);
                 }
             }
             Err(error) => {
@@ -79,7 +80,7 @@
                     self.last_actions.unanswered_arm = Some(arm);
                 }
                 info!(self.log, "order_unanswered"; "order" => name,
-                    "aim" => ?directive.aim, "error" => %error);
+                    "aim" => ?directive.desired_state, "error" => %error);
             }
         }
         true
@@ -94,7 +95,8 @@
         else {
             return;
         };
-        let calm = coordinator.current_directive().aim == Aim::Rest;
+        let calm = coordinator.current_directive().desired_state
+            == DesiredState::Rest;
         if calm
             || now.since(self.last_actions.silent_engine_call_time)
                 < SILENT_ENGINE_POLL_INTERVAL
@@ -143,8 +145,8 @@
         // An engine that accepted an order of this coordinator refuses orders
         // with lower fencing numbers, even if its agent still sends some. So
         // an engine that is already armed receives the *arm* order again.
-        let again = match directive.aim {
-            Aim::Armed { version, step, .. }
+        let again = match directive.desired_state {
+            DesiredState::Armed { version, step, .. }
                 if report.armed == Some((version, step)) =>
             {
                 Some(order::Order::Arm(version, step))
@@ -165,7 +167,7 @@
             {
                 Some(OrderResult::Fenced) => return,
                 Some(OrderResult::Taken) => {
-                    max_known_fencing_number = directive.fence
+                    max_known_fencing_number = directive.fencing_number
                 }
                 Some(OrderResult::Unfit) | None => {}
             }
@@ -180,7 +182,7 @@
             map_version_and_experts_by_set: None,
             slowdown_factor: state.slowdown_factor as f32,
             arm_order_status: ArmOrderStatus::InDoubt,
-            coordinator_arming_notice: SealStatus::Unknown,
+            coordinator_arming_notice: CoordinatorArmingNotice::Unknown,
             engine_report: report,
         };
         if let Some(coordinator) = &mut self.coordinator {
@@ -193,10 +195,10 @@
     /// Returns whether the engine may still execute an *arm* order of this
     /// agent or of the agent's previous process. An *arm* for a pass that has
     /// begun can't be executed any more. The previous process ordered no *arm*
-    /// for a pass farther than [`MAX_BOUNDARY_LEAD`] from the first pass that
-    /// this process saw. Without that bound a group whose coordinator froze
-    /// was held for 3.9 s: five agents had restarted two seconds before, so
-    /// that nothing could be cancelled for 13 s.
+    /// for a pass farther than [`MAX_BOUNDARY_LEAD_PASSES`] from the first
+    /// pass that this process saw. Without that bound a group whose
+    /// coordinator froze was held for 3.9 s: five agents had restarted two
+    /// seconds before, so that nothing could be cancelled for 13 s.
     pub(super) fn arm_order_status(&self, report: &Report) -> ArmOrderStatus {
         let now = Millis::now();
         let recent = |at: Millis| now.since(at) < LATE_ORDER_EXECUTION_TIMEOUT;
@@ -218,7 +220,8 @@
     /// previous process may have sent orders.
     fn may_previous_process_orders_apply(&self, report: &Report) -> bool {
         self.first_reported_pass.is_none_or(|(epoch, step)| {
-            epoch == report.epoch && report.step <= step + MAX_BOUNDARY_LEAD
+            epoch == report.epoch
+                && report.step <= step + MAX_BOUNDARY_LEAD_PASSES
         })
     }
 
@@ -227,15 +230,15 @@
     pub(super) fn coordinator_arming_notice(
         &self,
         report: &Report,
-    ) -> SealStatus {
+    ) -> CoordinatorArmingNotice {
         match self.announced_coordinator_arming {
             Some((epoch, step)) if epoch == report.epoch => {
-                SealStatus::Received(step)
+                CoordinatorArmingNotice::Received(step)
             }
             _ if self.may_previous_process_orders_apply(report) => {
-                SealStatus::Unknown
+                CoordinatorArmingNotice::Unknown
             }
-            _ => SealStatus::NotReceived,
+            _ => CoordinatorArmingNotice::NotReceived,
         }
     }
 
@@ -312,14 +315,15 @@
         directive: Directive,
     ) -> Option<OrderResult> {
         let given = engine
-            .send_order(due, directive.epoch, directive.fence)
+            .send_order(due, directive.epoch, directive.fencing_number)
             .await
             .ok();
         self.record_remote_engine_cooldown(target, directive.epoch, engine);
         info!(self.log, "order_from_afar"; "order" => order_name(due),
-            "aim" => ?directive.aim, "target" => %target, "outcome" => ?given);
+            "aim" => ?directive.desired_state, "target" => %target,
+            "outcome" => ?given);
         if given == Some(OrderResult::Fenced) {
-            self.step_down_as_coordinator(directive.fence);
+            self.step_down_as_coordinator(directive.fencing_number);
         }
         given
     }
--- a/cowsliproad-rank/src/agent/readings.rs
+++ b/cowsliproad-rank/src/agent/readings.rs
@@ -124,8 +124,14 @@
             .filter(|it| {
                 due == CountReportAction::ReportGrowth && it.0 == counts.0
             })
-            .and_then(|it| CountGrowth::between(&it.1, &counts.1));
-        let Some(CountGrowth { scale, units }) = growth else { return };
+            .and_then(|it| CountGrowth::from_counts(&it.1, &counts.1));
+        let Some(CountGrowth {
+            counts_per_unit: scale,
+            growth_in_units: units,
+        }) = growth
+        else {
+            return;
+        };
         let reported_growth = SelectionGrowth {
             selections_per_growth_unit: scale,
             growth_in_units: units,
--- a/cowsliproad-rank/src/agent/words.rs
+++ b/cowsliproad-rank/src/agent/words.rs
@@ -7,7 +7,7 @@
     clock::Millis,
     gossip::{self, Datagram, EngineExit, EngineLoad},
 };
-use cowsliproad_mapswitch::order::{self, Aim, GroupState};
+use cowsliproad_mapswitch::order::{self, DesiredState, GroupState};
 use slog::info;
 
 use super::{Agent, EngineProcessState, send_datagram};
@@ -84,7 +84,7 @@
         {
             return self.broadcast_rank_status(now).await;
         }
-        let busy = directive.aim != Aim::Rest;
+        let busy = directive.desired_state != DesiredState::Rest;
         let time = if busy {
             self.switch_message_interval()
         } else {
@@ -166,7 +166,7 @@
         let rests = self
             .last_directive
             .as_ref()
-            .is_none_or(|it| it.0.aim == Aim::Rest);
+            .is_none_or(|it| it.0.desired_state == DesiredState::Rest);
         rests && !knows
     }
 
@@ -176,7 +176,7 @@
         let Some(coordinator) = &self.coordinator else { return };
         let directive = coordinator.current_directive();
         let new = self.last_actions.sent_directive != Some(directive);
-        let busy = directive.aim != Aim::Rest;
+        let busy = directive.desired_state != DesiredState::Rest;
         let time = if busy {
             self.switch_message_interval()
         } else {
@@ -243,7 +243,8 @@
     /// don't wait for a timeout.
     pub(super) async fn broadcast_coordinator_stop(&mut self) {
         let Some(coordinator) = self.coordinator.take() else { return };
-        info!(self.log, "says_farewell"; "fence" => coordinator.fencing_number());
+        info!(self.log, "says_farewell";
+            "fence" => coordinator.fencing_number());
         let others =
             self.agent_addresses().filter(|it| *it != self.own_address);
         let others: Vec<SocketAddr> = others.collect();
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -18,7 +18,7 @@
     demand::{CumulativeCounts, DemandEstimator},
     growth::CountGrowth,
     live,
-    map::{Map, Shape, ideal_time},
+    map::{Map, Shape, ideal_step_time},
 };
 use slog::{Logger, info};
 
@@ -109,7 +109,7 @@
 
     /// Returns the coordinator's fencing number.
     pub fn fencing_number(&self) -> u64 {
-        self.switch_coordinator.fence()
+        self.switch_coordinator.fencing_number()
     }
 
     /// Returns the directive that the coordinator sends to all agents.
@@ -196,7 +196,7 @@
             selections_per_growth_unit: scale,
             growth_in_units: units,
         } = growth;
-        CountGrowth { scale, units }
+        CountGrowth { counts_per_unit: scale, growth_in_units: units }
             .add_to_counts(&mut self.total_selection_counts, experts_per_set);
     }
 
@@ -209,8 +209,11 @@
     ) {
         let snapshots = self.recent_snapshots(now);
         let missing_ranks = self.missing_ranks(service_shape, now);
-        let event =
-            self.switch_coordinator.advance(&snapshots, missing_ranks, now);
+        let event = self.switch_coordinator.advance_switch(
+            &snapshots,
+            missing_ranks,
+            now,
+        );
         self.handle_switch_event(event);
         if missing_ranks != MissingRanks::None {
             return;
@@ -253,7 +256,12 @@
         };
         let (report, seal) =
             (status.engine_report.clone(), status.coordinator_arming_notice);
-        RankSnapshot { report, arms: status.arm_order_status, seal, obeys }
+        RankSnapshot {
+            report,
+            arm_order_status: status.arm_order_status,
+            coordinator_arming_notice: seal,
+            obeyed_coordinator: obeys,
+        }
     }
 
     /// Returns which ranks of the group have no recent report.
@@ -364,9 +372,9 @@
             return;
         };
         let shape_of_map = Shape {
-            ranks: snapshots.len(),
-            experts: usize::from(service_shape.experts_per_set),
-            layers: usize::from(service_shape.layer_sets),
+            rank_count: snapshots.len(),
+            expert_count: usize::from(service_shape.experts_per_set),
+            layer_count: usize::from(service_shape.layer_sets),
             slots_per_rank: usize::from(service_shape.slots_per_set),
         };
         let Some(present) = self.assemble_map_in_use(shape_of_map, snapshots)
@@ -387,19 +395,20 @@
             return;
         };
         let map_version = self.switch_coordinator.begin_plan(snapshots, now);
-        let ideal = ideal_time(&loads, &speeds);
+        let ideal = ideal_step_time(&loads, &speeds);
         let bound =
             bound::min_step_time(shape_of_map, &loads, &speeds) / ideal;
         info!(self.log, "map_planned"; "version" => map_version.0,
-            "skew" => format!("{:.3}", plan.relative_step_time_before),
-            "expected" => format!("{:.3}", plan.relative_step_time_after),
+            "skew" => format!("{:.3}", plan.present_step_time_ratio_to_ideal),
+            "expected" => format!("{:.3}",
+                plan.planned_step_time_ratio_to_ideal),
             "bound" => format!("{bound:.3}"),
             "slowest" => speeds.iter().copied().fold(1.0, f64::min),
             "copies" => plan.move_count, "step" => snapshots[0].report.step,
             "counted" => loads.iter().flatten().sum::<f64>());
         let directive = self.current_directive();
         let last = self.current_plan.replace(MapPlan {
-            fencing_number: directive.fence,
+            fencing_number: directive.fencing_number,
             group_epoch: directive.epoch,
             map_version,
             experts: Arc::new(plan.map.experts_by_layer_and_rank()),
@@ -421,7 +430,7 @@
             return Map::from_experts(shape, &plan.experts);
         }
         let mut experts: ExpertsByLayerAndRank =
-            vec![vec![Vec::new(); shape.ranks]; shape.layers];
+            vec![vec![Vec::new(); shape.rank_count]; shape.layer_count];
         for (status, _) in self.statuses_by_rank.values() {
             let (listed, sets) =
                 status.map_version_and_experts_by_set.as_ref()?;
--- a/cowsliproad-rank/src/lib.rs
+++ b/cowsliproad-rank/src/lib.rs
@@ -42,7 +42,9 @@
     let agent = Agent::new(settings, log.clone()).await?;
     tokio::select! {
         outcome = agent.run(program::stop_signal()) => outcome?,
-        () = program::watch_settings(settings_path, |reloaded| log_settings_reload(&log, reloaded)) => {}
+        () = program::watch_settings(settings_path, |reloaded| {
+            log_settings_reload(&log, reloaded)
+        }) => {}
     }
     info!(log, "stopped");
     Ok(())
--- a/cowsliproad-rank/src/wire.rs
+++ b/cowsliproad-rank/src/wire.rs
@@ -4,7 +4,7 @@
 
 use cowsliproad_kernel::Name;
 use cowsliproad_mapswitch::order::{
-    ArmOrderStatus, Directive, Report, SealStatus, Version,
+    ArmOrderStatus, CoordinatorArmingNotice, Directive, Report, Version,
 };
 use serde::{Deserialize, Serialize};
 
@@ -61,7 +61,7 @@
     /// Whether the agent has received the announcement that the coordinator's
     /// own rank arms.
     #[serde(rename = "l")]
-    pub coordinator_arming_notice: SealStatus,
+    pub coordinator_arming_notice: CoordinatorArmingNotice,
     /// The factor by which the engine's work takes longer than normal.
     #[serde(rename = "t")]
     pub slowdown_factor: f32,
@@ -83,7 +83,7 @@
 pub struct UrgentStatus {
     engine_report: Report,
     arm_order_status: ArmOrderStatus,
-    coordinator_arming_notice: SealStatus,
+    coordinator_arming_notice: CoordinatorArmingNotice,
     max_known_fencing_number: u64,
     held_plan_version: Option<Version>,
 }
--- a/cowsliproad-rank/tests/lead.rs
+++ b/cowsliproad-rank/tests/lead.rs
@@ -4,7 +4,8 @@
 
 use cowsliproad_kernel::{clock::Millis, gossip::Subscribe};
 use cowsliproad_mapswitch::order::{
-    Aim, ArmOrderStatus, Epoch, Report, SealStatus, Version,
+    ArmOrderStatus, CoordinatorArmingNotice, DesiredState, Epoch, Report,
+    Version,
 };
 use cowsliproad_rank::{
     lead::{CoordinatorParameters, GroupCoordinator},
@@ -82,7 +83,7 @@
             )),
             slowdown_factor: 1.0,
             arm_order_status: ArmOrderStatus::Answered,
-            coordinator_arming_notice: SealStatus::NotReceived,
+            coordinator_arming_notice: CoordinatorArmingNotice::NotReceived,
             engine_report: report,
         }
     }
@@ -110,8 +111,8 @@
         group.planned_rank_count(5) > 1,
         "the outdated plan is still in force"
     );
-    let aim = group.coordinator.current_directive().aim;
-    assert!(matches!(aim, Aim::Prepared(_)), "{aim:?}");
+    let aim = group.coordinator.current_directive().desired_state;
+    assert!(matches!(aim, DesiredState::Prepared(_)), "{aim:?}");
 }
 
 #[test]
@@ -131,6 +132,6 @@
         group.coordinator.current_plan().map(|it| it.map_version),
         version
     );
-    let aim = group.coordinator.current_directive().aim;
-    assert!(matches!(aim, Aim::Held { .. }), "{aim:?}");
+    let aim = group.coordinator.current_directive().desired_state;
+    assert!(matches!(aim, DesiredState::Held { .. }), "{aim:?}");
 }
