--- a/cowsliproad-admin/src/convert.rs
+++ b/cowsliproad-admin/src/convert.rs
@@ -1,8 +1,8 @@
 //! Conversions between the schema's messages and configuration objects.
 
 use cowsliproad_config::object::{
-    Backend, Drain, Group, Object, Organisation, Repeat, RequestType, Service,
-    Target,
+    Backend, Drain, Group, Object, Organisation, RequestRepeatability,
+    RequestType, Service, Target,
 };
 use cowsliproad_kernel::{Name, clock::Millis, wire::Urgency};
 use pilota::FastStr;
@@ -37,8 +37,10 @@
             },
             deadline_ms: it.deadline_ms.0,
             repeat: match it.repeat {
-                Repeat::Repeatable => message::Repeat::REPEATABLE,
-                Repeat::Never => message::Repeat::NEVER,
+                RequestRepeatability::Repeatable => {
+                    message::Repeat::REPEATABLE
+                }
+                RequestRepeatability::Never => message::Repeat::NEVER,
             },
             senders: texts(&it.allowed_organisations),
             max_body: it.max_body_bytes,
@@ -122,10 +124,10 @@
     }
 }
 
-fn repeat(value: message::Repeat) -> Result<Repeat, String> {
+fn repeat(value: message::Repeat) -> Result<RequestRepeatability, String> {
     match value {
-        message::Repeat::REPEATABLE => Ok(Repeat::Repeatable),
-        message::Repeat::NEVER => Ok(Repeat::Never),
+        message::Repeat::REPEATABLE => Ok(RequestRepeatability::Repeatable),
+        message::Repeat::NEVER => Ok(RequestRepeatability::Never),
         other => Err(format!("repeat {}: no such number", other.inner())),
     }
 }
--- a/cowsliproad-agent/src/pace.rs
+++ b/cowsliproad-agent/src/pace.rs
@@ -115,7 +115,7 @@
 
     /// How long the target is left alone.
     pub fn cooldown(&self, now: Millis) -> Millis {
-        self.lock().cooldown.remaining_time(now)
+        self.lock().cooldown.remaining_cooldown_time(now)
     }
 
     /// Whether entries haven't been told yet of a change of that.
@@ -149,7 +149,7 @@
     /// The limit in force, and how long no request may go.
     pub fn limit(&self, now: Millis) -> (Option<Rate>, Millis) {
         let mut inner = self.lock();
-        let wait = inner.cooldown.remaining_time(now);
+        let wait = inner.cooldown.remaining_cooldown_time(now);
         let Some(rate) = inner.known.rate() else { return (None, wait) };
         let full_for = inner.limiter(rate, now).permit_wait(now);
         (Some(rate), wait.max(full_for))
@@ -159,7 +159,7 @@
     /// none is free.
     pub fn take(&self, now: Millis) -> Result<(), Millis> {
         let mut inner = self.lock();
-        let left = inner.cooldown.remaining_time(now);
+        let left = inner.cooldown.remaining_cooldown_time(now);
         if left > Millis(0) {
             return Err(left);
         }
--- a/cowsliproad-agent/src/replica.rs
+++ b/cowsliproad-agent/src/replica.rs
@@ -50,7 +50,7 @@
             return;
         }
         if let Some(other) = fold::decode_state(&snapshot.state) {
-            state.adopt_if_newer(other);
+            state.adopt_newer_peer_state(other);
         }
     }
 
--- a/cowsliproad-bench/src/bin/cowsliproad-naive.rs
+++ b/cowsliproad-bench/src/bin/cowsliproad-naive.rs
@@ -23,7 +23,7 @@
     target,
 };
 use cowsliproad_routing::{
-    catalog::Catalog,
+    catalog::RoutingCatalog,
     fleet::{Target, TargetState},
 };
 use http::{HeaderValue, Request, Response, StatusCode};
@@ -47,7 +47,7 @@
 /// What it knows.
 #[derive(Default)]
 struct Front {
-    catalog: Option<Arc<Catalog>>,
+    catalog: Option<Arc<RoutingCatalog>>,
     targets: BTreeMap<Name, Target>,
 }
 
--- a/cowsliproad-bench/src/caller.rs
+++ b/cowsliproad-bench/src/caller.rs
@@ -15,7 +15,7 @@
 };
 
 use bytes::Bytes;
-use cowsliproad_config::object::Repeat;
+use cowsliproad_config::object::RequestRepeatability;
 use cowsliproad_kernel::sync::lock;
 use cowsliproad_net::client::{Client, Error};
 use http::{Request, StatusCode, header};
@@ -158,7 +158,7 @@
     /// Sends a request until it is answered or given up.
     pub async fn send(&self, job: &Job) {
         Tally::count(&self.tally.sent);
-        if job.kind.repeat == Repeat::Never {
+        if job.kind.repeat == RequestRepeatability::Never {
             Tally::count(&self.tally.never_repeated);
         }
         let start = Instant::now();
@@ -222,7 +222,7 @@
             }
             Reply::Problem(problem) => {
                 self.tally.failed(&problem.title);
-                let never = job.kind.repeat == Repeat::Never
+                let never = job.kind.repeat == RequestRepeatability::Never
                     && self.manner == Manner::Tickets;
                 match problem.ran.as_str() {
                     "NOT_RUN" if never => Next::NewTicket(problem.wait),
@@ -266,7 +266,7 @@
             .header(header::CONTENT_TYPE, "application/json");
         if let Some(ticket) = ticket {
             request = request.header("request-ticket", ticket);
-        } else if kind.repeat == Repeat::Repeatable {
+        } else if kind.repeat == RequestRepeatability::Repeatable {
             request = request.header("idempotency-key", job.run_id(0));
         }
         let request = request
--- a/cowsliproad-bench/src/experiment/limits.rs
+++ b/cowsliproad-bench/src/experiment/limits.rs
@@ -22,8 +22,11 @@
     plugin::inventory,
 };
 use cowsliproad_routing::{
-    fleet::{StartTime, Target, TargetState},
-    owner::{self, LimitOwner, Liveness, OwnerCandidate},
+    fleet::{ProcessStartUnixMs, Target, TargetState},
+    owner::{
+        self, EntryProcessLiveness, RateLimiterOwner,
+        RateLimiterOwnerCandidate,
+    },
 };
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IteratorRandom};
 use serde_json::{Value, json};
@@ -156,7 +159,7 @@
         (0..ZONES).map(|it| format!("zone-{it}").into()).collect();
     let target = Target {
         id: "i-1".into(),
-        start: StartTime(0),
+        start: ProcessStartUnixMs(0),
         service: "model".into(),
         address: ([127, 0, 0, 1], 1).into(),
         zone: zones[1].clone(),
@@ -368,10 +371,14 @@
     fn decide(&mut self, entry: usize, relays: u8) -> PermitDecision {
         for asked in 0..MAX_ASKED {
             let other = match self.owner(entry) {
-                LimitOwner::Remote(_) if asked > 0 && relays < RELAYS => break,
-                LimitOwner::Remote(other) if relays > 0 => other,
+                RateLimiterOwner::Remote(_)
+                    if asked > 0 && relays < RELAYS =>
+                {
+                    break;
+                }
+                RateLimiterOwner::Remote(other) if relays > 0 => other,
                 owner => {
-                    let substitute = owner == LimitOwner::Substitute;
+                    let substitute = owner == RateLimiterOwner::Substitute;
                     return self.give(entry, substitute);
                 }
             };
@@ -393,26 +400,26 @@
         PermitDecision::Later(Millis(AGAIN_MS))
     }
 
-    fn owner(&self, entry: usize) -> LimitOwner<usize> {
-        let member = |address: usize, liveness| OwnerCandidate {
+    fn owner(&self, entry: usize) -> RateLimiterOwner<usize> {
+        let member = |address: usize, liveness| RateLimiterOwnerCandidate {
             address,
             zone: &self.zones[address % ZONES],
             liveness,
         };
         let known = &self.entries[entry].known;
-        let silence = owner::silence_timeout(known.len(), MAX_TOLD).0;
+        let silence = owner::digest_silence_timeout(known.len(), MAX_TOLD).0;
         let others = known.iter().map(|(other, (heard, mute))| {
             let silent = self.now - heard >= silence || *mute > self.now;
             let liveness = if silent {
-                Liveness::Unresponsive
+                EntryProcessLiveness::Unresponsive
             } else {
-                Liveness::Responsive
+                EntryProcessLiveness::Responsive
             };
             member(*other, liveness)
         });
         owner::choose_limiter_owner(
             &self.target,
-            member(entry, Liveness::Responsive),
+            member(entry, EntryProcessLiveness::Responsive),
             others,
         )
     }
@@ -420,7 +427,7 @@
     fn give(&mut self, entry: usize, substitute: bool) -> PermitDecision {
         let now = Millis(self.now);
         let known = &self.entries[entry].known;
-        let silence = owner::silence_timeout(known.len(), MAX_TOLD).0;
+        let silence = owner::digest_silence_timeout(known.len(), MAX_TOLD).0;
         let heard = known.values().filter(|it| self.now - it.0 < silence);
         let share = (heard.count() + 1) as f64 / (known.len() + 1) as f64;
         let entry = &mut self.entries[entry];
--- a/cowsliproad-bench/src/experiment/overload.rs
+++ b/cowsliproad-bench/src/experiment/overload.rs
@@ -13,7 +13,7 @@
 };
 
 use bytes::Bytes;
-use cowsliproad_config::{Object, object::Repeat};
+use cowsliproad_config::{Object, object::RequestRepeatability};
 use cowsliproad_kernel::{
     clock::Millis, log::Level, plugin::inventory, sync::lock, wire::Urgency,
 };
@@ -344,7 +344,7 @@
     let key = format!("Bearer {}", workload::key(job.organisation));
     let mut request = Request::post(uri).header(header::AUTHORIZATION, key);
     if let Some(ticket) = ticket {
-        debug_assert_eq!(kind.repeat, Repeat::Never);
+        debug_assert_eq!(kind.repeat, RequestRepeatability::Never);
         request = request.header("request-ticket", ticket);
     }
     let body = job.body(&job.run_id(0)).to_string();
--- a/cowsliproad-bench/src/experiment/routing.rs
+++ b/cowsliproad-bench/src/experiment/routing.rs
@@ -154,7 +154,7 @@
                 let unseen = usual.max(f64::from(sent)) * others;
                 let costs = costs(&own[entry], &ranks);
                 let draw = random.random();
-                pick::choose_by_cost(&costs, 1.0, unseen, draw)
+                pick::choose_target_by_cost(&costs, 1.0, unseen, draw)
                     .unwrap_or_default()
             }
             Policy::AllKnowing => {
--- a/cowsliproad-bench/src/workload.rs
+++ b/cowsliproad-bench/src/workload.rs
@@ -6,7 +6,9 @@
 
 use cowsliproad_config::{
     Object,
-    object::{Backend, Organisation, Repeat, RequestType, Service},
+    object::{
+        Backend, Organisation, RequestRepeatability, RequestType, Service,
+    },
 };
 use cowsliproad_kernel::{clock::Millis, wire::Urgency};
 use cowsliproad_standin::{engine, plain};
@@ -25,7 +27,7 @@
     /// Its deadline.
     pub deadline: Millis,
     /// Whether it may be repeated.
-    pub repeat: Repeat,
+    pub repeat: RequestRepeatability,
     /// How many of a thousand requests are of this type.
     pub share: u32,
     /// The most tokens of an answer; 0 for plain services.
@@ -43,7 +45,7 @@
         name,
         urgency,
         deadline: Millis(deadline),
-        repeat: Repeat::Repeatable,
+        repeat: RequestRepeatability::Repeatable,
         share: 0,
         tokens: 0,
     }
@@ -77,12 +79,12 @@
     },
     Kind {
         share: 150,
-        repeat: Repeat::Never,
+        repeat: RequestRepeatability::Never,
         ..kind("access", "tow-call", Urgency::Urgent, 8_000)
     },
     Kind {
         share: 100,
-        repeat: Repeat::Never,
+        repeat: RequestRepeatability::Never,
         ..kind("access", "label-print", Urgency::Urgent, 10_000)
     },
     Kind {
@@ -145,8 +147,8 @@
     /// so that a run under a refused ticket shows.
     pub fn run_id(&self, ticket: u32) -> String {
         let mark = match self.kind.repeat {
-            Repeat::Never => "n",
-            Repeat::Repeatable => "r",
+            RequestRepeatability::Never => "n",
+            RequestRepeatability::Repeatable => "r",
         };
         format!("{mark}{}-{ticket}", self.number)
     }
--- a/cowsliproad-config/src/fold.rs
+++ b/cowsliproad-config/src/fold.rs
@@ -20,7 +20,7 @@
 
 /// The number of commands whose verdicts are kept. At 40,000 changes a day
 /// they cover the last nine hours, far longer than operators repeat a command.
-pub const MAX_VERDICTS: usize = 16_384;
+pub const MAX_KEPT_VERDICTS: usize = 16_384;
 
 /// A record of the configuration log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -86,7 +86,7 @@
 
 /// The error for a record whose predecessors have not been folded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct OffsetGap {
+pub struct MissingRecordError {
     /// The offset of the first missing record.
     pub expected_offset: u64,
 }
@@ -132,12 +132,14 @@
         &mut self,
         offset: u64,
         record_bytes: &[u8],
-    ) -> Result<Option<(id::Command, Verdict)>, OffsetGap> {
+    ) -> Result<Option<(id::Command, Verdict)>, MissingRecordError> {
         if offset < self.next_offset {
             return Ok(None);
         }
         if offset > self.next_offset {
-            return Err(OffsetGap { expected_offset: self.next_offset });
+            return Err(MissingRecordError {
+                expected_offset: self.next_offset,
+            });
         }
         self.next_offset = offset + 1;
         let Some(record) = decode_record(record_bytes) else {
@@ -149,13 +151,13 @@
         let Some(verdict) = self.apply_change(offset, record.change) else {
             return Ok(None);
         };
-        self.remember_verdict(record.command, verdict);
+        self.store_verdict(record.command, verdict);
         Ok(Some((record.command, verdict)))
     }
 
     /// Checks whether the current state would accept a change; the error is
     /// the code with which the state would refuse the change.
-    pub fn dry_run(&self, change: &Change) -> Result<(), Code> {
+    pub fn check_change(&self, change: &Change) -> Result<(), Code> {
         match change {
             Change::Put { base_revision, object } => {
                 self.check_put(*base_revision, object)
@@ -169,12 +171,15 @@
 
     /// Replaces this state by a peer's state if more records were folded into
     /// the peer's.
-    pub fn adopt_if_newer(&mut self, peer_state: State) -> Progress {
+    pub fn adopt_newer_peer_state(
+        &mut self,
+        peer_state: State,
+    ) -> StateAdoption {
         if peer_state.next_offset <= self.next_offset {
-            return Progress::Unchanged;
+            return StateAdoption::Unchanged;
         }
         *self = peer_state;
-        Progress::Advanced
+        StateAdoption::Advanced
     }
 
     fn apply_change(
@@ -182,7 +187,7 @@
         offset: u64,
         change: Change,
     ) -> Option<Verdict> {
-        if let Err(code) = self.dry_run(&change) {
+        if let Err(code) = self.check_change(&change) {
             return Some(Verdict::Refused(code));
         }
         match change {
@@ -243,8 +248,8 @@
         self.objects.get(key).map_or(0, |it| it.revision)
     }
 
-    fn remember_verdict(&mut self, command: id::Command, verdict: Verdict) {
-        if self.verdicts.len() == MAX_VERDICTS {
+    fn store_verdict(&mut self, command: id::Command, verdict: Verdict) {
+        if self.verdicts.len() == MAX_KEPT_VERDICTS {
             self.verdicts.pop_front();
         }
         self.verdicts.push_back((command, verdict));
@@ -259,7 +264,7 @@
 
 /// Whether a replica replaced its state by a newer one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Progress {
+pub enum StateAdoption {
     /// The replica had already folded as many records, and kept its state.
     Unchanged,
     /// The replica adopted the newer state.
--- a/cowsliproad-config/src/object.rs
+++ b/cowsliproad-config/src/object.rs
@@ -69,7 +69,7 @@
 /// Whether the requests of a type may run more than once.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Repeat {
+pub enum RequestRepeatability {
     /// A request of the type may safely run more than once.
     Repeatable,
     /// A request of the type must never run more than once.
@@ -90,7 +90,7 @@
     /// request.
     pub deadline_ms: Millis,
     /// Whether a request of this type may run more than once.
-    pub repeat: Repeat,
+    pub repeat: RequestRepeatability,
     /// The organisations that may send the request type; all if empty.
     #[serde(rename = "senders", default)]
     pub allowed_organisations: Vec<Name>,
--- a/cowsliproad-direct/src/attempt.rs
+++ b/cowsliproad-direct/src/attempt.rs
@@ -32,7 +32,7 @@
 impl Attempt {
     /// Counts a request in.
     pub fn new(entry: &Rc<Entry>, call: &Call, choice: &Choice) -> Attempt {
-        choice.endpoint.borrow_mut().record.record_send();
+        choice.endpoint.borrow_mut().record.record_sent_request();
         Attempt {
             entry: entry.clone(),
             choice: choice.clone(),
@@ -151,7 +151,7 @@
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        self.choice.endpoint.borrow_mut().record.record_completion();
+        self.choice.endpoint.borrow_mut().record.record_completed_request();
         self.give_up();
     }
 }
--- a/cowsliproad-direct/src/call/failure.rs
+++ b/cowsliproad-direct/src/call/failure.rs
@@ -181,7 +181,7 @@
     fn come_back(&self, entry: &Entry) -> Millis {
         // Callers wait for a third of what they have left at most.
         let longest = Millis(self.left().0 / 3);
-        if self.route.is_stream() {
+        if self.route.has_stream_responses() {
             return longest;
         }
         let after = patience::jittered_retry(FULL_BACKOFF, entry.draw());
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -19,12 +19,12 @@
 };
 use cowsliproad_kernel::{Name, clock::Millis, position::Position, settings};
 use cowsliproad_routing::{
-    catalog::Catalog,
+    catalog::RoutingCatalog,
     cooldown::Cooldowns,
-    fleet::{Fleet, FleetConfig, Target, TargetChange},
-    formation::Formation,
+    fleet::{Target, TargetChange, TargetFleet, TargetFleetConfig},
+    formation::GroupFormation,
     pick::TargetStats,
-    readings::{Continuity, LogReadSchedule},
+    readings::{LogReadContinuity, LogReadSchedule},
 };
 use rand::{SeedableRng, rngs::SmallRng};
 use slog::{Logger, info, warn};
@@ -145,9 +145,9 @@
     /// Its counters.
     pub measure: Measure,
     /// The configuration in force, as decoded and as it came.
-    catalog: RefCell<Option<(Arc<Catalog>, Bytes)>>,
+    catalog: RefCell<Option<(Arc<RoutingCatalog>, Bytes)>>,
     /// The targets.
-    pub fleet: RefCell<Fleet>,
+    pub fleet: RefCell<TargetFleet>,
     /// The longest that callers of each route were seen to wait.
     patience: RefCell<HashMap<Name, Millis>>,
     /// Keys in the log whose entries were no target's, so that each is told
@@ -158,7 +158,7 @@
     endpoints: RefCell<HashMap<Name, Rc<RefCell<Endpoint>>>>,
     budgets: RefCell<HashMap<Name, RetryWindow>>,
     /// What was last said of each group, by any of its ranks.
-    formations: RefCell<HashMap<Name, Formation>>,
+    formations: RefCell<HashMap<Name, GroupFormation>>,
     /// Requests that crash their targets.
     pub quarantine: RefCell<Quarantine>,
     /// When each availability zone was last heard from.
@@ -226,7 +226,7 @@
             log,
             measure: Measure::new(),
             catalog: RefCell::new(None),
-            fleet: RefCell::new(Fleet::new(FleetConfig::new())),
+            fleet: RefCell::new(TargetFleet::new(TargetFleetConfig::new())),
             patience: RefCell::new(HashMap::new()),
             refused: RefCell::new(HashSet::new()),
             announced: RefCell::new(HashMap::new()),
@@ -290,7 +290,7 @@
     }
 
     /// The configuration in force.
-    pub fn catalog(&self) -> Option<Arc<Catalog>> {
+    pub fn catalog(&self) -> Option<Arc<RoutingCatalog>> {
         self.catalog.borrow().as_ref().map(|it| it.0.clone())
     }
 
@@ -305,7 +305,7 @@
     }
 
     /// Puts a configuration in force unless it is older than what is.
-    pub fn adopt(&self, catalog: Catalog, raw: Bytes, source: Source) {
+    pub fn adopt(&self, catalog: RoutingCatalog, raw: Bytes, source: Source) {
         let before = self.version();
         if before >= catalog.version() {
             return;
@@ -375,9 +375,10 @@
 
     /// Takes another entry's reading of the targets in.
     pub fn note_reading(&self, at: Millis, changed: Position, now: Millis) {
-        let found = self.readings.borrow_mut().merge_peer_read(at, changed);
+        let found =
+            self.readings.borrow_mut().merge_peer_log_read(at, changed);
         self.note_gap(found, now);
-        if self.readings.borrow().has_unread_change() {
+        if self.readings.borrow().has_unread_target_change() {
             self.behind.notify_one();
         }
     }
@@ -390,10 +391,10 @@
     }
 
     /// Gives targets that may have lapsed unseen the time to come back.
-    pub fn note_gap(&self, found: Continuity, now: Millis) {
-        if found == Continuity::Gap {
+    pub fn note_gap(&self, found: LogReadContinuity, now: Millis) {
+        if found == LogReadContinuity::Gap {
             info!(self.log, "readings_resumed");
-            self.fleet.borrow_mut().start_renewal_grace(now);
+            self.fleet.borrow_mut().start_record_renewal_grace(now);
         }
     }
 
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -5,7 +5,9 @@
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_routing::{
     fleet::Target,
-    pick::{self, Locality, ServiceLatency, TargetCandidate, TargetStats},
+    pick::{
+        self, ServiceLatency, TargetCandidate, TargetLocality, TargetStats,
+    },
 };
 
 use super::{Choice, Endpoint, Entry, Group, Recovery, groups::AGENT_TIMEOUT};
@@ -88,7 +90,7 @@
 
 impl Candidates {
     /// The target with the least cost, or, where agents report, one of those
-    /// with little cost; see [`pick::choose_by_cost`]. One that takes fewer
+    /// with little cost; see [`pick::choose_target_by_cost`]. One that takes fewer
     /// requests than its part is chosen whenever it costs no more, so that it
     /// gets what it takes. `draw` is a random number from 0 to 1.
     pub fn choose(&self, asks: Asks, draw: f64) -> Option<Choice> {
@@ -96,8 +98,9 @@
         let usable: Vec<&Choice> = usable.map(|it| &it.choice).collect();
         let costs: Vec<f64> = usable.iter().map(|it| it.cost).collect();
         let slots = usable.iter().map(|it| it.target.slots).max()?;
-        let step = self.usual.lockstep_latency_ms() / f64::from(slots);
-        let place = pick::choose_by_cost(&costs, step, self.unseen, draw)?;
+        let step = self.usual.lockstep_rank_latency_ms() / f64::from(slots);
+        let place =
+            pick::choose_target_by_cost(&costs, step, self.unseen, draw)?;
         let binds = |it: &Choice| {
             it.limit.is_some_and(|it| it.per_second() < self.part)
         };
@@ -195,20 +198,24 @@
                 continue;
             }
             let near = target.zone == *zone;
-            let locality =
-                if near { Locality::SameZone } else { Locality::OtherZone };
+            let locality = if near {
+                TargetLocality::SameZone
+            } else {
+                TargetLocality::OtherZone
+            };
             let latency_ms = match group {
-                Some(_) => usual.lockstep_latency_ms(),
+                Some(_) => usual.lockstep_rank_latency_ms(),
                 None => usual.target_latency_ms(&held.record, now),
             };
             let candidate = TargetCandidate {
                 stats: &held.record,
                 slots: target.slots,
                 locality,
-                service_time_percent: group.map_or(100, |it| it.pace),
+                service_time_percent_of_normal: group
+                    .map_or(100, |it| it.pace),
                 latency_ms,
             };
-            let cost = pick::expected_cost_ms(&candidate, now);
+            let cost = pick::expected_request_cost_ms(&candidate, now);
             let limit = held.limit.rate();
             let needs = limit.filter(|it| !held.has_permit(*it, now));
             let free = needs.map(|_| held.full_until);
@@ -259,7 +266,7 @@
     ) -> f64 {
         let others = (self.peers.borrow().entries() - 1) as f64;
         let sent: u32 =
-            records.iter().map(TargetStats::sent_since_report).sum();
+            records.iter().map(TargetStats::requests_sent_since_report).sum();
         let budgets = self.budgets.borrow();
         let usual = budgets.get(service);
         let usual =
@@ -271,7 +278,8 @@
     fn connections(&self, service: &str) -> usize {
         let catalog = self.catalog.borrow();
         let service = catalog.as_ref().and_then(|it| it.0.service(service));
-        let Some(most) = service.and_then(|it| it.max_connections) else {
+        let Some(most) = service.and_then(|it| it.max_connections_per_target)
+        else {
             return usize::MAX;
         };
         let entries = self.peers.borrow().entries();
--- a/cowsliproad-direct/src/entry/groups.rs
+++ b/cowsliproad-direct/src/entry/groups.rs
@@ -1,7 +1,7 @@
 //! What the entry believes of the groups that targets are ranks of.
 
 use cowsliproad_kernel::{Name, clock::Millis};
-use cowsliproad_routing::formation::Formation;
+use cowsliproad_routing::formation::GroupFormation;
 use slog::info;
 
 use super::{Choice, Entry, Group};
@@ -22,7 +22,7 @@
     /// that waited.
     pub fn note_formation(&self, group: &Name, epoch: u64, open: bool) {
         let mut formations = self.formations.borrow_mut();
-        let new = Formation::new(epoch, open);
+        let new = GroupFormation::new(epoch, open);
         let known = formations.entry(group.clone()).or_insert(new);
         if known.merge_rank_report(epoch, open) {
             info!(self.log, "group_stands"; "group" => &**group,
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -18,7 +18,7 @@
     log::{Client, Error, Page, Record},
     target,
 };
-use cowsliproad_routing::fleet::{StartTime, TargetChange};
+use cowsliproad_routing::fleet::{ProcessStartUnixMs, TargetChange};
 use rand::Rng;
 use slog::{info, warn};
 use tokio::time::sleep;
@@ -234,7 +234,7 @@
                 let found = entry
                     .readings
                     .borrow_mut()
-                    .record_own_read(now, reading.end);
+                    .record_own_log_read(now, reading.end);
                 entry.note_gap(found, now);
                 take(&entry, &reading, now);
                 // What was back by then has been read.
@@ -261,8 +261,9 @@
     let patience = jittered(period);
     loop {
         let now = Millis::now();
-        let wait = entry.readings.borrow().time_until_next_read(patience, now);
-        let lapse = entry.fleet.borrow().next_withdrawal();
+        let wait =
+            entry.readings.borrow().time_until_next_log_read(patience, now);
+        let lapse = entry.fleet.borrow().next_withdrawal_due_at();
         let wait = lapse.map_or(wait, |at| wait.min(at.since(now)));
         if wait == Millis(0) {
             return;
@@ -289,23 +290,23 @@
     if reading.scope == Scope::First {
         // Others told of the targets known so far, and the log may have come
         // back from a copy that lacks them.
-        entry.fleet.borrow_mut().start_renewal_grace(now);
+        entry.fleet.borrow_mut().start_record_renewal_grace(now);
     }
-    let listed: HashMap<&str, StartTime> =
+    let listed: HashMap<&str, ProcessStartUnixMs> =
         records.iter().filter_map(start).collect();
     let gone = entry
         .fleet
         .borrow_mut()
-        .withdraw_unlisted(|id| listed.get(id).copied(), now);
+        .withdraw_unlisted_targets(|id| listed.get(id).copied(), now);
     note_gone(entry, &gone);
 }
 
 /// Which start of a target a record is of. One of another writer may hide a
 /// target, and counts as its newest.
-fn start(record: &Record) -> Option<(&str, StartTime)> {
+fn start(record: &Record) -> Option<(&str, ProcessStartUnixMs)> {
     let raw = record.value.as_ref()?;
     let start = target::decode(&record.key, raw).map(|it| it.start);
-    Some((&record.key, start.unwrap_or(StartTime(u64::MAX))))
+    Some((&record.key, start.unwrap_or(ProcessStartUnixMs(u64::MAX))))
 }
 
 fn note_gone(entry: &Entry, gone: &[Name]) {
@@ -322,13 +323,17 @@
     source: Source,
 ) -> TargetChange {
     let change = match &record.value {
-        None => entry.fleet.borrow_mut().merge_withdrawal(&record.key, now),
+        None => {
+            entry.fleet.borrow_mut().merge_target_withdrawal(&record.key, now)
+        }
         Some(raw) => match target::decode(&record.key, raw) {
             Ok(target) => {
                 let id = target.id.clone();
                 entry.note_announcement(&target, now);
-                let change =
-                    entry.fleet.borrow_mut().merge_announcement(target, now);
+                let change = entry
+                    .fleet
+                    .borrow_mut()
+                    .merge_target_announcement(target, now);
                 if entry.fleet.borrow().is_ready(&id) {
                     entry.announced.borrow_mut().insert(id, raw.clone());
                 }
--- a/cowsliproad-direct/src/forward.rs
+++ b/cowsliproad-direct/src/forward.rs
@@ -31,7 +31,7 @@
     let answer = match receive(entry, head, body, arrived).await {
         Ok(mut call) => {
             entry.count_request(&call.service, arrived);
-            if call.route.is_stream() {
+            if call.route.has_stream_responses() {
                 stream::run(entry, call, busy).await
             } else {
                 whole(entry, &mut call).await
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -21,8 +21,8 @@
 };
 use cowsliproad_platform::header;
 use cowsliproad_routing::{
-    fleet::{StartTime, Target},
-    owner::LimitOwner,
+    fleet::{ProcessStartUnixMs, Target},
+    owner::RateLimiterOwner,
 };
 use http::{HeaderMap, HeaderValue};
 use slog::{debug, info, warn};
@@ -87,7 +87,7 @@
 #[derive(Default)]
 pub struct Limits {
     socket: Option<Rc<UdpSocket>>,
-    limiters: HashMap<Name, (StartTime, limit::Limiter)>,
+    limiters: HashMap<Name, (ProcessStartUnixMs, limit::Limiter)>,
     open: HashMap<u64, oneshot::Sender<PermitReply>>,
     /// Limits of targets that are not known yet, and when they were heard.
     early: HashMap<Name, (RateLimit, Millis)>,
@@ -278,8 +278,10 @@
         let owner = entry.peers.borrow().owner(target, &zone, now);
         let other = match owner {
             // Whoever asked waits for one question more, not for two.
-            LimitOwner::Remote(_) if asked > 0 && relays < RELAYS => break,
-            LimitOwner::Remote(other) if relays > 0 => other,
+            RateLimiterOwner::Remote(_) if asked > 0 && relays < RELAYS => {
+                break;
+            }
+            RateLimiterOwner::Remote(other) if relays > 0 => other,
             _ => return entry.give(target, owner, patience, now),
         };
         match ask(entry, other, target, patience, relays - 1).await {
@@ -384,7 +386,7 @@
 
     fn hear_limit(&self, limit: &RateLimit, now: Millis) {
         let start = self.fleet.borrow().get(&limit.target).map(|it| it.start);
-        if start != Some(StartTime(limit.target_start_unix_ms)) {
+        if start != Some(ProcessStartUnixMs(limit.target_start_unix_ms)) {
             self.limits.borrow_mut().keep_early(limit, now);
             return;
         }
@@ -476,7 +478,7 @@
     fn give(
         &self,
         target: &Target,
-        owner: LimitOwner<SocketAddr>,
+        owner: RateLimiterOwner<SocketAddr>,
         patience: Millis,
         now: Millis,
     ) -> PermitDecision {
@@ -488,7 +490,7 @@
         let new = (target.start, limit::Limiter::new(rate, age, now));
         let mut limits = self.limits.borrow_mut();
         let kept = limits.limiters.entry(target.id.clone()).or_insert(new);
-        let stands_in = owner == LimitOwner::Substitute;
+        let stands_in = owner == RateLimiterOwner::Substitute;
         let stale = stands_in && kept.1.is_stale(share, now);
         if kept.0 != target.start || stale {
             *kept = new;
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -15,8 +15,11 @@
     position::Position,
 };
 use cowsliproad_routing::{
-    fleet::{GossipedDeparture, StartTime, Target},
-    owner::{self, LimitOwner, Liveness, OwnerCandidate},
+    fleet::{GossipedDeparture, ProcessStartUnixMs, Target},
+    owner::{
+        self, EntryProcessLiveness, RateLimiterOwner,
+        RateLimiterOwnerCandidate,
+    },
 };
 use rand::seq::IteratorRandom;
 use slog::{info, warn};
@@ -136,20 +139,24 @@
         target: &Target,
         own_zone: &Name,
         now: Millis,
-    ) -> LimitOwner<SocketAddr> {
+    ) -> RateLimiterOwner<SocketAddr> {
         let silence = self.silence();
-        let own = OwnerCandidate {
+        let own = RateLimiterOwnerCandidate {
             address: self.own,
             zone: own_zone,
-            liveness: Liveness::Responsive,
+            liveness: EntryProcessLiveness::Responsive,
         };
         let others = self.known.iter().map(|(address, peer)| {
             let silent = now.since(peer.heard) >= silence;
             let liveness = match silent || peer.mute_until > now {
-                true => Liveness::Unresponsive,
-                false => Liveness::Responsive,
+                true => EntryProcessLiveness::Unresponsive,
+                false => EntryProcessLiveness::Responsive,
             };
-            OwnerCandidate { address: *address, zone: &peer.zone, liveness }
+            RateLimiterOwnerCandidate {
+                address: *address,
+                zone: &peer.zone,
+                liveness,
+            }
         });
         owner::choose_limiter_owner(target, own, others)
     }
@@ -183,7 +190,7 @@
     }
 
     fn silence(&self) -> Millis {
-        owner::silence_timeout(self.known.len(), MAX_RECIPIENTS)
+        owner::digest_silence_timeout(self.known.len(), MAX_RECIPIENTS)
     }
 
     /// Notes entries that others speak of.
@@ -226,7 +233,7 @@
         entry.measure.knows_limits(entry.limits_known());
         // Some requests count cooldowns as longer.
         let over = now - MAX_STAGGER - PROBE_PERIOD;
-        entry.cooldowns.borrow_mut().remove_expired(over);
+        entry.cooldowns.borrow_mut().remove_expired_cooldowns(over);
         entry.measure.knows_cooling(
             entry.cooldowns.borrow().active_cooldown_count(now),
         );
@@ -247,7 +254,7 @@
     let fleet = entry.fleet.borrow();
     let (suspects, lives) = entry.quarantine.borrow().updates(update, now);
     let (mut left, mut withdrawn) = (Vec::new(), Vec::new());
-    for (id, departure) in fleet.departures_since(since) {
+    for (id, departure) in fleet.target_departures_since(since) {
         match departure {
             GossipedDeparture::Announced(start) => {
                 left.push((id.clone(), start.0))
@@ -263,12 +270,12 @@
         config_version: entry.version(),
         log_era: entry.rollbacks.era(),
         targets_read_age_ms: now
-            .since(entry.readings.borrow().last_read_at())
+            .since(entry.readings.borrow().last_log_read_at())
             .0,
         last_change_offset: entry
             .readings
             .borrow()
-            .last_change_position()
+            .last_target_change_log_position()
             .offset,
         departed: left,
         withdrawn,
@@ -326,15 +333,18 @@
     let now = Millis::now();
     entry.learn_era(heard.log_era, Source::Peer);
     let left = heard.departed.iter();
-    let left =
-        left.map(|it| (&it.0, GossipedDeparture::Announced(StartTime(it.1))));
+    let left = left.map(|it| {
+        (&it.0, GossipedDeparture::Announced(ProcessStartUnixMs(it.1)))
+    });
     let withdrawn = heard.withdrawn.iter();
     let withdrawn = withdrawn.map(|it| {
-        (&it.0, GossipedDeparture::Withdrawn(StartTime(it.1), it.2))
+        (&it.0, GossipedDeparture::Withdrawn(ProcessStartUnixMs(it.1), it.2))
     });
     for (id, departure) in left.chain(withdrawn) {
-        let change =
-            entry.fleet.borrow_mut().merge_departure(id, departure, now);
+        let change = entry
+            .fleet
+            .borrow_mut()
+            .merge_gossiped_departure(id, departure, now);
         entry.changed(id, change, Source::Peer);
     }
     entry.heard_from(&heard.zone, now);
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -12,7 +12,7 @@
 };
 use cowsliproad_routing::{
     catalog::{ExpertLayout, Service},
-    fleet::{StartTime, Target},
+    fleet::{ProcessStartUnixMs, Target},
 };
 use slog::info;
 use tokio::net::UdpSocket;
@@ -79,10 +79,11 @@
     Subscribe {
         list_id: gossip::target_list_id(targets),
         targets: targets.to_vec(),
-        layer_sets: engine.layer_sets as u16,
+        layer_sets: engine.layer_set_count as u16,
         experts_per_set: engine.experts_per_layer_set as u16,
         slots_per_set: engine.experts_per_rank as u16,
-        max_new_experts_per_set: engine.max_added_experts_per_map as u16,
+        max_new_experts_per_set: engine.max_added_experts_per_expert_map
+            as u16,
         expert_copy_ms: engine.expert_copy_time.0,
         log_era: era,
     }
@@ -97,8 +98,8 @@
         return;
     };
     entry.heard_from(&target.zone, now);
-    entry.note_report(&target, StartTime(load.start_unix_ms), now);
-    if load.leaving && target.start == StartTime(load.start_unix_ms) {
+    entry.note_report(&target, ProcessStartUnixMs(load.start_unix_ms), now);
+    if load.leaving && target.start == ProcessStartUnixMs(load.start_unix_ms) {
         info!(entry.log, "target_leaving"; "target" => &*target.id,
             "source" => ?Source::Peer);
         return entry.note_left(&target);
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -25,7 +25,7 @@
     gossip::{self, Suspect, Suspects},
 };
 use cowsliproad_platform::log::{self, Client, Record};
-use cowsliproad_routing::fleet::{StartTime, Target};
+use cowsliproad_routing::fleet::{ProcessStartUnixMs, Target};
 use serde::{Deserialize, Serialize};
 use slog::{info, warn};
 use tokio::{sync::Notify, time::timeout};
@@ -269,8 +269,13 @@
 
     /// Notes that an agent reads the report of its engine's start. Where the
     /// start isn't told it may be one that came after the target.
-    pub fn note_report(&self, target: &Target, start: StartTime, now: Millis) {
-        if start != target.start || start == StartTime::default() {
+    pub fn note_report(
+        &self,
+        target: &Target,
+        start: ProcessStartUnixMs,
+        now: Millis,
+    ) {
+        if start != target.start || start == ProcessStartUnixMs::default() {
             return;
         }
         let mut quarantine = self.quarantine.borrow_mut();
--- a/cowsliproad-direct/src/receive.rs
+++ b/cowsliproad-direct/src/receive.rs
@@ -6,7 +6,7 @@
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_platform::header;
 use cowsliproad_routing::catalog::{
-    Catalog, Organisation, RouteError, RouteMatch,
+    Organisation, RouteError, RouteMatch, RoutingCatalog,
 };
 use http::{
     HeaderMap, HeaderName, HeaderValue, Response, StatusCode,
@@ -96,7 +96,7 @@
 }
 
 fn find(
-    catalog: &Catalog,
+    catalog: &RoutingCatalog,
     head: &request::Parts,
 ) -> Result<RouteMatch, RouteError> {
     let text = |name: HeaderName| {
--- a/cowsliproad-direct/src/rollback.rs
+++ b/cowsliproad-direct/src/rollback.rs
@@ -108,7 +108,7 @@
             return;
         }
         self.rollbacks.era.send_replace(era);
-        self.readings.borrow_mut().enter_era(era);
+        self.readings.borrow_mut().enter_log_era(era);
         if !self.rollbacks.has_read.get() {
             return;
         }
@@ -116,7 +116,7 @@
         info!(self.log, "log_rolled_back"; "era" => era.0,
             "before" => before.0, "source" => ?source);
         self.measure.rolled_back();
-        self.fleet.borrow_mut().start_renewal_grace(now);
+        self.fleet.borrow_mut().start_record_renewal_grace(now);
         let unread =
             BTreeSet::from([CONFIG_TOPIC, TARGETS_TOPIC, QUARANTINE_TOPIC]);
         *self.rollbacks.last.borrow_mut() = Some(Rollback { at: now, unread });
--- a/cowsliproad-entry/src/admin.rs
+++ b/cowsliproad-entry/src/admin.rs
@@ -164,7 +164,7 @@
     ) -> Response<message::ChangeReply> {
         if mode == message::Mode::DRY_RUN {
             let view = self.shared.published.load();
-            return match view.state.dry_run(&change) {
+            return match view.state.check_change(&change) {
                 Ok(()) => reply(Code::Ok, Execution::NotRun, 0, "dry run"),
                 Err(code) => refused(code, "dry run"),
             };
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -338,7 +338,7 @@
             "request" => %ticket.request,
             "type" => %ticket.request_type,
             "target" => %ticket.target,
-            "score_us" => found.map_or(0, |it| it.score_us));
+            "score_us" => found.map_or(0, |it| it.chosen_score_us));
         Ok(ticket::sign(&ticket, &self.shared.ticket_key))
     }
 
--- a/cowsliproad-entry/src/choose.rs
+++ b/cowsliproad-entry/src/choose.rs
@@ -4,8 +4,8 @@
 
 use cowsliproad_kernel::{Name, clock::Millis};
 use cowsliproad_routing::{
-    choice::{self, Choice},
-    health::Admission,
+    choice::{self, TargetChoice},
+    health::AttemptAdmission,
 };
 use slog::info;
 
@@ -38,10 +38,11 @@
     shared: &Shared,
     service: &Service,
     tried: &[Name],
-) -> Option<Choice> {
+) -> Option<TargetChoice> {
     let now = Millis::now();
     let targets = &service.targets;
-    let is_out = |target: &Target| target.admits(now) == Admission::Deny;
+    let is_out =
+        |target: &Target| target.admits(now) == AttemptAdmission::Deny;
     let believe = !service.ejections_doubted.load(Ordering::Relaxed);
     let score = |index: usize| {
         let target = &targets[index];
@@ -96,16 +97,16 @@
     order: &Order,
     chosen: Option<&Arc<Target>>,
     why: &str,
-    choice: Option<Choice>,
+    choice: Option<TargetChoice>,
 ) {
     let targets = &order.service.targets;
-    let second = choice.and_then(|it| it.runner_up);
+    let second = choice.and_then(|it| it.runner_up_index_and_score_us);
     info!(shared.log, "route";
         "request" => %order.request,
         "type" => %order.request_type.name,
         "target" => chosen.map_or("none", |it| &*it.name),
         "why" => why,
-        "score_us" => choice.map_or(0, |it| it.score_us),
+        "score_us" => choice.map_or(0, |it| it.chosen_score_us),
         "runner_up" => second.map_or("none", |it| &*targets[it.0].name),
         "runner_up_us" => second.map_or(0, |it| it.1));
 }
--- a/cowsliproad-entry/src/control.rs
+++ b/cowsliproad-entry/src/control.rs
@@ -13,7 +13,7 @@
 
 use cowsliproad_config::{
     State,
-    fold::{self, Change, Progress, Verdict},
+    fold::{self, Change, StateAdoption, Verdict},
     object::{ObjectKey, ObjectKind},
 };
 use cowsliproad_kernel::{
@@ -164,7 +164,8 @@
             return;
         }
         let Some(other) = fold::decode_state(&snapshot.state) else { return };
-        if self.state.adopt_if_newer(other) == Progress::Advanced {
+        if self.state.adopt_newer_peer_state(other) == StateAdoption::Advanced
+        {
             self.recent.clear();
             info!(self.shared.log, "config_snapshot";
                 "next" => self.state.next_offset());
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -22,7 +22,7 @@
     quarantine::{QuarantineVerdict, WorkDigest},
     ticket::{self, Purpose, Ticket},
 };
-use cowsliproad_config::object::{Repeat, RequestType};
+use cowsliproad_config::object::{RequestRepeatability, RequestType};
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
@@ -512,5 +512,5 @@
 
 /// Whether a type's work needs a ticket.
 pub fn needs_ticket(request_type: &RequestType) -> bool {
-    request_type.repeat == Repeat::Never
+    request_type.repeat == RequestRepeatability::Never
 }
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -27,7 +27,7 @@
 };
 use cowsliproad_net::link::{SendError, Sender};
 use cowsliproad_routing::{
-    health::{self, Admission, Health},
+    health::{self, AttemptAdmission, TargetHealth},
     score::TargetCandidate,
 };
 use tokio::{sync::mpsc, task::AbortHandle};
@@ -62,7 +62,7 @@
     sent_since: u32,
     done_since: u32,
     in_flight: u32,
-    health: Health,
+    health: TargetHealth,
 }
 
 /// A link to an agent and the attempts on it.
@@ -200,7 +200,7 @@
     }
 
     /// Whether health admits an attempt now.
-    pub fn admits(&self, now: Millis) -> Admission {
+    pub fn admits(&self, now: Millis) -> AttemptAdmission {
         lock(&self.stats).health.peek_admission(now)
     }
 
@@ -211,8 +211,8 @@
             stats.beat.as_ref().map_or(AgentLoad::default(), |it| it.load);
         let candidate = TargetCandidate {
             load,
-            sent_since_report: stats.sent_since,
-            completed_since_report: stats.done_since,
+            requests_sent_since_report: stats.sent_since,
+            requests_completed_since_report: stats.done_since,
             in_flight: stats.in_flight,
             zone_rtt_us,
             cached_prompt_percent: 0,
--- a/cowsliproad-entry/src/view.rs
+++ b/cowsliproad-entry/src/view.rs
@@ -15,7 +15,7 @@
     object::{self, Backend},
 };
 use cowsliproad_kernel::{Name, clock::Millis, id};
-use cowsliproad_routing::health::{self, Admission};
+use cowsliproad_routing::health::{self, AttemptAdmission};
 use tokio::sync::watch;
 
 use crate::target::Target;
@@ -126,7 +126,7 @@
             let targets = &service.targets;
             // What targets asked for themselves is not doubted.
             let guessed = targets.iter().filter(|it| {
-                it.admits(now) == Admission::Deny
+                it.admits(now) == AttemptAdmission::Deny
                     && it.cooldown_end(now).is_none()
             });
             let doubted =
--- a/cowsliproad-rank/src/agent/readings.rs
+++ b/cowsliproad-rank/src/agent/readings.rs
@@ -28,8 +28,10 @@
             }
             Err(error) => {
                 if self.state.take().is_some() {
-                    let cooldown =
-                        self.engine.cooldown().remaining_time(Millis::now());
+                    let cooldown = self
+                        .engine
+                        .cooldown()
+                        .remaining_cooldown_time(Millis::now());
                     info!(self.log, "engine_lost"; "error" => %error,
                         "cooldown" => cooldown.0);
                 }
--- a/cowsliproad-routing/src/catalog.rs
+++ b/cowsliproad-routing/src/catalog.rs
@@ -1,6 +1,6 @@
 //! The configuration in force: routes, services, organisations and limits.
 //!
-//! A [`Catalog`] is built once for each version of the configuration and is
+//! A [`RoutingCatalog`] is built once for each version of the configuration and is
 //! immutable. A request matches a route by its host and the longest path
 //! prefix: the routes of a host are sorted from the longest prefix to the
 //! shortest, so the first match is the right one.
@@ -18,12 +18,12 @@
     /// A request may run once at most.
     NonIdempotent,
     /// A request is answered by a stream of events.
-    Stream(Resumption),
+    Stream(StreamResumption),
 }
 
 /// Whether another target may continue a stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Resumption {
+pub enum StreamResumption {
     /// Another target may continue the stream after the last event delivered.
     Allowed,
     /// Only the first target may run the stream.
@@ -46,7 +46,7 @@
     pub service: Name,
     /// The weight by which the service gets requests of the route, relative to
     /// the weights of the route's other services.
-    pub relative_weight: f64,
+    pub relative_traffic_weight: f64,
 }
 
 /// The settings for the requests with a host and path prefix.
@@ -85,7 +85,7 @@
     pub name: Name,
     /// The largest number of connections to one target, from all entry
     /// processes together.
-    pub max_connections: Option<u32>,
+    pub max_connections_per_target: Option<u32>,
     /// The expert layout of the service's model engines, if it runs any.
     pub expert_layout: Option<ExpertLayout>,
 }
@@ -94,14 +94,14 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ExpertLayout {
     /// The number of sets of layers; each set has its own expert map.
-    pub layer_sets: usize,
+    pub layer_set_count: usize,
     /// The number of experts in each set of layers.
     pub experts_per_layer_set: usize,
     /// The number of experts that a rank holds in each set of layers.
     pub experts_per_rank: usize,
     /// The largest number of experts that one map may add to a rank, in each
     /// set of layers.
-    pub max_added_experts_per_map: usize,
+    pub max_added_experts_per_expert_map: usize,
     /// The time that a rank needs to copy one expert.
     pub expert_copy_time: Millis,
 }
@@ -169,7 +169,7 @@
 /// The routes, services, organisations and limits of one version of the
 /// configuration.
 #[derive(Clone, Debug)]
-pub struct Catalog {
+pub struct RoutingCatalog {
     version: u64,
     routes_by_host: HashMap<Name, Vec<Arc<Route>>>,
     services: HashMap<Name, Service>,
@@ -178,7 +178,7 @@
     request_limits: RequestLimits,
 }
 
-impl Catalog {
+impl RoutingCatalog {
     /// The version number of the configuration. A higher number is newer.
     pub fn version(&self) -> u64 {
         self.version
@@ -233,17 +233,17 @@
     }
 }
 
-/// Builds a [`Catalog`].
+/// Builds a [`RoutingCatalog`].
 #[derive(Debug)]
-pub struct CatalogBuilder {
-    catalog: Catalog,
+pub struct RoutingCatalogBuilder {
+    catalog: RoutingCatalog,
 }
 
-impl CatalogBuilder {
+impl RoutingCatalogBuilder {
     /// Starts a catalog without routes, services and organisations.
-    pub fn new(version: u64) -> CatalogBuilder {
-        CatalogBuilder {
-            catalog: Catalog {
+    pub fn new(version: u64) -> RoutingCatalogBuilder {
+        RoutingCatalogBuilder {
+            catalog: RoutingCatalog {
                 version,
                 routes_by_host: HashMap::new(),
                 services: HashMap::new(),
@@ -295,7 +295,7 @@
     }
 
     /// Sorts the routes by path prefix and returns the catalog.
-    pub fn build(mut self) -> Catalog {
+    pub fn build(mut self) -> RoutingCatalog {
         for routes in self.catalog.routes_by_host.values_mut() {
             routes.sort_by_key(|it| std::cmp::Reverse(it.path_prefix.len()));
         }
@@ -307,26 +307,28 @@
     /// Whether a request may be sent again when it may have run already.
     pub fn allows_resend(&self) -> bool {
         match self.kind {
-            RouteKind::Idempotent | RouteKind::Stream(Resumption::Allowed) => {
-                true
-            }
+            RouteKind::Idempotent
+            | RouteKind::Stream(StreamResumption::Allowed) => true,
             RouteKind::NonIdempotent
-            | RouteKind::Stream(Resumption::Never) => false,
+            | RouteKind::Stream(StreamResumption::Never) => false,
         }
     }
 
     /// Whether the route's responses are streams of events.
-    pub fn is_stream(&self) -> bool {
+    pub fn has_stream_responses(&self) -> bool {
         matches!(self.kind, RouteKind::Stream(_))
     }
 
     /// The service that gets a request, by a random number from 0 to 1.
     pub fn choose_service(&self, random_fraction: f64) -> Option<&Name> {
-        let total: f64 =
-            self.service_shares.iter().map(|it| it.relative_weight).sum();
+        let total: f64 = self
+            .service_shares
+            .iter()
+            .map(|it| it.relative_traffic_weight)
+            .sum();
         let mut remaining = random_fraction * total;
         for share in &self.service_shares {
-            remaining -= share.relative_weight;
+            remaining -= share.relative_traffic_weight;
             if remaining < 0.0 {
                 return Some(&share.service);
             }
--- a/cowsliproad-routing/src/cooldown.rs
+++ b/cowsliproad-routing/src/cooldown.rs
@@ -11,7 +11,7 @@
 
 use cowsliproad_kernel::{Name, clock::Millis};
 
-use crate::fleet::{StartTime, Target};
+use crate::fleet::{ProcessStartUnixMs, Target};
 
 /// The largest number of stored cooldowns, at some 60 bytes each.
 const MAX_COOLDOWNS: usize = 16_384;
@@ -44,7 +44,7 @@
     }
 
     /// The remaining time of the cooldown; zero if the cooldown has ended.
-    pub fn remaining_time(&self, now: Millis) -> Millis {
+    pub fn remaining_cooldown_time(&self, now: Millis) -> Millis {
         self.ends_at.since(now)
     }
 }
@@ -52,7 +52,7 @@
 /// The cooldowns of all targets, each with the start time of its process.
 #[derive(Clone, Debug, Default)]
 pub struct Cooldowns {
-    by_target: HashMap<Name, (StartTime, Cooldown)>,
+    by_target: HashMap<Name, (ProcessStartUnixMs, Cooldown)>,
 }
 
 impl Cooldowns {
@@ -108,12 +108,12 @@
     }
 
     /// Removes the cooldowns that have ended by the time `now`.
-    pub fn remove_expired(&mut self, now: Millis) {
+    pub fn remove_expired_cooldowns(&mut self, now: Millis) {
         self.by_target.retain(|_, it| it.1.cooldown_end(now).is_some());
     }
 
     fn evict_excess_cooldown(&mut self, now: Millis) {
-        self.remove_expired(now);
+        self.remove_expired_cooldowns(now);
         if self.by_target.len() > MAX_COOLDOWNS {
             let soonest =
                 self.by_target.iter().min_by_key(|it| it.1.1.ends_at);
--- a/cowsliproad-routing/src/fleet.rs
+++ b/cowsliproad-routing/src/fleet.rs
@@ -6,13 +6,13 @@
 //!
 //! * An incarnation that announced its departure stays departed: neither an
 //!   old or repeated announcement nor a slow peer brings it back.
-//! * A target may restart under its name, with a later [`StartTime`]. State of
+//! * A target may restart under its name, with a later [`ProcessStartUnixMs`]. State of
 //!   the earlier start, including its departure, doesn't apply to the later
 //!   one, and late updates about the earlier start are ignored.
 //! * A withdrawal takes effect at once while the log has been read without a
 //!   gap. After a gap the withdrawal may be an expiry, since targets that
 //!   couldn't renew their records drop out of the log too. Such a target stays
-//!   in use for [`FleetConfig::with_renewal_grace`], within which a live
+//!   in use for [`TargetFleetConfig::with_record_renewal_grace`], within which a live
 //!   target renews its record.
 //! * While the log is unreachable, no target is withdrawn. What the entry
 //!   process observes itself (another incarnation at the address) takes effect
@@ -34,7 +34,7 @@
 /// The time at which a target's process started, which distinguishes the
 /// processes under one name; zero where targets don't state it.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
-pub struct StartTime(pub u64);
+pub struct ProcessStartUnixMs(pub u64);
 
 /// A target as announced in the platform's log.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -42,7 +42,7 @@
     /// The name of the target.
     pub id: Name,
     /// The start time of the target's process.
-    pub start: StartTime,
+    pub start: ProcessStartUnixMs,
     /// The name of the service that the target belongs to.
     pub service: Name,
     /// The address that the target listens on.
@@ -64,11 +64,11 @@
 pub enum GossipedDeparture {
     /// The target announced the departure of the process with this start time.
     /// Only a process with a later start time brings the target back.
-    Announced(StartTime),
+    Announced(ProcessStartUnixMs),
     /// The target's record disappeared from the log after the announcement
     /// with this start time and sequence number. The record may just have
     /// expired, and a later announcement restores the target.
-    Withdrawn(StartTime, u64),
+    Withdrawn(ProcessStartUnixMs, u64),
 }
 
 /// The effect of an update on a target.
@@ -87,48 +87,53 @@
     Returned,
 }
 
-/// Settings of the [`Fleet`].
+/// Settings of the [`TargetFleet`].
 #[derive(Clone, Copy, Debug)]
-pub struct FleetConfig {
-    renewal_grace: Millis,
+pub struct TargetFleetConfig {
+    record_renewal_grace: Millis,
 }
 
-impl FleetConfig {
+impl TargetFleetConfig {
     /// The default settings of the fleet.
-    pub fn new() -> FleetConfig {
-        FleetConfig { renewal_grace: DEFAULT_RENEWAL_GRACE }
+    pub fn new() -> TargetFleetConfig {
+        TargetFleetConfig {
+            record_renewal_grace: DEFAULT_RECORD_RENEWAL_GRACE,
+        }
     }
 
     /// Sets how long after a gap in the reads of the log a live target may
     /// take to renew its record in the log.
-    pub fn with_renewal_grace(self, renewal_grace: Millis) -> FleetConfig {
-        FleetConfig { renewal_grace }
+    pub fn with_record_renewal_grace(
+        self,
+        record_renewal_grace: Millis,
+    ) -> TargetFleetConfig {
+        TargetFleetConfig { record_renewal_grace }
     }
 }
 
-impl Default for FleetConfig {
-    fn default() -> FleetConfig {
-        FleetConfig::new()
+impl Default for TargetFleetConfig {
+    fn default() -> TargetFleetConfig {
+        TargetFleetConfig::new()
     }
 }
 
 /// The default renewal grace. Targets renew expired records within about two
 /// seconds after the log returns, as its operators state; the rest allows for
 /// the delay until an entry process reads the records.
-const DEFAULT_RENEWAL_GRACE: Millis = Millis(2_300);
+const DEFAULT_RECORD_RENEWAL_GRACE: Millis = Millis(2_300);
 
 /// The largest number of tombstones, at some 60 bytes each.
-const MAX_TOMBSTONES: usize = 2_048;
+const MAX_TARGET_TOMBSTONES: usize = 2_048;
 
 /// The targets that take new requests, and tombstones of departed targets.
 #[derive(Clone, Debug)]
-pub struct Fleet {
-    config: FleetConfig,
+pub struct TargetFleet {
+    config: TargetFleetConfig,
     targets: BTreeMap<Name, KnownTarget>,
     /// Departed incarnations, with the last sequence number of each.
-    tombstones: BTreeMap<Name, Tombstone>,
+    tombstones: BTreeMap<Name, TargetTombstone>,
     /// Until when a withdrawal may be the expiry of a live target's record.
-    renewal_grace_until: Millis,
+    record_renewal_grace_until: Millis,
 }
 
 #[derive(Clone, Debug)]
@@ -140,8 +145,8 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Tombstone {
-    start: StartTime,
+struct TargetTombstone {
+    start: ProcessStartUnixMs,
     last_sequence: u64,
     removed_at: Millis,
     kind: DepartureKind,
@@ -157,19 +162,19 @@
     Withdrawn,
 }
 
-impl Fleet {
+impl TargetFleet {
     /// A fleet without targets.
-    pub fn new(config: FleetConfig) -> Fleet {
-        Fleet {
+    pub fn new(config: TargetFleetConfig) -> TargetFleet {
+        TargetFleet {
             config,
             targets: BTreeMap::new(),
             tombstones: BTreeMap::new(),
-            renewal_grace_until: Millis(0),
+            record_renewal_grace_until: Millis(0),
         }
     }
 
     /// Merges the announcement of a target; ignores an outdated announcement.
-    pub fn merge_announcement(
+    pub fn merge_target_announcement(
         &mut self,
         target: Target,
         now: Millis,
@@ -200,7 +205,7 @@
         }
         if target.state == TargetState::Draining {
             let (start, last) = (target.start, target.announcement_sequence);
-            return self.record_departure(
+            return self.record_target_departure(
                 &target.id,
                 start,
                 last,
@@ -219,10 +224,10 @@
     pub fn record_announced_departure(
         &mut self,
         target_id: &str,
-        start: StartTime,
+        start: ProcessStartUnixMs,
         now: Millis,
     ) -> TargetChange {
-        self.merge_departure(
+        self.merge_gossiped_departure(
             target_id,
             GossipedDeparture::Announced(start),
             now,
@@ -231,29 +236,29 @@
 
     /// Merges the removal of a target's record from the log. Within the
     /// renewal grace, the withdrawal stays pending until the grace ends.
-    pub fn merge_withdrawal(
+    pub fn merge_target_withdrawal(
         &mut self,
         target_id: &str,
         now: Millis,
     ) -> TargetChange {
-        if now < self.renewal_grace_until {
+        if now < self.record_renewal_grace_until {
             if let Some(known) = self.targets.get_mut(target_id) {
                 known
                     .withdrawal_due_at
-                    .get_or_insert(self.renewal_grace_until);
+                    .get_or_insert(self.record_renewal_grace_until);
             }
             return TargetChange::None;
         }
-        self.record_withdrawal(target_id, now)
+        self.record_target_withdrawal(target_id, now)
     }
 
     /// Withdraws every target that a complete list of the log lacks, and
     /// returns the withdrawn targets. `listed_start` returns the start time of
     /// a listed target; a target that is listed with an earlier start time
     /// than the known one counts as missing.
-    pub fn withdraw_unlisted(
+    pub fn withdraw_unlisted_targets(
         &mut self,
-        listed_start: impl Fn(&str) -> Option<StartTime>,
+        listed_start: impl Fn(&str) -> Option<ProcessStartUnixMs>,
         now: Millis,
     ) -> Vec<Name> {
         let is_missing = |it: &&Target| listed_start(&it.id) < Some(it.start);
@@ -262,19 +267,21 @@
             .filter(is_missing)
             .map(|it| it.id.clone())
             .collect();
-        let left =
-            |id: &Name| self.merge_withdrawal(id, now) == TargetChange::Left;
+        let left = |id: &Name| {
+            self.merge_target_withdrawal(id, now) == TargetChange::Left
+        };
         missing.into_iter().filter(left).collect()
     }
 
     /// Starts the renewal grace, because the log can be read again after a
     /// gap.
-    pub fn start_renewal_grace(&mut self, now: Millis) {
-        self.renewal_grace_until = now + self.config.renewal_grace;
+    pub fn start_record_renewal_grace(&mut self, now: Millis) {
+        self.record_renewal_grace_until =
+            now + self.config.record_renewal_grace;
     }
 
     /// When the next pending withdrawal takes effect, unless it is cancelled.
-    pub fn next_withdrawal(&self) -> Option<Millis> {
+    pub fn next_withdrawal_due_at(&self) -> Option<Millis> {
         self.targets.values().filter_map(|it| it.withdrawal_due_at).min()
     }
 
@@ -291,7 +298,7 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in &gone {
-            self.record_withdrawal(id, now);
+            self.record_target_withdrawal(id, now);
         }
         gone
     }
@@ -313,11 +320,11 @@
 
     /// The departures recorded since a point in time, for other entry
     /// processes.
-    pub fn departures_since(
+    pub fn target_departures_since(
         &self,
         since: Millis,
     ) -> impl Iterator<Item = (&Name, GossipedDeparture)> {
-        let is_recent = move |it: &Tombstone| it.removed_at >= since;
+        let is_recent = move |it: &TargetTombstone| it.removed_at >= since;
         let recent = self.tombstones.iter().filter(move |it| is_recent(it.1));
         recent.map(|(id, it)| match it.kind {
             DepartureKind::Announced => {
@@ -331,14 +338,14 @@
 
     /// Merges a departure that another entry process reports; ignores the
     /// departure if a later announcement of the target is known.
-    pub fn merge_departure(
+    pub fn merge_gossiped_departure(
         &mut self,
         target_id: &str,
         departure: GossipedDeparture,
         now: Millis,
     ) -> TargetChange {
         let known = self.targets.get(target_id).map(|it| &it.target);
-        let is_newer = |start: StartTime, last: u64| {
+        let is_newer = |start: ProcessStartUnixMs, last: u64| {
             known.is_some_and(|it| {
                 (it.start, it.announcement_sequence) > (start, last)
             })
@@ -349,20 +356,21 @@
             {
                 TargetChange::None
             }
-            GossipedDeparture::Announced(start) => self.record_departure(
-                target_id,
-                start,
-                0,
-                now,
-                DepartureKind::Announced,
-            ),
+            GossipedDeparture::Announced(start) => self
+                .record_target_departure(
+                    target_id,
+                    start,
+                    0,
+                    now,
+                    DepartureKind::Announced,
+                ),
             GossipedDeparture::Withdrawn(start, last)
                 if is_newer(start, last) =>
             {
                 TargetChange::None
             }
             GossipedDeparture::Withdrawn(start, last) => self
-                .record_departure(
+                .record_target_departure(
                     target_id,
                     start,
                     last,
@@ -373,14 +381,14 @@
     }
 
     /// Records that the record of a target disappeared from the log.
-    fn record_withdrawal(
+    fn record_target_withdrawal(
         &mut self,
         target_id: &str,
         now: Millis,
     ) -> TargetChange {
-        self.record_departure(
+        self.record_target_departure(
             target_id,
-            self.newest_start(target_id),
+            self.newest_start_time(target_id),
             0,
             now,
             DepartureKind::Withdrawn,
@@ -388,16 +396,16 @@
     }
 
     /// The newest known start time of a target, including departed processes.
-    fn newest_start(&self, target_id: &str) -> StartTime {
+    fn newest_start_time(&self, target_id: &str) -> ProcessStartUnixMs {
         let known = self.targets.get(target_id).map(|it| it.target.start);
         let left = self.tombstones.get(target_id).map(|it| it.start);
         known.max(left).unwrap_or_default()
     }
 
-    fn record_departure(
+    fn record_target_departure(
         &mut self,
         target_id: &str,
-        start: StartTime,
+        start: ProcessStartUnixMs,
         last_sequence: u64,
         now: Millis,
         kind: DepartureKind,
@@ -409,7 +417,7 @@
             same_process.map_or(0, |it| it.target.announcement_sequence);
         let last_sequence = last_sequence.max(known_sequence);
         let tombstone =
-            Tombstone { start, last_sequence, removed_at: now, kind };
+            TargetTombstone { start, last_sequence, removed_at: now, kind };
         let stored =
             self.tombstones.entry(target_id.into()).or_insert(tombstone);
         if start > stored.start {
@@ -425,7 +433,7 @@
     }
 
     fn evict_oldest_tombstone(&mut self) {
-        if self.tombstones.len() <= MAX_TOMBSTONES {
+        if self.tombstones.len() <= MAX_TARGET_TOMBSTONES {
             return;
         }
         let oldest = self.tombstones.iter().min_by_key(|it| it.1.removed_at);
--- a/cowsliproad-routing/src/formation.rs
+++ b/cowsliproad-routing/src/formation.rs
@@ -5,7 +5,7 @@
 //! engines of a group notice a crash only after waiting for the lost rank, so
 //! an agent's report that a rank's process is gone halts the group at once.
 //! That report may be wrong: the halt ends when the group's steps advance, or
-//! after [`MAX_HALT_DURATION`] without a broken formation.
+//! after [`MAX_GROUP_HALT_DURATION`] without a broken formation.
 
 use cowsliproad_kernel::clock::Millis;
 
@@ -13,7 +13,7 @@
 /// lost rank report the formation broken within this time. An idle group runs
 /// no steps that could end the halt, so the halt of a group without a lost
 /// rank must time out.
-const MAX_HALT_DURATION: Millis = Millis(2_500);
+const MAX_GROUP_HALT_DURATION: Millis = Millis(2_500);
 
 /// The longest delay of a rank's report of a step. A report that arrives
 /// sooner after the loss of a rank may have been sent before the loss.
@@ -21,28 +21,28 @@
 
 /// The number of steps that ranks may still report after the loss of a rank
 /// without starting a new one: the step that was in progress.
-const MAX_STEPS_AFTER_LOSS: u64 = 1;
+const MAX_STEPS_AFTER_RANK_LOSS: u64 = 1;
 
 /// The state of a group's newest formation.
 #[derive(Clone, Copy, Debug)]
-pub struct Formation {
+pub struct GroupFormation {
     epoch: u64,
     accepts_requests: bool,
     /// Set while the group may be waiting for a rank whose process is gone.
-    halt: Option<Halt>,
+    halt: Option<GroupHalt>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Halt {
+struct GroupHalt {
     halted_at: Millis,
     /// The first step that a rank reported after the group was halted.
     first_reported_step: Option<u64>,
 }
 
-impl Formation {
+impl GroupFormation {
     /// The state of a group after the first report of a rank.
-    pub fn new(epoch: u64, accepts_requests: bool) -> Formation {
-        Formation { epoch, accepts_requests, halt: None }
+    pub fn new(epoch: u64, accepts_requests: bool) -> GroupFormation {
+        GroupFormation { epoch, accepts_requests, halt: None }
     }
 
     /// Merges a rank's report whether the group accepts requests in an epoch.
@@ -69,7 +69,7 @@
         let halts = self.epoch == epoch && self.accepts_requests(now);
         if halts {
             self.halt =
-                Some(Halt { halted_at: now, first_reported_step: None });
+                Some(GroupHalt { halted_at: now, first_reported_step: None });
         }
         halts
     }
@@ -87,7 +87,7 @@
             halt.filter(|it| now.since(it.halted_at) >= MAX_STEP_REPORT_DELAY);
         let Some(halt) = halt else { return false };
         let first_step = *halt.first_reported_step.get_or_insert(step);
-        let resumes = step > first_step + MAX_STEPS_AFTER_LOSS;
+        let resumes = step > first_step + MAX_STEPS_AFTER_RANK_LOSS;
         if resumes {
             self.halt = None;
         }
@@ -96,7 +96,8 @@
 
     /// Whether the group takes requests now.
     pub fn accepts_requests(&self, now: Millis) -> bool {
-        let halted = |it: Halt| now.since(it.halted_at) < MAX_HALT_DURATION;
+        let halted =
+            |it: GroupHalt| now.since(it.halted_at) < MAX_GROUP_HALT_DURATION;
         self.accepts_requests && !self.halt.is_some_and(halted)
     }
 }
--- a/cowsliproad-routing/src/health.rs
+++ b/cowsliproad-routing/src/health.rs
@@ -45,7 +45,7 @@
     }
 
     /// Sets the first and the longest backoff of an ejected target.
-    pub fn with_backoff(
+    pub fn with_ejection_backoff(
         self,
         initial_backoff: Millis,
         max_backoff: Millis,
@@ -81,7 +81,7 @@
 
 /// Whether an attempt may be sent to a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Admission {
+pub enum AttemptAdmission {
     /// Attempts may be sent to the target without a limit.
     Allow,
     /// One attempt may be sent to the ejected target, as a probe.
@@ -92,7 +92,7 @@
 
 /// The health of one target, as one entry process sees it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Health {
+pub struct TargetHealth {
     consecutive_failures: u32,
     backoff_exponent: u32,
     ejection: Option<Ejection>,
@@ -108,44 +108,49 @@
 /// The number of ejections after which the backoff no longer doubles.
 const MAX_BACKOFF_EXPONENT: u32 = 16;
 
-impl Health {
+impl TargetHealth {
     /// The health of a target without failures or a cooldown.
-    pub fn new() -> Health {
-        Health::default()
+    pub fn new() -> TargetHealth {
+        TargetHealth::default()
     }
 
     /// Decides whether an attempt may be sent to the target. An admitted probe
     /// is counted as sent.
-    pub fn admit_attempt(&mut self, now: Millis) -> Admission {
+    pub fn admit_attempt(&mut self, now: Millis) -> AttemptAdmission {
         if self.cooldown_end(now).is_some() {
-            return Admission::Deny;
+            return AttemptAdmission::Deny;
         }
         let Some(ejection) = &mut self.ejection else {
-            return Admission::Allow;
+            return AttemptAdmission::Allow;
         };
         if now < ejection.next_probe_at {
-            return Admission::Deny;
+            return AttemptAdmission::Deny;
         }
         ejection.next_probe_at =
             ejection.ends_at.max(now + MIN_PROBE_INTERVAL);
-        Admission::Probe
+        AttemptAdmission::Probe
     }
 
-    /// The result that [`Health::admit_attempt`] would have, without counting
+    /// The result that [`TargetHealth::admit_attempt`] would have, without counting
     /// a probe as sent.
-    pub fn peek_admission(&self, now: Millis) -> Admission {
+    pub fn peek_admission(&self, now: Millis) -> AttemptAdmission {
         match &self.ejection {
-            _ if self.cooldown_end(now).is_some() => Admission::Deny,
-            None => Admission::Allow,
-            Some(ejection) if now < ejection.next_probe_at => Admission::Deny,
-            Some(_) => Admission::Probe,
+            _ if self.cooldown_end(now).is_some() => AttemptAdmission::Deny,
+            None => AttemptAdmission::Allow,
+            Some(ejection) if now < ejection.next_probe_at => {
+                AttemptAdmission::Deny
+            }
+            Some(_) => AttemptAdmission::Probe,
         }
     }
 
     /// Records a complete response of the target, which ends an ejection but
     /// not a cooldown.
     pub fn record_success(&mut self) {
-        *self = Health { cooldown: self.cooldown, ..Health::default() };
+        *self = TargetHealth {
+            cooldown: self.cooldown,
+            ..TargetHealth::default()
+        };
     }
 
     /// Records a failed attempt, which may eject the target. `jitter` is a
--- a/cowsliproad-routing/src/owner.rs
+++ b/cowsliproad-routing/src/owner.rs
@@ -19,7 +19,7 @@
 /// The entry process that owns the rate limiter of a target, as seen by the
 /// local entry process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum LimitOwner<A> {
+pub enum RateLimiterOwner<A> {
     /// The local entry process owns the rate limiter.
     Local,
     /// The local entry process owns the rate limiter in place of an
@@ -31,18 +31,18 @@
 
 /// An entry process that may own the rate limiter of a target.
 #[derive(Clone, Copy, Debug)]
-pub struct OwnerCandidate<'a, A> {
+pub struct RateLimiterOwnerCandidate<'a, A> {
     /// The address of the entry process.
     pub address: A,
     /// The availability zone of the entry process.
     pub zone: &'a Name,
     /// Whether the entry process sends digests and answers permit requests.
-    pub liveness: Liveness,
+    pub liveness: EntryProcessLiveness,
 }
 
 /// Whether an entry process can be asked for permits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Liveness {
+pub enum EntryProcessLiveness {
     /// The entry process sends digests and answers permit requests.
     Responsive,
     /// The entry process may have stopped, be hanging or be cut off.
@@ -53,25 +53,25 @@
 /// `own_entry`.
 pub fn choose_limiter_owner<'a, A: Copy + Eq + Hash>(
     target: &Target,
-    own_entry: OwnerCandidate<A>,
-    other_entries: impl Iterator<Item = OwnerCandidate<'a, A>>,
-) -> LimitOwner<A> {
+    own_entry: RateLimiterOwnerCandidate<A>,
+    other_entries: impl Iterator<Item = RateLimiterOwnerCandidate<'a, A>>,
+) -> RateLimiterOwner<A> {
     let own_weight =
         rendezvous_weight(target, own_entry.address, own_entry.zone);
-    let mut owner = LimitOwner::Local;
+    let mut owner = RateLimiterOwner::Local;
     let mut highest_weight = own_weight;
     for other in other_entries {
         let weight = rendezvous_weight(target, other.address, other.zone);
         if weight <= own_weight {
             continue;
         }
-        if other.liveness == Liveness::Unresponsive {
-            if owner == LimitOwner::Local {
-                owner = LimitOwner::Substitute;
+        if other.liveness == EntryProcessLiveness::Unresponsive {
+            if owner == RateLimiterOwner::Local {
+                owner = RateLimiterOwner::Substitute;
             }
         } else if weight > highest_weight {
             highest_weight = weight;
-            owner = LimitOwner::Remote(other.address);
+            owner = RateLimiterOwner::Remote(other.address);
         }
     }
     owner
@@ -80,14 +80,17 @@
 /// How long an entry process may send no digest before it counts as
 /// unresponsive, if each entry process sends digests to `digest_fanout` of its
 /// `peer_count` peers at a time.
-pub fn silence_timeout(peer_count: usize, digest_fanout: usize) -> Millis {
+pub fn digest_silence_timeout(
+    peer_count: usize,
+    digest_fanout: usize,
+) -> Millis {
     let rounds = (peer_count / digest_fanout.max(1)).max(1) as u64;
-    Millis(BASE_SILENCE_TIMEOUT.0 * rounds)
+    Millis(MIN_DIGEST_SILENCE_TIMEOUT.0 * rounds)
 }
 
 /// The silence timeout if each digest goes to all peers; three digests are
 /// missing by then.
-const BASE_SILENCE_TIMEOUT: Millis = Millis(1_600);
+const MIN_DIGEST_SILENCE_TIMEOUT: Millis = Millis(1_600);
 
 fn rendezvous_weight<A: Hash>(
     target: &Target,
--- a/cowsliproad-routing/src/pick.rs
+++ b/cowsliproad-routing/src/pick.rs
@@ -3,7 +3,7 @@
 //! The cost of a target is the time that a request is expected to take there:
 //! the target's average response time, increased by its requests per slot and
 //! by its recent failures. No target is excluded for good: failures decay with
-//! [`FAILURE_HALF_LIFE`], the best of several failing targets is still used,
+//! [`FAILURE_COUNT_HALF_LIFE`], the best of several failing targets is still used,
 //! and a target that is slower than the others is probed with one request now
 //! and then; see [`ServiceLatency::target_latency_ms`].
 //!
@@ -18,23 +18,23 @@
 /// part of its requests does so for some seconds: a longer half-life keeps
 /// recovered targets out of use, a shorter one probes failing targets more
 /// often.
-const FAILURE_HALF_LIFE: Millis = Millis(2_500);
+const FAILURE_COUNT_HALF_LIFE: Millis = Millis(2_500);
 
 /// The cost that one recent failure of a target adds, as a multiple of the
 /// response time.
-const FAILURE_PENALTY: f64 = 3.0;
+const RECENT_FAILURE_COST_FACTOR: f64 = 3.0;
 
 /// The weight of a new sample in the moving average of a target's response
 /// times, when the previous sample was taken just before.
-const LATENCY_WEIGHT: f64 = 0.2;
+const NEW_LATENCY_SAMPLE_WEIGHT: f64 = 0.2;
 
 /// The time in which the average of earlier response times loses half of its
 /// weight.
-const LATENCY_HALF_LIFE: Millis = Millis(2_500);
+const LATENCY_AVERAGE_HALF_LIFE: Millis = Millis(2_500);
 
 /// The largest share of the time that requests may lose to probes of a slow
 /// target.
-const MAX_PROBE_SHARE: f64 = 0.01;
+const MAX_PROBE_TIME_SHARE: f64 = 0.01;
 
 /// The longest time without a request after which a slow target is probed.
 const MAX_PROBE_INTERVAL: Millis = Millis(120_000);
@@ -45,10 +45,10 @@
 
 /// How long the requests of a load report count in full. Agents send two
 /// reports within this time.
-const REPORT_TTL: Millis = Millis(1_000);
+const LOAD_REPORT_TTL: Millis = Millis(1_000);
 
 /// The time in which the requests of an expired load report halve.
-const REPORT_HALF_LIFE: Millis = Millis(500);
+const EXPIRED_LOAD_REPORT_HALF_LIFE: Millis = Millis(500);
 
 /// The cost of a target in another availability zone, in milliseconds: the
 /// round trip and the charge for traffic between zones.
@@ -71,8 +71,8 @@
     failures_decayed_at: Millis,
     reported_requests: u32,
     reported_at: Millis,
-    sent_since_report: u32,
-    completed_since_report: u32,
+    requests_sent_since_report: u32,
+    requests_completed_since_report: u32,
     in_flight: u32,
 }
 
@@ -86,22 +86,22 @@
             failures_decayed_at: Millis(0),
             reported_requests: 0,
             reported_at: Millis(0),
-            sent_since_report: 0,
-            completed_since_report: 0,
+            requests_sent_since_report: 0,
+            requests_completed_since_report: 0,
             in_flight: 0,
         }
     }
 
     /// Counts a request that is sent to the target.
-    pub fn record_send(&mut self) {
+    pub fn record_sent_request(&mut self) {
         self.in_flight += 1;
-        self.sent_since_report += 1;
+        self.requests_sent_since_report += 1;
     }
 
     /// Counts a request that has ended at the target, whatever its outcome.
-    pub fn record_completion(&mut self) {
+    pub fn record_completed_request(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.completed_since_report += 1;
+        self.requests_completed_since_report += 1;
     }
 
     /// Records the number of requests at the target that a load report states;
@@ -112,18 +112,19 @@
         }
         self.reported_requests = reported_requests;
         self.reported_at = now;
-        self.sent_since_report = 0;
-        self.completed_since_report = 0;
+        self.requests_sent_since_report = 0;
+        self.requests_completed_since_report = 0;
     }
 
     /// Records a successful response of the target and its latency.
     pub fn record_success(&mut self, latency: Millis, now: Millis) {
-        self.decay_failures(now);
+        self.decay_failure_count(now);
         self.failure_count *= 0.5;
         let latency = latency.0 as f64;
         let age = now.since(self.last_outcome_at).0 as f64
-            / LATENCY_HALF_LIFE.0 as f64;
-        let weight = 1.0 - (1.0 - LATENCY_WEIGHT) * 0.5_f64.powf(age);
+            / LATENCY_AVERAGE_HALF_LIFE.0 as f64;
+        let weight =
+            1.0 - (1.0 - NEW_LATENCY_SAMPLE_WEIGHT) * 0.5_f64.powf(age);
         self.mean_latency_ms = match self.mean_latency_ms {
             0.0 => latency,
             average => average + (latency - average) * weight,
@@ -133,7 +134,7 @@
 
     /// Records a failed request to the target.
     pub fn record_failure(&mut self, now: Millis) {
-        self.decay_failures(now);
+        self.decay_failure_count(now);
         self.failure_count += 1.0;
         self.last_outcome_at = now;
     }
@@ -149,29 +150,30 @@
     pub fn estimated_occupancy(&self, now: Millis) -> u32 {
         let estimate = self
             .decayed_reported_requests(now)
-            .saturating_add(self.sent_since_report);
-        let estimate = estimate.saturating_sub(self.completed_since_report);
+            .saturating_add(self.requests_sent_since_report);
+        let estimate =
+            estimate.saturating_sub(self.requests_completed_since_report);
         estimate.max(self.in_flight)
     }
 
     /// The number of requests of the last load report, which decays after
-    /// [`REPORT_TTL`]. Where no agent sends reports, they arrive with the
+    /// [`LOAD_REPORT_TTL`]. Where no agent sends reports, they arrive with the
     /// target's responses only: without decay, a target that looked busy would
     /// get no requests and look busy for good.
     fn decayed_reported_requests(&self, now: Millis) -> u32 {
         let age = now.since(self.reported_at);
-        if age <= REPORT_TTL {
+        if age <= LOAD_REPORT_TTL {
             return self.reported_requests;
         }
-        let half_lives =
-            (age - REPORT_TTL).0 as f64 / REPORT_HALF_LIFE.0 as f64;
+        let half_lives = (age - LOAD_REPORT_TTL).0 as f64
+            / EXPIRED_LOAD_REPORT_HALF_LIFE.0 as f64;
         (f64::from(self.reported_requests) * 0.5_f64.powf(half_lives)) as u32
     }
 
     /// Requests that this entry process sent to the target since its last load
     /// report.
-    pub fn sent_since_report(&self) -> u32 {
-        self.sent_since_report
+    pub fn requests_sent_since_report(&self) -> u32 {
+        self.requests_sent_since_report
     }
 
     /// Requests of this entry process that are in flight at the target.
@@ -180,14 +182,14 @@
     }
 
     /// The number of recent failures of the target, decayed to the time `now`.
-    pub fn decayed_failures(&self, now: Millis) -> f64 {
+    pub fn decayed_failure_count(&self, now: Millis) -> f64 {
         let age = now.since(self.failures_decayed_at).0 as f64
-            / FAILURE_HALF_LIFE.0 as f64;
+            / FAILURE_COUNT_HALF_LIFE.0 as f64;
         self.failure_count * 0.5_f64.powf(age)
     }
 
-    fn decay_failures(&mut self, now: Millis) {
-        self.failure_count = self.decayed_failures(now);
+    fn decay_failure_count(&mut self, now: Millis) {
+        self.failure_count = self.decayed_failure_count(now);
         self.failures_decayed_at = now;
     }
 }
@@ -206,9 +208,9 @@
     /// The number of requests that the target runs at once.
     pub slots: u32,
     /// Whether the target is in the availability zone of the entry process.
-    pub locality: Locality,
+    pub locality: TargetLocality,
     /// The target's service time in percent of its normal service time.
-    pub service_time_percent: u32,
+    pub service_time_percent_of_normal: u32,
     /// The expected response time of the target in milliseconds; see
     /// [`ServiceLatency`].
     pub latency_ms: f64,
@@ -257,7 +259,7 @@
     }
 
     /// Whether the last request to the target ended so long ago that the extra
-    /// time of a slow response is at most [`MAX_PROBE_SHARE`] of the time
+    /// time of a slow response is at most [`MAX_PROBE_TIME_SHARE`] of the time
     /// since.
     fn is_probe_due(
         &self,
@@ -265,7 +267,8 @@
         latency_ms: f64,
         now: Millis,
     ) -> bool {
-        let interval = (latency_ms - self.min_latency_ms) / MAX_PROBE_SHARE;
+        let interval =
+            (latency_ms - self.min_latency_ms) / MAX_PROBE_TIME_SHARE;
         let interval = interval.min(MAX_PROBE_INTERVAL.0 as f64);
         let age = now.since(stats.last_outcome_at).0 as f64;
         stats.in_flight == 0 && age > interval
@@ -273,14 +276,14 @@
 
     /// The expected response time of a rank of a group. The ranks run in lock
     /// step, so a rank with a longer average only had longer responses.
-    pub fn lockstep_latency_ms(&self) -> f64 {
+    pub fn lockstep_rank_latency_ms(&self) -> f64 {
         self.mean_latency_ms
     }
 }
 
 /// Whether a target is in the same availability zone as the entry process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Locality {
+pub enum TargetLocality {
     /// The target is in the availability zone of the entry process.
     SameZone,
     /// The target is in another availability zone.
@@ -300,7 +303,7 @@
 /// `cost_per_request` is the cost that one more request adds to a target, and
 /// `random_fraction` is a random number from 0 to 1. Returns the index of the
 /// chosen target in `costs`.
-pub fn choose_by_cost(
+pub fn choose_target_by_cost(
     costs: &[f64],
     cost_per_request: f64,
     unreported_requests: f64,
@@ -331,10 +334,13 @@
 }
 
 /// The cost of sending a request to a target, in milliseconds.
-pub fn expected_cost_ms(candidate: &TargetCandidate, now: Millis) -> f64 {
+pub fn expected_request_cost_ms(
+    candidate: &TargetCandidate,
+    now: Millis,
+) -> f64 {
     let stats = candidate.stats;
     let latency = candidate.latency_ms.max(1.0)
-        * f64::from(candidate.service_time_percent.max(1))
+        * f64::from(candidate.service_time_percent_of_normal.max(1))
         / 100.0;
     let requests = f64::from(stats.estimated_occupancy(now));
     let slots = f64::from(candidate.slots.max(1));
@@ -344,11 +350,11 @@
     let waiting_cost =
         latency * (requests + 1.0 - slots).max(0.0) / slots * 2.0;
     let failure_cost = (latency + CROSS_ZONE_COST_MS)
-        * FAILURE_PENALTY
-        * stats.decayed_failures(now);
+        * RECENT_FAILURE_COST_FACTOR
+        * stats.decayed_failure_count(now);
     let zone_cost = match candidate.locality {
-        Locality::SameZone => 0.0,
-        Locality::OtherZone => CROSS_ZONE_COST_MS,
+        TargetLocality::SameZone => 0.0,
+        TargetLocality::OtherZone => CROSS_ZONE_COST_MS,
     };
     latency + sharing_cost + waiting_cost + failure_cost + zone_cost
 }
--- a/cowsliproad-routing/src/readings.rs
+++ b/cowsliproad-routing/src/readings.rs
@@ -29,11 +29,11 @@
     /// expire in the log unnoticed.
     max_read_gap: Millis,
     /// When any entry process last read the log in the newest era.
-    last_read_at: Millis,
+    last_log_read_at: Millis,
     /// The log position of the last known change of a target. Its era is the
     /// newest known era: a new era begins when the log comes back from an
     /// older copy.
-    last_change_position: Position,
+    last_target_change_log_position: Position,
     /// The position up to which this entry process has read the log.
     read_position: Position,
     log_status: LogStatus,
@@ -48,7 +48,7 @@
 
 /// Whether records of targets may have expired in the log between two reads.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Continuity {
+pub enum LogReadContinuity {
     /// No target's record can have expired since the previous read.
     Continuous,
     /// Records of targets may have expired since the previous read.
@@ -63,66 +63,69 @@
     pub fn new(heartbeat_interval: Millis) -> LogReadSchedule {
         LogReadSchedule {
             max_read_gap: Millis(heartbeat_interval.0 * 2),
-            last_read_at: Millis(0),
-            last_change_position: Position::default(),
+            last_log_read_at: Millis(0),
+            last_target_change_log_position: Position::default(),
             read_position: Position::default(),
             log_status: LogStatus::Reachable,
         }
     }
 
     /// When any entry process last read the targets in the log.
-    pub fn last_read_at(&self) -> Millis {
-        self.last_read_at
+    pub fn last_log_read_at(&self) -> Millis {
+        self.last_log_read_at
     }
 
     /// The log position of the last known change of a target.
-    pub fn last_change_position(&self) -> Position {
-        self.last_change_position
+    pub fn last_target_change_log_position(&self) -> Position {
+        self.last_target_change_log_position
     }
 
     /// Records the current era of the log, and discards reads of earlier eras.
-    pub fn enter_era(&mut self, era: Era) {
-        if era > self.last_change_position.era {
-            self.last_change_position = Position::start_of(era);
-            self.last_read_at = Millis(0);
+    pub fn enter_log_era(&mut self, era: Era) {
+        if era > self.last_target_change_log_position.era {
+            self.last_target_change_log_position = Position::start_of(era);
+            self.last_log_read_at = Millis(0);
         }
     }
 
     /// Merges a peer's read of the log and the position of the last change
     /// that the peer knows; ignores a read of an earlier era.
-    pub fn merge_peer_read(
+    pub fn merge_peer_log_read(
         &mut self,
         read_at: Millis,
-        last_change_position: Position,
-    ) -> Continuity {
-        self.enter_era(last_change_position.era);
-        if last_change_position.era < self.last_change_position.era {
-            return Continuity::Continuous;
+        last_target_change_log_position: Position,
+    ) -> LogReadContinuity {
+        self.enter_log_era(last_target_change_log_position.era);
+        if last_target_change_log_position.era
+            < self.last_target_change_log_position.era
+        {
+            return LogReadContinuity::Continuous;
         }
-        self.last_change_position =
-            self.last_change_position.max(last_change_position);
-        self.advance_last_read(read_at)
+        self.last_target_change_log_position = self
+            .last_target_change_log_position
+            .max(last_target_change_log_position);
+        self.advance_last_log_read(read_at)
     }
 
     /// Records that this entry process read the log up to a position.
-    pub fn record_own_read(
+    pub fn record_own_log_read(
         &mut self,
         read_at: Millis,
         position: Position,
-    ) -> Continuity {
-        self.enter_era(position.era);
+    ) -> LogReadContinuity {
+        self.enter_log_era(position.era);
         self.read_position = self.read_position.max(position);
         self.log_status = LogStatus::Reachable;
-        if position.era < self.last_change_position.era {
-            return Continuity::Continuous;
+        if position.era < self.last_target_change_log_position.era {
+            return LogReadContinuity::Continuous;
         }
-        self.advance_last_read(read_at)
+        self.advance_last_log_read(read_at)
     }
 
     /// Records that the last read of the log brought a change of a target.
     pub fn record_target_change(&mut self) {
-        self.last_change_position =
-            self.last_change_position.max(self.read_position);
+        self.last_target_change_log_position =
+            self.last_target_change_log_position.max(self.read_position);
     }
 
     /// Records that the log did not answer a call of this entry process.
@@ -133,44 +136,48 @@
     /// Records that the complete state of a peer was merged, which includes
     /// the last known change.
     pub fn record_merged_peer_state(&mut self) {
-        self.read_position = self.read_position.max(self.last_change_position);
+        self.read_position =
+            self.read_position.max(self.last_target_change_log_position);
     }
 
     /// Whether this entry process has not yet read the last known change.
-    pub fn has_unread_change(&self) -> bool {
-        self.last_change_position > self.read_position
+    pub fn has_unread_target_change(&self) -> bool {
+        self.last_target_change_log_position > self.read_position
     }
 
     /// Whether this entry process needs the state of a peer, because a change
     /// is unread and the log does not answer.
     pub fn needs_peer_state(&self) -> bool {
-        self.has_unread_change() && self.log_status == LogStatus::Unreachable
+        self.has_unread_target_change()
+            && self.log_status == LogStatus::Unreachable
     }
 
     /// How long until this entry process has to read the log, if peers first
     /// get `wait_for_peers` after the last read to read the log.
-    pub fn time_until_next_read(
+    pub fn time_until_next_log_read(
         &self,
         wait_for_peers: Millis,
         now: Millis,
     ) -> Millis {
-        if self.has_unread_change() || self.last_read_at == Millis(0) {
+        if self.has_unread_target_change()
+            || self.last_log_read_at == Millis(0)
+        {
             return Millis(0);
         }
-        (self.last_read_at + wait_for_peers).since(now)
+        (self.last_log_read_at + wait_for_peers).since(now)
     }
 
-    fn advance_last_read(&mut self, read_at: Millis) -> Continuity {
-        if read_at <= self.last_read_at {
-            return Continuity::Continuous;
+    fn advance_last_log_read(&mut self, read_at: Millis) -> LogReadContinuity {
+        if read_at <= self.last_log_read_at {
+            return LogReadContinuity::Continuous;
         }
-        let is_first = self.last_read_at == Millis(0);
-        let elapsed = read_at.since(self.last_read_at);
-        self.last_read_at = read_at;
+        let is_first = self.last_log_read_at == Millis(0);
+        let elapsed = read_at.since(self.last_log_read_at);
+        self.last_log_read_at = read_at;
         if !is_first && elapsed > self.max_read_gap {
-            Continuity::Gap
+            LogReadContinuity::Gap
         } else {
-            Continuity::Continuous
+            LogReadContinuity::Continuous
         }
     }
 }
--- a/cowsliproad-routing/src/score.rs
+++ b/cowsliproad-routing/src/score.rs
@@ -15,10 +15,10 @@
     pub load: AgentLoad,
     /// Requests that this entry process sent to the target since the last load
     /// report.
-    pub sent_since_report: u32,
+    pub requests_sent_since_report: u32,
     /// Requests of this entry process that the target completed since the last
     /// load report.
-    pub completed_since_report: u32,
+    pub requests_completed_since_report: u32,
     /// Requests of this entry process that are in flight at the target.
     pub in_flight: u32,
     /// The round trip to the target's availability zone, in microseconds.
@@ -32,15 +32,15 @@
 }
 
 /// The service time assumed before the first load report, in microseconds.
-const DEFAULT_SERVICE_US: u64 = 50_000;
+const DEFAULT_SERVICE_TIME_US: u64 = 50_000;
 
 impl TargetCandidate {
     /// The estimated number of requests at the target, from all entry
     /// processes.
     pub fn estimated_occupancy(&self) -> u64 {
         let reported = u64::from(self.load.queued + self.load.running);
-        let estimate = (reported + u64::from(self.sent_since_report))
-            .saturating_sub(u64::from(self.completed_since_report));
+        let estimate = (reported + u64::from(self.requests_sent_since_report))
+            .saturating_sub(u64::from(self.requests_completed_since_report));
         estimate.max(u64::from(self.in_flight))
     }
 
@@ -48,7 +48,7 @@
     pub fn predicted_first_token_us(&self) -> u64 {
         let slots = u64::from(self.load.slots.max(1));
         let service_us = match u64::from(self.load.mean_service_us) {
-            0 => DEFAULT_SERVICE_US,
+            0 => DEFAULT_SERVICE_TIME_US,
             known => known,
         };
         let occupancy = self.estimated_occupancy();
--- a/tests/properties/cooldown.rs
+++ b/tests/properties/cooldown.rs
@@ -6,7 +6,7 @@
     kernel::clock::Millis,
     routing::{
         cooldown::{Cooldown, Cooldowns},
-        fleet::{StartTime, Target, TargetState},
+        fleet::{ProcessStartUnixMs, Target, TargetState},
     },
 };
 use cowsliproad_net::retry_after::{self, RetryAfter};
@@ -16,7 +16,7 @@
 fn target(id: &str, start: u64) -> Target {
     Target {
         id: id.into(),
-        start: StartTime(start),
+        start: ProcessStartUnixMs(start),
         service: "plain".into(),
         address: ([127, 0, 0, 1], 1).into(),
         zone: "a".into(),
@@ -85,7 +85,7 @@
     for (id, wait) in [("i-1", 1_000), ("i-2", 2_000)] {
         cooldowns.apply_retry_after(&target(id, 1), Millis(wait), Millis(0));
     }
-    cooldowns.remove_expired(Millis(1_500));
+    cooldowns.remove_expired_cooldowns(Millis(1_500));
     assert_eq!(cooldowns.active_cooldown_count(Millis(0)), 1);
     assert!(
         cooldowns.cooldown_end(&target("i-2", 1), Millis(1_500)).is_some()
--- a/tests/properties/direct.rs
+++ b/tests/properties/direct.rs
@@ -7,11 +7,13 @@
     relay::events::EventSplitter,
     routing::{
         catalog::{
-            CatalogBuilder, Organisation, Route, RouteAccess, RouteError,
-            RouteKind, ServiceShare,
+            Organisation, Route, RouteAccess, RouteError, RouteKind,
+            RoutingCatalogBuilder, ServiceShare,
+        },
+        formation::GroupFormation,
+        pick::{
+            self, ServiceLatency, TargetCandidate, TargetLocality, TargetStats,
         },
-        formation::Formation,
-        pick::{self, Locality, ServiceLatency, TargetCandidate, TargetStats},
     },
 };
 use proptest::prelude::*;
@@ -27,8 +29,14 @@
         caller_idle_timeout: None,
         priority: 1,
         service_shares: vec![
-            ServiceShare { service: "a".into(), relative_weight: 90.0 },
-            ServiceShare { service: "b".into(), relative_weight: 10.0 },
+            ServiceShare {
+                service: "a".into(),
+                relative_traffic_weight: 90.0,
+            },
+            ServiceShare {
+                service: "b".into(),
+                relative_traffic_weight: 10.0,
+            },
         ],
         max_attempts: 1,
         access,
@@ -37,7 +45,7 @@
 
 #[test]
 fn host_prefix_and_key_decide() {
-    let mut made = CatalogBuilder::new(3);
+    let mut made = RoutingCatalogBuilder::new(3);
     made.add_route(route("/a/", RouteAccess::KeyRequired));
     made.add_route(route("/a/b/", RouteAccess::Public));
     made.require_caller_keys();
@@ -67,8 +75,8 @@
 
 fn cost(
     stats: &TargetStats,
-    locality: Locality,
-    service_time_percent: u32,
+    locality: TargetLocality,
+    service_time_percent_of_normal: u32,
     now: Millis,
 ) -> f64 {
     let latency_ms =
@@ -77,10 +85,10 @@
         stats,
         slots: 8,
         locality,
-        service_time_percent,
+        service_time_percent_of_normal,
         latency_ms,
     };
-    pick::expected_cost_ms(&candidate, now)
+    pick::expected_request_cost_ms(&candidate, now)
 }
 
 /// The stats of a target that answers in 20 ms.
@@ -98,9 +106,9 @@
     let mut failing = known();
     failing.record_failure(Millis(100));
     let near = |stats: &TargetStats, now| {
-        cost(stats, Locality::SameZone, 100, Millis(now))
+        cost(stats, TargetLocality::SameZone, 100, Millis(now))
     };
-    let far = cost(&well, Locality::OtherZone, 100, Millis(150));
+    let far = cost(&well, TargetLocality::OtherZone, 100, Millis(150));
     assert!(near(&failing, 150) > far, "also a far one is better");
     let forgiven = near(&failing, 15_100) - near(&well, 15_100);
     assert!(forgiven < 4.0, "forgiven to {forgiven} ms");
@@ -110,8 +118,8 @@
 fn a_target_that_was_never_asked_is_tried() {
     let (new, known) = (TargetStats::new(), known());
     let now = Millis(0);
-    let new = cost(&new, Locality::SameZone, 100, now);
-    assert!(new <= cost(&known, Locality::SameZone, 100, now));
+    let new = cost(&new, TargetLocality::SameZone, 100, now);
+    assert!(new <= cost(&known, TargetLocality::SameZone, 100, now));
 }
 
 /// Guards against a target that is left idle for good after one slow answer,
@@ -128,9 +136,9 @@
         };
         assert_eq!(least(&slow, interval), took as f64);
         assert_eq!(least(&slow, interval + 1), 20.0);
-        slow.record_send();
+        slow.record_sent_request();
         assert_eq!(least(&slow, interval + 1), took as f64);
-        slow.record_completion();
+        slow.record_completed_request();
         let mut failed = slow;
         failed.record_failure(Millis(interval + 1));
         assert_eq!(least(&failed, 2 * interval), took as f64);
@@ -145,23 +153,24 @@
     let (mut short, mut long) = (known(), TargetStats::new());
     long.record_success(Millis(60), Millis(0));
     let latency_ms =
-        ServiceLatency::new([short, long].iter()).lockstep_latency_ms();
+        ServiceLatency::new([short, long].iter()).lockstep_rank_latency_ms();
     let now = Millis(0);
     for _ in 0..20 {
         let cost = |stats: &TargetStats| {
-            let (locality, service_time_percent) = (Locality::SameZone, 100);
+            let (locality, service_time_percent_of_normal) =
+                (TargetLocality::SameZone, 100);
             let candidate = TargetCandidate {
                 stats,
                 slots: 12,
                 locality,
-                service_time_percent,
+                service_time_percent_of_normal,
                 latency_ms,
             };
-            pick::expected_cost_ms(&candidate, now)
+            pick::expected_request_cost_ms(&candidate, now)
         };
         let next =
             if cost(&short) <= cost(&long) { &mut short } else { &mut long };
-        next.record_send();
+        next.record_sent_request();
     }
     assert_eq!((short.in_flight(), long.in_flight()), (10, 10));
 }
@@ -169,11 +178,11 @@
 #[test]
 fn a_slow_rank_gets_nothing_while_others_have_room() {
     let mut busy = known();
-    (0..7).for_each(|_| busy.record_send());
+    (0..7).for_each(|_| busy.record_sent_request());
     let idle = known();
     let now = Millis(0);
-    let slow = cost(&idle, Locality::SameZone, 1_200, now);
-    assert!(slow > cost(&busy, Locality::OtherZone, 100, now));
+    let slow = cost(&idle, TargetLocality::SameZone, 1_200, now);
+    assert!(slow > cost(&busy, TargetLocality::OtherZone, 100, now));
 }
 
 #[test]
@@ -181,10 +190,10 @@
     let mut stats = known();
     let now = Millis(5_000);
     stats.record_load_report(3, now);
-    stats.record_send();
-    stats.record_send();
+    stats.record_sent_request();
+    stats.record_sent_request();
     assert_eq!(stats.estimated_occupancy(now), 5);
-    stats.record_completion();
+    stats.record_completed_request();
     assert_eq!(stats.estimated_occupancy(now), 4);
     stats.record_load_report(9, now);
     assert_eq!(stats.estimated_occupancy(now), 9);
@@ -194,7 +203,7 @@
 fn an_old_report_fades_and_own_requests_do_not() {
     let mut stats = known();
     stats.record_load_report(200, Millis(5_000));
-    stats.record_send();
+    stats.record_sent_request();
     assert_eq!(stats.estimated_occupancy(Millis(6_000)), 201);
     assert_eq!(stats.estimated_occupancy(Millis(6_500)), 101);
     assert_eq!(stats.estimated_occupancy(Millis(20_000)), 1);
@@ -284,7 +293,7 @@
 fn a_halted_group_opens_again_by_passes_a_formation_or_time() {
     let now = Millis(10_000);
     let halted = |epoch| {
-        let mut group = Formation::new(1, true);
+        let mut group = GroupFormation::new(1, true);
         assert!(group.accepts_requests(now));
         assert_eq!(group.halt_for_lost_rank(epoch, now), epoch == 1);
         group
--- a/tests/properties/fleet.rs
+++ b/tests/properties/fleet.rs
@@ -3,14 +3,14 @@
 use cowsliproad::{
     kernel::clock::Millis,
     routing::fleet::{
-        Fleet, FleetConfig, GossipedDeparture, StartTime, Target,
-        TargetChange, TargetState,
+        GossipedDeparture, ProcessStartUnixMs, Target, TargetChange,
+        TargetFleet, TargetFleetConfig, TargetState,
     },
 };
 use proptest::prelude::*;
 
-const START: StartTime = StartTime(1_000);
-const LATER: StartTime = StartTime(2_000);
+const START: ProcessStartUnixMs = ProcessStartUnixMs(1_000);
+const LATER: ProcessStartUnixMs = ProcessStartUnixMs(2_000);
 
 fn target(sequence: u64, state: TargetState) -> Target {
     Target {
@@ -25,30 +25,36 @@
     }
 }
 
-fn fleet() -> Fleet {
-    let mut fleet = Fleet::new(FleetConfig::new());
-    fleet.merge_announcement(target(1, TargetState::Ready), Millis(0));
+fn fleet() -> TargetFleet {
+    let mut fleet = TargetFleet::new(TargetFleetConfig::new());
+    fleet.merge_target_announcement(target(1, TargetState::Ready), Millis(0));
     fleet
 }
 
 #[test]
 fn a_withdrawal_counts_at_once_while_the_log_is_read() {
     let mut fleet = fleet();
-    assert_eq!(fleet.merge_withdrawal("i-1", Millis(10)), TargetChange::Left);
+    assert_eq!(
+        fleet.merge_target_withdrawal("i-1", Millis(10)),
+        TargetChange::Left
+    );
     assert!(!fleet.is_ready("i-1"));
 }
 
 #[test]
 fn a_lapse_after_an_outage_is_given_two_seconds() {
     let mut fleet = fleet();
-    fleet.start_renewal_grace(Millis(10_000));
+    fleet.start_record_renewal_grace(Millis(10_000));
     assert_eq!(
-        fleet.merge_withdrawal("i-1", Millis(10_050)),
+        fleet.merge_target_withdrawal("i-1", Millis(10_050)),
         TargetChange::None
     );
     assert!(fleet.apply_due_withdrawals(Millis(11_900)).is_empty());
     assert!(fleet.is_ready("i-1"));
-    fleet.merge_announcement(target(2, TargetState::Ready), Millis(12_000));
+    fleet.merge_target_announcement(
+        target(2, TargetState::Ready),
+        Millis(12_000),
+    );
     assert!(fleet.apply_due_withdrawals(Millis(20_000)).is_empty());
     assert!(fleet.is_ready("i-1"));
 }
@@ -56,8 +62,8 @@
 #[test]
 fn what_is_missing_two_seconds_after_an_outage_is_gone() {
     let mut fleet = fleet();
-    fleet.start_renewal_grace(Millis(10_000));
-    fleet.merge_withdrawal("i-1", Millis(10_050));
+    fleet.start_record_renewal_grace(Millis(10_000));
+    fleet.merge_target_withdrawal("i-1", Millis(10_050));
     assert_eq!(fleet.apply_due_withdrawals(Millis(12_400)), ["i-1".into()]);
     assert!(!fleet.is_ready("i-1"));
 }
@@ -65,16 +71,19 @@
 #[test]
 fn one_that_lapsed_comes_back_and_one_that_left_does_not() {
     let mut fleet = fleet();
-    fleet.merge_withdrawal("i-1", Millis(10));
-    let old =
-        fleet.merge_announcement(target(1, TargetState::Ready), Millis(20));
+    fleet.merge_target_withdrawal("i-1", Millis(10));
+    let old = fleet
+        .merge_target_announcement(target(1, TargetState::Ready), Millis(20));
     assert_eq!(old, TargetChange::None);
-    let back =
-        fleet.merge_announcement(target(2, TargetState::Ready), Millis(30));
+    let back = fleet
+        .merge_target_announcement(target(2, TargetState::Ready), Millis(30));
     assert_eq!(back, TargetChange::Joined);
-    fleet.merge_announcement(target(3, TargetState::Draining), Millis(40));
-    let again =
-        fleet.merge_announcement(target(4, TargetState::Ready), Millis(50));
+    fleet.merge_target_announcement(
+        target(3, TargetState::Draining),
+        Millis(40),
+    );
+    let again = fleet
+        .merge_target_announcement(target(4, TargetState::Ready), Millis(50));
     assert_eq!(again, TargetChange::None);
     assert!(!fleet.is_ready("i-1"));
 }
@@ -114,7 +123,7 @@
             let now = Millis(step as u64 * 400);
             match news {
                 News::Announce(sequence) => {
-                    fleet.merge_announcement(
+                    fleet.merge_target_announcement(
                         target(sequence, TargetState::Ready),
                         now
                     );
@@ -122,20 +131,20 @@
                 News::Leaving(sequence) => {
                     let before =
                         fleet.get("i-1").map(|it| it.announcement_sequence);
-                    fleet.merge_announcement(
+                    fleet.merge_target_announcement(
                         target(sequence, TargetState::Draining),
                         now
                     );
                     left |= before.is_some_and(|it| it <= sequence);
                 }
                 News::Withdraw => {
-                    fleet.merge_withdrawal("i-1", now);
+                    fleet.merge_target_withdrawal("i-1", now);
                 }
                 News::FromPeer => {
                     fleet.record_announced_departure("i-1", START, now);
                     left = true;
                 }
-                News::Regained => fleet.start_renewal_grace(now),
+                News::Regained => fleet.start_record_renewal_grace(now),
                 News::Tick => {
                     fleet.apply_due_withdrawals(now);
                 }
@@ -148,29 +157,29 @@
 #[test]
 fn what_another_entry_saw_go_comes_back_and_what_left_does_not() {
     let mut fleet = fleet();
-    let gone = fleet.merge_departure(
+    let gone = fleet.merge_gossiped_departure(
         "i-1",
         GossipedDeparture::Withdrawn(START, 1),
         Millis(10),
     );
     assert_eq!(gone, TargetChange::Left);
-    let back =
-        fleet.merge_announcement(target(2, TargetState::Ready), Millis(20));
+    let back = fleet
+        .merge_target_announcement(target(2, TargetState::Ready), Millis(20));
     assert_eq!(back, TargetChange::Joined);
     // The same word, heard again, is older than what is known here.
-    let again = fleet.merge_departure(
+    let again = fleet.merge_gossiped_departure(
         "i-1",
         GossipedDeparture::Withdrawn(START, 1),
         Millis(30),
     );
     assert_eq!(again, TargetChange::None);
-    fleet.merge_departure(
+    fleet.merge_gossiped_departure(
         "i-1",
         GossipedDeparture::Announced(START),
         Millis(40),
     );
-    let late =
-        fleet.merge_announcement(target(3, TargetState::Ready), Millis(50));
+    let late = fleet
+        .merge_target_announcement(target(3, TargetState::Ready), Millis(50));
     assert_eq!(late, TargetChange::None);
 }
 
@@ -181,47 +190,60 @@
 #[test]
 fn one_that_left_may_start_again_under_its_name() {
     let mut fleet = fleet();
-    fleet.merge_announcement(target(7, TargetState::Draining), Millis(10));
-    let back =
-        fleet.merge_announcement(restarted(1, TargetState::Ready), Millis(20));
+    fleet.merge_target_announcement(
+        target(7, TargetState::Draining),
+        Millis(10),
+    );
+    let back = fleet.merge_target_announcement(
+        restarted(1, TargetState::Ready),
+        Millis(20),
+    );
     assert_eq!(back, TargetChange::Joined);
     assert!(fleet.is_ready("i-1"));
     // What is still said of the start before says nothing of this one.
-    fleet.merge_announcement(target(8, TargetState::Draining), Millis(30));
-    fleet.merge_departure(
+    fleet.merge_target_announcement(
+        target(8, TargetState::Draining),
+        Millis(30),
+    );
+    fleet.merge_gossiped_departure(
         "i-1",
         GossipedDeparture::Announced(START),
         Millis(40),
     );
-    fleet.merge_departure(
+    fleet.merge_gossiped_departure(
         "i-1",
         GossipedDeparture::Withdrawn(START, 9),
         Millis(50),
     );
     assert!(fleet.is_ready("i-1"));
     // It may leave in its turn.
-    fleet.merge_departure(
+    fleet.merge_gossiped_departure(
         "i-1",
         GossipedDeparture::Announced(LATER),
         Millis(60),
     );
     assert!(!fleet.is_ready("i-1"));
-    fleet.merge_announcement(restarted(2, TargetState::Ready), Millis(70));
+    fleet.merge_target_announcement(
+        restarted(2, TargetState::Ready),
+        Millis(70),
+    );
     assert!(!fleet.is_ready("i-1"));
 }
 
 #[test]
 fn one_that_starts_again_without_a_word_is_another() {
     let mut fleet = fleet();
-    fleet.merge_announcement(target(7, TargetState::Ready), Millis(10));
-    let change =
-        fleet.merge_announcement(restarted(1, TargetState::Ready), Millis(20));
+    fleet.merge_target_announcement(target(7, TargetState::Ready), Millis(10));
+    let change = fleet.merge_target_announcement(
+        restarted(1, TargetState::Ready),
+        Millis(20),
+    );
     assert_eq!(change, TargetChange::Restarted);
     let sequence = fleet.get("i-1").map(|it| it.announcement_sequence);
     assert_eq!(sequence, Some(1));
     // An entry of the start before that comes late.
-    let late =
-        fleet.merge_announcement(target(8, TargetState::Ready), Millis(30));
+    let late = fleet
+        .merge_target_announcement(target(8, TargetState::Ready), Millis(30));
     assert_eq!(late, TargetChange::None);
     assert_eq!(fleet.get("i-1").map(|it| it.start), Some(LATER));
 }
@@ -229,11 +251,13 @@
 #[test]
 fn one_that_starts_again_leaving_is_not_used() {
     let mut fleet = fleet();
-    let change = fleet
-        .merge_announcement(restarted(1, TargetState::Draining), Millis(20));
+    let change = fleet.merge_target_announcement(
+        restarted(1, TargetState::Draining),
+        Millis(20),
+    );
     assert_eq!(change, TargetChange::Left);
-    let old =
-        fleet.merge_announcement(target(9, TargetState::Ready), Millis(30));
+    let old = fleet
+        .merge_target_announcement(target(9, TargetState::Ready), Millis(30));
     assert_eq!(old, TargetChange::None);
 }
 
@@ -243,7 +267,7 @@
     let mut fleet = fleet();
     let later = Target { start: LATER, ..target(1, TargetState::Ready) };
     assert_eq!(
-        fleet.merge_announcement(later, Millis(10)),
+        fleet.merge_target_announcement(later, Millis(10)),
         TargetChange::Restarted
     );
     assert_eq!(
@@ -264,15 +288,19 @@
 fn a_list_with_an_earlier_start_lacks_the_target() {
     let mut fleet = fleet();
     let later = Target { start: LATER, ..target(1, TargetState::Ready) };
-    fleet.merge_announcement(later.clone(), Millis(10));
-    fleet.start_renewal_grace(Millis(100));
-    let gone = fleet.withdraw_unlisted(|_| Some(START), Millis(100));
+    fleet.merge_target_announcement(later.clone(), Millis(10));
+    fleet.start_record_renewal_grace(Millis(100));
+    let gone = fleet.withdraw_unlisted_targets(|_| Some(START), Millis(100));
     assert!(gone.is_empty());
-    assert!(fleet.next_withdrawal().is_some());
+    assert!(fleet.next_withdrawal_due_at().is_some());
     let again = Target { announcement_sequence: 2, ..later };
-    let back = fleet.merge_announcement(again, Millis(200));
+    let back = fleet.merge_target_announcement(again, Millis(200));
     assert_eq!(back, TargetChange::Returned);
-    assert_eq!(fleet.next_withdrawal(), None);
-    assert!(fleet.withdraw_unlisted(|_| Some(LATER), Millis(300)).is_empty());
-    assert_eq!(fleet.next_withdrawal(), None);
+    assert_eq!(fleet.next_withdrawal_due_at(), None);
+    assert!(
+        fleet
+            .withdraw_unlisted_targets(|_| Some(LATER), Millis(300))
+            .is_empty()
+    );
+    assert_eq!(fleet.next_withdrawal_due_at(), None);
 }
--- a/tests/properties/fold.rs
+++ b/tests/properties/fold.rs
@@ -4,8 +4,8 @@
     config::{
         Object, State,
         fold::{
-            Change, OffsetGap, Record, Verdict, decode_record, decode_state,
-            encode_record, encode_state,
+            Change, MissingRecordError, Record, Verdict, decode_record,
+            decode_state, encode_record, encode_state,
         },
         object::{
             Backend, Drain, ObjectKey, ObjectKind, Organisation, Service,
@@ -87,7 +87,7 @@
         let cut = cut.index(records.len());
         let peer = encode_state(&fold(&records[..cut]));
         let mut state = State::new();
-        state.adopt_if_newer(decode_state(&peer).expect("a state"));
+        state.adopt_newer_peer_state(decode_state(&peer).expect("a state"));
         for (index, record) in records.iter().enumerate().skip(cut) {
             for repeat in &repeats {
                 let old = repeat.index(index + 1);
@@ -142,7 +142,7 @@
     ) {
         let mut state = fold(&records);
         let before = state.clone();
-        state.adopt_if_newer(fold(&records[..cut.index(records.len())]));
+        state.adopt_newer_peer_state(fold(&records[..cut.index(records.len())]));
         prop_assert_eq!(state, before);
     }
 }
@@ -189,6 +189,6 @@
     let mut state = State::new();
     assert_eq!(
         state.apply_record(5, &[]),
-        Err(OffsetGap { expected_offset: 1 })
+        Err(MissingRecordError { expected_offset: 1 })
     );
 }
--- a/tests/properties/readings.rs
+++ b/tests/properties/readings.rs
@@ -5,7 +5,7 @@
         clock::Millis,
         position::{Era, Position},
     },
-    routing::readings::{Continuity, LogReadSchedule},
+    routing::readings::{LogReadContinuity, LogReadSchedule},
 };
 
 const PATIENCE: Millis = Millis(800);
@@ -22,7 +22,7 @@
 #[test]
 fn who_knows_nothing_reads_at_once() {
     assert_eq!(
-        readings().time_until_next_read(PATIENCE, Millis(5)),
+        readings().time_until_next_log_read(PATIENCE, Millis(5)),
         Millis(0)
     );
 }
@@ -30,33 +30,45 @@
 #[test]
 fn anothers_reading_spares_an_own_one() {
     let mut own = readings();
-    own.record_own_read(Millis(1_000), place(7));
-    own.merge_peer_read(Millis(1_500), place(0));
-    assert_eq!(own.time_until_next_read(PATIENCE, Millis(1_900)), Millis(400));
+    own.record_own_log_read(Millis(1_000), place(7));
+    own.merge_peer_log_read(Millis(1_500), place(0));
+    assert_eq!(
+        own.time_until_next_log_read(PATIENCE, Millis(1_900)),
+        Millis(400)
+    );
     // Older news changes nothing.
-    own.merge_peer_read(Millis(1_200), place(0));
-    assert_eq!(own.time_until_next_read(PATIENCE, Millis(1_900)), Millis(400));
-    assert_eq!(own.time_until_next_read(PATIENCE, Millis(2_300)), Millis(0));
+    own.merge_peer_log_read(Millis(1_200), place(0));
+    assert_eq!(
+        own.time_until_next_log_read(PATIENCE, Millis(1_900)),
+        Millis(400)
+    );
+    assert_eq!(
+        own.time_until_next_log_read(PATIENCE, Millis(2_300)),
+        Millis(0)
+    );
 }
 
 #[test]
 fn a_change_that_was_not_read_is_read_at_once() {
     let mut own = readings();
-    own.record_own_read(Millis(1_000), place(7));
-    own.merge_peer_read(Millis(1_100), place(9));
-    assert_eq!(own.time_until_next_read(PATIENCE, Millis(1_100)), Millis(0));
-    own.record_own_read(Millis(1_105), place(9));
-    assert!(!own.has_unread_change());
+    own.record_own_log_read(Millis(1_000), place(7));
+    own.merge_peer_log_read(Millis(1_100), place(9));
+    assert_eq!(
+        own.time_until_next_log_read(PATIENCE, Millis(1_100)),
+        Millis(0)
+    );
+    own.record_own_log_read(Millis(1_105), place(9));
+    assert!(!own.has_unread_target_change());
     own.record_target_change();
-    assert_eq!(own.last_change_position(), place(9));
-    assert!(!own.has_unread_change(), "its own news is none to itself");
+    assert_eq!(own.last_target_change_log_position(), place(9));
+    assert!(!own.has_unread_target_change(), "its own news is none to itself");
 }
 
 #[test]
 fn another_entry_is_asked_where_the_log_says_nothing() {
     let mut own = readings();
-    own.record_own_read(Millis(1_000), place(7));
-    own.merge_peer_read(Millis(1_100), place(9));
+    own.record_own_log_read(Millis(1_000), place(7));
+    own.merge_peer_log_read(Millis(1_100), place(9));
     assert!(!own.needs_peer_state());
     own.mark_log_unreachable();
     assert!(own.needs_peer_state());
@@ -70,47 +82,62 @@
 fn only_a_gap_of_two_heartbeats_leaves_doubt() {
     let mut own = readings();
     assert_eq!(
-        own.record_own_read(Millis(9_000), place(1)),
-        Continuity::Continuous
+        own.record_own_log_read(Millis(9_000), place(1)),
+        LogReadContinuity::Continuous
     );
     assert_eq!(
-        own.merge_peer_read(Millis(11_300), place(1)),
-        Continuity::Continuous
+        own.merge_peer_log_read(Millis(11_300), place(1)),
+        LogReadContinuity::Continuous
+    );
+    assert_eq!(
+        own.record_own_log_read(Millis(13_800), place(1)),
+        LogReadContinuity::Gap
     );
-    assert_eq!(own.record_own_read(Millis(13_800), place(1)), Continuity::Gap);
 }
 
 /// Guards against a lower offset of a later era that counts as read.
 #[test]
 fn a_later_era_is_read_at_once() {
     let mut own = readings();
-    own.record_own_read(Millis(1_000), place(900));
-    own.merge_peer_read(Millis(1_100), Position::new(Era(2), 3));
-    assert!(own.has_unread_change());
-    assert_eq!(own.time_until_next_read(PATIENCE, Millis(1_100)), Millis(0));
-    own.record_own_read(Millis(1_200), Position::new(Era(2), 5));
-    assert!(!own.has_unread_change());
+    own.record_own_log_read(Millis(1_000), place(900));
+    own.merge_peer_log_read(Millis(1_100), Position::new(Era(2), 3));
+    assert!(own.has_unread_target_change());
+    assert_eq!(
+        own.time_until_next_log_read(PATIENCE, Millis(1_100)),
+        Millis(0)
+    );
+    own.record_own_log_read(Millis(1_200), Position::new(Era(2), 5));
+    assert!(!own.has_unread_target_change());
 }
 
 /// Guards against an entry that stood still and brings the former era back.
 #[test]
 fn a_reading_of_an_earlier_era_says_nothing() {
     let mut own = readings();
-    own.record_own_read(Millis(1_000), Position::new(Era(2), 5));
-    own.merge_peer_read(Millis(1_500), place(900));
-    assert!(!own.has_unread_change());
-    assert_eq!(own.last_change_position(), Position::start_of(Era(2)));
-    assert_eq!(own.time_until_next_read(PATIENCE, Millis(1_600)), Millis(200));
-    own.record_own_read(Millis(1_550), place(900));
-    assert_eq!(own.time_until_next_read(PATIENCE, Millis(1_600)), Millis(200));
+    own.record_own_log_read(Millis(1_000), Position::new(Era(2), 5));
+    own.merge_peer_log_read(Millis(1_500), place(900));
+    assert!(!own.has_unread_target_change());
+    assert_eq!(
+        own.last_target_change_log_position(),
+        Position::start_of(Era(2))
+    );
+    assert_eq!(
+        own.time_until_next_log_read(PATIENCE, Millis(1_600)),
+        Millis(200)
+    );
+    own.record_own_log_read(Millis(1_550), place(900));
+    assert_eq!(
+        own.time_until_next_log_read(PATIENCE, Millis(1_600)),
+        Millis(200)
+    );
 }
 
 #[test]
 fn another_entry_tells_of_a_later_era() {
     let mut own = readings();
-    own.record_own_read(Millis(1_000), place(900));
+    own.record_own_log_read(Millis(1_000), place(900));
     own.mark_log_unreachable();
-    own.enter_era(Era(2));
+    own.enter_log_era(Era(2));
     assert!(own.needs_peer_state());
     own.record_merged_peer_state();
     assert!(!own.needs_peer_state());
--- a/tests/properties/routing.rs
+++ b/tests/properties/routing.rs
@@ -4,7 +4,7 @@
     kernel::{clock::Millis, wire::AgentLoad},
     routing::{
         choice,
-        health::{Admission, EjectionConfig, Health},
+        health::{AttemptAdmission, EjectionConfig, TargetHealth},
         score::TargetCandidate,
     },
 };
@@ -25,9 +25,9 @@
         match found {
             Some(it) => {
                 prop_assert!(usable[it.chosen_index]);
-                if let Some((second, score_us)) = it.runner_up {
+                if let Some((second, score_us)) = it.runner_up_index_and_score_us {
                     prop_assert!(usable[second] && second != it.chosen_index);
-                    prop_assert!(score_us >= it.score_us);
+                    prop_assert!(score_us >= it.chosen_score_us);
                 }
             }
             None => prop_assert!(!usable.contains(&true)),
@@ -51,10 +51,10 @@
         };
         let less = TargetCandidate {
             load,
-            sent_since_report: sent,
+            requests_sent_since_report: sent,
             ..TargetCandidate::default()
         };
-        let more = TargetCandidate { sent_since_report: sent + 1, ..less };
+        let more = TargetCandidate { requests_sent_since_report: sent + 1, ..less };
         prop_assert!(
             more.predicted_first_token_us() >= less.predicted_first_token_us()
         );
@@ -66,38 +66,38 @@
         jitter in 0..100u64,
     ) {
         let most = Millis(10_000);
-        let config = EjectionConfig::new().with_backoff(Millis(100), most);
-        let mut health = Health::new();
+        let config = EjectionConfig::new().with_ejection_backoff(Millis(100), most);
+        let mut health = TargetHealth::new();
         let mut now = Millis(0);
         for _ in 0..failures {
             health.record_failure(&config, now, jitter);
             now = now + Millis(1);
         }
         let later = now + most + most;
-        prop_assert_ne!(health.peek_admission(later), Admission::Deny);
+        prop_assert_ne!(health.peek_admission(later), AttemptAdmission::Deny);
         health.record_success();
-        prop_assert_eq!(health.peek_admission(later), Admission::Allow);
+        prop_assert_eq!(health.peek_admission(later), AttemptAdmission::Allow);
     }
 }
 
 #[test]
 fn a_target_that_fails_in_a_row_is_left_out_and_probed() {
     let config = EjectionConfig::new().with_failures_to_eject(3);
-    let mut health = Health::new();
+    let mut health = TargetHealth::new();
     for _ in 0..2 {
         health.record_failure(&config, Millis(0), 0);
     }
-    assert_eq!(health.admit_attempt(Millis(0)), Admission::Allow);
+    assert_eq!(health.admit_attempt(Millis(0)), AttemptAdmission::Allow);
     health.record_failure(&config, Millis(0), 0);
-    assert_eq!(health.admit_attempt(Millis(1)), Admission::Deny);
-    assert_eq!(health.admit_attempt(Millis(400)), Admission::Probe);
-    assert_eq!(health.admit_attempt(Millis(401)), Admission::Deny);
+    assert_eq!(health.admit_attempt(Millis(1)), AttemptAdmission::Deny);
+    assert_eq!(health.admit_attempt(Millis(400)), AttemptAdmission::Probe);
+    assert_eq!(health.admit_attempt(Millis(401)), AttemptAdmission::Deny);
 }
 
 #[test]
 fn a_stated_time_is_not_probed_early() {
-    let mut health = Health::new();
+    let mut health = TargetHealth::new();
     health.set_retry_after(Millis(0), Millis(1_000));
-    assert_eq!(health.admit_attempt(Millis(900)), Admission::Deny);
-    assert_eq!(health.admit_attempt(Millis(1_000)), Admission::Probe);
+    assert_eq!(health.admit_attempt(Millis(900)), AttemptAdmission::Deny);
+    assert_eq!(health.admit_attempt(Millis(1_000)), AttemptAdmission::Probe);
 }
--- a/tests/properties/spread.rs
+++ b/tests/properties/spread.rs
@@ -31,16 +31,16 @@
     ) {
         let step = 10.0;
         let least = costs.iter().copied().fold(f64::INFINITY, f64::min);
-        let place = pick::choose_by_cost(&costs, step, unseen, draw);
+        let place = pick::choose_target_by_cost(&costs, step, unseen, draw);
         let place = place.expect("there are some");
         let bound = least + step * (unseen + 1.0);
         prop_assert!(costs[place] <= bound);
-        let lowest = pick::choose_by_cost(&costs, step, unseen, 0.0);
+        let lowest = pick::choose_target_by_cost(&costs, step, unseen, 0.0);
         prop_assert_eq!(lowest.map(|it| costs[it]), Some(least));
     }
 }
 
 #[test]
 fn without_targets_nothing_is_chosen() {
-    assert_eq!(pick::choose_by_cost(&[], 10.0, 3.0, 0.5), None);
+    assert_eq!(pick::choose_target_by_cost(&[], 10.0, 3.0, 0.5), None);
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -129,7 +129,11 @@
     fn take(&mut self, from: &str, by: &str) -> String {
         let state = self.replicas.get(from).cloned().unwrap_or_default();
         let own = self.replicas.entry(by.into()).or_default();
-        format!("{:?}, next {}", own.adopt_if_newer(state), own.next_offset())
+        format!(
+            "{:?}, next {}",
+            own.adopt_newer_peer_state(state),
+            own.next_offset()
+        )
     }
 
     /// `propose VERSION boundary=N rank=N`: a member hears a proposal.
