--- a/cowsliproad-admin/src/convert.rs
+++ b/cowsliproad-admin/src/convert.rs
@@ -1,8 +1,8 @@
 //! Conversions between the schema's messages and configuration objects.
 
 use cowsliproad_config::object::{
-    Backend, Drain, Group, Object, Organisation, RequestRepeatability,
-    RequestType, Service, Target,
+    Backend, DrainOrder, Object, Organisation, RankGroup,
+    RequestRepeatability, RequestType, Service, Target,
 };
 use cowsliproad_kernel::{Name, clock::Millis, wire::Urgency};
 use pilota::FastStr;
@@ -96,14 +96,16 @@
                 format!("agent {:?}: an IP address and a port", it.agent)
             })?,
         }),
-        Kind::Group(it) => Object::Group(Group {
+        Kind::Group(it) => Object::Group(RankGroup {
             name: name(&it.name),
             service: name(&it.service),
             ranks: names(&it.ranks),
             step_skew_weight: it.skew_weight,
             expert_move_weight: it.move_weight,
         }),
-        Kind::Drain(it) => Object::Drain(Drain { target: name(&it.target) }),
+        Kind::Drain(it) => {
+            Object::Drain(DrainOrder { target: name(&it.target) })
+        }
     })
 }
 
--- a/cowsliproad-agent/src/replica.rs
+++ b/cowsliproad-agent/src/replica.rs
@@ -6,20 +6,20 @@
 
 use std::sync::{Mutex, MutexGuard};
 
-use cowsliproad_config::{State, fold};
+use cowsliproad_config::{ConfigState, fold};
 use cowsliproad_kernel::sync::lock;
 use cowsliproad_kernel::wire::{ConfigRecords, ConfigSnapshot, Frame};
 
 /// A folded configuration that only moves forward.
 #[derive(Debug)]
 pub struct Replica {
-    state: Mutex<State>,
+    state: Mutex<ConfigState>,
 }
 
 impl Replica {
     /// An empty configuration.
     pub fn new() -> Replica {
-        Replica { state: Mutex::new(State::new()) }
+        Replica { state: Mutex::new(ConfigState::new()) }
     }
 
     /// The offset after the last record folded in.
@@ -28,7 +28,7 @@
     }
 
     /// Runs a function on the state.
-    pub fn with<T>(&self, read: impl FnOnce(&State) -> T) -> T {
+    pub fn with<T>(&self, read: impl FnOnce(&ConfigState) -> T) -> T {
         read(&self.lock())
     }
 
@@ -65,7 +65,7 @@
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, ConfigState> {
         lock(&self.state)
     }
 }
--- a/cowsliproad-bench/src/experiment/config.rs
+++ b/cowsliproad-bench/src/experiment/config.rs
@@ -85,7 +85,7 @@
     }
 
     fn revision(&self, key: &ObjectKey) -> u64 {
-        let of = |state: &cowsliproad_config::State| {
+        let of = |state: &cowsliproad_config::ConfigState| {
             state.get(key).map_or(0, |it| it.revision)
         };
         match self {
@@ -95,7 +95,8 @@
     }
 
     fn value(&self, key: &ObjectKey) -> Option<u32> {
-        let of = |state: &cowsliproad_config::State| match state.get(key) {
+        let of = |state: &cowsliproad_config::ConfigState| match state.get(key)
+        {
             Some(it) => match &it.object {
                 Object::Organisation(it) => Some(it.max_in_flight),
                 _ => None,
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -20,8 +20,8 @@
 };
 use cowsliproad_agent::work::Work;
 use cowsliproad_config::{
-    Object, State,
-    fold::{self, Change, Record},
+    ConfigState, Object,
+    fold::{self, ConfigChange, ConfigRecord},
     object::{self, Organisation},
 };
 use cowsliproad_entry::{target::Target, view::View};
@@ -160,12 +160,13 @@
     let mut points = Points::new();
     for count in [1_000, 2_500, 5_300, 8_000] {
         let before = meter::memory();
-        let mut state = State::new();
+        let mut state = ConfigState::new();
         for (offset, index) in (1..).zip(0..count) {
             let object = organisation(index);
-            let change = Change::Put { base_revision: 0, object };
+            let change = ConfigChange::Put { base_revision: 0, object };
             let command = id::Command::random();
-            let record = fold::encode_record(&Record { command, change });
+            let record =
+                fold::encode_record(&ConfigRecord { command, change });
             let _ = state.apply_record(offset, &record);
         }
         let view = View::new(Arc::new(state), &View::default(), |it| {
@@ -227,13 +228,13 @@
         let records: Vec<Vec<u8>> = (0..count)
             .map(|index| {
                 let object = organisation(index);
-                let change = Change::Put { base_revision: 0, object };
+                let change = ConfigChange::Put { base_revision: 0, object };
                 let command = id::Command::random();
-                fold::encode_record(&Record { command, change })
+                fold::encode_record(&ConfigRecord { command, change })
             })
             .collect();
         record_bytes = records[0].len();
-        let mut state = State::new();
+        let mut state = ConfigState::new();
         let start = Instant::now();
         for (offset, record) in (1..).zip(&records) {
             let _ = black_box(state.apply_record(offset, record));
--- a/cowsliproad-config/src/fold.rs
+++ b/cowsliproad-config/src/fold.rs
@@ -2,10 +2,10 @@
 //!
 //! Invariant: the state after the record at offset `n` depends on the records
 //! up to `n` alone. A replica only moves forward: a record below
-//! [`State::next_offset`] is ignored and a record above it is refused as a
-//! gap, so no accepted change can be reverted. The verdicts of recent commands
-//! are part of the state, so every replica treats a repeated command as a
-//! no-op.
+//! [`ConfigState::next_offset`] is ignored and a record above that offset is
+//! refused as a gap, so no accepted change can be reverted. The verdicts of
+//! recent commands are part of the state, so every replica treats a repeated
+//! command as a no-op.
 //!
 //! A snapshot is also a record of the log. The fold skips it, because it only
 //! repeats the folded state. A replica that starts after older records have
@@ -24,16 +24,16 @@
 
 /// A record of the configuration log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Record {
+pub struct ConfigRecord {
     /// The operator's command that the record belongs to.
     pub command: id::Command,
     /// The change that the record makes.
-    pub change: Change,
+    pub change: ConfigChange,
 }
 
 /// The change that a record makes to the configuration.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Change {
+pub enum ConfigChange {
     /// Creates or replaces an object.
     Put {
         /// The revision of the object that the operator saw; 0 if the object
@@ -52,12 +52,12 @@
         key: ObjectKey,
     },
     /// Carries a snapshot of the state after an earlier record.
-    Snapshot(Box<State>),
+    Snapshot(Box<ConfigState>),
 }
 
 /// The result of applying the change of a record to the configuration.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Verdict {
+pub enum ChangeVerdict {
     /// The change took effect; the object now has this revision.
     Accepted(u64),
     /// The change was refused with this result code.
@@ -76,26 +76,27 @@
 /// The configuration that results from folding the records of the log up to an
 /// offset.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct State {
+pub struct ConfigState {
     #[serde(rename = "next")]
     next_offset: u64,
     #[serde(with = "object_list")]
     objects: BTreeMap<ObjectKey, VersionedObject>,
-    verdicts: VecDeque<(id::Command, Verdict)>,
+    verdicts: VecDeque<(id::Command, ChangeVerdict)>,
 }
 
-/// The error for a record whose predecessors have not been folded.
+/// The error for a record that arrives before all records at lower offsets have
+/// been folded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct MissingRecordError {
     /// The offset of the first missing record.
     pub expected_offset: u64,
 }
 
-impl State {
+impl ConfigState {
     /// The state before the first record, which has offset 1. Offset 0 is
     /// never used, so that revision 0 can mean "no object".
-    pub fn new() -> State {
-        State {
+    pub fn new() -> ConfigState {
+        ConfigState {
             next_offset: 1,
             objects: BTreeMap::new(),
             verdicts: VecDeque::new(),
@@ -118,7 +119,7 @@
     }
 
     /// The verdict on a recent command, if the verdict is still kept.
-    pub fn verdict(&self, command: id::Command) -> Option<Verdict> {
+    pub fn verdict(&self, command: id::Command) -> Option<ChangeVerdict> {
         let newest_first = self.verdicts.iter().rev();
         newest_first
             .filter(|(id, _)| *id == command)
@@ -132,7 +133,7 @@
         &mut self,
         offset: u64,
         record_bytes: &[u8],
-    ) -> Result<Option<(id::Command, Verdict)>, MissingRecordError> {
+    ) -> Result<Option<(id::Command, ChangeVerdict)>, MissingRecordError> {
         if offset < self.next_offset {
             return Ok(None);
         }
@@ -157,15 +158,15 @@
 
     /// Checks whether the current state would accept a change; the error is
     /// the code with which the state would refuse the change.
-    pub fn check_change(&self, change: &Change) -> Result<(), Code> {
+    pub fn check_change(&self, change: &ConfigChange) -> Result<(), Code> {
         match change {
-            Change::Put { base_revision, object } => {
+            ConfigChange::Put { base_revision, object } => {
                 self.check_put(*base_revision, object)
             }
-            Change::Delete { base_revision, key } => {
+            ConfigChange::Delete { base_revision, key } => {
                 self.check_delete(*base_revision, key)
             }
-            Change::Snapshot(_) => Ok(()),
+            ConfigChange::Snapshot(_) => Ok(()),
         }
     }
 
@@ -173,7 +174,7 @@
     /// the peer's.
     pub fn adopt_newer_peer_state(
         &mut self,
-        peer_state: State,
+        peer_state: ConfigState,
     ) -> StateAdoption {
         if peer_state.next_offset <= self.next_offset {
             return StateAdoption::Unchanged;
@@ -185,22 +186,22 @@
     fn apply_change(
         &mut self,
         offset: u64,
-        change: Change,
-    ) -> Option<Verdict> {
+        change: ConfigChange,
+    ) -> Option<ChangeVerdict> {
         if let Err(code) = self.check_change(&change) {
-            return Some(Verdict::Refused(code));
+            return Some(ChangeVerdict::Refused(code));
         }
         match change {
-            Change::Put { object, .. } => {
+            ConfigChange::Put { object, .. } => {
                 let versioned = VersionedObject { revision: offset, object };
                 self.objects.insert(versioned.object.key(), versioned);
             }
-            Change::Delete { key, .. } => {
+            ConfigChange::Delete { key, .. } => {
                 self.objects.remove(&key);
             }
-            Change::Snapshot(_) => return None,
+            ConfigChange::Snapshot(_) => return None,
         }
-        Some(Verdict::Accepted(offset))
+        Some(ChangeVerdict::Accepted(offset))
     }
 
     fn check_put(
@@ -248,7 +249,7 @@
         self.objects.get(key).map_or(0, |it| it.revision)
     }
 
-    fn store_verdict(&mut self, command: id::Command, verdict: Verdict) {
+    fn store_verdict(&mut self, command: id::Command, verdict: ChangeVerdict) {
         if self.verdicts.len() == MAX_KEPT_VERDICTS {
             self.verdicts.pop_front();
         }
@@ -256,13 +257,14 @@
     }
 }
 
-impl Default for State {
-    fn default() -> State {
-        State::new()
+impl Default for ConfigState {
+    fn default() -> ConfigState {
+        ConfigState::new()
     }
 }
 
-/// Whether a replica replaced its state by a newer one.
+/// Whether a replica replaced its configuration by a peer's newer
+/// configuration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StateAdoption {
     /// The replica had already folded as many records, and kept its state.
@@ -272,23 +274,23 @@
 }
 
 /// Encodes a record for the log.
-pub fn encode_record(record: &Record) -> Vec<u8> {
+pub fn encode_record(record: &ConfigRecord) -> Vec<u8> {
     to_cbor(record)
 }
 
 /// Decodes a record of the log; `None` if the bytes are not a valid record.
-pub fn decode_record(bytes: &[u8]) -> Option<Record> {
+pub fn decode_record(bytes: &[u8]) -> Option<ConfigRecord> {
     ciborium::de::from_reader_with_recursion_limit(bytes, MAX_NESTING_DEPTH)
         .ok()
 }
 
 /// Encodes a state for a peer.
-pub fn encode_state(state: &State) -> Vec<u8> {
+pub fn encode_state(state: &ConfigState) -> Vec<u8> {
     to_cbor(state)
 }
 
 /// Decodes a peer's state; `None` if the bytes are not a valid state.
-pub fn decode_state(bytes: &[u8]) -> Option<State> {
+pub fn decode_state(bytes: &[u8]) -> Option<ConfigState> {
     ciborium::de::from_reader_with_recursion_limit(bytes, MAX_NESTING_DEPTH)
         .ok()
 }
--- a/cowsliproad-config/src/lib.rs
+++ b/cowsliproad-config/src/lib.rs
@@ -13,5 +13,5 @@
 pub mod fold;
 pub mod object;
 
-pub use fold::{Record, State};
+pub use fold::{ConfigRecord, ConfigState};
 pub use object::Object;
--- a/cowsliproad-config/src/object.rs
+++ b/cowsliproad-config/src/object.rs
@@ -21,9 +21,9 @@
     /// A back end with its agent.
     Target(Target),
     /// An expert-parallel group of a service.
-    Group(Group),
+    Group(RankGroup),
     /// An operator's order to drain a target.
-    Drain(Drain),
+    Drain(DrainOrder),
 }
 
 /// A customer, whose callers identify themselves with keys.
@@ -46,7 +46,7 @@
     pub max_in_flight: u32,
 }
 
-/// The kind of back end that serves requests.
+/// The kind of back end that the targets of a service are.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Backend {
@@ -118,7 +118,7 @@
 /// An expert-parallel group of targets.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Group {
+pub struct RankGroup {
     /// The name of the group.
     pub name: Name,
     /// The name of the service that the group belongs to.
@@ -139,7 +139,7 @@
 /// An operator's order to drain a target: the target gets no new requests.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Drain {
+pub struct DrainOrder {
     /// The name of the target to drain.
     pub target: Name,
 }
@@ -167,9 +167,9 @@
     RequestType,
     /// The kind of a [`Target`].
     Target,
-    /// The kind of a [`Group`].
+    /// The kind of a [`RankGroup`].
     Group,
-    /// The kind of a [`Drain`].
+    /// The kind of a [`DrainOrder`].
     Drain,
 }
 
@@ -329,7 +329,7 @@
     text.len() == 64 && text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
 
-fn has_valid_weights(group: &Group) -> bool {
+fn has_valid_weights(group: &RankGroup) -> bool {
     [group.step_skew_weight, group.expert_move_weight]
         .iter()
         .all(|weight| weight.is_finite() && *weight >= 0.0)
--- a/cowsliproad-ctl/src/main.rs
+++ b/cowsliproad-ctl/src/main.rs
@@ -8,7 +8,7 @@
 use cowsliproad_config::{
     Object,
     fold::VersionedObject,
-    object::{Drain, ObjectKey, ObjectKind},
+    object::{DrainOrder, ObjectKey, ObjectKind},
 };
 use cowsliproad_ctl::{
     apply::{self, Difference, Others},
@@ -158,7 +158,7 @@
     output: Output,
 ) -> Result<(), Error> {
     let target = args.get_one::<String>("target").expect("it is required");
-    let object = Object::Drain(Drain { target: target.as_str().into() });
+    let object = Object::Drain(DrainOrder { target: target.as_str().into() });
     let order = Difference::Create(object);
     make(client, &[order], Mode::Commit, output).await
 }
--- a/cowsliproad-entry/src/admin.rs
+++ b/cowsliproad-entry/src/admin.rs
@@ -9,8 +9,8 @@
 
 use cowsliproad_admin::{convert, message};
 use cowsliproad_config::{
-    State,
-    fold::{self, Change, Record, Verdict, VersionedObject},
+    ConfigState,
+    fold::{self, ChangeVerdict, ConfigChange, ConfigRecord, VersionedObject},
     object::{ObjectKey, ObjectKind},
 };
 use cowsliproad_kernel::{
@@ -76,7 +76,7 @@
         if let Err(why) = object.validate() {
             return Ok(refused(Code::BadObject, &why));
         }
-        let change = Change::Put { base_revision: request.base, object };
+        let change = ConfigChange::Put { base_revision: request.base, object };
         let command = id::Command(request.command);
         Ok(self.change(command, change, request.mode).await)
     }
@@ -90,7 +90,7 @@
             Ok(key) => key,
             Err(why) => return Ok(refused(Code::BadObject, &why)),
         };
-        let change = Change::Delete { base_revision: request.base, key };
+        let change = ConfigChange::Delete { base_revision: request.base, key };
         let command = id::Command(request.command);
         Ok(self.change(command, change, request.mode).await)
     }
@@ -159,7 +159,7 @@
     async fn change(
         &self,
         command: id::Command,
-        change: Change,
+        change: ConfigChange,
         mode: message::Mode,
     ) -> Response<message::ChangeReply> {
         if mode == message::Mode::DRY_RUN {
@@ -172,7 +172,7 @@
         if let Some(verdict) = self.verdict(command) {
             return self.tell(command, verdict);
         }
-        let record = Record { command, change };
+        let record = ConfigRecord { command, change };
         if fold::decode_record(&fold::encode_record(&record)).as_ref()
             != Some(&record)
         {
@@ -197,7 +197,7 @@
     }
 
     /// Waits until the command's record was folded in.
-    async fn read_back(&self, command: id::Command) -> Option<Verdict> {
+    async fn read_back(&self, command: id::Command) -> Option<ChangeVerdict> {
         let deadline = Instant::now() + READ_BACK;
         let mut published = self.shared.published.subscribe();
         loop {
@@ -209,22 +209,22 @@
         }
     }
 
-    fn verdict(&self, command: id::Command) -> Option<Verdict> {
+    fn verdict(&self, command: id::Command) -> Option<ChangeVerdict> {
         self.shared.published.load().state.verdict(command)
     }
 
     fn tell(
         &self,
         command: id::Command,
-        verdict: Verdict,
+        verdict: ChangeVerdict,
     ) -> Response<message::ChangeReply> {
         info!(self.shared.log, "command";
             "command" => %command, "verdict" => ?verdict);
         match verdict {
-            Verdict::Accepted(revision) => {
+            ChangeVerdict::Accepted(revision) => {
                 reply(Code::Ok, Execution::Ran, revision, "accepted")
             }
-            Verdict::Refused(code) => refused(code, ""),
+            ChangeVerdict::Refused(code) => refused(code, ""),
         }
     }
 }
@@ -260,7 +260,10 @@
     }
 }
 
-fn listing(state: &State, kind: Option<ObjectKind>) -> message::ListReply {
+fn listing(
+    state: &ConfigState,
+    kind: Option<ObjectKind>,
+) -> message::ListReply {
     let wanted = state
         .objects()
         .filter(|it| kind.is_none_or(|kind| it.object.key().kind == kind));
--- a/cowsliproad-entry/src/control.rs
+++ b/cowsliproad-entry/src/control.rs
@@ -12,8 +12,8 @@
 };
 
 use cowsliproad_config::{
-    State,
-    fold::{self, Change, StateAdoption, Verdict},
+    ConfigState,
+    fold::{self, ChangeVerdict, ConfigChange, StateAdoption},
     object::{ObjectKey, ObjectKind},
 };
 use cowsliproad_kernel::{
@@ -93,7 +93,7 @@
 #[derive(Debug)]
 pub struct Control {
     shared: Arc<Shared>,
-    state: State,
+    state: ConfigState,
     recent: VecDeque<ByteBuf>,
     targets: HashMap<Name, Arc<Target>>,
     /// The targets that the VM list has shown.
@@ -105,7 +105,7 @@
     pub fn new(shared: Arc<Shared>) -> Control {
         Control {
             shared,
-            state: State::new(),
+            state: ConfigState::new(),
             recent: VecDeque::new(),
             targets: HashMap::new(),
             vms_seen: HashSet::new(),
@@ -250,7 +250,7 @@
             return;
         }
         let record = fold::decode_record(bytes).map(|record| record.change);
-        if let Some(Change::Snapshot(state)) = record {
+        if let Some(ConfigChange::Snapshot(state)) = record {
             self.shared.published.set_snapshot(state.next_offset());
         }
     }
@@ -258,12 +258,12 @@
     fn log_verdict(
         &self,
         offset: u64,
-        outcome: Option<(id::Command, Verdict)>,
+        outcome: Option<(id::Command, ChangeVerdict)>,
     ) {
         let Some((command, verdict)) = outcome else { return };
         let verdict = match verdict {
-            Verdict::Accepted(_) => "accepted",
-            Verdict::Refused(code) => code.name(),
+            ChangeVerdict::Accepted(_) => "accepted",
+            ChangeVerdict::Refused(code) => code.name(),
         };
         info!(self.shared.log, "config_record";
             "offset" => offset, "command" => %command,
--- a/cowsliproad-entry/src/log.rs
+++ b/cowsliproad-entry/src/log.rs
@@ -9,8 +9,8 @@
 use base64::{Engine, engine::general_purpose::STANDARD};
 use bytes::Bytes;
 use cowsliproad_config::{
-    State,
-    fold::{self, Change, Record},
+    ConfigState,
+    fold::{self, ConfigChange, ConfigRecord},
 };
 use cowsliproad_kernel::{
     clock::Millis,
@@ -69,7 +69,7 @@
 }
 
 /// Appends a record.
-pub async fn append(shared: &Shared, record: &Record) -> Append {
+pub async fn append(shared: &Shared, record: &ConfigRecord) -> Append {
     let body = Full::new(Bytes::from(fold::encode_record(record)));
     let uri = format!("http://{}/records", shared.settings.log_service);
     let Ok(request) = Request::post(uri).body(body) else {
@@ -161,9 +161,9 @@
     sleep(READ_AGAIN).await;
 }
 
-fn snapshot_in(record: &[u8]) -> Option<Box<State>> {
+fn snapshot_in(record: &[u8]) -> Option<Box<ConfigState>> {
     match fold::decode_record(record)?.change {
-        Change::Snapshot(state) => Some(state),
+        ConfigChange::Snapshot(state) => Some(state),
         _ => None,
     }
 }
@@ -214,8 +214,8 @@
             return;
         }
         self.since = now;
-        let change = Change::Snapshot(Box::new((*state).clone()));
-        let record = Record { command: id::Command::random(), change };
+        let change = ConfigChange::Snapshot(Box::new((*state).clone()));
+        let record = ConfigRecord { command: id::Command::random(), change };
         let outcome = append(shared, &record).await;
         info!(shared.log, "snapshot"; "next" => next, "outcome" => ?outcome);
         if outcome != Append::NotDone {
--- a/cowsliproad-entry/src/view.rs
+++ b/cowsliproad-entry/src/view.rs
@@ -11,7 +11,7 @@
 use arc_swap::ArcSwap;
 use cowsliproad_admission::budget::RetryBudget;
 use cowsliproad_config::{
-    Object, State,
+    ConfigState, Object,
     object::{self, Backend},
 };
 use cowsliproad_kernel::{Name, clock::Millis, id};
@@ -30,7 +30,7 @@
 #[derive(Debug, Default)]
 pub struct View {
     /// The folded state.
-    pub state: Arc<State>,
+    pub state: Arc<ConfigState>,
     /// Organisations by the hash of each of their keys.
     pub organisations: HashMap<Name, Arc<Organisation>>,
     /// Services by name.
@@ -68,7 +68,7 @@
 impl View {
     /// Indexes a state, taking over counters and targets from an older view.
     pub fn new(
-        state: Arc<State>,
+        state: Arc<ConfigState>,
         old: &View,
         mut target: impl FnMut(&object::Target) -> Arc<Target>,
     ) -> View {
--- a/cowsliproad-routing/src/catalog.rs
+++ b/cowsliproad-routing/src/catalog.rs
@@ -1,7 +1,7 @@
 //! The configuration in force: routes, services, organisations and limits.
 //!
-//! A [`RoutingCatalog`] is built once for each version of the configuration and is
-//! immutable. A request matches a route by its host and the longest path
+//! A [`RoutingCatalog`] is built once for each version of the configuration and
+//! is immutable. A request matches a route by its host and the longest path
 //! prefix: the routes of a host are sorted from the longest prefix to the
 //! shortest, so the first match is the right one.
 
@@ -97,7 +97,7 @@
     pub layer_set_count: usize,
     /// The number of experts in each set of layers.
     pub experts_per_layer_set: usize,
-    /// The number of experts that a rank holds in each set of layers.
+    /// The number of experts that one rank holds of each set of layers.
     pub experts_per_rank: usize,
     /// The largest number of experts that one map may add to a rank, in each
     /// set of layers.
@@ -184,7 +184,7 @@
         self.version
     }
 
-    /// The limits on requests and connections.
+    /// The limits on the size of requests and on the time to receive them.
     pub fn request_limits(&self) -> RequestLimits {
         self.request_limits
     }
@@ -269,7 +269,7 @@
         self.catalog.services.insert(service.name.clone(), service);
     }
 
-    /// Sets the limits on requests and connections.
+    /// Sets the limits on the size of requests and on the time to receive them.
     pub fn set_request_limits(&mut self, limits: RequestLimits) {
         self.catalog.request_limits = limits;
     }
--- a/cowsliproad-routing/src/fleet.rs
+++ b/cowsliproad-routing/src/fleet.rs
@@ -6,14 +6,15 @@
 //!
 //! * An incarnation that announced its departure stays departed: neither an
 //!   old or repeated announcement nor a slow peer brings it back.
-//! * A target may restart under its name, with a later [`ProcessStartUnixMs`]. State of
-//!   the earlier start, including its departure, doesn't apply to the later
-//!   one, and late updates about the earlier start are ignored.
+//! * A target may restart under its name, with a later
+//!   [`ProcessStartUnixMs`]. State of the earlier process, including its
+//!   departure, doesn't apply to the later process, and late updates about the
+//!   earlier process are ignored.
 //! * A withdrawal takes effect at once while the log has been read without a
 //!   gap. After a gap the withdrawal may be an expiry, since targets that
 //!   couldn't renew their records drop out of the log too. Such a target stays
-//!   in use for [`TargetFleetConfig::with_record_renewal_grace`], within which a live
-//!   target renews its record.
+//!   in use for [`TargetFleetConfig::with_record_renewal_grace`], within which
+//!   a live target renews its record.
 //! * While the log is unreachable, no target is withdrawn. What the entry
 //!   process observes itself (another incarnation at the address) takes effect
 //!   all the same.
@@ -27,12 +28,13 @@
 pub enum TargetState {
     /// The target takes new requests.
     Ready,
-    /// The target only finishes the requests that it has.
+    /// The target finishes its requests and takes no new ones.
     Draining,
 }
 
-/// The time at which a target's process started, which distinguishes the
-/// processes under one name; zero where targets don't state it.
+/// The time at which a target's process started, in Unix milliseconds, which
+/// distinguishes the processes under one name; zero where targets don't state
+/// their start time.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct ProcessStartUnixMs(pub u64);
 
@@ -130,7 +132,8 @@
 pub struct TargetFleet {
     config: TargetFleetConfig,
     targets: BTreeMap<Name, KnownTarget>,
-    /// Departed incarnations, with the last sequence number of each.
+    /// Departed incarnations of targets, with the last announcement sequence
+    /// number of each.
     tombstones: BTreeMap<Name, TargetTombstone>,
     /// Until when a withdrawal may be the expiry of a live target's record.
     record_renewal_grace_until: Millis,
@@ -152,7 +155,7 @@
     kind: DepartureKind,
 }
 
-/// How the incarnation of a tombstone departed.
+/// How the incarnation of a target that a tombstone records has departed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum DepartureKind {
     /// The target announced its departure: this incarnation never returns.
--- a/cowsliproad-routing/src/formation.rs
+++ b/cowsliproad-routing/src/formation.rs
@@ -1,11 +1,11 @@
 //! Decides whether a lock-step group of ranks takes requests.
 //!
-//! Each time a group forms it gets a new epoch. A group closes when a rank
-//! reports its formation broken, and opens again in a later formation. The
+//! Each time a group forms, the group gets a new epoch. A group closes when a
+//! rank reports its formation broken, and opens again in a later formation. The
 //! engines of a group notice a crash only after waiting for the lost rank, so
 //! an agent's report that a rank's process is gone halts the group at once.
-//! That report may be wrong: the halt ends when the group's steps advance, or
-//! after [`MAX_GROUP_HALT_DURATION`] without a broken formation.
+//! The agent's report may be wrong: the halt ends when the group's steps
+//! advance, or after `MAX_GROUP_HALT_DURATION` without a broken formation.
 
 use cowsliproad_kernel::clock::Millis;
 
@@ -19,8 +19,8 @@
 /// sooner after the loss of a rank may have been sent before the loss.
 const MAX_STEP_REPORT_DELAY: Millis = Millis(100);
 
-/// The number of steps that ranks may still report after the loss of a rank
-/// without starting a new one: the step that was in progress.
+/// The number of further steps that ranks may report after the loss of a rank
+/// although the group is stuck: the step that was in progress.
 const MAX_STEPS_AFTER_RANK_LOSS: u64 = 1;
 
 /// The state of a group's newest formation.
--- a/cowsliproad-routing/src/health.rs
+++ b/cowsliproad-routing/src/health.rs
@@ -1,6 +1,6 @@
 //! Ejects targets that fail repeatedly and decides when they are probed.
 //!
-//! A target that fails [`EjectionConfig::failures_to_eject`] times in a row is
+//! A target that fails `EjectionConfig::failures_to_eject` times in a row is
 //! ejected. The backoff doubles with each ejection up to a bound and carries
 //! jitter, so that entry processes don't return to the target at the same
 //! moment. Such a backoff is an estimate: after half of its time the target is
@@ -131,8 +131,8 @@
         AttemptAdmission::Probe
     }
 
-    /// The result that [`TargetHealth::admit_attempt`] would have, without counting
-    /// a probe as sent.
+    /// The result that [`TargetHealth::admit_attempt`] would have, without
+    /// counting a probe as sent.
     pub fn peek_admission(&self, now: Millis) -> AttemptAdmission {
         match &self.ejection {
             _ if self.cooldown_end(now).is_some() => AttemptAdmission::Deny,
@@ -194,8 +194,8 @@
         }
     }
 
-    /// When the retry-after time of the target ends; `None` if the target has
-    /// no cooldown.
+    /// When the cooldown of the target ends; `None` if the target has no
+    /// cooldown.
     pub fn cooldown_end(&self, now: Millis) -> Option<Millis> {
         self.cooldown.cooldown_end(now)
     }
--- a/cowsliproad-routing/src/owner.rs
+++ b/cowsliproad-routing/src/owner.rs
@@ -88,8 +88,8 @@
     Millis(MIN_DIGEST_SILENCE_TIMEOUT.0 * rounds)
 }
 
-/// The silence timeout if each digest goes to all peers; three digests are
-/// missing by then.
+/// The digest silence timeout if each digest goes to all peers; three digests
+/// are missing by then.
 const MIN_DIGEST_SILENCE_TIMEOUT: Millis = Millis(1_600);
 
 fn rendezvous_weight<A: Hash>(
--- a/cowsliproad-routing/src/pick.rs
+++ b/cowsliproad-routing/src/pick.rs
@@ -3,9 +3,9 @@
 //! The cost of a target is the time that a request is expected to take there:
 //! the target's average response time, increased by its requests per slot and
 //! by its recent failures. No target is excluded for good: failures decay with
-//! [`FAILURE_COUNT_HALF_LIFE`], the best of several failing targets is still used,
-//! and a target that is slower than the others is probed with one request now
-//! and then; see [`ServiceLatency::target_latency_ms`].
+//! `FAILURE_COUNT_HALF_LIFE`, the best of several failing targets is still
+//! used, and a target that is slower than the others is probed with one request
+//! now and then; see [`ServiceLatency::target_latency_ms`].
 //!
 //! The number of requests at a target is its last load report, corrected by
 //! the requests that this entry process sent and completed since. Without the
@@ -21,22 +21,23 @@
 const FAILURE_COUNT_HALF_LIFE: Millis = Millis(2_500);
 
 /// The cost that one recent failure of a target adds, as a multiple of the
-/// response time.
+/// target's response time.
 const RECENT_FAILURE_COST_FACTOR: f64 = 3.0;
 
 /// The weight of a new sample in the moving average of a target's response
 /// times, when the previous sample was taken just before.
 const NEW_LATENCY_SAMPLE_WEIGHT: f64 = 0.2;
 
-/// The time in which the average of earlier response times loses half of its
-/// weight.
+/// The time in which the moving average of a target's earlier response times
+/// loses half of its weight.
 const LATENCY_AVERAGE_HALF_LIFE: Millis = Millis(2_500);
 
-/// The largest share of the time that requests may lose to probes of a slow
-/// target.
+/// The largest extra response time that probes of a slow target may cost, as a
+/// share of the time between two probes.
 const MAX_PROBE_TIME_SHARE: f64 = 0.01;
 
-/// The longest time without a request after which a slow target is probed.
+/// The longest time that a slow target goes without a request before the target
+/// is probed.
 const MAX_PROBE_INTERVAL: Millis = Millis(120_000);
 
 /// The largest number of requests that a valid load report states. Targets
@@ -55,7 +56,7 @@
 const CROSS_ZONE_COST_MS: f64 = 4.0;
 
 /// The response time assumed while no target of a service has answered, in
-/// milliseconds. The value is large compared with [`CROSS_ZONE_COST_MS`], so
+/// milliseconds. The value is large compared with `CROSS_ZONE_COST_MS`, so
 /// that an entry process that has just started uses the targets of all
 /// availability zones.
 pub const DEFAULT_LATENCY_MS: f64 = 100.0;
@@ -105,7 +106,7 @@
     }
 
     /// Records the number of requests at the target that a load report states;
-    /// ignores more than [`MAX_REPORTED_REQUESTS`].
+    /// ignores a report of more than `MAX_REPORTED_REQUESTS`.
     pub fn record_load_report(&mut self, reported_requests: u32, now: Millis) {
         if reported_requests > MAX_REPORTED_REQUESTS {
             return;
@@ -157,9 +158,9 @@
     }
 
     /// The number of requests of the last load report, which decays after
-    /// [`LOAD_REPORT_TTL`]. Where no agent sends reports, they arrive with the
-    /// target's responses only: without decay, a target that looked busy would
-    /// get no requests and look busy for good.
+    /// [`LOAD_REPORT_TTL`]. Where no agent sends load reports, the reports
+    /// arrive with the target's responses only: without decay, a target that
+    /// looked busy would get no requests and look busy for good.
     fn decayed_reported_requests(&self, now: Millis) -> u32 {
         let age = now.since(self.reported_at);
         if age <= LOAD_REPORT_TTL {
@@ -224,7 +225,7 @@
 }
 
 impl ServiceLatency {
-    /// Aggregates the response times of a service's targets.
+    /// Computes the shortest and the mean response time of a service's targets.
     pub fn new<'a>(
         targets: impl Iterator<Item = &'a TargetStats>,
     ) -> ServiceLatency {
@@ -246,9 +247,9 @@
 
     /// The expected response time of a target that is not part of a group. A
     /// target without a response counts as fast as the fastest, so that it
-    /// gets a request. So does a target that is due for a probe, until a
-    /// request is in flight there: only a request can show that a slow target
-    /// has recovered.
+    /// gets a request. A target that is due for a probe counts as fast as well,
+    /// until a request is in flight there: only a request can show that a slow
+    /// target has recovered.
     pub fn target_latency_ms(&self, stats: &TargetStats, now: Millis) -> f64 {
         match stats.latency_ms() {
             Some(latency) if !self.is_probe_due(stats, latency, now) => {
@@ -260,7 +261,7 @@
 
     /// Whether the last request to the target ended so long ago that the extra
     /// time of a slow response is at most [`MAX_PROBE_TIME_SHARE`] of the time
-    /// since.
+    /// since that request.
     fn is_probe_due(
         &self,
         stats: &TargetStats,
--- a/cowsliproad-routing/src/readings.rs
+++ b/cowsliproad-routing/src/readings.rs
@@ -25,8 +25,8 @@
 /// log, from the latest reads that it or a peer made.
 #[derive(Clone, Copy, Debug)]
 pub struct LogReadSchedule {
-    /// The longest time between two reads in which no target's record can
-    /// expire in the log unnoticed.
+    /// The longest time between two reads of the log in which no record of a
+    /// target can expire unnoticed.
     max_read_gap: Millis,
     /// When any entry process last read the log in the newest era.
     last_log_read_at: Millis,
@@ -56,10 +56,11 @@
 }
 
 impl LogReadSchedule {
-    /// A schedule without reads. A target's record expires in the log after
-    /// three heartbeat intervals without a renewal, the first of which may lie
-    /// before an outage of the log: in an outage shorter than two intervals,
-    /// no record expires.
+    /// A schedule before the first read of the log. Reads up to two heartbeat
+    /// intervals apart count as continuous: a target's record expires in the
+    /// log after three intervals without a renewal, and the first of these may
+    /// lie before an outage of the log, so no record expires in an outage
+    /// shorter than two intervals.
     pub fn new(heartbeat_interval: Millis) -> LogReadSchedule {
         LogReadSchedule {
             max_read_gap: Millis(heartbeat_interval.0 * 2),
@@ -134,19 +135,20 @@
     }
 
     /// Records that the complete state of a peer was merged, which includes
-    /// the last known change.
+    /// the last known change of a target.
     pub fn record_merged_peer_state(&mut self) {
         self.read_position =
             self.read_position.max(self.last_target_change_log_position);
     }
 
-    /// Whether this entry process has not yet read the last known change.
+    /// Whether this entry process has not yet read the last known change of a
+    /// target from the log.
     pub fn has_unread_target_change(&self) -> bool {
         self.last_target_change_log_position > self.read_position
     }
 
     /// Whether this entry process needs the state of a peer, because a change
-    /// is unread and the log does not answer.
+    /// of a target is unread and the log does not answer.
     pub fn needs_peer_state(&self) -> bool {
         self.has_unread_target_change()
             && self.log_status == LogStatus::Unreachable
--- a/tests/properties/fold.rs
+++ b/tests/properties/fold.rs
@@ -2,13 +2,13 @@
 
 use cowsliproad::{
     config::{
-        Object, State,
+        ConfigState, Object,
         fold::{
-            Change, MissingRecordError, Record, Verdict, decode_record,
-            decode_state, encode_record, encode_state,
+            ChangeVerdict, ConfigChange, ConfigRecord, MissingRecordError,
+            decode_record, decode_state, encode_record, encode_state,
         },
         object::{
-            Backend, Drain, ObjectKey, ObjectKind, Organisation, Service,
+            Backend, DrainOrder, ObjectKey, ObjectKind, Organisation, Service,
             Target,
         },
     },
@@ -39,18 +39,20 @@
                 agent_address: ([127, 0, 0, 1], port).into(),
             })
         }),
-        name().prop_map(|name| Object::Drain(Drain { target: name.into() })),
+        name().prop_map(|name| Object::Drain(DrainOrder {
+            target: name.into()
+        })),
     ]
 }
 
-fn change() -> impl Strategy<Value = Change> {
+fn change() -> impl Strategy<Value = ConfigChange> {
     prop_oneof![
         3 => (0..40u64, object())
             .prop_map(|(base, object)| {
-                Change::Put { base_revision: base, object }
+                ConfigChange::Put { base_revision: base, object }
             }),
         1 => (0..40u64, object()).prop_map(|(base, object)| {
-            Change::Delete { base_revision: base, key: object.key() }
+            ConfigChange::Delete { base_revision: base, key: object.key() }
         }),
     ]
 }
@@ -58,14 +60,14 @@
 /// Records as a log holds them, some of them repeated or unreadable.
 fn records() -> impl Strategy<Value = Vec<Vec<u8>>> {
     let record = (0..30u64, change()).prop_map(|(command, change)| {
-        encode_record(&Record { command: Command(command), change })
+        encode_record(&ConfigRecord { command: Command(command), change })
     });
     let garbage = prop::collection::vec(any::<u8>(), 0..40);
     prop::collection::vec(prop_oneof![9 => record, 1 => garbage], 1..60)
 }
 
-fn fold(records: &[Vec<u8>]) -> State {
-    let mut state = State::new();
+fn fold(records: &[Vec<u8>]) -> ConfigState {
+    let mut state = ConfigState::new();
     for (offset, record) in (1..).zip(records) {
         state.apply_record(offset, record).expect("the offsets follow");
     }
@@ -86,7 +88,7 @@
         // sees old records again.
         let cut = cut.index(records.len());
         let peer = encode_state(&fold(&records[..cut]));
-        let mut state = State::new();
+        let mut state = ConfigState::new();
         state.adopt_newer_peer_state(decode_state(&peer).expect("a state"));
         for (index, record) in records.iter().enumerate().skip(cut) {
             for repeat in &repeats {
@@ -104,13 +106,13 @@
 
     #[test]
     fn a_record_is_read_back(command in any::<u64>(), change in change()) {
-        let record = Record { command: Command(command), change };
+        let record = ConfigRecord { command: Command(command), change };
         prop_assert_eq!(decode_record(&encode_record(&record)), Some(record));
     }
 
     #[test]
     fn a_verdict_never_changes(records in records()) {
-        let mut state = State::new();
+        let mut state = ConfigState::new();
         let mut verdicts = std::collections::HashMap::new();
         for (offset, record) in (1..).zip(&records) {
             if let Ok(Some((command, verdict))) =
@@ -152,9 +154,15 @@
     Object::Service(Service { name: name.into(), backend })
 }
 
-fn put(state: &mut State, command: u64, base: u64, name: &str) -> Verdict {
-    let change = Change::Put { base_revision: base, object: service(name) };
-    let record = Record { command: Command(command), change };
+fn put(
+    state: &mut ConfigState,
+    command: u64,
+    base: u64,
+    name: &str,
+) -> ChangeVerdict {
+    let change =
+        ConfigChange::Put { base_revision: base, object: service(name) };
+    let record = ConfigRecord { command: Command(command), change };
     let outcome =
         state.apply_record(state.next_offset(), &encode_record(&record));
     outcome.expect("no gap").expect("a command").1
@@ -162,31 +170,31 @@
 
 #[test]
 fn of_two_racing_operators_the_first_in_the_log_wins() {
-    let mut state = State::new();
-    assert_eq!(put(&mut state, 1, 0, "a"), Verdict::Accepted(1));
-    assert_eq!(put(&mut state, 2, 1, "a"), Verdict::Accepted(2));
-    let stale = Verdict::Refused(Code::StaleBase);
+    let mut state = ConfigState::new();
+    assert_eq!(put(&mut state, 1, 0, "a"), ChangeVerdict::Accepted(1));
+    assert_eq!(put(&mut state, 2, 1, "a"), ChangeVerdict::Accepted(2));
+    let stale = ChangeVerdict::Refused(Code::StaleBase);
     assert_eq!(put(&mut state, 3, 1, "a"), stale);
 }
 
 #[test]
 fn a_repeated_command_changes_nothing() {
-    let mut state = State::new();
-    assert_eq!(put(&mut state, 1, 0, "a"), Verdict::Accepted(1));
-    assert_eq!(put(&mut state, 1, 0, "a"), Verdict::Accepted(1));
+    let mut state = ConfigState::new();
+    assert_eq!(put(&mut state, 1, 0, "a"), ChangeVerdict::Accepted(1));
+    assert_eq!(put(&mut state, 1, 0, "a"), ChangeVerdict::Accepted(1));
     let key = ObjectKey::new(ObjectKind::Service, "a");
     assert_eq!(state.get(&key).map(|it| it.revision), Some(1));
 }
 
 #[test]
 fn a_default_state_is_a_new_one() {
-    assert_eq!(State::default(), State::new());
-    assert_eq!(State::default().next_offset(), 1);
+    assert_eq!(ConfigState::default(), ConfigState::new());
+    assert_eq!(ConfigState::default().next_offset(), 1);
 }
 
 #[test]
 fn a_gap_is_refused() {
-    let mut state = State::new();
+    let mut state = ConfigState::new();
     assert_eq!(
         state.apply_record(5, &[]),
         Err(MissingRecordError { expected_offset: 1 })
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -11,8 +11,8 @@
         ticket::{Purpose, Ticket},
     },
     config::{
-        Object, State,
-        fold::{Change, Record, encode_record},
+        ConfigState, Object,
+        fold::{ConfigChange, ConfigRecord, encode_record},
         object::Organisation,
     },
     kernel::{clock::Millis, id, wire::Urgency},
@@ -37,7 +37,7 @@
     tickets: BTreeMap<String, Ticket>,
     queue: Queue<String>,
     log: Vec<Vec<u8>>,
-    replicas: BTreeMap<String, State>,
+    replicas: BTreeMap<String, ConfigState>,
     group: Vec<Member>,
     network: Vec<VoteMessage>,
 }
@@ -105,9 +105,9 @@
             capacity_weight: share,
             max_in_flight: 1,
         });
-        let change = Change::Put { base_revision: base, object };
+        let change = ConfigChange::Put { base_revision: base, object };
         let command = id::Command(command);
-        self.log.push(encode_record(&Record { command, change }));
+        self.log.push(encode_record(&ConfigRecord { command, change }));
         format!("offset {}", self.log.len())
     }
 
