--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -301,16 +301,17 @@
 
     /// The number of the configuration in force; 0 for none.
     pub fn version(&self) -> u64 {
-        self.catalog.borrow().as_ref().map_or(0, |it| it.0.version())
+        self.catalog.borrow().as_ref().map_or(0, |it| it.0.config_version())
     }
 
     /// Puts a configuration in force unless it is older than what is.
     pub fn adopt(&self, catalog: RoutingCatalog, raw: Bytes, source: Source) {
         let before = self.version();
-        if before >= catalog.version() {
+        if before >= catalog.config_version() {
             return;
         }
-        info!(self.log, "catalog_in_force"; "version" => catalog.version(),
+        info!(self.log, "catalog_in_force";
+            "version" => catalog.config_version(),
             "before" => before, "routes" => catalog.route_count(),
             "source" => ?source);
         *self.catalog.borrow_mut() = Some((Arc::new(catalog), raw));
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -90,9 +90,9 @@
 
 impl Candidates {
     /// The target with the least cost, or, where agents report, one of those
-    /// with little cost; see [`pick::choose_target_by_cost`]. One that takes fewer
-    /// requests than its part is chosen whenever it costs no more, so that it
-    /// gets what it takes. `draw` is a random number from 0 to 1.
+    /// with little cost; see [`pick::choose_target_by_cost`]. One that takes
+    /// fewer requests than its part is chosen whenever it costs no more, so
+    /// that it gets what it takes. `draw` is a random number from 0 to 1.
     pub fn choose(&self, asks: Asks, draw: f64) -> Option<Choice> {
         let usable = self.seen.iter().filter(|it| self.is_usable(it, asks));
         let usable: Vec<&Choice> = usable.map(|it| &it.choice).collect();
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -212,7 +212,7 @@
         let Some(raw) = &record.value else { continue };
         match catalog::decode(raw) {
             Ok(catalog) => {
-                peers::meet(entry, catalog.version()).await;
+                peers::meet(entry, catalog.config_version()).await;
                 return entry.adopt(catalog, raw.clone(), Source::Log);
             }
             Err(error) => {
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -216,7 +216,7 @@
             in_flight: stats.in_flight,
             zone_rtt_us,
             cached_prompt_percent: 0,
-            prefill_us: 0,
+            full_prompt_prefill_us: 0,
         };
         candidate.predicted_first_token_us()
     }
--- a/cowsliproad-routing/src/catalog.rs
+++ b/cowsliproad-routing/src/catalog.rs
@@ -180,7 +180,7 @@
 
 impl RoutingCatalog {
     /// The version number of the configuration. A higher number is newer.
-    pub fn version(&self) -> u64 {
+    pub fn config_version(&self) -> u64 {
         self.version
     }
 
--- a/cowsliproad-routing/src/pick.rs
+++ b/cowsliproad-routing/src/pick.rs
@@ -142,7 +142,7 @@
 
     /// The average response time of the target in milliseconds; `None` before
     /// the first response.
-    pub fn latency_ms(&self) -> Option<f64> {
+    pub fn mean_latency_ms(&self) -> Option<f64> {
         (self.mean_latency_ms > 0.0).then_some(self.mean_latency_ms)
     }
 
@@ -231,7 +231,7 @@
     ) -> ServiceLatency {
         let (mut min_latency_ms, mut sum, mut count) =
             (f64::INFINITY, 0.0, 0.0);
-        for time in targets.filter_map(TargetStats::latency_ms) {
+        for time in targets.filter_map(TargetStats::mean_latency_ms) {
             min_latency_ms = min_latency_ms.min(time);
             sum += time;
             count += 1.0;
@@ -251,7 +251,7 @@
     /// until a request is in flight there: only a request can show that a slow
     /// target has recovered.
     pub fn target_latency_ms(&self, stats: &TargetStats, now: Millis) -> f64 {
-        match stats.latency_ms() {
+        match stats.mean_latency_ms() {
             Some(latency) if !self.is_probe_due(stats, latency, now) => {
                 latency
             }
--- a/cowsliproad-routing/src/score.rs
+++ b/cowsliproad-routing/src/score.rs
@@ -28,7 +28,7 @@
     pub cached_prompt_percent: u32,
     /// The time to process the whole prompt without a cached prefix, in
     /// microseconds.
-    pub prefill_us: u32,
+    pub full_prompt_prefill_us: u32,
 }
 
 /// The service time assumed before the first load report, in microseconds.
@@ -59,7 +59,8 @@
         let sharing_us = occupancy.min(slots) * service_us / slots / 8;
         let uncached_percent =
             u64::from(100 - self.cached_prompt_percent.min(100));
-        let prompt_us = u64::from(self.prefill_us) * uncached_percent / 100;
+        let prompt_us =
+            u64::from(self.full_prompt_prefill_us) * uncached_percent / 100;
         queue_us + sharing_us + prompt_us + u64::from(self.zone_rtt_us)
     }
 }
