--- a/cowsliproad-entry/src/view.rs
+++ b/cowsliproad-entry/src/view.rs
@@ -11,11 +11,11 @@
 use arc_swap::ArcSwap;
 use cowsliproad_admission::budget::RetryBudget;
 use cowsliproad_config::{
-    Object, State,
+    ConfigState, Object,
     object::{self, Backend},
 };
 use cowsliproad_kernel::{Name, clock::Millis, id};
-use cowsliproad_routing::health::{self, Admission};
+use cowsliproad_routing::health::{self, AttemptAdmission};
 use tokio::sync::watch;
 
 use crate::target::Target;
@@ -30,7 +30,7 @@
 #[derive(Debug, Default)]
 pub struct View {
     /// The folded state.
-    pub state: Arc<State>,
+    pub state: Arc<ConfigState>,
     /// Organisations by the hash of each of their keys.
     pub organisations: HashMap<Name, Arc<Organisation>>,
     /// Services by name.
@@ -68,7 +68,7 @@
 impl View {
     /// Indexes a state, taking over counters and targets from an older view.
     pub fn new(
-        state: Arc<State>,
+        state: Arc<ConfigState>,
         old: &View,
         mut target: impl FnMut(&object::Target) -> Arc<Target>,
     ) -> View {
@@ -126,7 +126,7 @@
             let targets = &service.targets;
             // What targets asked for themselves is not doubted.
             let guessed = targets.iter().filter(|it| {
-                it.admits(now) == Admission::Deny
+                it.admits(now) == AttemptAdmission::Deny
                     && it.cooldown_end(now).is_none()
             });
             let doubted =
