--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -17,7 +17,9 @@
     limit::{CurrentLimit, Permit, Rate},
     window::{RetryWindow, RetryWindowConfig},
 };
-use cowsliproad_kernel::{Name, clock::Millis, position::Position, settings};
+use cowsliproad_kernel::{
+    Name, clock::Millis, position::LogPosition, settings,
+};
 use cowsliproad_routing::{
     catalog::Catalog,
     cooldown::Cooldowns,
@@ -370,7 +372,7 @@
     }
 
     /// Takes another entry's reading of the targets in.
-    pub fn note_reading(&self, at: Millis, changed: Position, now: Millis) {
+    pub fn note_reading(&self, at: Millis, changed: LogPosition, now: Millis) {
         let found = self.readings.borrow_mut().hear(at, changed);
         self.note_gap(found, now);
         if self.readings.borrow().is_behind() {
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -12,7 +12,7 @@
 
 use std::{collections::HashMap, rc::Rc};
 
-use cowsliproad_kernel::{Name, clock::Millis, position::Position};
+use cowsliproad_kernel::{Name, clock::Millis, position::LogPosition};
 use cowsliproad_platform::{
     catalog, log,
     log::{Client, Error, Page, Record},
@@ -96,7 +96,7 @@
     topic: &'static str,
     client: Client,
     contact: Contact,
-    next: Option<Position>,
+    next: Option<LogPosition>,
     has_read: bool,
 }
 
@@ -106,7 +106,7 @@
     /// The records.
     pub records: Vec<Record>,
     /// The place after them.
-    pub end: Position,
+    pub end: LogPosition,
     /// Which records they are.
     pub scope: Scope,
 }
@@ -140,7 +140,7 @@
         entry: &Entry,
         hold: Millis,
     ) -> Result<Reading, Error> {
-        let is_over = |it: Position| it.era < entry.rollbacks.era();
+        let is_over = |it: LogPosition| it.era < entry.rollbacks.era();
         if self.next.is_some_and(is_over) {
             self.next = None;
             sleep(entry.reading_delay().duration()).await;
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -12,7 +12,7 @@
     Name,
     clock::Millis,
     gossip::{self, Datagram, GossipDigest},
-    position::Position,
+    position::LogPosition,
 };
 use cowsliproad_routing::{
     fleet::{Parting, Start, Target},
@@ -326,7 +326,7 @@
     entry.hear_suspects(&heard.suspects, &heard.retracted_crashes, now);
     entry.hear_limits(&heard.limits, now);
     let at = now - Millis(heard.targets_read_age_ms);
-    let changed = Position::new(heard.log_era, heard.last_change_offset);
+    let changed = LogPosition::new(heard.log_era, heard.last_change_offset);
     entry.note_reading(at, changed, now);
     let (is_new, others) = {
         let mut peers = entry.peers.borrow_mut();
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -8,7 +8,7 @@
 use cowsliproad_kernel::{
     clock::Millis,
     gossip::{self, EngineExit, EngineLoad, Subscribe},
-    position::Era,
+    position::LogEra,
 };
 use cowsliproad_routing::{
     catalog::{Engine, Service},
@@ -70,7 +70,11 @@
     catalog.services().filter_map(subscription).collect()
 }
 
-fn subscribe(engine: &Engine, targets: &[SocketAddr], era: Era) -> Subscribe {
+fn subscribe(
+    engine: &Engine,
+    targets: &[SocketAddr],
+    era: LogEra,
+) -> Subscribe {
     Subscribe {
         list_id: gossip::target_list_id(targets),
         targets: targets.to_vec(),
--- a/cowsliproad-direct/src/rollback.rs
+++ b/cowsliproad-direct/src/rollback.rs
@@ -24,7 +24,7 @@
     collections::BTreeSet,
 };
 
-use cowsliproad_kernel::{clock::Millis, position::Era};
+use cowsliproad_kernel::{clock::Millis, position::LogEra};
 use cowsliproad_platform::log::{
     CONFIG_TOPIC, QUARANTINE_TOPIC, TARGETS_TOPIC,
 };
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub struct Rollbacks {
     /// The newest era that is known of.
-    era: watch::Sender<Era>,
+    era: watch::Sender<LogEra>,
     /// Whether anything was read, so that a later era is a rollback.
     has_read: Cell<bool>,
     last: RefCell<Option<Rollback>>,
@@ -67,19 +67,19 @@
     /// None met yet.
     pub fn new() -> Rollbacks {
         Rollbacks {
-            era: watch::Sender::new(Era::default()),
+            era: watch::Sender::new(LogEra::default()),
             has_read: Cell::new(false),
             last: RefCell::new(None),
         }
     }
 
     /// The newest era that is known of.
-    pub fn era(&self) -> Era {
+    pub fn era(&self) -> LogEra {
         *self.era.borrow()
     }
 
     /// Waits until an era is over.
-    pub async fn after(&self, era: Era) {
+    pub async fn after(&self, era: LogEra) {
         let mut newest = self.era.subscribe();
         // The sender lives as long as the entry.
         let _ = newest.wait_for(|it| *it > era).await;
@@ -102,7 +102,7 @@
 
 impl Entry {
     /// Takes in which era the log is in.
-    pub fn learn_era(&self, era: Era, source: Source) {
+    pub fn learn_era(&self, era: LogEra, source: Source) {
         let before = self.rollbacks.era();
         if era <= before {
             return;
--- a/cowsliproad-kernel/src/gossip.rs
+++ b/cowsliproad-kernel/src/gossip.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
-use crate::{Name, clock::Millis, position::Era};
+use crate::{Name, clock::Millis, position::LogEra};
 
 /// Encodes a message as CBOR. Every message type of this project can be
 /// encoded.
@@ -79,7 +79,7 @@
     pub config_version: u64,
     /// The highest era of the platform's log that the sender has observed.
     #[serde(rename = "y", default)]
-    pub log_era: Era,
+    pub log_era: LogEra,
     /// The time since the targets were last read from the log in the era
     /// `log_era`, by the sender or by an entry whose digests reached it, in
     /// milliseconds.
@@ -239,7 +239,7 @@
     pub expert_copy_ms: u64,
     /// The highest era of the platform's log that the sender has observed.
     #[serde(rename = "y", default)]
-    pub log_era: Era,
+    pub log_era: LogEra,
 }
 
 /// An agent's report to entries on the state of its engine.
--- a/cowsliproad-kernel/src/position.rs
+++ b/cowsliproad-kernel/src/position.rs
@@ -9,8 +9,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The number of times that a log was restored from an older copy; 0 if the
-/// log doesn't report its era.
+/// The number of times that the platform's log was restored from an older
+/// copy, like a term or an epoch; 0 if the log doesn't report its era.
 #[derive(
     Clone,
     Copy,
@@ -24,33 +24,33 @@
     PartialOrd,
     Serialize,
 )]
-pub struct Era(pub u64);
+pub struct LogEra(pub u64);
 
-/// A position in a log. Every position of a later era is greater than all
-/// positions of an earlier era.
+/// A position in the platform's log. Every position of a later era is greater
+/// than all positions of an earlier era.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd,
 )]
-pub struct Position {
+pub struct LogPosition {
     /// The era in which the log assigned the offset.
-    pub era: Era,
+    pub era: LogEra,
     /// The index of the record in the log, from 0.
     pub offset: u64,
 }
 
-impl Position {
-    /// Creates a position from an era and an offset.
-    pub fn new(era: Era, offset: u64) -> Position {
-        Position { era, offset }
+impl LogPosition {
+    /// Creates a log position from an era and an offset.
+    pub fn new(era: LogEra, offset: u64) -> LogPosition {
+        LogPosition { era, offset }
     }
 
-    /// Returns the first position of an era.
-    pub fn start_of(era: Era) -> Position {
-        Position { era, offset: 0 }
+    /// Returns the log position at offset 0 of an era.
+    pub fn start_of(era: LogEra) -> LogPosition {
+        LogPosition { era, offset: 0 }
     }
 }
 
-impl fmt::Display for Era {
+impl fmt::Display for LogEra {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
--- a/cowsliproad-mapswitch/src/order/fence.rs
+++ b/cowsliproad-mapswitch/src/order/fence.rs
@@ -9,7 +9,7 @@
 //! be answered after it, and its offset is given out once more. So the era
 //! has to be known before the call.
 
-use cowsliproad_kernel::position::{Era, Position};
+use cowsliproad_kernel::position::{LogEra, LogPosition};
 
 use super::VERSIONS;
 
@@ -23,14 +23,14 @@
 
 /// The fencing number of whoever appended the record at a place; never 0, and
 /// none where numbers have run out.
-pub fn number(record: Position) -> Option<u64> {
-    let Position { era, offset } = record;
+pub fn number(record: LogPosition) -> Option<u64> {
+    let LogPosition { era, offset } = record;
     let fits = era.0 < ERAS && offset < NUMBERS - 1;
     fits.then(|| era.0 * NUMBERS + offset + 1)
 }
 
 /// Whether a record's place names it alone, for one who knew the log to be in
 /// an era before it was appended.
-pub fn is_unique(record: Position, known: Era) -> bool {
+pub fn is_unique(record: LogPosition, known: LogEra) -> bool {
     record.era == known
 }
--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -14,7 +14,7 @@
     Name,
     clock::Millis,
     gossip::{self, Subscribe},
-    position::{Era, Position},
+    position::{LogEra, LogPosition},
 };
 use cowsliproad_mapswitch::order::{
     self, Aim, Directive, Epoch, Report, Standing,
@@ -67,7 +67,7 @@
 const FORGET_TIME: Millis = Millis(4_000);
 
 /// A fencing number on its way from the platform's log.
-type Candidacy = JoinHandle<Option<Position>>;
+type Candidacy = JoinHandle<Option<LogPosition>>;
 
 /// An agent.
 pub struct Agent {
@@ -103,7 +103,7 @@
     /// The highest fencing number met.
     fence: u64,
     /// The newest era of the platform's log that is known of.
-    era: Era,
+    era: LogEra,
     lead: Option<Lead>,
     /// A number that is being fetched from the platform's log.
     candidacy: Option<Candidacy>,
@@ -184,7 +184,7 @@
             word: None,
             sealed: None,
             fence: 0,
-            era: Era::default(),
+            era: LogEra::default(),
             lead: None,
             candidacy: None,
             begun: Millis::now(),
--- a/cowsliproad-rank/src/agent/chair.rs
+++ b/cowsliproad-rank/src/agent/chair.rs
@@ -5,7 +5,7 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    position::{Era, Position},
+    position::{LogEra, LogPosition},
 };
 use cowsliproad_mapswitch::order::{Aim, Directive, Standing, fence};
 use cowsliproad_platform::log::{COORDINATORS_TOPIC, Client};
@@ -34,7 +34,7 @@
 
 impl Agent {
     /// Leads, if nobody else does by now.
-    pub(super) async fn take_number(&mut self, record: Option<Position>) {
+    pub(super) async fn take_number(&mut self, record: Option<LogPosition>) {
         let now = Millis::now();
         if let Some(record) = record {
             self.learn_era(record.era);
@@ -115,7 +115,7 @@
 
     /// Takes in which era the platform's log is in. Fencing numbers of a later
     /// one are higher than all before.
-    pub(super) fn learn_era(&mut self, era: Era) {
+    pub(super) fn learn_era(&mut self, era: LogEra) {
         if era > self.era {
             info!(self.log, "log_era"; "era" => era.0,
                 "before" => self.era.0);
@@ -135,9 +135,9 @@
 async fn record(
     log: SocketAddr,
     vm: Name,
-    mut era: Era,
+    mut era: LogEra,
     logger: Logger,
-) -> Option<Position> {
+) -> Option<LogPosition> {
     let mut client = Client::new(log);
     for _ in 0..MAX_RECORDS {
         client.raise_era(era);
@@ -162,7 +162,7 @@
 /// The record that was asked for, once it has come.
 pub(super) async fn candidate(
     candidacy: &mut Option<Candidacy>,
-) -> Option<Position> {
+) -> Option<LogPosition> {
     match candidacy {
         Some(task) => task.await.ok().flatten(),
         None => std::future::pending().await,
--- a/cowsliproad-routing/src/readings.rs
+++ b/cowsliproad-routing/src/readings.rs
@@ -15,7 +15,7 @@
 
 use cowsliproad_kernel::{
     clock::Millis,
-    position::{Era, Position},
+    position::{LogEra, LogPosition},
 };
 
 /// What is known of readings.
@@ -26,9 +26,9 @@
     /// When anybody read last in the newest era.
     at: Millis,
     /// Where the last change stands that is known of; its era is the newest.
-    changed: Position,
+    changed: LogPosition,
     /// Up to where this entry has read.
-    position: Position,
+    position: LogPosition,
     contact: Contact,
 }
 
@@ -56,8 +56,8 @@
         Readings {
             gap: Millis(heartbeat.0 * 2),
             at: Millis(0),
-            changed: Position::default(),
-            position: Position::default(),
+            changed: LogPosition::default(),
+            position: LogPosition::default(),
             contact: Contact::Good,
         }
     }
@@ -68,20 +68,20 @@
     }
 
     /// Where the last change stands that is known of.
-    pub fn changed(&self) -> Position {
+    pub fn changed(&self) -> LogPosition {
         self.changed
     }
 
     /// Notes that the log is in an era.
-    pub fn enter(&mut self, era: Era) {
+    pub fn enter(&mut self, era: LogEra) {
         if era > self.changed.era {
-            self.changed = Position::start_of(era);
+            self.changed = LogPosition::start_of(era);
             self.at = Millis(0);
         }
     }
 
     /// Takes another's reading in. One of an earlier era says nothing.
-    pub fn hear(&mut self, at: Millis, changed: Position) -> Found {
+    pub fn hear(&mut self, at: Millis, changed: LogPosition) -> Found {
         self.enter(changed.era);
         if changed.era < self.changed.era {
             return Found::Unbroken;
@@ -91,7 +91,7 @@
     }
 
     /// Takes an own reading in, up to a position.
-    pub fn read(&mut self, at: Millis, position: Position) -> Found {
+    pub fn read(&mut self, at: Millis, position: LogPosition) -> Found {
         self.enter(position.era);
         self.position = self.position.max(position);
         self.contact = Contact::Good;
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -11,7 +11,7 @@
 use std::collections::{HashSet, VecDeque};
 
 use cowsliproad::{
-    kernel::position::{Era, Position},
+    kernel::position::{LogEra, LogPosition},
     mapswitch::order::fence,
 };
 
@@ -23,7 +23,7 @@
 const MAX_ROLLBACKS: u64 = 2;
 
 /// The number that an agent takes from a record, if it takes one.
-type Rule = fn(Position, Era) -> Option<u64>;
+type Rule = fn(LogPosition, LogEra) -> Option<u64>;
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Call {
@@ -92,11 +92,11 @@
                     it.length += 1;
                 }),
                 Some(Call::Executed { known, offset, turn }) => next(&|it| {
-                    let record = Position::new(Era(it.era), offset);
+                    let record = LogPosition::new(LogEra(it.era), offset);
                     let agent = &mut it.agents[at];
                     agent.call = None;
                     agent.known = it.era;
-                    if let Some(number) = rule(record, Era(known)) {
+                    if let Some(number) = rule(record, LogEra(known)) {
                         agent.number = Some((number, turn));
                         it.take(number, turn);
                     }
@@ -164,7 +164,7 @@
 
 #[test]
 fn numbers_that_ran_out_are_none() {
-    let at = |era, offset| Position::new(Era(era), offset);
+    let at = |era, offset| LogPosition::new(LogEra(era), offset);
     assert_eq!(fence::number(at(0, 0)), Some(1));
     assert!(fence::number(at(1, 0)) > fence::number(at(0, 1_000_000)));
     assert_eq!(fence::number(at(0, u64::MAX)), None);
--- a/tests/properties/readings.rs
+++ b/tests/properties/readings.rs
@@ -3,7 +3,7 @@
 use cowsliproad::{
     kernel::{
         clock::Millis,
-        position::{Era, Position},
+        position::{LogEra, LogPosition},
     },
     routing::readings::{Found, Readings},
 };
@@ -11,8 +11,8 @@
 const PATIENCE: Millis = Millis(800);
 
 /// A place in the era that most of these are of.
-fn place(offset: u64) -> Position {
-    Position::new(Era(1), offset)
+fn place(offset: u64) -> LogPosition {
+    LogPosition::new(LogEra(1), offset)
 }
 
 fn readings() -> Readings {
@@ -76,10 +76,10 @@
 fn a_later_era_is_read_at_once() {
     let mut own = readings();
     own.read(Millis(1_000), place(900));
-    own.hear(Millis(1_100), Position::new(Era(2), 3));
+    own.hear(Millis(1_100), LogPosition::new(LogEra(2), 3));
     assert!(own.is_behind());
     assert_eq!(own.due_in(PATIENCE, Millis(1_100)), Millis(0));
-    own.read(Millis(1_200), Position::new(Era(2), 5));
+    own.read(Millis(1_200), LogPosition::new(LogEra(2), 5));
     assert!(!own.is_behind());
 }
 
@@ -87,10 +87,10 @@
 #[test]
 fn a_reading_of_an_earlier_era_says_nothing() {
     let mut own = readings();
-    own.read(Millis(1_000), Position::new(Era(2), 5));
+    own.read(Millis(1_000), LogPosition::new(LogEra(2), 5));
     own.hear(Millis(1_500), place(900));
     assert!(!own.is_behind());
-    assert_eq!(own.changed(), Position::start_of(Era(2)));
+    assert_eq!(own.changed(), LogPosition::start_of(LogEra(2)));
     assert_eq!(own.due_in(PATIENCE, Millis(1_600)), Millis(200));
     own.read(Millis(1_550), place(900));
     assert_eq!(own.due_in(PATIENCE, Millis(1_600)), Millis(200));
@@ -101,7 +101,7 @@
     let mut own = readings();
     own.read(Millis(1_000), place(900));
     own.lost();
-    own.enter(Era(2));
+    own.enter(LogEra(2));
     assert!(own.needs_peer());
     own.merged();
     assert!(!own.needs_peer());
