--- a/cowsliproad-admission/src/quarantine.rs
+++ b/cowsliproad-admission/src/quarantine.rs
@@ -6,8 +6,8 @@
 //! one target after the other, unless entries recognise the request by a
 //! digest of its content ([`WorkDigest`]). Each entry records which requests
 //! were running when a target crashed, and gossips this to the other entries
-//! ([`Suspect`]). Once [`CRASH_THRESHOLD`] targets have crashed under one
-//! request, all entries refuse that request ([`CrashLedger::verdict`]).
+//! ([`SuspectedRequest`]). Once [`CRASH_THRESHOLD`] targets have crashed under
+//! one request, all entries refuse that request ([`CrashLedger::verdict`]).
 //!
 //! Where targets work in lock-step, the crash of one target stops its whole
 //! group, and three crashes would stop the group three times. So requests that
@@ -44,7 +44,7 @@
     collections::{BTreeSet, HashMap, HashSet},
 };
 
-use cowsliproad_kernel::{clock::Millis, gossip::Suspect};
+use cowsliproad_kernel::{clock::Millis, gossip::SuspectedRequest};
 
 use self::case::Case;
 pub use self::work::{CrashId, WorkDigest};
@@ -234,14 +234,14 @@
         crash: CrashId,
         now: Millis,
     ) -> QuarantineChange {
-        let suspect = Suspect {
-            work_digest: work.0,
-            crashes: vec![crash.0],
-            excused_crashes: Vec::new(),
-            survived: false,
-            since_last_seen: Millis(0),
+        let suspect = SuspectedRequest {
+            request_hash: work.0,
+            crash_ids: vec![crash.0],
+            excused_crash_ids: Vec::new(),
+            survived_by_target: false,
+            since_last_received: Millis(0),
             rejected_for: None,
-            suspended_for: None,
+            suspension_left: None,
         };
         self.merge_suspect(&suspect, BROADCAST_TTL, now)
     }
@@ -274,7 +274,7 @@
     /// Merges what another entry, or an earlier process, knows of a request.
     pub fn merge(
         &mut self,
-        suspect: &Suspect,
+        suspect: &SuspectedRequest,
         now: Millis,
     ) -> QuarantineChange {
         self.merge_suspect(suspect, RELAY_TTL, now)
@@ -284,16 +284,17 @@
     /// the observation changed the case.
     fn merge_suspect(
         &mut self,
-        suspect: &Suspect,
+        suspect: &SuspectedRequest,
         broadcast_ttl: Millis,
         now: Millis,
     ) -> QuarantineChange {
         let now = now + CLOCK_OFFSET;
         let refused = suspect.rejected_for.unwrap_or_default();
-        if suspect.since_last_seen >= SUSPECT_TTL || refused >= REJECT_TTL {
+        if suspect.since_last_received >= SUSPECT_TTL || refused >= REJECT_TTL
+        {
             return QuarantineChange::None;
         }
-        let work = WorkDigest(suspect.work_digest);
+        let work = WorkDigest(suspect.request_hash);
         if !self.cases.contains_key(&work) {
             self.evict_if_full();
         }
@@ -302,7 +303,7 @@
             crashes: BTreeSet::new(),
             excused: Vec::new(),
             survived,
-            last_seen: now - suspect.since_last_seen,
+            last_seen: now - suspect.since_last_received,
             refused_since: None,
             suspended_until: None,
             broadcast_until: now,
@@ -313,20 +314,20 @@
             case.crashes.clear();
         }
         if now.since(case.last_seen)
-            > suspect.since_last_seen + MAX_GOSSIP_DELAY
+            > suspect.since_last_received + MAX_GOSSIP_DELAY
         {
-            case.last_seen = now - suspect.since_last_seen;
+            case.last_seen = now - suspect.since_last_received;
         }
         let before = (case.crashes.len(), case.excused.len(), case.survived);
         // A sender that doesn't report the survival, or still counts a crash
         // that was excused or retracted, has missed that update and would soon
         // refuse a request that every caller sends.
-        let mut missed_update = case.survived && !suspect.survived;
-        case.survived |= suspect.survived;
-        for crash in suspect.excused_crashes.iter().map(|it| CrashId(*it)) {
+        let mut missed_update = case.survived && !suspect.survived_by_target;
+        case.survived |= suspect.survived_by_target;
+        for crash in suspect.excused_crash_ids.iter().map(|it| CrashId(*it)) {
             case.excuse(crash);
         }
-        for crash in suspect.crashes.iter().map(|it| CrashId(*it)) {
+        for crash in suspect.crash_ids.iter().map(|it| CrashId(*it)) {
             if let Some(reported_at) = self.retracted.get_mut(&crash) {
                 *reported_at = now;
             } else if case.excused.contains(&crash) {
@@ -340,7 +341,7 @@
         // the same crash may have been delayed in a stalled process.
         let may_extend = after.0 > before.0 || case.suspended_until.is_none();
         let suspends =
-            may_extend && case.extend_suspension(suspect.suspended_for, now);
+            may_extend && case.extend_suspension(suspect.suspension_left, now);
         let has_changed = after != before || suspends;
         let is_relayed = case.crashes.len() >= MIN_RELAY_CRASHES
             || case.survived
@@ -435,19 +436,26 @@
 
     /// Returns the case of a request as a gossip message, to be sent or
     /// stored.
-    pub fn suspect(&self, work: WorkDigest, now: Millis) -> Option<Suspect> {
+    pub fn suspect(
+        &self,
+        work: WorkDigest,
+        now: Millis,
+    ) -> Option<SuspectedRequest> {
         let now = now + CLOCK_OFFSET;
         self.cases.get(&work).map(|it| it.suspect(work, now))
     }
 
     /// Returns the cases to broadcast: refused requests and recent changes.
-    pub fn updates(&self, now: Millis) -> Vec<Suspect> {
+    pub fn updates(&self, now: Millis) -> Vec<SuspectedRequest> {
         self.select(now, |case, now| case.is_broadcast(now))
     }
 
     /// Returns the cases to broadcast and those of suspended requests, for
     /// entries that may have missed a suspension.
-    pub fn updates_and_suspensions(&self, now: Millis) -> Vec<Suspect> {
+    pub fn updates_and_suspensions(
+        &self,
+        now: Millis,
+    ) -> Vec<SuspectedRequest> {
         self.select(now, |case, now| {
             case.is_broadcast(now) || case.suspension(now).is_some()
         })
@@ -459,7 +467,7 @@
         &self,
         now: Millis,
         is_selected: impl Fn(&Case, Millis) -> bool,
-    ) -> Vec<Suspect> {
+    ) -> Vec<SuspectedRequest> {
         let now = now + CLOCK_OFFSET;
         let mut selected: Vec<(&WorkDigest, &Case)> =
             self.cases.iter().filter(|it| is_selected(it.1, now)).collect();
@@ -479,13 +487,14 @@
 
     /// Returns the unexpired cases with the most crashes, for a peer that was
     /// unreachable.
-    pub fn snapshot(&self, now: Millis) -> Vec<Suspect> {
+    pub fn snapshot(&self, now: Millis) -> Vec<SuspectedRequest> {
         let now = now + CLOCK_OFFSET;
         let cases = self.cases.iter().filter(|it| !it.1.is_expired(now));
-        let mut cases: Vec<Suspect> =
+        let mut cases: Vec<SuspectedRequest> =
             cases.map(|it| it.1.suspect(*it.0, now)).collect();
-        cases
-            .sort_by_key(|it| (Reverse(it.crashes.len()), it.since_last_seen));
+        cases.sort_by_key(|it| {
+            (Reverse(it.crash_ids.len()), it.since_last_received)
+        });
         cases.truncate(MAX_BROADCAST_CASES);
         cases
     }
--- a/cowsliproad-admission/src/quarantine/case.rs
+++ b/cowsliproad-admission/src/quarantine/case.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use cowsliproad_kernel::{clock::Millis, gossip::Suspect};
+use cowsliproad_kernel::{clock::Millis, gossip::SuspectedRequest};
 
 use super::{
     CRASH_THRESHOLD, CrashId, MAX_EXCUSED_CRASHES, MAX_SUSPENSION,
@@ -113,15 +113,19 @@
     }
 
     /// Returns the case as the gossip message that entries exchange.
-    pub(super) fn suspect(&self, work: WorkDigest, now: Millis) -> Suspect {
-        Suspect {
-            work_digest: work.0,
-            crashes: self.crashes.iter().map(|it| it.0).collect(),
-            excused_crashes: self.excused.iter().map(|it| it.0).collect(),
-            survived: self.survived,
-            since_last_seen: now.since(self.last_seen),
+    pub(super) fn suspect(
+        &self,
+        work: WorkDigest,
+        now: Millis,
+    ) -> SuspectedRequest {
+        SuspectedRequest {
+            request_hash: work.0,
+            crash_ids: self.crashes.iter().map(|it| it.0).collect(),
+            excused_crash_ids: self.excused.iter().map(|it| it.0).collect(),
+            survived_by_target: self.survived,
+            since_last_received: now.since(self.last_seen),
             rejected_for: self.refused_since.map(|it| now.since(it)),
-            suspended_for: self.suspension(now),
+            suspension_left: self.suspension(now),
         }
     }
 }
--- a/cowsliproad-agent/src/ends.rs
+++ b/cowsliproad-agent/src/ends.rs
@@ -24,7 +24,7 @@
 use cowsliproad_kernel::{
     clock::Millis,
     code::{Code, Execution},
-    gossip::Suspect,
+    gossip::SuspectedRequest,
     id,
     sync::lock,
     wire::{Failure, Presence},
@@ -119,7 +119,7 @@
     }
 
     /// What entries haven't been told yet.
-    pub fn take_news(&self) -> Vec<Suspect> {
+    pub fn take_news(&self) -> Vec<SuspectedRequest> {
         let mut inner = lock(&self.inner);
         inner.changed = false;
         let news = std::mem::take(&mut inner.news);
@@ -130,7 +130,7 @@
     }
 
     /// All that an entry is told that has just linked.
-    pub fn known(&self) -> Vec<Suspect> {
+    pub fn known(&self) -> Vec<SuspectedRequest> {
         let mut inner = lock(&self.inner);
         let now = Millis::now();
         inner.ledger.evict_expired(now);
--- a/cowsliproad-agent/src/links.rs
+++ b/cowsliproad-agent/src/links.rs
@@ -15,7 +15,7 @@
 };
 
 use cowsliproad_kernel::{
-    gossip::Suspect,
+    gossip::SuspectedRequest,
     id,
     sync::lock,
     wire::{
@@ -106,8 +106,8 @@
 }
 
 /// Tells an entry of work that ended the target, also on a busy link.
-fn tell(link: &Sender, suspects: Vec<Suspect>) {
-    let frame = Frame::Suspects(suspects);
+fn tell(link: &Sender, suspects: Vec<SuspectedRequest>) {
+    let frame = Frame::SuspectedRequests(suspects);
     if link.try_send(frame.clone()).is_ok() {
         return;
     }
--- a/cowsliproad-bench/src/experiment/limits.rs
+++ b/cowsliproad-bench/src/experiment/limits.rs
@@ -485,21 +485,21 @@
             target: "i-abaeb6c096".into(),
             target_start_unix_ms: 0,
             requests_per_second: Some(1.2),
-            in_force_for: Millis(1_234),
+            rate_limit_age: Millis(1_234),
         };
         let number = u64::MAX;
         let none = Millis(0);
         let ask = PermitRequest {
             request_id: number,
-            limit: limit.clone(),
-            max_wait: none,
+            rate_limit: limit.clone(),
+            max_permit_wait: none,
             forwards_left: RELAYS,
         };
         let reply = PermitReply {
             request_id: number,
-            limit: limit.clone(),
-            granted: true,
-            wait: none,
+            rate_limit: limit.clone(),
+            permit_granted: true,
+            permit_wait: none,
         };
         Sizes {
             question: gossip::encode(&Datagram::PermitRequest(ask)).len(),
--- a/cowsliproad-bench/src/experiment/quarantine.rs
+++ b/cowsliproad-bench/src/experiment/quarantine.rs
@@ -21,7 +21,7 @@
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    gossip::{self, Suspect, Suspects},
+    gossip::{self, SuspectedRequest, SuspectedRequests},
     plugin::inventory,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IteratorRandom};
@@ -174,8 +174,8 @@
     requests: BTreeMap<u64, (usize, Request)>,
     next: u64,
     events: BinaryHeap<Reverse<(u64, Event)>>,
-    words: BTreeMap<u64, Vec<Suspect>>,
-    log: BTreeMap<WorkDigest, Suspect>,
+    words: BTreeMap<u64, Vec<SuspectedRequest>>,
+    log: BTreeMap<WorkDigest, SuspectedRequest>,
     own: HashSet<(usize, WorkDigest)>,
     /// When each entry's process started.
     born: Vec<u64>,
@@ -382,11 +382,11 @@
         }
     }
 
-    fn hear(&mut self, entry: usize, suspect: &Suspect) {
+    fn hear(&mut self, entry: usize, suspect: &SuspectedRequest) {
         let now = Millis(self.now);
         let change = self.ledgers[entry].merge(suspect, now);
         if change != QuarantineChange::None {
-            self.write(entry, WorkDigest(suspect.work_digest));
+            self.write(entry, WorkDigest(suspect.request_hash));
         }
     }
 
@@ -404,12 +404,12 @@
             return;
         };
         let kept = self.log.get(&work);
-        let same = |it: &Suspect| {
-            (&it.crashes, &it.excused_crashes, it.survived)
+        let same = |it: &SuspectedRequest| {
+            (&it.crash_ids, &it.excused_crash_ids, it.survived_by_target)
                 == (
-                    &suspect.crashes,
-                    &suspect.excused_crashes,
-                    suspect.survived,
+                    &suspect.crash_ids,
+                    &suspect.excused_crash_ids,
+                    suspect.survived_by_target,
                 )
         };
         if kept.is_some_and(same) {
@@ -432,7 +432,8 @@
         if told.is_empty() {
             return;
         }
-        let bytes = gossip::encode(&Suspects::pack(told.clone())).len();
+        let bytes =
+            gossip::encode(&SuspectedRequests::pack(told.clone())).len();
         let others = (0..self.size.entries).filter(|it| *it != entry);
         let others = others.choose_multiple(&mut self.random, MAX_TOLD);
         for other in others {
@@ -444,7 +445,7 @@
         }
     }
 
-    fn say(&mut self, entry: usize, told: Vec<Suspect>) {
+    fn say(&mut self, entry: usize, told: Vec<SuspectedRequest>) {
         self.next += 1;
         self.words.insert(self.next, told);
         self.at(self.now + WAY_MS, Event::Words(entry, self.next));
@@ -465,7 +466,8 @@
         self.own.retain(|it| it.0 != entry);
         if self.policy >= Policy::Kept {
             self.score.calls += 1;
-            let kept: Vec<Suspect> = self.log.values().cloned().collect();
+            let kept: Vec<SuspectedRequest> =
+                self.log.values().cloned().collect();
             self.say(entry, kept);
         }
     }
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -283,8 +283,10 @@
             _ => return entry.give(target, owner, patience, now),
         };
         match ask(entry, other, target, patience, relays - 1).await {
-            Some(it) if it.granted => return PermitDecision::Permit(it.wait),
-            Some(it) => return PermitDecision::Later(it.wait),
+            Some(it) if it.permit_granted => {
+                return PermitDecision::Permit(it.permit_wait);
+            }
+            Some(it) => return PermitDecision::Later(it.permit_wait),
             None => {
                 let until = Millis::now() + MUTE_TTL;
                 entry.peers.borrow_mut().mute(other, until);
@@ -305,11 +307,11 @@
     relays: u8,
 ) -> Option<PermitReply> {
     let number = rand::random();
-    let limit = entry.current_limit(target, Millis::now());
+    let rate_limit = entry.current_limit(target, Millis::now());
     let question = PermitRequest {
         request_id: number,
-        limit,
-        max_wait: patience,
+        rate_limit,
+        max_permit_wait: patience,
         forwards_left: relays,
     };
     let (sender, reply) = oneshot::channel();
@@ -323,21 +325,21 @@
 
 /// Answers another entry's question.
 pub fn answer(entry: &Rc<Entry>, ask: PermitRequest, from: SocketAddr) {
-    entry.hear_limit(&ask.limit, Millis::now());
+    entry.hear_limit(&ask.rate_limit, Millis::now());
     let entry = entry.clone();
     let relays = ask.forwards_left.min(RELAYS - 1);
     tokio::task::spawn_local(async move {
-        let target = entry.fleet.borrow().get(&ask.limit.target).cloned();
-        let same =
-            target.filter(|it| it.start.0 == ask.limit.target_start_unix_ms);
-        let (verdict, limit) = match same {
+        let target = entry.fleet.borrow().get(&ask.rate_limit.target).cloned();
+        let same = target
+            .filter(|it| it.start.0 == ask.rate_limit.target_start_unix_ms);
+        let (verdict, rate_limit) = match same {
             Some(target) => {
                 let verdict =
-                    decide(&entry, &target, ask.max_wait, relays).await;
+                    decide(&entry, &target, ask.max_permit_wait, relays).await;
                 (verdict, entry.current_limit(&target, Millis::now()))
             }
             // Its announcement has not come here yet.
-            None => (PermitDecision::Later(RETRY_BACKOFF), ask.limit),
+            None => (PermitDecision::Later(RETRY_BACKOFF), ask.rate_limit),
         };
         let (given, after) = match verdict {
             PermitDecision::Permit(after) => (true, after),
@@ -345,9 +347,9 @@
         };
         let reply = PermitReply {
             request_id: ask.request_id,
-            limit,
-            granted: given,
-            wait: after,
+            rate_limit,
+            permit_granted: given,
+            permit_wait: after,
         };
         entry.say(Datagram::PermitReply(reply), from).await;
     });
@@ -392,7 +394,7 @@
         if rate.is_none() != limit.requests_per_second.is_none() {
             return;
         }
-        let report = LimitReport { rate, age: limit.in_force_for };
+        let report = LimitReport { rate, age: limit.rate_limit_age };
         let endpoint = self.endpoint(&limit.target);
         let change = endpoint.borrow_mut().limit.merge_report(report, now);
         self.limit_changed(&limit.target, change, Source::Peer);
@@ -402,8 +404,8 @@
     pub fn recall_limit(&self, target: &str, now: Millis) {
         let early = self.limits.borrow_mut().early.remove(target);
         if let Some((limit, heard)) = early {
-            let age = limit.in_force_for + now.since(heard);
-            self.hear_limit(&RateLimit { in_force_for: age, ..limit }, now);
+            let age = limit.rate_limit_age + now.since(heard);
+            self.hear_limit(&RateLimit { rate_limit_age: age, ..limit }, now);
         }
     }
 
@@ -498,7 +500,7 @@
 
     /// Takes in the answer to a question.
     pub fn hear_reply(&self, reply: PermitReply) {
-        self.hear_limit(&reply.limit, Millis::now());
+        self.hear_limit(&reply.rate_limit, Millis::now());
         let open = self.limits.borrow_mut().open.remove(&reply.request_id);
         if let Some(open) = open {
             // Whoever asked may have stopped waiting just now.
@@ -522,6 +524,6 @@
         target: target.id.clone(),
         target_start_unix_ms: target.start.0,
         requests_per_second: report.rate.map(Rate::per_second),
-        in_force_for: report.age,
+        rate_limit_age: report.age,
     }
 }
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -117,17 +117,19 @@
     }
 
     fn hear(&mut self, digest: &GossipDigest, now: Millis) -> bool {
-        self.newest = self.newest.max((digest.config_version, digest.address));
-        let known = self.known.get(&digest.address);
+        self.newest =
+            self.newest.max((digest.config_version, digest.sender_address));
+        let known = self.known.get(&digest.sender_address);
         let peer = Peer {
-            vm: digest.vm.clone(),
-            zone: digest.zone.clone(),
+            vm: digest.sender_vm.clone(),
+            zone: digest.sender_zone.clone(),
             heard: now,
             mute_until: known.map_or(Millis(0), |it| it.mute_until),
         };
         // A VM that was replaced speaks from another address.
-        self.known.retain(|at, it| it.vm != peer.vm || *at == digest.address);
-        self.known.insert(digest.address, peer).is_none()
+        self.known
+            .retain(|at, it| it.vm != peer.vm || *at == digest.sender_address);
+        self.known.insert(digest.sender_address, peer).is_none()
     }
 
     /// The entry that keeps the pace of a target, this one too.
@@ -241,30 +243,31 @@
 fn digest(entry: &Entry, update: Update, now: Millis) -> GossipDigest {
     let since = now - entry.rollbacks.departures(now).unwrap_or(DEPARTURE_TTL);
     let fleet = entry.fleet.borrow();
-    let (suspects, lives) = entry.quarantine.borrow().updates(update, now);
-    let (mut left, mut withdrawn) = (Vec::new(), Vec::new());
+    let (suspected_requests, lives) =
+        entry.quarantine.borrow().updates(update, now);
+    let (mut left, mut withdrawn_targets) = (Vec::new(), Vec::new());
     for (id, parting) in fleet.left_since(since) {
         match parting {
             Parting::ForGood(start) => left.push((id.clone(), start.0)),
             Parting::After(start, last) => {
-                withdrawn.push((id.clone(), start.0, last));
+                withdrawn_targets.push((id.clone(), start.0, last));
             }
         }
     }
     GossipDigest {
-        vm: entry.settings().vm.clone(),
-        address: entry.settings().peer_address(),
+        sender_vm: entry.settings().vm.clone(),
+        sender_address: entry.settings().peer_address(),
         config_version: entry.version(),
         log_era: entry.rollbacks.era(),
         targets_read_age_ms: now.since(entry.readings.borrow().at()).0,
-        last_change_offset: entry.readings.borrow().changed().offset,
-        departed: left,
-        withdrawn,
+        last_target_change_offset: entry.readings.borrow().changed().offset,
+        departed_targets: left,
+        withdrawn_targets,
         peers: entry.peers.borrow().known.keys().copied().collect(),
-        zone: entry.settings().zone.clone(),
-        suspects,
-        retracted_crashes: lives,
-        limits: entry.limit_updates(update, now),
+        sender_zone: entry.settings().zone.clone(),
+        suspected_requests,
+        retracted_crash_ids: lives,
+        rate_limits: entry.limit_updates(update, now),
     }
 }
 
@@ -294,8 +297,9 @@
             }
             Some(Datagram::Load(load)) => {
                 agents::take_load(&entry, &load);
-                if load.list_id == 0 {
-                    agents::introduce(&entry, &socket, load.target).await;
+                if load.target_list_id == 0 {
+                    agents::introduce(&entry, &socket, load.engine_address)
+                        .await;
                 }
             }
             Some(Datagram::EngineExit(lost)) => {
@@ -313,20 +317,25 @@
 async fn hear(entry: &Rc<Entry>, socket: &UdpSocket, heard: GossipDigest) {
     let now = Millis::now();
     entry.learn_era(heard.log_era, Source::Peer);
-    let left = heard.departed.iter();
+    let left = heard.departed_targets.iter();
     let left = left.map(|it| (&it.0, Parting::ForGood(Start(it.1))));
-    let withdrawn = heard.withdrawn.iter();
+    let withdrawn = heard.withdrawn_targets.iter();
     let withdrawn =
         withdrawn.map(|it| (&it.0, Parting::After(Start(it.1), it.2)));
     for (id, parting) in left.chain(withdrawn) {
         let change = entry.fleet.borrow_mut().hear_parting(id, parting, now);
         entry.changed(id, change, Source::Peer);
     }
-    entry.heard_from(&heard.zone, now);
-    entry.hear_suspects(&heard.suspects, &heard.retracted_crashes, now);
-    entry.hear_limits(&heard.limits, now);
+    entry.heard_from(&heard.sender_zone, now);
+    entry.hear_suspects(
+        &heard.suspected_requests,
+        &heard.retracted_crash_ids,
+        now,
+    );
+    entry.hear_limits(&heard.rate_limits, now);
     let at = now - Millis(heard.targets_read_age_ms);
-    let changed = LogPosition::new(heard.log_era, heard.last_change_offset);
+    let changed =
+        LogPosition::new(heard.log_era, heard.last_target_change_offset);
     entry.note_reading(at, changed, now);
     let (is_new, others) = {
         let mut peers = entry.peers.borrow_mut();
@@ -334,15 +343,15 @@
     };
     entry.met.notify_waiters();
     if is_new {
-        info!(entry.log, "peer_met"; "peer" => &*heard.vm,
-            "address" => %heard.address);
+        info!(entry.log, "peer_met"; "peer" => &*heard.sender_vm,
+            "address" => %heard.sender_address);
     }
     // One that starts waits for it.
     let starts = heard.config_version == 0 && entry.version() > 0;
     if is_new || starts {
         let own =
             gossip::encode(&Datagram::Digest(digest(entry, Update::All, now)));
-        for other in others.into_iter().chain([heard.address]) {
+        for other in others.into_iter().chain([heard.sender_address]) {
             send(entry, socket, &own, other).await;
         }
     }
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -7,7 +7,7 @@
 
 use cowsliproad_kernel::{
     clock::Millis,
-    gossip::{self, EngineExit, EngineLoad, Subscribe},
+    gossip::{self, EngineExit, EngineLoad, LoadSubscription},
     position::LogEra,
 };
 use cowsliproad_routing::{
@@ -26,8 +26,8 @@
 /// Asks all agents to report.
 pub(super) async fn ask_agents(entry: &Entry, socket: &UdpSocket) {
     for whole in subscriptions(entry) {
-        let named = Subscribe { targets: Vec::new(), ..whole.clone() };
-        let (list, targets) = (whole.list_id, whole.targets.clone());
+        let named = LoadSubscription { targets: Vec::new(), ..whole.clone() };
+        let (list, targets) = (whole.target_list_id, whole.targets.clone());
         let (whole, named) = (gossip::encode(&whole), gossip::encode(&named));
         for target in targets {
             let agent = agent_of(entry, target);
@@ -58,7 +58,7 @@
 }
 
 /// What the agents of each service of engines are told.
-fn subscriptions(entry: &Entry) -> Vec<Subscribe> {
+fn subscriptions(entry: &Entry) -> Vec<LoadSubscription> {
     let Some(catalog) = entry.catalog() else { return Vec::new() };
     let fleet = entry.fleet.borrow();
     let subscription = |service: &Service| {
@@ -74,14 +74,14 @@
     engine: &Engine,
     targets: &[SocketAddr],
     era: LogEra,
-) -> Subscribe {
-    Subscribe {
-        list_id: gossip::target_list_id(targets),
+) -> LoadSubscription {
+    LoadSubscription {
+        target_list_id: gossip::target_list_id(targets),
         targets: targets.to_vec(),
         layer_sets: engine.sets as u16,
-        experts_per_set: engine.experts as u16,
-        slots_per_set: engine.places as u16,
-        max_new_experts_per_set: engine.spare as u16,
+        experts_per_layer_set: engine.experts as u16,
+        expert_slots_per_layer_set: engine.places as u16,
+        max_new_experts_per_layer_set: engine.spare as u16,
         expert_copy_ms: engine.copy_time.0,
         log_era: era,
     }
@@ -89,15 +89,16 @@
 
 /// Takes an agent's report in.
 pub(super) fn take_load(entry: &Entry, load: &EngineLoad) {
-    entry.lists.borrow_mut().insert(load.target, load.list_id);
+    entry.lists.borrow_mut().insert(load.engine_address, load.target_list_id);
     let now = Millis::now();
-    let Some(target) = target_at(entry, load.target, load.start_unix_ms)
+    let Some(target) =
+        target_at(entry, load.engine_address, load.engine_start_unix_ms)
     else {
         return;
     };
     entry.heard_from(&target.zone, now);
-    entry.note_report(&target, Start(load.start_unix_ms), now);
-    if load.leaving && target.start == Start(load.start_unix_ms) {
+    entry.note_report(&target, Start(load.engine_start_unix_ms), now);
+    if load.draining && target.start == Start(load.engine_start_unix_ms) {
         info!(entry.log, "target_leaving"; "target" => &*target.id,
             "source" => ?Source::Peer);
         return entry.note_left(&target);
@@ -107,15 +108,18 @@
     let mut endpoint = endpoint.borrow_mut();
     let stands = |it: &Group| (it.epoch, it.open, it.pace / NEWS_PERCENT);
     let before = endpoint.group.as_ref().map(stands);
-    endpoint.record.report(load.running.saturating_add(load.queued), now);
+    endpoint.record.report(
+        load.running_requests.saturating_add(load.queued_requests),
+        now,
+    );
     endpoint.lived = Some(now);
     endpoint.lost = None;
     let group = Group {
-        name: load.group.clone(),
+        name: load.group_name.clone(),
         epoch: load.group_epoch,
         open: load.group_accepts_requests,
-        step: load.forward_pass,
-        pace: load.pace_percent,
+        step: load.last_forward_pass,
+        pace: load.service_time_percent,
         heard: now,
     };
     let after = stands(&group);
@@ -127,7 +131,8 @@
         info!(entry.log, "group"; "target" => &*id,
             "epoch" => load.group_epoch,
             "open" => load.group_accepts_requests,
-            "step" => load.forward_pass, "pace" => load.pace_percent);
+            "step" => load.last_forward_pass,
+            "pace" => load.service_time_percent);
         entry.tell_news();
     }
 }
@@ -135,7 +140,8 @@
 /// Takes in that an agent finds no process of its engine.
 pub(super) fn take_lost(entry: &Entry, lost: &EngineExit) {
     let now = Millis::now();
-    let Some(target) = target_at(entry, lost.target, lost.start_unix_ms)
+    let Some(target) =
+        target_at(entry, lost.engine_address, lost.engine_start_unix_ms)
     else {
         return;
     };
--- a/cowsliproad-direct/src/peers/state.rs
+++ b/cowsliproad-direct/src/peers/state.rs
@@ -62,7 +62,7 @@
     }
     let (newest, ahead) = entry.peers.borrow().newest;
     let ahead = (newest > heard.config_version).then_some(ahead);
-    for address in ahead.into_iter().chain([heard.address]) {
+    for address in ahead.into_iter().chain([heard.sender_address]) {
         if let Some(state) = fetch(entry, address).await {
             return take_state(entry, state);
         }
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -22,7 +22,7 @@
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    gossip::{self, Suspect, Suspects},
+    gossip::{self, SuspectedRequest, SuspectedRequests},
 };
 use cowsliproad_platform::log::{self, Client, Record};
 use cowsliproad_routing::fleet::{Start, Target};
@@ -112,7 +112,7 @@
 #[derive(Debug, Deserialize, Serialize)]
 struct Kept {
     #[serde(rename = "s")]
-    suspect: Suspect,
+    suspect: SuspectedRequest,
     /// When it was written, as a Unix millisecond.
     #[serde(rename = "t")]
     at: u64,
@@ -142,12 +142,15 @@
         &self,
         update: Update,
         now: Millis,
-    ) -> (Suspects, Vec<u64>) {
+    ) -> (SuspectedRequests, Vec<u64>) {
         let suspects = match update {
             Update::Changed => self.ledger.updates(now),
             Update::All => self.ledger.updates_and_suspensions(now),
         };
-        (Suspects::pack(suspects), self.ledger.recent_retractions(now))
+        (
+            SuspectedRequests::pack(suspects),
+            self.ledger.recent_retractions(now),
+        )
     }
 
     fn note(&mut self, work: WorkDigest) {
@@ -192,8 +195,8 @@
     }
 
     /// Notes that the log keeps so much of a piece of work.
-    fn note_kept(&mut self, kept: &Suspect, now: Millis) {
-        let work = WorkDigest(kept.work_digest);
+    fn note_kept(&mut self, kept: &SuspectedRequest, now: Millis) {
+        let work = WorkDigest(kept.request_hash);
         if let Some(own) = self.ledger.suspect(work, now)
             && covers(kept, &own)
         {
@@ -322,7 +325,7 @@
     /// Takes in what another entry tells of work that ends targets.
     pub fn hear_suspects(
         &self,
-        suspects: &Suspects,
+        suspects: &SuspectedRequests,
         lives: &[u64],
         now: Millis,
     ) {
@@ -336,13 +339,13 @@
 
     fn hear_suspect(
         &self,
-        suspect: &Suspect,
+        suspect: &SuspectedRequest,
         now: Millis,
         source: Source,
     ) -> QuarantineChange {
         let mut quarantine = self.quarantine.borrow_mut();
         let change = quarantine.ledger.merge(suspect, now);
-        for end in suspect.crashes.iter().map(|it| CrashId(*it)) {
+        for end in suspect.crash_ids.iter().map(|it| CrashId(*it)) {
             if change != QuarantineChange::None
                 && !quarantine.ledger.is_retracted(end)
             {
@@ -350,7 +353,7 @@
             }
         }
         drop(quarantine);
-        self.judged(WorkDigest(suspect.work_digest), change, source);
+        self.judged(WorkDigest(suspect.request_hash), change, source);
         change
     }
 
@@ -447,12 +450,14 @@
         // It may have come since, which is not written each time.
         Some(refused) => {
             *refused = *refused + age;
-            suspect.since_last_seen = Millis(0);
+            suspect.since_last_received = Millis(0);
+        }
+        None => {
+            suspect.since_last_received = suspect.since_last_received + age
         }
-        None => suspect.since_last_seen = suspect.since_last_seen + age,
     }
     let change = entry.hear_suspect(&suspect, now, Source::Log);
-    let work = WorkDigest(suspect.work_digest);
+    let work = WorkDigest(suspect.request_hash);
     let mut quarantine = entry.quarantine.borrow_mut();
     quarantine.note_kept(&suspect, now);
     if quarantine.ledger.suspect(work, now).is_none() {
@@ -466,16 +471,16 @@
 /// Finds the work that the log should keep and lost.
 fn note_lost(entry: &Entry, kept: &[Kept]) {
     let now = Millis::now();
-    let kept = kept.iter().map(|it| (it.suspect.work_digest, &it.suspect));
-    let kept: HashMap<u64, &Suspect> = kept.collect();
+    let kept = kept.iter().map(|it| (it.suspect.request_hash, &it.suspect));
+    let kept: HashMap<u64, &SuspectedRequest> = kept.collect();
     let entries = entry.peers.borrow().entries() as u64;
     let others = Millis(REWRITE_DELAY_PER_ENTRY.0 * entries);
     let others = others.min(MAX_REWRITE_DELAY);
     let known = entry.quarantine.borrow().ledger.snapshot(now);
     let known =
-        known.into_iter().filter(|it| it.crashes.len() >= WRITTEN_ENDS);
+        known.into_iter().filter(|it| it.crash_ids.len() >= WRITTEN_ENDS);
     for suspect in known {
-        let work = WorkDigest(suspect.work_digest);
+        let work = WorkDigest(suspect.request_hash);
         if kept.get(&work.0).is_some_and(|it| covers(it, &suspect)) {
             continue;
         }
@@ -493,16 +498,16 @@
 }
 
 /// Whether what the log keeps of a piece of work says all that is known.
-fn covers(kept: &Suspect, own: &Suspect) -> bool {
+fn covers(kept: &SuspectedRequest, own: &SuspectedRequest) -> bool {
     let tells = |it: &u64| {
-        kept.crashes.contains(it) || kept.excused_crashes.contains(it)
+        kept.crash_ids.contains(it) || kept.excused_crash_ids.contains(it)
     };
-    own.crashes.iter().all(tells)
+    own.crash_ids.iter().all(tells)
         && own
-            .excused_crashes
+            .excused_crash_ids
             .iter()
-            .all(|it| kept.excused_crashes.contains(it))
-        && kept.survived >= own.survived
+            .all(|it| kept.excused_crash_ids.contains(it))
+        && kept.survived_by_target >= own.survived_by_target
         && kept.rejected_for.is_some() >= own.rejected_for.is_some()
 }
 
@@ -554,7 +559,8 @@
     let suspect =
         entry.quarantine.borrow().ledger.suspect(work, Millis::now());
     // A suspension is over before others read it again.
-    let suspect = suspect.map(|it| Suspect { suspended_for: None, ..it });
+    let suspect =
+        suspect.map(|it| SuspectedRequest { suspension_left: None, ..it });
     let kept = suspect.map(|suspect| Kept { suspect, at: unix_now() });
     kept.map(|it| gossip::encode(&it)).unwrap_or_default()
 }
--- a/cowsliproad-direct/tests/entry/group_crashes.rs
+++ b/cowsliproad-direct/tests/entry/group_crashes.rs
@@ -75,7 +75,9 @@
     async fn lose(&self, rank: &Target) {
         let address = rank.listen_address().expect("it listened");
         for agents in &self.agents {
-            agents.change(|loads| loads.retain(|it| it.target != address));
+            agents.change(|loads| {
+                loads.retain(|it| it.engine_address != address)
+            });
         }
         for entry in &self.entries {
             tell_lost(address, entry.settings.peer_address()).await;
--- a/cowsliproad-direct/tests/entry/harness.rs
+++ b/cowsliproad-direct/tests/entry/harness.rs
@@ -350,9 +350,12 @@
 }
 
 /// Tells an entry what an agent does: that its engine's process is gone.
-pub async fn tell_lost(target: SocketAddr, entry: SocketAddr) {
+pub async fn tell_lost(engine_address: SocketAddr, entry: SocketAddr) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
-    let lost = Datagram::EngineExit(EngineExit { target, start_unix_ms: 0 });
+    let lost = Datagram::EngineExit(EngineExit {
+        engine_address,
+        engine_start_unix_ms: 0,
+    });
     let sent = socket.send_to(&gossip::encode(&lost), entry).await;
     sent.expect("it is sent");
 }
@@ -360,17 +363,17 @@
 /// What an idle engine's agent reports.
 pub fn report(target: &Target) -> EngineLoad {
     EngineLoad {
-        target: target.listen_address().expect("it listens"),
-        running: 0,
-        queued: 0,
-        pace_percent: 100,
-        group: "g".into(),
+        engine_address: target.listen_address().expect("it listens"),
+        running_requests: 0,
+        queued_requests: 0,
+        service_time_percent: 100,
+        group_name: "g".into(),
         group_epoch: 1,
-        forward_pass: 1,
+        last_forward_pass: 1,
         group_accepts_requests: true,
-        list_id: 0,
-        start_unix_ms: 0,
-        leaving: false,
+        target_list_id: 0,
+        engine_start_unix_ms: 0,
+        draining: false,
     }
 }
 
--- a/cowsliproad-direct/tests/entry/leaving.rs
+++ b/cowsliproad-direct/tests/entry/leaving.rs
@@ -129,8 +129,8 @@
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
     let tell = async |start: u64| {
         let load = EngineLoad {
-            leaving: true,
-            start_unix_ms: start,
+            draining: true,
+            engine_start_unix_ms: start,
             ..report(&targets[0])
         };
         let bytes = gossip::encode(&Datagram::Load(load));
--- a/cowsliproad-direct/tests/entry/streams.rs
+++ b/cowsliproad-direct/tests/entry/streams.rs
@@ -117,7 +117,9 @@
                 let loads = {
                     let mut loads = telling.loads.lock().expect("no panic");
                     if telling.going.load(Ordering::Relaxed) {
-                        loads.iter_mut().for_each(|it| it.forward_pass += 2);
+                        loads
+                            .iter_mut()
+                            .for_each(|it| it.last_forward_pass += 2);
                     }
                     loads.clone()
                 };
@@ -174,8 +176,8 @@
         if one.in_flight_streams() > 0 { (&one, &two) } else { (&two, &one) };
     agents.change(|loads| {
         let slow = slow.listen_address();
-        let load = loads.iter_mut().find(|it| Some(it.target) == slow);
-        load.expect("it is listed").pace_percent = 1_200;
+        let load = loads.iter_mut().find(|it| Some(it.engine_address) == slow);
+        load.expect("it is listed").service_time_percent = 1_200;
     });
     until("the slow rank is left", async || slow.in_flight_streams() == 0)
         .await;
@@ -229,7 +231,7 @@
     })
     .await;
     let gone = three.listen_address();
-    agents.change(|loads| loads.retain(|it| Some(it.target) != gone));
+    agents.change(|loads| loads.retain(|it| Some(it.engine_address) != gone));
     // Reports come ten times a second; silence is noticed after ten.
     sleep(Duration::from_millis(1_500)).await;
     let before = three.arrival_count();
--- a/cowsliproad-entry/src/links.rs
+++ b/cowsliproad-entry/src/links.rs
@@ -80,7 +80,7 @@
                 target.take_beat(beat, Millis::now());
                 push.compare(shared, &sender, offset).await;
             }
-            Frame::Suspects(suspects) => {
+            Frame::SuspectedRequests(suspects) => {
                 quarantine::hear(shared, target, suspects);
             }
             other => take(shared, &sender, &link, other).await,
--- a/cowsliproad-entry/src/quarantine.rs
+++ b/cowsliproad-entry/src/quarantine.rs
@@ -11,7 +11,7 @@
 use cowsliproad_kernel::{
     clock::Millis,
     code::{Code, Execution},
-    gossip::Suspect,
+    gossip::SuspectedRequest,
     sync::lock,
     wire::Failure,
 };
@@ -31,14 +31,18 @@
 }
 
 /// Takes in what an agent tells.
-pub fn hear(shared: &Shared, target: &Target, suspects: Vec<Suspect>) {
+pub fn hear(
+    shared: &Shared,
+    target: &Target,
+    suspects: Vec<SuspectedRequest>,
+) {
     let now = Millis::now();
     let mut ledger = lock(&shared.quarantine);
     ledger.evict_expired(now);
     for suspect in suspects {
         let work =
-            WorkDigest(suspect.work_digest).for_service(&target.service);
-        let suspect = Suspect { work_digest: work.0, ..suspect };
+            WorkDigest(suspect.request_hash).for_service(&target.service);
+        let suspect = SuspectedRequest { request_hash: work.0, ..suspect };
         let change = ledger.merge(&suspect, now);
         if matches!(
             change,
--- a/cowsliproad-kernel/src/gossip.rs
+++ b/cowsliproad-kernel/src/gossip.rs
@@ -1,10 +1,11 @@
-//! Gossip datagrams between entries, and between entries and the agents on
-//! the VMs of targets.
+//! Gossip datagrams between entry processes, and between entry processes and
+//! the agents on the VMs of targets.
 //!
 //! Datagrams are repeated or corrected within a second, so a lost datagram
 //! costs little and a stopped peer costs nothing, and there is no connection
 //! that can hang. Each datagram is one CBOR value. The configuration is large
-//! and must arrive complete, so entries fetch it from one another over HTTP.
+//! and must arrive complete, so entry processes fetch the configuration from
+//! one another over HTTP.
 
 use std::{
     collections::BTreeMap,
@@ -33,8 +34,8 @@
 
 /// Returns an identifier for a list of targets, which is never 0. An agent
 /// receives each list once, and later messages carry only its identifier:
-/// sending the lists of 72 engines to 72 agents from 31 entries every second
-/// made up nearly all traffic between availability zones.
+/// sending the lists of 72 engines to 72 agents from 31 entry processes every
+/// second made up nearly all traffic between availability zones.
 pub fn target_list_id(targets: &[SocketAddr]) -> u64 {
     let mut hasher = DefaultHasher::new();
     targets.hash(&mut hasher);
@@ -44,10 +45,10 @@
 /// The largest datagram that is received.
 pub const MAX_DATAGRAM_BYTES: usize = 60_000;
 
-/// A datagram that an entry can receive.
+/// A datagram that an entry process can receive.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Datagram {
-    /// State that another entry broadcasts.
+    /// The gossip message of another entry process.
     #[serde(rename = "d")]
     Digest(GossipDigest),
     /// The load report of an engine, sent by its agent.
@@ -56,7 +57,8 @@
     /// The report of an agent that its engine's process is gone.
     #[serde(rename = "x")]
     EngineExit(EngineExit),
-    /// The request of an entry for a permit to send to a rate-limited target.
+    /// The request of another entry process for a permit to send to a
+    /// rate-limited target.
     #[serde(rename = "p")]
     PermitRequest(PermitRequest),
     /// The reply to a request for a permit.
@@ -64,56 +66,60 @@
     PermitReply(PermitReply),
 }
 
-/// The gossip message that entries broadcast to one another.
+/// The gossip message that entry processes broadcast to one another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct GossipDigest {
     /// The name of the sender's VM.
     #[serde(rename = "v")]
-    pub vm: Name,
+    pub sender_vm: Name,
     /// The address at which the sender receives datagrams and HTTP requests
-    /// from other entries.
+    /// from other entry processes.
     #[serde(rename = "a")]
-    pub address: SocketAddr,
+    pub sender_address: SocketAddr,
     /// The version of the configuration that the sender uses; 0 for none.
     #[serde(rename = "c")]
     pub config_version: u64,
     /// The highest era of the platform's log that the sender has observed.
     #[serde(rename = "y", default)]
     pub log_era: LogEra,
-    /// The time since the targets were last read from the log in the era
-    /// `log_era`, by the sender or by an entry whose digests reached it, in
+    /// The time since the sender, or an entry process whose gossip reached the
+    /// sender, last read the targets from the log in the era `log_era`, in
     /// milliseconds.
     #[serde(rename = "r")]
     pub targets_read_age_ms: u64,
     /// The highest log offset in the era `log_era` at which the sender knows
     /// that the targets changed.
     #[serde(rename = "n")]
-    pub last_change_offset: u64,
+    pub last_target_change_offset: u64,
     /// Targets that the sender recently saw leave for good, each with its
     /// start time as a Unix millisecond.
     #[serde(rename = "l")]
-    pub departed: Vec<(Name, u64)>,
+    pub departed_targets: Vec<(Name, u64)>,
     /// Targets whose announcements recently expired or were deleted in the
     /// log, each with its start time as a Unix millisecond and the sequence
     /// number of its last announcement.
     #[serde(rename = "w")]
-    pub withdrawn: Vec<(Name, u64, u64)>,
-    /// Other entries whose digests recently reached the sender.
+    pub withdrawn_targets: Vec<(Name, u64, u64)>,
+    /// Other entry processes whose gossip recently reached the sender.
     #[serde(rename = "p")]
     pub peers: Vec<SocketAddr>,
     /// The sender's availability zone.
-    #[serde(rename = "z", default = "nowhere")]
-    pub zone: Name,
+    #[serde(rename = "z", default = "unreported_zone")]
+    pub sender_zone: Name,
     /// Quarantined requests, and recent changes to what the sender knows about
     /// crash-inducing requests.
-    #[serde(rename = "q", default, skip_serializing_if = "Suspects::is_none")]
-    pub suspects: Suspects,
+    #[serde(
+        rename = "q",
+        default,
+        skip_serializing_if = "SuspectedRequests::is_empty"
+    )]
+    pub suspected_requests: SuspectedRequests,
     /// Identifiers of reported target crashes that turned out to be false.
     #[serde(rename = "b", default, skip_serializing_if = "Vec::is_empty")]
-    pub retracted_crashes: Vec<u64>,
+    pub retracted_crash_ids: Vec<u64>,
     /// Rate limits of targets, including limits that were recently lifted.
     #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
-    pub limits: Vec<RateLimit>,
+    pub rate_limits: Vec<RateLimit>,
 }
 
 /// The rate limit that a target last stated.
@@ -132,24 +138,25 @@
     pub requests_per_second: Option<f64>,
     /// For how long the rate limit has been in force, in milliseconds.
     #[serde(rename = "i")]
-    pub in_force_for: Millis,
+    pub rate_limit_age: Millis,
 }
 
-/// Asks another entry for a permit to send a request to a rate-limited target.
+/// Asks another entry process for a permit to send a request to a rate-limited
+/// target.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PermitRequest {
     /// Identifies the permit request; the reply repeats the same number.
     #[serde(rename = "n")]
     pub request_id: u64,
-    /// The target of the permit, with its rate limit as the asking entry knows
-    /// it.
+    /// The rate limit of the target, as the entry process that asks for the
+    /// permit knows the limit.
     #[serde(rename = "l")]
-    pub limit: RateLimit,
+    pub rate_limit: RateLimit,
     /// How long the caller's request can wait for the permit, in milliseconds.
     #[serde(rename = "w")]
-    pub max_wait: Millis,
+    pub max_permit_wait: Millis,
     /// How many more times the permit request may be forwarded to another
-    /// entry.
+    /// entry process.
     #[serde(rename = "h")]
     pub forwards_left: u8,
 }
@@ -160,80 +167,82 @@
     /// Identifies the permit request that this is the reply to.
     #[serde(rename = "n")]
     pub request_id: u64,
-    /// The target of the permit, with its rate limit as the replying entry
-    /// knows it.
+    /// The rate limit of the target, as the entry process that replies knows
+    /// the limit.
     #[serde(rename = "l")]
-    pub limit: RateLimit,
+    pub rate_limit: RateLimit,
     /// Whether the permit to send a request to the target is granted.
     #[serde(rename = "g")]
-    pub granted: bool,
+    pub permit_granted: bool,
     /// The wait in milliseconds until a granted permit may be used, or until a
     /// rejected permit request may be retried.
     #[serde(rename = "w")]
-    pub wait: Millis,
+    pub permit_wait: Millis,
 }
 
-/// The availability zone of a digest whose sender reports none.
-fn nowhere() -> Name {
+/// Returns the empty name, which stands for the availability zone of a sender
+/// that reports none.
+fn unreported_zone() -> Name {
     "".into()
 }
 
 /// A request that is suspected of crashing the targets that run it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Suspect {
-    /// Identifies the request's content: a digest of the sender, the path and
-    /// the body.
+pub struct SuspectedRequest {
+    /// Identifies the request's content: a hash of the caller, the path and the
+    /// body.
     #[serde(rename = "w")]
-    pub work_digest: u64,
-    /// Target crashes attributed to the request, each identified by a digest
-    /// of the target's name and start time.
+    pub request_hash: u64,
+    /// Target crashes attributed to the request, each identified by a hash of
+    /// the target's name and start time.
     #[serde(rename = "e")]
-    pub crashes: Vec<u64>,
+    pub crash_ids: Vec<u64>,
     /// Crashes that no longer count against the suspected request, because
     /// some target completed it after they happened.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
-    pub excused_crashes: Vec<u64>,
+    pub excused_crash_ids: Vec<u64>,
     /// Whether some target is known to have survived the request, that is,
     /// completed it without a crash.
     #[serde(rename = "s")]
-    pub survived: bool,
+    pub survived_by_target: bool,
     /// The time since the suspected request was last received from a caller,
     /// in milliseconds.
     #[serde(rename = "i")]
-    pub since_last_seen: Millis,
+    pub since_last_received: Millis,
     /// For how long the suspected request has been rejected, in milliseconds;
-    /// `None` if it is accepted.
+    /// `None` if the request is accepted.
     #[serde(rename = "r")]
     pub rejected_for: Option<Millis>,
     /// For how much longer the suspected request is suspended, in
-    /// milliseconds; `None` if it isn't.
+    /// milliseconds; `None` if the request isn't suspended.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
-    pub suspended_for: Option<Millis>,
+    pub suspension_left: Option<Millis>,
 }
 
-/// Asks an agent to send load reports to the entry that sends this.
+/// Asks an agent to send load reports to the entry process that sends this
+/// message.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Subscribe {
-    /// The engines of the service, each with an agent on its VM. Empty if the
-    /// receiving agent has reported that it already has this list.
+pub struct LoadSubscription {
+    /// The addresses of the service's engines, each with an agent on its VM.
+    /// Empty if the receiving agent has reported that it already has this list.
     #[serde(rename = "t")]
     pub targets: Vec<SocketAddr>,
     /// The identifier of the list of engines; see [`target_list_id`].
     #[serde(rename = "l")]
-    pub list_id: u64,
+    pub target_list_id: u64,
     /// The number of sets of layers that have their own expert map.
     #[serde(rename = "s")]
     pub layer_sets: u16,
     /// The number of experts in each set of layers.
     #[serde(rename = "e")]
-    pub experts_per_set: u16,
+    pub experts_per_layer_set: u16,
     /// The number of expert slots on each rank in each set of layers.
     #[serde(rename = "p")]
-    pub slots_per_set: u16,
+    pub expert_slots_per_layer_set: u16,
     /// The number of experts in each set of layers that one map change may add
     /// to a rank.
     #[serde(rename = "n")]
-    pub max_new_experts_per_set: u16,
+    pub max_new_experts_per_layer_set: u16,
     /// How long a rank takes to copy an expert, in milliseconds.
     #[serde(rename = "c")]
     pub expert_copy_ms: u64,
@@ -242,44 +251,44 @@
     pub log_era: LogEra,
 }
 
-/// An agent's report to entries on the state of its engine.
+/// An agent's report to entry processes on the state of its engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EngineLoad {
     /// The address at which the engine listens.
     #[serde(rename = "a")]
-    pub target: SocketAddr,
+    pub engine_address: SocketAddr,
     /// The number of requests in the engine's current batch.
     #[serde(rename = "r")]
-    pub running: u32,
+    pub running_requests: u32,
     /// The number of requests that wait in the engine's queue.
     #[serde(rename = "q")]
-    pub queued: u32,
+    pub queued_requests: u32,
     /// How long the engine takes for its work, in percent of the usual time.
     #[serde(rename = "p")]
-    pub pace_percent: u32,
+    pub service_time_percent: u32,
     /// The name of the engine's group.
     #[serde(rename = "g")]
-    pub group: Name,
+    pub group_name: Name,
     /// The number of the group's current formation.
     #[serde(rename = "e")]
     pub group_epoch: u64,
     /// The number of the last forward pass that the engine began.
     #[serde(rename = "s")]
-    pub forward_pass: u64,
+    pub last_forward_pass: u64,
     /// Whether the engine's group accepts requests.
     #[serde(rename = "o")]
     pub group_accepts_requests: bool,
     /// The identifier of the list of engines that the agent has; 0 for none.
     #[serde(rename = "l")]
-    pub list_id: u64,
+    pub target_list_id: u64,
     /// When the engine started, as a Unix millisecond; 0 if the engine doesn't
     /// report its start time.
     #[serde(rename = "b", default)]
-    pub start_unix_ms: u64,
+    pub engine_start_unix_ms: u64,
     /// Whether the engine is draining, according to its last reply to the
     /// agent.
     #[serde(rename = "x", default, skip_serializing_if = "is_false")]
-    pub leaving: bool,
+    pub draining: bool,
 }
 
 fn is_false(value: &bool) -> bool {
@@ -287,84 +296,92 @@
 }
 
 /// Suspected requests, encoded compactly. Most often one target crashed while
-/// it ran many requests and nothing else is known of these: each such request
-/// takes 8 bytes instead of about 35.
+/// it ran many requests, and nothing else is known of these requests. Each of
+/// them then takes 8 bytes instead of about 35.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Suspects {
-    /// Requests to which one crash is attributed, as concatenated digests
-    /// keyed by the identifier of the crash.
+pub struct SuspectedRequests {
+    /// Requests of which only one crash is known: for each crash, its
+    /// identifier and the concatenated hashes of the requests.
     #[serde(rename = "o")]
-    single_crash: Vec<(u64, ByteBuf)>,
+    single_crash_requests: Vec<(u64, ByteBuf)>,
     /// All other suspected requests.
     #[serde(rename = "m")]
-    others: Vec<Suspect>,
+    other_requests: Vec<SuspectedRequest>,
 }
 
-/// The encoded size of the digest that identifies a request.
-const WORK_DIGEST_BYTES: usize = 8;
+/// The encoded size of the hash that identifies a suspected request.
+const REQUEST_HASH_BYTES: usize = 8;
 
 /// Whether nothing is known of a suspected request but the crashes attributed
 /// to it.
-fn has_only_crashes(suspect: &Suspect) -> bool {
-    !suspect.survived
-        && suspect.rejected_for.is_none()
-        && suspect.suspended_for.is_none()
+fn only_crashes_known(request: &SuspectedRequest) -> bool {
+    !request.survived_by_target
+        && request.rejected_for.is_none()
+        && request.suspension_left.is_none()
 }
 
-impl Suspects {
+impl SuspectedRequests {
     /// Encodes suspected requests compactly.
-    pub fn pack(suspects: Vec<Suspect>) -> Suspects {
-        let mut single_crash: BTreeMap<u64, ByteBuf> = BTreeMap::new();
-        let mut others = Vec::new();
-        for suspect in suspects {
-            match suspect.crashes[..] {
-                [crash] if has_only_crashes(&suspect) => {
-                    let digests = single_crash.entry(crash).or_default();
-                    digests
-                        .extend_from_slice(&suspect.work_digest.to_be_bytes());
+    pub fn pack(requests: Vec<SuspectedRequest>) -> SuspectedRequests {
+        let mut single_crash_requests: BTreeMap<u64, ByteBuf> =
+            BTreeMap::new();
+        let mut other_requests = Vec::new();
+        for request in requests {
+            match request.crash_ids[..] {
+                [crash] if only_crashes_known(&request) => {
+                    let hashes =
+                        single_crash_requests.entry(crash).or_default();
+                    hashes.extend_from_slice(
+                        &request.request_hash.to_be_bytes(),
+                    );
                 }
-                _ => others.push(suspect),
+                _ => other_requests.push(request),
             }
         }
-        Suspects { single_crash: single_crash.into_iter().collect(), others }
+        SuspectedRequests {
+            single_crash_requests: single_crash_requests.into_iter().collect(),
+            other_requests,
+        }
     }
 
     /// Whether there are no suspected requests.
-    pub fn is_none(&self) -> bool {
-        self.single_crash.is_empty() && self.others.is_empty()
+    pub fn is_empty(&self) -> bool {
+        self.single_crash_requests.is_empty() && self.other_requests.is_empty()
     }
 
     /// Decodes the suspected requests. A compactly encoded request counts as
     /// received just now, because it is broadcast for only a few seconds.
-    pub fn unpack(&self) -> impl Iterator<Item = Suspect> {
-        let single_crash =
-            self.single_crash.iter().flat_map(|(crash, digests)| {
-                digests.chunks_exact(WORK_DIGEST_BYTES).map(|digest| Suspect {
-                    work_digest: digest
-                        .iter()
-                        .fold(0, |value, byte| value << 8 | u64::from(*byte)),
-                    crashes: vec![*crash],
-                    excused_crashes: Vec::new(),
-                    survived: false,
-                    since_last_seen: Millis(0),
-                    rejected_for: None,
-                    suspended_for: None,
+    pub fn unpack(&self) -> impl Iterator<Item = SuspectedRequest> {
+        let single_crash_requests =
+            self.single_crash_requests.iter().flat_map(|(crash, hashes)| {
+                hashes.chunks_exact(REQUEST_HASH_BYTES).map(|hash| {
+                    SuspectedRequest {
+                        request_hash: hash.iter().fold(0, |value, byte| {
+                            value << 8 | u64::from(*byte)
+                        }),
+                        crash_ids: vec![*crash],
+                        excused_crash_ids: Vec::new(),
+                        survived_by_target: false,
+                        since_last_received: Millis(0),
+                        rejected_for: None,
+                        suspension_left: None,
+                    }
                 })
             });
-        single_crash.chain(self.others.iter().cloned())
+        single_crash_requests.chain(self.other_requests.iter().cloned())
     }
 }
 
-/// An agent's report to entries that its engine's process is gone. The agent
-/// runs on the same VM and reports this only when no process listens on the
-/// engine's port, so a network failure is not mistaken for a crash.
+/// An agent's report to entry processes that its engine's process is gone. The
+/// agent runs on the same VM and sends this report only when no process listens
+/// on the engine's port, so a network failure is not mistaken for a crash.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EngineExit {
     /// The address at which the engine listened.
     #[serde(rename = "a")]
-    pub target: SocketAddr,
+    pub engine_address: SocketAddr,
     /// When the engine had started, as a Unix millisecond; 0 if the engine
     /// didn't report its start time.
     #[serde(rename = "b")]
-    pub start_unix_ms: u64,
+    pub engine_start_unix_ms: u64,
 }
--- a/cowsliproad-kernel/src/wire.rs
+++ b/cowsliproad-kernel/src/wire.rs
@@ -13,7 +13,7 @@
     Name,
     clock::Millis,
     code::{Code, Execution},
-    gossip::Suspect,
+    gossip::SuspectedRequest,
     id,
 };
 
@@ -85,7 +85,7 @@
     PullConfig(u64),
     /// Requests that are suspected of crashing the agent's target.
     #[serde(rename = "sp")]
-    Suspects(Vec<Suspect>),
+    SuspectedRequests(Vec<SuspectedRequest>),
     /// Ticket records and stored answers of an agent that is shutting down.
     #[serde(rename = "ho")]
     Handover(Box<Handover>),
--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -13,7 +13,7 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    gossip::{self, Subscribe},
+    gossip::{self, LoadSubscription},
     position::{LogEra, LogPosition},
 };
 use cowsliproad_mapswitch::order::{
@@ -80,7 +80,7 @@
     /// Entries that asked for reports, and when.
     entries: BTreeMap<SocketAddr, Millis>,
     /// What entries say of the service.
-    shape: Option<Subscribe>,
+    shape: Option<LoadSubscription>,
     state: Option<EngineState>,
     /// Which start of the engine all below is of.
     start: Option<u64>,
@@ -265,7 +265,7 @@
     }
 
     fn subscribe(&mut self, bytes: &[u8], from: SocketAddr) {
-        let Some(asked) = gossip::decode::<Subscribe>(bytes) else {
+        let Some(asked) = gossip::decode::<LoadSubscription>(bytes) else {
             warn!(self.log, "strange_datagram"; "from" => %from);
             return;
         };
@@ -277,7 +277,7 @@
         self.entries.retain(|_, heard| now.since(*heard) < FORGET_TIME);
         if !asked.targets.is_empty() {
             self.shape = Some(asked);
-        } else if asked.list_id != self.list() {
+        } else if asked.target_list_id != self.list() {
             // The next report says so, and the entry tells all again.
             self.last.load = Millis(0);
         }
@@ -326,7 +326,8 @@
             }
             Message::Choices(choices) => {
                 let shape = self.shape.as_ref();
-                let experts = shape.map_or(0, |it| it.experts_per_set.into());
+                let experts =
+                    shape.map_or(0, |it| it.experts_per_layer_set.into());
                 if let Some(lead) = &mut self.lead {
                     lead.count(choices, experts);
                 }
@@ -392,7 +393,7 @@
 
     /// The list of engines that it knows; 0 for none.
     fn list(&self) -> u64 {
-        self.shape.as_ref().map_or(0, |it| it.list_id)
+        self.shape.as_ref().map_or(0, |it| it.target_list_id)
     }
 
     fn report(&self) -> Option<&Report> {
--- a/cowsliproad-rank/src/agent/readings.rs
+++ b/cowsliproad-rank/src/agent/readings.rs
@@ -83,9 +83,9 @@
         let (Some(shape), Some(report)) = (&self.shape, self.report()) else {
             return;
         };
-        let experts = usize::from(shape.experts_per_set);
-        let numbers =
-            u64::from(shape.layer_sets) * u64::from(shape.experts_per_set);
+        let experts = usize::from(shape.experts_per_layer_set);
+        let numbers = u64::from(shape.layer_sets)
+            * u64::from(shape.experts_per_layer_set);
         let round = Millis(numbers * u64::from(report.ranks) / COUNT_RATE);
         let Some((_, to, _)) = self.word else { return };
         let (rank, ranks) = (report.rank, report.ranks);
--- a/cowsliproad-rank/src/agent/words.rs
+++ b/cowsliproad-rank/src/agent/words.rs
@@ -32,18 +32,18 @@
         };
         let report = state.report.as_ref();
         let load = Datagram::Load(EngineLoad {
-            target: self.settings.engine,
-            running: state.running_requests,
-            queued: state.queued_requests,
-            pace_percent: (state.slowdown_factor * 100.0) as u32,
-            group: state.group.clone().unwrap_or_else(|| "".into()),
+            engine_address: self.settings.engine,
+            running_requests: state.running_requests,
+            queued_requests: state.queued_requests,
+            service_time_percent: (state.slowdown_factor * 100.0) as u32,
+            group_name: state.group.clone().unwrap_or_else(|| "".into()),
             group_epoch: report.map_or(0, |it| it.epoch.0),
-            forward_pass: report.map_or(0, |it| it.step),
+            last_forward_pass: report.map_or(0, |it| it.step),
             group_accepts_requests: report
                 .is_none_or(|it| it.standing == Standing::Open),
-            list_id: self.list(),
-            start_unix_ms: state.start_unix_ms,
-            leaving: self.engine.is_leaving(),
+            target_list_id: self.list(),
+            engine_start_unix_ms: state.start_unix_ms,
+            draining: self.engine.is_leaving(),
         });
         self.say_to_entries(&load).await;
     }
@@ -53,10 +53,10 @@
         let (Some(start), Ended::Yes) = (self.start, self.engine_ended) else {
             return;
         };
-        let target = self.settings.engine;
+        let engine_address = self.settings.engine;
         self.say_to_entries(&Datagram::EngineExit(EngineExit {
-            target,
-            start_unix_ms: start,
+            engine_address,
+            engine_start_unix_ms: start,
         }))
         .await;
     }
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -7,7 +7,7 @@
     sync::Arc,
 };
 
-use cowsliproad_kernel::{clock::Millis, gossip::Subscribe};
+use cowsliproad_kernel::{clock::Millis, gossip::LoadSubscription};
 use cowsliproad_mapswitch::order::{
     Absent, Config, Coordinator, Directive, Event, Experts, Follows, Order,
     Snapshot, Standing, Version, due_at_holder,
@@ -170,7 +170,7 @@
     }
 
     /// Goes on by what all ranks report now.
-    pub fn advance(&mut self, shape: Option<&Subscribe>, now: Millis) {
+    pub fn advance(&mut self, shape: Option<&LoadSubscription>, now: Millis) {
         let snapshots = self.snapshots(now);
         let absent = self.absent(shape, now);
         let event = self.coordinator.advance(&snapshots, absent, now);
@@ -214,7 +214,7 @@
     }
 
     /// Who of the group is missing among them.
-    fn absent(&self, shape: Option<&Subscribe>, now: Millis) -> Absent {
+    fn absent(&self, shape: Option<&LoadSubscription>, now: Millis) -> Absent {
         let fresh = |it: &&(Status, Millis)| now.since(it.1) < FRESH;
         let fresh: Vec<&Status> =
             self.ranks.values().filter(fresh).map(|it| &it.0).collect();
@@ -299,24 +299,25 @@
     /// Begins a better map if there is one.
     fn consider(
         &mut self,
-        shape: &Subscribe,
+        shape: &LoadSubscription,
         snapshots: &[Snapshot],
         now: Millis,
     ) {
         let Some(loads) = self.demand.loads() else { return };
         let shape_of_map = Shape {
             ranks: snapshots.len(),
-            experts: usize::from(shape.experts_per_set),
+            experts: usize::from(shape.experts_per_layer_set),
             layers: usize::from(shape.layer_sets),
-            slots: usize::from(shape.slots_per_set),
+            slots: usize::from(shape.expert_slots_per_layer_set),
         };
         let Some(present) = self.present(shape_of_map, snapshots) else {
             return;
         };
-        let config =
-            live::Config::new(usize::from(shape.max_new_experts_per_set))
-                .with_burst(burst(Millis(shape.expert_copy_ms)))
-                .with_price(self.price);
+        let config = live::Config::new(usize::from(
+            shape.max_new_experts_per_layer_set,
+        ))
+        .with_burst(burst(Millis(shape.expert_copy_ms)))
+        .with_price(self.price);
         let speeds: Vec<f64> = self.ranks.values().map(speed).collect();
         let plan = live::plan(shape_of_map, config, &present, &loads, &speeds);
         let Some(plan) = plan else {
--- a/cowsliproad-rank/tests/group/main.rs
+++ b/cowsliproad-rank/tests/group/main.rs
@@ -16,7 +16,7 @@
 };
 
 use cowsliproad_kernel::gossip::{
-    self, Datagram, EngineExit, EngineLoad, Subscribe,
+    self, Datagram, EngineExit, EngineLoad, LoadSubscription,
 };
 use cowsliproad_platform::{SETTINGS_VARIABLE, log::COORDINATORS_TOPIC};
 use cowsliproad_platform_standin::{
@@ -119,13 +119,13 @@
     async fn ask(&self, targets: Vec<SocketAddr>) {
         let own = SocketAddr::from((vm(self.net, 200), PEERS));
         let socket = Arc::new(UdpSocket::bind(own).await.expect("a socket"));
-        let message = gossip::encode(&Subscribe {
-            list_id: gossip::target_list_id(&targets),
+        let message = gossip::encode(&LoadSubscription {
+            target_list_id: gossip::target_list_id(&targets),
             targets: targets.clone(),
             layer_sets: 2,
-            experts_per_set: EXPERTS as u16,
-            slots_per_set: 6,
-            max_new_experts_per_set: 2,
+            experts_per_layer_set: EXPERTS as u16,
+            expert_slots_per_layer_set: 6,
+            max_new_experts_per_layer_set: 2,
             expert_copy_ms: 0,
             log_era: Default::default(),
         });
@@ -296,7 +296,7 @@
     until("every agent reports", || {
         let loads = plant.loads.lock().expect("no panic");
         let mut targets: Vec<SocketAddr> =
-            loads.iter().map(|it| it.target).collect();
+            loads.iter().map(|it| it.engine_address).collect();
         targets.sort();
         targets.dedup();
         targets.len() == usize::from(RANKS)
@@ -408,7 +408,7 @@
     plant.ask(engines.clone()).await;
     let reports_of = |engine: SocketAddr| {
         let loads = plant.loads.lock().expect("no panic");
-        loads.iter().filter(|it| it.target == engine).count()
+        loads.iter().filter(|it| it.engine_address == engine).count()
     };
     until("every agent reports", || {
         engines.iter().all(|it| reports_of(*it) > 0)
@@ -418,7 +418,7 @@
     plant.group.kill_rank(2);
     let losts = || plant.losts.lock().expect("no panic").clone();
     until("it is said, and said again", || losts().len() > 2).await;
-    assert!(losts().iter().all(|it| it.target == engines[2]));
+    assert!(losts().iter().all(|it| it.engine_address == engines[2]));
     let before = reports_of(engines[2]);
     let others = reports_of(engines[1]);
     until("the others report", || reports_of(engines[1]) > others + 1).await;
@@ -457,11 +457,13 @@
     plant.ask(engines.clone()).await;
     let lost = || {
         let losts = plant.losts.lock().expect("no panic");
-        losts.iter().any(|it| it.target == engines[2])
+        losts.iter().any(|it| it.engine_address == engines[2])
     };
     until("every agent reports", || {
         let loads = plant.loads.lock().expect("no panic");
-        engines.iter().all(|it| loads.iter().any(|load| load.target == *it))
+        engines
+            .iter()
+            .all(|it| loads.iter().any(|load| load.engine_address == *it))
     })
     .await;
     plant.group.set_retry_after(2, Some("1000000000"));
@@ -485,7 +487,7 @@
     plant.group.set_leaving(1);
     let leaving = |engine: SocketAddr| {
         let loads = plant.loads.lock().expect("no panic");
-        loads.iter().any(|it| it.target == engine && it.leaving)
+        loads.iter().any(|it| it.engine_address == engine && it.draining)
     };
     until("it is said", || leaving(engines[1])).await;
     assert!(!leaving(engines[0]));
--- a/cowsliproad-rank/tests/lead.rs
+++ b/cowsliproad-rank/tests/lead.rs
@@ -1,7 +1,7 @@
 //! When a coordinator plans, without a network: reports and counts are given
 //! to it, and its word is what is looked at.
 
-use cowsliproad_kernel::{clock::Millis, gossip::Subscribe};
+use cowsliproad_kernel::{clock::Millis, gossip::LoadSubscription};
 use cowsliproad_mapswitch::order::{Aim, Arms, Epoch, Report, Seal, Version};
 use cowsliproad_rank::{
     lead::{Lead, Start},
@@ -41,13 +41,13 @@
             let status = self.status(rank);
             self.lead.take(status, self.now);
         }
-        let shape = Subscribe {
+        let shape = LoadSubscription {
             targets: Vec::new(),
-            list_id: 1,
+            target_list_id: 1,
             layer_sets: 1,
-            experts_per_set: EXPERTS as u16,
-            slots_per_set: 8,
-            max_new_experts_per_set: 2,
+            experts_per_layer_set: EXPERTS as u16,
+            expert_slots_per_layer_set: 8,
+            max_new_experts_per_layer_set: 2,
             log_era: Default::default(),
             expert_copy_ms: 400,
         };
--- a/tests/properties/quarantine.rs
+++ b/tests/properties/quarantine.rs
@@ -9,7 +9,7 @@
     },
     kernel::{
         clock::Millis,
-        gossip::{self, Suspect, Suspects},
+        gossip::{self, SuspectedRequest, SuspectedRequests},
     },
 };
 use cowsliproad_bench::experiment::quarantine::{Policy, SIZES, play};
@@ -105,8 +105,9 @@
     let mut now = NOW;
     while now < over {
         for from in 0..ledgers.len() {
-            let told =
-                Suspects::pack(ledgers[from].updates_and_suspensions(now));
+            let told = SuspectedRequests::pack(
+                ledgers[from].updates_and_suspensions(now),
+            );
             now = now + Millis(20);
             for ledger in &mut ledgers {
                 told.unpack().chain(first.clone()).for_each(|it| {
@@ -250,14 +251,14 @@
     }
     assert!(!is_refused(&other, innocent, NOW));
     // One who hasn't heard it tells of the end again.
-    let late = Suspect {
-        work_digest: innocent.0,
-        crashes: vec![end(1).0],
-        excused_crashes: Vec::new(),
-        survived: false,
-        since_last_seen: Millis(0),
+    let late = SuspectedRequest {
+        request_hash: innocent.0,
+        crash_ids: vec![end(1).0],
+        excused_crash_ids: Vec::new(),
+        survived_by_target: false,
+        since_last_received: Millis(0),
         rejected_for: None,
-        suspended_for: None,
+        suspension_left: None,
     };
     other.merge(&late, NOW + Millis(8_000));
     assert!(!is_refused(&other, innocent, NOW + Millis(8_000)));
@@ -369,9 +370,9 @@
     }
     let told = ledger.updates(NOW);
     assert!(told.len() <= 512, "{}", told.len());
-    let bytes = gossip::encode(&Suspects::pack(told.clone())).len();
+    let bytes = gossip::encode(&SuspectedRequests::pack(told.clone())).len();
     assert!(bytes < gossip::MAX_DATAGRAM_BYTES / 3, "{bytes}");
-    assert_eq!(told[0].work_digest, deadly.0);
+    assert_eq!(told[0].request_hash, deadly.0);
     assert!(ledger.case_count() <= 4_096, "{}", ledger.case_count());
     assert!(is_refused(&ledger, deadly, NOW));
 }
@@ -384,11 +385,11 @@
         ledger.record_crash(work(piece), end(target), NOW);
     }
     let mut told = ledger.updates(NOW);
-    let packed = gossip::encode(&Suspects::pack(told.clone()));
-    let packed: Suspects = gossip::decode(&packed).expect("suspects");
-    let mut unpacked: Vec<Suspect> = packed.unpack().collect();
-    told.sort_by_key(|it| it.work_digest);
-    unpacked.sort_by_key(|it| it.work_digest);
+    let packed = gossip::encode(&SuspectedRequests::pack(told.clone()));
+    let packed: SuspectedRequests = gossip::decode(&packed).expect("suspects");
+    let mut unpacked: Vec<SuspectedRequest> = packed.unpack().collect();
+    told.sort_by_key(|it| it.request_hash);
+    unpacked.sort_by_key(|it| it.request_hash);
     assert_eq!(told, unpacked);
 }
 
