--- a/cowsliproad-agent/src/ends.rs
+++ b/cowsliproad-agent/src/ends.rs
@@ -27,7 +27,7 @@
     gossip::SuspectedRequest,
     id,
     sync::lock,
-    wire::{Failure, Presence},
+    wire::{Failure, TargetPresence},
 };
 use slog::info;
 use tokio::{
@@ -81,7 +81,7 @@
     last: Option<(CrashId, Millis)>,
     /// Work that entries are to be told of.
     news: Vec<quarantine::WorkDigest>,
-    presence: Presence,
+    presence: TargetPresence,
     /// Whether entries are to be told of that.
     changed: bool,
     /// Work that was given up, and until when the target may go on with it.
@@ -108,7 +108,7 @@
     }
 
     /// Whether the target's process is there.
-    pub fn presence(&self) -> Presence {
+    pub fn presence(&self) -> TargetPresence {
         lock(&self.inner).presence
     }
 
@@ -161,13 +161,13 @@
 
     /// Notes whether the target's process is there. Returns whether that is
     /// new.
-    fn note(&self, presence: Presence) -> bool {
+    fn note(&self, presence: TargetPresence) -> bool {
         let mut inner = lock(&self.inner);
         let is_new = inner.presence != presence;
         inner.presence = presence;
         inner.changed |= is_new;
         drop(inner);
-        if presence == Presence::Gone {
+        if presence == TargetPresence::Gone {
             self.watch.notify_one();
         }
         is_new
@@ -187,7 +187,7 @@
     /// Whether the target is to be looked after.
     fn is_watched(&self) -> bool {
         let inner = lock(&self.inner);
-        inner.presence == Presence::Gone || !inner.left.is_empty()
+        inner.presence == TargetPresence::Gone || !inner.left.is_empty()
     }
 
     /// Notes that the target lived at a moment: what it had time for until
@@ -221,7 +221,7 @@
         (Execution::OutcomeUnknown, false) => Seen::Listens,
         // It was gone before this work came.
         (_, true) => {
-            note_presence(gate, Presence::Gone);
+            note_presence(gate, TargetPresence::Gone);
             Seen::Enough
         }
         (_, false) => Seen::Enough,
@@ -246,10 +246,10 @@
             let asked = Millis::now();
             if nobody_listens(&gate).await {
                 note_left(&gate);
-                note_presence(&gate, Presence::Gone);
+                note_presence(&gate, TargetPresence::Gone);
             } else {
                 gate.ends.lived(asked);
-                note_presence(&gate, Presence::Here);
+                note_presence(&gate, TargetPresence::Here);
             }
             links.tell_news();
             sleep(LOOK_TIME).await;
@@ -271,7 +271,7 @@
             () = changed => {}
             () = sleep(left.duration()) => {}
             () = until_ended(&gate) => {
-                note_presence(&gate, Presence::Gone);
+                note_presence(&gate, TargetPresence::Gone);
                 links.tell_news();
             }
         }
@@ -314,11 +314,11 @@
         "request" => %work.request, "work" => %kind,
         "target" => %gate.settings.target);
     gate.ends.ended(kind);
-    note_presence(gate, Presence::Gone);
+    note_presence(gate, TargetPresence::Gone);
 }
 
-fn note_presence(gate: &Gate, presence: Presence) {
-    if presence == Presence::Gone {
+fn note_presence(gate: &Gate, presence: TargetPresence) {
+    if presence == TargetPresence::Gone {
         gate.pace.forget();
     }
     if gate.ends.note(presence) {
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -28,8 +28,8 @@
     id,
     sync::lock,
     wire::{
-        AgentLoad, Answer, Cancel, Failure, Handover, Heartbeat, Phase,
-        Reclaim,
+        AgentLoad, CancelRequest, Failure, Handover, Heartbeat, ProcessPhase,
+        ReclaimAnswer, StoredAnswer,
     },
 };
 use opentelemetry::{
@@ -68,7 +68,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    phase: Phase,
+    phase: ProcessPhase,
     register: TicketRegister,
     inherited: HashMap<id::Incarnation, Inherited>,
     queue: Queue<Arc<Work>>,
@@ -120,7 +120,7 @@
     pub fn new(settings: Arc<Settings>, log: Logger, meter: &Meter) -> Gate {
         let queue = QueueConfig::new().with_capacity(settings.queue as usize);
         let inner = Inner {
-            phase: Phase::Serving,
+            phase: ProcessPhase::Serving,
             register: TicketRegister::new(settings.tickets as usize),
             inherited: HashMap::new(),
             queue: Queue::new(queue),
@@ -158,12 +158,15 @@
     }
 
     /// Finds kept or running work for its organisation.
-    pub fn reclaim(&self, reclaim: &Reclaim) -> Result<Arc<Work>, Failure> {
+    pub fn reclaim(
+        &self,
+        reclaim: &ReclaimAnswer,
+    ) -> Result<Arc<Work>, Failure> {
         self.find(reclaim.request, &reclaim.organisation)
     }
 
     /// Cancels work at its caller's wish.
-    pub fn cancel(&self, cancel: &Cancel) -> Failure {
+    pub fn cancel(&self, cancel: &CancelRequest) -> Failure {
         let work = match self.find(cancel.request, &cancel.organisation) {
             Ok(work) => work,
             Err(failure) => return failure,
@@ -250,14 +253,14 @@
     pub fn beat(&self, offset: u64) -> Heartbeat {
         let inner = self.lock();
         Heartbeat {
-            name: self.settings.name.clone(),
+            sender_name: self.settings.name.clone(),
             incarnation: self.incarnation,
             sender_clock: Millis::now(),
             phase: inner.phase,
             load: inner.load(self.speed(&inner)),
             presence: self.ends.presence(),
-            cooldown: self.pace.cooldown(Millis::now()),
-            inherited_incarnations: inner.inherited.keys().copied().collect(),
+            target_cooldown: self.pace.cooldown(Millis::now()),
+            taken_over_incarnations: inner.inherited.keys().copied().collect(),
             next_config_offset: offset,
         }
     }
@@ -265,13 +268,13 @@
     /// Takes in nothing new from now on.
     pub fn leave(&self) {
         let mut inner = self.lock();
-        inner.phase = Phase::Leaving;
+        inner.phase = ProcessPhase::Leaving;
         info!(self.log, "leave";
             "queued" => inner.queue.len(), "running" => inner.running);
     }
 
     /// Whether it takes new work.
-    pub fn phase(&self) -> Phase {
+    pub fn phase(&self) -> ProcessPhase {
         self.lock().phase
     }
 
@@ -314,7 +317,7 @@
     ) {
         let now = Millis::now();
         let mut inner = self.lock();
-        for answer in handover.answers {
+        for answer in handover.stored_answers {
             let work = Arc::new(Work::finished(answer));
             inner.keep(&work, now);
             inner.works.insert(work.request, work);
@@ -403,7 +406,7 @@
     /// The records, its own and inherited ones.
     pub registers: Vec<Sealed>,
     /// The kept answers.
-    pub answers: Vec<Answer>,
+    pub answers: Vec<StoredAnswer>,
 }
 
 /// The sealed records of one agent process.
@@ -435,12 +438,12 @@
 impl Inner {
     fn load(&self, speed: ServiceRate) -> AgentLoad {
         AgentLoad {
-            queued: self.queue.len() as u32,
-            running: self.running,
-            slots: speed.slots,
+            queued_requests: self.queue.len() as u32,
+            running_requests: self.running,
+            target_slots: speed.slots,
             // Entries go by how fast the queue empties.
-            mean_service_us: speed.effective_service_us(),
-            accepted_total: self.count,
+            mean_service_time_us: speed.effective_service_us(),
+            accepted_requests_total: self.count,
         }
     }
 
--- a/cowsliproad-agent/src/gate/submit.rs
+++ b/cowsliproad-agent/src/gate/submit.rs
@@ -11,7 +11,7 @@
 use cowsliproad_kernel::{
     clock::Millis,
     code::{Code, Execution},
-    wire::{Failure, Phase, Submit, SubmitMode},
+    wire::{Failure, ProcessPhase, SubmitMode, SubmitRequest},
 };
 use slog::{debug, info};
 
@@ -28,7 +28,10 @@
 
 impl Gate {
     /// Takes work in, or finds what an earlier submission left of it.
-    pub fn submit(&self, submit: &Submit) -> Result<Arc<Work>, Failure> {
+    pub fn submit(
+        &self,
+        submit: &SubmitRequest,
+    ) -> Result<Arc<Work>, Failure> {
         let now = Millis::now();
         let mut inner = self.lock();
         let outcome = match &submit.ticket {
@@ -61,11 +64,11 @@
         &self,
         inner: &mut Inner,
         text: &[u8],
-        submit: &Submit,
+        submit: &SubmitRequest,
         now: Millis,
     ) -> Result<Arc<Work>, Failure> {
         let ticket = self.open(text, submit)?;
-        let leaving = inner.phase == Phase::Leaving;
+        let leaving = inner.phase == ProcessPhase::Leaving;
         let recalled = submit.mode == SubmitMode::ReportOnly;
         let verdict = if ticket.incarnation == self.incarnation {
             if leaving || recalled {
@@ -113,7 +116,7 @@
     fn submit_plain(
         &self,
         inner: &mut Inner,
-        submit: &Submit,
+        submit: &SubmitRequest,
         now: Millis,
     ) -> Result<Arc<Work>, Failure> {
         let key = submit.idempotency_key.as_ref();
@@ -139,7 +142,7 @@
         if submit.mode == SubmitMode::ReportOnly {
             return Err(QUARANTINED);
         }
-        if inner.phase == Phase::Leaving {
+        if inner.phase == ProcessPhase::Leaving {
             return Err(Failure::new(Code::Leaving, Execution::NotRun));
         }
         let work = self.enqueue(inner, submit, now)?;
@@ -153,7 +156,7 @@
     fn enqueue(
         &self,
         inner: &mut Inner,
-        submit: &Submit,
+        submit: &SubmitRequest,
         now: Millis,
     ) -> Result<Arc<Work>, Failure> {
         let work = Arc::new(Work::new(submit, now));
@@ -183,7 +186,11 @@
         Ok(work)
     }
 
-    fn open(&self, text: &[u8], submit: &Submit) -> Result<Ticket, Failure> {
+    fn open(
+        &self,
+        text: &[u8],
+        submit: &SubmitRequest,
+    ) -> Result<Ticket, Failure> {
         let forged = Failure::new(Code::ForgedToken, Execution::NotForwarded);
         let text = std::str::from_utf8(text).map_err(|_| forged)?;
         let ticket =
--- a/cowsliproad-agent/src/handover.rs
+++ b/cowsliproad-agent/src/handover.rs
@@ -13,7 +13,7 @@
 use cowsliproad_kernel::{
     clock::Millis,
     id,
-    wire::{Answer, Frame, Handover, Role},
+    wire::{Frame, Handover, ProcessRole, StoredAnswer},
 };
 use cowsliproad_net::link::{self, Identity, Sender};
 use slog::{info, warn};
@@ -103,7 +103,7 @@
 
 async fn hand_to(agent: &Agent, peer: &Target, estate: &Estate) -> bool {
     let identity = Identity {
-        role: Role::Agent,
+        role: ProcessRole::Agent,
         name: agent.settings.name.clone(),
         zone: agent.settings.zone.clone(),
         key: agent.settings.key.0,
@@ -114,7 +114,7 @@
     else {
         return false;
     };
-    if beat.phase != cowsliproad_kernel::wire::Phase::Serving {
+    if beat.phase != cowsliproad_kernel::wire::ProcessPhase::Serving {
         return false;
     }
     let sent = send(&sender, estate).await;
@@ -137,21 +137,21 @@
         let handover = Handover {
             incarnation: own,
             sender_clock: Millis(0),
-            tickets: Vec::new(),
-            answers: chunk,
+            encoded_tickets: Vec::new(),
+            stored_answers: chunk,
             has_more: true,
         };
         sender.send(Frame::Handover(Box::new(handover))).await.ok()?;
     }
     // The process's own records go last, since they end the handover.
     for (index, sealed) in estate.registers.iter().enumerate().rev() {
-        let mut tickets = Vec::new();
-        ciborium::into_writer(&sealed.register, &mut tickets).ok()?;
+        let mut encoded_tickets = Vec::new();
+        ciborium::into_writer(&sealed.register, &mut encoded_tickets).ok()?;
         let handover = Handover {
             incarnation: sealed.incarnation,
             sender_clock: sealed.clock,
-            tickets,
-            answers: Vec::new(),
+            encoded_tickets,
+            stored_answers: Vec::new(),
             has_more: index > 0,
         };
         sender.send(Frame::Handover(Box::new(handover))).await.ok()?;
@@ -159,7 +159,7 @@
     Some(own)
 }
 
-fn chunks(answers: &[Answer]) -> Vec<Vec<Answer>> {
+fn chunks(answers: &[StoredAnswer]) -> Vec<Vec<StoredAnswer>> {
     let mut chunks = Vec::new();
     let mut chunk = Vec::new();
     let mut size = 0;
--- a/cowsliproad-agent/src/http.rs
+++ b/cowsliproad-agent/src/http.rs
@@ -2,7 +2,7 @@
 
 use std::{io, net::SocketAddr, sync::Arc};
 
-use cowsliproad_kernel::wire::Phase;
+use cowsliproad_kernel::wire::ProcessPhase;
 use cowsliproad_net::{
     metrics::Metrics,
     reply,
@@ -40,8 +40,10 @@
         match request.uri().path() {
             "/livez" => reply::text(StatusCode::OK, "live\n"),
             "/readyz" => match self.gate.phase() {
-                Phase::Serving => reply::text(StatusCode::OK, "ready\n"),
-                Phase::Leaving => {
+                ProcessPhase::Serving => {
+                    reply::text(StatusCode::OK, "ready\n")
+                }
+                ProcessPhase::Leaving => {
                     reply::text(StatusCode::SERVICE_UNAVAILABLE, "leaving\n")
                 }
             },
--- a/cowsliproad-agent/src/links.rs
+++ b/cowsliproad-agent/src/links.rs
@@ -19,8 +19,8 @@
     id,
     sync::lock,
     wire::{
-        self, Accepted, AnswerData, AnswerEnd, Frame, Handover, Phase,
-        Reclaim, Refusal, Submit,
+        self, AnswerData, AnswerEnd, AttemptRefusal, Frame, Handover,
+        ProcessPhase, ReclaimAnswer, RequestAccepted, SubmitRequest,
     },
 };
 use cowsliproad_net::link::{self, Receiver, Sender};
@@ -187,15 +187,15 @@
 
     async fn take(&mut self, frame: Frame) {
         match frame {
-            Frame::Submit(submit) => self.submit(*submit),
-            Frame::Reclaim(reclaim) => self.reclaim(&reclaim),
-            Frame::Ack(ack) => {
+            Frame::SubmitRequest(submit) => self.submit(*submit),
+            Frame::ReclaimAnswer(reclaim) => self.reclaim(&reclaim),
+            Frame::AnswerAck(ack) => {
                 if let Some(listener) = self.attempts.get(&ack.attempt) {
                     listener.window.open(ack.delivered_bytes);
                 }
             }
             Frame::Detach(attempt) => self.detach(attempt),
-            Frame::Cancel(cancel) => {
+            Frame::CancelRequest(cancel) => {
                 let failure = self.links.gate.cancel(&cancel);
                 self.refuse(cancel.attempt, failure);
             }
@@ -216,7 +216,7 @@
         }
     }
 
-    fn submit(&mut self, submit: Submit) {
+    fn submit(&mut self, submit: SubmitRequest) {
         let attempt = submit.attempt;
         match self.links.gate.submit(&submit) {
             Ok(work) => self.listen(attempt, work, 0),
@@ -224,9 +224,11 @@
         }
     }
 
-    fn reclaim(&mut self, reclaim: &Reclaim) {
+    fn reclaim(&mut self, reclaim: &ReclaimAnswer) {
         match self.links.gate.reclaim(reclaim) {
-            Ok(work) => self.listen(reclaim.attempt, work, reclaim.first_byte),
+            Ok(work) => {
+                self.listen(reclaim.attempt, work, reclaim.first_byte_offset)
+            }
             Err(failure) => self.refuse(reclaim.attempt, failure),
         }
     }
@@ -269,9 +271,9 @@
     async fn inherit(&self, handover: Handover) {
         let incarnation = handover.incarnation;
         let more = handover.has_more;
-        let register = match handover.tickets.is_empty() {
+        let register = match handover.encoded_tickets.is_empty() {
             true => None,
-            false => crate::handover::decode(&handover.tickets),
+            false => crate::handover::decode(&handover.encoded_tickets),
         };
         self.links.gate.inherit(handover, register);
         if !more {
@@ -331,20 +333,22 @@
 
 impl Reader {
     async fn run(self, from: u64) {
-        let accepted =
-            Accepted { attempt: self.attempt, request: self.work.request };
-        if self.sender.send(Frame::Accepted(accepted)).await.is_err() {
+        let accepted = RequestAccepted {
+            attempt: self.attempt,
+            request: self.work.request,
+        };
+        if self.sender.send(Frame::RequestAccepted(accepted)).await.is_err() {
             return;
         }
         let mut sent = from;
-        let mut sequence = 0;
+        let mut frame_sequence = 0;
         loop {
             match self.work.next(sent, PIECE).await {
                 Piece::Bytes(bytes) => {
                     sent += bytes.len() as u64;
                     let attempt = self.attempt;
-                    let data = AnswerData { attempt, sequence, bytes };
-                    sequence += 1;
+                    let data = AnswerData { attempt, frame_sequence, bytes };
+                    frame_sequence += 1;
                     if self.sender.send(Frame::Data(data)).await.is_err() {
                         return;
                     }
@@ -354,7 +358,7 @@
                     if matches!(ending, Ending::Failed(_)) {
                         self.links.tell_news();
                     }
-                    let frame = self.ending(ending, sequence);
+                    let frame = self.ending(ending, frame_sequence);
                     let _ = self.sender.send(frame).await;
                     self.report_load().await;
                     return;
@@ -365,15 +369,15 @@
         }
     }
 
-    fn ending(&self, ending: Ending, sequence: u32) -> Frame {
+    fn ending(&self, ending: Ending, frame_sequence: u32) -> Frame {
         match ending {
             Ending::Whole { format, length, digest } => {
                 Frame::End(AnswerEnd {
                     attempt: self.attempt,
-                    data_frames: sequence,
+                    data_frames: frame_sequence,
                     format,
                     length,
-                    digest: digest.to_vec(),
+                    answer_blake3_digest: digest.to_vec(),
                 })
             }
             Ending::Failed(failure) => refusal(self.attempt, failure),
@@ -384,8 +388,8 @@
     /// fresher reports than the heartbeat alone.
     async fn report_load(&self) {
         let beat = self.links.gate.beat(self.links.replica.next());
-        if beat.phase == Phase::Serving
-            && beat.load.accepted_total.is_multiple_of(4)
+        if beat.phase == ProcessPhase::Serving
+            && beat.load.accepted_requests_total.is_multiple_of(4)
         {
             let _ = self.sender.send(Frame::Heartbeat(beat)).await;
         }
@@ -393,7 +397,7 @@
 }
 
 fn refusal(attempt: id::Attempt, failure: wire::Failure) -> Frame {
-    Frame::Refusal(Refusal {
+    Frame::AttemptRefusal(AttemptRefusal {
         attempt,
         code: failure.code,
         ran: failure.ran,
--- a/cowsliproad-agent/src/replica.rs
+++ b/cowsliproad-agent/src/replica.rs
@@ -35,7 +35,9 @@
     /// Folds records in; the answer asks for a snapshot after a gap.
     pub fn records(&self, records: &ConfigRecords) -> Option<Frame> {
         let mut state = self.lock();
-        for (offset, bytes) in (records.first_offset..).zip(&records.records) {
+        for (offset, bytes) in
+            (records.first_offset..).zip(&records.encoded_records)
+        {
             if let Err(gap) = state.apply(offset, bytes) {
                 return Some(Frame::PullConfig(gap.expected));
             }
@@ -49,7 +51,7 @@
         if snapshot.next_offset <= state.next() {
             return;
         }
-        if let Some(other) = fold::decode_state(&snapshot.state) {
+        if let Some(other) = fold::decode_state(&snapshot.encoded_config) {
             state.advance(other);
         }
     }
@@ -60,7 +62,7 @@
         (state.next() > next).then(|| {
             Frame::ConfigSnapshot(ConfigSnapshot {
                 next_offset: state.next(),
-                state: fold::encode_state(&state),
+                encoded_config: fold::encode_state(&state),
             })
         })
     }
--- a/cowsliproad-agent/src/work.rs
+++ b/cowsliproad-agent/src/work.rs
@@ -20,8 +20,8 @@
     id,
     sync::lock,
     wire::{
-        Answer, AnswerFormat, Content, Failure, Persistence, Submit,
-        SubmitMode,
+        AnswerContent, AnswerFormat, Failure, RequestPersistence,
+        StoredAnswer, SubmitMode, SubmitRequest,
     },
 };
 use tokio::sync::Notify;
@@ -57,7 +57,7 @@
     pub priority: i64,
     /// The caller's idempotency key.
     pub key: Option<Name>,
-    persistence: Persistence,
+    persistence: RequestPersistence,
     progress: Mutex<Progress>,
     changed: Notify,
     cancelled: AtomicBool,
@@ -109,7 +109,7 @@
     }
 
     /// Work that has not started.
-    pub fn new(submit: &Submit, now: Millis) -> Work {
+    pub fn new(submit: &SubmitRequest, now: Millis) -> Work {
         Work {
             request: submit.request,
             organisation: submit.organisation.clone(),
@@ -132,8 +132,8 @@
     }
 
     /// Finished work that a peer hands over.
-    pub fn finished(answer: Answer) -> Work {
-        let submit = Submit {
+    pub fn finished(answer: StoredAnswer) -> Work {
+        let submit = SubmitRequest {
             attempt: id::Attempt(0),
             request: answer.request,
             organisation: answer.organisation,
@@ -142,7 +142,7 @@
             time_left: Millis(0),
             ticket: None,
             idempotency_key: None,
-            persistence: Persistence::Keep,
+            persistence: RequestPersistence::Keep,
             queue_weight: 1,
             body: Vec::new(),
             mode: SubmitMode::ReportOnly,
@@ -159,15 +159,16 @@
     }
 
     /// The finished answer as a peer takes it.
-    pub fn to_answer(&self) -> Option<Answer> {
+    pub fn to_answer(&self) -> Option<StoredAnswer> {
         let progress = self.lock();
         let result = match progress.ending.as_ref()? {
-            Ending::Whole { format, .. } => {
-                Ok(Content { format: *format, bytes: progress.bytes.clone() })
-            }
+            Ending::Whole { format, .. } => Ok(AnswerContent {
+                format: *format,
+                bytes: progress.bytes.clone(),
+            }),
             Ending::Failed(failure) => Err(*failure),
         };
-        Some(Answer {
+        Some(StoredAnswer {
             request: self.request,
             organisation: self.organisation.clone(),
             result,
@@ -267,7 +268,7 @@
     /// Whether anybody wants the answer.
     pub fn wanted(&self) -> Wanted {
         let listened = self.listeners.load(Ordering::Relaxed) > 0;
-        let kept = self.persistence == Persistence::Keep
+        let kept = self.persistence == RequestPersistence::Keep
             || self.repeat == Repeat::Never;
         if listened || kept { Wanted::Yes } else { Wanted::No }
     }
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -30,8 +30,8 @@
     id,
     plugin::inventory,
     wire::{
-        self, AgentLoad, Answer, AnswerFormat, Content, Frame, Heartbeat,
-        Phase, Presence, Urgency,
+        self, AgentLoad, AnswerContent, AnswerFormat, Frame, Heartbeat,
+        ProcessPhase, StoredAnswer, TargetPresence, Urgency,
     },
 };
 use cowsliproad_routing::choice;
@@ -262,20 +262,20 @@
 fn reports(figures: &mut Value) {
     let beat = |holds: usize| {
         Frame::Heartbeat(Heartbeat {
-            name: "engine-12".into(),
+            sender_name: "engine-12".into(),
             incarnation: id::Incarnation::random(),
             sender_clock: Millis(86_400_000),
-            phase: Phase::Serving,
+            phase: ProcessPhase::Serving,
             load: AgentLoad {
-                queued: 12,
-                running: 16,
-                slots: 16,
-                mean_service_us: 81_234,
-                accepted_total: 1_234_567,
+                queued_requests: 12,
+                running_requests: 16,
+                target_slots: 16,
+                mean_service_time_us: 81_234,
+                accepted_requests_total: 1_234_567,
             },
-            cooldown: Millis(0),
-            presence: Presence::Here,
-            inherited_incarnations: (0..holds)
+            target_cooldown: Millis(0),
+            presence: TargetPresence::Here,
+            taken_over_incarnations: (0..holds)
                 .map(|_| id::Incarnation::random())
                 .collect(),
             next_config_offset: 123_456,
@@ -305,10 +305,10 @@
         let before = meter::memory();
         let kept: Vec<Arc<Work>> = (0..count)
             .map(|index| {
-                Arc::new(Work::finished(Answer {
+                Arc::new(Work::finished(StoredAnswer {
                     request: id::Request(index as u64),
                     organisation: "organisation".into(),
-                    result: Ok(Content {
+                    result: Ok(AnswerContent {
                         format: AnswerFormat::Json,
                         bytes: vec![b'x'; 512],
                     }),
--- a/cowsliproad-entry/src/admin.rs
+++ b/cowsliproad-entry/src/admin.rs
@@ -280,9 +280,9 @@
             service: target.service.to_string().into(),
             zone: target.zone.to_string().into(),
             state: status.state.into(),
-            queued: status.load.queued,
-            running: status.load.running,
-            slots: status.load.slots,
+            queued: status.load.queued_requests,
+            running: status.load.running_requests,
+            slots: status.load.target_slots,
             report_age_ms: status.age.0,
             offset: status.offset,
         }
--- a/cowsliproad-entry/src/answer.rs
+++ b/cowsliproad-entry/src/answer.rs
@@ -146,8 +146,11 @@
             }
             Item::Done(end) => {
                 self.companion.ended(None);
-                let digest: String =
-                    end.digest.iter().map(|it| format!("{it:02x}")).collect();
+                let digest: String = end
+                    .answer_blake3_digest
+                    .iter()
+                    .map(|it| format!("{it:02x}"))
+                    .collect();
                 let format = match end.format {
                     AnswerFormat::Text => "text",
                     AnswerFormat::Json => "json",
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -18,7 +18,10 @@
     clock::Millis,
     code::{Code, Execution},
     id,
-    wire::{Cancel, Failure, Frame, Persistence, Phase, Urgency},
+    wire::{
+        CancelRequest, Failure, Frame, ProcessPhase, RequestPersistence,
+        Urgency,
+    },
 };
 use cowsliproad_net::{
     reply,
@@ -112,7 +115,7 @@
         shared.in_flight.fetch_add(1, Ordering::Relaxed);
         let guard = EntryGuard { shared: shared.clone() };
         let mut response = self.route(request, guard).await;
-        if shared.phase() == Phase::Leaving {
+        if shared.phase() == ProcessPhase::Leaving {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
         }
@@ -164,7 +167,7 @@
 
     fn ready(&self) -> Response {
         let view = self.shared.published.load();
-        if self.shared.phase() == Phase::Leaving {
+        if self.shared.phase() == ProcessPhase::Leaving {
             return reply::text(StatusCode::SERVICE_UNAVAILABLE, "stopping\n");
         }
         if view.services.is_empty() {
@@ -206,8 +209,8 @@
             ticket,
             key,
             persistence: match keep {
-                true => Persistence::Keep,
-                false => Persistence::Drop,
+                true => RequestPersistence::Keep,
+                false => RequestPersistence::Drop,
             },
             deadline: Millis::now() + checked.request_type.deadline_ms,
             body,
@@ -271,12 +274,12 @@
         let link = link.ok_or_else(gone)?;
         let attempt = id::Attempt::random();
         let mut events = link.listen(attempt);
-        let cancel = Cancel {
+        let cancel = CancelRequest {
             request: token.request,
             organisation: token.organisation,
             attempt,
         };
-        let sent = link.send(Frame::Cancel(cancel)).await;
+        let sent = link.send(Frame::CancelRequest(cancel)).await;
         sent.map_err(|_| gone())?;
         let answer = tokio::time::timeout(CANCEL_WAIT, events.recv()).await;
         link.forget(attempt);
--- a/cowsliproad-entry/src/control.rs
+++ b/cowsliproad-entry/src/control.rs
@@ -140,7 +140,9 @@
     }
 
     fn records(&mut self, records: ConfigRecords) {
-        for (offset, bytes) in (records.first_offset..).zip(records.records) {
+        for (offset, bytes) in
+            (records.first_offset..).zip(records.encoded_records)
+        {
             if offset < self.state.next() {
                 continue;
             }
@@ -163,7 +165,9 @@
         if snapshot.next_offset <= self.state.next() {
             return;
         }
-        let Some(other) = fold::decode_state(&snapshot.state) else { return };
+        let Some(other) = fold::decode_state(&snapshot.encoded_config) else {
+            return;
+        };
         if self.state.advance(other) == Progress::Advanced {
             self.recent.clear();
             info!(self.shared.log, "config_snapshot";
@@ -179,15 +183,16 @@
         let first = own - self.recent.len() as u64;
         if next >= first {
             let skip = (next - first) as usize;
-            let records = self.recent.iter().skip(skip).cloned().collect();
+            let encoded_records =
+                self.recent.iter().skip(skip).cloned().collect();
             return Some(Frame::ConfigRecords(ConfigRecords {
                 first_offset: next,
-                records,
+                encoded_records,
             }));
         }
         Some(Frame::ConfigSnapshot(ConfigSnapshot {
             next_offset: own,
-            state: fold::encode_state(&self.state),
+            encoded_config: fold::encode_state(&self.state),
         }))
     }
 
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -29,8 +29,8 @@
     code::{Code, Execution},
     id,
     wire::{
-        Ack, AnswerEnd, Failure, Frame, Persistence, Reclaim,
-        SEND_WINDOW_BYTES, Submit, SubmitMode,
+        AnswerAck, AnswerEnd, Failure, Frame, ReclaimAnswer,
+        RequestPersistence, SEND_WINDOW_BYTES, SubmitMode, SubmitRequest,
     },
 };
 use cowsliproad_relay::{AnswerAssembly, Progress};
@@ -101,7 +101,7 @@
     /// The caller's idempotency key.
     pub key: Option<Name>,
     /// Whether the work goes on when nobody listens.
-    pub persistence: Persistence,
+    pub persistence: RequestPersistence,
     /// When the answer has lost its use.
     pub deadline: Millis,
     /// The body.
@@ -235,15 +235,20 @@
             return self.fail(self.out_of_reach(token.incarnation));
         };
         let attempt = id::Attempt::random();
-        let reclaim = Reclaim {
+        let reclaim = ReclaimAnswer {
             attempt,
             request: token.request,
             organisation: token.organisation,
-            first_byte: from,
+            first_byte_offset: from,
         };
         let assembly = AnswerAssembly::starting_at(attempt, from);
-        self.send(target, Frame::Reclaim(reclaim), assembly, token.request)
-            .await;
+        self.send(
+            target,
+            Frame::ReclaimAnswer(reclaim),
+            assembly,
+            token.request,
+        )
+        .await;
     }
 
     /// Submits with the ticket to the process that it names.
@@ -309,7 +314,7 @@
         };
         let attempt = id::Attempt::random();
         let budget = self.deadline.since(Millis::now());
-        let submit = Submit {
+        let submit = SubmitRequest {
             attempt,
             request: order.request,
             organisation: order.organisation.clone(),
@@ -325,7 +330,7 @@
         };
         let request = order.request;
         self.attempts += 1;
-        let frame = Frame::Submit(Box::new(submit));
+        let frame = Frame::SubmitRequest(Box::new(submit));
         let assembly = AnswerAssembly::new(attempt);
         self.send(target, frame, assembly, request).await;
     }
@@ -475,11 +480,11 @@
             return;
         }
         attempt.acknowledged = reached;
-        let ack = Ack {
+        let ack = AnswerAck {
             attempt: attempt.assembly.attempt(),
             delivered_bytes: reached,
         };
-        let _ = attempt.link.try_send(Frame::Ack(ack));
+        let _ = attempt.link.try_send(Frame::AnswerAck(ack));
     }
 }
 
--- a/cowsliproad-entry/src/forward/failure.rs
+++ b/cowsliproad-entry/src/forward/failure.rs
@@ -8,7 +8,7 @@
     code::{Code, Execution},
     id,
     sync::lock,
-    wire::{Failure, Frame, Reclaim},
+    wire::{Failure, Frame, ReclaimAnswer},
 };
 use tokio::time::sleep;
 
@@ -58,15 +58,20 @@
             Task::Work(order) => order.organisation.clone(),
             Task::Kept { token, .. } => token.organisation.clone(),
         };
-        let reclaim = Reclaim {
+        let reclaim = ReclaimAnswer {
             attempt: next,
             request: attempt.request,
             organisation,
-            first_byte: attempt.assembly.length(),
+            first_byte_offset: attempt.assembly.length(),
         };
         let assembly = attempt.assembly.resume(next);
-        self.send(target, Frame::Reclaim(reclaim), assembly, attempt.request)
-            .await;
+        self.send(
+            target,
+            Frame::ReclaimAnswer(reclaim),
+            assembly,
+            attempt.request,
+        )
+        .await;
     }
 
     /// Decides what follows a failed attempt.
--- a/cowsliproad-entry/src/lib.rs
+++ b/cowsliproad-entry/src/lib.rs
@@ -41,7 +41,7 @@
 };
 
 use cowsliproad_admission::quarantine::CrashLedger;
-use cowsliproad_kernel::{clock::Millis, id, wire::Phase};
+use cowsliproad_kernel::{clock::Millis, id, wire::ProcessPhase};
 use cowsliproad_net::{
     client::Client,
     metrics::Metrics,
@@ -86,10 +86,10 @@
 
 impl Shared {
     /// Where the entry is in its life.
-    pub fn phase(&self) -> Phase {
+    pub fn phase(&self) -> ProcessPhase {
         match self.stopping.load(Ordering::Relaxed) {
-            true => Phase::Leaving,
-            false => Phase::Serving,
+            true => ProcessPhase::Leaving,
+            false => ProcessPhase::Serving,
         }
     }
 }
--- a/cowsliproad-entry/src/links.rs
+++ b/cowsliproad-entry/src/links.rs
@@ -8,7 +8,7 @@
 
 use cowsliproad_kernel::{
     clock::Millis,
-    wire::{AgentLoad, Frame, Heartbeat, Presence, Role},
+    wire::{AgentLoad, Frame, Heartbeat, ProcessRole, TargetPresence},
 };
 use cowsliproad_net::link::{self, Identity, Receiver, Sender};
 use slog::{debug, info};
@@ -254,21 +254,21 @@
 
 fn beat_of(shared: &Shared) -> Heartbeat {
     Heartbeat {
-        name: shared.settings.name.clone(),
+        sender_name: shared.settings.name.clone(),
         incarnation: shared.incarnation,
         sender_clock: Millis::now(),
         phase: shared.phase(),
         load: AgentLoad::default(),
-        cooldown: Millis(0),
-        presence: Presence::Here,
-        inherited_incarnations: Vec::new(),
+        target_cooldown: Millis(0),
+        presence: TargetPresence::Here,
+        taken_over_incarnations: Vec::new(),
         next_config_offset: shared.published.load().state.next(),
     }
 }
 
 fn identity(shared: &Shared) -> Identity {
     Identity {
-        role: Role::Entry,
+        role: ProcessRole::Entry,
         name: shared.settings.name.clone(),
         zone: shared.settings.zone.clone(),
         key: shared.settings.key.0,
--- a/cowsliproad-entry/src/log.rs
+++ b/cowsliproad-entry/src/log.rs
@@ -104,8 +104,9 @@
                 restore(&shared, page).await;
             }
             Some(page) => {
-                let next = page.first_offset + page.records.len() as u64;
-                if !page.records.is_empty() {
+                let next =
+                    page.first_offset + page.encoded_records.len() as u64;
+                if !page.encoded_records.is_empty() {
                     shared.control.tell(Event::Records(page)).await;
                     settle(&shared, next).await;
                 }
@@ -132,8 +133,9 @@
     let page: Page = serde_json::from_slice(answer.body()).ok()?;
     let decoded = page.records.iter().map(|it| STANDARD.decode(it));
     let records: Result<Vec<_>, _> = decoded.collect();
-    let records = records.ok()?.into_iter().map(ByteBuf::from).collect();
-    Some(ConfigRecords { first_offset: page.first, records })
+    let encoded_records =
+        records.ok()?.into_iter().map(ByteBuf::from).collect();
+    Some(ConfigRecords { first_offset: page.first, encoded_records })
 }
 
 /// Finds a snapshot when the records that come next have left the log. A
@@ -142,17 +144,19 @@
 async fn restore(shared: &Shared, mut page: ConfigRecords) {
     let oldest = page.first_offset;
     warn!(shared.log, "log_trimmed"; "first" => oldest);
-    while !page.records.is_empty() {
-        let states = page.records.iter().filter_map(|it| snapshot_in(it));
+    while !page.encoded_records.is_empty() {
+        let states =
+            page.encoded_records.iter().filter_map(|it| snapshot_in(it));
         let usable = states.filter(|it| it.next() >= oldest);
         if let Some(state) = usable.max_by_key(|it| it.next()) {
             let next = state.next();
-            let state = fold::encode_state(&state);
-            let snapshot = ConfigSnapshot { next_offset: next, state };
+            let encoded_config = fold::encode_state(&state);
+            let snapshot =
+                ConfigSnapshot { next_offset: next, encoded_config };
             shared.control.tell(Event::Snapshot(snapshot)).await;
             return settle(shared, next).await;
         }
-        let next = page.first_offset + page.records.len() as u64;
+        let next = page.first_offset + page.encoded_records.len() as u64;
         match read(shared, next, 0).await {
             Some(following) => page = following,
             None => break,
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -21,8 +21,8 @@
     id,
     sync::lock,
     wire::{
-        AgentLoad, AnswerData, AnswerEnd, Failure, Frame, Heartbeat, Phase,
-        Presence, Refusal,
+        AgentLoad, AnswerData, AnswerEnd, AttemptRefusal, Failure, Frame,
+        Heartbeat, ProcessPhase, TargetPresence,
     },
 };
 use cowsliproad_net::link::{SendError, Sender};
@@ -155,7 +155,7 @@
     /// Takes a heartbeat in.
     pub fn take_beat(&self, beat: Heartbeat, now: Millis) {
         let mut stats = lock(&self.stats);
-        stats.health.stated(now, beat.cooldown);
+        stats.health.stated(now, beat.target_cooldown);
         stats.beat = Some(beat);
         stats.beat_at = now;
         stats.sent_since = 0;
@@ -176,16 +176,18 @@
         linked
             && beat.is_some_and(|it| {
                 it.incarnation == incarnation
-                    || it.inherited_incarnations.contains(&incarnation)
+                    || it.taken_over_incarnations.contains(&incarnation)
             })
     }
 
     /// Whether new work may go there, leaving health aside.
     pub fn is_open(&self) -> bool {
         let stats = lock(&self.stats);
-        let serving =
-            stats.beat.as_ref().is_some_and(|it| it.phase == Phase::Serving);
-        let here = stats.presence() == Presence::Here;
+        let serving = stats
+            .beat
+            .as_ref()
+            .is_some_and(|it| it.phase == ProcessPhase::Serving);
+        let here = stats.presence() == TargetPresence::Here;
         drop(stats);
         serving
             && here
@@ -255,11 +257,11 @@
         let is_cooling = stats.health.cooldown_end(now).is_some();
         let state = match (linked, stats.presence(), open) {
             (false, _, _) => "unreachable",
-            (true, Presence::Gone, _) => "ended",
-            (true, Presence::Here, false) => "leaving",
-            (true, Presence::Here, true) if is_cooling => "cooling",
-            (true, Presence::Here, true) if is_ejected => "ejected",
-            (true, Presence::Here, true) => "serving",
+            (true, TargetPresence::Gone, _) => "ended",
+            (true, TargetPresence::Here, false) => "leaving",
+            (true, TargetPresence::Here, true) if is_cooling => "cooling",
+            (true, TargetPresence::Here, true) if is_ejected => "ejected",
+            (true, TargetPresence::Here, true) => "serving",
         };
         let beat = stats.beat.as_ref();
         Status {
@@ -273,8 +275,8 @@
 
 impl Stats {
     /// Whether the target's process is there, by its agent's last word.
-    fn presence(&self) -> Presence {
-        self.beat.as_ref().map_or(Presence::Here, |it| it.presence)
+    fn presence(&self) -> TargetPresence {
+        self.beat.as_ref().map_or(TargetPresence::Here, |it| it.presence)
     }
 }
 
@@ -317,10 +319,14 @@
     /// Gives a frame to its attempt, if it is for one.
     pub fn deliver(&self, frame: Frame) {
         let (attempt, event) = match frame {
-            Frame::Accepted(it) => (it.attempt, Event::Accepted(it.request)),
+            Frame::RequestAccepted(it) => {
+                (it.attempt, Event::Accepted(it.request))
+            }
             Frame::Data(it) => (it.attempt, Event::Data(it)),
             Frame::End(it) => (it.attempt, Event::End(it)),
-            Frame::Refusal(it) => (it.attempt, Event::Refused(failure(it))),
+            Frame::AttemptRefusal(it) => {
+                (it.attempt, Event::Refused(failure(it)))
+            }
             _ => return,
         };
         // An attempt that is not listened to any more is dropped here.
@@ -336,7 +342,7 @@
     }
 }
 
-fn failure(refusal: Refusal) -> Failure {
+fn failure(refusal: AttemptRefusal) -> Failure {
     Failure {
         code: refusal.code,
         ran: refusal.ran,
--- a/cowsliproad-kernel/src/wire.rs
+++ b/cowsliproad-kernel/src/wire.rs
@@ -1,4 +1,4 @@
-//! The messages between entries and agents.
+//! The messages between entry processes and agents.
 //!
 //! Each websocket message carries one [`Frame`] in CBOR. Field names are a
 //! single letter on the wire because every token of an answer is sent with
@@ -20,15 +20,15 @@
 /// The largest websocket message that a link accepts.
 pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
-/// Flow control: answer bytes that an agent may send before the entry
-/// acknowledges them.
+/// Flow control: answer bytes that an agent may send before the entry process
+/// acknowledges these bytes.
 pub const SEND_WINDOW_BYTES: u64 = 256 << 10;
 
 /// The length of a BLAKE3 digest.
-pub const DIGEST_BYTES: usize = 32;
+pub const BLAKE3_DIGEST_BYTES: usize = 32;
 
-/// A message between an entry and an agent; each websocket message carries one
-/// frame.
+/// A message between an entry process and an agent; each websocket message
+/// carries one frame.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Frame {
     /// The listener asks the dialling process to prove that it has the shared
@@ -43,24 +43,24 @@
     /// heartbeat.
     #[serde(rename = "we")]
     Welcome(Heartbeat),
-    /// The entry submits a request for the target.
+    /// The entry process submits a request for the target.
     #[serde(rename = "su")]
-    Submit(Box<Submit>),
-    /// The entry asks for a stored answer.
+    SubmitRequest(Box<SubmitRequest>),
+    /// The entry process asks for a stored answer.
     #[serde(rename = "rc")]
-    Reclaim(Reclaim),
-    /// The entry needs no more frames of this attempt.
+    ReclaimAnswer(ReclaimAnswer),
+    /// The entry process needs no more frames of this attempt.
     #[serde(rename = "de")]
     Detach(id::Attempt),
     /// The caller cancelled its request.
     #[serde(rename = "ca")]
-    Cancel(Cancel),
-    /// The entry has forwarded answer bytes to the caller.
+    CancelRequest(CancelRequest),
+    /// The entry process has forwarded answer bytes to the caller.
     #[serde(rename = "ak")]
-    Ack(Ack),
+    AnswerAck(AnswerAck),
     /// The agent has recorded the request and is responsible for its answer.
     #[serde(rename = "ac")]
-    Accepted(Accepted),
+    RequestAccepted(RequestAccepted),
     /// A chunk of the answer.
     #[serde(rename = "d")]
     Data(AnswerData),
@@ -69,7 +69,7 @@
     End(AnswerEnd),
     /// The attempt ended without an answer.
     #[serde(rename = "re")]
-    Refusal(Refusal),
+    AttemptRefusal(AttemptRefusal),
     /// A heartbeat with the sender's load.
     #[serde(rename = "be")]
     Heartbeat(Heartbeat),
@@ -105,8 +105,8 @@
 
 /// The kind of process that dials a link.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Role {
-    /// An entry, which accepts requests from callers.
+pub enum ProcessRole {
+    /// An entry process, which accepts requests from callers.
     Entry,
     /// An agent, which forwards requests to the target on its VM.
     Agent,
@@ -116,20 +116,20 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Hello {
     /// The kind of the dialling process.
-    pub role: Role,
+    pub role: ProcessRole,
     /// The name of the dialling process.
     pub name: Name,
     /// The availability zone of the dialling process.
     pub zone: Name,
     /// The hash of the challenge's nonce and the name, keyed with the shared
     /// key.
-    #[serde(with = "serde_bytes")]
-    pub proof: Vec<u8>,
+    #[serde(rename = "proof", with = "serde_bytes")]
+    pub key_proof: Vec<u8>,
 }
 
-/// Whether an agent or entry accepts new requests.
+/// Whether an agent or entry process accepts new requests.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Phase {
+pub enum ProcessPhase {
     /// The process accepts new requests.
     Serving,
     /// The process is draining: it only finishes requests that it accepted.
@@ -140,7 +140,7 @@
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize,
 )]
-pub enum Presence {
+pub enum TargetPresence {
     /// The target's process is running, as far as the agent knows.
     #[default]
     Here,
@@ -148,9 +148,9 @@
     Gone,
 }
 
-impl Presence {
+impl TargetPresence {
     fn is_here(&self) -> bool {
-        *self == Presence::Here
+        *self == TargetPresence::Here
     }
 }
 
@@ -159,7 +159,7 @@
 pub struct Heartbeat {
     /// The sender's name.
     #[serde(rename = "n")]
-    pub name: Name,
+    pub sender_name: Name,
     /// Identifies the sender's process start.
     #[serde(rename = "i")]
     pub incarnation: id::Incarnation,
@@ -168,21 +168,25 @@
     pub sender_clock: Millis,
     /// Whether the sender accepts new requests.
     #[serde(rename = "p")]
-    pub phase: Phase,
+    pub phase: ProcessPhase,
     /// The sender's load.
     #[serde(rename = "l")]
     pub load: AgentLoad,
     /// Whether the process of the sender's target is running.
-    #[serde(rename = "x", default, skip_serializing_if = "Presence::is_here")]
-    pub presence: Presence,
+    #[serde(
+        rename = "x",
+        default,
+        skip_serializing_if = "TargetPresence::is_here"
+    )]
+    pub presence: TargetPresence,
     /// For how long from now the target asked to receive no requests; zero
     /// without a cooldown.
     #[serde(rename = "c", default, skip_serializing_if = "is_zero")]
-    pub cooldown: Millis,
-    /// Agent processes that handed their tickets over to the sender before
-    /// they stopped.
+    pub target_cooldown: Millis,
+    /// Earlier agent processes that handed their tickets over to the sender
+    /// when they stopped.
     #[serde(rename = "h")]
-    pub inherited_incarnations: Vec<id::Incarnation>,
+    pub taken_over_incarnations: Vec<id::Incarnation>,
     /// The next offset of the configuration log that the sender needs.
     #[serde(rename = "o")]
     pub next_config_offset: u64,
@@ -197,19 +201,19 @@
 pub struct AgentLoad {
     /// Requests that wait in the agent's queue.
     #[serde(rename = "q")]
-    pub queued: u32,
+    pub queued_requests: u32,
     /// Requests that the target is processing.
     #[serde(rename = "r")]
-    pub running: u32,
+    pub running_requests: u32,
     /// The number of requests that the target processes at the same time.
     #[serde(rename = "s")]
-    pub slots: u32,
+    pub target_slots: u32,
     /// The mean time that a request occupies a slot, in microseconds.
     #[serde(rename = "u")]
-    pub mean_service_us: u32,
+    pub mean_service_time_us: u32,
     /// The number of requests accepted since the agent's process started.
     #[serde(rename = "c")]
-    pub accepted_total: u64,
+    pub accepted_requests_total: u64,
 }
 
 /// The priority class of a request.
@@ -237,11 +241,11 @@
 
 /// A request for the target.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Submit {
+pub struct SubmitRequest {
     /// The attempt that frames with the answer refer to.
     #[serde(rename = "a")]
     pub attempt: id::Attempt,
-    /// The caller's request.
+    /// The identifier of the caller's request.
     #[serde(rename = "r")]
     pub request: id::Request,
     /// The organisation that sent the request.
@@ -264,7 +268,7 @@
     pub idempotency_key: Option<Name>,
     /// Whether the request continues when no caller waits for its answer.
     #[serde(rename = "w")]
-    pub persistence: Persistence,
+    pub persistence: RequestPersistence,
     /// The organisation's weight in the fair queue.
     #[serde(rename = "h")]
     pub queue_weight: u32,
@@ -284,8 +288,8 @@
     /// Run the request, unless the agent accepted it before.
     #[default]
     Run,
-    /// Only report the outcome, if the agent accepted the request before.
-    /// Otherwise reject the request for good, because it crashes the targets
+    /// Report the outcome if the agent accepted the request before. Otherwise
+    /// reject the request for good, because the request crashes the targets
     /// that run it.
     #[serde(rename = "Recall")]
     ReportOnly,
@@ -293,34 +297,34 @@
 
 /// What happens to a request when no caller waits for its answer any more.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Persistence {
+pub enum RequestPersistence {
     /// The request continues without a caller, and its answer is stored.
     Keep,
-    /// The request is cancelled if it has not started when its last caller
-    /// leaves.
+    /// When its last caller leaves, the request is cancelled unless it has
+    /// started.
     Drop,
 }
 
 /// Asks for a stored answer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Reclaim {
+pub struct ReclaimAnswer {
     /// The attempt that frames with the answer refer to.
     #[serde(rename = "a")]
     pub attempt: id::Attempt,
-    /// The request whose answer is stored.
+    /// The identifier of the request whose answer is stored.
     #[serde(rename = "r")]
     pub request: id::Request,
     /// The organisation that asks for the answer.
     #[serde(rename = "o")]
     pub organisation: Name,
-    /// The offset of the first byte of the answer to send.
+    /// The offset in the answer of the first byte to send.
     #[serde(rename = "f")]
-    pub first_byte: u64,
+    pub first_byte_offset: u64,
 }
 
 /// The caller cancelled its request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Cancel {
+pub struct CancelRequest {
     /// The cancelled request.
     #[serde(rename = "r")]
     pub request: id::Request,
@@ -334,7 +338,7 @@
 
 /// Acknowledges answer bytes that were forwarded to the caller.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Ack {
+pub struct AnswerAck {
     /// The attempt whose answer is acknowledged.
     #[serde(rename = "a")]
     pub attempt: id::Attempt,
@@ -345,12 +349,13 @@
 
 /// The agent has recorded the request.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Accepted {
+pub struct RequestAccepted {
     /// The attempt whose request was recorded.
     #[serde(rename = "a")]
     pub attempt: id::Attempt,
-    /// The request under which the answer is stored. It is an earlier request
-    /// if the agent has already seen the idempotency key or ticket.
+    /// The identifier of the request under which the answer is stored: an
+    /// earlier request if the agent has already received the same idempotency
+    /// key or the same ticket of a request that must not run twice.
     #[serde(rename = "r")]
     pub request: id::Request,
 }
@@ -363,7 +368,7 @@
     pub attempt: id::Attempt,
     /// The sequence number of the data frame within the attempt, from zero.
     #[serde(rename = "s")]
-    pub sequence: u32,
+    pub frame_sequence: u32,
     /// The answer bytes of this chunk.
     #[serde(rename = "b", with = "serde_bytes")]
     pub bytes: Vec<u8>,
@@ -378,7 +383,7 @@
     Json,
 }
 
-/// Marks an answer as complete.
+/// The last frame of an answer, which marks the answer as complete.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AnswerEnd {
     /// The attempt that completed.
@@ -395,12 +400,12 @@
     pub length: u64,
     /// The BLAKE3 digest of the complete answer.
     #[serde(rename = "d", with = "serde_bytes")]
-    pub digest: Vec<u8>,
+    pub answer_blake3_digest: Vec<u8>,
 }
 
 /// The attempt ended without an answer.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Refusal {
+pub struct AttemptRefusal {
     /// The attempt that ended.
     #[serde(rename = "a")]
     pub attempt: id::Attempt,
@@ -422,7 +427,8 @@
     #[serde(rename = "first")]
     pub first_offset: u64,
     /// Encoded records, one for each offset.
-    pub records: Vec<serde_bytes::ByteBuf>,
+    #[serde(rename = "records")]
+    pub encoded_records: Vec<serde_bytes::ByteBuf>,
 }
 
 /// The configuration after all log records up to an offset were applied.
@@ -432,8 +438,8 @@
     #[serde(rename = "next")]
     pub next_offset: u64,
     /// The encoded configuration.
-    #[serde(with = "serde_bytes")]
-    pub state: Vec<u8>,
+    #[serde(rename = "state", with = "serde_bytes")]
+    pub encoded_config: Vec<u8>,
 }
 
 /// Ticket records and stored answers of an agent that is shutting down.
@@ -445,10 +451,11 @@
     #[serde(rename = "clock")]
     pub sender_clock: Millis,
     /// The encoded ticket records.
-    #[serde(with = "serde_bytes")]
-    pub tickets: Vec<u8>,
+    #[serde(rename = "tickets", with = "serde_bytes")]
+    pub encoded_tickets: Vec<u8>,
     /// A batch of the stored answers.
-    pub answers: Vec<Answer>,
+    #[serde(rename = "answers")]
+    pub stored_answers: Vec<StoredAnswer>,
     /// Whether more handover messages follow.
     #[serde(rename = "more")]
     pub has_more: bool,
@@ -456,18 +463,18 @@
 
 /// A stored answer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Answer {
+pub struct StoredAnswer {
     /// The request that was answered.
     pub request: id::Request,
     /// The organisation that owns the answer.
     pub organisation: Name,
     /// The content of the answer, or the reason why there is none.
-    pub result: Result<Content, Failure>,
+    pub result: Result<AnswerContent, Failure>,
 }
 
 /// The content of a complete answer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Content {
+pub struct AnswerContent {
     /// The format of the answer.
     pub format: AnswerFormat,
     /// The answer bytes.
--- a/cowsliproad-net/src/link.rs
+++ b/cowsliproad-net/src/link.rs
@@ -19,7 +19,7 @@
 
 use cowsliproad_kernel::{
     Name, secret,
-    wire::{self, Challenge, Frame, Heartbeat, Hello, Role},
+    wire::{self, Challenge, Frame, Heartbeat, Hello, ProcessRole},
 };
 use futures_util::{
     SinkExt, StreamExt,
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// The kind of the process.
-    pub role: Role,
+    pub role: ProcessRole,
     /// The name of the process.
     pub name: Name,
     /// The availability zone of the process.
@@ -182,7 +182,7 @@
         role: identity.role,
         name: identity.name.clone(),
         zone: identity.zone.clone(),
-        proof: handshake_proof(
+        key_proof: handshake_proof(
             &identity.key,
             &challenge.nonce,
             &identity.name,
@@ -243,7 +243,7 @@
         return Err(Error::Protocol("expected a hello frame"));
     };
     if !secret::constant_time_eq(
-        &hello.proof,
+        &hello.key_proof,
         &handshake_proof(key, &nonce, &hello.name),
     ) {
         return Err(Error::WrongKey);
--- a/cowsliproad-relay/src/lib.rs
+++ b/cowsliproad-relay/src/lib.rs
@@ -98,14 +98,16 @@
 
     /// Processes a data frame.
     pub fn push_data(&mut self, data: AnswerData) -> Progress {
-        if data.attempt != self.attempt || data.sequence < self.next_sequence {
+        if data.attempt != self.attempt
+            || data.frame_sequence < self.next_sequence
+        {
             return Progress::Pending;
         }
-        if data.sequence > self.next_sequence {
+        if data.frame_sequence > self.next_sequence {
             if self.out_of_order.len() == MAX_OUT_OF_ORDER_FRAMES {
                 return Progress::Broken;
             }
-            self.out_of_order.insert(data.sequence, data.bytes);
+            self.out_of_order.insert(data.frame_sequence, data.bytes);
             return Progress::Pending;
         }
         let mut bytes = data.bytes;
@@ -149,7 +151,9 @@
             return Completeness::Incomplete;
         }
         let digest_matches = match &self.hasher {
-            Some(hasher) => hasher.finalize().as_bytes() == &end.digest[..],
+            Some(hasher) => {
+                hasher.finalize().as_bytes() == &end.answer_blake3_digest[..]
+            }
             None => true,
         };
         if digest_matches
--- a/cowsliproad-routing/src/score.rs
+++ b/cowsliproad-routing/src/score.rs
@@ -33,7 +33,8 @@
 impl Candidate {
     /// Requests at the target now, as far as this entry can tell.
     pub fn occupancy(&self) -> u64 {
-        let reported = u64::from(self.load.queued + self.load.running);
+        let reported =
+            u64::from(self.load.queued_requests + self.load.running_requests);
         let now = (reported + u64::from(self.sent_since))
             .saturating_sub(u64::from(self.done_since));
         now.max(u64::from(self.in_flight))
@@ -41,8 +42,8 @@
 
     /// The predicted time to the first token, in microseconds.
     pub fn first_token_us(&self) -> u64 {
-        let slots = u64::from(self.load.slots.max(1));
-        let service = match u64::from(self.load.mean_service_us) {
+        let slots = u64::from(self.load.target_slots.max(1));
+        let service = match u64::from(self.load.mean_service_time_us) {
             0 => FIRST_GUESS_US,
             known => known,
         };
--- a/tests/properties/decoders.rs
+++ b/tests/properties/decoders.rs
@@ -8,14 +8,15 @@
         clock::Millis,
         id, settings,
         wire::{
-            self, AgentLoad, Frame, Heartbeat, Persistence, Phase, Presence,
-            Submit, SubmitMode, Urgency,
+            self, AgentLoad, Frame, Heartbeat, ProcessPhase,
+            RequestPersistence, SubmitMode, SubmitRequest, TargetPresence,
+            Urgency,
         },
     },
 };
 use proptest::prelude::*;
 
-fn submit() -> impl Strategy<Value = Submit> {
+fn submit() -> impl Strategy<Value = SubmitRequest> {
     (
         any::<[u64; 3]>(),
         ".{0,12}",
@@ -23,7 +24,7 @@
         prop::option::of(".{1,8}"),
         prop::collection::vec(any::<u8>(), 0..200),
     )
-        .prop_map(|(numbers, name, ticket, key, body)| Submit {
+        .prop_map(|(numbers, name, ticket, key, body)| SubmitRequest {
             attempt: id::Attempt(numbers[0]),
             request: id::Request(numbers[1]),
             organisation: name.as_str().into(),
@@ -32,7 +33,7 @@
             time_left: Millis(numbers[2]),
             ticket,
             idempotency_key: key.map(|it| it.as_str().into()),
-            persistence: Persistence::Keep,
+            persistence: RequestPersistence::Keep,
             queue_weight: 1,
             body,
             mode: match numbers[0] % 2 {
@@ -48,23 +49,25 @@
     #[test]
     fn frames_are_read_back(submit in submit(), load in any::<[u32; 4]>()) {
         let beat = Heartbeat {
-            name: "x".into(),
+            sender_name: "x".into(),
             incarnation: id::Incarnation(submit.request.0),
             sender_clock: submit.time_left,
-            phase: Phase::Leaving,
+            phase: ProcessPhase::Leaving,
             load: AgentLoad {
-                queued: load[0],
-                running: load[1],
-                slots: load[2],
-                mean_service_us: load[3],
-                accepted_total: 1,
+                queued_requests: load[0],
+                running_requests: load[1],
+                target_slots: load[2],
+                mean_service_time_us: load[3],
+                accepted_requests_total: 1,
             },
-            cooldown: Millis(u64::from(load[0])),
-            presence: Presence::Gone,
-            inherited_incarnations: vec![id::Incarnation(1)],
+            target_cooldown: Millis(u64::from(load[0])),
+            presence: TargetPresence::Gone,
+            taken_over_incarnations: vec![id::Incarnation(1)],
             next_config_offset: 3,
         };
-        for frame in [Frame::Submit(Box::new(submit)), Frame::Heartbeat(beat)] {
+        for frame in
+            [Frame::SubmitRequest(Box::new(submit)), Frame::Heartbeat(beat)]
+        {
             let bytes = wire::encode(&frame);
             prop_assert_eq!(wire::decode(&bytes), Some(frame));
         }
@@ -89,7 +92,7 @@
             1..6,
         ),
     ) {
-        let mut bytes = wire::encode(&Frame::Submit(Box::new(submit)));
+        let mut bytes = wire::encode(&Frame::SubmitRequest(Box::new(submit)));
         for (place, value) in changes {
             let place = place.index(bytes.len());
             bytes[place] = value;
--- a/tests/properties/relay.rs
+++ b/tests/properties/relay.rs
@@ -15,7 +15,7 @@
     let data = pieces.iter().enumerate().map(|(sequence, bytes)| {
         Frame::Data(AnswerData {
             attempt,
-            sequence: sequence as u32,
+            frame_sequence: sequence as u32,
             bytes: bytes.clone(),
         })
     });
@@ -24,7 +24,7 @@
         data_frames: pieces.len() as u32,
         format: AnswerFormat::Text,
         length: whole.len() as u64,
-        digest: blake3::hash(&whole).as_bytes().to_vec(),
+        answer_blake3_digest: blake3::hash(&whole).as_bytes().to_vec(),
     });
     data.chain([end]).collect()
 }
@@ -128,7 +128,7 @@
                 Frame::Data(data) => assembly.push_data(data),
                 Frame::End(end) => assembly.push_end(AnswerEnd {
                     length: pieces.concat().len() as u64,
-                    digest: digest(&pieces.concat()),
+                    answer_blake3_digest: digest(&pieces.concat()),
                     ..end
                 }),
                 _ => Progress::Pending,
--- a/tests/properties/routing.rs
+++ b/tests/properties/routing.rs
@@ -36,18 +36,18 @@
 
     #[test]
     fn more_work_at_a_target_never_makes_it_look_better(
-        queued in 0..200u32,
-        running in 0..64u32,
+        queued_requests in 0..200u32,
+        running_requests in 0..64u32,
         sent in 0..50u32,
-        slots in 1..64u32,
+        target_slots in 1..64u32,
         service_us in 1..1_000_000u32,
     ) {
         let load = AgentLoad {
-            queued,
-            running,
-            slots,
-            mean_service_us: service_us,
-            accepted_total: 0,
+            queued_requests,
+            running_requests,
+            target_slots,
+            mean_service_time_us: service_us,
+            accepted_requests_total: 0,
         };
         let less = Candidate { load, sent_since: sent, ..Candidate::default() };
         let more = Candidate { sent_since: sent + 1, ..less };
