--- a/cowsliproad-agent/src/adapter.rs
+++ b/cowsliproad-agent/src/adapter.rs
@@ -10,7 +10,7 @@
 
 use cowsliproad_kernel::{
     plugin::{self, inventory},
-    wire::{AnswerFormat, Failure},
+    wire::{AnswerFormat, RequestFailure},
 };
 use tokio::runtime::Handle;
 
@@ -40,7 +40,7 @@
         self.name
     }
 
-    fn about(&self) -> &'static str {
+    fn description(&self) -> &'static str {
         self.about
     }
 }
@@ -55,7 +55,7 @@
     fn call(
         &self,
         work: &Work,
-    ) -> impl Future<Output = Result<AnswerFormat, Failure>> + Send;
+    ) -> impl Future<Output = Result<AnswerFormat, RequestFailure>> + Send;
 }
 
 /// Starts taking work from a gate.
--- a/cowsliproad-agent/src/adapter/engine.rs
+++ b/cowsliproad-agent/src/adapter/engine.rs
@@ -11,7 +11,7 @@
     clock::Millis,
     code::{Code, Execution},
     plugin::inventory,
-    wire::{AnswerFormat, Failure},
+    wire::{AnswerFormat, RequestFailure},
 };
 use cowsliproad_net::client::Client;
 use http::{Request, Response, header};
@@ -64,19 +64,25 @@
         }
     }
 
-    async fn call(&self, work: &Work) -> Result<AnswerFormat, Failure> {
+    async fn call(&self, work: &Work) -> Result<AnswerFormat, RequestFailure> {
         tokio::select! {
             result = self.stream(work) => result,
             () = work.cancelled() => {
                 self.cancel(work).await;
-                Err(Failure::new(Code::Cancelled, Execution::OutcomeUnknown))
+                Err(RequestFailure::new(
+                    Code::Cancelled,
+                    Execution::OutcomeUnknown,
+                ))
             }
         }
     }
 }
 
 impl Engine {
-    async fn stream(&self, work: &Work) -> Result<AnswerFormat, Failure> {
+    async fn stream(
+        &self,
+        work: &Work,
+    ) -> Result<AnswerFormat, RequestFailure> {
         let mut events = Events::default();
         let start = self.start(work)?;
         let mut response = self.head(start).await?;
@@ -97,7 +103,7 @@
                     }
                     let resumed = self.head(resume).await;
                     // It has begun, whatever became of the resumption.
-                    response = resumed.map_err(|it| Failure {
+                    response = resumed.map_err(|it| RequestFailure {
                         ran: Execution::OutcomeUnknown,
                         ..it
                     })?;
@@ -105,16 +111,17 @@
             }
         }
         self.cancel(work).await;
-        Err(Failure::new(Code::TargetFailed, Execution::OutcomeUnknown))
+        Err(RequestFailure::new(Code::TargetFailed, Execution::OutcomeUnknown))
     }
 
     async fn head(
         &self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, Failure> {
+    ) -> Result<Response<Incoming>, RequestFailure> {
         let sent = Millis::now();
         let head = timeout(self.silence, self.client.send(request)).await;
-        let silent = Failure::new(Code::TimedOut, Execution::OutcomeUnknown);
+        let silent =
+            RequestFailure::new(Code::TimedOut, Execution::OutcomeUnknown);
         let head = head.map_err(|_| silent)?.map_err(plain::failure)?;
         self.pace.answered(head.status(), head.headers(), sent);
         Ok(head)
@@ -125,7 +132,7 @@
         response: Response<Incoming>,
         work: &Work,
         events: &mut Events,
-    ) -> Result<Reading, Failure> {
+    ) -> Result<Reading, RequestFailure> {
         let mut body = response.into_body();
         loop {
             let wait = self.patience(work)?;
@@ -142,7 +149,7 @@
                 return Ok(Reading::Done);
             }
             if work.length() > MAX_ANSWER {
-                return Err(Failure::new(
+                return Err(RequestFailure::new(
                     Code::TargetFailed,
                     Execution::OutcomeUnknown,
                 ));
@@ -151,19 +158,23 @@
     }
 
     /// How long the next byte may take.
-    fn patience(&self, work: &Work) -> Result<Duration, Failure> {
+    fn patience(&self, work: &Work) -> Result<Duration, RequestFailure> {
         let left = work.deadline.since(Millis::now()).duration();
         match work.repeat {
             Repeat::Never => Ok(self.silence),
-            Repeat::Allowed if left.is_zero() => {
-                Err(Failure::new(Code::TimedOut, Execution::OutcomeUnknown))
-            }
+            Repeat::Allowed if left.is_zero() => Err(RequestFailure::new(
+                Code::TimedOut,
+                Execution::OutcomeUnknown,
+            )),
             Repeat::Allowed => Ok(self.silence.min(left)),
         }
     }
 
-    fn start(&self, work: &Work) -> Result<Request<Full<Bytes>>, Failure> {
-        let bad = Failure::new(Code::BadJson, Execution::NotRun);
+    fn start(
+        &self,
+        work: &Work,
+    ) -> Result<Request<Full<Bytes>>, RequestFailure> {
+        let bad = RequestFailure::new(Code::BadJson, Execution::NotRun);
         let mut body: Value =
             serde_json::from_slice(&work.body).map_err(|_| bad)?;
         let fields = body.as_object_mut().ok_or(bad)?;
@@ -180,12 +191,14 @@
         &self,
         work: &Work,
         from: u32,
-    ) -> Result<Request<Full<Bytes>>, Failure> {
+    ) -> Result<Request<Full<Bytes>>, RequestFailure> {
         let id = work.request;
         let target = self.target;
         Request::get(format!("http://{target}/v1/streams/{id}?from={from}"))
             .body(Full::default())
-            .map_err(|_| Failure::new(Code::BadRequest, Execution::NotRun))
+            .map_err(|_| {
+                RequestFailure::new(Code::BadRequest, Execution::NotRun)
+            })
     }
 
     async fn cancel(&self, work: &Work) {
--- a/cowsliproad-agent/src/adapter/plain.rs
+++ b/cowsliproad-agent/src/adapter/plain.rs
@@ -7,7 +7,7 @@
     clock::Millis,
     code::{Code, Execution},
     plugin::inventory,
-    wire::{AnswerFormat, Failure},
+    wire::{AnswerFormat, RequestFailure},
 };
 use cowsliproad_net::client::{Client, Error};
 use http::{Request, header};
@@ -50,7 +50,7 @@
         }
     }
 
-    async fn call(&self, work: &Work) -> Result<AnswerFormat, Failure> {
+    async fn call(&self, work: &Work) -> Result<AnswerFormat, RequestFailure> {
         let request = request(self.target, work)?;
         let patience = patience(work, self.silence);
         let sent = Millis::now();
@@ -58,12 +58,15 @@
         let response = tokio::select! {
             response = call => response.map_err(failure)?,
             () = work.cancelled() => {
-                return Err(Failure::new(Code::Cancelled, Execution::OutcomeUnknown));
+                return Err(RequestFailure::new(
+                    Code::Cancelled,
+                    Execution::OutcomeUnknown,
+                ));
             }
         };
         self.pace.answered(response.status(), response.headers(), sent);
         if !response.status().is_success() {
-            return Err(Failure::new(
+            return Err(RequestFailure::new(
                 Code::TargetFailed,
                 Execution::OutcomeUnknown,
             ));
@@ -76,12 +79,12 @@
 fn request(
     target: SocketAddr,
     work: &Work,
-) -> Result<Request<Full<Bytes>>, Failure> {
+) -> Result<Request<Full<Bytes>>, RequestFailure> {
     Request::post(format!("http://{target}/{}", work.request_type))
         .header(header::CONTENT_TYPE, "application/json")
         .header("x-request-id", work.request.to_string())
         .body(Full::new(work.body.clone()))
-        .map_err(|_| Failure::new(Code::BadRequest, Execution::NotRun))
+        .map_err(|_| RequestFailure::new(Code::BadRequest, Execution::NotRun))
 }
 
 /// Work that may be repeated has until shortly after its deadline: once it
@@ -96,16 +99,16 @@
 }
 
 /// What a failed call says of the work.
-pub(super) fn failure(error: Error) -> Failure {
+pub(super) fn failure(error: Error) -> RequestFailure {
     match error {
         Error::Connect(_) | Error::Refused(_) => {
-            Failure::new(Code::TargetFailed, Execution::NotRun)
+            RequestFailure::new(Code::TargetFailed, Execution::NotRun)
         }
         Error::Timeout => {
-            Failure::new(Code::TimedOut, Execution::OutcomeUnknown)
+            RequestFailure::new(Code::TimedOut, Execution::OutcomeUnknown)
         }
         Error::Exchange(_) | Error::TooLarge => {
-            Failure::new(Code::TargetFailed, Execution::OutcomeUnknown)
+            RequestFailure::new(Code::TargetFailed, Execution::OutcomeUnknown)
         }
     }
 }
--- a/cowsliproad-agent/src/ends.rs
+++ b/cowsliproad-agent/src/ends.rs
@@ -27,7 +27,7 @@
     gossip::SuspectedRequest,
     id,
     sync::lock,
-    wire::{Failure, TargetPresence},
+    wire::{RequestFailure, TargetPresence},
 };
 use slog::info;
 use tokio::{
@@ -204,7 +204,7 @@
 }
 
 /// Asks whether the target ended under work that failed.
-pub async fn look(gate: &Gate, work: &Work, failure: Failure) -> Seen {
+pub async fn look(gate: &Gate, work: &Work, failure: RequestFailure) -> Seen {
     if failure.code != Code::TargetFailed {
         if failure.ran == Execution::OutcomeUnknown {
             let until = Millis::now() + LINGER_TIME;
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -28,8 +28,8 @@
     id,
     sync::lock,
     wire::{
-        AgentLoad, CancelRequest, Failure, Handover, Heartbeat, ProcessPhase,
-        ReclaimAnswer, StoredAnswer,
+        AgentLoad, CancelRequest, Handover, Heartbeat, ProcessPhase,
+        ReclaimAnswer, RequestFailure, StoredAnswer,
     },
 };
 use opentelemetry::{
@@ -161,12 +161,12 @@
     pub fn reclaim(
         &self,
         reclaim: &ReclaimAnswer,
-    ) -> Result<Arc<Work>, Failure> {
+    ) -> Result<Arc<Work>, RequestFailure> {
         self.find(reclaim.request, &reclaim.organisation)
     }
 
     /// Cancels work at its caller's wish.
-    pub fn cancel(&self, cancel: &CancelRequest) -> Failure {
+    pub fn cancel(&self, cancel: &CancelRequest) -> RequestFailure {
         let work = match self.find(cancel.request, &cancel.organisation) {
             Ok(work) => work,
             Err(failure) => return failure,
@@ -175,25 +175,27 @@
         let queued =
             inner.queue.remove_first(|it| it.request == cancel.request);
         if queued.is_some() {
-            let failure = Failure::new(Code::Cancelled, Execution::NotRun);
+            let failure =
+                RequestFailure::new(Code::Cancelled, Execution::NotRun);
             inner.give_up(&work, failure);
             return failure;
         }
         drop(inner);
         match (work.ending(), work.repeat) {
             (Some(Ending::Whole { .. }), _) => {
-                Failure::new(Code::Cancelled, Execution::Ran)
+                RequestFailure::new(Code::Cancelled, Execution::Ran)
             }
             (Some(Ending::Failed(failure)), _) => failure,
             (None, Repeat::Allowed) => {
                 work.cancel();
-                Failure::new(Code::Cancelled, Execution::OutcomeUnknown)
+                RequestFailure::new(Code::Cancelled, Execution::OutcomeUnknown)
             }
             // Work that must not be repeated is never broken off in its
             // middle, since nobody could say what the target did of it.
-            (None, Repeat::Never) => {
-                Failure::new(Code::InProgress, Execution::OutcomeUnknown)
-            }
+            (None, Repeat::Never) => RequestFailure::new(
+                Code::InProgress,
+                Execution::OutcomeUnknown,
+            ),
         }
     }
 
@@ -205,7 +207,8 @@
         let mut inner = self.lock();
         let queued = inner.queue.remove_first(|it| it.request == work.request);
         if let Some(item) = queued {
-            let failure = Failure::new(Code::Cancelled, Execution::NotRun);
+            let failure =
+                RequestFailure::new(Code::Cancelled, Execution::NotRun);
             inner.give_up(&item.work, failure);
         } else {
             work.cancel();
@@ -233,7 +236,7 @@
     pub fn finish(
         &self,
         work: &Arc<Work>,
-        result: Result<cowsliproad_kernel::wire::AnswerFormat, Failure>,
+        result: Result<cowsliproad_kernel::wire::AnswerFormat, RequestFailure>,
         held: Duration,
     ) {
         let code = result.err().map_or(Code::Ok, |failure| failure.code);
@@ -340,16 +343,17 @@
         &self,
         request: id::Request,
         organisation: &str,
-    ) -> Result<Arc<Work>, Failure> {
+    ) -> Result<Arc<Work>, RequestFailure> {
         let inner = self.lock();
         match inner.works.get(&request) {
             Some(work) if &*work.organisation == organisation => {
                 Ok(work.clone())
             }
-            Some(_) => {
-                Err(Failure::new(Code::ForeignToken, Execution::NotForwarded))
-            }
-            None => Err(Failure::new(
+            Some(_) => Err(RequestFailure::new(
+                Code::ForeignToken,
+                Execution::NotForwarded,
+            )),
+            None => Err(RequestFailure::new(
                 Code::UnknownToken,
                 Execution::OutcomeUnknown,
             )),
@@ -456,7 +460,7 @@
     fn lapse(&mut self, pace: ServiceRate, now: Millis) {
         while let Some(item) = self.queue.remove_expired(pace, now) {
             let failure =
-                Failure::new(Code::DeadlinePassed, Execution::NotRun);
+                RequestFailure::new(Code::DeadlinePassed, Execution::NotRun);
             self.give_up(&item.work, failure);
         }
     }
@@ -464,14 +468,15 @@
     /// Gives back what a lower limit leaves no time for.
     fn shed(&mut self, pace: ServiceRate, now: Millis) {
         for item in self.queue.remove_late(pace, now) {
-            let failure = Failure::new(Code::Overloaded, Execution::NotRun);
+            let failure =
+                RequestFailure::new(Code::Overloaded, Execution::NotRun);
             let wait = self.queue.retry_after(pace);
             self.give_up(&item.work, failure.with_retry_after(wait));
         }
     }
 
     /// Ends work that never reached the target.
-    fn give_up(&mut self, work: &Arc<Work>, failure: Failure) {
+    fn give_up(&mut self, work: &Arc<Work>, failure: RequestFailure) {
         self.register.refuse_unsent(work.request);
         work.finish(Err(failure));
         self.keep(work, Millis::now());
--- a/cowsliproad-agent/src/gate/submit.rs
+++ b/cowsliproad-agent/src/gate/submit.rs
@@ -11,7 +11,7 @@
 use cowsliproad_kernel::{
     clock::Millis,
     code::{Code, Execution},
-    wire::{Failure, ProcessPhase, SubmitMode, SubmitRequest},
+    wire::{ProcessPhase, RequestFailure, SubmitMode, SubmitRequest},
 };
 use slog::{debug, info};
 
@@ -20,7 +20,7 @@
 
 /// The refusal of work that ends the targets that run it. The entry, which
 /// knows of all ends, says when to come back.
-const QUARANTINED: Failure = Failure {
+const QUARANTINED: RequestFailure = RequestFailure {
     code: Code::Quarantined,
     ran: Execution::NotRun,
     retry_after: None,
@@ -31,7 +31,7 @@
     pub fn submit(
         &self,
         submit: &SubmitRequest,
-    ) -> Result<Arc<Work>, Failure> {
+    ) -> Result<Arc<Work>, RequestFailure> {
         let now = Millis::now();
         let mut inner = self.lock();
         let outcome = match &submit.ticket {
@@ -66,7 +66,7 @@
         text: &[u8],
         submit: &SubmitRequest,
         now: Millis,
-    ) -> Result<Arc<Work>, Failure> {
+    ) -> Result<Arc<Work>, RequestFailure> {
         let ticket = self.open(text, submit)?;
         let leaving = inner.phase == ProcessPhase::Leaving;
         let recalled = submit.mode == SubmitMode::ReportOnly;
@@ -80,36 +80,38 @@
             let then = it.now(now);
             it.register.submit(&ticket, then)
         } else {
-            return Err(Failure::new(
+            return Err(RequestFailure::new(
                 Code::TargetGone,
                 Execution::OutcomeUnknown,
             ));
         };
         match verdict {
             SubmitVerdict::Run => self.enqueue(inner, submit, now),
-            SubmitVerdict::Seen => inner
-                .works
-                .get(&ticket.request)
-                .cloned()
-                .ok_or(Failure::new(Code::AnswerDropped, Execution::Ran)),
+            SubmitVerdict::Seen => {
+                inner.works.get(&ticket.request).cloned().ok_or(
+                    RequestFailure::new(Code::AnswerDropped, Execution::Ran),
+                )
+            }
             SubmitVerdict::Burned if recalled => Err(QUARANTINED),
             SubmitVerdict::Burned if leaving => {
-                Err(Failure::new(Code::Leaving, Execution::NotRun))
+                Err(RequestFailure::new(Code::Leaving, Execution::NotRun))
             }
             SubmitVerdict::Burned => {
-                Err(Failure::new(Code::TicketBurned, Execution::NotRun))
-            }
-            SubmitVerdict::Expired => {
-                Err(Failure::new(Code::TicketExpired, Execution::NotRun))
+                Err(RequestFailure::new(Code::TicketBurned, Execution::NotRun))
             }
-            SubmitVerdict::TooOld => Err(Failure::new(
+            SubmitVerdict::Expired => Err(RequestFailure::new(
+                Code::TicketExpired,
+                Execution::NotRun,
+            )),
+            SubmitVerdict::TooOld => Err(RequestFailure::new(
                 Code::TicketExpired,
                 Execution::OutcomeUnknown,
             )),
-            SubmitVerdict::Full => {
-                Err(Failure::new(Code::RegisterFull, Execution::NotForwarded)
-                    .with_retry_after(Millis(1_000)))
-            }
+            SubmitVerdict::Full => Err(RequestFailure::new(
+                Code::RegisterFull,
+                Execution::NotForwarded,
+            )
+            .with_retry_after(Millis(1_000))),
         }
     }
 
@@ -118,14 +120,17 @@
         inner: &mut Inner,
         submit: &SubmitRequest,
         now: Millis,
-    ) -> Result<Arc<Work>, Failure> {
+    ) -> Result<Arc<Work>, RequestFailure> {
         let key = submit.idempotency_key.as_ref();
         let key = key.map(|it| (submit.organisation.clone(), it.clone()));
         if let Some(key) = &key
             && let Some(keyed) = inner.keys.get(key)
         {
             if keyed.body != blake3::hash(&submit.body) {
-                return Err(Failure::new(Code::KeyReused, Execution::NotRun));
+                return Err(RequestFailure::new(
+                    Code::KeyReused,
+                    Execution::NotRun,
+                ));
             }
             let known = inner.works.get(&keyed.request);
             if let Some(work) = known.filter(|it| !has_failed(it)) {
@@ -135,15 +140,17 @@
         let known = inner.works.get(&submit.request);
         if let Some(work) = known.filter(|it| !has_failed(it)) {
             let own = work.organisation == submit.organisation;
-            let foreign =
-                Failure::new(Code::ForeignToken, Execution::NotForwarded);
+            let foreign = RequestFailure::new(
+                Code::ForeignToken,
+                Execution::NotForwarded,
+            );
             return own.then(|| work.clone()).ok_or(foreign);
         }
         if submit.mode == SubmitMode::ReportOnly {
             return Err(QUARANTINED);
         }
         if inner.phase == ProcessPhase::Leaving {
-            return Err(Failure::new(Code::Leaving, Execution::NotRun));
+            return Err(RequestFailure::new(Code::Leaving, Execution::NotRun));
         }
         let work = self.enqueue(inner, submit, now)?;
         if let Some(key) = key {
@@ -158,7 +165,7 @@
         inner: &mut Inner,
         submit: &SubmitRequest,
         now: Millis,
-    ) -> Result<Arc<Work>, Failure> {
+    ) -> Result<Arc<Work>, RequestFailure> {
         let work = Arc::new(Work::new(submit, now));
         let item = QueueItem {
             organisation: submit.organisation.clone(),
@@ -172,13 +179,17 @@
         match inner.queue.push(item, pace, now) {
             PushOutcome::Queued => {}
             PushOutcome::Displaced(loser, wait) => {
-                let failure = Failure::new(Code::Shed, Execution::NotRun);
+                let failure =
+                    RequestFailure::new(Code::Shed, Execution::NotRun);
                 inner.give_up(&loser.work, failure.with_retry_after(wait));
             }
             PushOutcome::Refused(_, wait) => {
                 inner.register.refuse_unsent(work.request);
-                return Err(Failure::new(Code::Overloaded, Execution::NotRun)
-                    .with_retry_after(wait));
+                return Err(RequestFailure::new(
+                    Code::Overloaded,
+                    Execution::NotRun,
+                )
+                .with_retry_after(wait));
             }
         }
         inner.count += 1;
@@ -190,8 +201,9 @@
         &self,
         text: &[u8],
         submit: &SubmitRequest,
-    ) -> Result<Ticket, Failure> {
-        let forged = Failure::new(Code::ForgedToken, Execution::NotForwarded);
+    ) -> Result<Ticket, RequestFailure> {
+        let forged =
+            RequestFailure::new(Code::ForgedToken, Execution::NotForwarded);
         let text = std::str::from_utf8(text).map_err(|_| forged)?;
         let ticket =
             ticket::verify(text, &self.ticket_key).map_err(|_| forged)?;
@@ -200,7 +212,7 @@
             && ticket.request_type == submit.request_type
             && ticket.request == submit.request;
         if !fits {
-            return Err(Failure::new(
+            return Err(RequestFailure::new(
                 Code::ForeignToken,
                 Execution::NotForwarded,
             ));
--- a/cowsliproad-agent/src/lib.rs
+++ b/cowsliproad-agent/src/lib.rs
@@ -33,7 +33,7 @@
 
 use cowsliproad_kernel::{log, plugin};
 use cowsliproad_net::{
-    metrics::Metrics, server::AcceptHandle, threads::Threads,
+    metrics::Metrics, server::AcceptHandle, threads::Runtimes,
 };
 use slog::{Logger, info, o};
 use tokio::net::TcpListener;
@@ -66,7 +66,10 @@
 }
 
 /// Starts an agent's tasks.
-pub async fn start(settings: Settings, threads: Threads) -> io::Result<Agent> {
+pub async fn start(
+    settings: Settings,
+    threads: Runtimes,
+) -> io::Result<Agent> {
     let settings = Arc::new(settings);
     let log = log::logger("agent", &settings.name, settings.log);
     let metrics = Metrics::new();
@@ -74,18 +77,18 @@
     let gate = Arc::new(gate);
     let adapter = plugin::find::<Plugin>(&settings.adapter)
         .ok_or_else(|| io::Error::other("no such adapter"))?;
-    (adapter.start)(gate.clone(), &threads.traffic);
+    (adapter.start)(gate.clone(), &threads.traffic_runtime);
     let replica = Arc::new(Replica::new());
     let listener = TcpListener::bind(settings.listen).await?;
     let address = listener.local_addr()?;
     let links = Links::new(gate.clone(), replica.clone(), log.new(o!()));
     let links = Arc::new(links);
-    threads.traffic.spawn(links::accept(links.clone(), listener));
-    threads.control.spawn(links::beat(links.clone()));
-    threads.control.spawn(gate::sweep(gate.clone()));
-    threads.control.spawn(ends::follow(gate.clone(), links.clone()));
+    threads.traffic_runtime.spawn(links::accept(links.clone(), listener));
+    threads.control_runtime.spawn(links::beat(links.clone()));
+    threads.control_runtime.spawn(gate::sweep(gate.clone()));
+    threads.control_runtime.spawn(ends::follow(gate.clone(), links.clone()));
     let watch = ends::watch_cooldown(gate.clone(), links.clone());
-    threads.control.spawn(watch);
+    threads.control_runtime.spawn(watch);
     let accept_handle = AcceptHandle::new();
     let http = http::start(&settings, &gate, &metrics, &accept_handle).await?;
     info!(log, "start";
@@ -110,6 +113,6 @@
     /// Finishes what it has, hands its records to a peer and returns.
     pub async fn stop(&self) {
         handover::stop(self).await;
-        self.accept_handle.close();
+        self.accept_handle.stop_accepting();
     }
 }
--- a/cowsliproad-agent/src/links.rs
+++ b/cowsliproad-agent/src/links.rs
@@ -256,7 +256,7 @@
         self.links.gate.abandon(&listener.work);
     }
 
-    fn refuse(&self, attempt: id::Attempt, failure: wire::Failure) {
+    fn refuse(&self, attempt: id::Attempt, failure: wire::RequestFailure) {
         let frame = refusal(attempt, failure);
         let sender = self.sender.clone();
         tokio::spawn(async move { sender.send(frame).await });
@@ -396,7 +396,7 @@
     }
 }
 
-fn refusal(attempt: id::Attempt, failure: wire::Failure) -> Frame {
+fn refusal(attempt: id::Attempt, failure: wire::RequestFailure) -> Frame {
     Frame::AttemptRefusal(AttemptRefusal {
         attempt,
         code: failure.code,
--- a/cowsliproad-agent/src/main.rs
+++ b/cowsliproad-agent/src/main.rs
@@ -19,7 +19,7 @@
     let threads = settings.threads;
     program::run(threads, async |threads| {
         let agent = cowsliproad_agent::start(settings, threads).await?;
-        program::stop_signal().await;
+        program::wait_for_stop_signal().await;
         agent.stop().await;
         Ok(())
     });
--- a/cowsliproad-agent/src/pace.rs
+++ b/cowsliproad-agent/src/pace.rs
@@ -89,7 +89,11 @@
     }
 
     fn note_retry_after(&self, status: StatusCode, headers: &HeaderMap) {
-        let wait = match retry_after::read(status, headers, SystemTime::now) {
+        let wait = match retry_after::parse_header(
+            status,
+            headers,
+            SystemTime::now,
+        ) {
             RetryAfter::None => return,
             RetryAfter::Unreadable => {
                 if !std::mem::replace(&mut self.lock().unreadable, true) {
--- a/cowsliproad-agent/src/work.rs
+++ b/cowsliproad-agent/src/work.rs
@@ -20,7 +20,7 @@
     id,
     sync::lock,
     wire::{
-        AnswerContent, AnswerFormat, Failure, RequestPersistence,
+        AnswerContent, AnswerFormat, RequestFailure, RequestPersistence,
         StoredAnswer, SubmitMode, SubmitRequest,
     },
 };
@@ -84,7 +84,7 @@
         digest: [u8; 32],
     },
     /// Without one.
-    Failed(Failure),
+    Failed(RequestFailure),
 }
 
 /// What a listener gets next.
@@ -187,7 +187,7 @@
     }
 
     /// Ends the work. Only the first ending counts.
-    pub fn finish(&self, result: Result<AnswerFormat, Failure>) {
+    pub fn finish(&self, result: Result<AnswerFormat, RequestFailure>) {
         let mut progress = self.lock();
         if progress.ending.is_some() {
             return;
--- a/cowsliproad-bench/src/baseline.rs
+++ b/cowsliproad-bench/src/baseline.rs
@@ -73,7 +73,7 @@
 
 impl Program for Proxy {
     async fn stop(&self) {
-        self.accept_handle.close();
+        self.accept_handle.stop_accepting();
     }
 }
 
--- a/cowsliproad-bench/src/bin/cowsliproad-naive.rs
+++ b/cowsliproad-bench/src/bin/cowsliproad-naive.rs
@@ -78,7 +78,7 @@
     let callers = TcpListener::bind(settings.callers).await?;
     tokio::select! {
         () = serve(front, callers) => {}
-        () = program::stop_signal() => {}
+        () = program::wait_for_stop_signal() => {}
     }
     Ok(())
 }
--- a/cowsliproad-bench/src/experiment.rs
+++ b/cowsliproad-bench/src/experiment.rs
@@ -42,7 +42,7 @@
         self.name
     }
 
-    fn about(&self) -> &'static str {
+    fn description(&self) -> &'static str {
         self.about
     }
 }
--- a/cowsliproad-bench/src/node.rs
+++ b/cowsliproad-bench/src/node.rs
@@ -5,7 +5,7 @@
 
 use std::{io, thread, time::Duration};
 
-use cowsliproad_net::threads::{self, Threads};
+use cowsliproad_net::threads::{self, Runtimes};
 use tokio::{
     runtime::Builder,
     sync::{mpsc, oneshot},
@@ -71,14 +71,14 @@
         make: F,
     ) -> io::Result<Node<T>>
     where
-        F: AsyncFnOnce(Threads) -> io::Result<T> + Send + 'static,
+        F: AsyncFnOnce(Runtimes) -> io::Result<T> + Send + 'static,
     {
         let (orders, queue) = mpsc::unbounded_channel();
         let (started, handle) = oneshot::channel();
         let (done, ended) = oneshot::channel();
         thread::Builder::new().name(name.into()).spawn(move || {
             // An error shows as a handle that never comes.
-            let _ = threads::run(workers, async |threads| {
+            let _ = threads::run_on_runtimes(workers, async |threads| {
                 serve(make(threads).await, started, queue).await;
             });
             let _ = done.send(());
--- a/cowsliproad-bench/src/plant.rs
+++ b/cowsliproad-bench/src/plant.rs
@@ -16,7 +16,7 @@
 };
 use cowsliproad_entry::Entry;
 use cowsliproad_kernel::{log::Level, secret::Secret};
-use cowsliproad_net::threads::Threads;
+use cowsliproad_net::threads::Runtimes;
 use cowsliproad_standin::{engine, link, log, plain, vms};
 use tokio::time::{Instant, sleep};
 
@@ -288,7 +288,7 @@
         let agent = match self.config.layout {
             Layout::Single => {
                 Node::start(&site.name, async move || {
-                    cowsliproad_agent::start(settings, Threads::current())
+                    cowsliproad_agent::start(settings, Runtimes::current())
                         .await
                 })
                 .await?
@@ -326,7 +326,7 @@
         let entry = match self.config.layout {
             Layout::Single => {
                 Node::start(&gateway.name, async move || {
-                    cowsliproad_entry::start(settings, Threads::current())
+                    cowsliproad_entry::start(settings, Runtimes::current())
                         .await
                 })
                 .await?
--- a/cowsliproad-direct/src/callers.rs
+++ b/cowsliproad-direct/src/callers.rs
@@ -13,7 +13,7 @@
 
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_net::{
-    hooked::{HookedStream, Hooks},
+    hooked::{ConnectionHooks, HookedStream},
     program,
 };
 use cowsliproad_routing::catalog::Limits;
@@ -63,7 +63,7 @@
 ) -> io::Result<()> {
     tokio::select! {
         never = accept(entry, &listener) => match never {},
-        () = program::stop_signal() => {}
+        () = program::wait_for_stop_signal() => {}
     }
     let end =
         Instant::now() + (entry.settings().grace_ms - END_MARGIN).duration();
@@ -220,7 +220,7 @@
 /// Notes when the bytes of a head begin to come.
 struct Watch(Rc<Activity>);
 
-impl Hooks for Watch {
+impl ConnectionHooks for Watch {
     fn on_read(&mut self) {
         let activity = &self.0;
         if activity.busy.get() == 0 && activity.head_since.get().is_none() {
--- a/cowsliproad-direct/src/stated.rs
+++ b/cowsliproad-direct/src/stated.rs
@@ -65,8 +65,11 @@
         head: &response::Parts,
     ) {
         let stated = head.headers.get(RETRY_AFTER);
-        let read =
-            retry_after::read(head.status, &head.headers, SystemTime::now);
+        let read = retry_after::parse_header(
+            head.status,
+            &head.headers,
+            SystemTime::now,
+        );
         let target = &choice.target;
         let wait = match read {
             RetryAfter::Wait(wait) if wait.0 > 0 => wait,
--- a/cowsliproad-direct/src/stream.rs
+++ b/cowsliproad-direct/src/stream.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 
 use cowsliproad_kernel::clock::Millis;
-use cowsliproad_relay::events::{Event, EventSplitter};
+use cowsliproad_relay::events::{EventSplitter, ServerSentEvent};
 use http::{Response, header as standard, response};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -60,7 +60,7 @@
 
 /// What came next.
 enum Next {
-    Event(Event),
+    Event(ServerSentEvent),
     End,
     Failed(AttemptError),
 }
@@ -105,7 +105,7 @@
 
 enum Begun {
     /// A stream with its first event.
-    Stream(response::Parts, Box<Run>, Option<Event>),
+    Stream(response::Parts, Box<Run>, Option<ServerSentEvent>),
     /// A failure, passed on as it is.
     Whole(Response<Body>),
 }
@@ -314,7 +314,12 @@
 }
 
 impl Relay {
-    async fn run(mut self, mut run: Run, first: Option<Event>, busy: Busy) {
+    async fn run(
+        mut self,
+        mut run: Run,
+        first: Option<ServerSentEvent>,
+        busy: Busy,
+    ) {
         let outcome = self.pass(&mut run, first).await;
         drop(run);
         let took = Millis::now().since(self.call.arrived);
@@ -329,7 +334,7 @@
     async fn pass(
         &mut self,
         run: &mut Run,
-        first: Option<Event>,
+        first: Option<ServerSentEvent>,
     ) -> &'static str {
         if let Some(event) = first
             && !self.give(event).await
@@ -394,7 +399,7 @@
     }
 
     /// Passes an event on, unless the caller has it.
-    async fn give(&mut self, event: Event) -> bool {
+    async fn give(&mut self, event: ServerSentEvent) -> bool {
         if event.id.is_some() && event.id <= self.last {
             return true;
         }
--- a/cowsliproad-entry/src/admin.rs
+++ b/cowsliproad-entry/src/admin.rs
@@ -50,7 +50,7 @@
     let admin = message::AdminServer::new(Admin { shared });
     let service = ServiceBuilder::new(admin).build();
     let closed = async move {
-        accept_handle.closed().await;
+        accept_handle.stopped_accepting().await;
         Ok(())
     };
     let server = Server::new().add_service(service);
--- a/cowsliproad-entry/src/answer.rs
+++ b/cowsliproad-entry/src/answer.rs
@@ -4,7 +4,7 @@
 use std::convert::Infallible;
 
 use bytes::Bytes;
-use cowsliproad_kernel::wire::{AnswerFormat, Failure};
+use cowsliproad_kernel::wire::{AnswerFormat, RequestFailure};
 use cowsliproad_net::{reply, server::SyncStream};
 use futures_util::stream;
 use http::{HeaderValue, StatusCode, header};
@@ -18,7 +18,9 @@
 pub const TOKEN_HEADER: &str = "request-token";
 
 /// Waits for the whole answer and writes it as JSON.
-pub async fn whole(mut forward: Forward) -> (Response, Option<Failure>) {
+pub async fn whole(
+    mut forward: Forward,
+) -> (Response, Option<RequestFailure>) {
     let mut bytes = Vec::new();
     let mut token = String::new();
     while let Some(item) = forward.next().await {
@@ -74,7 +76,7 @@
 /// What a streamed response keeps alive, and is told at its end.
 pub trait Companion: Send + 'static {
     /// The answer ended.
-    fn ended(&mut self, failure: Option<&Failure>);
+    fn ended(&mut self, failure: Option<&RequestFailure>);
 }
 
 /// Writes an answer as it comes, once its first item is known to be good.
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -19,8 +19,8 @@
     code::{Code, Execution},
     id,
     wire::{
-        CancelRequest, Failure, Frame, ProcessPhase, RequestPersistence,
-        Urgency,
+        CancelRequest, Frame, ProcessPhase, RequestFailure,
+        RequestPersistence, Urgency,
     },
 };
 use cowsliproad_net::{
@@ -80,14 +80,14 @@
 
 /// A refusal with its explanation.
 struct Refused {
-    failure: Failure,
+    failure: RequestFailure,
     detail: String,
     /// A ticket to send again with.
     ticket: Option<String>,
 }
 
 impl Refused {
-    fn new(failure: Failure) -> Refused {
+    fn new(failure: RequestFailure) -> Refused {
         Refused { failure, detail: String::new(), ticket: None }
     }
 
@@ -267,8 +267,10 @@
         let holder = view.holder(&token.target, token.incarnation);
         let link = holder.and_then(|target| target.link.load_full());
         let gone = || {
-            let failure =
-                Failure::new(Code::TargetGone, Execution::OutcomeUnknown);
+            let failure = RequestFailure::new(
+                Code::TargetGone,
+                Execution::OutcomeUnknown,
+            );
             Refused::new(failure)
         };
         let link = link.ok_or_else(gone)?;
@@ -356,7 +358,8 @@
         first.map_err(|wait| {
             let Some(wait) = wait else { return no_target() };
             let after = patience::jittered_retry(wait, rand::random());
-            let failure = Failure::new(Code::Overloaded, Execution::NotRun);
+            let failure =
+                RequestFailure::new(Code::Overloaded, Execution::NotRun);
             Refused::new(failure.with_retry_after(after))
         })
     }
@@ -397,12 +400,12 @@
         let full = self.shared.in_flight.load(Ordering::Relaxed) > most;
         let ran = Execution::NotForwarded;
         if full {
-            let failure = Failure::new(Code::Overloaded, ran);
+            let failure = RequestFailure::new(Code::Overloaded, ran);
             let failure = failure.with_retry_after(OVER_SHARE);
             return Err(Refused::new(failure));
         }
         checked.organisation.enter().ok_or_else(|| {
-            let failure = Failure::new(Code::OverShare, ran);
+            let failure = RequestFailure::new(Code::OverShare, ran);
             let failure = failure.with_retry_after(OVER_SHARE);
             Refused::new(failure)
         })
@@ -440,7 +443,7 @@
         match self.mint(checked) {
             Ok(ticket) => {
                 let failure =
-                    Failure::new(Code::TicketNeeded, Execution::NotRun);
+                    RequestFailure::new(Code::TicketNeeded, Execution::NotRun);
                 Refused { ticket: Some(ticket), ..Refused::new(failure) }
             }
             Err(refused) => refused,
@@ -514,7 +517,9 @@
 }
 
 /// Waits for the token, which frames of the answer may overtake.
-async fn until_accepted(forward: &mut Forward) -> Result<String, Failure> {
+async fn until_accepted(
+    forward: &mut Forward,
+) -> Result<String, RequestFailure> {
     loop {
         match forward.next().await {
             Some(Item::Accepted(token)) => return Ok(token),
@@ -522,7 +527,10 @@
             Some(Item::Bytes(_) | Item::Restart | Item::Done(_)) => {}
             None => {
                 let code = Code::TargetFailed;
-                return Err(Failure::new(code, Execution::OutcomeUnknown));
+                return Err(RequestFailure::new(
+                    code,
+                    Execution::OutcomeUnknown,
+                ));
             }
         }
     }
@@ -549,7 +557,7 @@
     match failure {
         Some(failure) if failure.code == Code::TimedOut => {
             let failure =
-                Failure::new(Code::Accepted, Execution::OutcomeUnknown);
+                RequestFailure::new(Code::Accepted, Execution::OutcomeUnknown);
             let failure = failure.with_retry_after(NOT_YET);
             reply::problem(&failure, "the work is not finished yet")
         }
@@ -560,11 +568,11 @@
 /// A refusal of something the entry itself looked at, so that this attempt
 /// did not leave it.
 fn refused(code: Code, detail: &str) -> Refused {
-    let failure = Failure::new(code, Execution::NotForwarded);
+    let failure = RequestFailure::new(code, Execution::NotForwarded);
     Refused { detail: detail.into(), ..Refused::new(failure) }
 }
 
 fn no_target() -> Refused {
-    let failure = Failure::new(Code::NoTarget, Execution::NotForwarded);
+    let failure = RequestFailure::new(Code::NoTarget, Execution::NotForwarded);
     Refused::new(failure.with_retry_after(NOT_YET))
 }
--- a/cowsliproad-entry/src/callers/finish.rs
+++ b/cowsliproad-entry/src/callers/finish.rs
@@ -6,7 +6,7 @@
 };
 
 use cowsliproad_config::object::RequestType;
-use cowsliproad_kernel::{code::Code, id, wire::Failure};
+use cowsliproad_kernel::{code::Code, id, wire::RequestFailure};
 use opentelemetry::{
     KeyValue,
     metrics::{Counter, Histogram, Meter},
@@ -54,7 +54,7 @@
 }
 
 impl Companion for Finish {
-    fn ended(&mut self, failure: Option<&Failure>) {
+    fn ended(&mut self, failure: Option<&RequestFailure>) {
         let code = failure.map_or(Code::Ok, |it| it.code);
         let taken = self.arrival.elapsed();
         let instruments = &self.shared.instruments;
@@ -85,5 +85,5 @@
 }
 
 impl Companion for Ignored {
-    fn ended(&mut self, _: Option<&Failure>) {}
+    fn ended(&mut self, _: Option<&RequestFailure>) {}
 }
--- a/cowsliproad-entry/src/callers/head.rs
+++ b/cowsliproad-entry/src/callers/head.rs
@@ -5,7 +5,7 @@
 use cowsliproad_kernel::{
     Name,
     code::{Code, Execution},
-    wire::Failure,
+    wire::RequestFailure,
 };
 use http::header;
 use volo_http::request::Request;
@@ -23,7 +23,8 @@
 ) -> Result<Arc<Organisation>, Refused> {
     if view.services.is_empty() {
         // Nobody's key is known yet, so no key can be called wrong.
-        let failure = Failure::new(Code::NotReady, Execution::NotForwarded);
+        let failure =
+            RequestFailure::new(Code::NotReady, Execution::NotForwarded);
         return Err(Refused::new(failure.with_retry_after(OVER_SHARE)));
     }
     let value = request
--- a/cowsliproad-entry/src/control.rs
+++ b/cowsliproad-entry/src/control.rs
@@ -243,7 +243,7 @@
     ) -> Arc<Target> {
         let target = Arc::new(Target::new(declared));
         let dial = links::dial_agent(self.shared.clone(), target.clone());
-        let task = self.shared.threads.traffic.spawn(dial);
+        let task = self.shared.threads.traffic_runtime.spawn(dial);
         target.set_dialler(task.abort_handle());
         target
     }
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -29,11 +29,11 @@
     code::{Code, Execution},
     id,
     wire::{
-        AnswerAck, AnswerEnd, Failure, Frame, ReclaimAnswer,
+        AnswerAck, AnswerEnd, Frame, ReclaimAnswer, RequestFailure,
         RequestPersistence, SEND_WINDOW_BYTES, SubmitMode, SubmitRequest,
     },
 };
-use cowsliproad_relay::{AnswerAssembly, Progress};
+use cowsliproad_relay::{AnswerAssembly, AssemblyProgress};
 use tokio::{sync::mpsc, time::timeout};
 
 use crate::{
@@ -80,7 +80,7 @@
     /// The answer is whole.
     Done(AnswerEnd),
     /// There is no answer.
-    Failed(Failure),
+    Failed(RequestFailure),
 }
 
 /// A request to be forwarded.
@@ -281,7 +281,10 @@
 
     /// The target at whose agent work waits that no target takes now, if one
     /// takes it in time.
-    fn wait_for_return(&self, order: &Order) -> Result<Arc<Target>, Failure> {
+    fn wait_for_return(
+        &self,
+        order: &Order,
+    ) -> Result<Arc<Target>, RequestFailure> {
         let (service, tried) = (&order.service, &self.tried);
         choose::first_to_return(service, tried, self.deadline).map_err(
             |wait| {
@@ -289,7 +292,7 @@
                     Some(wait) => (Code::Overloaded, wait),
                     None => (Code::NoTarget, COME_BACK),
                 };
-                Failure::new(code, self.ran()).with_retry_after(wait)
+                RequestFailure::new(code, self.ran()).with_retry_after(wait)
             },
         )
     }
@@ -353,7 +356,7 @@
             target.end(Outcome::Failed, Millis::now());
             return self.not_sent(target);
         }
-        let acknowledged = assembly.length();
+        let acknowledged = assembly.next_byte_offset();
         self.current = Some(Attempt {
             target,
             link,
@@ -366,7 +369,8 @@
 
     /// The attempt never left this entry.
     fn not_sent(&mut self, target: Arc<Target>) {
-        let failure = Failure::new(Code::LinkLost, Execution::NotForwarded);
+        let failure =
+            RequestFailure::new(Code::LinkLost, Execution::NotForwarded);
         match &self.task {
             // The next round looks for the ticket's process again.
             Task::Work(order) if order.ticket.is_some() => {}
@@ -435,15 +439,15 @@
         ticket::sign(&token, &self.shared.ticket_key)
     }
 
-    fn on_progress(&mut self, attempt: Attempt, progress: Progress) {
+    fn on_progress(&mut self, attempt: Attempt, progress: AssemblyProgress) {
         match progress {
-            Progress::Pending => self.current = Some(attempt),
-            Progress::Bytes(bytes) => {
+            AssemblyProgress::Pending => self.current = Some(attempt),
+            AssemblyProgress::Bytes(bytes) => {
                 self.give(bytes);
                 self.current = Some(attempt);
                 self.acknowledge();
             }
-            Progress::Complete(bytes) => {
+            AssemblyProgress::Complete(bytes) => {
                 self.give(bytes);
                 let end = attempt.assembly.end_frame().cloned();
                 attempt.end(Outcome::Whole);
@@ -451,10 +455,10 @@
                 self.finished = true;
                 self.ready.extend(end.map(Item::Done));
             }
-            Progress::Broken => {
+            AssemblyProgress::Broken => {
                 attempt.detach();
                 self.tried.push(attempt.target.name.clone());
-                let failure = Failure::new(
+                let failure = RequestFailure::new(
                     Code::TargetFailed,
                     Execution::OutcomeUnknown,
                 );
@@ -475,7 +479,7 @@
     /// back.
     fn acknowledge(&mut self) {
         let Some(attempt) = &mut self.current else { return };
-        let reached = attempt.assembly.length();
+        let reached = attempt.assembly.next_byte_offset();
         if reached - attempt.acknowledged < SEND_WINDOW_BYTES / 4 {
             return;
         }
--- a/cowsliproad-entry/src/forward/failure.rs
+++ b/cowsliproad-entry/src/forward/failure.rs
@@ -8,7 +8,7 @@
     code::{Code, Execution},
     id,
     sync::lock,
-    wire::{Failure, Frame, ReclaimAnswer},
+    wire::{Frame, ReclaimAnswer, RequestFailure},
 };
 use tokio::time::sleep;
 
@@ -25,7 +25,8 @@
     pub(super) fn time_out(&mut self, attempt: Attempt) {
         attempt.detach();
         self.maybe_ran = true;
-        let failure = Failure::new(Code::TimedOut, Execution::OutcomeUnknown);
+        let failure =
+            RequestFailure::new(Code::TimedOut, Execution::OutcomeUnknown);
         self.fail(failure.with_retry_after(ASK_AGAIN));
     }
 
@@ -50,7 +51,7 @@
         else {
             self.tried.push(attempt.target.name.clone());
             let failure =
-                Failure::new(Code::LinkLost, Execution::OutcomeUnknown);
+                RequestFailure::new(Code::LinkLost, Execution::OutcomeUnknown);
             return self.after_failure(failure);
         };
         let next = id::Attempt::random();
@@ -62,7 +63,7 @@
             attempt: next,
             request: attempt.request,
             organisation,
-            first_byte_offset: attempt.assembly.length(),
+            first_byte_offset: attempt.assembly.next_byte_offset(),
         };
         let assembly = attempt.assembly.resume(next);
         self.send(
@@ -75,7 +76,7 @@
     }
 
     /// Decides what follows a failed attempt.
-    pub(super) fn after_failure(&mut self, failure: Failure) {
+    pub(super) fn after_failure(&mut self, failure: RequestFailure) {
         if matches!(failure.ran, Execution::Ran | Execution::OutcomeUnknown) {
             self.maybe_ran = true;
         }
@@ -89,12 +90,12 @@
             Task::Kept { .. } => failure.ran,
             Task::Work(_) => self.ran(),
         };
-        self.fail(Failure { ran, ..failure });
+        self.fail(RequestFailure { ran, ..failure });
     }
 
     /// Adds when to come back to a refusal of a request that crashes its
     /// targets, which the agent doesn't know.
-    fn timed(&self, failure: Failure) -> Failure {
+    fn timed(&self, failure: RequestFailure) -> RequestFailure {
         let Task::Work(order) = &self.task else { return failure };
         if failure.code != Code::Quarantined {
             return failure;
@@ -107,7 +108,7 @@
         quarantine::refusal(&self.shared, order, failure.ran, after)
     }
 
-    fn may_try_again(&mut self, failure: &Failure) -> bool {
+    fn may_try_again(&mut self, failure: &RequestFailure) -> bool {
         let Task::Work(order) = &self.task else { return false };
         if order.ticket.is_some() || Millis::now() >= self.deadline {
             return false;
@@ -143,7 +144,7 @@
         }
     }
 
-    pub(super) fn fail(&mut self, mut failure: Failure) {
+    pub(super) fn fail(&mut self, mut failure: RequestFailure) {
         if failure.code == Code::Overloaded {
             let spread = |it| patience::jittered_retry(it, rand::random());
             failure.retry_after = failure.retry_after.map(spread);
@@ -174,10 +175,13 @@
     pub(super) fn out_of_reach(
         &self,
         incarnation: id::Incarnation,
-    ) -> Failure {
+    ) -> RequestFailure {
         let view = self.shared.published.load();
         if is_gone(&view, &self.task, incarnation) {
-            return Failure::new(Code::TargetGone, Execution::OutcomeUnknown);
+            return RequestFailure::new(
+                Code::TargetGone,
+                Execution::OutcomeUnknown,
+            );
         }
         unknown(Code::LinkLost)
     }
@@ -228,6 +232,7 @@
     }
 }
 
-pub(super) fn unknown(code: Code) -> Failure {
-    Failure::new(code, Execution::OutcomeUnknown).with_retry_after(ASK_AGAIN)
+pub(super) fn unknown(code: Code) -> RequestFailure {
+    RequestFailure::new(code, Execution::OutcomeUnknown)
+        .with_retry_after(ASK_AGAIN)
 }
--- a/cowsliproad-entry/src/lib.rs
+++ b/cowsliproad-entry/src/lib.rs
@@ -46,7 +46,7 @@
     client::Client,
     metrics::Metrics,
     server::{self, AcceptHandle, Listener},
-    threads::Threads,
+    threads::Runtimes,
 };
 use slog::{Logger, info, warn};
 use tokio::time::{Instant, sleep};
@@ -81,7 +81,7 @@
     /// The logger.
     pub log: Logger,
     /// Where tasks run.
-    pub threads: Threads,
+    pub threads: Runtimes,
 }
 
 impl Shared {
@@ -115,7 +115,10 @@
 const LINGER: Duration = Duration::from_millis(100);
 
 /// Starts an entry's tasks.
-pub async fn start(settings: Settings, threads: Threads) -> io::Result<Entry> {
+pub async fn start(
+    settings: Settings,
+    threads: Runtimes,
+) -> io::Result<Entry> {
     let log =
         cowsliproad_kernel::log::logger("entry", &settings.name, settings.log);
     let metrics = Metrics::new();
@@ -146,21 +149,29 @@
         shared: shared.clone(),
         accept_handle: accept_handle.clone(),
     };
-    threads.control.spawn(Control::new(shared.clone()).run(events));
-    threads.control.spawn(control::weigh_ejections(shared.clone()));
-    threads.control.spawn(log::tail(shared.clone()));
-    threads.control.spawn(vms::watch(shared.clone()));
-    threads.control.spawn(links::beat(shared.clone()));
-    threads.control.spawn(links::accept_peers(shared.clone(), link));
+    threads.control_runtime.spawn(Control::new(shared.clone()).run(events));
+    threads.control_runtime.spawn(control::weigh_ejections(shared.clone()));
+    threads.control_runtime.spawn(log::tail(shared.clone()));
+    threads.control_runtime.spawn(vms::watch(shared.clone()));
+    threads.control_runtime.spawn(links::beat(shared.clone()));
+    threads.control_runtime.spawn(links::accept_peers(shared.clone(), link));
     for peer in shared.settings.peers.clone() {
-        threads.control.spawn(links::dial_peer(shared.clone(), peer));
+        threads.control_runtime.spawn(links::dial_peer(shared.clone(), peer));
     }
     for seed in shared.settings.seeds.clone() {
-        threads.control.spawn(links::dial_seed(shared.clone(), seed));
+        threads.control_runtime.spawn(links::dial_seed(shared.clone(), seed));
     }
     let callers = Arc::new(callers::Api::new(shared.clone()));
-    threads.traffic.spawn(server::serve(http, callers, accept_handle.clone()));
-    threads.control.spawn(admin::serve(shared.clone(), admin, accept_handle));
+    threads.traffic_runtime.spawn(server::serve(
+        http,
+        callers,
+        accept_handle.clone(),
+    ));
+    threads.control_runtime.spawn(admin::serve(
+        shared.clone(),
+        admin,
+        accept_handle,
+    ));
     info!(shared.log, "start";
         "http" => %entry.http, "admin" => %entry.admin,
         "link" => %entry.link);
@@ -175,7 +186,7 @@
         let in_flight = || shared.in_flight.load(Ordering::Relaxed);
         info!(shared.log, "stop"; "in_flight" => in_flight());
         sleep(shared.settings.grace_ms.duration()).await;
-        self.accept_handle.close();
+        self.accept_handle.stop_accepting();
         let most = shared.settings.stop_ms.duration();
         let deadline = Instant::now() + most;
         while in_flight() > 0 && Instant::now() < deadline {
--- a/cowsliproad-entry/src/quarantine.rs
+++ b/cowsliproad-entry/src/quarantine.rs
@@ -13,7 +13,7 @@
     code::{Code, Execution},
     gossip::SuspectedRequest,
     sync::lock,
-    wire::Failure,
+    wire::RequestFailure,
 };
 use slog::info;
 
@@ -77,8 +77,8 @@
     order: &Order,
     ran: Execution,
     after: Millis,
-) -> Failure {
+) -> RequestFailure {
     info!(shared.log, "refused"; "request" => %order.request,
         "work" => %order.work, "after" => after.0);
-    Failure::new(Code::Quarantined, ran).with_retry_after(after)
+    RequestFailure::new(Code::Quarantined, ran).with_retry_after(after)
 }
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -21,8 +21,8 @@
     id,
     sync::lock,
     wire::{
-        AgentLoad, AnswerData, AnswerEnd, AttemptRefusal, Failure, Frame,
-        Heartbeat, ProcessPhase, TargetPresence,
+        AgentLoad, AnswerData, AnswerEnd, AttemptRefusal, Frame, Heartbeat,
+        ProcessPhase, RequestFailure, TargetPresence,
     },
 };
 use cowsliproad_net::link::{SendError, Sender};
@@ -83,7 +83,7 @@
     /// The end of the answer.
     End(AnswerEnd),
     /// The attempt ended without an answer.
-    Refused(Failure),
+    Refused(RequestFailure),
     /// The link broke.
     Lost,
 }
@@ -342,8 +342,8 @@
     }
 }
 
-fn failure(refusal: AttemptRefusal) -> Failure {
-    Failure {
+fn failure(refusal: AttemptRefusal) -> RequestFailure {
+    RequestFailure {
         code: refusal.code,
         ran: refusal.ran,
         retry_after: refusal.retry_after,
@@ -351,7 +351,7 @@
 }
 
 /// How a failure counts for the target that reported it.
-pub fn outcome(failure: &Failure) -> Outcome {
+pub fn outcome(failure: &RequestFailure) -> Outcome {
     match failure.code {
         Code::TargetFailed | Code::TimedOut | Code::LinkLost => {
             Outcome::Failed
--- a/cowsliproad-kernel/src/code.rs
+++ b/cowsliproad-kernel/src/code.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a request ran, as far as the entry knows.
+/// Whether a request ran, as far as the entry process knows.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Execution {
@@ -15,8 +15,8 @@
     /// The request did not run, and will never run under this request
     /// identifier or ticket.
     NotRun,
-    /// The entry did not forward this attempt. Earlier attempts of the same
-    /// request may have run.
+    /// The entry process did not forward this attempt. Earlier attempts of the
+    /// same request may have run.
     NotForwarded,
     /// The request may have run.
     OutcomeUnknown,
--- a/cowsliproad-kernel/src/plugin.rs
+++ b/cowsliproad-kernel/src/plugin.rs
@@ -14,7 +14,7 @@
     fn name(&self) -> &'static str;
 
     /// Returns a one-line description for help texts.
-    fn about(&self) -> &'static str;
+    fn description(&self) -> &'static str;
 }
 
 /// Returns the plug-in with the given name.
--- a/cowsliproad-kernel/src/secret.rs
+++ b/cowsliproad-kernel/src/secret.rs
@@ -7,7 +7,7 @@
 /// The length of a secret key.
 pub const KEY_BYTES: usize = 32;
 
-/// A secret key that all entries and agents of one installation share.
+/// A secret key that all entry processes and agents of one installation share.
 #[derive(Clone, Copy, Eq, PartialEq)]
 pub struct Secret(pub [u8; KEY_BYTES]);
 
--- a/cowsliproad-kernel/src/wire.rs
+++ b/cowsliproad-kernel/src/wire.rs
@@ -469,7 +469,7 @@
     /// The organisation that owns the answer.
     pub organisation: Name,
     /// The content of the answer, or the reason why there is none.
-    pub result: Result<AnswerContent, Failure>,
+    pub result: Result<AnswerContent, RequestFailure>,
 }
 
 /// The content of a complete answer.
@@ -484,7 +484,7 @@
 
 /// Why a request has no answer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Failure {
+pub struct RequestFailure {
     /// The reason for the failure.
     pub code: Code,
     /// Whether the request ran.
@@ -493,15 +493,15 @@
     pub retry_after: Option<Millis>,
 }
 
-impl Failure {
+impl RequestFailure {
     /// Creates a failure without a retry delay.
-    pub fn new(code: Code, ran: Execution) -> Failure {
-        Failure { code, ran, retry_after: None }
+    pub fn new(code: Code, ran: Execution) -> RequestFailure {
+        RequestFailure { code, ran, retry_after: None }
     }
 
     /// Returns the same failure with a retry delay.
-    pub fn with_retry_after(self, wait: Millis) -> Failure {
-        Failure { retry_after: Some(wait), ..self }
+    pub fn with_retry_after(self, wait: Millis) -> RequestFailure {
+        RequestFailure { retry_after: Some(wait), ..self }
     }
 }
 
--- a/cowsliproad-net/src/client.rs
+++ b/cowsliproad-net/src/client.rs
@@ -76,17 +76,17 @@
         })
     }
 
-    /// Sends a request and reads the response with a body of at most `limit`
-    /// bytes, all within `time_limit`.
+    /// Sends a request and reads the response with a body of at most
+    /// `max_body_bytes` bytes, all within `time_limit`.
     pub async fn call(
         &self,
         request: Request<Full<Bytes>>,
-        limit: usize,
+        max_body_bytes: usize,
         time_limit: Duration,
     ) -> Result<Response<Bytes>, Error> {
         let whole = async {
             let (head, body) = self.send(request).await?.into_parts();
-            let body = Limited::new(body, limit).collect().await;
+            let body = Limited::new(body, max_body_bytes).collect().await;
             let body = body.map_err(|error| {
                 if error.is::<http_body_util::LengthLimitError>() {
                     Error::TooLarge
--- a/cowsliproad-net/src/hooked.rs
+++ b/cowsliproad-net/src/hooked.rs
@@ -1,7 +1,7 @@
-//! A TCP connection with hooks.
+//! A TCP connection that calls hooks on reads and flushes.
 //!
-//! Bytes that are read and written pass through unchanged. [`Hooks`] are
-//! called on reads and flushes and define how the connection is closed.
+//! Bytes that are read and written pass through unchanged. [`ConnectionHooks`]
+//! are called on reads and flushes and define how the connection is closed.
 
 use std::{
     io,
@@ -16,9 +16,9 @@
     net::TcpStream,
 };
 
-/// Actions that a connection performs in addition to passing bytes on. By
-/// default there are none.
-pub trait Hooks: Unpin {
+/// Actions that a connection performs on reads and flushes, none by default,
+/// and the way in which the connection is closed.
+pub trait ConnectionHooks: Unpin {
     /// How the connection is closed.
     const CLOSE_MODE: CloseMode = CloseMode::Graceful;
 
@@ -26,7 +26,7 @@
     fn on_read(&mut self) {}
 
     /// Returns bytes to send before the next flush.
-    fn before_flush(&mut self) -> Vec<u8> {
+    fn bytes_before_flush(&mut self) -> Vec<u8> {
         Vec::new()
     }
 }
@@ -40,7 +40,7 @@
     Reset,
 }
 
-/// A TCP connection with hooks.
+/// A TCP connection that calls its [`ConnectionHooks`] on reads and flushes.
 #[derive(Debug)]
 pub struct HookedStream<H> {
     stream: TcpStream,
@@ -57,12 +57,12 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ResetOnDrop;
 
-impl Hooks for ResetOnDrop {
+impl ConnectionHooks for ResetOnDrop {
     const CLOSE_MODE: CloseMode = CloseMode::Reset;
 }
 
-impl<H: Hooks> HookedStream<H> {
-    /// Wraps a TCP connection with hooks.
+impl<H: ConnectionHooks> HookedStream<H> {
+    /// Creates a connection that calls `hooks` on reads and flushes.
     pub fn new(stream: TcpStream, hooks: H) -> io::Result<HookedStream<H>> {
         if H::CLOSE_MODE == CloseMode::Reset {
             SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
@@ -71,7 +71,7 @@
     }
 }
 
-impl<H: Hooks> AsyncRead for HookedStream<H> {
+impl<H: ConnectionHooks> AsyncRead for HookedStream<H> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -86,7 +86,7 @@
     }
 }
 
-impl<H: Hooks> AsyncWrite for HookedStream<H> {
+impl<H: ConnectionHooks> AsyncWrite for HookedStream<H> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -111,7 +111,7 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<io::Result<()>> {
-        let tail = self.hooks.before_flush();
+        let tail = self.hooks.bytes_before_flush();
         if !tail.is_empty() {
             // The socket's send buffer is empty and has room for a few bytes.
             let _ = Pin::new(&mut self.stream).poll_write(context, &tail);
--- a/cowsliproad-net/src/lib.rs
+++ b/cowsliproad-net/src/lib.rs
@@ -1,6 +1,6 @@
 //! Networking code that the programs share: HTTP servers with a graceful
-//! stop, HTTP clients, authenticated links between entries and agents, and
-//! metrics.
+//! stop, HTTP clients, authenticated links between entry processes and agents,
+//! and metrics.
 //!
 //! External libraries implement the protocols; this crate contains only the
 //! code around them that several programs need.
--- a/cowsliproad-net/src/link.rs
+++ b/cowsliproad-net/src/link.rs
@@ -96,10 +96,10 @@
 /// The receiving half of a link.
 #[derive(Debug)]
 pub struct Receiver {
-    stream: Stream,
+    stream: FrameStream,
 }
 
-enum Stream {
+enum FrameStream {
     Dialled(SplitStream<DialledSocket>),
     Accepted(SplitStream<WebSocketStream<TcpStream>>),
 }
@@ -134,10 +134,10 @@
     pub async fn recv(&mut self) -> Option<Frame> {
         loop {
             let message = match &mut self.stream {
-                Stream::Dialled(it) => {
+                FrameStream::Dialled(it) => {
                     timeout(SILENCE_TIMEOUT, it.next()).await
                 }
-                Stream::Accepted(it) => {
+                FrameStream::Accepted(it) => {
                     timeout(SILENCE_TIMEOUT, it.next()).await
                 }
             };
@@ -189,19 +189,19 @@
         ),
     };
     send_frame(&mut socket, &Frame::Hello(hello)).await?;
-    let Frame::Welcome(beat) = read_frame(&mut socket).await? else {
+    let Frame::Welcome(heartbeat) = read_frame(&mut socket).await? else {
         return Err(Error::WrongKey);
     };
     let (sink, stream) = socket.split();
     let sender = spawn_writer(sink);
-    Ok((sender, Receiver { stream: Stream::Dialled(stream) }, beat))
+    Ok((sender, Receiver { stream: FrameStream::Dialled(stream) }, heartbeat))
 }
 
 async fn connect(
     address: SocketAddr,
-    source: Option<IpAddr>,
+    source_address: Option<IpAddr>,
 ) -> io::Result<TcpStream> {
-    let Some(source) = source else {
+    let Some(source) = source_address else {
         return TcpStream::connect(address).await;
     };
     let socket = match source {
@@ -217,9 +217,9 @@
 pub async fn accept(
     tcp: TcpStream,
     key: &[u8; KEY_BYTES],
-    beat: Heartbeat,
+    heartbeat: Heartbeat,
 ) -> Result<(Sender, Receiver, Hello), Error> {
-    timeout(DIAL_TIMEOUT, accept_handshake(tcp, key, beat))
+    timeout(DIAL_TIMEOUT, accept_handshake(tcp, key, heartbeat))
         .await
         .unwrap_or(Err(Error::Timeout))
 }
@@ -227,7 +227,7 @@
 async fn accept_handshake(
     tcp: TcpStream,
     key: &[u8; KEY_BYTES],
-    beat: Heartbeat,
+    heartbeat: Heartbeat,
 ) -> Result<(Sender, Receiver, Hello), Error> {
     tcp.set_nodelay(true).map_err(transport_error)?;
     let mut socket = tokio_tungstenite::accept_async_with_config(
@@ -248,10 +248,10 @@
     ) {
         return Err(Error::WrongKey);
     }
-    send_frame(&mut socket, &Frame::Welcome(beat)).await?;
+    send_frame(&mut socket, &Frame::Welcome(heartbeat)).await?;
     let (sink, stream) = socket.split();
     let sender = spawn_writer(sink);
-    Ok((sender, Receiver { stream: Stream::Accepted(stream) }, hello))
+    Ok((sender, Receiver { stream: FrameStream::Accepted(stream) }, hello))
 }
 
 fn websocket_config() -> WebSocketConfig {
@@ -342,11 +342,11 @@
     Error::Transport(error.to_string())
 }
 
-impl fmt::Debug for Stream {
+impl fmt::Debug for FrameStream {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Stream::Dialled(_) => f.write_str("Dialled"),
-            Stream::Accepted(_) => f.write_str("Accepted"),
+            FrameStream::Dialled(_) => f.write_str("Dialled"),
+            FrameStream::Accepted(_) => f.write_str("Accepted"),
         }
     }
 }
--- a/cowsliproad-net/src/program.rs
+++ b/cowsliproad-net/src/program.rs
@@ -16,7 +16,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 use tokio::signal::unix::{SignalKind, signal};
 
-use crate::threads::{self, Threads};
+use crate::threads::{self, Runtimes};
 
 /// The exit status for invalid settings.
 const EXIT_BAD_SETTINGS: i32 = 2;
@@ -35,17 +35,17 @@
 }
 
 /// Like [`load_settings`], but also returns the path of the file, and takes the
-/// path from an environment variable if the command line names none.
+/// path from an environment variable if the command line has no path.
 pub fn load_settings_or_env<T>(
     name: &'static str,
     about: &'static str,
     example: &T,
-    variable: &str,
+    path_variable: &str,
 ) -> (PathBuf, T)
 where
     T: Validate + DeserializeOwned + Serialize,
 {
-    let path = std::env::var_os(variable).map(PathBuf::from);
+    let path = std::env::var_os(path_variable).map(PathBuf::from);
     read_settings(name, about, example, path)
 }
 
@@ -53,7 +53,7 @@
     name: &'static str,
     about: &'static str,
     example: &T,
-    fallback: Option<PathBuf>,
+    fallback_path: Option<PathBuf>,
 ) -> (PathBuf, T)
 where
     T: Validate + DeserializeOwned + Serialize,
@@ -63,7 +63,8 @@
         println!("{}", settings::to_json(example));
         process::exit(0);
     }
-    let path = matches.get_one::<PathBuf>("settings").cloned().or(fallback);
+    let path =
+        matches.get_one::<PathBuf>("settings").cloned().or(fallback_path);
     let Some(path) = path else {
         eprintln!("{name}: the option --settings FILE is required");
         process::exit(EXIT_BAD_SETTINGS);
@@ -83,8 +84,11 @@
 
 /// Runs a program's main task on a multi-threaded runtime, and exits the
 /// process if the task fails.
-pub fn run(workers: usize, main: impl AsyncFnOnce(Threads) -> io::Result<()>) {
-    let outcome = threads::run(workers, main);
+pub fn run(
+    traffic_threads: usize,
+    main: impl AsyncFnOnce(Runtimes) -> io::Result<()>,
+) {
+    let outcome = threads::run_on_runtimes(traffic_threads, main);
     if let Err(error) = outcome.and_then(|outcome| outcome) {
         eprintln!("program failed: {error}");
         process::exit(1);
@@ -110,7 +114,7 @@
     path: PathBuf,
     mut on_read: impl FnMut(Result<T, settings::Error>),
 ) {
-    let mut last_modified = modified_at(&path);
+    let mut last_modified = file_modified_at(&path);
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return std::future::pending().await;
     };
@@ -119,7 +123,7 @@
             signalled = hangup.recv() => signalled.is_some(),
             () = tokio::time::sleep(CHANGE_CHECK_INTERVAL.duration()) => false,
         };
-        let modified = modified_at(&path);
+        let modified = file_modified_at(&path);
         if signalled || modified != last_modified {
             last_modified = modified;
             on_read(settings::read(&path));
@@ -127,12 +131,12 @@
     }
 }
 
-fn modified_at(path: &Path) -> Option<SystemTime> {
+fn file_modified_at(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path).and_then(|it| it.modified()).ok()
 }
 
 /// Waits for SIGTERM or SIGINT.
-pub async fn stop_signal() {
+pub async fn wait_for_stop_signal() {
     let (Ok(mut terminate), Ok(mut interrupt)) =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
     else {
--- a/cowsliproad-net/src/reply.rs
+++ b/cowsliproad-net/src/reply.rs
@@ -1,28 +1,32 @@
 //! Responses to callers: JSON, and `application/problem+json` for failures.
 
-use cowsliproad_kernel::{clock::Millis, wire::Failure};
+use cowsliproad_kernel::{clock::Millis, wire::RequestFailure};
 use http::{HeaderValue, StatusCode, header};
 use serde_json::json;
 use volo_http::{body::Body, response::Response};
 
 /// Creates a JSON response.
 pub fn json(status: StatusCode, body: String) -> Response {
-    with_content_type(status, "application/json", body)
+    response_with_content_type(status, "application/json", body)
 }
 
 /// Creates a plain text response.
 pub fn text(status: StatusCode, body: &str) -> Response {
-    with_content_type(status, "text/plain; charset=utf-8", body.to_string())
+    response_with_content_type(
+        status,
+        "text/plain; charset=utf-8",
+        body.to_string(),
+    )
 }
 
 /// Creates a problem response for a failure. If `detail` is empty, the
 /// standard text of the result code is used.
-pub fn problem(failure: &Failure, detail: &str) -> Response {
+pub fn problem(failure: &RequestFailure, detail: &str) -> Response {
     let status = StatusCode::from_u16(failure.code.status())
         .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let body = problem_body(failure, detail).to_string();
     let mut response =
-        with_content_type(status, "application/problem+json", body);
+        response_with_content_type(status, "application/problem+json", body);
     if let Some(wait) = failure.retry_after {
         let seconds = HeaderValue::from(retry_after_seconds(wait));
         response.headers_mut().insert(header::RETRY_AFTER, seconds);
@@ -32,7 +36,10 @@
 
 /// Returns the problem document of a failure. Streams send it as their last
 /// event.
-pub fn problem_body(failure: &Failure, detail: &str) -> serde_json::Value {
+pub fn problem_body(
+    failure: &RequestFailure,
+    detail: &str,
+) -> serde_json::Value {
     let mut body = json!({
         "status": failure.code.status(),
         "code": failure.code.number(),
@@ -46,7 +53,7 @@
     body
 }
 
-fn with_content_type(
+fn response_with_content_type(
     status: StatusCode,
     content_type: &'static str,
     body: String,
--- a/cowsliproad-net/src/retry_after.rs
+++ b/cowsliproad-net/src/retry_after.rs
@@ -36,7 +36,7 @@
 /// Parses the `Retry-After` header of a response with status 503 or 429. If
 /// there are several values, the longest wait is returned. `now` is called
 /// only if a date needs it and the response has no `Date` header.
-pub fn read(
+pub fn parse_header(
     status: StatusCode,
     headers: &HeaderMap,
     now: impl FnOnce() -> SystemTime,
--- a/cowsliproad-net/src/server.rs
+++ b/cowsliproad-net/src/server.rs
@@ -46,38 +46,38 @@
 
 /// The largest request head to wait for. A connection with a longer head is
 /// passed to the server at once.
-const MAX_HEAD_BYTES: usize = 16 << 10;
+const MAX_REQUEST_HEAD_BYTES: usize = 16 << 10;
 
 /// How often an incomplete request head is checked again.
-const HEAD_POLL_INTERVAL: Duration = Duration::from_millis(10);
+const REQUEST_HEAD_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A handle that stops a server from accepting connections.
 #[derive(Clone, Debug)]
 pub struct AcceptHandle {
-    open: watch::Sender<bool>,
+    accepting: watch::Sender<bool>,
 }
 
 impl AcceptHandle {
     /// Creates a handle for a server that accepts connections.
     pub fn new() -> AcceptHandle {
-        AcceptHandle { open: watch::Sender::new(true) }
+        AcceptHandle { accepting: watch::Sender::new(true) }
     }
 
     /// Stops the server from accepting connections.
-    pub fn close(&self) {
-        self.open.send_replace(false);
+    pub fn stop_accepting(&self) {
+        self.accepting.send_replace(false);
     }
 
     /// Whether the server accepts connections.
-    pub fn is_open(&self) -> bool {
-        *self.open.borrow()
+    pub fn is_accepting(&self) -> bool {
+        *self.accepting.borrow()
     }
 
     /// Waits until the server has stopped accepting connections.
-    pub async fn closed(&self) {
-        let mut open = self.open.subscribe();
+    pub async fn stopped_accepting(&self) {
+        let mut accepting = self.accepting.subscribe();
         // `self` owns the sender, so the wait can't fail.
-        let _ = open.wait_for(|open| !open).await;
+        let _ = accepting.wait_for(|accepting| !accepting).await;
     }
 }
 
@@ -90,25 +90,26 @@
 /// A bound socket from which volo accepts connections.
 pub struct Listener {
     address: SocketAddr,
-    accepted: mpsc::Receiver<TcpStream>,
+    accepted_connections: mpsc::Receiver<TcpStream>,
 }
 
 impl Listener {
-    /// Binds an address and accepts connections until the accept handle is
-    /// closed.
+    /// Binds an address and accepts connections until the accept handle stops
+    /// the server from accepting more.
     pub async fn bind(
         address: SocketAddr,
         accept_handle: &AcceptHandle,
     ) -> io::Result<Listener> {
         let socket = TcpListener::bind(address).await?;
         let address = socket.local_addr()?;
-        let (sender, accepted) = mpsc::channel(MAX_PENDING_CONNECTIONS);
+        let (sender, accepted_connections) =
+            mpsc::channel(MAX_PENDING_CONNECTIONS);
         tokio::spawn(accept_connections(
             socket,
             accept_handle.clone(),
             sender,
         ));
-        Ok(Listener { address, accepted })
+        Ok(Listener { address, accepted_connections })
     }
 
     /// Returns the bound address.
@@ -125,10 +126,10 @@
 
 impl Incoming for Listener {
     async fn accept(&mut self) -> io::Result<Option<Conn>> {
-        match self.accepted.recv().await {
+        match self.accepted_connections.recv().await {
             Some(stream) => Ok(Some(Conn::from(ConnStream::from(stream)))),
             // Volo would call `accept` again as soon as it returned `None`,
-            // so `accept` never returns after the accept handle is closed.
+            // so `accept` never returns after the last connection.
             // The server's task is dropped when its program ends.
             None => std::future::pending().await,
         }
@@ -151,37 +152,37 @@
     loop {
         let stream = tokio::select! {
             accepted = socket.accept() => accepted,
-            () = accept_handle.closed() => return,
+            () = accept_handle.stopped_accepting() => return,
         };
         match stream {
             Ok((stream, _)) => {
-                tokio::spawn(pass_on_after_head(stream, sender.clone()));
+                tokio::spawn(queue_after_request_head(stream, sender.clone()));
             }
             // Most likely the process is out of file descriptors. Wait until
             // other connections are closed.
-            Err(_) => sleep(HEAD_POLL_INTERVAL).await,
+            Err(_) => sleep(REQUEST_HEAD_POLL_INTERVAL).await,
         }
     }
 }
 
-/// Passes a connection on once its socket buffer holds a complete request
-/// head.
-async fn pass_on_after_head(
+/// Queues a connection for the server once the socket buffer holds a complete
+/// request head.
+async fn queue_after_request_head(
     stream: TcpStream,
     sender: mpsc::Sender<TcpStream>,
 ) {
     let deadline = Instant::now() + REQUEST_HEAD_TIMEOUT;
-    let mut head = vec![0; MAX_HEAD_BYTES];
+    let mut head = vec![0; MAX_REQUEST_HEAD_BYTES];
     loop {
         let peeked = timeout_at(deadline, stream.peek(&mut head)).await;
         let Ok(Ok(length)) = peeked else { return };
         if length == 0 {
             return;
         }
-        if is_head_complete(&head[..length]) {
+        if is_request_head_complete(&head[..length]) {
             break;
         }
-        sleep(HEAD_POLL_INTERVAL).await;
+        sleep(REQUEST_HEAD_POLL_INTERVAL).await;
         if Instant::now() >= deadline {
             return;
         }
@@ -189,8 +190,8 @@
     let _ = sender.send(stream).await;
 }
 
-fn is_head_complete(head: &[u8]) -> bool {
-    head.len() == MAX_HEAD_BYTES
+fn is_request_head_complete(head: &[u8]) -> bool {
+    head.len() == MAX_REQUEST_HEAD_BYTES
         || head.windows(4).any(|end| end == b"\r\n\r\n")
 }
 
@@ -203,7 +204,8 @@
     ) -> impl Future<Output = Response> + Send;
 }
 
-/// Serves the requests of a listener until the accept handle is closed.
+/// Serves the requests of a listener until the accept handle stops the server
+/// from accepting connections.
 /// Connections that are already open are served until the runtime stops.
 pub async fn serve<H: Handler>(
     listener: Listener,
@@ -211,15 +213,15 @@
     accept_handle: AcceptHandle,
 ) -> io::Result<()> {
     let mut server = Server::new(HandlerService(handler));
-    server.http1_config().set_max_headers(MAX_HEADERS);
+    server.http1_config().set_max_headers(MAX_REQUEST_HEADERS);
     let server = server.register_shutdown_hook(move || {
-        Box::pin(async move { accept_handle.closed().await })
+        Box::pin(async move { accept_handle.stopped_accepting().await })
     });
     server.run(listener).await.map_err(io::Error::other)
 }
 
 /// The largest number of header lines in a request.
-const MAX_HEADERS: usize = 64;
+const MAX_REQUEST_HEADERS: usize = 64;
 
 struct HandlerService<H>(Arc<H>);
 
@@ -247,13 +249,16 @@
     Incomplete,
 }
 
-/// Reads a request body of at most `limit` bytes within `time_limit`.
+/// Reads a request body of at most `max_body_bytes` bytes within
+/// `time_limit`.
 pub async fn read_body(
     body: Body,
-    limit: usize,
+    max_body_bytes: usize,
     time_limit: Duration,
 ) -> Result<Bytes, BodyError> {
-    match timeout(time_limit, Limited::new(body, limit).collect()).await {
+    match timeout(time_limit, Limited::new(body, max_body_bytes).collect())
+        .await
+    {
         Err(_) => Err(BodyError::TimedOut),
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
@@ -267,13 +272,13 @@
 /// one task ever polls it.
 #[derive(Debug)]
 pub struct SyncStream<S> {
-    inner: Mutex<Pin<Box<S>>>,
+    stream: Mutex<Pin<Box<S>>>,
 }
 
 impl<S: Stream> SyncStream<S> {
     /// Creates a `SyncStream` from a stream.
     pub fn new(stream: S) -> SyncStream<S> {
-        SyncStream { inner: Mutex::new(Box::pin(stream)) }
+        SyncStream { stream: Mutex::new(Box::pin(stream)) }
     }
 }
 
@@ -284,7 +289,7 @@
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<S::Item>> {
-        let stream = self.get_mut().inner.get_mut();
+        let stream = self.get_mut().stream.get_mut();
         let stream = stream.unwrap_or_else(|poison| poison.into_inner());
         stream.as_mut().poll_next(context)
     }
--- a/cowsliproad-net/src/single.rs
+++ b/cowsliproad-net/src/single.rs
@@ -49,15 +49,15 @@
         Ok(())
     }
 
-    /// Sends a request and reads the response with a body of at most `limit`
-    /// bytes, all within `time_limit`. Never retries.
+    /// Sends a request and reads the response with a body of at most
+    /// `max_body_bytes` bytes, all within `time_limit`. Never retries.
     pub async fn call(
         &mut self,
         request: Request<Full<Bytes>>,
-        limit: usize,
+        max_body_bytes: usize,
         time_limit: Duration,
     ) -> Result<Response<Bytes>, Error> {
-        let exchange = self.exchange(request, limit);
+        let exchange = self.send_and_read_response(request, max_body_bytes);
         match tokio::time::timeout(time_limit, exchange).await {
             Ok(outcome) => outcome,
             Err(_) => {
@@ -67,10 +67,10 @@
         }
     }
 
-    async fn exchange(
+    async fn send_and_read_response(
         &mut self,
         mut request: Request<Full<Bytes>>,
-        limit: usize,
+        max_body_bytes: usize,
     ) -> Result<Response<Bytes>, Error> {
         let host = HeaderValue::from_str(&self.address.to_string());
         let host = host.map_err(|error| Error::Connect(error.to_string()))?;
@@ -82,7 +82,7 @@
         let broke = |error: hyper::Error| Error::Exchange(error.to_string());
         let answer = sender.send_request(request).await.map_err(broke)?;
         let (head, body) = answer.into_parts();
-        let body = Limited::new(body, limit).collect().await;
+        let body = Limited::new(body, max_body_bytes).collect().await;
         let body = body.map_err(|error| {
             if error.is::<LengthLimitError>() {
                 Error::TooLarge
--- a/cowsliproad-net/src/threads.rs
+++ b/cowsliproad-net/src/threads.rs
@@ -7,26 +7,26 @@
 
 /// The runtimes on which a program spawns its tasks.
 #[derive(Clone, Debug)]
-pub struct Threads {
+pub struct Runtimes {
     /// The single-threaded runtime that owns the control state.
-    pub control: Handle,
+    pub control_runtime: Handle,
     /// The runtime that serves requests.
-    pub traffic: Handle,
+    pub traffic_runtime: Handle,
 }
 
-impl Threads {
+impl Runtimes {
     /// Uses the current runtime for all tasks, as the nodes of the demo do.
-    pub fn current() -> Threads {
+    pub fn current() -> Runtimes {
         let handle = Handle::current();
-        Threads { control: handle.clone(), traffic: handle }
+        Runtimes { control_runtime: handle.clone(), traffic_runtime: handle }
     }
 }
 
 /// Runs a program's main task on the traffic runtime until it ends; a control
 /// runtime with one thread runs beside it.
-pub fn run<T>(
-    workers: usize,
-    main: impl AsyncFnOnce(Threads) -> T,
+pub fn run_on_runtimes<T>(
+    traffic_threads: usize,
+    main: impl AsyncFnOnce(Runtimes) -> T,
 ) -> io::Result<T> {
     let control: Runtime = Builder::new_multi_thread()
         .worker_threads(1)
@@ -34,15 +34,15 @@
         .enable_all()
         .build()?;
     let traffic: Runtime = Builder::new_multi_thread()
-        .worker_threads(workers.max(1))
+        .worker_threads(traffic_threads.max(1))
         .thread_name("traffic")
         .enable_all()
         .build()?;
-    let threads = Threads {
-        control: control.handle().clone(),
-        traffic: traffic.handle().clone(),
+    let runtimes = Runtimes {
+        control_runtime: control.handle().clone(),
+        traffic_runtime: traffic.handle().clone(),
     };
-    let outcome = traffic.block_on(main(threads));
+    let outcome = traffic.block_on(main(runtimes));
     traffic.shutdown_background();
     control.shutdown_background();
     Ok(outcome)
--- a/cowsliproad-rank/src/engine.rs
+++ b/cowsliproad-rank/src/engine.rs
@@ -134,7 +134,7 @@
     fn note_stated(&mut self, answer: &Response<Bytes>) {
         let headers = answer.headers();
         let now = SystemTime::now;
-        let stated = retry_after::read(answer.status(), headers, now);
+        let stated = retry_after::parse_header(answer.status(), headers, now);
         if let RetryAfter::Wait(wait) = stated {
             self.cooldown.extend(wait, Millis::now());
         }
--- a/cowsliproad-rank/src/lib.rs
+++ b/cowsliproad-rank/src/lib.rs
@@ -38,7 +38,7 @@
     info!(log, "started"; "engine" => %settings.engine);
     let agent = Agent::new(settings, log.clone()).await?;
     tokio::select! {
-        outcome = agent.run(program::stop_signal()) => outcome?,
+        outcome = agent.run(program::wait_for_stop_signal()) => outcome?,
         () = program::watch_settings(path, |read| note(&log, read)) => {}
     }
     info!(log, "stopped");
--- a/cowsliproad-relay/src/events.rs
+++ b/cowsliproad-relay/src/events.rs
@@ -7,25 +7,25 @@
 
 use bytes::{Bytes, BytesMut};
 
-/// The largest event; longer events are buffered no further.
+/// The largest server-sent event; longer events are buffered no further.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// A complete server-sent event.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Event {
+pub struct ServerSentEvent {
     /// The numeric `id` field of the event, if it has one.
     pub id: Option<u64>,
-    /// The bytes of the event, including the empty line that ends it.
+    /// The bytes of the event, including the empty line at its end.
     pub bytes: Bytes,
 }
 
-/// Splits a byte stream into complete events.
+/// Splits a byte stream into complete server-sent events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
     /// The length of the part of the buffer that was already searched for the
     /// end of an event.
-    searched: usize,
+    searched_bytes: usize,
 }
 
 impl EventSplitter {
@@ -40,15 +40,15 @@
     }
 
     /// Removes the next complete event from the buffer and returns it.
-    pub fn pop(&mut self) -> Option<Event> {
-        let from = self.searched.saturating_sub(3);
-        let Some(length) = event_length(&self.buffer, from) else {
-            self.searched = self.buffer.len();
+    pub fn pop(&mut self) -> Option<ServerSentEvent> {
+        let search_start = self.searched_bytes.saturating_sub(3);
+        let Some(length) = event_length(&self.buffer, search_start) else {
+            self.searched_bytes = self.buffer.len();
             return None;
         };
-        self.searched = 0;
+        self.searched_bytes = 0;
         let bytes = self.buffer.split_to(length).freeze();
-        Some(Event { id: event_id(&bytes), bytes })
+        Some(ServerSentEvent { id: event_id(&bytes), bytes })
     }
 
     /// Whether the buffer holds an incomplete event.
@@ -64,8 +64,8 @@
 
 /// Returns the length of the first event, up to and including the empty line
 /// after it. Lines may end in LF or CRLF.
-fn event_length(bytes: &[u8], from: usize) -> Option<usize> {
-    (from..bytes.len()).find_map(|at| {
+fn event_length(bytes: &[u8], search_start: usize) -> Option<usize> {
+    (search_start..bytes.len()).find_map(|at| {
         let rest = &bytes[at..];
         if rest.starts_with(b"\n\n") {
             Some(at + 2)
--- a/cowsliproad-relay/src/lib.rs
+++ b/cowsliproad-relay/src/lib.rs
@@ -1,10 +1,10 @@
 //! Reassembly of an answer from the frames of one attempt.
 //!
-//! An entry relays exactly one attempt to a caller. An [`AnswerAssembly`] accepts
-//! the frames of that attempt in any order and returns the answer bytes in
-//! sequence. It reports the answer as complete only if the length and the
-//! digest in the end frame match all bytes that it returned. It drops frames
-//! of other attempts, however late they arrive.
+//! An entry process relays exactly one attempt to a caller. An
+//! [`AnswerAssembly`] accepts the frames of that attempt in any order and
+//! returns the answer bytes in sequence. It reports the answer as complete
+//! only if the length and the digest in the end frame match all bytes that it
+//! returned. It drops frames of other attempts, however late they arrive.
 //!
 //! A caller that already has the first part of an answer may resume it. The
 //! digest covers the complete answer, so the assembly continues from the hash
@@ -26,9 +26,9 @@
 /// is missing.
 const MAX_OUT_OF_ORDER_FRAMES: usize = 1024;
 
-/// The result of processing one frame.
+/// The result of processing one frame of an answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Progress {
+pub enum AssemblyProgress {
     /// There are no bytes to forward yet, or the frame belongs to another
     /// attempt.
     Pending,
@@ -47,7 +47,7 @@
 pub struct AnswerAssembly {
     attempt: id::Attempt,
     next_sequence: u32,
-    length: u64,
+    next_byte_offset: u64,
     /// Boxed because a hasher is large and the assembly is moved often.
     hasher: Option<Box<blake3::Hasher>>,
     out_of_order: BTreeMap<u32, Vec<u8>>,
@@ -60,7 +60,7 @@
         AnswerAssembly {
             attempt,
             next_sequence: 0,
-            length: 0,
+            next_byte_offset: 0,
             hasher: Some(Box::default()),
             out_of_order: BTreeMap::new(),
             end: None,
@@ -81,9 +81,16 @@
 
     /// Creates an assembly for an answer from byte `from` on, without access
     /// to the bytes before it.
-    pub fn starting_at(attempt: id::Attempt, from: u64) -> AnswerAssembly {
-        let hasher = (from == 0).then(Box::default);
-        AnswerAssembly { length: from, hasher, ..AnswerAssembly::new(attempt) }
+    pub fn starting_at(
+        attempt: id::Attempt,
+        first_byte_offset: u64,
+    ) -> AnswerAssembly {
+        let hasher = (first_byte_offset == 0).then(Box::default);
+        AnswerAssembly {
+            next_byte_offset: first_byte_offset,
+            hasher,
+            ..AnswerAssembly::new(attempt)
+        }
     }
 
     /// Returns the attempt whose frames are processed.
@@ -92,23 +99,23 @@
     }
 
     /// Returns the offset in the answer after the last byte returned so far.
-    pub fn length(&self) -> u64 {
-        self.length
+    pub fn next_byte_offset(&self) -> u64 {
+        self.next_byte_offset
     }
 
-    /// Processes a data frame.
-    pub fn push_data(&mut self, data: AnswerData) -> Progress {
+    /// Processes a data frame of the answer.
+    pub fn push_data(&mut self, data: AnswerData) -> AssemblyProgress {
         if data.attempt != self.attempt
             || data.frame_sequence < self.next_sequence
         {
-            return Progress::Pending;
+            return AssemblyProgress::Pending;
         }
         if data.frame_sequence > self.next_sequence {
             if self.out_of_order.len() == MAX_OUT_OF_ORDER_FRAMES {
-                return Progress::Broken;
+                return AssemblyProgress::Broken;
             }
             self.out_of_order.insert(data.frame_sequence, data.bytes);
-            return Progress::Pending;
+            return AssemblyProgress::Pending;
         }
         let mut bytes = data.bytes;
         self.next_sequence += 1;
@@ -116,27 +123,27 @@
             bytes.extend_from_slice(&more);
             self.next_sequence += 1;
         }
-        self.length += bytes.len() as u64;
+        self.next_byte_offset += bytes.len() as u64;
         if let Some(hasher) = &mut self.hasher {
             hasher.update(&bytes);
         }
         match self.completeness() {
-            Completeness::Incomplete => Progress::Bytes(bytes),
-            Completeness::Complete => Progress::Complete(bytes),
-            Completeness::Broken => Progress::Broken,
+            Completeness::Incomplete => AssemblyProgress::Bytes(bytes),
+            Completeness::Complete => AssemblyProgress::Complete(bytes),
+            Completeness::Broken => AssemblyProgress::Broken,
         }
     }
 
-    /// Processes the end frame.
-    pub fn push_end(&mut self, end: AnswerEnd) -> Progress {
+    /// Processes the end frame of the answer.
+    pub fn push_end(&mut self, end: AnswerEnd) -> AssemblyProgress {
         if end.attempt != self.attempt {
-            return Progress::Pending;
+            return AssemblyProgress::Pending;
         }
         self.end = Some(end);
         match self.completeness() {
-            Completeness::Incomplete => Progress::Pending,
-            Completeness::Complete => Progress::Complete(Vec::new()),
-            Completeness::Broken => Progress::Broken,
+            Completeness::Incomplete => AssemblyProgress::Pending,
+            Completeness::Complete => AssemblyProgress::Complete(Vec::new()),
+            Completeness::Broken => AssemblyProgress::Broken,
         }
     }
 
@@ -157,7 +164,7 @@
             None => true,
         };
         if digest_matches
-            && self.length == end.length
+            && self.next_byte_offset == end.length
             && self.next_sequence == end.data_frames
         {
             Completeness::Complete
--- a/tests/properties/cooldown.rs
+++ b/tests/properties/cooldown.rs
@@ -99,7 +99,7 @@
         let value = HeaderValue::from_str(&date).expect("a date");
         headers.insert(header::DATE, value);
     }
-    retry_after::read(status, &headers, || now)
+    retry_after::parse_header(status, &headers, || now)
 }
 
 #[test]
--- a/tests/properties/relay.rs
+++ b/tests/properties/relay.rs
@@ -5,7 +5,7 @@
         id::Attempt,
         wire::{AnswerData, AnswerEnd, AnswerFormat, Frame},
     },
-    relay::{AnswerAssembly, Progress},
+    relay::{AnswerAssembly, AssemblyProgress},
 };
 use proptest::prelude::*;
 
@@ -37,16 +37,16 @@
         let step = match frame.clone() {
             Frame::Data(data) => assembly.push_data(data),
             Frame::End(end) => assembly.push_end(end),
-            _ => Progress::Pending,
+            _ => AssemblyProgress::Pending,
         };
         match step {
-            Progress::Pending => {}
-            Progress::Bytes(bytes) => given.extend(bytes),
-            Progress::Complete(bytes) => {
+            AssemblyProgress::Pending => {}
+            AssemblyProgress::Bytes(bytes) => given.extend(bytes),
+            AssemblyProgress::Complete(bytes) => {
                 given.extend(bytes);
                 return (given, Ending::Whole);
             }
-            Progress::Broken => return (given, Ending::Broken),
+            AssemblyProgress::Broken => return (given, Ending::Broken),
         }
     }
     (given, Ending::Open)
@@ -122,7 +122,7 @@
             }
         }
         let mut assembly = assembly.resume(Attempt(2));
-        let mut last = Progress::Pending;
+        let mut last = AssemblyProgress::Pending;
         for frame in frames(2, &pieces[cut..]) {
             last = match frame {
                 Frame::Data(data) => assembly.push_data(data),
@@ -131,10 +131,10 @@
                     answer_blake3_digest: digest(&pieces.concat()),
                     ..end
                 }),
-                _ => Progress::Pending,
+                _ => AssemblyProgress::Pending,
             };
         }
-        prop_assert_eq!(last, Progress::Complete(Vec::new()));
+        prop_assert_eq!(last, AssemblyProgress::Complete(Vec::new()));
     }
 }
 
