--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -11,8 +11,8 @@
     position::LogEra,
 };
 use cowsliproad_routing::{
-    catalog::{Engine, Service},
-    fleet::{Start, Target},
+    catalog::{ExpertLayout, Service},
+    fleet::{StartTime, Target},
 };
 use slog::info;
 use tokio::net::UdpSocket;
@@ -62,8 +62,9 @@
     let Some(catalog) = entry.catalog() else { return Vec::new() };
     let fleet = entry.fleet.borrow();
     let subscription = |service: &Service| {
-        let engine = service.engine.as_ref()?;
-        let own = fleet.ready().filter(|it| it.service == service.name);
+        let engine = service.expert_layout.as_ref()?;
+        let own =
+            fleet.ready_targets().filter(|it| it.service == service.name);
         let targets: Vec<SocketAddr> = own.map(|it| it.address).collect();
         Some(subscribe(engine, &targets, entry.rollbacks.era()))
     };
@@ -71,18 +72,18 @@
 }
 
 fn subscribe(
-    engine: &Engine,
+    engine: &ExpertLayout,
     targets: &[SocketAddr],
     era: LogEra,
 ) -> LoadSubscription {
     LoadSubscription {
         target_list_id: gossip::target_list_id(targets),
         targets: targets.to_vec(),
-        layer_sets: engine.sets as u16,
-        experts_per_layer_set: engine.experts as u16,
-        expert_slots_per_layer_set: engine.places as u16,
-        max_new_experts_per_layer_set: engine.spare as u16,
-        expert_copy_ms: engine.copy_time.0,
+        layer_sets: engine.layer_sets as u16,
+        experts_per_layer_set: engine.experts_per_layer_set as u16,
+        expert_slots_per_layer_set: engine.experts_per_rank as u16,
+        max_new_experts_per_layer_set: engine.max_added_experts_per_map as u16,
+        expert_copy_ms: engine.expert_copy_time.0,
         log_era: era,
     }
 }
@@ -97,8 +98,8 @@
         return;
     };
     entry.heard_from(&target.zone, now);
-    entry.note_report(&target, Start(load.engine_start_unix_ms), now);
-    if load.draining && target.start == Start(load.engine_start_unix_ms) {
+    entry.note_report(&target, StartTime(load.engine_start_unix_ms), now);
+    if load.draining && target.start == StartTime(load.engine_start_unix_ms) {
         info!(entry.log, "target_leaving"; "target" => &*target.id,
             "source" => ?Source::Peer);
         return entry.note_left(&target);
@@ -108,7 +109,7 @@
     let mut endpoint = endpoint.borrow_mut();
     let stands = |it: &Group| (it.epoch, it.open, it.pace / NEWS_PERCENT);
     let before = endpoint.group.as_ref().map(stands);
-    endpoint.record.report(
+    endpoint.record.record_load_report(
         load.running_requests.saturating_add(load.queued_requests),
         now,
     );
@@ -168,5 +169,5 @@
         it.address == address
             && (start == 0 || it.start.0 == 0 || it.start.0 == start)
     };
-    entry.fleet.borrow().ready().find(|it| same(it)).cloned()
+    entry.fleet.borrow().ready_targets().find(|it| same(it)).cloned()
 }
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -25,7 +25,7 @@
     gossip::{self, SuspectedRequest, SuspectedRequests},
 };
 use cowsliproad_platform::log::{self, Client, Record};
-use cowsliproad_routing::fleet::{Start, Target};
+use cowsliproad_routing::fleet::{StartTime, Target};
 use serde::{Deserialize, Serialize};
 use slog::{info, warn};
 use tokio::{sync::Notify, time::timeout};
@@ -272,8 +272,8 @@
 
     /// Notes that an agent reads the report of its engine's start. Where the
     /// start isn't told it may be one that came after the target.
-    pub fn note_report(&self, target: &Target, start: Start, now: Millis) {
-        if start != target.start || start == Start::default() {
+    pub fn note_report(&self, target: &Target, start: StartTime, now: Millis) {
+        if start != target.start || start == StartTime::default() {
             return;
         }
         let mut quarantine = self.quarantine.borrow_mut();
@@ -292,10 +292,13 @@
         if now.since(ended.at) < READ_DELAY {
             return;
         }
-        let (first, at) =
-            *ended.announced.get_or_insert((target.sequence, now));
+        let (first, at) = *ended
+            .announced
+            .get_or_insert((target.announcement_sequence, now));
         drop(quarantine);
-        if target.sequence > first && now.since(at) >= MIN_RENEWAL_INTERVAL {
+        if target.announcement_sequence > first
+            && now.since(at) >= MIN_RENEWAL_INTERVAL
+        {
             self.note_lives(end, now, Source::Log);
         }
     }
--- a/cowsliproad-rank/src/agent/readings.rs
+++ b/cowsliproad-rank/src/agent/readings.rs
@@ -3,7 +3,7 @@
 use std::io;
 
 use cowsliproad_kernel::clock::Millis;
-use cowsliproad_placement::growth::Growth;
+use cowsliproad_placement::growth::CountGrowth;
 use slog::info;
 
 use super::{Agent, Ended};
@@ -28,7 +28,8 @@
             }
             Err(error) => {
                 if self.state.take().is_some() {
-                    let cooldown = self.engine.cooldown().left(Millis::now());
+                    let cooldown =
+                        self.engine.cooldown().remaining_time(Millis::now());
                     info!(self.log, "engine_lost"; "error" => %error,
                         "cooldown" => cooldown.0);
                 }
@@ -104,8 +105,8 @@
         let before = self.counts.replace(choices.clone());
         let growth = before
             .filter(|it| due == Due::Say && it.0 == choices.0)
-            .and_then(|it| Growth::between(&it.1, &choices.1));
-        let Some(Growth { scale, units }) = growth else { return };
+            .and_then(|it| CountGrowth::between(&it.1, &choices.1));
+        let Some(CountGrowth { scale, units }) = growth else { return };
         let choices = Choices { scale, units };
         match &mut self.lead {
             Some(lead) => lead.count(choices, experts),
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -12,11 +12,13 @@
     },
     config::{
         Object, State,
-        fold::{Change, Record, encode},
+        fold::{Change, Record, encode_record},
         object::Organisation,
     },
     kernel::{clock::Millis, id, wire::Urgency},
-    mapswitch::{Generation, Member, Message, Proposal, Version, Weights},
+    mapswitch::{
+        Generation, Member, Proposal, Version, VoteMessage, WeightsStatus,
+    },
 };
 use goldenscript::{Command, Context, Runner};
 
@@ -37,7 +39,7 @@
     log: Vec<Vec<u8>>,
     replicas: BTreeMap<String, State>,
     group: Vec<Member>,
-    network: Vec<Message>,
+    network: Vec<VoteMessage>,
 }
 
 impl World {
@@ -99,13 +101,13 @@
     fn append(&mut self, command: u64, base: u64, share: u32) -> String {
         let object = Object::Organisation(Organisation {
             name: "harju".into(),
-            keys: Vec::new(),
-            share,
+            key_hashes: Vec::new(),
+            capacity_weight: share,
             max_in_flight: 1,
         });
-        let change = Change::Put { base, object };
+        let change = Change::Put { base_revision: base, object };
         let command = id::Command(command);
-        self.log.push(encode(&Record { command, change }));
+        self.log.push(encode_record(&Record { command, change }));
         format!("offset {}", self.log.len())
     }
 
@@ -113,10 +115,11 @@
     fn read(&mut self, name: &str, to: usize) -> String {
         let state = self.replicas.entry(name.into());
         let state = state.or_default();
-        let from = state.next() as usize;
+        let from = state.next_offset() as usize;
         let mut text = Vec::new();
         for offset in from..=to.min(self.log.len()) {
-            let verdict = state.apply(offset as u64, &self.log[offset - 1]);
+            let verdict =
+                state.apply_record(offset as u64, &self.log[offset - 1]);
             text.push(format!("{offset}: {verdict:?}"));
         }
         text.join("\n")
@@ -126,7 +129,7 @@
     fn take(&mut self, from: &str, by: &str) -> String {
         let state = self.replicas.get(from).cloned().unwrap_or_default();
         let own = self.replicas.entry(by.into()).or_default();
-        format!("{:?}, next {}", own.advance(state), own.next())
+        format!("{:?}, next {}", own.adopt_if_newer(state), own.next_offset())
     }
 
     /// `propose VERSION boundary=N rank=N`: a member hears a proposal.
@@ -137,8 +140,9 @@
             version: Version(version),
             boundary,
         };
-        let ask = Message::Ask(proposal);
-        let answer = self.group[rank].take(ask, Weights::Loaded);
+        let ask = VoteMessage::VoteRequest(proposal);
+        let answer =
+            self.group[rank].handle_message(ask, WeightsStatus::Loaded);
         self.network.extend(answer);
         format!("{answer:?}")
     }
@@ -146,9 +150,9 @@
     /// `deliver rank=N`: a member gets all votes so far.
     fn deliver(&mut self, rank: usize) -> String {
         for message in self.network.clone() {
-            self.group[rank].take(message, Weights::Loaded);
+            self.group[rank].handle_message(message, WeightsStatus::Loaded);
         }
-        format!("{:?}", self.group[rank].next())
+        format!("{:?}", self.group[rank].next_step())
     }
 }
 
@@ -222,7 +226,7 @@
             }
             "step" => {
                 let rank = number(args.take_key("rank"), 0)?;
-                format!("{:?}", self.group[rank].run())
+                format!("{:?}", self.group[rank].run_step())
             }
             "deliver" => {
                 let rank = number(args.take_key("rank"), 0)?;
@@ -230,7 +234,7 @@
             }
             "renew" => {
                 let rank = number(args.take_key("rank"), 0)?;
-                self.group[rank].move_on(Generation(2), Version(0));
+                self.group[rank].join_generation(Generation(2), Version(0));
                 String::new()
             }
             other => return Err(format!("no command {other}").into()),
