--- a/cowsliproad-kernel/src/gossip.rs
+++ b/cowsliproad-kernel/src/gossip.rs
@@ -198,11 +198,11 @@
     #[serde(rename = "e")]
     pub crash_ids: Vec<u64>,
     /// Crashes that no longer count against the suspected request, because
-    /// some target completed it after they happened.
+    /// some target completed the request after these crashes.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
     pub excused_crash_ids: Vec<u64>,
     /// Whether some target is known to have survived the request, that is,
-    /// completed it without a crash.
+    /// completed the request without a crash.
     #[serde(rename = "s")]
     pub survived_by_target: bool,
     /// The time since the suspected request was last received from a caller,
@@ -296,8 +296,8 @@
 }
 
 /// Suspected requests, encoded compactly. Most often one target crashed while
-/// it ran many requests, and nothing else is known of these requests. Each of
-/// them then takes 8 bytes instead of about 35.
+/// it ran many requests, and nothing else is known of these requests. Each such
+/// request takes 8 bytes instead of about 35.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SuspectedRequests {
     /// Requests of which only one crash is known: for each crash, its
--- a/cowsliproad-kernel/src/wire.rs
+++ b/cowsliproad-kernel/src/wire.rs
@@ -49,7 +49,7 @@
     /// The entry process asks for a stored answer.
     #[serde(rename = "rc")]
     ReclaimAnswer(ReclaimAnswer),
-    /// The entry process needs no more frames of this attempt.
+    /// The entry process needs no more frames of the given attempt.
     #[serde(rename = "de")]
     Detach(id::Attempt),
     /// The caller cancelled its request.
@@ -79,8 +79,8 @@
     /// The configuration after all log records up to an offset were applied.
     #[serde(rename = "cs")]
     ConfigSnapshot(ConfigSnapshot),
-    /// The sender requests the receiver's configuration, starting at this log
-    /// offset.
+    /// The sender requests the receiver's configuration, starting at the given
+    /// offset of the configuration log.
     #[serde(rename = "cp")]
     PullConfig(u64),
     /// Requests that are suspected of crashing the agent's target.
@@ -89,7 +89,7 @@
     /// Ticket records and stored answers of an agent that is shutting down.
     #[serde(rename = "ho")]
     Handover(Box<Handover>),
-    /// The peer has received the complete handover of this agent process.
+    /// The peer has received the complete handover of the given agent process.
     #[serde(rename = "hd")]
     HandoverDone(id::Incarnation),
 }
@@ -154,13 +154,13 @@
     }
 }
 
-/// A heartbeat.
+/// A heartbeat with the identity, the state and the load of its sender.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Heartbeat {
     /// The sender's name.
     #[serde(rename = "n")]
     pub sender_name: Name,
-    /// Identifies the sender's process start.
+    /// Identifies the sender's process; a restarted sender has a new incarnation.
     #[serde(rename = "i")]
     pub incarnation: id::Incarnation,
     /// The sender's monotonic clock.
@@ -423,10 +423,10 @@
 /// Consecutive records of the configuration log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ConfigRecords {
-    /// The offset of the first record.
+    /// The offset of the first record in the configuration log.
     #[serde(rename = "first")]
     pub first_offset: u64,
-    /// Encoded records, one for each offset.
+    /// The encoded log records, one for each offset.
     #[serde(rename = "records")]
     pub encoded_records: Vec<serde_bytes::ByteBuf>,
 }
@@ -434,7 +434,7 @@
 /// The configuration after all log records up to an offset were applied.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ConfigSnapshot {
-    /// The offset after the last applied record.
+    /// The offset in the configuration log after the last applied record.
     #[serde(rename = "next")]
     pub next_offset: u64,
     /// The encoded configuration.
