--- a/cowsliproad-kernel/src/wire.rs
+++ b/cowsliproad-kernel/src/wire.rs
@@ -160,7 +160,8 @@
     /// The sender's name.
     #[serde(rename = "n")]
     pub sender_name: Name,
-    /// Identifies the sender's process; a restarted sender has a new incarnation.
+    /// Identifies the sender's process; a restarted sender has a new
+    /// incarnation.
     #[serde(rename = "i")]
     pub incarnation: id::Incarnation,
     /// The sender's monotonic clock.
