--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -144,12 +144,12 @@
         now: Millis,
     ) -> (SuspectedRequests, Vec<u64>) {
         let suspects = match update {
-            Update::Changed => self.ledger.updates(now),
-            Update::All => self.ledger.updates_and_suspensions(now),
+            Update::Changed => self.ledger.broadcast_suspects(now),
+            Update::All => self.ledger.broadcast_and_suspended_suspects(now),
         };
         (
             SuspectedRequests::pack(suspects),
-            self.ledger.recent_retractions(now),
+            self.ledger.recently_retracted_crash_ids(now),
         )
     }
 
@@ -177,7 +177,7 @@
         self.own.retain(|it| ledger.has_case(*it));
         self.written.retain(|it| ledger.has_case(*it));
         self.lost.retain(|it, _| ledger.has_case(*it));
-        self.ended.retain(|end, _| ledger.counts_crash(*end));
+        self.ended.retain(|end, _| ledger.is_crash_counted(*end));
     }
 
     /// Work that the log is to be told of now, or when there is some.
@@ -237,7 +237,7 @@
         quarantine.own.insert(work);
         let change = quarantine.ledger.record_crash(work, end, now);
         let suspended = match extent {
-            Extent::Group => quarantine.ledger.suspend(work, now),
+            Extent::Group => quarantine.ledger.suspend_request(work, now),
             Extent::Target => QuarantineChange::None,
         };
         drop(quarantine);
@@ -309,7 +309,7 @@
         if quarantine.ledger.is_retracted(end) {
             return;
         }
-        let held = quarantine.ledger.counts_crash(end);
+        let held = quarantine.ledger.is_crash_counted(end);
         let freed = quarantine.ledger.retract_crash(end, now);
         quarantine.ended.remove(&end);
         drop(quarantine);
@@ -347,7 +347,7 @@
         source: Source,
     ) -> QuarantineChange {
         let mut quarantine = self.quarantine.borrow_mut();
-        let change = quarantine.ledger.merge(suspect, now);
+        let change = quarantine.ledger.merge_remote_suspect(suspect, now);
         for end in suspect.crash_ids.iter().map(|it| CrashId(*it)) {
             if change != QuarantineChange::None
                 && !quarantine.ledger.is_retracted(end)
--- a/cowsliproad-entry/src/quarantine.rs
+++ b/cowsliproad-entry/src/quarantine.rs
@@ -43,7 +43,7 @@
         let work =
             WorkDigest(suspect.request_hash).for_service(&target.service);
         let suspect = SuspectedRequest { request_hash: work.0, ..suspect };
-        let change = ledger.merge(&suspect, now);
+        let change = ledger.merge_remote_suspect(&suspect, now);
         if matches!(
             change,
             QuarantineChange::Refused | QuarantineChange::Freed
