--- a/cowsliproad-routing/src/readings.rs
+++ b/cowsliproad-routing/src/readings.rs
@@ -18,7 +18,7 @@
 
 use cowsliproad_kernel::{
     clock::Millis,
-    position::{Era, Position},
+    position::{LogEra, LogPosition},
 };
 
 /// Decides when this entry process reads the announcements of targets in the
@@ -33,9 +33,9 @@
     /// The log position of the last known change of a target. Its era is the
     /// newest known era: a new era begins when the log comes back from an
     /// older copy.
-    last_target_change_log_position: Position,
+    last_target_change_log_position: LogPosition,
     /// The position up to which this entry process has read the log.
-    read_position: Position,
+    read_position: LogPosition,
     log_status: LogStatus,
 }
 
@@ -65,8 +65,8 @@
         LogReadSchedule {
             max_read_gap: Millis(heartbeat_interval.0 * 2),
             last_log_read_at: Millis(0),
-            last_target_change_log_position: Position::default(),
-            read_position: Position::default(),
+            last_target_change_log_position: LogPosition::default(),
+            read_position: LogPosition::default(),
             log_status: LogStatus::Reachable,
         }
     }
@@ -77,14 +77,14 @@
     }
 
     /// The log position of the last known change of a target.
-    pub fn last_target_change_log_position(&self) -> Position {
+    pub fn last_target_change_log_position(&self) -> LogPosition {
         self.last_target_change_log_position
     }
 
     /// Records the current era of the log, and discards reads of earlier eras.
-    pub fn enter_log_era(&mut self, era: Era) {
+    pub fn enter_log_era(&mut self, era: LogEra) {
         if era > self.last_target_change_log_position.era {
-            self.last_target_change_log_position = Position::start_of(era);
+            self.last_target_change_log_position = LogPosition::start_of(era);
             self.last_log_read_at = Millis(0);
         }
     }
@@ -94,7 +94,7 @@
     pub fn merge_peer_log_read(
         &mut self,
         read_at: Millis,
-        last_target_change_log_position: Position,
+        last_target_change_log_position: LogPosition,
     ) -> LogReadContinuity {
         self.enter_log_era(last_target_change_log_position.era);
         if last_target_change_log_position.era
@@ -112,7 +112,7 @@
     pub fn record_own_log_read(
         &mut self,
         read_at: Millis,
-        position: Position,
+        position: LogPosition,
     ) -> LogReadContinuity {
         self.enter_log_era(position.era);
         self.read_position = self.read_position.max(position);
--- a/cowsliproad-routing/src/score.rs
+++ b/cowsliproad-routing/src/score.rs
@@ -38,7 +38,8 @@
     /// The estimated number of requests at the target, from all entry
     /// processes.
     pub fn estimated_occupancy(&self) -> u64 {
-        let reported = u64::from(self.load.queued + self.load.running);
+        let reported =
+            u64::from(self.load.queued_requests + self.load.running_requests);
         let estimate = (reported + u64::from(self.requests_sent_since_report))
             .saturating_sub(u64::from(self.requests_completed_since_report));
         estimate.max(u64::from(self.in_flight))
@@ -46,8 +47,8 @@
 
     /// The predicted time to the first token at the target, in microseconds.
     pub fn predicted_first_token_us(&self) -> u64 {
-        let slots = u64::from(self.load.slots.max(1));
-        let service_us = match u64::from(self.load.mean_service_us) {
+        let slots = u64::from(self.load.target_slots.max(1));
+        let service_us = match u64::from(self.load.mean_service_time_us) {
             0 => DEFAULT_SERVICE_TIME_US,
             known => known,
         };
--- a/tests/properties/readings.rs
+++ b/tests/properties/readings.rs
@@ -3,7 +3,7 @@
 use cowsliproad::{
     kernel::{
         clock::Millis,
-        position::{Era, Position},
+        position::{LogEra, LogPosition},
     },
     routing::readings::{LogReadContinuity, LogReadSchedule},
 };
@@ -11,8 +11,8 @@
 const PATIENCE: Millis = Millis(800);
 
 /// A place in the era that most of these are of.
-fn place(offset: u64) -> Position {
-    Position::new(Era(1), offset)
+fn place(offset: u64) -> LogPosition {
+    LogPosition::new(LogEra(1), offset)
 }
 
 fn readings() -> LogReadSchedule {
@@ -100,13 +100,13 @@
 fn a_later_era_is_read_at_once() {
     let mut own = readings();
     own.record_own_log_read(Millis(1_000), place(900));
-    own.merge_peer_log_read(Millis(1_100), Position::new(Era(2), 3));
+    own.merge_peer_log_read(Millis(1_100), LogPosition::new(LogEra(2), 3));
     assert!(own.has_unread_target_change());
     assert_eq!(
         own.time_until_next_log_read(PATIENCE, Millis(1_100)),
         Millis(0)
     );
-    own.record_own_log_read(Millis(1_200), Position::new(Era(2), 5));
+    own.record_own_log_read(Millis(1_200), LogPosition::new(LogEra(2), 5));
     assert!(!own.has_unread_target_change());
 }
 
@@ -114,12 +114,12 @@
 #[test]
 fn a_reading_of_an_earlier_era_says_nothing() {
     let mut own = readings();
-    own.record_own_log_read(Millis(1_000), Position::new(Era(2), 5));
+    own.record_own_log_read(Millis(1_000), LogPosition::new(LogEra(2), 5));
     own.merge_peer_log_read(Millis(1_500), place(900));
     assert!(!own.has_unread_target_change());
     assert_eq!(
         own.last_target_change_log_position(),
-        Position::start_of(Era(2))
+        LogPosition::start_of(LogEra(2))
     );
     assert_eq!(
         own.time_until_next_log_read(PATIENCE, Millis(1_600)),
@@ -137,7 +137,7 @@
     let mut own = readings();
     own.record_own_log_read(Millis(1_000), place(900));
     own.mark_log_unreachable();
-    own.enter_log_era(Era(2));
+    own.enter_log_era(LogEra(2));
     assert!(own.needs_peer_state());
     own.record_merged_peer_state();
     assert!(!own.needs_peer_state());
