--- a/cowsliproad-admission/src/quarantine/case.rs
+++ b/cowsliproad-admission/src/quarantine/case.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use cowsliproad_kernel::{clock::Millis, gossip::Suspect};
+use cowsliproad_kernel::{clock::Millis, gossip::SuspectedRequest};
 
 use super::{
     CRASH_THRESHOLD, CrashId, MAX_EXCUSED_CRASHES_PER_REQUEST, MAX_SUSPENSION,
@@ -119,19 +119,23 @@
 
     /// Converts the quarantine case to the gossip message that entry processes
     /// exchange.
-    pub(super) fn to_suspect(&self, work: WorkDigest, now: Millis) -> Suspect {
-        Suspect {
-            work_digest: work.0,
-            crashes: self.crashes.iter().map(|it| it.0).collect(),
-            excused_crashes: self
+    pub(super) fn to_suspect(
+        &self,
+        work: WorkDigest,
+        now: Millis,
+    ) -> SuspectedRequest {
+        SuspectedRequest {
+            request_hash: work.0,
+            crash_ids: self.crashes.iter().map(|it| it.0).collect(),
+            excused_crash_ids: self
                 .excused_crashes
                 .iter()
                 .map(|it| it.0)
                 .collect(),
-            survived: self.survived_by_target,
-            since_last_seen: now.since(self.last_arrival),
+            survived_by_target: self.survived_by_target,
+            since_last_received: now.since(self.last_arrival),
             rejected_for: self.refused_since.map(|it| now.since(it)),
-            suspended_for: self.remaining_suspension(now),
+            suspension_left: self.remaining_suspension(now),
         }
     }
 }
--- a/cowsliproad-agent/src/pace.rs
+++ b/cowsliproad-agent/src/pace.rs
@@ -89,7 +89,11 @@
     }
 
     fn note_retry_after(&self, status: StatusCode, headers: &HeaderMap) {
-        let wait = match retry_after::read(status, headers, SystemTime::now) {
+        let wait = match retry_after::parse_header(
+            status,
+            headers,
+            SystemTime::now,
+        ) {
             RetryAfter::None => return,
             RetryAfter::Unreadable => {
                 if !std::mem::replace(&mut self.lock().unreadable, true) {
@@ -115,7 +119,7 @@
 
     /// How long the target is left alone.
     pub fn cooldown(&self, now: Millis) -> Millis {
-        self.lock().cooldown.remaining_time(now)
+        self.lock().cooldown.remaining_cooldown_time(now)
     }
 
     /// Whether entries haven't been told yet of a change of that.
@@ -149,7 +153,7 @@
     /// The limit in force, and how long no request may go.
     pub fn limit(&self, now: Millis) -> (Option<Rate>, Millis) {
         let mut inner = self.lock();
-        let wait = inner.cooldown.remaining_time(now);
+        let wait = inner.cooldown.remaining_cooldown_time(now);
         let Some(rate) = inner.known.rate() else { return (None, wait) };
         let full_for = inner.limiter(rate, now).permit_wait(now);
         (Some(rate), wait.max(full_for))
@@ -159,7 +163,7 @@
     /// none is free.
     pub fn take(&self, now: Millis) -> Result<(), Millis> {
         let mut inner = self.lock();
-        let left = inner.cooldown.remaining_time(now);
+        let left = inner.cooldown.remaining_cooldown_time(now);
         if left > Millis(0) {
             return Err(left);
         }
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -7,12 +7,12 @@
 
 use cowsliproad_kernel::{
     clock::Millis,
-    gossip::{self, EngineExit, EngineLoad, Subscribe},
-    position::Era,
+    gossip::{self, EngineExit, EngineLoad, LoadSubscription},
+    position::LogEra,
 };
 use cowsliproad_routing::{
     catalog::{ExpertLayout, Service},
-    fleet::{StartTime, Target},
+    fleet::{ProcessStartUnixMs, Target},
 };
 use slog::info;
 use tokio::net::UdpSocket;
@@ -26,8 +26,8 @@
 /// Asks all agents to report.
 pub(super) async fn ask_agents(entry: &Entry, socket: &UdpSocket) {
     for whole in subscriptions(entry) {
-        let named = Subscribe { targets: Vec::new(), ..whole.clone() };
-        let (list, targets) = (whole.list_id, whole.targets.clone());
+        let named = LoadSubscription { targets: Vec::new(), ..whole.clone() };
+        let (list, targets) = (whole.target_list_id, whole.targets.clone());
         let (whole, named) = (gossip::encode(&whole), gossip::encode(&named));
         for target in targets {
             let agent = agent_of(entry, target);
@@ -58,7 +58,7 @@
 }
 
 /// What the agents of each service of engines are told.
-fn subscriptions(entry: &Entry) -> Vec<Subscribe> {
+fn subscriptions(entry: &Entry) -> Vec<LoadSubscription> {
     let Some(catalog) = entry.catalog() else { return Vec::new() };
     let fleet = entry.fleet.borrow();
     let subscription = |service: &Service| {
@@ -74,15 +74,16 @@
 fn subscribe(
     engine: &ExpertLayout,
     targets: &[SocketAddr],
-    era: Era,
-) -> Subscribe {
-    Subscribe {
-        list_id: gossip::target_list_id(targets),
+    era: LogEra,
+) -> LoadSubscription {
+    LoadSubscription {
+        target_list_id: gossip::target_list_id(targets),
         targets: targets.to_vec(),
-        layer_sets: engine.layer_sets as u16,
-        experts_per_set: engine.experts_per_layer_set as u16,
-        slots_per_set: engine.experts_per_rank as u16,
-        max_new_experts_per_set: engine.max_added_experts_per_map as u16,
+        layer_sets: engine.layer_set_count as u16,
+        experts_per_layer_set: engine.experts_per_layer_set as u16,
+        expert_slots_per_layer_set: engine.experts_per_rank as u16,
+        max_new_experts_per_layer_set: engine.max_added_experts_per_expert_map
+            as u16,
         expert_copy_ms: engine.expert_copy_time.0,
         log_era: era,
     }
@@ -90,15 +91,22 @@
 
 /// Takes an agent's report in.
 pub(super) fn take_load(entry: &Entry, load: &EngineLoad) {
-    entry.lists.borrow_mut().insert(load.target, load.list_id);
+    entry.lists.borrow_mut().insert(load.engine_address, load.target_list_id);
     let now = Millis::now();
-    let Some(target) = target_at(entry, load.target, load.start_unix_ms)
+    let Some(target) =
+        target_at(entry, load.engine_address, load.engine_start_unix_ms)
     else {
         return;
     };
     entry.heard_from(&target.zone, now);
-    entry.note_report(&target, StartTime(load.start_unix_ms), now);
-    if load.leaving && target.start == StartTime(load.start_unix_ms) {
+    entry.note_report(
+        &target,
+        ProcessStartUnixMs(load.engine_start_unix_ms),
+        now,
+    );
+    if load.draining
+        && target.start == ProcessStartUnixMs(load.engine_start_unix_ms)
+    {
         info!(entry.log, "target_leaving"; "target" => &*target.id,
             "source" => ?Source::Peer);
         return entry.note_left(&target);
@@ -108,17 +116,18 @@
     let mut endpoint = endpoint.borrow_mut();
     let stands = |it: &Group| (it.epoch, it.open, it.pace / NEWS_PERCENT);
     let before = endpoint.group.as_ref().map(stands);
-    endpoint
-        .record
-        .record_load_report(load.running.saturating_add(load.queued), now);
+    endpoint.record.record_load_report(
+        load.running_requests.saturating_add(load.queued_requests),
+        now,
+    );
     endpoint.lived = Some(now);
     endpoint.lost = None;
     let group = Group {
-        name: load.group.clone(),
+        name: load.group_name.clone(),
         epoch: load.group_epoch,
         open: load.group_accepts_requests,
-        step: load.forward_pass,
-        pace: load.pace_percent,
+        step: load.last_forward_pass,
+        pace: load.service_time_percent,
         heard: now,
     };
     let after = stands(&group);
@@ -130,7 +139,7 @@
         info!(entry.log, "group"; "target" => &*id,
             "epoch" => load.group_epoch,
             "open" => load.group_accepts_requests,
-            "step" => load.forward_pass, "pace" => load.pace_percent);
+            "step" => load.last_forward_pass, "pace" => load.service_time_percent);
         entry.tell_news();
     }
 }
@@ -138,7 +147,8 @@
 /// Takes in that an agent finds no process of its engine.
 pub(super) fn take_lost(entry: &Entry, lost: &EngineExit) {
     let now = Millis::now();
-    let Some(target) = target_at(entry, lost.target, lost.start_unix_ms)
+    let Some(target) =
+        target_at(entry, lost.engine_address, lost.engine_start_unix_ms)
     else {
         return;
     };
--- a/cowsliproad-entry/src/control.rs
+++ b/cowsliproad-entry/src/control.rs
@@ -12,8 +12,8 @@
 };
 
 use cowsliproad_config::{
-    State,
-    fold::{self, Change, Progress, Verdict},
+    ConfigState,
+    fold::{self, ChangeVerdict, ConfigChange, StateAdoption},
     object::{ObjectKey, ObjectKind},
 };
 use cowsliproad_kernel::{
@@ -93,7 +93,7 @@
 #[derive(Debug)]
 pub struct Control {
     shared: Arc<Shared>,
-    state: State,
+    state: ConfigState,
     recent: VecDeque<ByteBuf>,
     targets: HashMap<Name, Arc<Target>>,
     /// The targets that the VM list has shown.
@@ -105,7 +105,7 @@
     pub fn new(shared: Arc<Shared>) -> Control {
         Control {
             shared,
-            state: State::new(),
+            state: ConfigState::new(),
             recent: VecDeque::new(),
             targets: HashMap::new(),
             vms_seen: HashSet::new(),
@@ -140,7 +140,9 @@
     }
 
     fn records(&mut self, records: ConfigRecords) {
-        for (offset, bytes) in (records.first_offset..).zip(records.records) {
+        for (offset, bytes) in
+            (records.first_offset..).zip(records.encoded_records)
+        {
             if offset < self.state.next_offset() {
                 continue;
             }
@@ -163,8 +165,11 @@
         if snapshot.next_offset <= self.state.next_offset() {
             return;
         }
-        let Some(other) = fold::decode_state(&snapshot.state) else { return };
-        if self.state.adopt_if_newer(other) == Progress::Advanced {
+        let Some(other) = fold::decode_state(&snapshot.encoded_config) else {
+            return;
+        };
+        if self.state.adopt_newer_peer_state(other) == StateAdoption::Advanced
+        {
             self.recent.clear();
             info!(self.shared.log, "config_snapshot";
                 "next" => self.state.next_offset());
@@ -179,15 +184,16 @@
         let first = own - self.recent.len() as u64;
         if next >= first {
             let skip = (next - first) as usize;
-            let records = self.recent.iter().skip(skip).cloned().collect();
+            let encoded_records =
+                self.recent.iter().skip(skip).cloned().collect();
             return Some(Frame::ConfigRecords(ConfigRecords {
                 first_offset: next,
-                records,
+                encoded_records,
             }));
         }
         Some(Frame::ConfigSnapshot(ConfigSnapshot {
             next_offset: own,
-            state: fold::encode_state(&self.state),
+            encoded_config: fold::encode_state(&self.state),
         }))
     }
 
@@ -238,7 +244,7 @@
     ) -> Arc<Target> {
         let target = Arc::new(Target::new(declared));
         let dial = links::dial_agent(self.shared.clone(), target.clone());
-        let task = self.shared.threads.traffic.spawn(dial);
+        let task = self.shared.threads.traffic_runtime.spawn(dial);
         target.set_dialler(task.abort_handle());
         target
     }
@@ -249,7 +255,7 @@
             return;
         }
         let record = fold::decode_record(bytes).map(|record| record.change);
-        if let Some(Change::Snapshot(state)) = record {
+        if let Some(ConfigChange::Snapshot(state)) = record {
             self.shared.published.set_snapshot(state.next_offset());
         }
     }
@@ -257,12 +263,12 @@
     fn log_verdict(
         &self,
         offset: u64,
-        outcome: Option<(id::Command, Verdict)>,
+        outcome: Option<(id::Command, ChangeVerdict)>,
     ) {
         let Some((command, verdict)) = outcome else { return };
         let verdict = match verdict {
-            Verdict::Accepted(_) => "accepted",
-            Verdict::Refused(code) => code.name(),
+            ChangeVerdict::Accepted(_) => "accepted",
+            ChangeVerdict::Refused(code) => code.name(),
         };
         info!(self.shared.log, "config_record";
             "offset" => offset, "command" => %command,
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -22,18 +22,18 @@
     quarantine::{QuarantineVerdict, WorkDigest},
     ticket::{self, Ticket, TokenPurpose},
 };
-use cowsliproad_config::object::{Repeat, RequestType};
+use cowsliproad_config::object::{RequestRepeatability, RequestType};
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
     code::{Code, Execution},
     id,
     wire::{
-        Ack, AnswerEnd, Failure, Frame, Persistence, Reclaim,
-        SEND_WINDOW_BYTES, Submit, SubmitMode,
+        AnswerAck, AnswerEnd, Frame, ReclaimAnswer, RequestFailure,
+        RequestPersistence, SEND_WINDOW_BYTES, SubmitMode, SubmitRequest,
     },
 };
-use cowsliproad_relay::{AnswerAssembly, Progress};
+use cowsliproad_relay::{AnswerAssembly, AssemblyProgress};
 use tokio::{sync::mpsc, time::timeout};
 
 use crate::{
@@ -80,7 +80,7 @@
     /// The answer is whole.
     Done(AnswerEnd),
     /// There is no answer.
-    Failed(Failure),
+    Failed(RequestFailure),
 }
 
 /// A request to be forwarded.
@@ -101,7 +101,7 @@
     /// The caller's idempotency key.
     pub key: Option<Name>,
     /// Whether the work goes on when nobody listens.
-    pub persistence: Persistence,
+    pub persistence: RequestPersistence,
     /// When the answer has lost its use.
     pub deadline: Millis,
     /// The body.
@@ -235,15 +235,20 @@
             return self.fail(self.out_of_reach(token.incarnation));
         };
         let attempt = id::Attempt::random();
-        let reclaim = Reclaim {
+        let reclaim = ReclaimAnswer {
             attempt,
             request: token.request,
             organisation: token.organisation,
-            first_byte: from,
+            first_byte_offset: from,
         };
         let assembly = AnswerAssembly::starting_at(attempt, from);
-        self.send(target, Frame::Reclaim(reclaim), assembly, token.request)
-            .await;
+        self.send(
+            target,
+            Frame::ReclaimAnswer(reclaim),
+            assembly,
+            token.request,
+        )
+        .await;
     }
 
     /// Submits with the ticket to the process that it names.
@@ -276,7 +281,10 @@
 
     /// The target at whose agent work waits that no target takes now, if one
     /// takes it in time.
-    fn wait_for_return(&self, order: &Order) -> Result<Arc<Target>, Failure> {
+    fn wait_for_return(
+        &self,
+        order: &Order,
+    ) -> Result<Arc<Target>, RequestFailure> {
         let (service, tried) = (&order.service, &self.tried);
         choose::first_to_return(service, tried, self.deadline).map_err(
             |wait| {
@@ -284,7 +292,7 @@
                     Some(wait) => (Code::Overloaded, wait),
                     None => (Code::NoTarget, COME_BACK),
                 };
-                Failure::new(code, self.ran()).with_retry_after(wait)
+                RequestFailure::new(code, self.ran()).with_retry_after(wait)
             },
         )
     }
@@ -309,7 +317,7 @@
         };
         let attempt = id::Attempt::random();
         let budget = self.deadline.since(Millis::now());
-        let submit = Submit {
+        let submit = SubmitRequest {
             attempt,
             request: order.request,
             organisation: order.organisation.clone(),
@@ -325,7 +333,7 @@
         };
         let request = order.request;
         self.attempts += 1;
-        let frame = Frame::Submit(Box::new(submit));
+        let frame = Frame::SubmitRequest(Box::new(submit));
         let assembly = AnswerAssembly::new(attempt);
         self.send(target, frame, assembly, request).await;
     }
@@ -348,7 +356,7 @@
             target.end(Outcome::Failed, Millis::now());
             return self.not_sent(target);
         }
-        let acknowledged = assembly.length();
+        let acknowledged = assembly.next_byte_offset();
         self.current = Some(Attempt {
             target,
             link,
@@ -361,7 +369,8 @@
 
     /// The attempt never left this entry.
     fn not_sent(&mut self, target: Arc<Target>) {
-        let failure = Failure::new(Code::LinkLost, Execution::NotForwarded);
+        let failure =
+            RequestFailure::new(Code::LinkLost, Execution::NotForwarded);
         match &self.task {
             // The next round looks for the ticket's process again.
             Task::Work(order) if order.ticket.is_some() => {}
@@ -430,15 +439,15 @@
         ticket::sign(&token, &self.shared.ticket_key)
     }
 
-    fn on_progress(&mut self, attempt: Attempt, progress: Progress) {
+    fn on_progress(&mut self, attempt: Attempt, progress: AssemblyProgress) {
         match progress {
-            Progress::Pending => self.current = Some(attempt),
-            Progress::Bytes(bytes) => {
+            AssemblyProgress::Pending => self.current = Some(attempt),
+            AssemblyProgress::Bytes(bytes) => {
                 self.give(bytes);
                 self.current = Some(attempt);
                 self.acknowledge();
             }
-            Progress::Complete(bytes) => {
+            AssemblyProgress::Complete(bytes) => {
                 self.give(bytes);
                 let end = attempt.assembly.end_frame().cloned();
                 attempt.end(Outcome::Whole);
@@ -446,10 +455,10 @@
                 self.finished = true;
                 self.ready.extend(end.map(Item::Done));
             }
-            Progress::Broken => {
+            AssemblyProgress::Broken => {
                 attempt.detach();
                 self.tried.push(attempt.target.name.clone());
-                let failure = Failure::new(
+                let failure = RequestFailure::new(
                     Code::TargetFailed,
                     Execution::OutcomeUnknown,
                 );
@@ -470,16 +479,16 @@
     /// back.
     fn acknowledge(&mut self) {
         let Some(attempt) = &mut self.current else { return };
-        let reached = attempt.assembly.length();
+        let reached = attempt.assembly.next_byte_offset();
         if reached - attempt.acknowledged < SEND_WINDOW_BYTES / 4 {
             return;
         }
         attempt.acknowledged = reached;
-        let ack = Ack {
+        let ack = AnswerAck {
             attempt: attempt.assembly.attempt(),
             delivered_bytes: reached,
         };
-        let _ = attempt.link.try_send(Frame::Ack(ack));
+        let _ = attempt.link.try_send(Frame::AnswerAck(ack));
     }
 }
 
@@ -512,5 +521,5 @@
 
 /// Whether a type's work needs a ticket.
 pub fn needs_ticket(request_type: &RequestType) -> bool {
-    request_type.repeat == Repeat::Never
+    request_type.repeat == RequestRepeatability::Never
 }
--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -15,8 +15,8 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    gossip::{self, Subscribe},
-    position::{Era, Position},
+    gossip::{self, LoadSubscription},
+    position::{LogEra, LogPosition},
 };
 use cowsliproad_mapswitch::order::{
     self, DesiredState, Directive, Epoch, GroupState, Report,
@@ -75,7 +75,7 @@
 const SUBSCRIPTION_TTL: Millis = Millis(4_000);
 
 /// A task that acquires a fencing number from the platform's log.
-type FencingNumberTask = JoinHandle<Option<Position>>;
+type FencingNumberTask = JoinHandle<Option<LogPosition>>;
 
 /// The agent of one engine.
 pub struct Agent {
@@ -90,7 +90,7 @@
     subscribed_entries: BTreeMap<SocketAddr, Millis>,
     /// The service's targets and expert layout, as last received from an entry
     /// process.
-    service_shape: Option<Subscribe>,
+    service_shape: Option<LoadSubscription>,
     engine_state: Option<EngineState>,
     /// When the engine's process started. The state read from the engine
     /// belongs to this process.
@@ -117,7 +117,7 @@
     /// The highest fencing number that the agent has received.
     max_known_fencing_number: u64,
     /// The newest known era of the platform's log.
-    newest_log_era: Era,
+    newest_log_era: LogEra,
     coordinator: Option<GroupCoordinator>,
     /// The task that acquires a fencing number, if one is running.
     fencing_number_task: Option<FencingNumberTask>,
@@ -203,7 +203,7 @@
             last_directive: None,
             announced_coordinator_arming: None,
             max_known_fencing_number: 0,
-            newest_log_era: Era::default(),
+            newest_log_era: LogEra::default(),
             coordinator: None,
             fencing_number_task: None,
             agent_start: Millis::now(),
@@ -256,7 +256,8 @@
                 () = sleep_until(next_poll) => {
                     self.poll_engine().await;
                     next_poll =
-                        Instant::now() + self.engine_poll_interval().duration();
+                        Instant::now()
+                            + self.engine_poll_interval().duration();
                 }
             }
             if self.can_agent_stop() {
@@ -298,7 +299,8 @@
     }
 
     fn handle_subscription(&mut self, datagram: &[u8], sender: SocketAddr) {
-        let Some(subscription) = gossip::decode::<Subscribe>(datagram) else {
+        let Some(subscription) = gossip::decode::<LoadSubscription>(datagram)
+        else {
             warn!(self.log, "strange_datagram"; "from" => %sender);
             return;
         };
@@ -312,7 +314,7 @@
         });
         if !subscription.targets.is_empty() {
             self.service_shape = Some(subscription);
-        } else if subscription.list_id != self.target_list_id() {
+        } else if subscription.target_list_id != self.target_list_id() {
             // The load report names the list that the agent has, and the entry
             // process then sends the full list again.
             self.last_actions.load_report_time = Millis(0);
@@ -372,7 +374,7 @@
             AgentMessage::SelectionGrowth(growth) => {
                 let shape = self.service_shape.as_ref();
                 let experts_per_set =
-                    shape.map_or(0, |it| it.experts_per_set.into());
+                    shape.map_or(0, |it| it.experts_per_layer_set.into());
                 if let Some(coordinator) = &mut self.coordinator {
                     coordinator.add_selection_growth(growth, experts_per_set);
                 }
@@ -450,7 +452,7 @@
     /// Returns the id of the list of the service's engines that the agent has;
     /// 0 without a list.
     fn target_list_id(&self) -> u64 {
-        self.service_shape.as_ref().map_or(0, |it| it.list_id)
+        self.service_shape.as_ref().map_or(0, |it| it.target_list_id)
     }
 
     fn engine_report(&self) -> Option<&Report> {
--- a/cowsliproad-rank/src/agent/chair.rs
+++ b/cowsliproad-rank/src/agent/chair.rs
@@ -6,7 +6,7 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    position::{Era, Position},
+    position::{LogEra, LogPosition},
 };
 use cowsliproad_mapswitch::order::{
     DesiredState, Directive, GroupState, fence,
@@ -44,7 +44,7 @@
     /// group has a coordinator by now.
     pub(super) async fn become_coordinator(
         &mut self,
-        record: Option<Position>,
+        record: Option<LogPosition>,
     ) {
         let now = Millis::now();
         if let Some(record) = record {
@@ -159,7 +159,7 @@
 
     /// Records the era of the platform's log. The fencing numbers of a later
     /// era are higher than all earlier ones.
-    pub(super) fn record_log_era(&mut self, era: Era) {
+    pub(super) fn record_log_era(&mut self, era: LogEra) {
         if era > self.newest_log_era {
             info!(self.log, "log_era"; "era" => era.0,
                 "before" => self.newest_log_era.0);
@@ -181,9 +181,9 @@
 async fn append_fencing_number_record(
     log_address: SocketAddr,
     vm_name: Name,
-    mut era: Era,
+    mut era: LogEra,
     logger: Logger,
-) -> Option<Position> {
+) -> Option<LogPosition> {
     let mut client = Client::new(log_address);
     for _ in 0..MAX_FENCING_NUMBER_RECORDS {
         client.raise_era(era);
@@ -209,7 +209,7 @@
 /// task runs.
 pub(super) async fn wait_for_fencing_number_record(
     candidacy: &mut Option<FencingNumberTask>,
-) -> Option<Position> {
+) -> Option<LogPosition> {
     match candidacy {
         Some(task) => task.await.ok().flatten(),
         None => std::future::pending().await,
--- a/cowsliproad-rank/src/agent/readings.rs
+++ b/cowsliproad-rank/src/agent/readings.rs
@@ -33,7 +33,7 @@
                     let cooldown = self
                         .engine_client
                         .requested_cooldown()
-                        .remaining_time(Millis::now());
+                        .remaining_cooldown_time(Millis::now());
                     info!(self.log, "engine_lost"; "error" => %error,
                         "cooldown" => cooldown.0);
                 }
@@ -93,9 +93,9 @@
         else {
             return;
         };
-        let experts = usize::from(shape.experts_per_set);
-        let numbers =
-            u64::from(shape.layer_sets) * u64::from(shape.experts_per_set);
+        let experts = usize::from(shape.experts_per_layer_set);
+        let numbers = u64::from(shape.layer_sets)
+            * u64::from(shape.experts_per_layer_set);
         let round_duration = Millis(
             numbers * u64::from(report.ranks)
                 / MAX_SELECTION_COUNT_BYTES_PER_MS,
--- a/cowsliproad-rank/src/engine.rs
+++ b/cowsliproad-rank/src/engine.rs
@@ -145,7 +145,7 @@
         let headers = answer.headers();
         let now = SystemTime::now;
         let stated_retry_after =
-            retry_after::read(answer.status(), headers, now);
+            retry_after::parse_header(answer.status(), headers, now);
         if let RetryAfter::Wait(wait) = stated_retry_after {
             self.cooldown.apply_retry_after(wait, Millis::now());
         }
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -7,7 +7,7 @@
     sync::Arc,
 };
 
-use cowsliproad_kernel::{clock::Millis, gossip::Subscribe};
+use cowsliproad_kernel::{clock::Millis, gossip::LoadSubscription};
 use cowsliproad_mapswitch::order::{
     Coordinator, CoordinatorConfig, Directive, ExpertsByLayerAndRank,
     GroupState, MissingRanks, ObeyedCoordinator, Order, RankSnapshot,
@@ -204,7 +204,7 @@
     /// plans a better map if no switch is in progress.
     pub fn advance_switch(
         &mut self,
-        service_shape: Option<&Subscribe>,
+        service_shape: Option<&LoadSubscription>,
         now: Millis,
     ) {
         let snapshots = self.recent_snapshots(now);
@@ -267,7 +267,7 @@
     /// Returns which ranks of the group have no recent report.
     fn missing_ranks(
         &self,
-        service_shape: Option<&Subscribe>,
+        service_shape: Option<&LoadSubscription>,
         now: Millis,
     ) -> MissingRanks {
         let fresh =
@@ -364,7 +364,7 @@
     /// Searches for a better map, and starts a switch if there is one.
     fn start_switch_to_better_map(
         &mut self,
-        service_shape: &Subscribe,
+        service_shape: &LoadSubscription,
         snapshots: &[RankSnapshot],
         now: Millis,
     ) {
@@ -373,16 +373,18 @@
         };
         let shape_of_map = Shape {
             rank_count: snapshots.len(),
-            expert_count: usize::from(service_shape.experts_per_set),
+            expert_count: usize::from(service_shape.experts_per_layer_set),
             layer_count: usize::from(service_shape.layer_sets),
-            slots_per_rank: usize::from(service_shape.slots_per_set),
+            slots_per_rank: usize::from(
+                service_shape.expert_slots_per_layer_set,
+            ),
         };
         let Some(present) = self.assemble_map_in_use(shape_of_map, snapshots)
         else {
             return;
         };
         let config = live::LivePlanConfig::new(usize::from(
-            service_shape.max_new_experts_per_set,
+            service_shape.max_new_experts_per_layer_set,
         ))
         .with_max_new_experts_per_rank(max_new_experts_per_rank(Millis(
             service_shape.expert_copy_ms,
--- a/cowsliproad-rank/tests/group/main.rs
+++ b/cowsliproad-rank/tests/group/main.rs
@@ -17,7 +17,7 @@
 };
 
 use cowsliproad_kernel::gossip::{
-    self, Datagram, EngineExit, EngineLoad, Subscribe,
+    self, Datagram, EngineExit, EngineLoad, LoadSubscription,
 };
 use cowsliproad_platform::{SETTINGS_VARIABLE, log::COORDINATORS_TOPIC};
 use cowsliproad_platform_standin::{
@@ -131,13 +131,13 @@
             ENTRY_DATAGRAM_PORT,
         ));
         let socket = Arc::new(UdpSocket::bind(own).await.expect("a socket"));
-        let message = gossip::encode(&Subscribe {
-            list_id: gossip::target_list_id(&targets),
+        let message = gossip::encode(&LoadSubscription {
+            target_list_id: gossip::target_list_id(&targets),
             targets: targets.clone(),
             layer_sets: 2,
-            experts_per_set: EXPERTS_PER_SET as u16,
-            slots_per_set: 6,
-            max_new_experts_per_set: 2,
+            experts_per_layer_set: EXPERTS_PER_SET as u16,
+            expert_slots_per_layer_set: 6,
+            max_new_experts_per_layer_set: 2,
             expert_copy_ms: 0,
             log_era: Default::default(),
         });
@@ -320,7 +320,7 @@
     wait_until("every agent reports", || {
         let load_reports = test_group.load_reports.lock().expect("no panic");
         let mut targets: Vec<SocketAddr> =
-            load_reports.iter().map(|it| it.target).collect();
+            load_reports.iter().map(|it| it.engine_address).collect();
         targets.sort();
         targets.dedup();
         targets.len() == usize::from(RANK_COUNT)
@@ -440,7 +440,7 @@
     test_group.subscribe_to_agents(engines.clone()).await;
     let reports_of = |engine: SocketAddr| {
         let load_reports = test_group.load_reports.lock().expect("no panic");
-        load_reports.iter().filter(|it| it.target == engine).count()
+        load_reports.iter().filter(|it| it.engine_address == engine).count()
     };
     wait_until("every agent reports", || {
         engines.iter().all(|it| reports_of(*it) > 0)
@@ -454,7 +454,9 @@
         engine_exit_reports().len() > 2
     })
     .await;
-    assert!(engine_exit_reports().iter().all(|it| it.target == engines[2]));
+    assert!(
+        engine_exit_reports().iter().all(|it| it.engine_address == engines[2])
+    );
     let before = reports_of(engines[2]);
     let others = reports_of(engines[1]);
     wait_until("the others report", || reports_of(engines[1]) > others + 1)
@@ -497,13 +499,13 @@
     let lost = || {
         let engine_exit_reports =
             test_group.engine_exit_reports.lock().expect("no panic");
-        engine_exit_reports.iter().any(|it| it.target == engines[2])
+        engine_exit_reports.iter().any(|it| it.engine_address == engines[2])
     };
     wait_until("every agent reports", || {
         let load_reports = test_group.load_reports.lock().expect("no panic");
-        engines
-            .iter()
-            .all(|it| load_reports.iter().any(|load| load.target == *it))
+        engines.iter().all(|it| {
+            load_reports.iter().any(|load| load.engine_address == *it)
+        })
     })
     .await;
     test_group.group.set_retry_after(2, Some("1000000000"));
@@ -534,7 +536,9 @@
     test_group.group.set_leaving(1);
     let leaving = |engine: SocketAddr| {
         let load_reports = test_group.load_reports.lock().expect("no panic");
-        load_reports.iter().any(|it| it.target == engine && it.leaving)
+        load_reports
+            .iter()
+            .any(|it| it.engine_address == engine && it.draining)
     };
     wait_until("the agent reports that its engine is leaving", || {
         leaving(engines[1])
--- a/cowsliproad-rank/tests/lead.rs
+++ b/cowsliproad-rank/tests/lead.rs
@@ -2,7 +2,7 @@
 //! tests pass statuses and counts to the coordinator and check its plan and
 //! directive.
 
-use cowsliproad_kernel::{clock::Millis, gossip::Subscribe};
+use cowsliproad_kernel::{clock::Millis, gossip::LoadSubscription};
 use cowsliproad_mapswitch::order::{
     ArmOrderStatus, CoordinatorArmingNotice, DesiredState, Epoch, Report,
     Version,
@@ -56,13 +56,13 @@
             let status = self.rank_status(rank);
             self.coordinator.merge_status(status, self.now);
         }
-        let shape = Subscribe {
+        let shape = LoadSubscription {
             targets: Vec::new(),
-            list_id: 1,
+            target_list_id: 1,
             layer_sets: 1,
-            experts_per_set: EXPERTS_PER_SET as u16,
-            slots_per_set: 8,
-            max_new_experts_per_set: 2,
+            experts_per_layer_set: EXPERTS_PER_SET as u16,
+            expert_slots_per_layer_set: 8,
+            max_new_experts_per_layer_set: 2,
             log_era: Default::default(),
             expert_copy_ms: 400,
         };
