--- a/cowsliproad-rank/tests/lead.rs
+++ b/cowsliproad-rank/tests/lead.rs
@@ -1,5 +1,6 @@
-//! When a coordinator plans, without a network: reports and counts are given
-//! to it, and its word is what is looked at.
+//! Tests of when the coordinator makes and drops plans, without a network: the
+//! tests pass statuses and counts to the coordinator and check its plan and
+//! directive.
 
 use cowsliproad_kernel::{clock::Millis, gossip::LoadSubscription};
 use cowsliproad_mapswitch::order::{
@@ -7,109 +8,130 @@
     Version,
 };
 use cowsliproad_rank::{
-    lead::{Lead, Start},
-    wire::{Choices, Status},
+    lead::{CoordinatorParameters, GroupCoordinator},
+    wire::{RankStatus, SelectionGrowth},
 };
 use slog::{Discard, Logger, o};
 
-const RANKS: u16 = 4;
-const EXPERTS: usize = 16;
+const RANK_COUNT: u16 = 4;
+const EXPERTS_PER_SET: usize = 16;
 
-/// A group whose agents all see what happens at once.
-struct Group {
-    lead: Lead,
-    reports: Vec<Report>,
+/// A group whose coordinator receives the status of every rank at once.
+struct TestGroup {
+    coordinator: GroupCoordinator,
+    reports_by_rank: Vec<Report>,
     now: Millis,
 }
 
-impl Group {
-    fn new() -> Group {
-        let start = Start { fence: 1, rank: 0, predecessor: None };
-        let lead = Lead::new(start, 0.03, Logger::root(Discard, o!()));
-        let report = |rank| Report::new(Epoch(1), rank, RANKS);
-        let reports = (0..RANKS).map(report).collect();
-        Group { lead, reports, now: Millis(10_000) }
+impl TestGroup {
+    fn new() -> TestGroup {
+        let start = CoordinatorParameters {
+            fencing_number: 1,
+            own_rank: 0,
+            predecessor_vm_and_fencing_number: None,
+        };
+        let coordinator =
+            GroupCoordinator::new(start, 0.03, Logger::root(Discard, o!()));
+        let report = |rank| Report::new(Epoch(1), rank, RANK_COUNT);
+        let reports_by_rank = (0..RANK_COUNT).map(report).collect();
+        TestGroup { coordinator, reports_by_rank, now: Millis(10_000) }
     }
 
-    /// Tells all there is to tell, with some counts that put one expert far
-    /// before all others.
-    fn go_on(&mut self, liked: usize) {
+    /// Passes the counts and the status of every rank to the coordinator. One
+    /// expert is selected far more often than all others.
+    fn pass_statuses_to_coordinator(&mut self, popular_expert: usize) {
         self.now = self.now + Millis(60);
-        for rank in 0..RANKS {
-            let mut units = vec![10; EXPERTS];
-            units[liked] = 250;
-            self.lead.count(Choices { scale: 100, units }, EXPERTS);
-            let report = &mut self.reports[usize::from(rank)];
+        for rank in 0..RANK_COUNT {
+            let mut growth_in_units = vec![10; EXPERTS_PER_SET];
+            growth_in_units[popular_expert] = 250;
+            self.coordinator.add_selection_growth(
+                SelectionGrowth {
+                    selections_per_growth_unit: 100,
+                    growth_in_units,
+                },
+                EXPERTS_PER_SET,
+            );
+            let report = &mut self.reports_by_rank[usize::from(rank)];
             report.step += 1;
-            let status = self.status(rank);
-            self.lead.take(status, self.now);
+            let status = self.rank_status(rank);
+            self.coordinator.merge_status(status, self.now);
         }
         let shape = LoadSubscription {
             targets: Vec::new(),
             target_list_id: 1,
             layer_sets: 1,
-            experts_per_layer_set: EXPERTS as u16,
+            experts_per_layer_set: EXPERTS_PER_SET as u16,
             expert_slots_per_layer_set: 8,
             max_new_experts_per_layer_set: 2,
             log_era: Default::default(),
             expert_copy_ms: 400,
         };
-        self.lead.advance(Some(&shape), self.now);
+        self.coordinator.advance_switch(Some(&shape), self.now);
     }
 
-    fn status(&self, rank: u16) -> Status {
-        let report = self.reports[usize::from(rank)].clone();
-        let dealt = (0..EXPERTS as u16).filter(|it| it % RANKS == rank);
-        Status {
-            agent: ([127, 0, 0, 1 + rank as u8], 1).into(),
-            fence: 1,
-            plan: None,
-            experts: Some((Version(0), vec![dealt.collect()])),
-            pace: 1.0,
-            arms: ArmOrderStatus::Answered,
-            seal: CoordinatorArmingNotice::NotReceived,
-            report,
+    fn rank_status(&self, rank: u16) -> RankStatus {
+        let report = self.reports_by_rank[usize::from(rank)].clone();
+        let experts_of_rank =
+            (0..EXPERTS_PER_SET as u16).filter(|it| it % RANK_COUNT == rank);
+        RankStatus {
+            agent_address: ([127, 0, 0, 1 + rank as u8], 1).into(),
+            max_known_fencing_number: 1,
+            held_plan_version: None,
+            map_version_and_experts_by_set: Some((
+                Version(0),
+                vec![experts_of_rank.collect()],
+            )),
+            slowdown_factor: 1.0,
+            arm_order_status: ArmOrderStatus::Answered,
+            coordinator_arming_notice: CoordinatorArmingNotice::NotReceived,
+            engine_report: report,
         }
     }
 
-    /// The ranks that are to have an expert by the plan in force.
-    fn hosts(&self, expert: u16) -> usize {
-        let Some(plan) = self.lead.plan() else { return 0 };
+    /// Returns the number of ranks that hold an expert under the current plan.
+    fn planned_rank_count(&self, expert: u16) -> usize {
+        let Some(plan) = self.coordinator.current_plan() else { return 0 };
         let ranks = plan.experts[0].iter();
         ranks.filter(|it| it.contains(&expert)).count()
     }
 }
 
 #[test]
-fn a_plan_is_dropped_once_the_demand_has_moved_on() {
-    let mut group = Group::new();
-    while group.lead.plan().is_none() {
-        group.go_on(0);
+fn plan_is_dropped_when_demand_shifts() {
+    let mut group = TestGroup::new();
+    while group.coordinator.current_plan().is_none() {
+        group.pass_statuses_to_coordinator(0);
     }
-    assert!(group.hosts(0) > 1);
-    // The copies for it have not come yet.
+    assert!(group.planned_rank_count(0) > 1);
+    // The ranks have not copied the experts of the first plan yet.
     for _ in 0..4 {
-        group.go_on(5);
+        group.pass_statuses_to_coordinator(5);
     }
-    assert!(group.hosts(5) > 1, "the old plan is waited for");
-    let aim = group.lead.directive().desired_state;
+    assert!(
+        group.planned_rank_count(5) > 1,
+        "the outdated plan is still in force"
+    );
+    let aim = group.coordinator.current_directive().desired_state;
     assert!(matches!(aim, DesiredState::Prepared(_)), "{aim:?}");
 }
 
 #[test]
-fn a_plan_that_ranks_arm_for_is_carried_through() {
-    let mut group = Group::new();
-    while group.lead.plan().is_none() {
-        group.go_on(0);
+fn plan_is_kept_once_ranks_arm() {
+    let mut group = TestGroup::new();
+    while group.coordinator.current_plan().is_none() {
+        group.pass_statuses_to_coordinator(0);
     }
-    let version = group.lead.plan().map(|it| it.version);
-    for report in &mut group.reports {
+    let version = group.coordinator.current_plan().map(|it| it.map_version);
+    for report in &mut group.reports_by_rank {
         report.prepared = version;
     }
     for _ in 0..6 {
-        group.go_on(5);
+        group.pass_statuses_to_coordinator(5);
     }
-    assert_eq!(group.lead.plan().map(|it| it.version), version);
-    let aim = group.lead.directive().desired_state;
+    assert_eq!(
+        group.coordinator.current_plan().map(|it| it.map_version),
+        version
+    );
+    let aim = group.coordinator.current_directive().desired_state;
     assert!(matches!(aim, DesiredState::Held { .. }), "{aim:?}");
 }
