--- a/tests/cooldowns.rs
+++ b/tests/cooldowns.rs
@@ -30,14 +30,14 @@
 
 const ORGANISATION: &str = "harju-hangars";
 /// The path of a repeatable request type whose targets are plain HTTP servers.
-const PLAIN_PATH: &str = "/v1/access/gate-check";
+const REPEATABLE_REQUEST_PATH: &str = "/v1/access/gate-check";
 /// The path of a request type whose requests need a ticket and whose targets
 /// are plain HTTP servers.
-const TICKETED_PATH: &str = "/v1/access/tow-call";
+const TICKETED_REQUEST_PATH: &str = "/v1/access/tow-call";
 /// The path of a request type that engines answer as a stream.
-const STREAM_PATH: &str = "/v1/drafting/lease-draft";
+const STREAM_REQUEST_PATH: &str = "/v1/drafting/lease-draft";
 /// The path of a request type that engines answer with a single message.
-const ENGINE_PATH: &str = "/v1/drafting/slot-summary";
+const ENGINE_REQUEST_PATH: &str = "/v1/drafting/slot-summary";
 
 /// The time between two consecutive requests that a test sends.
 const LOAD_REQUEST_INTERVAL: Duration = Duration::from_millis(10);
@@ -48,10 +48,10 @@
 
 async fn start_cluster(engines: usize, plains: usize) -> Plant {
     let config = Config { engines, plains, entries: 2, ..Config::new() };
-    start_cluster_with(config).await
+    start_cluster_with_config(config).await
 }
 
-async fn start_cluster_with(config: Config) -> Plant {
+async fn start_cluster_with_config(config: Config) -> Plant {
     let cluster = Plant::start(config).await.expect("it starts");
     cluster.settle().await.expect("agents are linked");
     cluster
@@ -60,7 +60,7 @@
 /// Returns the simulated rate limit of a stand-in target, which also records
 /// the requests that the target receives and can make the target reject
 /// requests.
-fn target_limit(cluster: &Plant, target_index: usize) -> &Limit {
+fn simulated_rate_limit(cluster: &Plant, target_index: usize) -> &Limit {
     match &cluster.sites[target_index].backend {
         Backend::Plain(plain) => &plain.limit,
         Backend::Engine(engine) => &engine.limit,
@@ -69,7 +69,7 @@
 
 /// Returns the number of requests that a target has received.
 fn arrival_count(cluster: &Plant, target_index: usize) -> usize {
-    target_limit(cluster, target_index).times().len()
+    simulated_rate_limit(cluster, target_index).times().len()
 }
 
 fn build_request(
@@ -82,7 +82,7 @@
     let address = entry.expect("the entry is up").handle.http;
     let id: u64 = rand::random();
     let body = match path {
-        STREAM_PATH | ENGINE_PATH => {
+        STREAM_REQUEST_PATH | ENGINE_REQUEST_PATH => {
             r#"{"messages":[],"max_tokens":4}"#.to_string()
         }
         _ => format!(r#"{{"id":"{id}"}}"#),
@@ -122,13 +122,13 @@
 
 /// Makes a target reject one request with a `Retry-After` header. Returns once
 /// the target's agent has had time to process the rejection.
-async fn reject_once(
+async fn make_target_reject_once(
     cluster: &Plant,
     target_index: usize,
     path: &str,
     retry_after: &str,
 ) {
-    target_limit(cluster, target_index).reject(1, retry_after);
+    simulated_rate_limit(cluster, target_index).reject(1, retry_after);
     let before = arrival_count(cluster, target_index);
     let start = Instant::now();
     let mut calls = JoinSet::new();
@@ -199,9 +199,11 @@
 /// choose that target although other targets are available.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_agent_enforces_its_targets_retry_after() {
-    for (path, engines, plains) in [(PLAIN_PATH, 0, 3), (ENGINE_PATH, 3, 0)] {
+    for (path, engines, plains) in
+        [(REPEATABLE_REQUEST_PATH, 0, 3), (ENGINE_REQUEST_PATH, 3, 0)]
+    {
         let cluster = start_cluster(engines, plains).await;
-        reject_once(&cluster, 0, path, "2.2").await;
+        make_target_reject_once(&cluster, 0, path, "2.2").await;
         let before = arrival_count(&cluster, 0);
         let time = Duration::from_millis(1_700);
         let answers = send_load(&cluster, path, time).await;
@@ -221,10 +223,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_with_a_ticket_respect_a_retry_after() {
     let cluster = start_cluster(0, 2).await;
-    reject_once(&cluster, 0, PLAIN_PATH, "3").await;
+    make_target_reject_once(&cluster, 0, REPEATABLE_REQUEST_PATH, "3").await;
     let before = arrival_count(&cluster, 0);
     for turn in 0..20 {
-        let answer = send_with_ticket(&cluster, turn % 2, TICKETED_PATH).await;
+        let answer =
+            send_with_ticket(&cluster, turn % 2, TICKETED_REQUEST_PATH).await;
         assert_eq!(answer.status(), StatusCode::OK, "{answer:?}");
     }
     assert_eq!(arrival_count(&cluster, 0), before);
@@ -241,16 +244,19 @@
         plain: plain::Config { slots: 4, service_us: 600_000 },
         ..Config::new()
     };
-    let cluster = start_cluster_with(config).await;
+    let cluster = start_cluster_with_config(config).await;
     let slow = tokio::spawn(send_request(build_request(
-        &cluster, 0, PLAIN_PATH, None,
+        &cluster,
+        0,
+        REPEATABLE_REQUEST_PATH,
+        None,
     )));
     sleep(10 * LOAD_REQUEST_INTERVAL).await;
-    reject_once(&cluster, 0, PLAIN_PATH, "20").await;
+    make_target_reject_once(&cluster, 0, REPEATABLE_REQUEST_PATH, "20").await;
     let before = arrival_count(&cluster, 0);
     let answer = slow.await.expect("no panic");
     assert_eq!(answer.status(), StatusCode::OK);
-    let answers = send_load(&cluster, PLAIN_PATH, SECOND).await;
+    let answers = send_load(&cluster, REPEATABLE_REQUEST_PATH, SECOND).await;
     assert_eq!(answers.succeeded, 0, "{answers:?}");
     assert_eq!(arrival_count(&cluster, 0), before);
 }
@@ -261,10 +267,16 @@
 async fn requests_are_refused_while_all_targets_cool_down() {
     let cluster = start_cluster(0, 2).await;
     for target_index in 0..2 {
-        reject_once(&cluster, target_index, PLAIN_PATH, "30").await;
+        make_target_reject_once(
+            &cluster,
+            target_index,
+            REPEATABLE_REQUEST_PATH,
+            "30",
+        )
+        .await;
     }
     let before = arrival_count(&cluster, 0) + arrival_count(&cluster, 1);
-    for path in [PLAIN_PATH, TICKETED_PATH] {
+    for path in [REPEATABLE_REQUEST_PATH, TICKETED_REQUEST_PATH] {
         let start = Instant::now();
         let mut retry_times = BTreeSet::new();
         for turn in 0..20 {
@@ -291,10 +303,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_wait_for_the_end_of_a_short_cooldown() {
     let cluster = start_cluster(0, 1).await;
-    reject_once(&cluster, 0, PLAIN_PATH, "1").await;
+    make_target_reject_once(&cluster, 0, REPEATABLE_REQUEST_PATH, "1").await;
     let before = arrival_count(&cluster, 0);
     let start = Instant::now();
-    let answers = send_load(&cluster, PLAIN_PATH, SECOND / 2).await;
+    let answers =
+        send_load(&cluster, REPEATABLE_REQUEST_PATH, SECOND / 2).await;
     assert_eq!(answers.not_run, 0, "{answers:?}");
     assert!(answers.other_statuses.is_empty(), "{answers:?}");
     assert!(start.elapsed() > SECOND / 2);
@@ -312,20 +325,28 @@
         plain: plain::Config { slots: 1, service_us: 100_000 },
         ..Config::new()
     };
-    let cluster = start_cluster_with(config).await;
+    let cluster = start_cluster_with_config(config).await;
     // The first two requests hold both slots of the agent when the later
     // requests arrive.
     let mut calls = JoinSet::new();
     let start = Instant::now();
     for _ in 0..2 {
-        calls
-            .spawn(send_request(build_request(&cluster, 0, PLAIN_PATH, None)));
+        calls.spawn(send_request(build_request(
+            &cluster,
+            0,
+            REPEATABLE_REQUEST_PATH,
+            None,
+        )));
     }
     sleep(2 * LOAD_REQUEST_INTERVAL).await;
-    target_limit(&cluster, 0).reject(1_000, "60");
+    simulated_rate_limit(&cluster, 0).reject(1_000, "60");
     for _ in 0..60 {
-        calls
-            .spawn(send_request(build_request(&cluster, 0, PLAIN_PATH, None)));
+        calls.spawn(send_request(build_request(
+            &cluster,
+            0,
+            REPEATABLE_REQUEST_PATH,
+            None,
+        )));
     }
     let answers = calls.join_all().await;
     let text =
@@ -340,9 +361,11 @@
 async fn invalid_retry_after_values_are_ignored() {
     let cluster = start_cluster(0, 1).await;
     for value in ["", "0", "-1", "soon", "NaN", "0x10"] {
-        reject_once(&cluster, 0, PLAIN_PATH, value).await;
+        make_target_reject_once(&cluster, 0, REPEATABLE_REQUEST_PATH, value)
+            .await;
         let start = Instant::now();
-        let answer = send_with_ticket(&cluster, 1, PLAIN_PATH).await;
+        let answer =
+            send_with_ticket(&cluster, 1, REPEATABLE_REQUEST_PATH).await;
         assert_eq!(answer.status(), StatusCode::OK, "{value:?}");
         assert!(start.elapsed() < MAX_IMMEDIATE_ANSWER_TIME, "{value:?}");
     }
@@ -361,12 +384,16 @@
         cluster.sites[0].target = address;
         cluster.start_agent(0).await.expect("it starts");
         cluster.settle().await.expect("agents are linked");
-        reject_once(&cluster, 0, PLAIN_PATH, value).await;
-        let answer = send_with_ticket(&cluster, 0, PLAIN_PATH).await;
+        make_target_reject_once(&cluster, 0, REPEATABLE_REQUEST_PATH, value)
+            .await;
+        let answer =
+            send_with_ticket(&cluster, 0, REPEATABLE_REQUEST_PATH).await;
         assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
         target.end();
         let start = Instant::now();
-        while send_with_ticket(&cluster, 0, PLAIN_PATH).await.status()
+        while send_with_ticket(&cluster, 0, REPEATABLE_REQUEST_PATH)
+            .await
+            .status()
             != StatusCode::OK
         {
             assert!(start.elapsed() < 10 * SECOND, "{value}: never served");
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -28,19 +28,19 @@
 
 const ORGANISATION: &str = "harju-hangars";
 /// The path of a request type whose target is a plain HTTP server.
-const PLAIN_PATH: &str = "/v1/access/gate-check";
+const PLAIN_SERVER_REQUEST_PATH: &str = "/v1/access/gate-check";
 /// The path of a request type whose target is an engine.
-const ENGINE_PATH: &str = "/v1/drafting/lease-draft";
+const ENGINE_REQUEST_PATH: &str = "/v1/drafting/lease-draft";
 
 /// The length of the time window in which arriving requests are counted.
-const COUNT_WINDOW: Duration = Duration::from_secs(4);
+const ARRIVAL_COUNT_WINDOW: Duration = Duration::from_secs(4);
 
 /// The rate limit that targets name, in requests per second.
-const LIMIT_PER_SECOND: usize = 5;
+const LIMIT_REQUESTS_PER_SECOND: usize = 5;
 
 /// Requests that may arrive at a target within a window beyond the limit: one
 /// request at the end of the window, and one from a permit that is used late.
-const MAX_EXTRA_REQUESTS: usize = 2;
+const MAX_REQUESTS_OVER_LIMIT: usize = 2;
 
 /// The answers to the requests that a test sent, by result.
 #[derive(Debug, Default)]
@@ -66,13 +66,13 @@
     let backends = cluster.sites.iter().map(|it| it.backend.clone());
     backends
         .map(|it| match it {
-            Backend::Plain(_) => (it, PLAIN_PATH),
-            Backend::Engine(_) => (it, ENGINE_PATH),
+            Backend::Plain(_) => (it, PLAIN_SERVER_REQUEST_PATH),
+            Backend::Engine(_) => (it, ENGINE_REQUEST_PATH),
         })
         .collect()
 }
 
-fn backend_limit(backend: &Backend) -> &Limit {
+fn simulated_rate_limit(backend: &Backend) -> &Limit {
     match backend {
         Backend::Plain(plain) => &plain.limit,
         Backend::Engine(engine) => &engine.limit,
@@ -100,7 +100,9 @@
         let entry = gateway.entry.as_ref().expect("the entry is up");
         let address = entry.handle.http;
         let body = match path {
-            ENGINE_PATH => r#"{"messages":[],"max_tokens":4}"#.to_string(),
+            ENGINE_REQUEST_PATH => {
+                r#"{"messages":[],"max_tokens":4}"#.to_string()
+            }
             _ => format!(r#"{{"id":"{turn}"}}"#),
         };
         let request = Request::post(format!("http://{address}{path}"))
@@ -135,14 +137,15 @@
 }
 
 /// Returns the maximum number of requests that arrived at a target within one
-/// [`COUNT_WINDOW`], counting only requests that arrived since `since`.
+/// [`ARRIVAL_COUNT_WINDOW`], counting only requests that arrived since
+/// `since`.
 fn max_arrivals_in_window(limit: &Limit, since: Instant) -> usize {
     let mut arrivals = limit.times();
     arrivals.retain(|it| *it >= since);
     let count_from = |from: &Instant| {
         arrivals
             .iter()
-            .filter(|it| (*from..*from + COUNT_WINDOW).contains(it))
+            .filter(|it| (*from..*from + ARRIVAL_COUNT_WINDOW).contains(it))
             .count()
     };
     arrivals.iter().map(count_from).max().unwrap_or(0)
@@ -153,7 +156,7 @@
     const LOAD_DURATION: Duration = Duration::from_secs(6);
     let cluster = start_cluster().await;
     for (backend, path) in backends_with_paths(&cluster) {
-        backend_limit(&backend).set(Some("5"));
+        simulated_rate_limit(&backend).set(Some("5"));
         let start = Instant::now();
         let request_interval = Duration::from_millis(100);
         let answers =
@@ -166,19 +169,22 @@
         // Requests that held a slot of the agent when the target's first
         // response named the limit don't count.
         let limit_known = start + Duration::from_millis(500);
-        let most =
-            max_arrivals_in_window(backend_limit(&backend), limit_known);
-        let allowed = LIMIT_PER_SECOND * COUNT_WINDOW.as_secs() as usize
-            + MAX_EXTRA_REQUESTS;
+        let most = max_arrivals_in_window(
+            simulated_rate_limit(&backend),
+            limit_known,
+        );
+        let allowed = LIMIT_REQUESTS_PER_SECOND
+            * ARRIVAL_COUNT_WINDOW.as_secs() as usize
+            + MAX_REQUESTS_OVER_LIMIT;
         assert!(most <= allowed, "{path}: {most} in 4 s");
-        let least = LIMIT_PER_SECOND * 5 * 8 / 10;
+        let least = LIMIT_REQUESTS_PER_SECOND * 5 * 8 / 10;
         assert!(
             answers.succeeded >= least,
             "{path}: target left idle, {} succeeded",
             answers.succeeded
         );
         // Requests to the engine may wait for longer than this test lasts.
-        let may_wait = path == ENGINE_PATH;
+        let may_wait = path == ENGINE_REQUEST_PATH;
         assert!(may_wait || answers.refused > 0, "{path}: {answers:?}");
         let most = Duration::from_millis(100);
         assert!(answers.max_refusal_time < most, "{path}: {answers:?}");
@@ -199,14 +205,15 @@
     let cluster = Plant::start(config).await.expect("it starts");
     cluster.settle().await.expect("agents are linked");
     for (backend, _) in backends_with_paths(&cluster) {
-        backend_limit(&backend).set(Some("1"));
+        simulated_rate_limit(&backend).set(Some("1"));
     }
     // Requests are sent so fast that all requests are queued before the
     // target's first response names the limit.
     let request_interval = Duration::from_millis(2);
     let time = Duration::from_millis(120);
     let answers =
-        send_load(&cluster, PLAIN_PATH, request_interval, time).await;
+        send_load(&cluster, PLAIN_SERVER_REQUEST_PATH, request_interval, time)
+            .await;
     assert!(answers.other_answers.is_empty(), "{:?}", answers.other_answers);
     assert!(answers.refused >= 30, "{answers:?}");
     // The target's first response arrives after 0.2 s.
@@ -219,10 +226,10 @@
     let cluster = start_cluster().await;
     for (backend, path) in backends_with_paths(&cluster) {
         let request_interval = Duration::from_millis(50);
-        backend_limit(&backend).set(Some("2"));
+        simulated_rate_limit(&backend).set(Some("2"));
         send_load(&cluster, path, request_interval, Duration::from_secs(2))
             .await;
-        backend_limit(&backend).set(None);
+        simulated_rate_limit(&backend).set(None);
         sleep(Duration::from_millis(600)).await;
         send_load(&cluster, path, request_interval, Duration::from_secs(1))
             .await;
@@ -238,7 +245,7 @@
             "{path}: the limit is still applied, {answers:?}"
         );
         for invalid in ["none", "-1", "NaN", "", "1e3"] {
-            backend_limit(&backend).set(Some(invalid));
+            simulated_rate_limit(&backend).set(Some(invalid));
             let time = Duration::from_millis(500);
             let answers =
                 send_load(&cluster, path, request_interval, time).await;
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -32,16 +32,16 @@
 const ORGANISATION: &str = "harju-hangars";
 const OTHER_ORGANISATION: &str = "wattleford";
 /// The path of a request type whose requests need a ticket.
-const TICKETED_PATH: &str = "/v1/access/tow-call";
+const TICKETED_REQUEST_PATH: &str = "/v1/access/tow-call";
 /// The path of a request type whose requests may be repeated.
-const REPEATABLE_PATH: &str = "/v1/access/gate-check";
+const REPEATABLE_REQUEST_PATH: &str = "/v1/access/gate-check";
 /// The path of a request type that is answered as a stream.
-const STREAM_PATH: &str = "/v1/drafting/lease-draft";
+const STREAM_REQUEST_PATH: &str = "/v1/drafting/lease-draft";
 /// The text in a request body that makes a target crash.
 const CRASH_MARKER: &str = "deadly";
 
 /// The time within which all entry processes must know of a target crash.
-const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(3);
+const CRASH_PROPAGATION_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A deployment whose targets crash when they run a request with
 /// [`CRASH_MARKER`] in its body.
@@ -188,18 +188,23 @@
 async fn check_refused_after_three_crashes(path: &str, body: &str) {
     let deployment = Deployment::start().await;
     deployment.cause_three_crashes(path, body).await;
-    sleep(PROPAGATION_TIMEOUT).await;
+    sleep(CRASH_PROPAGATION_TIMEOUT).await;
     deployment.assert_refused(path, body).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn agents_detect_a_crashing_request() {
-    check_refused_after_three_crashes(REPEATABLE_PATH, &crashing_body()).await;
+    check_refused_after_three_crashes(
+        REPEATABLE_REQUEST_PATH,
+        &crashing_body(),
+    )
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn agents_detect_crashing_ticketed_work() {
-    check_refused_after_three_crashes(TICKETED_PATH, &crashing_body()).await;
+    check_refused_after_three_crashes(TICKETED_REQUEST_PATH, &crashing_body())
+        .await;
 }
 
 /// Requests with the same idempotency key go to the same target while that
@@ -208,22 +213,27 @@
 async fn agents_detect_crashing_work_with_an_idempotency_key() {
     let mut deployment = Deployment::start().await;
     deployment.idempotency_key = Some("of-the-gate".into());
-    deployment.cause_three_crashes(REPEATABLE_PATH, &crashing_body()).await;
-    sleep(PROPAGATION_TIMEOUT).await;
-    deployment.assert_refused(REPEATABLE_PATH, &crashing_body()).await;
+    deployment
+        .cause_three_crashes(REPEATABLE_REQUEST_PATH, &crashing_body())
+        .await;
+    sleep(CRASH_PROPAGATION_TIMEOUT).await;
+    deployment.assert_refused(REPEATABLE_REQUEST_PATH, &crashing_body()).await;
     deployment.idempotency_key = Some("another".into());
-    deployment.assert_refused(REPEATABLE_PATH, &crashing_body()).await;
+    deployment.assert_refused(REPEATABLE_REQUEST_PATH, &crashing_body()).await;
     let other = json!({ "id": "other" }).to_string();
     let served = deployment
-        .send_with_ticket(0, ORGANISATION, REPEATABLE_PATH, &other)
+        .send_with_ticket(0, ORGANISATION, REPEATABLE_REQUEST_PATH, &other)
         .await;
     assert_eq!(served.status(), StatusCode::OK);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn agents_detect_a_crashing_stream() {
-    check_refused_after_three_crashes(STREAM_PATH, &crashing_stream_body())
-        .await;
+    check_refused_after_three_crashes(
+        STREAM_REQUEST_PATH,
+        &crashing_stream_body(),
+    )
+    .await;
 }
 
 /// Guards against one request that crashes four targets, because each of its
@@ -236,7 +246,7 @@
             .send_with_ticket(
                 0,
                 ORGANISATION,
-                REPEATABLE_PATH,
+                REPEATABLE_REQUEST_PATH,
                 &crashing_body(),
             )
             .await;
@@ -259,9 +269,11 @@
     let mortal = mortal::Config::new(CRASH_MARKER).with_lag(listener_delay);
     let deployment =
         Deployment::start_with_targets(engine::Config::new(), mortal).await;
-    deployment.cause_three_crashes(TICKETED_PATH, &crashing_body()).await;
-    sleep(PROPAGATION_TIMEOUT).await;
-    deployment.assert_refused(TICKETED_PATH, &crashing_body()).await;
+    deployment
+        .cause_three_crashes(TICKETED_REQUEST_PATH, &crashing_body())
+        .await;
+    sleep(CRASH_PROPAGATION_TIMEOUT).await;
+    deployment.assert_refused(TICKETED_REQUEST_PATH, &crashing_body()).await;
 }
 
 /// Guards against a crash that is missed because the caller has disconnected,
@@ -282,7 +294,7 @@
             let call = deployment.send_with_ticket(
                 sent % 3,
                 ORGANISATION,
-                REPEATABLE_PATH,
+                REPEATABLE_REQUEST_PATH,
                 &body,
             );
             let answer = timeout(Duration::from_millis(300), call).await;
@@ -290,14 +302,14 @@
             sleep(crash_delay).await;
             sent += 1;
         }
-        sleep(PROPAGATION_TIMEOUT).await;
-        deployment.assert_refused(REPEATABLE_PATH, &body).await;
+        sleep(CRASH_PROPAGATION_TIMEOUT).await;
+        deployment.assert_refused(REPEATABLE_REQUEST_PATH, &body).await;
     }
 }
 
 /// Guards against 502 answers to requests with a ticket, which is bound to one
-/// target: while that target's process was down, one in five such requests
-/// here got a 502.
+/// target: while that target's process was down, one in five such requests in
+/// this test got a 502.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_crashed_target_gets_no_work_until_it_restarts() {
     let down = Duration::from_secs(4);
@@ -305,18 +317,23 @@
     let deployment =
         Deployment::start_with_targets(engine::Config::new(), mortal).await;
     deployment
-        .send_with_ticket(0, ORGANISATION, TICKETED_PATH, &crashing_body())
+        .send_with_ticket(
+            0,
+            ORGANISATION,
+            TICKETED_REQUEST_PATH,
+            &crashing_body(),
+        )
         .await;
     assert_eq!(deployment.crash_count(), 1);
     for number in 0..30 {
         let body = json!({ "id": format!("other-{number}") }).to_string();
         let answer = deployment
-            .send_with_ticket(0, ORGANISATION, TICKETED_PATH, &body)
+            .send_with_ticket(0, ORGANISATION, TICKETED_REQUEST_PATH, &body)
             .await;
         let answer_body = String::from_utf8_lossy(answer.body()).into_owned();
         assert_eq!(answer.status(), StatusCode::OK, "{number}: {answer_body}");
     }
-    sleep(down + PROPAGATION_TIMEOUT).await;
+    sleep(down + CRASH_PROPAGATION_TIMEOUT).await;
     deployment.cluster.settle().await.expect("it is back");
 }
 
@@ -331,14 +348,15 @@
     for number in 0..5 {
         let body = json!({ "id": CRASH_MARKER, "number": number }).to_string();
         deployment
-            .send_with_ticket(0, ORGANISATION, TICKETED_PATH, &body)
+            .send_with_ticket(0, ORGANISATION, TICKETED_REQUEST_PATH, &body)
             .await;
     }
     assert_eq!(deployment.crash_count(), 5);
     let other = json!({ "id": "other" }).to_string();
-    for (path, ran) in
-        [(TICKETED_PATH, "NOT_FORWARDED"), (REPEATABLE_PATH, "NOT_RUN")]
-    {
+    for (path, ran) in [
+        (TICKETED_REQUEST_PATH, "NOT_FORWARDED"),
+        (REPEATABLE_REQUEST_PATH, "NOT_RUN"),
+    ] {
         let start = Instant::now();
         let answer =
             deployment.send_with_ticket(0, ORGANISATION, path, &other).await;
@@ -361,18 +379,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn similar_work_is_not_refused() {
     let deployment = Deployment::start().await;
-    deployment.cause_three_crashes(REPEATABLE_PATH, &crashing_body()).await;
-    sleep(PROPAGATION_TIMEOUT).await;
+    deployment
+        .cause_three_crashes(REPEATABLE_REQUEST_PATH, &crashing_body())
+        .await;
+    sleep(CRASH_PROPAGATION_TIMEOUT).await;
     let other = json!({ "id": "other" }).to_string();
     let served = deployment
-        .send_with_ticket(0, ORGANISATION, REPEATABLE_PATH, &other)
+        .send_with_ticket(0, ORGANISATION, REPEATABLE_REQUEST_PATH, &other)
         .await;
     assert_eq!(served.status(), StatusCode::OK);
     let another = json!({ "id": "another", "note": CRASH_MARKER }).to_string();
     for (organisation, path, body) in [
-        (ORGANISATION, TICKETED_PATH, crashing_body()),
+        (ORGANISATION, TICKETED_REQUEST_PATH, crashing_body()),
         (OTHER_ORGANISATION, "/v1/access/label-print", crashing_body()),
-        (ORGANISATION, REPEATABLE_PATH, another),
+        (ORGANISATION, REPEATABLE_REQUEST_PATH, another),
     ] {
         let before = deployment.crash_count();
         let answer =
@@ -387,8 +407,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_entries_learn_of_crashes_from_agents() {
     let mut deployment = Deployment::start().await;
-    deployment.cause_three_crashes(REPEATABLE_PATH, &crashing_body()).await;
-    sleep(PROPAGATION_TIMEOUT).await;
+    deployment
+        .cause_three_crashes(REPEATABLE_REQUEST_PATH, &crashing_body())
+        .await;
+    sleep(CRASH_PROPAGATION_TIMEOUT).await;
     for index in 0..3 {
         deployment.cluster.kill_entry(index).await;
     }
@@ -396,20 +418,24 @@
         deployment.cluster.start_entry(index).await.expect("it starts");
     }
     deployment.cluster.settle().await.expect("agents are linked");
-    sleep(PROPAGATION_TIMEOUT).await;
-    deployment.assert_refused(REPEATABLE_PATH, &crashing_body()).await;
+    sleep(CRASH_PROPAGATION_TIMEOUT).await;
+    deployment.assert_refused(REPEATABLE_REQUEST_PATH, &crashing_body()).await;
 }
 
 /// Guards against a stream that has begun and is reported as not run, because
-/// its engine crashed and refuses the connection that would resume the stream.
+/// its target crashed and refuses the connection that would resume the stream.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_cut_by_a_crash_is_not_reported_as_not_run() {
     let slow = engine::Config { token_us: 50_000, ..engine::Config::new() };
     let deployment = Deployment::start_with_engines(slow).await;
     let body = json!({ "messages": ["a lease"], "max_tokens": 20 });
     let body = body.to_string();
-    let call =
-        deployment.send_with_ticket(0, ORGANISATION, STREAM_PATH, &body);
+    let call = deployment.send_with_ticket(
+        0,
+        ORGANISATION,
+        STREAM_REQUEST_PATH,
+        &body,
+    );
     let crash = async {
         sleep(Duration::from_millis(400)).await;
         deployment.targets.iter().for_each(|it| it.end());
@@ -426,23 +452,37 @@
 async fn a_ticket_that_ran_is_not_reported_as_not_run() {
     let deployment = Deployment::start().await;
     let first = deployment
-        .post_request(0, ORGANISATION, TICKETED_PATH, None, &crashing_body())
+        .post_request(
+            0,
+            ORGANISATION,
+            TICKETED_REQUEST_PATH,
+            None,
+            &crashing_body(),
+        )
         .await;
     let ticket = first.headers()["request-ticket"].to_str();
     let ticket = Some(ticket.expect("it is text"));
     deployment
-        .post_request(0, ORGANISATION, TICKETED_PATH, ticket, &crashing_body())
+        .post_request(
+            0,
+            ORGANISATION,
+            TICKETED_REQUEST_PATH,
+            ticket,
+            &crashing_body(),
+        )
         .await;
     assert_eq!(deployment.crash_count(), 1);
-    deployment.cause_three_crashes(TICKETED_PATH, &crashing_body()).await;
-    sleep(PROPAGATION_TIMEOUT).await;
+    deployment
+        .cause_three_crashes(TICKETED_REQUEST_PATH, &crashing_body())
+        .await;
+    sleep(CRASH_PROPAGATION_TIMEOUT).await;
     let before = deployment.crash_count();
     for entry in 0..3 {
         let answer = deployment
             .post_request(
                 entry,
                 ORGANISATION,
-                TICKETED_PATH,
+                TICKETED_REQUEST_PATH,
                 ticket,
                 &crashing_body(),
             )
