--- a/cowsliproad-admission/src/limit.rs
+++ b/cowsliproad-admission/src/limit.rs
@@ -32,50 +32,52 @@
 /// time after the permit became free.
 const MAX_PERMIT_LATENESS_MS: f64 = 250.0;
 
-/// A limiter is stale after this time plus [`LIMITER_IDLE_TIMEOUT_INTERVALS`]
-/// permit intervals in which no permit was requested: another entry process
-/// may have run a limiter for the target meanwhile.
+/// A limiter is stale after this time plus
+/// [`LIMITER_IDLE_TIMEOUT_PERMIT_INTERVALS`] permit intervals in which no
+/// permit was requested: another entry process may have run a limiter for the
+/// target meanwhile.
 const LIMITER_IDLE_TIMEOUT: Millis = Millis(1_000);
-const LIMITER_IDLE_TIMEOUT_INTERVALS: f64 = 2.0;
+const LIMITER_IDLE_TIMEOUT_PERMIT_INTERVALS: f64 = 2.0;
 
 /// The longest time that gossip about a target's last response takes between
 /// entry processes that reach one another.
 const MAX_GOSSIP_DELAY_MS: f64 = 4_000.0;
 
 /// The longest value of a limit header that is parsed as a number, in bytes.
-const MAX_LIMIT_HEADER_LEN: usize = 24;
+const MAX_LIMIT_HEADER_BYTES: usize = 24;
 
 /// A rate limit in requests per second; finite and not negative.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub struct Rate(f64);
+pub struct RequestRate(f64);
 
-impl Rate {
+impl RequestRate {
     /// Creates a rate, or returns `None` if the value is negative or not
     /// finite.
-    pub fn new(per_second: f64) -> Option<Rate> {
-        let is_valid = per_second.is_finite() && per_second >= 0.0;
-        is_valid.then_some(Rate(per_second))
+    pub fn new(requests_per_second: f64) -> Option<RequestRate> {
+        let is_valid =
+            requests_per_second.is_finite() && requests_per_second >= 0.0;
+        is_valid.then_some(RequestRate(requests_per_second))
     }
 
     /// Parses a decimal number: digits, optionally followed by a point and
     /// more digits.
-    pub fn parse(text: &[u8]) -> Option<Rate> {
+    pub fn parse(text: &[u8]) -> Option<RequestRate> {
         let text = std::str::from_utf8(text).ok()?.trim();
         let (integer, fraction) = text.split_once('.').unwrap_or((text, "0"));
         let is_digits = |it: &str| {
             !it.is_empty() && it.bytes().all(|it| it.is_ascii_digit())
         };
-        if text.len() > MAX_LIMIT_HEADER_LEN
+        if text.len() > MAX_LIMIT_HEADER_BYTES
             || !is_digits(integer)
             || !is_digits(fraction)
         {
             return None;
         }
-        Rate::new(text.parse().ok()?)
+        RequestRate::new(text.parse().ok()?)
     }
 
     /// Returns the rate in requests per second.
-    pub fn per_second(self) -> f64 {
+    pub fn requests_per_second(self) -> f64 {
         self.0
     }
 
@@ -96,7 +98,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitReport {
     /// The target's limit; `None` once the target no longer names a limit.
-    pub rate: Option<Rate>,
+    pub rate: Option<RequestRate>,
     /// How long the reported limit, or the absence of a limit, has been in
     /// force.
     pub in_force_for: Millis,
@@ -109,7 +111,7 @@
     /// The latest limit; `None` if the target never named a limit.
     latest: Option<TimedLimit>,
     /// When the target's limit last changed to another value.
-    changed_at: Millis,
+    limit_changed_at: Millis,
     /// Whether the last response named a limit that is not a number.
     is_limit_invalid: bool,
 }
@@ -117,7 +119,7 @@
 /// A target's limit and the time from which the limit applies.
 #[derive(Clone, Copy, Debug)]
 struct TimedLimit {
-    rate: Option<Rate>,
+    rate: Option<RequestRate>,
     /// When the limit began to apply, in milliseconds; negative if another
     /// entry process observed the limit before this process started.
     in_force_since_ms: i64,
@@ -139,20 +141,20 @@
 pub struct LimitUpdate {
     /// How the limit in force changed.
     pub change: LimitChange,
-    /// Whether this response named a limit that is not a number, and the
-    /// response before it didn't.
-    pub newly_invalid: bool,
+    /// Whether the target's response named a limit that is not a number, and
+    /// the target's previous response did not.
+    pub limit_became_invalid: bool,
 }
 
 impl CurrentLimit {
     /// Returns the target's limit in force.
-    pub fn rate(&self) -> Option<Rate> {
+    pub fn rate(&self) -> Option<RequestRate> {
         self.latest?.rate
     }
 
     /// Returns the latest limit as a report to other entry processes, or
     /// `None` if the target never named a limit.
-    pub fn report(&self, now: Millis) -> Option<LimitReport> {
+    pub fn limit_report(&self, now: Millis) -> Option<LimitReport> {
         let TimedLimit { rate, in_force_since_ms } = self.latest?;
         let in_force_for =
             Millis((now.0 as i64 - in_force_since_ms).max(0) as u64);
@@ -160,40 +162,40 @@
     }
 
     /// Returns when the limit last changed to another value.
-    pub fn changed_at(&self) -> Millis {
-        self.changed_at
+    pub fn limit_changed_at(&self) -> Millis {
+        self.limit_changed_at
     }
 
     /// Merges the limit header of a response whose request was sent at
     /// `sent_at`. A header that is not a number counts as no limit.
-    pub fn observe_header(
+    pub fn observe_limit_header(
         &mut self,
         header: Option<&[u8]>,
         sent_at: Millis,
         now: Millis,
     ) -> LimitUpdate {
-        let rate = header.and_then(Rate::parse);
+        let rate = header.and_then(RequestRate::parse);
         let is_limit_invalid = header.is_some() && rate.is_none();
         let was_limit_invalid =
             std::mem::replace(&mut self.is_limit_invalid, is_limit_invalid);
-        let change = self.observe_response(rate, sent_at, now);
+        let change = self.observe_response_limit(rate, sent_at, now);
         LimitUpdate {
             change,
-            newly_invalid: is_limit_invalid && !was_limit_invalid,
+            limit_became_invalid: is_limit_invalid && !was_limit_invalid,
         }
     }
 
     /// Merges the limit that a response named; the request of the response was
     /// sent at `sent_at`.
-    pub fn observe_response(
+    pub fn observe_response_limit(
         &mut self,
-        rate: Option<Rate>,
+        rate: Option<RequestRate>,
         sent_at: Millis,
         now: Millis,
     ) -> LimitChange {
-        let is_looser = is_looser(self.rate(), rate);
+        let is_limit_loosened = is_limit_loosened(self.rate(), rate);
         let in_force_for =
-            if is_looser { now.since(sent_at) } else { Millis(0) };
+            if is_limit_loosened { now.since(sent_at) } else { Millis(0) };
         self.merge_limit_report(LimitReport { rate, in_force_for }, now)
     }
 
@@ -212,7 +214,7 @@
                 return LimitChange::None;
             }
             self.latest = Some(TimedLimit { rate, in_force_since_ms });
-            self.changed_at = now;
+            self.limit_changed_at = now;
             return LimitChange::Tightened;
         };
         if in_force_since_ms <= latest.in_force_since_ms {
@@ -222,8 +224,8 @@
         if latest.rate == rate {
             return LimitChange::None;
         }
-        self.changed_at = now;
-        match is_looser(latest.rate, rate) {
+        self.limit_changed_at = now;
+        match is_limit_loosened(latest.rate, rate) {
             true => LimitChange::Loosened,
             false => LimitChange::Tightened,
         }
@@ -231,7 +233,10 @@
 }
 
 /// Returns whether the limit `after` allows more requests than `before`.
-fn is_looser(before: Option<Rate>, after: Option<Rate>) -> bool {
+fn is_limit_loosened(
+    before: Option<RequestRate>,
+    after: Option<RequestRate>,
+) -> bool {
     match (before, after) {
         (None, _) => false,
         (Some(_), None) => true,
@@ -252,7 +257,7 @@
 /// target, by the limit that the target names.
 #[derive(Clone, Copy, Debug)]
 pub struct Limiter {
-    rate: Rate,
+    rate: RequestRate,
     /// When the limiter's next permit is free, in milliseconds.
     next_permit_ms: f64,
     /// When a permit was last requested from the limiter.
@@ -261,14 +266,18 @@
 
 impl Limiter {
     /// Creates a limiter whose predecessor at another entry process may have
-    /// granted a permit just now. `since_response` is the age of the target's
-    /// last known response and shortens the first wait: at a low rate, a
-    /// limiter that always waited for a whole interval would never grant a
-    /// permit where limiters are replaced often.
-    pub fn new(rate: Rate, since_response: Millis, now: Millis) -> Limiter {
+    /// granted a permit just now. `since_last_response` is the age of the
+    /// target's last known response and shortens the first wait: at a low
+    /// rate, a limiter that always waited for a whole interval would never
+    /// grant a permit where limiters are replaced often.
+    pub fn new(
+        rate: RequestRate,
+        since_last_response: Millis,
+        now: Millis,
+    ) -> Limiter {
         let permit_interval_ms = rate.permit_interval_ms(1.0);
         let min_wait_ms = permit_interval_ms.min(MAX_GOSSIP_DELAY_MS);
-        let wait_ms = (permit_interval_ms - since_response.0 as f64)
+        let wait_ms = (permit_interval_ms - since_last_response.0 as f64)
             .clamp(min_wait_ms, permit_interval_ms);
         let next_permit_ms = now.0 as f64 + wait_ms;
         Limiter { rate, next_permit_ms, last_permit_request: now }
@@ -279,23 +288,23 @@
     /// grows with the permit interval, because at a low rate permits are
     /// requested rarely.
     pub fn is_stale(&self, limit_share: f64, now: Millis) -> bool {
-        let intervals_ms = LIMITER_IDLE_TIMEOUT_INTERVALS
+        let intervals_ms = LIMITER_IDLE_TIMEOUT_PERMIT_INTERVALS
             * self.rate.permit_interval_ms(limit_share);
         now.since(self.last_permit_request)
             > LIMITER_IDLE_TIMEOUT + Millis(intervals_ms as u64)
     }
 
     /// Returns the time until the next permit is free.
-    pub fn permit_wait(&self, now: Millis) -> Millis {
+    pub fn time_to_next_permit(&self, now: Millis) -> Millis {
         Millis((self.next_permit_ms - now.0 as f64).max(0.0).ceil() as u64)
     }
 
     /// Grants a permit if one becomes free within `max_wait`. `limit_share` is
     /// the fraction of the limit that this limiter may grant, above 0 and up
     /// to 1.
-    pub fn acquire_permit(
+    pub fn grant_permit(
         &mut self,
-        rate: Rate,
+        rate: RequestRate,
         limit_share: f64,
         max_wait: Millis,
         now: Millis,
@@ -313,7 +322,7 @@
         }
         self.rate = rate;
         self.last_permit_request = now;
-        let wait = self.permit_wait(now);
+        let wait = self.time_to_next_permit(now);
         if wait > max_wait {
             return PermitDecision::Later(wait);
         }
@@ -329,7 +338,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Permit {
     /// The target's limit when the permit was granted.
-    pub rate: Rate,
+    pub rate: RequestRate,
     /// The time from which the permit may be used.
     pub valid_from: Millis,
     /// The time at which the permit expires.
@@ -338,10 +347,15 @@
 
 impl Permit {
     /// Returns whether a request may be sent with this permit now. A permit
-    /// that was granted under a higher limit than `current_rate` is not valid.
-    pub fn is_valid(&self, current_rate: Rate, now: Millis) -> bool {
+    /// that was granted under a higher limit than `current_rate_limit` is not
+    /// valid.
+    pub fn is_valid(
+        &self,
+        current_rate_limit: RequestRate,
+        now: Millis,
+    ) -> bool {
         self.valid_from <= now
             && now <= self.valid_until
-            && self.rate <= current_rate
+            && self.rate <= current_rate_limit
     }
 }
--- a/cowsliproad-admission/src/quarantine.rs
+++ b/cowsliproad-admission/src/quarantine.rs
@@ -24,15 +24,15 @@
 //!
 //! * When a target survives a request, all crashes known so far no longer
 //!   count against the request, at all entry processes, and from then on the
-//!   request is refused only after [`SURVIVED_CRASH_THRESHOLD`] further
-//!   crashes. A frequent request runs on many targets that are killed, and is
-//!   survived all along.
+//!   request is refused only after [`SURVIVED_REQUEST_CRASH_THRESHOLD`]
+//!   further crashes. A frequent request runs on many targets that are killed,
+//!   and is survived all along.
 //! * A crash report is retracted at all entry processes once the target shows
 //!   signs of life ([`CrashLedger::retract_crash`]), because a target behind a
 //!   network partition looks like a crashed one. The next crash of that target
 //!   has another id ([`CrashLedger::crash_id`]) and counts again.
 //! * Everything known about a request expires [`SUSPECT_TTL`] after the
-//!   request last arrived, and [`REJECT_TTL`] after it was first refused, so
+//!   request last arrived, and [`REFUSAL_TTL`] after it was first refused, so
 //!   that targets that were repaired get the request again. Retrying it sooner
 //!   would cost a target each time.
 //!
@@ -60,7 +60,7 @@
 
 /// The number of target crashes since the last survival after which a request
 /// is refused, if a target survived the request in the last minutes.
-pub const SURVIVED_CRASH_THRESHOLD: usize = 6;
+pub const SURVIVED_REQUEST_CRASH_THRESHOLD: usize = 6;
 
 /// How long a request is suspected after it last arrived at any entry process.
 /// Each entry process decides by its own clock.
@@ -68,7 +68,7 @@
 
 /// The longest time for which a request is refused. Finding out whether the
 /// request still crashes targets then costs three targets an hour.
-pub const REJECT_TTL: Millis = Millis(60 * 60 * 1_000);
+pub const REFUSAL_TTL: Millis = Millis(60 * 60 * 1_000);
 
 /// How long a request is suspended after the first crash of a rank that ran
 /// the request.
@@ -76,43 +76,48 @@
 
 /// How long an entry process broadcasts what it observed itself: in eight
 /// gossip messages, one every half second, of which seven may be lost.
-const BROADCAST_TTL: Millis = Millis(4_000);
+const OBSERVATION_BROADCAST_TTL: Millis = Millis(4_000);
 
 /// How long an entry process relays what another entry process observed, for
 /// the entry processes that the observer can't reach: in two gossip messages,
 /// one every half second.
-const RELAY_TTL: Millis = Millis(1_000);
+const OBSERVATION_RELAY_TTL: Millis = Millis(1_000);
 
 /// The number of target crashes from which the case of a request is relayed to
 /// other entry processes. With one crash, every request that ran on killed
 /// targets would be relayed.
-const MIN_RELAY_CRASHES: usize = 2;
+const MIN_CRASHES_TO_RELAY: usize = 2;
 
-/// Quarantine cases that are broadcast in one gossip message, 8 to 35 bytes
-/// each: a third of the largest datagram.
+/// The maximum number of quarantine cases in one gossip message. With 8 to 35
+/// bytes each, the cases take less than a third of the largest datagram.
 const MAX_BROADCAST_CASES: usize = 512;
 
-/// Quarantine cases that a ledger keeps, 350 bytes each. A target that crashes
-/// adds some 50 cases: the requests that were running or queued there.
+/// The maximum number of quarantine cases that a ledger keeps, 350 bytes each.
+/// A target that crashes adds some 50 cases: the requests that were running or
+/// queued there.
 const MAX_QUARANTINE_CASES: usize = 4_096;
 
-/// Target crashes that are recorded against one request.
+/// The maximum number of target crashes recorded against one request.
 const MAX_CRASHES_PER_REQUEST: usize = 8;
 
-/// Target crashes remembered per request that no longer count against the
-/// request, because a target survived the request later.
+/// The maximum number of excused crashes recorded per request: target crashes
+/// that no longer count against the request, because a target survived the
+/// request later.
 const MAX_EXCUSED_CRASHES_PER_REQUEST: usize = 16;
 
-/// Retracted crash reports that are remembered: enough for all targets of an
-/// availability zone that a network partition made look crashed.
-const MAX_RETRACTIONS: usize = 1_024;
+/// The maximum number of retracted crash reports that a ledger keeps: enough
+/// for all targets of an availability zone that a network partition made look
+/// crashed.
+const MAX_CRASH_RETRACTIONS: usize = 1_024;
 
-/// Crash reports that may be retracted for one start of a target. Further
-/// losses of contact with the target within an hour don't count as crashes.
-const MAX_RETRACTIONS_PER_START: usize = 16;
+/// The maximum number of crash reports that may be retracted for one start of
+/// a target. Further losses of contact with the target within an hour don't
+/// count as crashes.
+const MAX_RETRACTIONS_PER_TARGET_START: usize = 16;
 
-/// Requests in each of the two generations of survived requests, 9 bytes each.
-const MAX_SURVIVED_PER_GENERATION: usize = 4_096;
+/// The maximum number of requests in each of the two generations of survived
+/// requests, 9 bytes each.
+const MAX_SURVIVED_REQUESTS_PER_GENERATION: usize = 4_096;
 
 /// The time after which a new generation of survived requests begins and the
 /// older of the two generations is forgotten.
@@ -126,15 +131,16 @@
 
 /// The longest suspension of a request: [`SUSPENSION_TTL`] doubles with each
 /// further crash until [`CRASH_THRESHOLD`] crashes refuse the request.
-const MAX_SUSPENSION: Millis =
+const MAX_SUSPENSION_TIME: Millis =
     Millis(SUSPENSION_TTL.0 << (CRASH_THRESHOLD - 2));
 
 /// The interval between removals of expired quarantine cases.
-const SWEEP_INTERVAL: Millis = Millis(10_000);
+const EXPIRY_SWEEP_INTERVAL: Millis = Millis(10_000);
 
-/// Added to all clock readings of a ledger, so that times before the start of
-/// the process, which other entry processes report, are not negative.
-const CLOCK_OFFSET: Millis = Millis(24 * 60 * 60 * 1_000);
+/// The offset added to all clock readings of a ledger, so that times before
+/// the start of the process, which other entry processes report, are not
+/// negative.
+const LEDGER_CLOCK_OFFSET: Millis = Millis(24 * 60 * 60 * 1_000);
 
 /// Whether a request may run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -171,7 +177,7 @@
     /// Retracted crashes, and when each crash was retracted or last reported
     /// by an entry process that missed the retraction.
     retracted: HashMap<CrashId, Millis>,
-    survived_work: SurvivedWork,
+    survived_work: SurvivedRequests,
     last_sweep_at: Millis,
 }
 
@@ -179,7 +185,7 @@
 /// generation is full or too old, it replaces the older one, so memory stays
 /// bounded without an expiry time per request.
 #[derive(Debug, Default)]
-struct SurvivedWork {
+struct SurvivedRequests {
     newer_generation: HashSet<WorkDigest>,
     older_generation: HashSet<WorkDigest>,
     /// When the newer generation of survived requests began.
@@ -197,11 +203,11 @@
         if self.cases.is_empty() {
             return QuarantineVerdict::Allowed;
         }
-        let now = now + CLOCK_OFFSET;
+        let now = now + LEDGER_CLOCK_OFFSET;
         let case = self.cases.get(&work).filter(|it| !it.is_expired(now));
         let Some(case) = case else { return QuarantineVerdict::Allowed };
         if let Some(since) = case.refused_since {
-            let left = (since + REJECT_TTL).since(now);
+            let left = (since + REFUSAL_TTL).since(now);
             return QuarantineVerdict::Refused(SUSPECT_TTL.min(left));
         }
         case.remaining_suspension(now)
@@ -215,7 +221,7 @@
         work: WorkDigest,
         now: Millis,
     ) -> QuarantineChange {
-        let now = now + CLOCK_OFFSET;
+        let now = now + LEDGER_CLOCK_OFFSET;
         let Some(case) = self.cases.get_mut(&work) else {
             return QuarantineChange::None;
         };
@@ -228,14 +234,14 @@
         let doublings = case.crashes.len() as u32 - 1;
         case.suspended_until =
             Some(now + Millis(SUSPENSION_TTL.0 << doublings));
-        case.broadcast_until = now + BROADCAST_TTL;
+        case.broadcast_until = now + OBSERVATION_BROADCAST_TTL;
         QuarantineChange::Suspended
     }
 
     /// Records that a refused or suspended request arrived again.
     pub fn record_arrival(&mut self, work: WorkDigest, now: Millis) {
         if let Some(case) = self.cases.get_mut(&work) {
-            case.last_arrival = now + CLOCK_OFFSET;
+            case.last_arrival = now + LEDGER_CLOCK_OFFSET;
         }
     }
 
@@ -255,17 +261,17 @@
             rejected_for: None,
             suspended_for: None,
         };
-        self.merge_suspect(&suspect, BROADCAST_TTL, now)
+        self.merge_suspect(&suspect, OBSERVATION_BROADCAST_TTL, now)
     }
 
     /// Records that a target survived a request.
-    pub fn record_survival(
+    pub fn record_survived_request(
         &mut self,
         work: WorkDigest,
         now: Millis,
     ) -> QuarantineChange {
-        self.survived_work.insert_survived(work, now);
-        let now = now + CLOCK_OFFSET;
+        self.survived_work.insert_survived_request(work, now);
+        let now = now + LEDGER_CLOCK_OFFSET;
         let Some(case) = self.cases.get_mut(&work) else {
             return QuarantineChange::None;
         };
@@ -274,9 +280,9 @@
         }
         case.survived_by_target = true;
         for crash in std::mem::take(&mut case.crashes) {
-            case.excuse_crash(crash);
+            case.stop_counting_crash(crash);
         }
-        case.broadcast_until = now + BROADCAST_TTL;
+        case.broadcast_until = now + OBSERVATION_BROADCAST_TTL;
         match case.update_refusal(now) {
             QuarantineChange::None => QuarantineChange::Suspected,
             change => change,
@@ -290,7 +296,7 @@
         suspect: &Suspect,
         now: Millis,
     ) -> QuarantineChange {
-        self.merge_suspect(suspect, RELAY_TTL, now)
+        self.merge_suspect(suspect, OBSERVATION_RELAY_TTL, now)
     }
 
     /// Merges an observation of a request, and broadcasts the request's case
@@ -301,16 +307,16 @@
         broadcast_ttl: Millis,
         now: Millis,
     ) -> QuarantineChange {
-        let now = now + CLOCK_OFFSET;
+        let now = now + LEDGER_CLOCK_OFFSET;
         let refused = suspect.rejected_for.unwrap_or_default();
-        if suspect.since_last_seen >= SUSPECT_TTL || refused >= REJECT_TTL {
+        if suspect.since_last_seen >= SUSPECT_TTL || refused >= REFUSAL_TTL {
             return QuarantineChange::None;
         }
         let work = WorkDigest(suspect.work_digest);
         if !self.cases.contains_key(&work) {
-            self.evict_if_full();
+            self.evict_case_if_full();
         }
-        let survived_by_target = self.survived_work.has_survived(work);
+        let survived_by_target = self.survived_work.is_survived_request(work);
         let case = self.cases.entry(work).or_insert_with(|| QuarantineCase {
             crashes: BTreeSet::new(),
             excused_crashes: Vec::new(),
@@ -341,7 +347,7 @@
         let mut missed_update = case.survived_by_target && !suspect.survived;
         case.survived_by_target |= suspect.survived;
         for crash in suspect.excused_crashes.iter().map(|it| CrashId(*it)) {
-            case.excuse_crash(crash);
+            case.stop_counting_crash(crash);
         }
         for crash in suspect.crashes.iter().map(|it| CrashId(*it)) {
             if let Some(reported_at) = self.retracted.get_mut(&crash) {
@@ -363,11 +369,12 @@
         let suspends =
             may_extend && case.extend_suspension(suspect.suspended_for, now);
         let has_changed = after != before || suspends;
-        let is_relayed = case.crashes.len() >= MIN_RELAY_CRASHES
+        let is_relayed = case.crashes.len() >= MIN_CRASHES_TO_RELAY
             || case.survived_by_target
             || suspends;
         if missed_update
-            || has_changed && (is_relayed || broadcast_ttl == BROADCAST_TTL)
+            || has_changed
+                && (is_relayed || broadcast_ttl == OBSERVATION_BROADCAST_TTL)
         {
             case.broadcast_until =
                 case.broadcast_until.max(now + broadcast_ttl);
@@ -394,12 +401,12 @@
         crash: CrashId,
         now: Millis,
     ) -> Vec<WorkDigest> {
-        let now = now + CLOCK_OFFSET;
+        let now = now + LEDGER_CLOCK_OFFSET;
         if self.is_retracted(crash) {
             return Vec::new();
         }
         self.retracted.insert(crash, now);
-        if self.retracted.len() > MAX_RETRACTIONS {
+        if self.retracted.len() > MAX_CRASH_RETRACTIONS {
             let oldest = self.retracted.iter().min_by_key(|it| it.1);
             if let Some(oldest) = oldest.map(|it| *it.0) {
                 self.retracted.remove(&oldest);
@@ -417,14 +424,15 @@
     }
 
     /// Returns the id for a new crash of the target that started at
-    /// `target_start`: the first id for that start that was not retracted.
-    pub fn crash_id(&self, target: &str, target_start: u64) -> CrashId {
-        let mut crash = CrashId::new(target, target_start);
-        for _ in 0..MAX_RETRACTIONS_PER_START {
+    /// `target_start_time`: the first id for that start that was not
+    /// retracted.
+    pub fn crash_id(&self, target: &str, target_start_time: u64) -> CrashId {
+        let mut crash = CrashId::new(target, target_start_time);
+        for _ in 0..MAX_RETRACTIONS_PER_TARGET_START {
             if !self.is_retracted(crash) {
                 break;
             }
-            crash = crash.next_crash_id();
+            crash = crash.crash_id_after_retraction();
         }
         crash
     }
@@ -457,15 +465,21 @@
 
     /// Returns the quarantine case of a request as a gossip message, to be
     /// sent or stored.
-    pub fn suspect(&self, work: WorkDigest, now: Millis) -> Option<Suspect> {
-        let now = now + CLOCK_OFFSET;
+    pub fn export_suspect(
+        &self,
+        work: WorkDigest,
+        now: Millis,
+    ) -> Option<Suspect> {
+        let now = now + LEDGER_CLOCK_OFFSET;
         self.cases.get(&work).map(|it| it.to_suspect(work, now))
     }
 
     /// Returns the quarantine cases to broadcast: those of refused requests
     /// and those that changed recently.
     pub fn broadcast_suspects(&self, now: Millis) -> Vec<Suspect> {
-        self.select_broadcast_suspects(now, |case, now| case.is_broadcast(now))
+        self.select_broadcast_suspects(now, |case, now| {
+            case.is_broadcast_due(now)
+        })
     }
 
     /// Returns the quarantine cases to broadcast and those of suspended
@@ -475,7 +489,8 @@
         now: Millis,
     ) -> Vec<Suspect> {
         self.select_broadcast_suspects(now, |case, now| {
-            case.is_broadcast(now) || case.remaining_suspension(now).is_some()
+            case.is_broadcast_due(now)
+                || case.remaining_suspension(now).is_some()
         })
     }
 
@@ -487,7 +502,7 @@
         now: Millis,
         is_selected: impl Fn(&QuarantineCase, Millis) -> bool,
     ) -> Vec<Suspect> {
-        let now = now + CLOCK_OFFSET;
+        let now = now + LEDGER_CLOCK_OFFSET;
         let mut selected: Vec<(&WorkDigest, &QuarantineCase)> =
             self.cases.iter().filter(|it| is_selected(it.1, now)).collect();
         // Cases that this process observed itself come before relayed cases,
@@ -506,8 +521,8 @@
 
     /// Returns the unexpired quarantine cases with the most crashes, for a
     /// peer that was unreachable.
-    pub fn snapshot(&self, now: Millis) -> Vec<Suspect> {
-        let now = now + CLOCK_OFFSET;
+    pub fn snapshot_suspects(&self, now: Millis) -> Vec<Suspect> {
+        let now = now + LEDGER_CLOCK_OFFSET;
         let cases = self.cases.iter().filter(|it| !it.1.is_expired(now));
         let mut cases: Vec<Suspect> =
             cases.map(|it| it.1.to_suspect(*it.0, now)).collect();
@@ -519,21 +534,22 @@
 
     /// Returns the ids of the crashes whose retraction is still broadcast.
     pub fn recently_retracted_crash_ids(&self, now: Millis) -> Vec<u64> {
-        let now = now + CLOCK_OFFSET;
-        let is_recent = |at: Millis| now.since(at) < BROADCAST_TTL;
+        let now = now + LEDGER_CLOCK_OFFSET;
+        let is_recent = |at: Millis| now.since(at) < OBSERVATION_BROADCAST_TTL;
         let recent = self.retracted.iter().filter(|it| is_recent(*it.1));
         recent.take(MAX_BROADCAST_CASES).map(|it| it.0.0).collect()
     }
 
     /// Removes expired quarantine cases and retractions, at most once in
-    /// [`SWEEP_INTERVAL`]. Returns the requests whose cases were removed.
-    pub fn evict_expired(&mut self, now: Millis) -> Vec<WorkDigest> {
-        if now.since(self.last_sweep_at) < SWEEP_INTERVAL {
+    /// [`EXPIRY_SWEEP_INTERVAL`]. Returns the requests whose cases were
+    /// removed.
+    pub fn evict_expired_cases(&mut self, now: Millis) -> Vec<WorkDigest> {
+        if now.since(self.last_sweep_at) < EXPIRY_SWEEP_INTERVAL {
             return Vec::new();
         }
         self.last_sweep_at = now;
-        let now = now + CLOCK_OFFSET;
-        self.retracted.retain(|_, at| now.since(*at) < REJECT_TTL);
+        let now = now + LEDGER_CLOCK_OFFSET;
+        self.retracted.retain(|_, at| now.since(*at) < REFUSAL_TTL);
         let is_expired = |it: &QuarantineCase| it.is_expired(now);
         let expired = self.cases.iter().filter(|it| is_expired(it.1));
         let expired: Vec<WorkDigest> = expired.map(|it| *it.0).collect();
@@ -546,7 +562,7 @@
     /// Evicts one quarantine case if the ledger is full: preferably the case
     /// of a request that is not refused, then the case with the fewest
     /// crashes, then the case whose request arrived the longest time ago.
-    fn evict_if_full(&mut self) {
+    fn evict_case_if_full(&mut self) {
         if self.cases.len() < MAX_QUARANTINE_CASES {
             return;
         }
@@ -560,11 +576,13 @@
     }
 }
 
-impl SurvivedWork {
-    fn insert_survived(&mut self, work: WorkDigest, now: Millis) {
+impl SurvivedRequests {
+    fn insert_survived_request(&mut self, work: WorkDigest, now: Millis) {
         let is_old = now.since(self.newer_generation_start)
             >= SURVIVED_GENERATION_INTERVAL;
-        if is_old || self.newer_generation.len() >= MAX_SURVIVED_PER_GENERATION
+        if is_old
+            || self.newer_generation.len()
+                >= MAX_SURVIVED_REQUESTS_PER_GENERATION
         {
             self.older_generation = std::mem::take(&mut self.newer_generation);
             self.newer_generation_start = now;
@@ -572,7 +590,7 @@
         self.newer_generation.insert(work);
     }
 
-    fn has_survived(&self, work: WorkDigest) -> bool {
+    fn is_survived_request(&self, work: WorkDigest) -> bool {
         self.newer_generation.contains(&work)
             || self.older_generation.contains(&work)
     }
--- a/cowsliproad-admission/src/quarantine/case.rs
+++ b/cowsliproad-admission/src/quarantine/case.rs
@@ -5,13 +5,13 @@
 use cowsliproad_kernel::{clock::Millis, gossip::Suspect};
 
 use super::{
-    CRASH_THRESHOLD, CrashId, MAX_EXCUSED_CRASHES_PER_REQUEST, MAX_SUSPENSION,
-    QuarantineChange, REJECT_TTL, SURVIVED_CRASH_THRESHOLD, SUSPECT_TTL,
-    WorkDigest,
+    CRASH_THRESHOLD, CrashId, MAX_EXCUSED_CRASHES_PER_REQUEST,
+    MAX_SUSPENSION_TIME, QuarantineChange, REFUSAL_TTL,
+    SURVIVED_REQUEST_CRASH_THRESHOLD, SUSPECT_TTL, WorkDigest,
 };
 
 /// The quarantine state of the requests that have one digest. All times
-/// include [`super::CLOCK_OFFSET`].
+/// include [`super::LEDGER_CLOCK_OFFSET`].
 #[derive(Clone, Debug)]
 pub(super) struct QuarantineCase {
     /// Target crashes that count against the request.
@@ -36,7 +36,7 @@
 
 impl QuarantineCase {
     /// Stops counting a target crash against the request.
-    pub(super) fn excuse_crash(&mut self, crash: CrashId) {
+    pub(super) fn stop_counting_crash(&mut self, crash: CrashId) {
         self.crashes.remove(&crash);
         if !self.excused_crashes.contains(&crash) {
             self.excused_crashes.push(crash);
@@ -54,7 +54,7 @@
         now: Millis,
     ) -> bool {
         let Some(reported_time) = reported_time else { return false };
-        let until = now + reported_time.min(MAX_SUSPENSION);
+        let until = now + reported_time.min(MAX_SUSPENSION_TIME);
         let is_longer = self.suspended_until.is_none_or(|it| until > it);
         let extends =
             is_longer && !self.survived_by_target && !self.crashes.is_empty();
@@ -73,7 +73,7 @@
             self.suspended_until = None;
         }
         let threshold = if self.survived_by_target {
-            SURVIVED_CRASH_THRESHOLD
+            SURVIVED_REQUEST_CRASH_THRESHOLD
         } else {
             CRASH_THRESHOLD
         };
@@ -98,14 +98,14 @@
 
     /// Returns whether the quarantine case has expired.
     pub(super) fn is_expired(&self, now: Millis) -> bool {
-        let refusal_expired = |since| now.since(since) >= REJECT_TTL;
+        let refusal_expired = |since| now.since(since) >= REFUSAL_TTL;
         now.since(self.last_arrival) >= SUSPECT_TTL
             || self.refused_since.is_some_and(refusal_expired)
     }
 
     /// Returns whether the quarantine case is broadcast: the case of a refused
     /// request always, any other case for a time after a change.
-    pub(super) fn is_broadcast(&self, now: Millis) -> bool {
+    pub(super) fn is_broadcast_due(&self, now: Millis) -> bool {
         !self.is_expired(now)
             && (self.refused_since.is_some() || now < self.broadcast_until)
     }
--- a/cowsliproad-admission/src/quarantine/work.rs
+++ b/cowsliproad-admission/src/quarantine/work.rs
@@ -15,12 +15,12 @@
     /// a target runs: its parts in a fixed order, such as the caller, the
     /// method, the path and the body.
     pub fn new(parts: &[&[u8]]) -> WorkDigest {
-        WorkDigest(digest(parts))
+        WorkDigest(hash_parts(parts))
     }
 
     /// Computes the digest of a submitted request, which is the same at agents
     /// and at entry processes.
-    pub fn of_submission(
+    pub fn digest_submission(
         organisation: &str,
         request_type: &str,
         body: &[u8],
@@ -31,8 +31,8 @@
 
     /// Combines the digest of a request with a service name, because the
     /// digests that agents report don't include the service.
-    pub fn for_service(self, service: &str) -> WorkDigest {
-        WorkDigest(digest(&[service.as_bytes(), &self.0.to_be_bytes()]))
+    pub fn combine_with_service(self, service: &str) -> WorkDigest {
+        WorkDigest(hash_parts(&[service.as_bytes(), &self.0.to_be_bytes()]))
     }
 }
 
@@ -42,19 +42,22 @@
 
 impl CrashId {
     /// Computes the id of the first crash of a target that started at
-    /// `target_start`.
-    pub fn new(target: &str, target_start: u64) -> CrashId {
-        CrashId(digest(&[target.as_bytes(), &target_start.to_be_bytes()]))
+    /// `target_start_time`.
+    pub fn new(target: &str, target_start_time: u64) -> CrashId {
+        CrashId(hash_parts(&[
+            target.as_bytes(),
+            &target_start_time.to_be_bytes(),
+        ]))
     }
 
     /// Computes the id of the next crash of the same target start, once the
     /// crash with this id was retracted.
-    pub(super) fn next_crash_id(self) -> CrashId {
-        CrashId(digest(&[&self.0.to_be_bytes()]))
+    pub(super) fn crash_id_after_retraction(self) -> CrashId {
+        CrashId(hash_parts(&[&self.0.to_be_bytes()]))
     }
 }
 
-fn digest(parts: &[&[u8]]) -> u64 {
+fn hash_parts(parts: &[&[u8]]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
         // Each part is hashed with its length, so that moving bytes from one
--- a/cowsliproad-admission/src/queue.rs
+++ b/cowsliproad-admission/src/queue.rs
@@ -8,23 +8,23 @@
 //! slots to itself, and leaves the work of other organisations unaffected.
 //!
 //! To prevent starvation of background work, one turn in
-//! [`AGED_TURN_INTERVAL`] serves the work that has exceeded the aging delay of
-//! its class by the longest time, whatever its class. Aging by adding the
-//! delay to the rank would make urgent work wait behind background work: under
-//! lasting overload, all queued background work exceeds its delay.
+//! [`SERVED_ITEMS_PER_AGED_TURN`] serves the work that has exceeded the aging
+//! delay of its class by the longest time, whatever its class. Aging by adding
+//! the delay to the rank would make urgent work wait behind background work:
+//! under lasting overload, all queued background work exceeds its delay.
 //!
 //! Work that can't meet its deadline is refused on arrival. Work whose
 //! deadline passes while it is queued is handed back at once by
-//! [`Queue::remove_expired`]. When the queue is full, the work with the worst
-//! rank is removed.
+//! [`Queue::remove_expired_item`]. When the queue is full, the work with the
+//! worst rank is removed.
 
 use std::collections::{BTreeMap, HashMap};
 
 use cowsliproad_kernel::{Name, clock::Millis, wire::Urgency};
 
-/// One in this many items that the queue hands out is an aged item, if there
-/// is one, so that aged work gets at least that fraction of the slots.
-pub const AGED_TURN_INTERVAL: u64 = 16;
+/// One in this many items that the queue hands out is an aged item, if an aged
+/// item is queued, so that aged work gets at least that fraction of the slots.
+pub const SERVED_ITEMS_PER_AGED_TURN: u64 = 16;
 
 /// A queued request with the properties that decide its place in the queue.
 #[derive(Clone, Debug)]
@@ -32,7 +32,7 @@
     /// The organisation that sent the request.
     pub organisation: Name,
     /// The organisation's weight for fair sharing, at least 1.
-    pub weight: u32,
+    pub organisation_weight: u32,
     /// The urgency class of the request.
     pub urgency: Urgency,
     /// When the answer to the request becomes useless.
@@ -43,7 +43,7 @@
 
 impl<T> QueueItem<T> {
     /// Returns the key by which queued items are counted for fair sharing.
-    fn sharing_key(&self) -> (Name, Urgency) {
+    fn fair_share_key(&self) -> (Name, Urgency) {
         (self.organisation.clone(), self.urgency)
     }
 }
@@ -94,13 +94,13 @@
     /// The number of items that the target serves concurrently.
     pub slots: u32,
     /// The mean time for which an item holds a slot, in microseconds.
-    pub service_us: u32,
+    pub mean_service_us: u32,
     /// The minimum time between the starts of two items, in microseconds, if
     /// the target has a rate limit; else 0.
-    pub start_interval_us: u32,
+    pub min_start_interval_us: u32,
     /// The time until the target's rate limit lets the next item start, in
     /// microseconds.
-    pub next_start_us: u32,
+    pub next_start_delay_us: u32,
 }
 
 /// The result of pushing an item onto the queue.
@@ -176,7 +176,7 @@
         let rank = self.compute_rank(&item, service_rate, now);
         let ahead = self.items.range(..rank).count() as u64;
         let wait = service_rate.queue_wait(ahead);
-        let finish = now + wait + service_rate.service_time();
+        let finish = now + wait + service_rate.mean_service_time();
         if finish > item.deadline {
             return PushOutcome::Refused(item, self.retry_after(service_rate));
         }
@@ -189,7 +189,7 @@
             Some((worst, _)) if *worst > rank => {}
             _ => return PushOutcome::Refused(item, retry_after),
         }
-        let displaced = self.remove_last();
+        let displaced = self.remove_last_item();
         self.insert(rank, item, now);
         match displaced {
             Some(displaced) => PushOutcome::Displaced(displaced, retry_after),
@@ -205,7 +205,9 @@
         let aged = aged.filter(|(aged_from, _)| aged_from.0 <= now);
         let rank = match aged {
             Some((_, rank))
-                if self.served_count.is_multiple_of(AGED_TURN_INTERVAL) =>
+                if self
+                    .served_count
+                    .is_multiple_of(SERVED_ITEMS_PER_AGED_TURN) =>
             {
                 *rank
             }
@@ -215,14 +217,14 @@
     }
 
     /// Removes an item that would miss its deadline even if it started now.
-    pub fn remove_expired(
+    pub fn remove_expired_item(
         &mut self,
         service_rate: ServiceRate,
         now: Millis,
     ) -> Option<QueueItem<T>> {
         let (&(deadline, _), &rank) =
             self.ranks_by_deadline.first_key_value()?;
-        if now + service_rate.service_time() <= deadline {
+        if now + service_rate.mean_service_time() <= deadline {
             return None;
         }
         self.remove(rank)
@@ -230,7 +232,7 @@
 
     /// Removes all items that would miss their deadlines after the service
     /// rate has dropped to `service_rate`.
-    pub fn remove_late(
+    pub fn remove_items_missing_deadline(
         &mut self,
         service_rate: ServiceRate,
         now: Millis,
@@ -240,7 +242,7 @@
         for (rank, item) in &self.items {
             if now
                 + service_rate.queue_wait(ahead)
-                + service_rate.service_time()
+                + service_rate.mean_service_time()
                 > item.deadline
             {
                 late.push(*rank);
@@ -271,15 +273,15 @@
         self.arrival_count += 1;
         // Queued work of other classes adds no penalty: an organisation's
         // background work must not delay its own urgent work.
-        let queued = self.queued_counts.get(&item.sharing_key()).copied();
+        let queued = self.queued_counts.get(&item.fair_share_key()).copied();
         let ahead = u64::from(queued.unwrap_or(0));
-        let penalty =
-            service_rate.queue_wait(ahead).0 / u64::from(item.weight.max(1));
+        let penalty = service_rate.queue_wait(ahead).0
+            / u64::from(item.organisation_weight.max(1));
         (item.urgency, now + Millis(penalty), self.arrival_count)
     }
 
     fn insert(&mut self, rank: QueueRank, item: QueueItem<T>, now: Millis) {
-        *self.queued_counts.entry(item.sharing_key()).or_default() += 1;
+        *self.queued_counts.entry(item.fair_share_key()).or_default() += 1;
         self.ranks_by_deadline.insert((item.deadline, rank.2), rank);
         let aged_from = now + self.config.aging_delay(item.urgency);
         self.ranks_by_aging_time.insert((aged_from, rank.2), rank);
@@ -287,7 +289,7 @@
         self.items.insert(rank, item);
     }
 
-    fn remove_last(&mut self) -> Option<QueueItem<T>> {
+    fn remove_last_item(&mut self) -> Option<QueueItem<T>> {
         let rank = *self.items.last_key_value()?.0;
         self.remove(rank)
     }
@@ -300,7 +302,7 @@
         {
             self.ranks_by_aging_time.remove(&(aged_from, rank.2));
         }
-        let key = item.sharing_key();
+        let key = item.fair_share_key();
         let queued = self.queued_counts.get_mut(&key)?;
         *queued -= 1;
         if *queued == 0 {
@@ -314,7 +316,7 @@
     pub fn retry_after(&self, service_rate: ServiceRate) -> Millis {
         service_rate
             .queue_wait(self.items.len() as u64)
-            .max(service_rate.service_time())
+            .max(service_rate.mean_service_time())
             .max(MIN_RETRY_AFTER)
     }
 }
@@ -327,9 +329,10 @@
     /// Returns the time until `items_ahead` items have got a slot.
     pub fn queue_wait(self, items_ahead: u64) -> Millis {
         let slots = u64::from(self.slots.max(1));
-        let slot_wait_us = items_ahead * u64::from(self.service_us) / slots;
-        let limit_wait_us = u64::from(self.next_start_us)
-            + items_ahead * u64::from(self.start_interval_us);
+        let slot_wait_us =
+            items_ahead * u64::from(self.mean_service_us) / slots;
+        let limit_wait_us = u64::from(self.next_start_delay_us)
+            + items_ahead * u64::from(self.min_start_interval_us);
         Millis(slot_wait_us.max(limit_wait_us) / 1000)
     }
 
@@ -337,11 +340,12 @@
     /// would make the queue as slow as the slots and the target's rate limit
     /// together do.
     pub fn effective_service_us(self) -> u32 {
-        self.service_us.max(self.start_interval_us.saturating_mul(self.slots))
+        self.mean_service_us
+            .max(self.min_start_interval_us.saturating_mul(self.slots))
     }
 
     /// Returns the mean time for which an item holds a slot.
-    pub fn service_time(self) -> Millis {
-        Millis(u64::from(self.service_us) / 1000)
+    pub fn mean_service_time(self) -> Millis {
+        Millis(u64::from(self.mean_service_us) / 1000)
     }
 }
--- a/cowsliproad-admission/src/register.rs
+++ b/cowsliproad-admission/src/register.rs
@@ -2,10 +2,10 @@
 //!
 //! Invariant: a ticket gets [`SubmitVerdict::Run`] at most once in the
 //! lifetime of a register, and never after a refusal. The record is made
-//! before the target is called. A record is kept for [`RECORD_RETENTION`]
-//! after its ticket expires, so that a late resubmission still gets a correct
-//! answer. A record is removed only when its ticket is too old to be accepted
-//! at all.
+//! before the target is called. A record is kept for
+//! [`TICKET_RECORD_RETENTION`] after its ticket expires, so that a late
+//! resubmission still gets a correct answer. A record is removed only when its
+//! ticket is too old to be accepted at all.
 //!
 //! When the agent stops, [`TicketRegister::seal`] turns the register into one
 //! that a peer can answer from: a sealed register accepts no more work. A
@@ -23,7 +23,7 @@
 pub const TICKET_TTL: Millis = Millis(10 * 60 * 1000);
 
 /// How long the record of a ticket is kept after the ticket expires.
-pub const RECORD_RETENTION: Millis = Millis(60 * 60 * 1000);
+pub const TICKET_RECORD_RETENTION: Millis = Millis(60 * 60 * 1000);
 
 /// The recorded state of a ticket.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -82,13 +82,13 @@
     /// Decides what to do with a submitted ticket; records the ticket if its
     /// work is to be run.
     pub fn submit(&mut self, ticket: &Ticket, now: Millis) -> SubmitVerdict {
-        self.remove_expired(now);
+        self.remove_expired_records(now);
         match self.states.get(&ticket.request) {
             Some(TicketState::Accepted) => return SubmitVerdict::Duplicate,
             Some(TicketState::Refused) => return SubmitVerdict::Refused,
             None => {}
         }
-        if ticket.expiry + RECORD_RETENTION <= now {
+        if ticket.expiry + TICKET_RECORD_RETENTION <= now {
             return SubmitVerdict::TooOld;
         }
         if ticket.expiry <= now {
@@ -102,7 +102,7 @@
         if self.states.len() >= self.capacity {
             return SubmitVerdict::RegisterFull;
         }
-        self.record_state(ticket, TicketState::Accepted);
+        self.record_ticket_state(ticket, TicketState::Accepted);
         SubmitVerdict::Run
     }
 
@@ -119,7 +119,7 @@
 
     /// Changes an accepted ticket to a refused one; for tickets whose work
     /// provably never reached the target.
-    pub fn refuse_unsent(&mut self, request: id::Request) {
+    pub fn refuse_unsent_ticket(&mut self, request: id::Request) {
         if let Some(state) = self.states.get_mut(&request) {
             *state = TicketState::Refused;
         }
@@ -140,15 +140,15 @@
         self.sealed = true;
     }
 
-    fn record_state(&mut self, ticket: &Ticket, state: TicketState) {
+    fn record_ticket_state(&mut self, ticket: &Ticket, state: TicketState) {
         self.states.insert(ticket.request, state);
         self.expiries.insert((ticket.expiry, ticket.request));
     }
 
     /// Removes the ticket records whose retention time is over.
-    fn remove_expired(&mut self, now: Millis) {
+    fn remove_expired_records(&mut self, now: Millis) {
         while let Some(&(expiry, request)) = self.expiries.first() {
-            if expiry + RECORD_RETENTION > now {
+            if expiry + TICKET_RECORD_RETENTION > now {
                 return;
             }
             self.expiries.pop_first();
--- a/cowsliproad-admission/src/ticket.rs
+++ b/cowsliproad-admission/src/ticket.rs
@@ -24,7 +24,7 @@
 const MAC_BYTES: usize = 16;
 
 /// The longest token that is decoded, in bytes of its text.
-const MAX_TOKEN_LEN: usize = 1024;
+const MAX_TOKEN_BYTES: usize = 1024;
 
 /// What a token authorises its holder to do.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -84,7 +84,7 @@
     text: &str,
     key: &[u8; KEY_BYTES],
 ) -> Result<Ticket, InvalidToken> {
-    if text.len() > MAX_TOKEN_LEN {
+    if text.len() > MAX_TOKEN_BYTES {
         return Err(InvalidToken);
     }
     let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| InvalidToken)?;
--- a/cowsliproad-admission/src/window.rs
+++ b/cowsliproad-admission/src/window.rs
@@ -21,12 +21,13 @@
 /// The fraction of the retry budget that entry processes use. The rest covers
 /// that targets count arriving retries a little later than entry processes
 /// count sent retries.
-const USED_BUDGET_FRACTION: f64 = 0.85;
+const USED_RETRY_BUDGET_FRACTION: f64 = 0.85;
 
 /// The size of a retry budget.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryWindowConfig {
-    /// Retries allowed for each request.
+    /// Retries allowed within one window, as a fraction of the requests in
+    /// that window.
     retries_per_request: f64,
     /// Further retries allowed within one window, for all entry processes
     /// together.
@@ -36,8 +37,9 @@
 }
 
 impl RetryWindowConfig {
-    /// Allows `retries_per_request`, plus `extra_retries` for all entry
-    /// processes together, within any time of length `window_length`.
+    /// Allows, within any time of length `window_length`, the fraction
+    /// `retries_per_request` of the requests as retries, plus `extra_retries`
+    /// for all entry processes together.
     pub fn new(
         retries_per_request: f64,
         extra_retries: f64,
@@ -69,22 +71,23 @@
     }
 
     /// Counts a retry and returns true if this entry process's part of the
-    /// retry budget allows a retry. `entry_count` is the number of entry
-    /// processes that share the budget.
+    /// retry budget allows a retry. `entry_process_count` is the number of
+    /// entry processes that share the budget.
     pub fn try_spend_retry(
         &mut self,
-        entry_count: usize,
+        entry_process_count: usize,
         now: Millis,
     ) -> bool {
         self.current_step_counts(now);
         let requests: u32 = self.step_counts.iter().map(|it| it.1).sum();
         let retries: u32 = self.step_counts.iter().map(|it| it.2).sum();
         let entry_extra =
-            self.config.extra_retries / entry_count.max(1) as f64;
+            self.config.extra_retries / entry_process_count.max(1) as f64;
         let max_retries = self.config.retries_per_request
             * f64::from(requests)
             + entry_extra;
-        if f64::from(retries) + 1.0 > max_retries * USED_BUDGET_FRACTION {
+        if f64::from(retries) + 1.0 > max_retries * USED_RETRY_BUDGET_FRACTION
+        {
             return false;
         }
         self.current_step_counts(now).2 += 1;
@@ -93,7 +96,7 @@
 
     /// Returns the number of requests to expect within `span`, extrapolated
     /// from the last [`REQUEST_RATE_WINDOW_STEPS`] whole steps.
-    pub fn expected_requests(&self, span: Millis, now: Millis) -> f64 {
+    pub fn estimate_requests(&self, span: Millis, now: Millis) -> f64 {
         let index = now.0 / WINDOW_STEP_DURATION.0;
         let oldest = index.saturating_sub(REQUEST_RATE_WINDOW_STEPS);
         let is_recent =
--- a/cowsliproad-agent/src/ends.rs
+++ b/cowsliproad-agent/src/ends.rs
@@ -124,8 +124,9 @@
         inner.changed = false;
         let news = std::mem::take(&mut inner.news);
         let now = Millis::now();
-        let known =
-            |it: &quarantine::WorkDigest| inner.ledger.suspect(*it, now);
+        let known = |it: &quarantine::WorkDigest| {
+            inner.ledger.export_suspect(*it, now)
+        };
         news.iter().filter_map(known).collect()
     }
 
@@ -133,14 +134,14 @@
     pub fn known(&self) -> Vec<Suspect> {
         let mut inner = lock(&self.inner);
         let now = Millis::now();
-        inner.ledger.evict_expired(now);
-        inner.ledger.snapshot(now)
+        inner.ledger.evict_expired_cases(now);
+        inner.ledger.snapshot_suspects(now)
     }
 
     /// Notes that the target outlived work.
     pub fn outlived(&self, work: quarantine::WorkDigest) {
         let mut inner = lock(&self.inner);
-        if inner.ledger.record_survival(work, Millis::now())
+        if inner.ledger.record_survived_request(work, Millis::now())
             != QuarantineChange::None
         {
             inner.news.push(work);
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -16,7 +16,7 @@
 };
 
 use cowsliproad_admission::{
-    limit::Rate,
+    limit::RequestRate,
     queue::{Queue, QueueConfig, ServiceRate},
     register::TicketRegister,
     ticket,
@@ -373,13 +373,19 @@
 
     /// How fast the queue empties.
     fn speed(&self, inner: &Inner) -> ServiceRate {
-        let (slots, service_us) =
+        let (slots, mean_service_us) =
             (self.settings.slots, inner.service_us as u32);
         let (rate, next) = self.pace.limit(Millis::now());
-        let start_interval_us = rate.map_or(0, Rate::request_interval_us);
-        let next_start_us = u32::try_from(next.0.saturating_mul(1_000));
-        let next_start_us = next_start_us.unwrap_or(u32::MAX);
-        ServiceRate { slots, service_us, start_interval_us, next_start_us }
+        let min_start_interval_us =
+            rate.map_or(0, RequestRate::request_interval_us);
+        let next_start_delay_us = u32::try_from(next.0.saturating_mul(1_000));
+        let next_start_delay_us = next_start_delay_us.unwrap_or(u32::MAX);
+        ServiceRate {
+            slots,
+            mean_service_us,
+            min_start_interval_us,
+            next_start_delay_us,
+        }
     }
 
     fn count(&self, code: Code) {
@@ -453,7 +459,7 @@
     }
 
     fn lapse(&mut self, pace: ServiceRate, now: Millis) {
-        while let Some(item) = self.queue.remove_expired(pace, now) {
+        while let Some(item) = self.queue.remove_expired_item(pace, now) {
             let failure =
                 Failure::new(Code::DeadlinePassed, Execution::NotRun);
             self.give_up(&item.work, failure);
@@ -462,7 +468,7 @@
 
     /// Gives back what a lower limit leaves no time for.
     fn shed(&mut self, pace: ServiceRate, now: Millis) {
-        for item in self.queue.remove_late(pace, now) {
+        for item in self.queue.remove_items_missing_deadline(pace, now) {
             let failure = Failure::new(Code::Overloaded, Execution::NotRun);
             let wait = self.queue.retry_after(pace);
             self.give_up(&item.work, failure.with_retry_after(wait));
@@ -471,7 +477,7 @@
 
     /// Ends work that never reached the target.
     fn give_up(&mut self, work: &Arc<Work>, failure: Failure) {
-        self.register.refuse_unsent(work.request);
+        self.register.refuse_unsent_ticket(work.request);
         work.finish(Err(failure));
         self.keep(work, Millis::now());
     }
--- a/cowsliproad-agent/src/gate/submit.rs
+++ b/cowsliproad-agent/src/gate/submit.rs
@@ -159,7 +159,7 @@
         let work = Arc::new(Work::new(submit, now));
         let item = QueueItem {
             organisation: submit.organisation.clone(),
-            weight: submit.queue_weight,
+            organisation_weight: submit.queue_weight,
             urgency: submit.urgency,
             deadline: work.deadline,
             work: work.clone(),
@@ -173,7 +173,7 @@
                 inner.give_up(&loser.work, failure.with_retry_after(wait));
             }
             PushOutcome::Refused(_, wait) => {
-                inner.register.refuse_unsent(work.request);
+                inner.register.refuse_unsent_ticket(work.request);
                 return Err(Failure::new(Code::Overloaded, Execution::NotRun)
                     .with_retry_after(wait));
             }
--- a/cowsliproad-agent/src/pace.rs
+++ b/cowsliproad-agent/src/pace.rs
@@ -11,7 +11,7 @@
 };
 
 use cowsliproad_admission::limit::{
-    CurrentLimit, LimitChange, Limiter, PermitDecision, Rate,
+    CurrentLimit, LimitChange, Limiter, PermitDecision, RequestRate,
 };
 use cowsliproad_kernel::{clock::Millis, sync::lock};
 use cowsliproad_net::retry_after::{self, RetryAfter};
@@ -52,7 +52,7 @@
 }
 
 impl Inner {
-    fn limiter(&mut self, rate: Rate, now: Millis) -> &mut Limiter {
+    fn limiter(&mut self, rate: RequestRate, now: Millis) -> &mut Limiter {
         self.limiter.get_or_insert(Limiter::new(rate, Millis(0), now))
     }
 }
@@ -74,15 +74,17 @@
         let named = headers.get(&HEADER);
         let mut inner = self.lock();
         let bytes = named.map(HeaderValue::as_bytes);
-        let news = inner.known.observe_header(bytes, sent, Millis::now());
+        let news =
+            inner.known.observe_limit_header(bytes, sent, Millis::now());
         let (change, rate) = (news.change, inner.known.rate());
         inner.tightened |= change == LimitChange::Tightened;
         drop(inner);
-        if news.newly_invalid {
+        if news.limit_became_invalid {
             warn!(self.log, "limit_refused"; "limit" => ?named);
         }
         if change != LimitChange::None {
-            info!(self.log, "limit"; "a_second" => rate.map(Rate::per_second),
+            info!(self.log, "limit";
+                "a_second" => rate.map(RequestRate::requests_per_second),
                 "change" => ?change);
             self.changed.notify_waiters();
         }
@@ -147,11 +149,11 @@
     }
 
     /// The limit in force, and how long no request may go.
-    pub fn limit(&self, now: Millis) -> (Option<Rate>, Millis) {
+    pub fn limit(&self, now: Millis) -> (Option<RequestRate>, Millis) {
         let mut inner = self.lock();
         let wait = inner.cooldown.remaining_time(now);
         let Some(rate) = inner.known.rate() else { return (None, wait) };
-        let full_for = inner.limiter(rate, now).permit_wait(now);
+        let full_for = inner.limiter(rate, now).time_to_next_permit(now);
         (Some(rate), wait.max(full_for))
     }
 
@@ -167,12 +169,8 @@
             inner.limiter = None;
             return Ok(());
         };
-        match inner.limiter(rate, now).acquire_permit(
-            rate,
-            1.0,
-            Millis(0),
-            now,
-        ) {
+        match inner.limiter(rate, now).grant_permit(rate, 1.0, Millis(0), now)
+        {
             PermitDecision::Permit(_) => Ok(()),
             PermitDecision::Later(after) => Err(after),
         }
--- a/cowsliproad-agent/src/work.rs
+++ b/cowsliproad-agent/src/work.rs
@@ -101,7 +101,7 @@
 impl Work {
     /// What it is, whatever request it is of.
     pub fn kind(&self) -> quarantine::WorkDigest {
-        quarantine::WorkDigest::of_submission(
+        quarantine::WorkDigest::digest_submission(
             &self.organisation,
             &self.request_type,
             &self.body,
--- a/cowsliproad-bench/src/experiment/limits.rs
+++ b/cowsliproad-bench/src/experiment/limits.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use cowsliproad_admission::limit::{
-    self, CurrentLimit, LimitReport, PermitDecision, Rate,
+    self, CurrentLimit, LimitReport, PermitDecision, RequestRate,
 };
 use cowsliproad_kernel::{
     Name,
@@ -130,7 +130,7 @@
     limit: CurrentLimit,
     pace: Option<limit::Limiter>,
     full_until: u64,
-    told: Option<Rate>,
+    told: Option<RequestRate>,
 }
 
 struct Fleet {
@@ -143,7 +143,7 @@
     entries: Vec<Entry>,
     /// Answers that are on their way, by when they come: who asked, when, and
     /// what they name.
-    answers: BTreeMap<u64, Vec<(usize, u64, Option<Rate>)>>,
+    answers: BTreeMap<u64, Vec<(usize, u64, Option<RequestRate>)>>,
     arrived: Vec<u64>,
     asked: u64,
     bytes: u64,
@@ -206,11 +206,11 @@
         }
     }
 
-    fn rate(&self) -> Option<Rate> {
+    fn rate(&self) -> Option<RequestRate> {
         let whole = self.size.rate;
         let low = LOW_MS.contains(&self.now);
         let rate = if low { whole / 2.0 } else { whole };
-        (self.now >= NAMED_MS).then(|| Rate::new(rate)).flatten()
+        (self.now >= NAMED_MS).then(|| RequestRate::new(rate)).flatten()
     }
 
     fn caller(&mut self) -> usize {
@@ -259,8 +259,8 @@
         let known = self.entries[entry].known.keys().copied();
         let others = known.chain((0..3).filter(|it| *it != entry));
         let told = others.choose_multiple(&mut self.random, MAX_TOLD);
-        let word = self.entries[entry].limit.report(Millis(now));
-        let changed = self.entries[entry].limit.changed_at();
+        let word = self.entries[entry].limit.limit_report(Millis(now));
+        let changed = self.entries[entry].limit.limit_changed_at();
         let is_news = Millis(now).since(changed) < Millis(NEWS_MS);
         let is_due = (now / TELL_MS).is_multiple_of(LIMITS_EVERY);
         let word = word.filter(|_| self.policy != Policy::Unread);
@@ -293,7 +293,7 @@
                 self.entries[other].known.entry(third).or_insert((now, 0));
             }
         }
-        if let Some(word) = self.entries[one].limit.report(Millis(now)) {
+        if let Some(word) = self.entries[one].limit.limit_report(Millis(now)) {
             self.hear(other, word);
         }
     }
@@ -314,12 +314,21 @@
         }
     }
 
-    fn answered(&mut self, entry: usize, sent: u64, rate: Option<Rate>) {
+    fn answered(
+        &mut self,
+        entry: usize,
+        sent: u64,
+        rate: Option<RequestRate>,
+    ) {
         if !self.is_up(entry) || self.policy == Policy::Unread {
             return;
         }
         let now = Millis(self.now);
-        self.entries[entry].limit.observe_response(rate, Millis(sent), now);
+        self.entries[entry].limit.observe_response_limit(
+            rate,
+            Millis(sent),
+            now,
+        );
         self.news(entry);
     }
 
@@ -357,11 +366,11 @@
         }
     }
 
-    fn own(&mut self, entry: usize, rate: Rate, share: f64) -> bool {
+    fn own(&mut self, entry: usize, rate: RequestRate, share: f64) -> bool {
         let now = Millis(self.now);
         let new = limit::Limiter::new(rate, Millis(0), now);
         let pace = self.entries[entry].pace.get_or_insert(new);
-        pace.acquire_permit(rate, share, Millis(0), now)
+        pace.grant_permit(rate, share, Millis(0), now)
             == PermitDecision::Permit(Millis(0))
     }
 
@@ -379,7 +388,7 @@
             self.bytes += (self.sizes.question + self.sizes.reply) as u64;
             if self.reaches(entry, other) {
                 let now = Millis(self.now);
-                let word = self.entries[entry].limit.report(now);
+                let word = self.entries[entry].limit.limit_report(now);
                 if let Some(word) = word {
                     self.hear(other, word);
                 }
@@ -425,7 +434,7 @@
         let share = (heard.count() + 1) as f64 / (known.len() + 1) as f64;
         let entry = &mut self.entries[entry];
         let Some(LimitReport { rate: Some(rate), in_force_for }) =
-            entry.limit.report(now)
+            entry.limit.limit_report(now)
         else {
             return PermitDecision::Permit(Millis(0));
         };
@@ -434,7 +443,7 @@
         if substitute && pace.is_stale(share, now) {
             *pace = new;
         }
-        pace.acquire_permit(rate, share, Millis(0), now)
+        pace.grant_permit(rate, share, Millis(0), now)
     }
 
     fn score(&self) -> Score {
--- a/cowsliproad-bench/src/experiment/quarantine.rs
+++ b/cowsliproad-bench/src/experiment/quarantine.rs
@@ -319,7 +319,7 @@
                 if let Some((_, Request { work, entry, .. })) = done {
                     let now = Millis(self.now);
                     let change =
-                        self.ledgers[entry].record_survival(work, now);
+                        self.ledgers[entry].record_survived_request(work, now);
                     if change != QuarantineChange::None {
                         self.own.insert((entry, work));
                         self.write(entry, work);
@@ -400,7 +400,8 @@
             return;
         }
         let now = Millis(self.now);
-        let Some(suspect) = self.ledgers[entry].suspect(work, now) else {
+        let Some(suspect) = self.ledgers[entry].export_suspect(work, now)
+        else {
             return;
         };
         let kept = self.log.get(&work);
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -356,9 +356,9 @@
 fn queue_choice(figures: &mut Value) {
     let pace = ServiceRate {
         slots: 16,
-        service_us: 1,
-        start_interval_us: 0,
-        next_start_us: 0,
+        mean_service_us: 1,
+        min_start_interval_us: 0,
+        next_start_delay_us: 0,
     };
     let mut points = Points::new();
     for length in [16usize, 256, 1_024, 4_000] {
@@ -366,7 +366,7 @@
         let mut queue = Queue::new(config);
         let item = |index: usize| QueueItem {
             organisation: format!("o{}", index % 50).as_str().into(),
-            weight: 1,
+            organisation_weight: 1,
             urgency: Urgency::Normal,
             deadline: Millis(1_000_000),
             work: index,
--- a/cowsliproad-direct/src/call.rs
+++ b/cowsliproad-direct/src/call.rs
@@ -17,7 +17,7 @@
 use std::{rc::Rc, sync::Arc};
 
 use bytes::Bytes;
-use cowsliproad_admission::{patience::CallerTry, quarantine::WorkDigest};
+use cowsliproad_admission::{patience::CallerAttempt, quarantine::WorkDigest};
 use cowsliproad_kernel::{Name, clock::Millis};
 use cowsliproad_platform::header;
 use cowsliproad_routing::catalog::Route;
@@ -75,7 +75,7 @@
     /// When its caller gives up or its route ends it.
     pub until: Millis,
     /// Which of its caller's tries it is.
-    caller_try: CallerTry,
+    caller_try: CallerAttempt,
     /// Its rank among others, 0 first.
     priority: u8,
     head: request::Parts,
@@ -160,7 +160,7 @@
     /// When its caller gives up or its route ends it.
     pub until: Millis,
     /// Which of its caller's tries it is.
-    pub caller_try: CallerTry,
+    pub caller_try: CallerAttempt,
 }
 
 impl Call {
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use cowsliproad_admission::{
-    patience::{Admission, CallerTry, PendingStream},
+    patience::{CallerAttempt, PendingStream, StreamAdmission},
     quarantine::QuarantineVerdict,
 };
 use cowsliproad_kernel::clock::Millis;
@@ -112,7 +112,7 @@
             |end: Millis| end <= wait && end + ANSWER_LATENCY <= self.until;
         let ends_in_time = shortage.cooldown_end.is_some_and(in_time);
         // A caller that may come back gets to another target sooner.
-        let returns = self.caller_try == CallerTry::First
+        let returns = self.caller_try == CallerAttempt::First
             && self.certainty == Certainty::NotRun
             && !self.may_go_elsewhere()
             && self.has_others(entry, now);
@@ -165,7 +165,8 @@
         mut choice: Choice,
         patience: Millis,
     ) -> Result<Option<Choice>, Response<Body>> {
-        if let Admission::RetryAfter(after) = self.start(entry, Millis::now())
+        if let StreamAdmission::RetryAfter(after) =
+            self.start(entry, Millis::now())
         {
             return Err(self.reject_with(entry, Reason::TooLate(after)));
         }
@@ -189,25 +190,25 @@
     }
 
     /// Whether a stream that nothing has run of is still worth its start.
-    fn start(&self, entry: &Entry, now: Millis) -> Admission {
-        let (Some(silence_timeout), Some(first_event_aim)) =
+    fn start(&self, entry: &Entry, now: Millis) -> StreamAdmission {
+        let (Some(silence_timeout), Some(expected_first_event_delay)) =
             (self.route.caller_idle_timeout, self.route.latency_goal)
         else {
-            return Admission::Now;
+            return StreamAdmission::Now;
         };
         if self.certainty == Certainty::Unknown {
-            return Admission::Now;
+            return StreamAdmission::Now;
         }
         let Call { arrived, caller_try, .. } = *self;
         let time_to_deadline = self.left();
         let stream = PendingStream {
-            arrived,
+            arrived_at: arrived,
             silence_timeout,
-            first_event_aim,
+            expected_first_event_delay,
             time_to_deadline,
             caller_try,
         };
-        stream.decide(now, entry.draw())
+        stream.decide_admission(now, entry.draw())
     }
 
     /// How long the request may wait for a target to be usable. A caller of a
@@ -278,13 +279,13 @@
         let endpoint = choice.endpoint.borrow();
         let group = endpoint.group.as_ref();
         let age = group.map_or(-1, |it| now.since(it.heard).0 as i64);
-        let report = endpoint.limit.report(now);
+        let report = endpoint.limit.limit_report(now);
         info!(entry.log, "chosen"; "request" => &*self.id,
             "work" => %self.work,
             "target" => &*choice.target.id, "route" => &*self.route.name,
             "cost" => choice.cost as u64, "at_target" => endpoint.record.estimated_occupancy(now),
             "own" => endpoint.record.in_flight(), "report_age" => age,
-            "limit" => choice.limit.map(|it| it.per_second()),
+            "limit" => choice.limit.map(|it| it.requests_per_second()),
             "limit_age" => report.map(|it| it.in_force_for.0),
             "denied" => self.denied,
             "left" => self.left().0, "try" => self.tries + 1);
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -14,7 +14,7 @@
 
 use bytes::Bytes;
 use cowsliproad_admission::{
-    limit::{CurrentLimit, Permit, Rate},
+    limit::{CurrentLimit, Permit, RequestRate},
     window::{RetryWindow, RetryWindowConfig},
 };
 use cowsliproad_kernel::{Name, clock::Millis, position::Position, settings};
@@ -211,7 +211,7 @@
     /// Connections to it that this entry may have.
     pub connections: usize,
     /// The limit that it names.
-    pub limit: Option<Rate>,
+    pub limit: Option<RequestRate>,
     /// The permit that the request holds there.
     pub permit: Option<Permit>,
 }
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -99,7 +99,7 @@
         let step = self.usual.lockstep_latency_ms() / f64::from(slots);
         let place = pick::choose_by_cost(&costs, step, self.unseen, draw)?;
         let binds = |it: &Choice| {
-            it.limit.is_some_and(|it| it.per_second() < self.part)
+            it.limit.is_some_and(|it| it.requests_per_second() < self.part)
         };
         let scarce =
             usable.iter().filter(|it| binds(it) && it.cost <= costs[place]);
@@ -244,7 +244,7 @@
         let entries = self.peers.borrow().entries() as f64;
         let budgets = self.budgets.borrow();
         let usual = budgets.get(service);
-        let usual = usual.map_or(0.0, |it| it.expected_requests(SECOND, now));
+        let usual = usual.map_or(0.0, |it| it.estimate_requests(SECOND, now));
         usual * entries / targets.max(1) as f64
     }
 
@@ -263,7 +263,7 @@
         let budgets = self.budgets.borrow();
         let usual = budgets.get(service);
         let usual =
-            usual.map_or(0.0, |it| it.expected_requests(UNSEEN_INTERVAL, now));
+            usual.map_or(0.0, |it| it.estimate_requests(UNSEEN_INTERVAL, now));
         usual.max(f64::from(sent)) * others
     }
 
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -12,7 +12,7 @@
 use std::{cell::RefCell, collections::HashMap, fmt, net::SocketAddr, rc::Rc};
 
 use cowsliproad_admission::limit::{
-    self, LimitChange, LimitReport, Permit, PermitDecision, Rate,
+    self, LimitChange, LimitReport, Permit, PermitDecision, RequestRate,
 };
 use cowsliproad_kernel::{
     Name,
@@ -168,11 +168,15 @@
 
 impl Endpoint {
     /// A permit that came too late for the request that asked for it.
-    pub fn has_permit(&self, rate: Rate, now: Millis) -> bool {
+    pub fn has_permit(&self, rate: RequestRate, now: Millis) -> bool {
         self.permits.iter().any(|it| it.is_valid(rate, now))
     }
 
-    fn take_permit(&mut self, rate: Rate, now: Millis) -> Option<Permit> {
+    fn take_permit(
+        &mut self,
+        rate: RequestRate,
+        now: Millis,
+    ) -> Option<Permit> {
         self.permits.retain(|it| it.valid_until >= now && it.rate <= rate);
         let at = self.permits.iter().position(|it| it.is_valid(rate, now))?;
         Some(self.permits.swap_remove(at))
@@ -366,9 +370,9 @@
         let sent = attempt.sent_at().unwrap_or(now);
         let bytes = named.map(HeaderValue::as_bytes);
         let mut endpoint = choice.endpoint.borrow_mut();
-        let news = endpoint.limit.observe_header(bytes, sent, now);
+        let news = endpoint.limit.observe_limit_header(bytes, sent, now);
         drop(endpoint);
-        if news.newly_invalid {
+        if news.limit_became_invalid {
             warn!(self.log, "limit_refused"; "target" => &*choice.target.id,
                 "limit" => ?named);
         }
@@ -388,7 +392,7 @@
             self.limits.borrow_mut().keep_early(limit, now);
             return;
         }
-        let rate = limit.requests_per_second.and_then(Rate::new);
+        let rate = limit.requests_per_second.and_then(RequestRate::new);
         if rate.is_none() != limit.requests_per_second.is_none() {
             return;
         }
@@ -425,7 +429,8 @@
         }
         drop(endpoint);
         info!(self.log, "limit"; "target" => &**target,
-            "a_second" => rate.map(Rate::per_second), "change" => ?change,
+            "a_second" => rate.map(RequestRate::requests_per_second),
+            "change" => ?change,
             "source" => ?source);
         if change == LimitChange::Loosened {
             self.tell_news();
@@ -445,8 +450,8 @@
         let told = |target: &Target| {
             let endpoint = self.known_endpoint(&target.id)?;
             let limit = endpoint.borrow().limit;
-            let report = limit.report(now)?;
-            let is_news = now.since(limit.changed_at()) < BROADCAST_TTL;
+            let report = limit.limit_report(now)?;
+            let is_news = now.since(limit.limit_changed_at()) < BROADCAST_TTL;
             let is_told = match which {
                 Update::Changed => is_news,
                 Update::All => is_news || report.rate.is_some(),
@@ -468,7 +473,8 @@
 
     /// What is known of a target's limit.
     fn current_limit(&self, target: &Target, now: Millis) -> RateLimit {
-        let report = self.endpoint(&target.id).borrow().limit.report(now);
+        let report =
+            self.endpoint(&target.id).borrow().limit.limit_report(now);
         let never = LimitReport { rate: None, in_force_for: Millis(u64::MAX) };
         limit_of(target, report.unwrap_or(never))
     }
@@ -481,7 +487,8 @@
         patience: Millis,
         now: Millis,
     ) -> PermitDecision {
-        let report = self.endpoint(&target.id).borrow().limit.report(now);
+        let report =
+            self.endpoint(&target.id).borrow().limit.limit_report(now);
         let Some(LimitReport { rate: Some(rate), in_force_for }) = report
         else {
             return PermitDecision::Permit(Millis(0));
@@ -495,7 +502,7 @@
         if kept.0 != target.start || stale {
             *kept = new;
         }
-        kept.1.acquire_permit(rate, share, patience, now)
+        kept.1.grant_permit(rate, share, patience, now)
     }
 
     /// Takes in the answer to a question.
@@ -523,7 +530,7 @@
     RateLimit {
         target: target.id.clone(),
         target_start_unix_ms: target.start.0,
-        requests_per_second: report.rate.map(Rate::per_second),
+        requests_per_second: report.rate.map(RequestRate::requests_per_second),
         in_force_for: report.in_force_for,
     }
 }
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -167,7 +167,7 @@
             return;
         }
         self.swept = now;
-        for work in self.ledger.evict_expired(now) {
+        for work in self.ledger.evict_expired_cases(now) {
             if self.written.remove(&work) {
                 self.unwritten.insert(work);
                 self.due.notify_one();
@@ -197,7 +197,7 @@
     /// Notes that the log keeps so much of a piece of work.
     fn note_kept(&mut self, kept: &Suspect, now: Millis) {
         let work = WorkDigest(kept.work_digest);
-        if let Some(own) = self.ledger.suspect(work, now)
+        if let Some(own) = self.ledger.export_suspect(work, now)
             && covers(kept, &own)
         {
             self.lost.remove(&work);
@@ -248,7 +248,7 @@
     /// Notes that a target outlived work.
     pub fn note_outlived(&self, work: WorkDigest, now: Millis) {
         let mut quarantine = self.quarantine.borrow_mut();
-        let change = quarantine.ledger.record_survival(work, now);
+        let change = quarantine.ledger.record_survived_request(work, now);
         if change != QuarantineChange::None {
             // What the log keeps of it is to say so too.
             quarantine.own.insert(work);
@@ -461,7 +461,7 @@
     let work = WorkDigest(suspect.work_digest);
     let mut quarantine = entry.quarantine.borrow_mut();
     quarantine.note_kept(&suspect, now);
-    if quarantine.ledger.suspect(work, now).is_none() {
+    if quarantine.ledger.export_suspect(work, now).is_none() {
         // It is over, and whoever wrote it may be gone.
         quarantine.unwritten.insert(work);
         quarantine.due.notify_one();
@@ -477,7 +477,7 @@
     let entries = entry.peers.borrow().entries() as u64;
     let others = Millis(REWRITE_DELAY_PER_ENTRY.0 * entries);
     let others = others.min(MAX_REWRITE_DELAY);
-    let known = entry.quarantine.borrow().ledger.snapshot(now);
+    let known = entry.quarantine.borrow().ledger.snapshot_suspects(now);
     let known =
         known.into_iter().filter(|it| it.crashes.len() >= WRITTEN_ENDS);
     for suspect in known {
@@ -558,7 +558,7 @@
 /// What the log is to keep of work; nothing if it is to forget it.
 fn value_of(entry: &Entry, work: WorkDigest) -> Vec<u8> {
     let suspect =
-        entry.quarantine.borrow().ledger.suspect(work, Millis::now());
+        entry.quarantine.borrow().ledger.export_suspect(work, Millis::now());
     // A suspension is over before others read it again.
     let suspect = suspect.map(|it| Suspect { suspended_for: None, ..it });
     let kept = suspect.map(|suspect| Kept { suspect, at: unix_now() });
--- a/cowsliproad-direct/src/receive.rs
+++ b/cowsliproad-direct/src/receive.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use cowsliproad_admission::{patience::CallerTry, quarantine::WorkDigest};
+use cowsliproad_admission::{patience::CallerAttempt, quarantine::WorkDigest};
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_platform::header;
 use cowsliproad_routing::catalog::{
@@ -89,7 +89,7 @@
         service,
     };
     let most = entry.patience_of(&target.route.name, left);
-    let caller_try = CallerTry::new(left, most);
+    let caller_try = CallerAttempt::classify_by_time_to_deadline(left, most);
     let time = Span { arrived, until: arrived + time, caller_try };
     head.headers = headers;
     Ok(Call::new(head, body, target, time))
--- a/cowsliproad-entry/src/quarantine.rs
+++ b/cowsliproad-entry/src/quarantine.rs
@@ -26,18 +26,18 @@
     request_type: &str,
     body: &[u8],
 ) -> WorkDigest {
-    WorkDigest::of_submission(organisation, request_type, body)
-        .for_service(&service.name)
+    WorkDigest::digest_submission(organisation, request_type, body)
+        .combine_with_service(&service.name)
 }
 
 /// Takes in what an agent tells.
 pub fn hear(shared: &Shared, target: &Target, suspects: Vec<Suspect>) {
     let now = Millis::now();
     let mut ledger = lock(&shared.quarantine);
-    ledger.evict_expired(now);
+    ledger.evict_expired_cases(now);
     for suspect in suspects {
-        let work =
-            WorkDigest(suspect.work_digest).for_service(&target.service);
+        let work = WorkDigest(suspect.work_digest)
+            .combine_with_service(&target.service);
         let suspect = Suspect { work_digest: work.0, ..suspect };
         let change = ledger.merge_remote_suspect(&suspect, now);
         if matches!(
@@ -53,7 +53,8 @@
 
 /// Notes that a target outlived a request.
 pub fn outlived(shared: &Shared, order: &Order) {
-    lock(&shared.quarantine).record_survival(order.work, Millis::now());
+    lock(&shared.quarantine)
+        .record_survived_request(order.work, Millis::now());
 }
 
 /// Whether a request may run now, and when it may come back if not.
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -13,7 +13,7 @@
 use cowsliproad::{
     admission::quarantine::{
         CRASH_THRESHOLD, CrashId, CrashLedger, QuarantineVerdict,
-        SURVIVED_CRASH_THRESHOLD, SUSPENSION_TTL, WorkDigest,
+        SURVIVED_REQUEST_CRASH_THRESHOLD, SUSPENSION_TTL, WorkDigest,
     },
     kernel::clock::Millis,
 };
@@ -148,7 +148,7 @@
                 if requests & self.crash_inducing == 0 =>
             {
                 for request_number in self.request_numbers_in(requests) {
-                    self.ledger.record_survival(
+                    self.ledger.record_survived_request(
                         GroupState::work(request_number),
                         self.now,
                     );
@@ -186,7 +186,7 @@
         for request_number in self.request_numbers_in(self.survived_requests) {
             let ends =
                 self.ledger.crash_count(GroupState::work(request_number));
-            let is_refused = ends >= SURVIVED_CRASH_THRESHOLD;
+            let is_refused = ends >= SURVIVED_REQUEST_CRASH_THRESHOLD;
             let is_free =
                 self.verdict(request_number) == QuarantineVerdict::Allowed;
             assert!(is_free != is_refused, "{request_number}: {actions:?}");
--- a/tests/properties/limits.rs
+++ b/tests/properties/limits.rs
@@ -7,15 +7,15 @@
 use cowsliproad::{
     admission::limit::{
         CurrentLimit, LimitChange, LimitReport, Limiter, Permit,
-        PermitDecision, Rate,
+        PermitDecision, RequestRate,
     },
     kernel::clock::Millis,
 };
 use cowsliproad_bench::experiment::limits::{Policy, SIZES, play};
 use proptest::prelude::*;
 
-fn rate(a_second: f64) -> Rate {
-    Rate::new(a_second).expect("a rate")
+fn rate(a_second: f64) -> RequestRate {
+    RequestRate::new(a_second).expect("a rate")
 }
 
 #[test]
@@ -34,10 +34,14 @@
 fn numbers_are_read_and_nothing_else() {
     for (text, read) in [("1", 1.0), ("1.2", 1.2), (" 0 ", 0.0), ("007", 7.0)]
     {
-        assert_eq!(Rate::parse(text.as_bytes()), Some(rate(read)), "{text:?}");
+        assert_eq!(
+            RequestRate::parse(text.as_bytes()),
+            Some(rate(read)),
+            "{text:?}"
+        );
     }
     for text in ["", " ", ".", "1.", ".5", "-1", "+1", "1e3", "nan", "inf"] {
-        assert_eq!(Rate::parse(text.as_bytes()), None, "{text:?}");
+        assert_eq!(RequestRate::parse(text.as_bytes()), None, "{text:?}");
     }
 }
 
@@ -47,26 +51,26 @@
     let named = Some(rate(1.0));
     let (sent, later) = (Millis(900), Millis(1_100));
     assert_eq!(
-        known.observe_response(named, sent, Millis(1_000)),
+        known.observe_response_limit(named, sent, Millis(1_000)),
         LimitChange::Tightened
     );
     assert_eq!(
-        known.observe_response(None, sent, Millis(1_050)),
+        known.observe_response_limit(None, sent, Millis(1_050)),
         LimitChange::None
     );
     let more = Some(rate(5.0));
     assert_eq!(
-        known.observe_response(more, sent, Millis(1_060)),
+        known.observe_response_limit(more, sent, Millis(1_060)),
         LimitChange::None
     );
     assert_eq!(known.rate(), named);
     // One that was sent since then does.
     assert_eq!(
-        known.observe_response(more, later, Millis(1_200)),
+        known.observe_response_limit(more, later, Millis(1_200)),
         LimitChange::Loosened
     );
     assert_eq!(
-        known.observe_response(None, Millis(1_300), Millis(1_400)),
+        known.observe_response_limit(None, Millis(1_300), Millis(1_400)),
         LimitChange::Loosened
     );
     assert_eq!(known.rate(), None);
@@ -125,7 +129,7 @@
         let mut limiter = Limiter::new(rate, begun, begun);
         for step in 0..50 {
             let now = begun + Millis(step * 100);
-            let verdict = limiter.acquire_permit(rate, 1.0, Millis(0), now);
+            let verdict = limiter.grant_permit(rate, 1.0, Millis(0), now);
             permits += u32::from(verdict == PermitDecision::Permit(Millis(0)));
         }
         if permits > 0 {
@@ -154,7 +158,7 @@
         let mut permits = Vec::new();
         for (pause, patience) in questions {
             now += pause;
-            let verdict = limiter.acquire_permit(
+            let verdict = limiter.grant_permit(
                 rate,
                 share,
                 Millis(patience),
@@ -200,7 +204,7 @@
         answers.sort_by_key(|it| it.0);
         let mut known = CurrentLimit::default();
         for (come, sent, limit) in answers {
-            known.observe_response(limit, Millis(sent), Millis(come));
+            known.observe_response_limit(limit, Millis(sent), Millis(come));
         }
         prop_assert_eq!(known.rate(), last);
     }
--- a/tests/properties/patience.rs
+++ b/tests/properties/patience.rs
@@ -2,7 +2,7 @@
 //! and who is told to come back.
 
 use cowsliproad::{
-    admission::patience::{Admission, CallerTry, PendingStream},
+    admission::patience::{CallerAttempt, PendingStream, StreamAdmission},
     kernel::clock::Millis,
 };
 use proptest::prelude::*;
@@ -13,30 +13,30 @@
 const SILENCE: Millis = Millis(2_000);
 const AIM: Millis = Millis(500);
 
-fn asked(waited: u64, caller_try: CallerTry) -> (PendingStream, Millis) {
+fn asked(waited: u64, caller_try: CallerAttempt) -> (PendingStream, Millis) {
     let arrived = Millis(10_000);
     let time_to_deadline = MOST.since(Millis(waited));
     let asked = PendingStream {
-        arrived,
+        arrived_at: arrived,
         silence_timeout: SILENCE,
-        first_event_aim: AIM,
+        expected_first_event_delay: AIM,
         time_to_deadline,
         caller_try,
     };
     (asked, arrived + Millis(waited))
 }
 
-fn start(waited: u64, caller_try: CallerTry) -> Admission {
+fn start(waited: u64, caller_try: CallerAttempt) -> StreamAdmission {
     let (asked, now) = asked(waited, caller_try);
-    asked.decide(now, 0.5)
+    asked.decide_admission(now, 0.5)
 }
 
 #[test]
 fn whoever_stays_long_enough_for_a_first_event_starts() {
     for waited in [0, 200, 1_000, 1_500] {
         assert_eq!(
-            start(waited, CallerTry::First),
-            Admission::Now,
+            start(waited, CallerAttempt::First),
+            StreamAdmission::Now,
             "{waited}"
         );
     }
@@ -47,9 +47,9 @@
 #[test]
 fn whoever_would_leave_before_it_comes_back() {
     for waited in [1_501, 1_700, 1_890] {
-        let start = start(waited, CallerTry::First);
+        let start = start(waited, CallerAttempt::First);
         assert!(
-            matches!(start, Admission::RetryAfter(_)),
+            matches!(start, StreamAdmission::RetryAfter(_)),
             "{waited}: {start:?}"
         );
     }
@@ -57,16 +57,31 @@
 
 #[test]
 fn whoever_came_back_before_is_sent_on() {
-    assert_eq!(start(1_890, CallerTry::Return), Admission::Now);
+    assert_eq!(start(1_890, CallerAttempt::Return), StreamAdmission::Now);
 }
 
 #[test]
 fn a_later_try_shows_in_what_its_caller_has_left() {
-    assert_eq!(CallerTry::new(Millis(7_998), MOST), CallerTry::First);
-    assert_eq!(CallerTry::new(Millis(7_750), MOST), CallerTry::First);
-    assert_eq!(CallerTry::new(Millis(4_070), MOST), CallerTry::Return);
+    assert_eq!(
+        CallerAttempt::classify_by_time_to_deadline(Millis(7_998), MOST),
+        CallerAttempt::First
+    );
+    assert_eq!(
+        CallerAttempt::classify_by_time_to_deadline(Millis(7_750), MOST),
+        CallerAttempt::First
+    );
+    assert_eq!(
+        CallerAttempt::classify_by_time_to_deadline(Millis(4_070), MOST),
+        CallerAttempt::Return
+    );
     // Nobody was seen to have more.
-    assert_eq!(CallerTry::new(Millis(4_070), Millis(4_070)), CallerTry::First);
+    assert_eq!(
+        CallerAttempt::classify_by_time_to_deadline(
+            Millis(4_070),
+            Millis(4_070)
+        ),
+        CallerAttempt::First
+    );
 }
 
 proptest! {
@@ -78,13 +93,15 @@
     fn returns_are_spread_over_what_callers_wait(
         waited in 1_501_u64..7_900, draw in 0.0..1.0_f64,
     ) {
-        let (asked, now) = asked(waited, CallerTry::First);
-        match asked.decide(now, draw) {
-            Admission::RetryAfter(after) => {
+        let (asked, now) = asked(waited, CallerAttempt::First);
+        match asked.decide_admission(now, draw) {
+            StreamAdmission::RetryAfter(after) => {
                 prop_assert!(after <= Millis(asked.time_to_deadline.0 / 3));
                 prop_assert!((100..=1_100).contains(&after.0));
             }
-            Admission::Now => prop_assert!(asked.time_to_deadline.0 / 3 < 100),
+            StreamAdmission::Now => {
+                prop_assert!(asked.time_to_deadline.0 / 3 < 100)
+            }
         }
     }
 }
--- a/tests/properties/quarantine.rs
+++ b/tests/properties/quarantine.rs
@@ -4,8 +4,8 @@
 use cowsliproad::{
     admission::quarantine::{
         CRASH_THRESHOLD, CrashId, CrashLedger, QuarantineChange,
-        QuarantineVerdict, REJECT_TTL, SURVIVED_CRASH_THRESHOLD, SUSPECT_TTL,
-        SUSPENSION_TTL, WorkDigest,
+        QuarantineVerdict, REFUSAL_TTL, SURVIVED_REQUEST_CRASH_THRESHOLD,
+        SUSPECT_TTL, SUSPENSION_TTL, WorkDigest,
     },
     kernel::{
         clock::Millis,
@@ -86,7 +86,10 @@
         ledger.suspend_request(common, NOW),
         QuarantineChange::Suspended
     );
-    assert_eq!(ledger.record_survival(common, NOW), QuarantineChange::Freed);
+    assert_eq!(
+        ledger.record_survived_request(common, NOW),
+        QuarantineChange::Freed
+    );
     assert!(!is_refused(&ledger, common, NOW));
     ledger.record_crash(common, end(1), NOW);
     assert_eq!(ledger.suspend_request(common, NOW), QuarantineChange::None);
@@ -183,8 +186,8 @@
 fn work_that_was_outlived_lately_is_refused_later() {
     let common = work("common");
     let mut ledger = CrashLedger::new();
-    ledger.record_survival(common, NOW);
-    for number in 0..SURVIVED_CRASH_THRESHOLD as u64 - 1 {
+    ledger.record_survived_request(common, NOW);
+    for number in 0..SURVIVED_REQUEST_CRASH_THRESHOLD as u64 - 1 {
         ledger.record_crash(common, end(number), NOW);
     }
     assert!(!is_refused(&ledger, common, NOW));
@@ -202,7 +205,7 @@
         let now = NOW + Millis(number * 3_000);
         ledger.record_crash(common, end(number), now);
         assert!(!is_refused(&ledger, common, now), "{number}");
-        ledger.record_survival(common, now + Millis(1_000));
+        ledger.record_survived_request(common, now + Millis(1_000));
     }
 }
 
@@ -212,7 +215,7 @@
     let common = work("common");
     let mut ledger = after(2, common);
     let late = ledger.broadcast_suspects(NOW);
-    ledger.record_survival(common, NOW);
+    ledger.record_survived_request(common, NOW);
     let later = NOW + Millis(10_000);
     assert!(ledger.broadcast_suspects(later).is_empty());
     ledger.merge_remote_suspect(&late[0], later);
@@ -228,7 +231,7 @@
     let common = work("common");
     let mut ledger = after(3, common);
     let mut other = CrashLedger::new();
-    other.record_survival(common, NOW);
+    other.record_survived_request(common, NOW);
     // It hears that three ended, and knows better.
     for told in ledger.broadcast_suspects(NOW) {
         other.merge_remote_suspect(&told, NOW);
@@ -313,13 +316,13 @@
     assert!(is_refused(&ledger, deadly, later + SUSPECT_TTL - Millis(1)));
     assert!(!is_refused(&ledger, deadly, later + SUSPECT_TTL));
     let mut now = NOW;
-    while now < NOW + REJECT_TTL {
+    while now < NOW + REFUSAL_TTL {
         assert!(is_refused(&ledger, deadly, now), "{now}");
         ledger.record_arrival(deadly, now);
         now = now + SUSPECT_TTL - Millis(1);
     }
-    assert!(!is_refused(&ledger, deadly, NOW + REJECT_TTL));
-    assert_eq!(ledger.evict_expired(NOW + REJECT_TTL), [deadly]);
+    assert!(!is_refused(&ledger, deadly, NOW + REFUSAL_TTL));
+    assert_eq!(ledger.evict_expired_cases(NOW + REFUSAL_TTL), [deadly]);
     assert_eq!(ledger.crash_count(deadly), 0);
 }
 
@@ -374,7 +377,7 @@
     let mut ledger = after(3, deadly);
     for number in 0..20_000_u64 {
         let work = WorkDigest::new(&[&number.to_be_bytes()]);
-        ledger.record_survival(work, NOW);
+        ledger.record_survived_request(work, NOW);
         ledger.record_crash(work, end(number / 50), NOW);
     }
     let told = ledger.broadcast_suspects(NOW);
@@ -389,7 +392,7 @@
 #[test]
 fn what_is_packed_is_unpacked() {
     let mut ledger = after(3, work("deadly"));
-    ledger.record_survival(work("proven"), NOW);
+    ledger.record_survived_request(work("proven"), NOW);
     for (piece, target) in [("a", 1), ("b", 1), ("c", 2), ("proven", 2)] {
         ledger.record_crash(work(piece), end(target), NOW);
     }
@@ -425,7 +428,7 @@
             ledger.record_crash(WorkDigest(piece.into()), end, now);
         }
         Fact::Outlived(piece) => {
-            ledger.record_survival(WorkDigest(piece.into()), now);
+            ledger.record_survived_request(WorkDigest(piece.into()), now);
         }
         Fact::Lives(target) => {
             ledger.retract_crash(ledger.crash_id(&target.to_string(), 0), now);
--- a/tests/properties/queue.rs
+++ b/tests/properties/queue.rs
@@ -4,8 +4,8 @@
     admission::{
         budget::RetryBudget,
         queue::{
-            AGED_TURN_INTERVAL, PushOutcome, Queue, QueueConfig, QueueItem,
-            ServiceRate,
+            PushOutcome, Queue, QueueConfig, QueueItem,
+            SERVED_ITEMS_PER_AGED_TURN, ServiceRate,
         },
     },
     kernel::{clock::Millis, wire::Urgency},
@@ -14,9 +14,9 @@
 
 const PACE: ServiceRate = ServiceRate {
     slots: 4,
-    service_us: 10_000,
-    start_interval_us: 0,
-    next_start_us: 0,
+    mean_service_us: 10_000,
+    min_start_interval_us: 0,
+    next_start_delay_us: 0,
 };
 
 fn item(
@@ -26,7 +26,7 @@
 ) -> QueueItem<u64> {
     QueueItem {
         organisation: organisation.into(),
-        weight: 1,
+        organisation_weight: 1,
         urgency,
         deadline: Millis(deadline),
         work: 0,
@@ -62,7 +62,7 @@
         if next.urgency == Urgency::Background {
             break;
         }
-        assert!(turns < AGED_TURN_INTERVAL, "the draft starves");
+        assert!(turns < SERVED_ITEMS_PER_AGED_TURN, "the draft starves");
     }
 }
 
@@ -161,7 +161,7 @@
             arrivals.iter().enumerate()
         {
             now = now + Millis(*wait);
-            while queue.remove_expired(PACE, now).is_some() {
+            while queue.remove_expired_item(PACE, now).is_some() {
                 out += 1;
             }
             let name = format!("o{organisation}");
--- a/tests/properties/register.rs
+++ b/tests/properties/register.rs
@@ -93,7 +93,7 @@
                     history.note(request, verdict);
                 }
                 Step::GiveUp(request) => {
-                    register.refuse_unsent(id::Request(request));
+                    register.refuse_unsent_ticket(id::Request(request));
                     history.give_up(request);
                 }
                 Step::Wait(time) => now = now + Millis(time),
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -25,9 +25,9 @@
 /// How fast the scripted target works.
 const PACE: ServiceRate = ServiceRate {
     slots: 1,
-    service_us: 100_000,
-    start_interval_us: 0,
-    next_start_us: 0,
+    mean_service_us: 100_000,
+    min_start_interval_us: 0,
+    next_start_delay_us: 0,
 };
 
 /// Everything that a script can touch.
@@ -77,7 +77,7 @@
     fn arrive(&mut self, name: &str, urgency: &str, deadline: u64) -> String {
         let item = QueueItem {
             organisation: name.split('-').next().unwrap_or(name).into(),
-            weight: 1,
+            organisation_weight: 1,
             urgency: match urgency {
                 "urgent" => Urgency::Urgent,
                 "normal" => Urgency::Normal,
@@ -198,7 +198,7 @@
                 Some(item) => item.work,
                 None => "nothing".into(),
             },
-            "lapse" => match self.queue.remove_expired(PACE, self.now) {
+            "lapse" => match self.queue.remove_expired_item(PACE, self.now) {
                 Some(item) => format!("{} not run", item.work),
                 None => "nothing".into(),
             },
