--- a/cowsliproad-admission/src/quarantine.rs
+++ b/cowsliproad-admission/src/quarantine.rs
@@ -402,7 +402,7 @@
         now: Millis,
     ) -> Vec<WorkDigest> {
         let now = now + LEDGER_CLOCK_OFFSET;
-        if self.is_retracted(crash) {
+        if self.is_crash_retracted(crash) {
             return Vec::new();
         }
         self.retracted.insert(crash, now);
@@ -429,7 +429,7 @@
     pub fn crash_id(&self, target: &str, target_start_time: u64) -> CrashId {
         let mut crash = CrashId::new(target, target_start_time);
         for _ in 0..MAX_RETRACTIONS_PER_TARGET_START {
-            if !self.is_retracted(crash) {
+            if !self.is_crash_retracted(crash) {
                 break;
             }
             crash = crash.crash_id_after_retraction();
@@ -438,12 +438,12 @@
     }
 
     /// Returns whether the report of a target crash was retracted.
-    pub fn is_retracted(&self, crash: CrashId) -> bool {
+    pub fn is_crash_retracted(&self, crash: CrashId) -> bool {
         self.retracted.contains_key(&crash)
     }
 
     /// Returns whether the ledger has a quarantine case for a request.
-    pub fn has_case(&self, work: WorkDigest) -> bool {
+    pub fn has_quarantine_case(&self, work: WorkDigest) -> bool {
         self.cases.contains_key(&work)
     }
 
--- a/cowsliproad-admission/src/queue.rs
+++ b/cowsliproad-admission/src/queue.rs
@@ -178,13 +178,16 @@
         let wait = service_rate.queue_wait(ahead);
         let finish = now + wait + service_rate.mean_service_time();
         if finish > item.deadline {
-            return PushOutcome::Refused(item, self.retry_after(service_rate));
+            return PushOutcome::Refused(
+                item,
+                self.estimate_retry_after(service_rate),
+            );
         }
         if self.items.len() < self.config.capacity {
             self.insert(rank, item, now);
             return PushOutcome::Queued;
         }
-        let retry_after = self.retry_after(service_rate);
+        let retry_after = self.estimate_retry_after(service_rate);
         match self.items.last_key_value() {
             Some((worst, _)) if *worst > rank => {}
             _ => return PushOutcome::Refused(item, retry_after),
@@ -313,7 +316,7 @@
 
     /// Estimates the time until all items that are queued now have got a slot:
     /// the time after which the sender of a refused item is asked to retry.
-    pub fn retry_after(&self, service_rate: ServiceRate) -> Millis {
+    pub fn estimate_retry_after(&self, service_rate: ServiceRate) -> Millis {
         service_rate
             .queue_wait(self.items.len() as u64)
             .max(service_rate.mean_service_time())
--- a/cowsliproad-admission/src/ticket.rs
+++ b/cowsliproad-admission/src/ticket.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The length of the key that entry processes and agents share, in bytes.
-pub const KEY_BYTES: usize = 32;
+pub const TICKET_KEY_BYTES: usize = 32;
 
 /// The length of a token's authentication code, in bytes.
 const MAC_BYTES: usize = 16;
@@ -70,7 +70,7 @@
 
 /// Encodes a ticket as text, with an authentication code that only holders of
 /// the key can compute.
-pub fn sign(ticket: &Ticket, key: &[u8; KEY_BYTES]) -> String {
+pub fn sign(ticket: &Ticket, key: &[u8; TICKET_KEY_BYTES]) -> String {
     let mut bytes = Vec::with_capacity(128);
     ciborium::into_writer(ticket, &mut bytes)
         .expect("every ticket can be encoded as CBOR");
@@ -82,7 +82,7 @@
 /// Decodes a token after checking that it was signed with the key.
 pub fn verify(
     text: &str,
-    key: &[u8; KEY_BYTES],
+    key: &[u8; TICKET_KEY_BYTES],
 ) -> Result<Ticket, InvalidToken> {
     if text.len() > MAX_TOKEN_BYTES {
         return Err(InvalidToken);
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -53,7 +53,7 @@
 pub struct Gate {
     /// The agent's settings.
     pub settings: Arc<Settings>,
-    ticket_key: [u8; ticket::KEY_BYTES],
+    ticket_key: [u8; ticket::TICKET_KEY_BYTES],
     incarnation: id::Incarnation,
     /// Work under which the target's process ended.
     pub ends: Ends,
@@ -470,7 +470,7 @@
     fn shed(&mut self, pace: ServiceRate, now: Millis) {
         for item in self.queue.remove_items_missing_deadline(pace, now) {
             let failure = Failure::new(Code::Overloaded, Execution::NotRun);
-            let wait = self.queue.retry_after(pace);
+            let wait = self.queue.estimate_retry_after(pace);
             self.give_up(&item.work, failure.with_retry_after(wait));
         }
     }
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -174,9 +174,9 @@
             }
         }
         let ledger = &self.ledger;
-        self.own.retain(|it| ledger.has_case(*it));
-        self.written.retain(|it| ledger.has_case(*it));
-        self.lost.retain(|it, _| ledger.has_case(*it));
+        self.own.retain(|it| ledger.has_quarantine_case(*it));
+        self.written.retain(|it| ledger.has_quarantine_case(*it));
+        self.lost.retain(|it, _| ledger.has_quarantine_case(*it));
         self.ended.retain(|end, _| ledger.is_crash_counted(*end));
     }
 
@@ -311,7 +311,7 @@
     /// Notes that what was taken for the end of a target was none.
     fn note_lives(&self, end: CrashId, now: Millis, source: Source) {
         let mut quarantine = self.quarantine.borrow_mut();
-        if quarantine.ledger.is_retracted(end) {
+        if quarantine.ledger.is_crash_retracted(end) {
             return;
         }
         let held = quarantine.ledger.is_crash_counted(end);
@@ -355,7 +355,7 @@
         let change = quarantine.ledger.merge_remote_suspect(suspect, now);
         for end in suspect.crashes.iter().map(|it| CrashId(*it)) {
             if change != QuarantineChange::None
-                && !quarantine.ledger.is_retracted(end)
+                && !quarantine.ledger.is_crash_retracted(end)
             {
                 quarantine.watch(end, now);
             }
--- a/tests/cooldowns.rs
+++ b/tests/cooldowns.rs
@@ -68,7 +68,7 @@
 }
 
 /// Returns the number of requests that a target has received.
-fn arrival_count(cluster: &Plant, target_index: usize) -> usize {
+fn received_request_count(cluster: &Plant, target_index: usize) -> usize {
     simulated_rate_limit(cluster, target_index).times().len()
 }
 
@@ -129,11 +129,11 @@
     retry_after: &str,
 ) {
     simulated_rate_limit(cluster, target_index).reject(1, retry_after);
-    let before = arrival_count(cluster, target_index);
+    let before = received_request_count(cluster, target_index);
     let start = Instant::now();
     let mut calls = JoinSet::new();
     let mut turns = (0..2).cycle();
-    while arrival_count(cluster, target_index) == before {
+    while received_request_count(cluster, target_index) == before {
         assert!(
             start.elapsed() < 20 * SECOND,
             "the target rejects no request"
@@ -204,15 +204,15 @@
     {
         let cluster = start_cluster(engines, plains).await;
         make_target_reject_once(&cluster, 0, path, "2.2").await;
-        let before = arrival_count(&cluster, 0);
+        let before = received_request_count(&cluster, 0);
         let time = Duration::from_millis(1_700);
         let answers = send_load(&cluster, path, time).await;
         assert_eq!(answers.not_run, 0, "{path}: {answers:?}");
         assert!(answers.other_statuses.is_empty(), "{path}: {answers:?}");
-        assert_eq!(arrival_count(&cluster, 0), before, "{path}");
+        assert_eq!(received_request_count(&cluster, 0), before, "{path}");
         send_load(&cluster, path, 2 * SECOND).await;
         assert!(
-            arrival_count(&cluster, 0) > before + 5,
+            received_request_count(&cluster, 0) > before + 5,
             "{path}: the target is left idle"
         );
     }
@@ -224,13 +224,13 @@
 async fn requests_with_a_ticket_respect_a_retry_after() {
     let cluster = start_cluster(0, 2).await;
     make_target_reject_once(&cluster, 0, REPEATABLE_REQUEST_PATH, "3").await;
-    let before = arrival_count(&cluster, 0);
+    let before = received_request_count(&cluster, 0);
     for turn in 0..20 {
         let answer =
             send_with_ticket(&cluster, turn % 2, TICKETED_REQUEST_PATH).await;
         assert_eq!(answer.status(), StatusCode::OK, "{answer:?}");
     }
-    assert_eq!(arrival_count(&cluster, 0), before);
+    assert_eq!(received_request_count(&cluster, 0), before);
 }
 
 /// Guards against a cooldown that ends early, at the agent or at entry
@@ -253,12 +253,12 @@
     )));
     sleep(10 * LOAD_REQUEST_INTERVAL).await;
     make_target_reject_once(&cluster, 0, REPEATABLE_REQUEST_PATH, "20").await;
-    let before = arrival_count(&cluster, 0);
+    let before = received_request_count(&cluster, 0);
     let answer = slow.await.expect("no panic");
     assert_eq!(answer.status(), StatusCode::OK);
     let answers = send_load(&cluster, REPEATABLE_REQUEST_PATH, SECOND).await;
     assert_eq!(answers.succeeded, 0, "{answers:?}");
-    assert_eq!(arrival_count(&cluster, 0), before);
+    assert_eq!(received_request_count(&cluster, 0), before);
 }
 
 /// Guards against callers that wait in vain, or are all asked to retry at the
@@ -275,7 +275,8 @@
         )
         .await;
     }
-    let before = arrival_count(&cluster, 0) + arrival_count(&cluster, 1);
+    let before = received_request_count(&cluster, 0)
+        + received_request_count(&cluster, 1);
     for path in [REPEATABLE_REQUEST_PATH, TICKETED_REQUEST_PATH] {
         let start = Instant::now();
         let mut retry_times = BTreeSet::new();
@@ -293,7 +294,8 @@
         assert!(retry_times.len() >= 8, "{path}: {retry_times:?}");
     }
     assert_eq!(
-        arrival_count(&cluster, 0) + arrival_count(&cluster, 1),
+        received_request_count(&cluster, 0)
+            + received_request_count(&cluster, 1),
         before
     );
 }
@@ -304,14 +306,14 @@
 async fn requests_wait_for_the_end_of_a_short_cooldown() {
     let cluster = start_cluster(0, 1).await;
     make_target_reject_once(&cluster, 0, REPEATABLE_REQUEST_PATH, "1").await;
-    let before = arrival_count(&cluster, 0);
+    let before = received_request_count(&cluster, 0);
     let start = Instant::now();
     let answers =
         send_load(&cluster, REPEATABLE_REQUEST_PATH, SECOND / 2).await;
     assert_eq!(answers.not_run, 0, "{answers:?}");
     assert!(answers.other_statuses.is_empty(), "{answers:?}");
     assert!(start.elapsed() > SECOND / 2);
-    assert!(arrival_count(&cluster, 0) >= before + answers.succeeded);
+    assert!(received_request_count(&cluster, 0) >= before + answers.succeeded);
 }
 
 /// Guards against requests that stay queued at an agent until their deadline
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -405,7 +405,7 @@
 /// Guards against crashes that are forgotten when all entry processes restart
 /// at once: the agents report the crashes again.
 #[tokio::test(flavor = "multi_thread")]
-async fn restarted_entries_learn_of_crashes_from_agents() {
+async fn restarted_entry_processes_learn_of_crashes_from_agents() {
     let mut deployment = Deployment::start().await;
     deployment
         .cause_three_crashes(REPEATABLE_REQUEST_PATH, &crashing_body())
