--- a/cowsliproad-admission/src/quarantine.rs
+++ b/cowsliproad-admission/src/quarantine.rs
@@ -6,7 +6,7 @@
 //! and would crash one target after the other, unless entry processes
 //! recognise the request by a digest of its content ([`WorkDigest`]). Each
 //! entry process records which requests were running when a target crashed,
-//! and gossips this to the other entry processes ([`Suspect`]). Once
+//! and gossips this to the other entry processes ([`SuspectedRequest`]). Once
 //! [`CRASH_THRESHOLD`] targets have crashed under one request, all entry
 //! processes refuse that request ([`CrashLedger::verdict`]).
 //!
@@ -45,7 +45,7 @@
     collections::{BTreeSet, HashMap, HashSet},
 };
 
-use cowsliproad_kernel::{clock::Millis, gossip::Suspect};
+use cowsliproad_kernel::{clock::Millis, gossip::SuspectedRequest};
 
 use self::case::QuarantineCase;
 pub use self::work::{CrashId, WorkDigest};
@@ -252,14 +252,14 @@
         crash: CrashId,
         now: Millis,
     ) -> QuarantineChange {
-        let suspect = Suspect {
-            work_digest: work.0,
-            crashes: vec![crash.0],
-            excused_crashes: Vec::new(),
-            survived: false,
-            since_last_seen: Millis(0),
+        let suspect = SuspectedRequest {
+            request_hash: work.0,
+            crash_ids: vec![crash.0],
+            excused_crash_ids: Vec::new(),
+            survived_by_target: false,
+            since_last_received: Millis(0),
             rejected_for: None,
-            suspended_for: None,
+            suspension_left: None,
         };
         self.merge_suspect(&suspect, OBSERVATION_BROADCAST_TTL, now)
     }
@@ -293,7 +293,7 @@
     /// reports about a request.
     pub fn merge_remote_suspect(
         &mut self,
-        suspect: &Suspect,
+        suspect: &SuspectedRequest,
         now: Millis,
     ) -> QuarantineChange {
         self.merge_suspect(suspect, OBSERVATION_RELAY_TTL, now)
@@ -303,16 +303,17 @@
     /// for `broadcast_ttl` if the observation changed the case.
     fn merge_suspect(
         &mut self,
-        suspect: &Suspect,
+        suspect: &SuspectedRequest,
         broadcast_ttl: Millis,
         now: Millis,
     ) -> QuarantineChange {
         let now = now + LEDGER_CLOCK_OFFSET;
         let refused = suspect.rejected_for.unwrap_or_default();
-        if suspect.since_last_seen >= SUSPECT_TTL || refused >= REFUSAL_TTL {
+        if suspect.since_last_received >= SUSPECT_TTL || refused >= REFUSAL_TTL
+        {
             return QuarantineChange::None;
         }
-        let work = WorkDigest(suspect.work_digest);
+        let work = WorkDigest(suspect.request_hash);
         if !self.cases.contains_key(&work) {
             self.evict_case_if_full();
         }
@@ -321,7 +322,7 @@
             crashes: BTreeSet::new(),
             excused_crashes: Vec::new(),
             survived_by_target,
-            last_arrival: now - suspect.since_last_seen,
+            last_arrival: now - suspect.since_last_received,
             refused_since: None,
             suspended_until: None,
             broadcast_until: now,
@@ -332,9 +333,9 @@
             case.crashes.clear();
         }
         if now.since(case.last_arrival)
-            > suspect.since_last_seen + MAX_GOSSIP_DELAY
+            > suspect.since_last_received + MAX_GOSSIP_DELAY
         {
-            case.last_arrival = now - suspect.since_last_seen;
+            case.last_arrival = now - suspect.since_last_received;
         }
         let before = (
             case.crashes.len(),
@@ -344,12 +345,13 @@
         // A sender that doesn't report the survival, or still counts a crash
         // that was excused or retracted, has missed that update and would soon
         // refuse a request that every caller sends.
-        let mut missed_update = case.survived_by_target && !suspect.survived;
-        case.survived_by_target |= suspect.survived;
-        for crash in suspect.excused_crashes.iter().map(|it| CrashId(*it)) {
+        let mut missed_update =
+            case.survived_by_target && !suspect.survived_by_target;
+        case.survived_by_target |= suspect.survived_by_target;
+        for crash in suspect.excused_crash_ids.iter().map(|it| CrashId(*it)) {
             case.stop_counting_crash(crash);
         }
-        for crash in suspect.crashes.iter().map(|it| CrashId(*it)) {
+        for crash in suspect.crash_ids.iter().map(|it| CrashId(*it)) {
             if let Some(reported_at) = self.retracted.get_mut(&crash) {
                 *reported_at = now;
             } else if case.excused_crashes.contains(&crash) {
@@ -367,7 +369,7 @@
         // the same crash may have been delayed in a stalled process.
         let may_extend = after.0 > before.0 || case.suspended_until.is_none();
         let suspends =
-            may_extend && case.extend_suspension(suspect.suspended_for, now);
+            may_extend && case.extend_suspension(suspect.suspension_left, now);
         let has_changed = after != before || suspends;
         let is_relayed = case.crashes.len() >= MIN_CRASHES_TO_RELAY
             || case.survived_by_target
@@ -469,14 +471,14 @@
         &self,
         work: WorkDigest,
         now: Millis,
-    ) -> Option<Suspect> {
+    ) -> Option<SuspectedRequest> {
         let now = now + LEDGER_CLOCK_OFFSET;
         self.cases.get(&work).map(|it| it.to_suspect(work, now))
     }
 
     /// Returns the quarantine cases to broadcast: those of refused requests
     /// and those that changed recently.
-    pub fn broadcast_suspects(&self, now: Millis) -> Vec<Suspect> {
+    pub fn broadcast_suspects(&self, now: Millis) -> Vec<SuspectedRequest> {
         self.select_broadcast_suspects(now, |case, now| {
             case.is_broadcast_due(now)
         })
@@ -487,7 +489,7 @@
     pub fn broadcast_and_suspended_suspects(
         &self,
         now: Millis,
-    ) -> Vec<Suspect> {
+    ) -> Vec<SuspectedRequest> {
         self.select_broadcast_suspects(now, |case, now| {
             case.is_broadcast_due(now)
                 || case.remaining_suspension(now).is_some()
@@ -501,7 +503,7 @@
         &self,
         now: Millis,
         is_selected: impl Fn(&QuarantineCase, Millis) -> bool,
-    ) -> Vec<Suspect> {
+    ) -> Vec<SuspectedRequest> {
         let now = now + LEDGER_CLOCK_OFFSET;
         let mut selected: Vec<(&WorkDigest, &QuarantineCase)> =
             self.cases.iter().filter(|it| is_selected(it.1, now)).collect();
@@ -521,13 +523,14 @@
 
     /// Returns the unexpired quarantine cases with the most crashes, for a
     /// peer that was unreachable.
-    pub fn snapshot_suspects(&self, now: Millis) -> Vec<Suspect> {
+    pub fn snapshot_suspects(&self, now: Millis) -> Vec<SuspectedRequest> {
         let now = now + LEDGER_CLOCK_OFFSET;
         let cases = self.cases.iter().filter(|it| !it.1.is_expired(now));
-        let mut cases: Vec<Suspect> =
+        let mut cases: Vec<SuspectedRequest> =
             cases.map(|it| it.1.to_suspect(*it.0, now)).collect();
-        cases
-            .sort_by_key(|it| (Reverse(it.crashes.len()), it.since_last_seen));
+        cases.sort_by_key(|it| {
+            (Reverse(it.crash_ids.len()), it.since_last_received)
+        });
         cases.truncate(MAX_BROADCAST_CASES);
         cases
     }
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -18,7 +18,10 @@
     clock::Millis,
     code::{Code, Execution},
     id,
-    wire::{Cancel, Failure, Frame, Persistence, Phase, Urgency},
+    wire::{
+        CancelRequest, Frame, ProcessPhase, RequestFailure,
+        RequestPersistence, Urgency,
+    },
 };
 use cowsliproad_net::{
     reply,
@@ -77,14 +80,14 @@
 
 /// A refusal with its explanation.
 struct Refused {
-    failure: Failure,
+    failure: RequestFailure,
     detail: String,
     /// A ticket to send again with.
     ticket: Option<String>,
 }
 
 impl Refused {
-    fn new(failure: Failure) -> Refused {
+    fn new(failure: RequestFailure) -> Refused {
         Refused { failure, detail: String::new(), ticket: None }
     }
 
@@ -112,7 +115,7 @@
         shared.in_flight.fetch_add(1, Ordering::Relaxed);
         let guard = EntryGuard { shared: shared.clone() };
         let mut response = self.route(request, guard).await;
-        if shared.phase() == Phase::Leaving {
+        if shared.phase() == ProcessPhase::Leaving {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
         }
@@ -164,7 +167,7 @@
 
     fn ready(&self) -> Response {
         let view = self.shared.published.load();
-        if self.shared.phase() == Phase::Leaving {
+        if self.shared.phase() == ProcessPhase::Leaving {
             return reply::text(StatusCode::SERVICE_UNAVAILABLE, "stopping\n");
         }
         if view.services.is_empty() {
@@ -206,8 +209,8 @@
             ticket,
             key,
             persistence: match keep {
-                true => Persistence::Keep,
-                false => Persistence::Drop,
+                true => RequestPersistence::Keep,
+                false => RequestPersistence::Drop,
             },
             deadline: Millis::now() + checked.request_type.deadline_ms,
             body,
@@ -264,19 +267,21 @@
         let holder = view.holder(&token.target, token.incarnation);
         let link = holder.and_then(|target| target.link.load_full());
         let gone = || {
-            let failure =
-                Failure::new(Code::TargetGone, Execution::OutcomeUnknown);
+            let failure = RequestFailure::new(
+                Code::TargetGone,
+                Execution::OutcomeUnknown,
+            );
             Refused::new(failure)
         };
         let link = link.ok_or_else(gone)?;
         let attempt = id::Attempt::random();
         let mut events = link.listen(attempt);
-        let cancel = Cancel {
+        let cancel = CancelRequest {
             request: token.request,
             organisation: token.organisation,
             attempt,
         };
-        let sent = link.send(Frame::Cancel(cancel)).await;
+        let sent = link.send(Frame::CancelRequest(cancel)).await;
         sent.map_err(|_| gone())?;
         let answer = tokio::time::timeout(CANCEL_WAIT, events.recv()).await;
         link.forget(attempt);
@@ -353,7 +358,8 @@
         first.map_err(|wait| {
             let Some(wait) = wait else { return no_target() };
             let after = patience::add_retry_jitter(wait, rand::random());
-            let failure = Failure::new(Code::Overloaded, Execution::NotRun);
+            let failure =
+                RequestFailure::new(Code::Overloaded, Execution::NotRun);
             Refused::new(failure.with_retry_after(after))
         })
     }
@@ -394,12 +400,12 @@
         let full = self.shared.in_flight.load(Ordering::Relaxed) > most;
         let ran = Execution::NotForwarded;
         if full {
-            let failure = Failure::new(Code::Overloaded, ran);
+            let failure = RequestFailure::new(Code::Overloaded, ran);
             let failure = failure.with_retry_after(OVER_SHARE);
             return Err(Refused::new(failure));
         }
         checked.organisation.enter().ok_or_else(|| {
-            let failure = Failure::new(Code::OverShare, ran);
+            let failure = RequestFailure::new(Code::OverShare, ran);
             let failure = failure.with_retry_after(OVER_SHARE);
             Refused::new(failure)
         })
@@ -437,7 +443,7 @@
         match self.mint(checked) {
             Ok(ticket) => {
                 let failure =
-                    Failure::new(Code::TicketNeeded, Execution::NotRun);
+                    RequestFailure::new(Code::TicketNeeded, Execution::NotRun);
                 Refused { ticket: Some(ticket), ..Refused::new(failure) }
             }
             Err(refused) => refused,
@@ -511,7 +517,9 @@
 }
 
 /// Waits for the token, which frames of the answer may overtake.
-async fn until_accepted(forward: &mut Forward) -> Result<String, Failure> {
+async fn until_accepted(
+    forward: &mut Forward,
+) -> Result<String, RequestFailure> {
     loop {
         match forward.next().await {
             Some(Item::Accepted(token)) => return Ok(token),
@@ -519,7 +527,10 @@
             Some(Item::Bytes(_) | Item::Restart | Item::Done(_)) => {}
             None => {
                 let code = Code::TargetFailed;
-                return Err(Failure::new(code, Execution::OutcomeUnknown));
+                return Err(RequestFailure::new(
+                    code,
+                    Execution::OutcomeUnknown,
+                ));
             }
         }
     }
@@ -546,7 +557,7 @@
     match failure {
         Some(failure) if failure.code == Code::TimedOut => {
             let failure =
-                Failure::new(Code::Accepted, Execution::OutcomeUnknown);
+                RequestFailure::new(Code::Accepted, Execution::OutcomeUnknown);
             let failure = failure.with_retry_after(NOT_YET);
             reply::problem(&failure, "the work is not finished yet")
         }
@@ -557,11 +568,11 @@
 /// A refusal of something the entry itself looked at, so that this attempt
 /// did not leave it.
 fn refused(code: Code, detail: &str) -> Refused {
-    let failure = Failure::new(code, Execution::NotForwarded);
+    let failure = RequestFailure::new(code, Execution::NotForwarded);
     Refused { detail: detail.into(), ..Refused::new(failure) }
 }
 
 fn no_target() -> Refused {
-    let failure = Failure::new(Code::NoTarget, Execution::NotForwarded);
+    let failure = RequestFailure::new(Code::NoTarget, Execution::NotForwarded);
     Refused::new(failure.with_retry_after(NOT_YET))
 }
--- a/cowsliproad-entry/src/control.rs
+++ b/cowsliproad-entry/src/control.rs
@@ -140,7 +140,9 @@
     }
 
     fn records(&mut self, records: ConfigRecords) {
-        for (offset, bytes) in (records.first_offset..).zip(records.records) {
+        for (offset, bytes) in
+            (records.first_offset..).zip(records.encoded_records)
+        {
             if offset < self.state.next_offset() {
                 continue;
             }
@@ -163,7 +165,9 @@
         if snapshot.next_offset <= self.state.next_offset() {
             return;
         }
-        let Some(other) = fold::decode_state(&snapshot.state) else { return };
+        let Some(other) = fold::decode_state(&snapshot.encoded_config) else {
+            return;
+        };
         if self.state.adopt_newer_peer_state(other) == StateAdoption::Advanced
         {
             self.recent.clear();
@@ -180,15 +184,16 @@
         let first = own - self.recent.len() as u64;
         if next >= first {
             let skip = (next - first) as usize;
-            let records = self.recent.iter().skip(skip).cloned().collect();
+            let encoded_records =
+                self.recent.iter().skip(skip).cloned().collect();
             return Some(Frame::ConfigRecords(ConfigRecords {
                 first_offset: next,
-                records,
+                encoded_records,
             }));
         }
         Some(Frame::ConfigSnapshot(ConfigSnapshot {
             next_offset: own,
-            state: fold::encode_state(&self.state),
+            encoded_config: fold::encode_state(&self.state),
         }))
     }
 
@@ -239,7 +244,7 @@
     ) -> Arc<Target> {
         let target = Arc::new(Target::new(declared));
         let dial = links::dial_agent(self.shared.clone(), target.clone());
-        let task = self.shared.threads.traffic.spawn(dial);
+        let task = self.shared.threads.traffic_runtime.spawn(dial);
         target.set_dialler(task.abort_handle());
         target
     }
--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -13,8 +13,8 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    gossip::{self, Subscribe},
-    position::{Era, Position},
+    gossip::{self, LoadSubscription},
+    position::{LogEra, LogPosition},
 };
 use cowsliproad_mapswitch::order::{
     self, DesiredState, Directive, Epoch, GroupState, Report,
@@ -67,7 +67,7 @@
 const FORGET_TIME: Millis = Millis(4_000);
 
 /// A fencing number on its way from the platform's log.
-type Candidacy = JoinHandle<Option<Position>>;
+type Candidacy = JoinHandle<Option<LogPosition>>;
 
 /// An agent.
 pub struct Agent {
@@ -80,7 +80,7 @@
     /// Entries that asked for reports, and when.
     entries: BTreeMap<SocketAddr, Millis>,
     /// What entries say of the service.
-    shape: Option<Subscribe>,
+    shape: Option<LoadSubscription>,
     state: Option<EngineState>,
     /// Which start of the engine all below is of.
     start: Option<u64>,
@@ -103,7 +103,7 @@
     /// The highest fencing number met.
     fence: u64,
     /// The newest era of the platform's log that is known of.
-    era: Era,
+    era: LogEra,
     lead: Option<Lead>,
     /// A number that is being fetched from the platform's log.
     candidacy: Option<Candidacy>,
@@ -184,7 +184,7 @@
             word: None,
             sealed: None,
             fence: 0,
-            era: Era::default(),
+            era: LogEra::default(),
             lead: None,
             candidacy: None,
             begun: Millis::now(),
@@ -273,7 +273,7 @@
     }
 
     fn subscribe(&mut self, bytes: &[u8], from: SocketAddr) {
-        let Some(asked) = gossip::decode::<Subscribe>(bytes) else {
+        let Some(asked) = gossip::decode::<LoadSubscription>(bytes) else {
             warn!(self.log, "strange_datagram"; "from" => %from);
             return;
         };
@@ -285,7 +285,7 @@
         self.entries.retain(|_, heard| now.since(*heard) < FORGET_TIME);
         if !asked.targets.is_empty() {
             self.shape = Some(asked);
-        } else if asked.list_id != self.list() {
+        } else if asked.target_list_id != self.list() {
             // The next report says so, and the entry tells all again.
             self.last.load = Millis(0);
         }
@@ -340,7 +340,8 @@
             }
             Message::Choices(choices) => {
                 let shape = self.shape.as_ref();
-                let experts = shape.map_or(0, |it| it.experts_per_set.into());
+                let experts =
+                    shape.map_or(0, |it| it.experts_per_layer_set.into());
                 if let Some(lead) = &mut self.lead {
                     lead.count(choices, experts);
                 }
@@ -406,7 +407,7 @@
 
     /// The list of engines that it knows; 0 for none.
     fn list(&self) -> u64 {
-        self.shape.as_ref().map_or(0, |it| it.list_id)
+        self.shape.as_ref().map_or(0, |it| it.target_list_id)
     }
 
     fn report(&self) -> Option<&Report> {
