--- a/cowsliproad-admission/src/limit.rs
+++ b/cowsliproad-admission/src/limit.rs
@@ -101,7 +101,7 @@
     pub rate: Option<RequestRate>,
     /// How long the reported limit, or the absence of a limit, has been in
     /// force.
-    pub in_force_for: Millis,
+    pub rate_limit_age: Millis,
 }
 
 /// The limit of one target, merged from the target's responses and from the
@@ -156,9 +156,9 @@
     /// `None` if the target never named a limit.
     pub fn limit_report(&self, now: Millis) -> Option<LimitReport> {
         let TimedLimit { rate, in_force_since_ms } = self.latest?;
-        let in_force_for =
+        let rate_limit_age =
             Millis((now.0 as i64 - in_force_since_ms).max(0) as u64);
-        Some(LimitReport { rate, in_force_for })
+        Some(LimitReport { rate, rate_limit_age })
     }
 
     /// Returns when the limit last changed to another value.
@@ -194,9 +194,9 @@
         now: Millis,
     ) -> LimitChange {
         let is_limit_loosened = is_limit_loosened(self.rate(), rate);
-        let in_force_for =
+        let rate_limit_age =
             if is_limit_loosened { now.since(sent_at) } else { Millis(0) };
-        self.merge_limit_report(LimitReport { rate, in_force_for }, now)
+        self.merge_limit_report(LimitReport { rate, rate_limit_age }, now)
     }
 
     /// Merges the limit that another entry process reports; a report that is
@@ -206,9 +206,9 @@
         report: LimitReport,
         now: Millis,
     ) -> LimitChange {
-        let LimitReport { rate, in_force_for } = report;
+        let LimitReport { rate, rate_limit_age } = report;
         let in_force_since_ms =
-            now.0 as i64 - in_force_for.0.min(i64::MAX as u64 / 2) as i64;
+            now.0 as i64 - rate_limit_age.0.min(i64::MAX as u64 / 2) as i64;
         let Some(latest) = self.latest else {
             if rate.is_none() {
                 return LimitChange::None;
--- a/cowsliproad-bench/src/experiment/limits.rs
+++ b/cowsliproad-bench/src/experiment/limits.rs
@@ -440,12 +440,12 @@
         let heard = known.values().filter(|it| self.now - it.0 < silence);
         let share = (heard.count() + 1) as f64 / (known.len() + 1) as f64;
         let entry = &mut self.entries[entry];
-        let Some(LimitReport { rate: Some(rate), in_force_for }) =
+        let Some(LimitReport { rate: Some(rate), rate_limit_age }) =
             entry.limit.limit_report(now)
         else {
             return PermitDecision::Permit(Millis(0));
         };
-        let new = limit::Limiter::new(rate, in_force_for, now);
+        let new = limit::Limiter::new(rate, rate_limit_age, now);
         let pace = entry.pace.get_or_insert(new);
         if substitute && pace.is_stale(share, now) {
             *pace = new;
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -286,7 +286,7 @@
             "cost" => choice.cost as u64, "at_target" => endpoint.record.estimated_occupancy(now),
             "own" => endpoint.record.in_flight(), "report_age" => age,
             "limit" => choice.limit.map(|it| it.requests_per_second()),
-            "limit_age" => report.map(|it| it.in_force_for.0),
+            "limit_age" => report.map(|it| it.rate_limit_age.0),
             "denied" => self.denied,
             "left" => self.left().0, "try" => self.tries + 1);
     }
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -400,7 +400,8 @@
         if rate.is_none() != limit.requests_per_second.is_none() {
             return;
         }
-        let report = LimitReport { rate, in_force_for: limit.rate_limit_age };
+        let report =
+            LimitReport { rate, rate_limit_age: limit.rate_limit_age };
         let endpoint = self.endpoint(&limit.target);
         let change =
             endpoint.borrow_mut().limit.merge_limit_report(report, now);
@@ -479,7 +480,8 @@
     fn current_limit(&self, target: &Target, now: Millis) -> RateLimit {
         let report =
             self.endpoint(&target.id).borrow().limit.limit_report(now);
-        let never = LimitReport { rate: None, in_force_for: Millis(u64::MAX) };
+        let never =
+            LimitReport { rate: None, rate_limit_age: Millis(u64::MAX) };
         limit_of(target, report.unwrap_or(never))
     }
 
@@ -493,12 +495,13 @@
     ) -> PermitDecision {
         let report =
             self.endpoint(&target.id).borrow().limit.limit_report(now);
-        let Some(LimitReport { rate: Some(rate), in_force_for }) = report
+        let Some(LimitReport { rate: Some(rate), rate_limit_age }) = report
         else {
             return PermitDecision::Permit(Millis(0));
         };
         let share = self.peers.borrow().reached(now);
-        let new = (target.start, limit::Limiter::new(rate, in_force_for, now));
+        let new =
+            (target.start, limit::Limiter::new(rate, rate_limit_age, now));
         let mut limits = self.limits.borrow_mut();
         let kept = limits.limiters.entry(target.id.clone()).or_insert(new);
         let stands_in = owner == RateLimiterOwner::Substitute;
@@ -535,6 +538,6 @@
         target: target.id.clone(),
         target_start_unix_ms: target.start.0,
         requests_per_second: report.rate.map(RequestRate::requests_per_second),
-        rate_limit_age: report.in_force_for,
+        rate_limit_age: report.rate_limit_age,
     }
 }
--- a/tests/properties/limits.rs
+++ b/tests/properties/limits.rs
@@ -81,13 +81,13 @@
     let mut known = CurrentLimit::default();
     let now = Millis(1_000);
     let old =
-        LimitReport { rate: Some(rate(1.0)), in_force_for: Millis(60_000) };
-    let over = LimitReport { rate: None, in_force_for: Millis(30_000) };
+        LimitReport { rate: Some(rate(1.0)), rate_limit_age: Millis(60_000) };
+    let over = LimitReport { rate: None, rate_limit_age: Millis(30_000) };
     assert_eq!(known.merge_limit_report(old, now), LimitChange::Tightened);
     assert_eq!(known.merge_limit_report(over, now), LimitChange::Loosened);
     assert_eq!(known.merge_limit_report(old, now), LimitChange::None);
     assert_eq!(known.rate(), None);
-    let never = LimitReport { rate: None, in_force_for: Millis(u64::MAX) };
+    let never = LimitReport { rate: None, rate_limit_age: Millis(u64::MAX) };
     assert_eq!(known.merge_limit_report(never, now), LimitChange::None);
 }
 
