--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -164,7 +164,7 @@
                     let work = GroupState::work_digest(request_number);
                     self.ledger.record_crash(work, end, self.now);
                     if answering >> request_number & 1 == 0 {
-                        self.ledger.suspend(work, self.now);
+                        self.ledger.suspend_request(work, self.now);
                     }
                     self.crash_times[request_number as usize].push(self.now);
                 }
