--- a/cowsliproad-bench/src/experiment/switch.rs
+++ b/cowsliproad-bench/src/experiment/switch.rs
@@ -12,7 +12,7 @@
 use cowsliproad_mapswitch::order::{
     ArmOrderStatus, Coordinator, CoordinatorArmingNotice, CoordinatorConfig,
     Directive, Epoch, ExpertsByLayerAndRank, MissingRanks, ObeyedCoordinator,
-    Order, RankSnapshot, Report, SwitchEvent, Version,
+    Order, RankReport, RankSnapshot, SwitchEvent, Version,
     announced_coordinator_arming_step, due_hold_order, next_order,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -55,14 +55,14 @@
 }
 
 struct Group {
-    ranks: Vec<Report>,
+    ranks: Vec<RankReport>,
     late: Vec<(u64, usize, Order)>,
     next_pass: u64,
 }
 
 impl Group {
     fn new(ranks: u16) -> Group {
-        let report = |rank| Report::new(Epoch(1), rank, ranks);
+        let report = |rank| RankReport::new(Epoch(1), rank, ranks);
         Group {
             ranks: (0..ranks).map(report).collect(),
             late: Vec::new(),
@@ -76,19 +76,19 @@
             return;
         }
         let step = self.ranks[0].step + 1;
-        if self.ranks.iter().any(|it| it.held == Some(step)) {
+        if self.ranks.iter().any(|it| it.held_pass == Some(step)) {
             score.held += 1;
             return;
         }
         self.next_pass = now + PASS_MS;
         for rank in &mut self.ranks {
             rank.step = step;
-            if let Some((version, at)) = rank.armed
+            if let Some((version, at)) = rank.armed_map_and_pass
                 && at == step
             {
                 rank.map = version;
-                rank.armed = None;
-                rank.prepared = None;
+                rank.armed_map_and_pass = None;
+                rank.prepared_map_version = None;
             }
         }
         let first = self.ranks[0].map;
@@ -99,19 +99,26 @@
         let rank = &mut self.ranks[rank];
         match order {
             Order::Prepare(version, _) if *version > rank.map => {
-                rank.prepared = Some(*version);
+                rank.prepared_map_version = Some(*version);
             }
             Order::Arm(version, step)
-                if rank.prepared == Some(*version) && *step > rank.step =>
+                if rank.prepared_map_version == Some(*version)
+                    && *step > rank.step =>
             {
-                rank.armed = Some((*version, *step));
+                rank.armed_map_and_pass = Some((*version, *step));
+            }
+            Order::Hold(step) if *step > rank.step => {
+                rank.held_pass = Some(*step)
+            }
+            Order::Go(step) if rank.held_pass == Some(*step) => {
+                rank.held_pass = None
             }
-            Order::Hold(step) if *step > rank.step => rank.held = Some(*step),
-            Order::Go(step) if rank.held == Some(*step) => rank.held = None,
             Order::Disarm(version)
-                if rank.armed.is_some_and(|it| it.0 == *version) =>
+                if rank
+                    .armed_map_and_pass
+                    .is_some_and(|it| it.0 == *version) =>
             {
-                rank.armed = None;
+                rank.armed_map_and_pass = None;
             }
             _ => {}
         }
@@ -124,7 +131,7 @@
             CoordinatorArmingNotice::NotReceived,
             CoordinatorArmingNotice::Received,
         );
-        let snapshot = |report: &Report| RankSnapshot {
+        let snapshot = |report: &RankReport| RankSnapshot {
             report: report.clone(),
             arm_order_status: ArmOrderStatus::Answered,
             coordinator_arming_notice: seal,
--- a/cowsliproad-mapswitch/src/order.rs
+++ b/cowsliproad-mapswitch/src/order.rs
@@ -91,7 +91,7 @@
 
 /// The state that an engine reports of its rank.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub struct Report {
+pub struct RankReport {
     /// The group formation to which the report belongs.
     pub epoch: Epoch,
     /// The index of the reporting rank.
@@ -105,28 +105,31 @@
     /// The version of the expert map that the rank uses.
     pub map: Version,
     /// The newest map whose experts the rank has copied.
-    pub prepared: Option<Version>,
+    #[serde(rename = "prepared")]
+    pub prepared_map_version: Option<Version>,
     /// The map to which the rank is armed to switch, and the first pass that
     /// uses the map; `None` if the rank is not armed.
-    pub armed: Option<(Version, u64)>,
+    #[serde(rename = "armed")]
+    pub armed_map_and_pass: Option<(Version, u64)>,
     /// The pass before which this rank holds the group: the group doesn't
     /// begin the pass until the hold is released.
-    pub held: Option<u64>,
+    #[serde(rename = "held")]
+    pub held_pass: Option<u64>,
 }
 
-impl Report {
+impl RankReport {
     /// Creates the report of a rank whose group has just formed.
-    pub fn new(epoch: Epoch, rank: u16, ranks: u16) -> Report {
-        Report {
+    pub fn new(epoch: Epoch, rank: u16, ranks: u16) -> RankReport {
+        RankReport {
             epoch,
             rank,
             ranks,
             standing: GroupState::Open,
             step: 0,
             map: Version(0),
-            prepared: None,
-            armed: None,
-            held: None,
+            prepared_map_version: None,
+            armed_map_and_pass: None,
+            held_pass: None,
         }
     }
 }
@@ -204,7 +207,7 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct RankSnapshot {
     /// The state that the rank's engine reported.
-    pub report: Report,
+    pub report: RankReport,
     /// Whether an *arm* order that the report doesn't show may still be
     /// executed.
     pub arm_order_status: ArmOrderStatus,
@@ -290,7 +293,7 @@
 /// each report, so that a lost order is repeated and an executed order is not.
 pub fn next_order(
     directive: &Directive,
-    report: &Report,
+    report: &RankReport,
     plan: Option<(Version, &Arc<ExpertsByLayerAndRank>)>,
 ) -> Option<Order> {
     if directive.epoch != report.epoch {
@@ -299,8 +302,9 @@
     match directive.desired_state {
         DesiredState::Rest => None,
         DesiredState::Prepared(version) => {
-            let is_prepared = report.prepared == Some(version);
-            let is_acceptable = report.armed.is_none() && report.map < version;
+            let is_prepared = report.prepared_map_version == Some(version);
+            let is_acceptable =
+                report.armed_map_and_pass.is_none() && report.map < version;
             let (planned, experts) = plan?;
             (!is_prepared && is_acceptable && planned == version)
                 .then(|| Order::Prepare(version, experts.clone()))
@@ -312,9 +316,11 @@
         DesiredState::Sealed { version, step, except } => {
             due_arm_order(report, version, step, Some(except))
         }
-        DesiredState::Disarmed => report.armed.map(|it| Order::Disarm(it.0)),
+        DesiredState::Disarmed => {
+            report.armed_map_and_pass.map(|it| Order::Disarm(it.0))
+        }
         DesiredState::Released(step) => {
-            (report.held == Some(step)).then_some(Order::Go(step))
+            (report.held_pass == Some(step)).then_some(Order::Go(step))
         }
     }
 }
@@ -322,12 +328,12 @@
 /// Returns the *arm* order to send to a rank, or `None` if the rank is already
 /// armed, uses the map, has begun the switch's pass or is the exempt rank.
 fn due_arm_order(
-    report: &Report,
+    report: &RankReport,
     version: Version,
     step: u64,
     except: Option<u16>,
 ) -> Option<Order> {
-    let is_due = report.armed != Some((version, step))
+    let is_due = report.armed_map_and_pass != Some((version, step))
         && report.map < version
         && report.step < step
         && except != Some(report.rank);
@@ -353,14 +359,14 @@
 /// the pass before which the group is to be held.
 pub fn due_hold_order(
     directive: &Directive,
-    report: &Report,
+    report: &RankReport,
 ) -> Option<Order> {
     let DesiredState::Held { step, holder } = directive.desired_state else {
         return None;
     };
     let is_due = report.rank == holder
         && report.epoch == directive.epoch
-        && report.held != Some(step)
+        && report.held_pass != Some(step)
         && report.step < step;
     is_due.then_some(Order::Hold(step))
 }
--- a/cowsliproad-mapswitch/src/order/coordinator.rs
+++ b/cowsliproad-mapswitch/src/order/coordinator.rs
@@ -5,7 +5,7 @@
 
 use super::{
     ArmOrderStatus, CoordinatorArmingNotice, DesiredState, Directive, Epoch,
-    MissingRanks, ObeyedCoordinator, RankSnapshot, Report, Version,
+    MissingRanks, ObeyedCoordinator, RankReport, RankSnapshot, Version,
 };
 
 /// Settings of a coordinator of map switches.
@@ -340,12 +340,14 @@
         &mut self,
         snapshots: &[RankSnapshot],
     ) -> SwitchEvent {
-        let armed = snapshots.iter().find_map(|it| it.report.armed);
+        let armed =
+            snapshots.iter().find_map(|it| it.report.armed_map_and_pass);
         if let Some((version, step)) = armed {
             self.phase = SwitchPhase::Arming { version, step, except: None };
             return SwitchEvent::Resumed(version);
         }
-        let Some(step) = snapshots.iter().find_map(|it| it.report.held) else {
+        let Some(step) = snapshots.iter().find_map(|it| it.report.held_pass)
+        else {
             return SwitchEvent::None;
         };
         // An *arm* order for pass `step` may still reach any rank that has
@@ -369,9 +371,10 @@
         snapshots: &[RankSnapshot],
         predecessor_fencing_number: u64,
     ) -> SwitchEvent {
-        let held = snapshots.iter().find_map(|it| it.report.held);
+        let held = snapshots.iter().find_map(|it| it.report.held_pass);
         let Some(step) = held else { return SwitchEvent::None };
-        let armed = snapshots.iter().find_map(|it| it.report.armed);
+        let armed =
+            snapshots.iter().find_map(|it| it.report.armed_map_and_pass);
         // The former coordinator's rank arms last. So if some other rank is
         // not armed and never will be, the coordinator's rank is not armed
         // either. While some rank's armed state may still change, waiting is
@@ -379,7 +382,7 @@
         // completed.
         let all_settled = snapshots.iter().all(is_armed_state_final);
         let unarmed = |it: &RankSnapshot| {
-            it.report.armed.is_none() && it.report.step < step
+            it.report.armed_map_and_pass.is_none() && it.report.step < step
         };
         let coordinator_unarmed = snapshots.iter().any(unarmed)
             || has_holder_missed_arming_notice(snapshots, step);
@@ -405,7 +408,7 @@
         step: u64,
     ) -> SwitchEvent {
         let is_clear = |it: &RankSnapshot| {
-            it.report.armed.is_none() && is_armed_state_final(it)
+            it.report.armed_map_and_pass.is_none() && is_armed_state_final(it)
         };
         if snapshots.iter().all(is_clear) {
             let version = snapshots[0].report.map;
@@ -424,8 +427,9 @@
         since: Millis,
         now: Millis,
     ) -> SwitchEvent {
-        let is_prepared =
-            |it: &RankSnapshot| it.report.prepared == Some(version);
+        let is_prepared = |it: &RankSnapshot| {
+            it.report.prepared_map_version == Some(version)
+        };
         if missing == MissingRanks::None && snapshots.iter().all(is_prepared) {
             self.timings.begin_arming(latest_begun_pass(snapshots), now);
             let step = self.choose_boundary_pass(snapshots);
@@ -463,7 +467,8 @@
         step: u64,
         holder: u16,
     ) -> SwitchEvent {
-        let held = snapshots.iter().any(|it| it.report.held == Some(step));
+        let held =
+            snapshots.iter().any(|it| it.report.held_pass == Some(step));
         if held {
             let except = Some(self.own_rank);
             self.phase = SwitchPhase::Arming { version, step, except };
@@ -490,7 +495,7 @@
         // An agent that obeys another coordinator could still disarm its own
         // rank.
         let is_armed = |it: &RankSnapshot| {
-            it.report.armed == Some((version, step))
+            it.report.armed_map_and_pass == Some((version, step))
                 && it.obeyed_coordinator == ObeyedCoordinator::This
                 || it.report.map == version
         };
@@ -535,7 +540,8 @@
         version: Version,
         step: u64,
     ) -> SwitchEvent {
-        let held = snapshots.iter().any(|it| it.report.held == Some(step));
+        let held =
+            snapshots.iter().any(|it| it.report.held_pass == Some(step));
         let changed = snapshots.iter().all(|it| it.report.map == version);
         if held || !changed {
             return SwitchEvent::None;
@@ -547,9 +553,9 @@
 
 /// Returns the newest map version that a rank uses, has prepared or is armed
 /// for.
-fn newest_known_map_version(report: &Report) -> Version {
-    let armed = report.armed.map(|it| it.0);
-    let prepared = report.prepared.max(armed);
+fn newest_known_map_version(report: &RankReport) -> Version {
+    let armed = report.armed_map_and_pass.map(|it| it.0);
+    let prepared = report.prepared_map_version.max(armed);
     prepared.map_or(report.map, |it| it.max(report.map))
 }
 
@@ -582,9 +588,10 @@
 fn map_version_prepared_by_all_ranks(
     snapshots: &[RankSnapshot],
 ) -> Option<Version> {
-    let version = snapshots.first()?.report.prepared?;
+    let version = snapshots.first()?.report.prepared_map_version?;
     let is_ready = |it: &RankSnapshot| {
-        it.report.prepared == Some(version) && it.report.map < version
+        it.report.prepared_map_version == Some(version)
+            && it.report.map < version
     };
     snapshots.iter().all(is_ready).then_some(version)
 }
--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -17,7 +17,7 @@
     position::{Era, Position},
 };
 use cowsliproad_mapswitch::order::{
-    self, DesiredState, Directive, Epoch, GroupState, Report,
+    self, DesiredState, Directive, Epoch, GroupState, RankReport,
 };
 use cowsliproad_platform::engine::EngineState;
 use cowsliproad_routing::cooldown::Cooldown;
@@ -409,7 +409,7 @@
         self.shape.as_ref().map_or(0, |it| it.list_id)
     }
 
-    fn report(&self) -> Option<&Report> {
+    fn report(&self) -> Option<&RankReport> {
         self.state.as_ref()?.report.as_ref()
     }
 
--- a/cowsliproad-rank/src/agent/orders.rs
+++ b/cowsliproad-rank/src/agent/orders.rs
@@ -6,7 +6,7 @@
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_mapswitch::order::{
     self, ArmOrderStatus, CoordinatorArmingNotice, DesiredState, Directive,
-    Epoch, MAX_BOUNDARY_LEAD_PASSES, OrderResult, Report,
+    Epoch, MAX_BOUNDARY_LEAD_PASSES, OrderResult, RankReport,
 };
 use cowsliproad_routing::cooldown::Cooldown;
 use slog::info;
@@ -126,7 +126,7 @@
         // armed once more.
         let again = match word.desired_state {
             DesiredState::Armed { version, step, .. }
-                if report.armed == Some((version, step)) =>
+                if report.armed_map_and_pass == Some((version, step)) =>
             {
                 Some(order::Order::Arm(version, step))
             }
@@ -164,7 +164,7 @@
     /// bound a group whose coordinator froze stood for 3.9 s: five agents had
     /// been restarted two seconds before, and nothing could be called off for
     /// thirteen.
-    pub(super) fn arms(&self, report: &Report) -> ArmOrderStatus {
+    pub(super) fn arms(&self, report: &RankReport) -> ArmOrderStatus {
         let now = Millis::now();
         let recent = |at: Millis| now.since(at) < LATE_TIME;
         let open = self.last.unanswered_arm.is_some_and(|arm| {
@@ -182,7 +182,7 @@
 
     /// Whether the group is still at the passes that the process before this
     /// one had to do with.
-    fn inherits(&self, report: &Report) -> bool {
+    fn inherits(&self, report: &RankReport) -> bool {
         self.first.is_none_or(|(epoch, step)| {
             epoch == report.epoch
                 && report.step <= step + MAX_BOUNDARY_LEAD_PASSES
@@ -190,7 +190,7 @@
     }
 
     /// Whether it heard that the coordinator's rank arms, as far as it knows.
-    pub(super) fn seal(&self, report: &Report) -> CoordinatorArmingNotice {
+    pub(super) fn seal(&self, report: &RankReport) -> CoordinatorArmingNotice {
         match self.sealed {
             Some((epoch, step)) if epoch == report.epoch => {
                 CoordinatorArmingNotice::Received(step)
--- a/cowsliproad-rank/src/wire.rs
+++ b/cowsliproad-rank/src/wire.rs
@@ -4,7 +4,7 @@
 
 use cowsliproad_kernel::Name;
 use cowsliproad_mapswitch::order::{
-    ArmOrderStatus, CoordinatorArmingNotice, Directive, Report, Version,
+    ArmOrderStatus, CoordinatorArmingNotice, Directive, RankReport, Version,
 };
 use serde::{Deserialize, Serialize};
 
@@ -50,7 +50,7 @@
     pub agent: SocketAddr,
     /// What its engine reports.
     #[serde(rename = "r")]
-    pub report: Report,
+    pub report: RankReport,
     /// What the agent vouches for beside it.
     #[serde(rename = "o")]
     pub arms: ArmOrderStatus,
@@ -75,7 +75,7 @@
 /// The part of a status that a coordinator acts on at once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct News {
-    report: Report,
+    report: RankReport,
     arms: ArmOrderStatus,
     seal: CoordinatorArmingNotice,
     fence: u64,
@@ -86,7 +86,7 @@
     /// What of it the coordinator acts on at once.
     pub fn news(&self) -> News {
         // Each pass would be news otherwise.
-        let report = Report { step: 0, ..self.report.clone() };
+        let report = RankReport { step: 0, ..self.report.clone() };
         let Status { arms, seal, fence, plan, .. } = *self;
         News { report, arms, seal, fence, plan }
     }
--- a/cowsliproad-rank/tests/lead.rs
+++ b/cowsliproad-rank/tests/lead.rs
@@ -3,7 +3,7 @@
 
 use cowsliproad_kernel::{clock::Millis, gossip::Subscribe};
 use cowsliproad_mapswitch::order::{
-    ArmOrderStatus, CoordinatorArmingNotice, DesiredState, Epoch, Report,
+    ArmOrderStatus, CoordinatorArmingNotice, DesiredState, Epoch, RankReport,
     Version,
 };
 use cowsliproad_rank::{
@@ -18,7 +18,7 @@
 /// A group whose agents all see what happens at once.
 struct Group {
     lead: Lead,
-    reports: Vec<Report>,
+    reports: Vec<RankReport>,
     now: Millis,
 }
 
@@ -26,7 +26,7 @@
     fn new() -> Group {
         let start = Start { fence: 1, rank: 0, predecessor: None };
         let lead = Lead::new(start, 0.03, Logger::root(Discard, o!()));
-        let report = |rank| Report::new(Epoch(1), rank, RANKS);
+        let report = |rank| RankReport::new(Epoch(1), rank, RANKS);
         let reports = (0..RANKS).map(report).collect();
         Group { lead, reports, now: Millis(10_000) }
     }
@@ -104,7 +104,7 @@
     }
     let version = group.lead.plan().map(|it| it.version);
     for report in &mut group.reports {
-        report.prepared = version;
+        report.prepared_map_version = version;
     }
     for _ in 0..6 {
         group.go_on(5);
--- a/tests/order/main.rs
+++ b/tests/order/main.rs
@@ -20,7 +20,7 @@
     mapswitch::order::{
         self, ArmOrderStatus, Coordinator, CoordinatorArmingNotice,
         CoordinatorConfig, DesiredState, Directive, Epoch, GroupState,
-        MissingRanks, ObeyedCoordinator, Order, RankSnapshot, Report,
+        MissingRanks, ObeyedCoordinator, Order, RankReport, RankSnapshot,
         VERSIONS_PER_COORDINATOR, Version,
     },
 };
@@ -73,8 +73,8 @@
     map: u64,
     prepared_map: Option<u64>,
     newest_prepared_map: u64,
-    armed: Option<(u64, u64)>,
-    held: Option<u64>,
+    armed_map_and_pass: Option<(u64, u64)>,
+    held_pass: Option<u64>,
     fence: u64,
 }
 
@@ -139,8 +139,8 @@
             map: 0,
             prepared_map: Some(FIRST_MAP_VERSION),
             newest_prepared_map: FIRST_MAP_VERSION,
-            armed: None,
-            held: None,
+            armed_map_and_pass: None,
+            held_pass: None,
             fence: 0,
         };
         let (directive, announced_coordinator_arming_step) = (None, None);
@@ -151,7 +151,7 @@
             announced_coordinator_arming_step,
         };
         let mut first = new_coordinator_view(1, FIRST_COORDINATOR_RANK);
-        let report = |rank| Report::new(EPOCH, rank, RANK_COUNT);
+        let report = |rank| RankReport::new(EPOCH, rank, RANK_COUNT);
         let snapshot = |rank| RankSnapshot {
             report: report(rank),
             arm_order_status: ArmOrderStatus::Answered,
@@ -180,18 +180,20 @@
         }
     }
 
-    fn report(&self, rank: u16) -> Report {
+    fn report(&self, rank: u16) -> RankReport {
         let engine = &self.engines[usize::from(rank)];
-        Report {
+        RankReport {
             epoch: EPOCH,
             rank,
             ranks: RANK_COUNT,
             standing: GroupState::Open,
             step: self.step,
             map: Version(engine.map),
-            prepared: engine.prepared_map.map(Version),
-            armed: engine.armed.map(|(map, step)| (Version(map), step)),
-            held: engine.held,
+            prepared_map_version: engine.prepared_map.map(Version),
+            armed_map_and_pass: engine
+                .armed_map_and_pass
+                .map(|(map, step)| (Version(map), step)),
+            held_pass: engine.held_pass,
         }
     }
 
@@ -253,18 +255,18 @@
         next_states: &mut Vec<SystemState>,
     ) {
         let next = self.step + 1;
-        let held = self.engines.iter().any(|it| it.held == Some(next));
+        let held = self.engines.iter().any(|it| it.held_pass == Some(next));
         if held || next > scenario.max_passes {
             return;
         }
         let mut state = self.clone();
         state.step = next;
         for engine in &mut state.engines {
-            if let Some((map, step)) = engine.armed
+            if let Some((map, step)) = engine.armed_map_and_pass
                 && step == next
             {
                 engine.map = map;
-                engine.armed = None;
+                engine.armed_map_and_pass = None;
                 engine.prepared_map = None;
             }
         }
@@ -580,29 +582,31 @@
         engine.fence = fence;
         match order {
             ComparableOrder::Prepare(map) => {
-                if map > engine.newest_prepared_map && engine.armed.is_none() {
+                if map > engine.newest_prepared_map
+                    && engine.armed_map_and_pass.is_none()
+                {
                     engine.newest_prepared_map = map;
                     engine.prepared_map = Some(map);
                 }
             }
             ComparableOrder::Arm(map, pass) => {
                 if engine.prepared_map == Some(map) && pass > step {
-                    engine.armed = Some((map, pass));
+                    engine.armed_map_and_pass = Some((map, pass));
                 }
             }
             ComparableOrder::Disarm(map) => {
-                if engine.armed.is_some_and(|it| it.0 == map) {
-                    engine.armed = None;
+                if engine.armed_map_and_pass.is_some_and(|it| it.0 == map) {
+                    engine.armed_map_and_pass = None;
                 }
             }
             ComparableOrder::Hold(pass) => {
                 if pass > step {
-                    engine.held = Some(pass);
+                    engine.held_pass = Some(pass);
                 }
             }
             ComparableOrder::Go(pass) => {
-                if engine.held == Some(pass) {
-                    engine.held = None;
+                if engine.held_pass == Some(pass) {
+                    engine.held_pass = None;
                 }
             }
         }
@@ -612,7 +616,7 @@
     fn is_group_released(&self) -> bool {
         self.engines
             .iter()
-            .all(|it| it.held.is_none_or(|pass| pass <= self.step))
+            .all(|it| it.held_pass.is_none_or(|pass| pass <= self.step))
     }
 }
 
@@ -766,16 +770,16 @@
     arming_notice: CoordinatorArmingNotice,
 ) -> Vec<RankSnapshot> {
     let snapshot = |rank| RankSnapshot {
-        report: Report {
+        report: RankReport {
             epoch: EPOCH,
             rank,
             ranks: RANK_COUNT,
             standing: GroupState::Open,
             step: 1,
             map: Version(0),
-            prepared: Some(Version(FIRST_MAP_VERSION)),
-            armed: Some((Version(FIRST_MAP_VERSION), 3)),
-            held: (rank == SUCCESSOR_COORDINATOR_RANK).then_some(3),
+            prepared_map_version: Some(Version(FIRST_MAP_VERSION)),
+            armed_map_and_pass: Some((Version(FIRST_MAP_VERSION), 3)),
+            held_pass: (rank == SUCCESSOR_COORDINATOR_RANK).then_some(3),
         },
         arm_order_status: ArmOrderStatus::Answered,
         coordinator_arming_notice: arming_notice,
