--- a/cowsliproad-mapswitch/src/order/coordinator.rs
+++ b/cowsliproad-mapswitch/src/order/coordinator.rs
@@ -385,7 +385,7 @@
             it.report.armed_map_and_pass.is_none() && it.report.step < step
         };
         let coordinator_unarmed = snapshots.iter().any(unarmed)
-            || has_holder_missed_arming_notice(snapshots, step);
+            || has_holding_rank_missed_arming_notice(snapshots, step);
         let latest = snapshots
             .iter()
             .map(|it| newest_known_map_version(&it.report))
@@ -571,7 +571,7 @@
 /// not received the arming notice: the announcement that the unreachable
 /// coordinator's rank arms. The holding rank is the lowest rank but that
 /// coordinator's.
-fn has_holder_missed_arming_notice(
+fn has_holding_rank_missed_arming_notice(
     snapshots: &[RankSnapshot],
     step: u64,
 ) -> bool {
--- a/cowsliproad-placement/src/live/search.rs
+++ b/cowsliproad-placement/src/live/search.rs
@@ -19,11 +19,11 @@
     /// The expert whose slot at the receiving rank is reused; `None` if the
     /// rank has a free slot.
     replaced: Option<Expert>,
-    /// How the change treats the hosts of its experts.
+    /// Whether the change copies, moves, swaps or drops the expert.
     kind: ChangeKind,
 }
 
-/// How a change treats the hosts of its experts.
+/// The way in which a [`HostChange`] changes the ranks that hold an expert.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum ChangeKind {
     /// The relieved and the receiving rank both hold the expert afterwards.
@@ -205,7 +205,8 @@
         )
     }
 
-    /// Returns the number of experts that are new to a rank in this layer.
+    /// Returns the number of experts that a rank holds in the planned layer
+    /// but not in the present layer.
     fn count_new_experts(&self, rank: Rank) -> usize {
         self.present.count_added_copies_at(rank, &self.layer)
     }
@@ -262,7 +263,8 @@
         new_experts_by_rank: &mut [usize],
     ) {
         let HostChange { relieved, receiver, .. } = change;
-        // For a drop, the relieved and the receiving rank are the same.
+        // For a drop, the relieved and the receiving rank are the same,
+        // and the rank's new experts may be subtracted and added only once.
         let ranks = &[relieved, receiver][usize::from(relieved == receiver)..];
         for &rank in ranks {
             new_experts_by_rank[usize::from(rank)] -=
--- a/cowsliproad-placement/src/load.rs
+++ b/cowsliproad-placement/src/load.rs
@@ -10,7 +10,7 @@
 
 /// The number of intervals whose counts have to be recorded before a map is
 /// planned from them.
-const MIN_RECORDED_INTERVALS: u64 = 6;
+const MIN_INTERVALS_BEFORE_PLANNING: u64 = 6;
 
 /// The weight of a new token count in its moving average, for a count that
 /// differs too much from the average to be noise.
@@ -58,7 +58,7 @@
     /// Returns whether both moving averages contain enough intervals to tell
     /// noise from imbalance.
     pub fn has_enough_intervals(&self) -> bool {
-        self.recorded_intervals >= MIN_RECORDED_INTERVALS
+        self.recorded_intervals >= MIN_INTERVALS_BEFORE_PLANNING
     }
 
     /// Returns the moving average on which a plan is made: the average that
--- a/cowsliproad-placement/src/plan.rs
+++ b/cowsliproad-placement/src/plan.rs
@@ -70,7 +70,8 @@
     }
 }
 
-/// A new expert map with its number of moves and its expected saving.
+/// A new expert map with its number of moves and the share of the step time
+/// that it is expected to save.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The new map.
@@ -93,7 +94,7 @@
 
 /// The minimum and maximum number of moves made to search for a better layer.
 /// Between these bounds, three moves are made for every two ranks.
-const MOVES_PER_LAYER_BOUNDS: (usize, usize) = (32, 400);
+const MIN_AND_MAX_LAYER_SEARCH_MOVES: (usize, usize) = (32, 400);
 
 /// The maximum number of fast ranks considered as receivers of an expert.
 const MAX_RECEIVING_RANKS: usize = 12;
@@ -179,8 +180,10 @@
     let mut layer = present.clone();
     let mut times = layer.rank_times(loads, speeds);
     let mut best: Option<(f64, LayerChange)> = None;
-    let max_layer_moves = (present.rank_count() * 3 / 2)
-        .clamp(MOVES_PER_LAYER_BOUNDS.0, MOVES_PER_LAYER_BOUNDS.1);
+    let max_layer_moves = (present.rank_count() * 3 / 2).clamp(
+        MIN_AND_MAX_LAYER_SEARCH_MOVES.0,
+        MIN_AND_MAX_LAYER_SEARCH_MOVES.1,
+    );
     for _ in 0..max_layer_moves {
         let Some(it) = find_move(&layer, &times, loads, speeds) else { break };
         it.apply_to_layer(&mut layer);
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -29,7 +29,8 @@
 /// A set of requests, as a bit mask over the request numbers.
 type RequestBitSet = u32;
 
-/// An event in the explored group.
+/// An event in the explored group: a set of requests runs, or time passes until
+/// a suspension expires.
 #[derive(Clone, Copy, Debug)]
 enum Action {
     /// Some requests run on one rank. If the rank crashes, the requests in
@@ -124,14 +125,14 @@
                 answering.map(|answering| Action::Run { requests, answering }),
             );
         }
-        if self.time_to_next_expiry().is_some() {
+        if self.time_to_next_suspension_expiry().is_some() {
             actions.push(Action::Wait);
         }
         actions
     }
 
     /// Returns the time until the next suspension expires, if any.
-    fn time_to_next_expiry(&self) -> Option<Millis> {
+    fn time_to_next_suspension_expiry(&self) -> Option<Millis> {
         let remaining = |it| match self.quarantine_verdict(it) {
             QuarantineVerdict::Suspended(remaining) => Some(remaining),
             QuarantineVerdict::Allowed | QuarantineVerdict::Refused(_) => None,
@@ -142,7 +143,8 @@
     fn apply_action(&mut self, action: Action) {
         match action {
             Action::Wait => {
-                let remaining = self.time_to_next_expiry().unwrap_or_default();
+                let remaining =
+                    self.time_to_next_suspension_expiry().unwrap_or_default();
                 self.now = self.now + remaining;
             }
             Action::Run { requests, .. }
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -198,7 +198,7 @@
 /// Checks that the exploration detects duplicate fencing numbers: without the
 /// log's era, a record offset is assigned again after a rollback.
 #[test]
-fn offsets_without_eras_are_assigned_twice() {
+fn offset_alone_as_fencing_number_is_assigned_twice() {
     assert!(find_violation(|record, _| Some(record.offset + 1)).0);
 }
 
--- a/tests/mapswitch/main.rs
+++ b/tests/mapswitch/main.rs
@@ -192,9 +192,9 @@
     visited
 }
 
-/// Checks for all states of a scenario that no step uses two maps and no
-/// member of a complete group is blocked, and that some state uses the
-/// proposed map.
+/// Checks for all states of a scenario that no step uses two maps, that no
+/// member is blocked if all members are alive and in one generation, and that
+/// some state uses the proposed map.
 fn check_scenario(scenario: Scenario) {
     let states = reachable_states(scenario);
     eprintln!("{scenario:?}: {} states", states.len());
--- a/tests/order/main.rs
+++ b/tests/order/main.rs
@@ -222,34 +222,38 @@
     /// Returns all states that one event in this state can lead to.
     fn next_states(&self, scenario: &Scenario) -> Vec<SystemState> {
         let mut next_states = Vec::new();
-        self.add_pass_state(scenario, &mut next_states);
-        self.add_late_order_states(&mut next_states);
+        self.add_state_after_next_pass(scenario, &mut next_states);
+        self.add_states_after_late_orders(&mut next_states);
         for rank in 0..RANK_COUNT {
             if self.is_unreachable(rank) {
                 continue;
             }
-            self.add_directive_states(rank, &mut next_states);
-            self.add_next_order_states(rank, scenario, &mut next_states);
+            self.add_states_after_directive_receipt(rank, &mut next_states);
+            self.add_states_after_next_order(rank, scenario, &mut next_states);
             if scenario.snapshot_age == SnapshotAge::Any {
-                self.add_snapshot_states(rank, &mut next_states);
+                self.add_states_after_snapshot_receipt(rank, &mut next_states);
             }
         }
         for view_index in 0..self.coordinator_views.len() {
             if view_index == 0 && self.is_frozen {
                 continue;
             }
-            self.add_coordinator_states(
+            self.add_states_after_coordinator_run(
+                view_index,
+                scenario,
+                &mut next_states,
+            );
+            self.add_states_after_due_hold_orders(
                 view_index,
                 scenario,
                 &mut next_states,
             );
-            self.add_hold_order_states(view_index, scenario, &mut next_states);
         }
-        self.add_freeze_and_takeover_states(scenario, &mut next_states);
+        self.add_states_after_freeze_or_takeover(scenario, &mut next_states);
         next_states
     }
 
-    fn add_pass_state(
+    fn add_state_after_next_pass(
         &self,
         scenario: &Scenario,
         next_states: &mut Vec<SystemState>,
@@ -284,7 +288,10 @@
 
     /// Adds the states in which one late order is executed, and the state in
     /// which all late orders have expired.
-    fn add_late_order_states(&self, next_states: &mut Vec<SystemState>) {
+    fn add_states_after_late_orders(
+        &self,
+        next_states: &mut Vec<SystemState>,
+    ) {
         if !self.late_orders.is_empty() {
             let mut state = self.clone();
             state.late_orders.clear();
@@ -300,7 +307,7 @@
         }
     }
 
-    fn add_directive_states(
+    fn add_states_after_directive_receipt(
         &self,
         rank: u16,
         next_states: &mut Vec<SystemState>,
@@ -334,7 +341,7 @@
         }
     }
 
-    fn add_next_order_states(
+    fn add_states_after_next_order(
         &self,
         rank: u16,
         scenario: &Scenario,
@@ -353,7 +360,7 @@
             return;
         };
         let order = comparable_order(&order);
-        self.add_order_states(
+        self.add_states_after_sent_order(
             rank,
             order,
             directive.fencing_number,
@@ -364,7 +371,7 @@
 
     /// Adds the state in which an order is executed and answered, and the
     /// state in which it goes unanswered and may be executed later.
-    fn add_order_states(
+    fn add_states_after_sent_order(
         &self,
         rank: u16,
         sent_order: ComparableOrder,
@@ -388,7 +395,7 @@
     }
 
     /// Adds the states in which one coordinator receives a rank's snapshot.
-    fn add_snapshot_states(
+    fn add_states_after_snapshot_receipt(
         &self,
         rank: u16,
         next_states: &mut Vec<SystemState>,
@@ -434,7 +441,7 @@
     }
 
     /// Adds the states in which a coordinator acts on its snapshots.
-    fn add_coordinator_states(
+    fn add_states_after_coordinator_run(
         &self,
         view_index: usize,
         scenario: &Scenario,
@@ -446,7 +453,7 @@
         };
         let is_complete = snapshots.len() == usize::from(RANK_COUNT);
         if is_complete {
-            self.add_states_after_snapshots(
+            self.add_state_after_switch_advance(
                 view_index,
                 &snapshots,
                 MissingRanks::None,
@@ -463,7 +470,7 @@
             .collect();
         if view_index == 1 && others.len() + 1 == usize::from(RANK_COUNT) {
             let missing = MissingRanks::Predecessor(1);
-            self.add_states_after_snapshots(
+            self.add_state_after_switch_advance(
                 view_index,
                 &others,
                 missing,
@@ -490,7 +497,7 @@
         reachable.map(snapshot).collect()
     }
 
-    fn add_states_after_snapshots(
+    fn add_state_after_switch_advance(
         &self,
         view_index: usize,
         snapshots: &[RankSnapshot],
@@ -514,7 +521,7 @@
         }
     }
 
-    fn add_hold_order_states(
+    fn add_states_after_due_hold_orders(
         &self,
         view_index: usize,
         scenario: &Scenario,
@@ -528,7 +535,7 @@
             if let Some(order) = order
                 && !self.is_unreachable(rank)
             {
-                self.add_order_states(
+                self.add_states_after_sent_order(
                     rank,
                     comparable_order(&order),
                     directive.fencing_number,
@@ -539,7 +546,7 @@
         }
     }
 
-    fn add_freeze_and_takeover_states(
+    fn add_states_after_freeze_or_takeover(
         &self,
         scenario: &Scenario,
         next_states: &mut Vec<SystemState>,
