--- a/cowsliproad-admission/src/quarantine.rs
+++ b/cowsliproad-admission/src/quarantine.rs
@@ -6,7 +6,7 @@
 //! and would crash one target after the other, unless entry processes
 //! recognise the request by a digest of its content ([`WorkDigest`]). Each
 //! entry process records which requests were running when a target crashed,
-//! and gossips this to the other entry processes ([`Suspect`]). Once
+//! and gossips this to the other entry processes ([`SuspectedRequest`]). Once
 //! [`CRASH_THRESHOLD`] targets have crashed under one request, all entry
 //! processes refuse that request ([`CrashLedger::verdict`]).
 //!
@@ -45,7 +45,7 @@
     collections::{BTreeSet, HashMap, HashSet},
 };
 
-use cowsliproad_kernel::{clock::Millis, gossip::Suspect};
+use cowsliproad_kernel::{clock::Millis, gossip::SuspectedRequest};
 
 use self::case::QuarantineCase;
 pub use self::work::{CrashId, WorkDigest};
@@ -246,14 +246,14 @@
         crash: CrashId,
         now: Millis,
     ) -> QuarantineChange {
-        let suspect = Suspect {
-            work_digest: work.0,
-            crashes: vec![crash.0],
-            excused_crashes: Vec::new(),
-            survived: false,
-            since_last_seen: Millis(0),
+        let suspect = SuspectedRequest {
+            request_hash: work.0,
+            crash_ids: vec![crash.0],
+            excused_crash_ids: Vec::new(),
+            survived_by_target: false,
+            since_last_received: Millis(0),
             rejected_for: None,
-            suspended_for: None,
+            suspension_left: None,
         };
         self.merge_suspect(&suspect, BROADCAST_TTL, now)
     }
@@ -287,7 +287,7 @@
     /// reports about a request.
     pub fn merge_remote_suspect(
         &mut self,
-        suspect: &Suspect,
+        suspect: &SuspectedRequest,
         now: Millis,
     ) -> QuarantineChange {
         self.merge_suspect(suspect, RELAY_TTL, now)
@@ -297,16 +297,17 @@
     /// for `broadcast_ttl` if the observation changed the case.
     fn merge_suspect(
         &mut self,
-        suspect: &Suspect,
+        suspect: &SuspectedRequest,
         broadcast_ttl: Millis,
         now: Millis,
     ) -> QuarantineChange {
         let now = now + CLOCK_OFFSET;
         let refused = suspect.rejected_for.unwrap_or_default();
-        if suspect.since_last_seen >= SUSPECT_TTL || refused >= REJECT_TTL {
+        if suspect.since_last_received >= SUSPECT_TTL || refused >= REJECT_TTL
+        {
             return QuarantineChange::None;
         }
-        let work = WorkDigest(suspect.work_digest);
+        let work = WorkDigest(suspect.request_hash);
         if !self.cases.contains_key(&work) {
             self.evict_if_full();
         }
@@ -315,7 +316,7 @@
             crashes: BTreeSet::new(),
             excused_crashes: Vec::new(),
             survived_by_target,
-            last_arrival: now - suspect.since_last_seen,
+            last_arrival: now - suspect.since_last_received,
             refused_since: None,
             suspended_until: None,
             broadcast_until: now,
@@ -326,9 +327,9 @@
             case.crashes.clear();
         }
         if now.since(case.last_arrival)
-            > suspect.since_last_seen + MAX_GOSSIP_DELAY
+            > suspect.since_last_received + MAX_GOSSIP_DELAY
         {
-            case.last_arrival = now - suspect.since_last_seen;
+            case.last_arrival = now - suspect.since_last_received;
         }
         let before = (
             case.crashes.len(),
@@ -338,12 +339,13 @@
         // A sender that doesn't report the survival, or still counts a crash
         // that was excused or retracted, has missed that update and would soon
         // refuse a request that every caller sends.
-        let mut missed_update = case.survived_by_target && !suspect.survived;
-        case.survived_by_target |= suspect.survived;
-        for crash in suspect.excused_crashes.iter().map(|it| CrashId(*it)) {
+        let mut missed_update =
+            case.survived_by_target && !suspect.survived_by_target;
+        case.survived_by_target |= suspect.survived_by_target;
+        for crash in suspect.excused_crash_ids.iter().map(|it| CrashId(*it)) {
             case.excuse_crash(crash);
         }
-        for crash in suspect.crashes.iter().map(|it| CrashId(*it)) {
+        for crash in suspect.crash_ids.iter().map(|it| CrashId(*it)) {
             if let Some(reported_at) = self.retracted.get_mut(&crash) {
                 *reported_at = now;
             } else if case.excused_crashes.contains(&crash) {
@@ -361,7 +363,7 @@
         // the same crash may have been delayed in a stalled process.
         let may_extend = after.0 > before.0 || case.suspended_until.is_none();
         let suspends =
-            may_extend && case.extend_suspension(suspect.suspended_for, now);
+            may_extend && case.extend_suspension(suspect.suspension_left, now);
         let has_changed = after != before || suspends;
         let is_relayed = case.crashes.len() >= MIN_RELAY_CRASHES
             || case.survived_by_target
@@ -457,14 +459,18 @@
 
     /// Returns the quarantine case of a request as a gossip message, to be
     /// sent or stored.
-    pub fn suspect(&self, work: WorkDigest, now: Millis) -> Option<Suspect> {
+    pub fn suspect(
+        &self,
+        work: WorkDigest,
+        now: Millis,
+    ) -> Option<SuspectedRequest> {
         let now = now + CLOCK_OFFSET;
         self.cases.get(&work).map(|it| it.to_suspect(work, now))
     }
 
     /// Returns the quarantine cases to broadcast: those of refused requests
     /// and those that changed recently.
-    pub fn broadcast_suspects(&self, now: Millis) -> Vec<Suspect> {
+    pub fn broadcast_suspects(&self, now: Millis) -> Vec<SuspectedRequest> {
         self.select_broadcast_suspects(now, |case, now| case.is_broadcast(now))
     }
 
@@ -473,7 +479,7 @@
     pub fn broadcast_and_suspended_suspects(
         &self,
         now: Millis,
-    ) -> Vec<Suspect> {
+    ) -> Vec<SuspectedRequest> {
         self.select_broadcast_suspects(now, |case, now| {
             case.is_broadcast(now) || case.remaining_suspension(now).is_some()
         })
@@ -486,7 +492,7 @@
         &self,
         now: Millis,
         is_selected: impl Fn(&QuarantineCase, Millis) -> bool,
-    ) -> Vec<Suspect> {
+    ) -> Vec<SuspectedRequest> {
         let now = now + CLOCK_OFFSET;
         let mut selected: Vec<(&WorkDigest, &QuarantineCase)> =
             self.cases.iter().filter(|it| is_selected(it.1, now)).collect();
@@ -506,13 +512,14 @@
 
     /// Returns the unexpired quarantine cases with the most crashes, for a
     /// peer that was unreachable.
-    pub fn snapshot(&self, now: Millis) -> Vec<Suspect> {
+    pub fn snapshot(&self, now: Millis) -> Vec<SuspectedRequest> {
         let now = now + CLOCK_OFFSET;
         let cases = self.cases.iter().filter(|it| !it.1.is_expired(now));
-        let mut cases: Vec<Suspect> =
+        let mut cases: Vec<SuspectedRequest> =
             cases.map(|it| it.1.to_suspect(*it.0, now)).collect();
-        cases
-            .sort_by_key(|it| (Reverse(it.crashes.len()), it.since_last_seen));
+        cases.sort_by_key(|it| {
+            (Reverse(it.crash_ids.len()), it.since_last_received)
+        });
         cases.truncate(MAX_BROADCAST_CASES);
         cases
     }
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -12,13 +12,13 @@
 
 use std::{collections::HashMap, rc::Rc};
 
-use cowsliproad_kernel::{Name, clock::Millis, position::Position};
+use cowsliproad_kernel::{Name, clock::Millis, position::LogPosition};
 use cowsliproad_platform::{
     catalog, log,
     log::{Client, Error, Page, Record},
     target,
 };
-use cowsliproad_routing::fleet::{StartTime, TargetChange};
+use cowsliproad_routing::fleet::{ProcessStartUnixMs, TargetChange};
 use rand::Rng;
 use slog::{info, warn};
 use tokio::time::sleep;
@@ -96,7 +96,7 @@
     topic: &'static str,
     client: Client,
     contact: Contact,
-    next: Option<Position>,
+    next: Option<LogPosition>,
     has_read: bool,
 }
 
@@ -106,7 +106,7 @@
     /// The records.
     pub records: Vec<Record>,
     /// The place after them.
-    pub end: Position,
+    pub end: LogPosition,
     /// Which records they are.
     pub scope: Scope,
 }
@@ -140,7 +140,7 @@
         entry: &Entry,
         hold: Millis,
     ) -> Result<Reading, Error> {
-        let is_over = |it: Position| it.era < entry.rollbacks.era();
+        let is_over = |it: LogPosition| it.era < entry.rollbacks.era();
         if self.next.is_some_and(is_over) {
             self.next = None;
             sleep(entry.reading_delay().duration()).await;
@@ -212,7 +212,7 @@
         let Some(raw) = &record.value else { continue };
         match catalog::decode(raw) {
             Ok(catalog) => {
-                peers::meet(entry, catalog.version()).await;
+                peers::meet(entry, catalog.config_version()).await;
                 return entry.adopt(catalog, raw.clone(), Source::Log);
             }
             Err(error) => {
@@ -234,7 +234,7 @@
                 let found = entry
                     .readings
                     .borrow_mut()
-                    .record_own_read(now, reading.end);
+                    .record_own_log_read(now, reading.end);
                 entry.note_gap(found, now);
                 take(&entry, &reading, now);
                 // What was back by then has been read.
@@ -261,8 +261,9 @@
     let patience = jittered(period);
     loop {
         let now = Millis::now();
-        let wait = entry.readings.borrow().time_until_next_read(patience, now);
-        let lapse = entry.fleet.borrow().next_withdrawal();
+        let wait =
+            entry.readings.borrow().time_until_next_log_read(patience, now);
+        let lapse = entry.fleet.borrow().next_withdrawal_due_at();
         let wait = lapse.map_or(wait, |at| wait.min(at.since(now)));
         if wait == Millis(0) {
             return;
@@ -289,23 +290,23 @@
     if reading.scope == Scope::First {
         // Others told of the targets known so far, and the log may have come
         // back from a copy that lacks them.
-        entry.fleet.borrow_mut().start_renewal_grace(now);
+        entry.fleet.borrow_mut().start_record_renewal_grace(now);
     }
-    let listed: HashMap<&str, StartTime> =
+    let listed: HashMap<&str, ProcessStartUnixMs> =
         records.iter().filter_map(start).collect();
     let gone = entry
         .fleet
         .borrow_mut()
-        .withdraw_unlisted(|id| listed.get(id).copied(), now);
+        .withdraw_unlisted_targets(|id| listed.get(id).copied(), now);
     note_gone(entry, &gone);
 }
 
 /// Which start of a target a record is of. One of another writer may hide a
 /// target, and counts as its newest.
-fn start(record: &Record) -> Option<(&str, StartTime)> {
+fn start(record: &Record) -> Option<(&str, ProcessStartUnixMs)> {
     let raw = record.value.as_ref()?;
     let start = target::decode(&record.key, raw).map(|it| it.start);
-    Some((&record.key, start.unwrap_or(StartTime(u64::MAX))))
+    Some((&record.key, start.unwrap_or(ProcessStartUnixMs(u64::MAX))))
 }
 
 fn note_gone(entry: &Entry, gone: &[Name]) {
@@ -322,13 +323,17 @@
     source: Source,
 ) -> TargetChange {
     let change = match &record.value {
-        None => entry.fleet.borrow_mut().merge_withdrawal(&record.key, now),
+        None => {
+            entry.fleet.borrow_mut().merge_target_withdrawal(&record.key, now)
+        }
         Some(raw) => match target::decode(&record.key, raw) {
             Ok(target) => {
                 let id = target.id.clone();
                 entry.note_announcement(&target, now);
-                let change =
-                    entry.fleet.borrow_mut().merge_announcement(target, now);
+                let change = entry
+                    .fleet
+                    .borrow_mut()
+                    .merge_target_announcement(target, now);
                 if entry.fleet.borrow().is_ready(&id) {
                     entry.announced.borrow_mut().insert(id, raw.clone());
                 }
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -12,11 +12,14 @@
     Name,
     clock::Millis,
     gossip::{self, Datagram, GossipDigest},
-    position::Position,
+    position::LogPosition,
 };
 use cowsliproad_routing::{
-    fleet::{GossipedDeparture, StartTime, Target},
-    owner::{self, LimitOwner, Liveness, OwnerCandidate},
+    fleet::{GossipedDeparture, ProcessStartUnixMs, Target},
+    owner::{
+        self, EntryProcessLiveness, RateLimiterOwner,
+        RateLimiterOwnerCandidate,
+    },
 };
 use rand::seq::IteratorRandom;
 use slog::{info, warn};
@@ -117,17 +120,19 @@
     }
 
     fn hear(&mut self, digest: &GossipDigest, now: Millis) -> bool {
-        self.newest = self.newest.max((digest.config_version, digest.address));
-        let known = self.known.get(&digest.address);
+        self.newest =
+            self.newest.max((digest.config_version, digest.sender_address));
+        let known = self.known.get(&digest.sender_address);
         let peer = Peer {
-            vm: digest.vm.clone(),
-            zone: digest.zone.clone(),
+            vm: digest.sender_vm.clone(),
+            zone: digest.sender_zone.clone(),
             heard: now,
             mute_until: known.map_or(Millis(0), |it| it.mute_until),
         };
         // A VM that was replaced speaks from another address.
-        self.known.retain(|at, it| it.vm != peer.vm || *at == digest.address);
-        self.known.insert(digest.address, peer).is_none()
+        self.known
+            .retain(|at, it| it.vm != peer.vm || *at == digest.sender_address);
+        self.known.insert(digest.sender_address, peer).is_none()
     }
 
     /// The entry that keeps the pace of a target, this one too.
@@ -136,20 +141,24 @@
         target: &Target,
         own_zone: &Name,
         now: Millis,
-    ) -> LimitOwner<SocketAddr> {
+    ) -> RateLimiterOwner<SocketAddr> {
         let silence = self.silence();
-        let own = OwnerCandidate {
+        let own = RateLimiterOwnerCandidate {
             address: self.own,
             zone: own_zone,
-            liveness: Liveness::Responsive,
+            liveness: EntryProcessLiveness::Responsive,
         };
         let others = self.known.iter().map(|(address, peer)| {
             let silent = now.since(peer.heard) >= silence;
             let liveness = match silent || peer.mute_until > now {
-                true => Liveness::Unresponsive,
-                false => Liveness::Responsive,
+                true => EntryProcessLiveness::Unresponsive,
+                false => EntryProcessLiveness::Responsive,
             };
-            OwnerCandidate { address: *address, zone: &peer.zone, liveness }
+            RateLimiterOwnerCandidate {
+                address: *address,
+                zone: &peer.zone,
+                liveness,
+            }
         });
         owner::choose_limiter_owner(target, own, others)
     }
@@ -183,7 +192,7 @@
     }
 
     fn silence(&self) -> Millis {
-        owner::silence_timeout(self.known.len(), MAX_RECIPIENTS)
+        owner::digest_silence_timeout(self.known.len(), MAX_RECIPIENTS)
     }
 
     /// Notes entries that others speak of.
@@ -226,7 +235,7 @@
         entry.measure.knows_limits(entry.limits_known());
         // Some requests count cooldowns as longer.
         let over = now - MAX_STAGGER - PROBE_PERIOD;
-        entry.cooldowns.borrow_mut().remove_expired(over);
+        entry.cooldowns.borrow_mut().remove_expired_cooldowns(over);
         entry.measure.knows_cooling(
             entry.cooldowns.borrow().active_cooldown_count(now),
         );
@@ -245,38 +254,39 @@
 fn digest(entry: &Entry, update: Update, now: Millis) -> GossipDigest {
     let since = now - entry.rollbacks.departures(now).unwrap_or(DEPARTURE_TTL);
     let fleet = entry.fleet.borrow();
-    let (suspects, lives) = entry.quarantine.borrow().updates(update, now);
-    let (mut left, mut withdrawn) = (Vec::new(), Vec::new());
-    for (id, departure) in fleet.departures_since(since) {
+    let (suspected_requests, lives) =
+        entry.quarantine.borrow().updates(update, now);
+    let (mut left, mut withdrawn_targets) = (Vec::new(), Vec::new());
+    for (id, departure) in fleet.target_departures_since(since) {
         match departure {
             GossipedDeparture::Announced(start) => {
                 left.push((id.clone(), start.0))
             }
             GossipedDeparture::Withdrawn(start, last) => {
-                withdrawn.push((id.clone(), start.0, last));
+                withdrawn_targets.push((id.clone(), start.0, last));
             }
         }
     }
     GossipDigest {
-        vm: entry.settings().vm.clone(),
-        address: entry.settings().peer_address(),
+        sender_vm: entry.settings().vm.clone(),
+        sender_address: entry.settings().peer_address(),
         config_version: entry.version(),
         log_era: entry.rollbacks.era(),
         targets_read_age_ms: now
-            .since(entry.readings.borrow().last_read_at())
+            .since(entry.readings.borrow().last_log_read_at())
             .0,
-        last_change_offset: entry
+        last_target_change_offset: entry
             .readings
             .borrow()
-            .last_change_position()
+            .last_target_change_log_position()
             .offset,
-        departed: left,
-        withdrawn,
+        departed_targets: left,
+        withdrawn_targets,
         peers: entry.peers.borrow().known.keys().copied().collect(),
-        zone: entry.settings().zone.clone(),
-        suspects,
-        retracted_crashes: lives,
-        limits: entry.limit_updates(update, now),
+        sender_zone: entry.settings().zone.clone(),
+        suspected_requests,
+        retracted_crash_ids: lives,
+        rate_limits: entry.limit_updates(update, now),
     }
 }
 
@@ -306,8 +316,9 @@
             }
             Some(Datagram::Load(load)) => {
                 agents::take_load(&entry, &load);
-                if load.list_id == 0 {
-                    agents::introduce(&entry, &socket, load.target).await;
+                if load.target_list_id == 0 {
+                    agents::introduce(&entry, &socket, load.engine_address)
+                        .await;
                 }
             }
             Some(Datagram::EngineExit(lost)) => {
@@ -325,23 +336,31 @@
 async fn hear(entry: &Rc<Entry>, socket: &UdpSocket, heard: GossipDigest) {
     let now = Millis::now();
     entry.learn_era(heard.log_era, Source::Peer);
-    let left = heard.departed.iter();
-    let left =
-        left.map(|it| (&it.0, GossipedDeparture::Announced(StartTime(it.1))));
-    let withdrawn = heard.withdrawn.iter();
+    let left = heard.departed_targets.iter();
+    let left = left.map(|it| {
+        (&it.0, GossipedDeparture::Announced(ProcessStartUnixMs(it.1)))
+    });
+    let withdrawn = heard.withdrawn_targets.iter();
     let withdrawn = withdrawn.map(|it| {
-        (&it.0, GossipedDeparture::Withdrawn(StartTime(it.1), it.2))
+        (&it.0, GossipedDeparture::Withdrawn(ProcessStartUnixMs(it.1), it.2))
     });
     for (id, departure) in left.chain(withdrawn) {
-        let change =
-            entry.fleet.borrow_mut().merge_departure(id, departure, now);
+        let change = entry
+            .fleet
+            .borrow_mut()
+            .merge_gossiped_departure(id, departure, now);
         entry.changed(id, change, Source::Peer);
     }
-    entry.heard_from(&heard.zone, now);
-    entry.hear_suspects(&heard.suspects, &heard.retracted_crashes, now);
-    entry.hear_limits(&heard.limits, now);
+    entry.heard_from(&heard.sender_zone, now);
+    entry.hear_suspects(
+        &heard.suspected_requests,
+        &heard.retracted_crash_ids,
+        now,
+    );
+    entry.hear_limits(&heard.rate_limits, now);
     let at = now - Millis(heard.targets_read_age_ms);
-    let changed = Position::new(heard.log_era, heard.last_change_offset);
+    let changed =
+        LogPosition::new(heard.log_era, heard.last_target_change_offset);
     entry.note_reading(at, changed, now);
     let (is_new, others) = {
         let mut peers = entry.peers.borrow_mut();
@@ -349,15 +368,15 @@
     };
     entry.met.notify_waiters();
     if is_new {
-        info!(entry.log, "peer_met"; "peer" => &*heard.vm,
-            "address" => %heard.address);
+        info!(entry.log, "peer_met"; "peer" => &*heard.sender_vm,
+            "address" => %heard.sender_address);
     }
     // One that starts waits for it.
     let starts = heard.config_version == 0 && entry.version() > 0;
     if is_new || starts {
         let own =
             gossip::encode(&Datagram::Digest(digest(entry, Update::All, now)));
-        for other in others.into_iter().chain([heard.address]) {
+        for other in others.into_iter().chain([heard.sender_address]) {
             send(entry, socket, &own, other).await;
         }
     }
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -21,13 +21,13 @@
     id,
     sync::lock,
     wire::{
-        AgentLoad, AnswerData, AnswerEnd, Failure, Frame, Heartbeat, Phase,
-        Presence, Refusal,
+        AgentLoad, AnswerData, AnswerEnd, AttemptRefusal, Frame, Heartbeat,
+        ProcessPhase, RequestFailure, TargetPresence,
     },
 };
 use cowsliproad_net::link::{SendError, Sender};
 use cowsliproad_routing::{
-    health::{self, Admission, Health},
+    health::{self, AttemptAdmission, TargetHealth},
     score::TargetCandidate,
 };
 use tokio::{sync::mpsc, task::AbortHandle};
@@ -62,7 +62,7 @@
     sent_since: u32,
     done_since: u32,
     in_flight: u32,
-    health: Health,
+    health: TargetHealth,
 }
 
 /// A link to an agent and the attempts on it.
@@ -83,7 +83,7 @@
     /// The end of the answer.
     End(AnswerEnd),
     /// The attempt ended without an answer.
-    Refused(Failure),
+    Refused(RequestFailure),
     /// The link broke.
     Lost,
 }
@@ -155,7 +155,7 @@
     /// Takes a heartbeat in.
     pub fn take_beat(&self, beat: Heartbeat, now: Millis) {
         let mut stats = lock(&self.stats);
-        stats.health.set_retry_after(now, beat.cooldown);
+        stats.health.set_retry_after(now, beat.target_cooldown);
         stats.beat = Some(beat);
         stats.beat_at = now;
         stats.sent_since = 0;
@@ -176,16 +176,18 @@
         linked
             && beat.is_some_and(|it| {
                 it.incarnation == incarnation
-                    || it.inherited_incarnations.contains(&incarnation)
+                    || it.taken_over_incarnations.contains(&incarnation)
             })
     }
 
     /// Whether new work may go there, leaving health aside.
     pub fn is_open(&self) -> bool {
         let stats = lock(&self.stats);
-        let serving =
-            stats.beat.as_ref().is_some_and(|it| it.phase == Phase::Serving);
-        let here = stats.presence() == Presence::Here;
+        let serving = stats
+            .beat
+            .as_ref()
+            .is_some_and(|it| it.phase == ProcessPhase::Serving);
+        let here = stats.presence() == TargetPresence::Here;
         drop(stats);
         serving
             && here
@@ -200,7 +202,7 @@
     }
 
     /// Whether health admits an attempt now.
-    pub fn admits(&self, now: Millis) -> Admission {
+    pub fn admits(&self, now: Millis) -> AttemptAdmission {
         lock(&self.stats).health.peek_admission(now)
     }
 
@@ -211,12 +213,12 @@
             stats.beat.as_ref().map_or(AgentLoad::default(), |it| it.load);
         let candidate = TargetCandidate {
             load,
-            sent_since_report: stats.sent_since,
-            completed_since_report: stats.done_since,
+            requests_sent_since_report: stats.sent_since,
+            requests_completed_since_report: stats.done_since,
             in_flight: stats.in_flight,
             zone_rtt_us,
             cached_prompt_percent: 0,
-            prefill_us: 0,
+            full_prompt_prefill_us: 0,
         };
         candidate.predicted_first_token_us()
     }
@@ -255,11 +257,11 @@
         let is_cooling = stats.health.cooldown_end(now).is_some();
         let state = match (linked, stats.presence(), open) {
             (false, _, _) => "unreachable",
-            (true, Presence::Gone, _) => "ended",
-            (true, Presence::Here, false) => "leaving",
-            (true, Presence::Here, true) if is_cooling => "cooling",
-            (true, Presence::Here, true) if is_ejected => "ejected",
-            (true, Presence::Here, true) => "serving",
+            (true, TargetPresence::Gone, _) => "ended",
+            (true, TargetPresence::Here, false) => "leaving",
+            (true, TargetPresence::Here, true) if is_cooling => "cooling",
+            (true, TargetPresence::Here, true) if is_ejected => "ejected",
+            (true, TargetPresence::Here, true) => "serving",
         };
         let beat = stats.beat.as_ref();
         Status {
@@ -273,8 +275,8 @@
 
 impl Stats {
     /// Whether the target's process is there, by its agent's last word.
-    fn presence(&self) -> Presence {
-        self.beat.as_ref().map_or(Presence::Here, |it| it.presence)
+    fn presence(&self) -> TargetPresence {
+        self.beat.as_ref().map_or(TargetPresence::Here, |it| it.presence)
     }
 }
 
@@ -317,10 +319,14 @@
     /// Gives a frame to its attempt, if it is for one.
     pub fn deliver(&self, frame: Frame) {
         let (attempt, event) = match frame {
-            Frame::Accepted(it) => (it.attempt, Event::Accepted(it.request)),
+            Frame::RequestAccepted(it) => {
+                (it.attempt, Event::Accepted(it.request))
+            }
             Frame::Data(it) => (it.attempt, Event::Data(it)),
             Frame::End(it) => (it.attempt, Event::End(it)),
-            Frame::Refusal(it) => (it.attempt, Event::Refused(failure(it))),
+            Frame::AttemptRefusal(it) => {
+                (it.attempt, Event::Refused(failure(it)))
+            }
             _ => return,
         };
         // An attempt that is not listened to any more is dropped here.
@@ -336,8 +342,8 @@
     }
 }
 
-fn failure(refusal: Refusal) -> Failure {
-    Failure {
+fn failure(refusal: AttemptRefusal) -> RequestFailure {
+    RequestFailure {
         code: refusal.code,
         ran: refusal.ran,
         retry_after: refusal.retry_after,
@@ -345,7 +351,7 @@
 }
 
 /// How a failure counts for the target that reported it.
-pub fn outcome(failure: &Failure) -> Outcome {
+pub fn outcome(failure: &RequestFailure) -> Outcome {
     match failure.code {
         Code::TargetFailed | Code::TimedOut | Code::LinkLost => {
             Outcome::Failed
--- a/cowsliproad-rank/src/agent/readings.rs
+++ b/cowsliproad-rank/src/agent/readings.rs
@@ -28,8 +28,10 @@
             }
             Err(error) => {
                 if self.state.take().is_some() {
-                    let cooldown =
-                        self.engine.cooldown().remaining_time(Millis::now());
+                    let cooldown = self
+                        .engine
+                        .cooldown()
+                        .remaining_cooldown_time(Millis::now());
                     info!(self.log, "engine_lost"; "error" => %error,
                         "cooldown" => cooldown.0);
                 }
@@ -84,9 +86,9 @@
         let (Some(shape), Some(report)) = (&self.shape, self.report()) else {
             return;
         };
-        let experts = usize::from(shape.experts_per_set);
-        let numbers =
-            u64::from(shape.layer_sets) * u64::from(shape.experts_per_set);
+        let experts = usize::from(shape.experts_per_layer_set);
+        let numbers = u64::from(shape.layer_sets)
+            * u64::from(shape.experts_per_layer_set);
         let round = Millis(numbers * u64::from(report.ranks) / COUNT_RATE);
         let Some((_, to, _)) = self.word else { return };
         let (rank, ranks) = (report.rank, report.ranks);
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -7,7 +7,7 @@
     sync::Arc,
 };
 
-use cowsliproad_kernel::{clock::Millis, gossip::Subscribe};
+use cowsliproad_kernel::{clock::Millis, gossip::LoadSubscription};
 use cowsliproad_mapswitch::order::{
     Coordinator, CoordinatorConfig, Directive, ExpertsByLayerAndRank,
     GroupState, MissingRanks, ObeyedCoordinator, Order, RankSnapshot,
@@ -172,7 +172,7 @@
     }
 
     /// Goes on by what all ranks report now.
-    pub fn advance(&mut self, shape: Option<&Subscribe>, now: Millis) {
+    pub fn advance(&mut self, shape: Option<&LoadSubscription>, now: Millis) {
         let snapshots = self.snapshots(now);
         let absent = self.absent(shape, now);
         let event = self.coordinator.advance_switch(&snapshots, absent, now);
@@ -222,7 +222,11 @@
     }
 
     /// Who of the group is missing among them.
-    fn absent(&self, shape: Option<&Subscribe>, now: Millis) -> MissingRanks {
+    fn absent(
+        &self,
+        shape: Option<&LoadSubscription>,
+        now: Millis,
+    ) -> MissingRanks {
         let fresh = |it: &&(Status, Millis)| now.since(it.1) < FRESH;
         let fresh: Vec<&Status> =
             self.ranks.values().filter(fresh).map(|it| &it.0).collect();
@@ -307,22 +311,22 @@
     /// Begins a better map if there is one.
     fn consider(
         &mut self,
-        shape: &Subscribe,
+        shape: &LoadSubscription,
         snapshots: &[RankSnapshot],
         now: Millis,
     ) {
         let Some(loads) = self.demand.current_loads() else { return };
         let shape_of_map = Shape {
             rank_count: snapshots.len(),
-            expert_count: usize::from(shape.experts_per_set),
+            expert_count: usize::from(shape.experts_per_layer_set),
             layer_count: usize::from(shape.layer_sets),
-            slots_per_rank: usize::from(shape.slots_per_set),
+            slots_per_rank: usize::from(shape.expert_slots_per_layer_set),
         };
         let Some(present) = self.present(shape_of_map, snapshots) else {
             return;
         };
         let config = live::LivePlanConfig::new(usize::from(
-            shape.max_new_experts_per_set,
+            shape.max_new_experts_per_layer_set,
         ))
         .with_max_new_experts_per_rank(burst(Millis(shape.expert_copy_ms)))
         .with_copy_cost(self.price);
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -12,7 +12,7 @@
 use std::collections::{HashSet, VecDeque};
 
 use cowsliproad::{
-    kernel::position::{Era, Position},
+    kernel::position::{LogEra, LogPosition},
     mapswitch::order::fence,
 };
 
@@ -26,7 +26,7 @@
 /// Derives a fencing number from a record's position and the log's era that
 /// the agent knew before its call; `None` if the agent must not use the
 /// record.
-type FencingNumberRule = fn(Position, Era) -> Option<u64>;
+type FencingNumberRule = fn(LogPosition, LogEra) -> Option<u64>;
 
 /// An unanswered call that appends a record to the log.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
@@ -120,11 +120,12 @@
                     offset,
                     record_sequence,
                 }) => add_next_state(&|it| {
-                    let record = Position::new(Era(it.era), offset);
+                    let record = LogPosition::new(LogEra(it.era), offset);
                     let agent = &mut it.agents[index];
                     agent.append_call = None;
                     agent.known_era = it.era;
-                    if let Some(fencing_number) = rule(record, Era(known_era))
+                    if let Some(fencing_number) =
+                        rule(record, LogEra(known_era))
                     {
                         agent.fencing_number =
                             Some((fencing_number, record_sequence));
@@ -209,7 +210,7 @@
 
 #[test]
 fn exhausted_fencing_numbers_are_none() {
-    let position = |era, offset| Position::new(Era(era), offset);
+    let position = |era, offset| LogPosition::new(LogEra(era), offset);
     assert_eq!(fence::fencing_number(position(0, 0)), Some(1));
     assert!(
         fence::fencing_number(position(1, 0))
