--- a/cowsliproad-entry/src/admin.rs
+++ b/cowsliproad-entry/src/admin.rs
@@ -1,9 +1,9 @@
 //! The operators' gRPC interface, described by `proto/admin.proto`.
 //!
-//! A change is answered as accepted only after its record was read back
-//! from the log with that verdict. When the log's answer is lost the entry
-//! reads on; if the record doesn't show in time, the outcome is unknown and
-//! the operator sends the same command again, which is safe.
+//! A change is reported as accepted only after its record was read back from
+//! the log with that verdict. When the response of the log is lost, the entry
+//! process reads on. If the record does not appear in time, the outcome is
+//! unknown and the operator sends the same command again, which is safe.
 
 use std::{pin::Pin, sync::Arc, time::Duration};
 
@@ -32,15 +32,15 @@
     log::{self, Append},
 };
 
-/// How long a record may take to be read back.
+/// How long the record of a command may take to be read back from the log.
 const READ_BACK: Duration = Duration::from_secs(4);
 
-/// The interface.
+/// Handles the gRPC requests of operators.
 pub struct Admin {
     shared: Arc<Shared>,
 }
 
-/// Serves operators until connections are no longer accepted.
+/// Serves operators until the process no longer accepts connections.
 pub async fn serve(
     shared: Arc<Shared>,
     listener: Listener,
@@ -156,6 +156,8 @@
 }
 
 impl Admin {
+    /// Checks a change without applying it in a dry run; otherwise appends the
+    /// change to the log and waits for its verdict.
     async fn change(
         &self,
         command: id::Command,
@@ -176,7 +178,7 @@
         if fold::decode_record(&fold::encode_record(&record)).as_ref()
             != Some(&record)
         {
-            // A record that replicas can't read would never get a verdict.
+            // A record that replicas cannot decode would never get a verdict.
             return refused(Code::BadObject, "the object doesn't encode");
         }
         let append = log::append(&self.shared, &record).await;
@@ -196,7 +198,8 @@
         }
     }
 
-    /// Waits until the command's record was folded in.
+    /// Waits until the record of a command is read back, and returns its
+    /// verdict, or `None` after the timeout.
     async fn read_back(&self, command: id::Command) -> Option<Verdict> {
         let deadline = Instant::now() + READ_BACK;
         let mut published = self.shared.published.subscribe();
@@ -209,10 +212,12 @@
         }
     }
 
+    /// The verdict of a command in the published configuration state.
     fn verdict(&self, command: id::Command) -> Option<Verdict> {
         self.shared.published.load().state.verdict(command)
     }
 
+    /// Logs the verdict of a command and returns it as a reply.
     fn tell(
         &self,
         command: id::Command,
--- a/cowsliproad-entry/src/answer.rs
+++ b/cowsliproad-entry/src/answer.rs
@@ -1,5 +1,5 @@
-//! How an answer is written to a caller: as one JSON document, or as a
-//! stream of server-sent events.
+//! Writes an answer to a caller, as one JSON document or as a stream of
+//! server-sent events.
 
 use std::convert::Infallible;
 
@@ -14,10 +14,10 @@
 
 use crate::forward::{Forward, Item};
 
-/// The header that carries the resume token.
+/// The HTTP header that carries the resume token.
 pub const TOKEN_HEADER: &str = "request-token";
 
-/// Waits for the whole answer and writes it as JSON.
+/// Waits for the whole answer and returns it as a JSON document.
 pub async fn whole(mut forward: Forward) -> (Response, Option<Failure>) {
     let mut bytes = Vec::new();
     let mut token = String::new();
@@ -39,10 +39,12 @@
             }
         }
     }
-    // The machine always ends with one of the two items above.
+    // A [`Forward`] always ends with `Item::Done` or `Item::Failed`.
     (reply::text(StatusCode::INTERNAL_SERVER_ERROR, ""), None)
 }
 
+/// Wraps a text answer in a JSON document. A JSON answer is returned as it
+/// stands.
 fn document(format: AnswerFormat, bytes: Vec<u8>) -> String {
     let text = String::from_utf8_lossy(&bytes);
     match format {
@@ -51,7 +53,8 @@
     }
 }
 
-/// Says that the request is kept and how to reclaim its answer.
+/// The response for accepted work, with the resume token and the path at which
+/// the caller reclaims the answer.
 pub fn accepted(token: &str) -> Response {
     let body = json!({
         "token": token,
@@ -71,13 +74,15 @@
     }
 }
 
-/// What a streamed response keeps alive, and is told at its end.
+/// A value that lives as long as a streamed response and is notified when the
+/// answer ends.
 pub trait Companion: Send + 'static {
-    /// The answer ended.
+    /// Called when the answer is complete, or ended with a failure.
     fn ended(&mut self, failure: Option<&Failure>);
 }
 
-/// Writes an answer as it comes, once its first item is known to be good.
+/// Streams an answer as server-sent events. The caller of this function has
+/// checked that `first` is not a failure.
 pub fn stream<C: Companion>(
     forward: Forward,
     first: Item,
@@ -111,11 +116,12 @@
     response
 }
 
+/// The state of an answer that is written as server-sent events.
 struct Streaming<C> {
     forward: Forward,
     first: Option<Item>,
     offset: u64,
-    /// The start of a character whose end has not come.
+    /// The first bytes of a UTF-8 character whose last bytes have not arrived.
     rest: Vec<u8>,
     companion: C,
 }
@@ -172,7 +178,7 @@
         let whole = match std::str::from_utf8(&self.rest) {
             Ok(text) => text.len(),
             Err(error) if error.error_len().is_none() => error.valid_up_to(),
-            // Not text at all: shown with replacement characters.
+            // Bytes that are not UTF-8 are sent with replacement characters.
             Err(_) => self.rest.len(),
         };
         if whole == 0 {
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' HTTP interface. `docs/CALLERS.md` describes it.
+//! The HTTP interface for callers, which `docs/CALLERS.md` describes.
 
 mod finish;
 mod head;
@@ -44,42 +44,47 @@
     view::{InFlight, Organisation, Service},
 };
 
-/// The header that carries a ticket.
+/// The HTTP header that carries a ticket.
 pub const TICKET_HEADER: &str = "request-ticket";
 
-/// The most tickets given out at once.
+/// The maximum number of tickets issued by one HTTP request.
 const MAX_TICKETS: u64 = 100;
 
-/// How long a caller that asks for a kept answer as JSON waits for its end.
+/// How long a caller that reclaims a kept answer as JSON waits for the end of
+/// the answer.
 const RECLAIM_WAIT: Millis = Millis(20_000);
 
-/// How long a cancel may take.
+/// How long the agent may take to answer a cancel frame.
 const CANCEL_WAIT: Duration = Duration::from_secs(2);
 
-/// When to come back for an answer that is still being worked on.
+/// The `Retry-After` of a response about unfinished work, or about a service
+/// without a reachable target.
 const NOT_YET: Millis = Millis(1_000);
 
-/// When to come back after the organisation's limit was met.
+/// The `Retry-After` of a response to a request that exceeds a limit on
+/// requests in flight, or that arrives before the entry process has a
+/// configuration.
 const OVER_SHARE: Millis = Millis(200);
 
-/// The interface.
+/// Handles the HTTP requests of callers.
 #[derive(Debug)]
 pub struct Api {
     shared: Arc<Shared>,
 }
 
-/// What is known of a request once its head was checked.
+/// The organisation, service and request type of an HTTP request whose head
+/// was checked.
 struct Checked {
     organisation: Arc<Organisation>,
     service: Arc<Service>,
     request_type: Arc<RequestType>,
 }
 
-/// A refusal with its explanation.
+/// The problem document of a refused HTTP request.
 struct Refused {
     failure: Failure,
     detail: String,
-    /// A ticket to send again with.
+    /// A new ticket with which the caller can send the request again.
     ticket: Option<String>,
 }
 
@@ -98,7 +103,8 @@
     }
 }
 
-/// How the caller wants its answer.
+/// How a caller receives an answer: whole, as a stream of events, or later by
+/// its resume token.
 #[derive(Clone, Copy, Eq, PartialEq)]
 enum Delivery {
     Whole,
@@ -121,7 +127,7 @@
 }
 
 impl Api {
-    /// The interface of an entry.
+    /// Creates the handler of callers' HTTP requests.
     pub fn new(shared: Arc<Shared>) -> Api {
         Api { shared }
     }
@@ -139,8 +145,8 @@
                 let text = self.shared.metrics.text();
                 return reply::text(StatusCode::OK, &text);
             }
-            // Boxed, so that the common future stays small: the server
-            // moves it several times.
+            // Boxed to keep the common future small: the server moves it
+            // several times.
             (Method::GET, ["v1", "requests", token]) => {
                 Box::pin(self.reclaim(&request, token, guard)).await
             }
@@ -225,6 +231,7 @@
         Ok(deliver(forward, delivery, finish, 0).await)
     }
 
+    /// Reads out the kept answer of the request that a resume token names.
     async fn reclaim(
         &self,
         request: &Request,
@@ -254,6 +261,8 @@
         }
     }
 
+    /// Sends a cancel frame to the agent that answers for the process named by
+    /// a resume token.
     async fn cancel(
         &self,
         request: &Request,
@@ -315,7 +324,8 @@
         Ok(reply::json(StatusCode::OK, body.to_string()))
     }
 
-    /// Makes a ticket for the target that suits best now.
+    /// Signs a ticket for the target with the best score. If no target may be
+    /// used now, the ticket names the target whose cooldown ends first.
     fn mint(&self, checked: &Checked) -> Result<String, Refused> {
         let service = &checked.service;
         let found = choose::best(&self.shared, service, &[]);
@@ -342,8 +352,8 @@
         Ok(ticket::sign(&ticket, &self.shared.ticket_key))
     }
 
-    /// The target that takes work again first where all of them asked to be
-    /// left alone, if that is in time.
+    /// Returns the target whose cooldown ends first, if it ends before the
+    /// deadline of the request type.
     fn first_to_return(
         &self,
         checked: &Checked,
@@ -358,6 +368,8 @@
         })
     }
 
+    /// Checks the organisation key, the service, the request type and the
+    /// permission of the organisation to send the type.
     fn check(
         &self,
         request: &Request,
@@ -384,12 +396,12 @@
         Ok(Checked { organisation, service, request_type })
     }
 
-    /// Holds a place for the request, within the limits of this entry and of
-    /// the organisation.
+    /// Counts the request as in flight, within the limits of the entry process
+    /// and of the organisation.
     fn admit(&self, checked: &Checked) -> Result<InFlight, Refused> {
         let most = self.shared.settings.max_in_flight;
         let urgent = checked.request_type.urgency == Urgency::Urgent;
-        // The last tenth of the places is for urgent work.
+        // The last tenth of the places is reserved for urgent work.
         let most = if urgent { most } else { most - most / 10 };
         let full = self.shared.in_flight.load(Ordering::Relaxed) > most;
         let ran = Execution::NotForwarded;
@@ -405,6 +417,7 @@
         })
     }
 
+    /// Verifies the ticket of a request whose type requires one.
     fn ticket(
         &self,
         request: &Request,
@@ -432,7 +445,8 @@
         Ok(Some((text, ticket)))
     }
 
-    /// Nothing ran, and here is a ticket to send again with.
+    /// Refuses a request without a ticket as not run, and issues a ticket with
+    /// which the caller can send the request again.
     fn ask_for_ticket(&self, checked: &Checked) -> Refused {
         match self.mint(checked) {
             Ok(ticket) => {
@@ -444,6 +458,8 @@
         }
     }
 
+    /// Verifies that a resume token is genuine and belongs to the organisation
+    /// of the request.
     fn token(
         &self,
         request: &Request,
@@ -459,6 +475,8 @@
         Ok(token)
     }
 
+    /// Reads the request body within the size and time limits and checks that
+    /// it is one JSON value.
     async fn body(
         &self,
         request: Request,
@@ -510,7 +528,8 @@
     }
 }
 
-/// Waits for the token, which frames of the answer may overtake.
+/// Waits for the resume token of accepted work. Frames of the answer may
+/// arrive before the token and are ignored.
 async fn until_accepted(forward: &mut Forward) -> Result<String, Failure> {
     loop {
         match forward.next().await {
@@ -525,7 +544,8 @@
     }
 }
 
-/// Answers a failure that comes first as a plain problem document.
+/// Starts the event stream of an answer. A failure before the first answer
+/// item is returned as a plain problem document.
 async fn begin_stream<C: Companion>(
     mut forward: Forward,
     from: u64,
@@ -541,6 +561,8 @@
     }
 }
 
+/// Returns a kept answer as one document, or "accepted" with a `Retry-After`
+/// while the work is unfinished.
 async fn kept_document(forward: Forward) -> Response {
     let (response, failure) = answer::whole(forward).await;
     match failure {
@@ -554,8 +576,8 @@
     }
 }
 
-/// A refusal of something the entry itself looked at, so that this attempt
-/// did not leave it.
+/// Refuses a request that the entry process checked itself, so that the
+/// request was not forwarded.
 fn refused(code: Code, detail: &str) -> Refused {
     let failure = Failure::new(code, Execution::NotForwarded);
     Refused { detail: detail.into(), ..Refused::new(failure) }
--- a/cowsliproad-entry/src/callers/finish.rs
+++ b/cowsliproad-entry/src/callers/finish.rs
@@ -1,4 +1,4 @@
-//! What is kept while a request runs, and what is measured at its end.
+//! Counts requests in flight and records the metrics of finished requests.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -15,7 +15,7 @@
 
 use crate::{Shared, answer::Companion, view::InFlight};
 
-/// The instruments that callers' requests are measured with.
+/// The metrics of callers' requests.
 #[derive(Clone, Debug)]
 pub struct Instruments {
     results: Counter<u64>,
@@ -23,7 +23,7 @@
 }
 
 impl Instruments {
-    /// Makes the instruments.
+    /// Creates the metrics of callers' requests.
     pub fn new(meter: &Meter) -> Instruments {
         Instruments {
             results: meter.u64_counter("entry_results").build(),
@@ -32,7 +32,7 @@
     }
 }
 
-/// Counts a request in the entry while it lives.
+/// Keeps a request counted as in flight in the entry process until dropped.
 pub(super) struct EntryGuard {
     pub(super) shared: Arc<Shared>,
 }
@@ -43,7 +43,8 @@
     }
 }
 
-/// What is kept while a request runs, and written down at its end.
+/// Keeps a request counted as in flight, and records its metrics and logs its
+/// failure when its answer ends.
 pub(super) struct Finish {
     pub(super) shared: Arc<Shared>,
     pub(super) request: id::Request,
@@ -79,7 +80,8 @@
     }
 }
 
-/// A kept answer that is read out is not measured as a request.
+/// Keeps a reclaim of a kept answer counted as in flight. A reclaim is not
+/// recorded in the request metrics.
 pub(super) struct Ignored {
     pub(super) _guard: EntryGuard,
 }
--- a/cowsliproad-entry/src/callers/head.rs
+++ b/cowsliproad-entry/src/callers/head.rs
@@ -1,4 +1,4 @@
-//! What a request's head says.
+//! Reads the headers of a caller's HTTP request.
 
 use std::sync::Arc;
 
@@ -13,16 +13,17 @@
 use super::{Delivery, OVER_SHARE, Refused, refused};
 use crate::view::{Organisation, View};
 
-/// The longest idempotency key.
+/// The maximum length of an idempotency key, in bytes.
 const MAX_KEY: usize = 128;
 
-/// Who asks, by its bearer token.
+/// Finds the organisation whose key is the bearer token of an HTTP request.
 pub(super) fn organisation(
     request: &Request,
     view: &View,
 ) -> Result<Arc<Organisation>, Refused> {
     if view.services.is_empty() {
-        // Nobody's key is known yet, so no key can be called wrong.
+        // Without a configuration no organisation key is known, so no key can
+        // be rejected as wrong.
         let failure = Failure::new(Code::NotReady, Execution::NotForwarded);
         return Err(Refused::new(failure.with_retry_after(OVER_SHARE)));
     }
@@ -39,7 +40,8 @@
         .ok_or_else(|| refused(Code::WrongKey, ""))
 }
 
-/// How the answer is wanted.
+/// Reads from the `Prefer` and `Accept` headers how the caller receives the
+/// answer.
 pub(super) fn delivery(request: &Request) -> Delivery {
     let has = |name: &str, value: &str| {
         let given = request.headers().get(name);
@@ -56,7 +58,7 @@
     }
 }
 
-/// The idempotency key, if one was sent.
+/// Reads the idempotency key of an HTTP request, if the caller sent one.
 pub(super) fn idempotency_key(
     request: &Request,
 ) -> Result<Option<Name>, Refused> {
--- a/cowsliproad-entry/src/choose.rs
+++ b/cowsliproad-entry/src/choose.rs
@@ -1,4 +1,4 @@
-//! The choice of a target, and its log line.
+//! Chooses the target of an attempt and logs the choice.
 
 use std::sync::{Arc, atomic::Ordering};
 
@@ -11,7 +11,7 @@
 
 use crate::{Shared, forward::Order, target::Target, view::Service};
 
-/// Chooses the target of an attempt, leaving out those tried before.
+/// Chooses the target of an attempt. Targets in `tried` are left out.
 pub fn target(
     shared: &Shared,
     order: &Order,
@@ -32,8 +32,9 @@
     chosen.cloned()
 }
 
-/// The best of a few sampled targets of a service. When more targets are
-/// left out for their failures than can be believed, none is.
+/// Chooses the target with the best score from a few sampled targets of a
+/// service. Ejected targets are left out, unless so many targets of the
+/// service are ejected that the ejections are ignored.
 pub fn best(
     shared: &Shared,
     service: &Service,
@@ -55,17 +56,21 @@
     choice::choose_target(targets.len(), &mut rand::rng(), score)
 }
 
+/// Whether a target accepts new work, is not in `tried` and is not in a
+/// cooldown.
 fn is_usable(target: &Target, tried: &[Name], now: Millis) -> bool {
     is_open(target, tried) && target.cooldown_end(now).is_none()
 }
 
+/// Whether a target accepts new work and is not in `tried`. Cooldowns are
+/// ignored.
 fn is_open(target: &Target, tried: &[Name]) -> bool {
     target.is_open() && !tried.contains(&target.name)
 }
 
-/// Of the targets that asked to be left alone the one that takes work again
-/// first, if that is before `deadline`. Otherwise how long none does; nothing
-/// where none asked.
+/// Returns the target whose cooldown ends first, if it ends before `deadline`.
+/// Otherwise returns as the error the time left until the first cooldown ends,
+/// or `None` if no target is in a cooldown.
 pub fn first_to_return(
     service: &Service,
     tried: &[Name],
@@ -80,8 +85,9 @@
     }
 }
 
-/// The weight of a target for an idempotency key: resends of one request go
-/// to the same target through any entry.
+/// The rendezvous hash of a target for an idempotency key. Every entry process
+/// sends resends of a request to the same target, the one with the highest
+/// hash.
 fn steer(organisation: &str, key: &str, target: &str) -> [u8; 32] {
     let mut hasher = blake3::Hasher::new();
     for part in [organisation, key, target] {
@@ -91,6 +97,8 @@
     *hasher.finalize().as_bytes()
 }
 
+/// Logs the chosen target of an attempt, how the target was selected, and the
+/// runner-up.
 fn log(
     shared: &Shared,
     order: &Order,
--- a/cowsliproad-entry/src/control.rs
+++ b/cowsliproad-entry/src/control.rs
@@ -1,9 +1,9 @@
 //! The control task, which alone owns the configuration replica.
 //!
-//! Events come in through one queue, from the log, from peers and from the
-//! VM list. After each batch a new [`View`] is published. Records are kept
-//! for a while as they came, so that a peer that lags a little is sent the
-//! records and only one that lags much is sent the whole state.
+//! Events arrive through one queue from the log, from peers and from the VM
+//! list. After each batch a new [`View`] is published. Recent records are kept
+//! unchanged, so that a peer that lags a little is sent only the missing
+//! records, and the whole state is sent only to a peer that lags further.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -28,42 +28,45 @@
 
 use crate::{Shared, links, target::Target, view::View};
 
-/// Records that are kept as they came.
+/// The maximum number of recent configuration records kept for peers that lag.
 const RECENT: usize = 1024;
 
-/// A snapshot that is due is never smaller than this, in bytes.
+/// The minimum size of a snapshot that is due, in bytes. Smaller records are
+/// not decoded to look for a snapshot.
 const MIN_SNAPSHOT: usize = 4_096;
 
-/// Events that may wait.
+/// The capacity of the control task's event queue.
 const QUEUE: usize = 1024;
 
-/// Something the control task must know.
+/// An event for the control task.
 #[derive(Debug)]
 pub enum Event {
-    /// Records of the log.
+    /// Records read from the log or received from a peer.
     Records(ConfigRecords),
-    /// A peer's state.
+    /// The configuration state of a peer, or of a snapshot in the log.
     Snapshot(ConfigSnapshot),
-    /// A peer asks for what follows an offset.
+    /// A request for the configuration that follows an offset, with the
+    /// channel for the reply.
     Pull(u64, oneshot::Sender<Option<Frame>>),
-    /// The VM list's states by name.
+    /// The VM states of the VM list, by VM name.
     Vms(HashMap<String, crate::vms::State>),
 }
 
-/// Where events go.
+/// Sends events to the control task.
 #[derive(Clone, Debug)]
 pub struct Inbox {
     queue: mpsc::Sender<Event>,
 }
 
 impl Inbox {
-    /// Tells the control task something.
+    /// Sends an event to the control task.
     pub async fn tell(&self, event: Event) {
         // The control task ends only with the process.
         let _ = self.queue.send(event).await;
     }
 
-    /// What a peer that has folded up to `next` lacks.
+    /// Returns the configuration that is missing at a peer whose next log
+    /// offset is `next`, if any.
     pub async fn lacking(&self, next: u64) -> Option<Frame> {
         let (sender, answer) = oneshot::channel();
         self.tell(Event::Pull(next, sender)).await;
@@ -71,16 +74,16 @@
     }
 }
 
-/// Makes the queue of events.
+/// Creates the event queue of the control task.
 pub fn inbox() -> (Inbox, mpsc::Receiver<Event>) {
     let (queue, events) = mpsc::channel(QUEUE);
     (Inbox { queue }, events)
 }
 
-/// How often ejections are counted.
+/// The interval at which the ejected targets of each service are counted.
 const WEIGH: Duration = Duration::from_millis(100);
 
-/// Counts ejections for as long as the entry runs, so that a choice needs
+/// Counts ejected targets while the entry process runs, so that a choice need
 /// not look at all targets.
 pub async fn weigh_ejections(shared: Arc<Shared>) {
     loop {
@@ -89,19 +92,19 @@
     }
 }
 
-/// The control task's state.
+/// The state of the control task.
 #[derive(Debug)]
 pub struct Control {
     shared: Arc<Shared>,
     state: State,
     recent: VecDeque<ByteBuf>,
     targets: HashMap<Name, Arc<Target>>,
-    /// The targets that the VM list has shown.
+    /// The targets whose VM the VM list has shown.
     vms_seen: HashSet<Name>,
 }
 
 impl Control {
-    /// Starts from an empty configuration.
+    /// Creates the control task with an empty configuration.
     pub fn new(shared: Arc<Shared>) -> Control {
         Control {
             shared,
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Handles events for as long as the entry runs.
+    /// Handles events while the entry process runs.
     pub async fn run(mut self, mut events: mpsc::Receiver<Event>) {
         self.publish();
         while let Some(event) = events.recv().await {
@@ -132,13 +135,14 @@
             Event::Records(records) => self.records(records),
             Event::Snapshot(snapshot) => self.snapshot(&snapshot),
             Event::Pull(next, answer) => {
-                // A peer that left does not wait for its answer.
+                // A peer that disconnected does not wait for the reply.
                 let _ = answer.send(self.lacking(next));
             }
             Event::Vms(states) => self.vms(&states),
         }
     }
 
+    /// Applies log records in order and skips those that are already applied.
     fn records(&mut self, records: ConfigRecords) {
         for (offset, bytes) in (records.first_offset..).zip(records.records) {
             if offset < self.state.next_offset() {
@@ -153,12 +157,14 @@
                         self.recent.pop_front();
                     }
                 }
-                // A snapshot or a peer closes the gap.
+                // A snapshot, or records from a peer, will close the gap
+                // before these records.
                 Err(_) => return,
             }
         }
     }
 
+    /// Replaces the configuration state by a snapshot that is ahead.
     fn snapshot(&mut self, snapshot: &ConfigSnapshot) {
         if snapshot.next_offset <= self.state.next_offset() {
             return;
@@ -171,6 +177,8 @@
         }
     }
 
+    /// Returns the recent records from offset `next` on, or the whole state if
+    /// those records are no longer kept.
     fn lacking(&self, next: u64) -> Option<Frame> {
         let own = self.state.next_offset();
         if next >= own {
@@ -191,6 +199,7 @@
         }))
     }
 
+    /// Updates the targets with the states of the VM list.
     fn vms(&mut self, states: &HashMap<String, crate::vms::State>) {
         for target in self.targets.values() {
             let state = states.get(&*target.name);
@@ -208,6 +217,8 @@
         }
     }
 
+    /// Publishes a view of the current state. Targets whose address and
+    /// service are unchanged keep their link.
     fn publish(&mut self) {
         let old = self.shared.published.load();
         let state = Arc::new(self.state.clone());
@@ -232,6 +243,7 @@
         self.shared.published.publish(view);
     }
 
+    /// Creates the state of a declared target and starts to dial its agent.
     fn open(
         &self,
         declared: &cowsliproad_config::object::Target,
@@ -243,7 +255,8 @@
         target
     }
 
-    /// Another entry's snapshot puts off this one's.
+    /// Records a snapshot in the log, so that this entry process delays its
+    /// own when another entry process has written one.
     fn note_snapshot(&self, bytes: &[u8]) {
         if bytes.len() < MIN_SNAPSHOT {
             return;
@@ -254,6 +267,7 @@
         }
     }
 
+    /// Logs the verdict of a configuration command.
     fn log_verdict(
         &self,
         offset: u64,
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -1,20 +1,21 @@
-//! One request's attempts, and its one whole answer.
+//! Forwards one request in one or more attempts and returns its one whole
+//! answer.
 //!
-//! A [`Forward`] is a pull-based machine: [`Forward::next`] returns the next
-//! thing to tell the caller. One attempt is relayed at a time. What happens
+//! A [`Forward`] is a pull-based state machine: [`Forward::next`] returns the
+//! next item for the caller. One attempt is relayed at a time. What happens
 //! when an attempt fails depends on whether the work may be repeated:
 //!
-//! * Repeatable work whose link broke is first taken up again where it
-//!   stopped, if the same agent process comes back soon; otherwise another
-//!   attempt starts elsewhere, within the retry budget, and the caller is
-//!   told to discard what it has.
-//! * Work that must not be repeated is only ever submitted again with the
-//!   same ticket, to the process that the ticket names or the one that
+//! * Repeatable work whose link broke is first resumed where the answer
+//!   stopped, if the same agent process is linked again soon. Otherwise
+//!   another attempt starts at another target, within the retry budget, and
+//!   the caller is sent a restart that discards the bytes so far.
+//! * Work that must not be repeated is only submitted again with the same
+//!   ticket, to the agent process that the ticket names or to the process that
 //!   answers for it. When neither can be reached soon, the answer is
-//!   OUTCOME_UNKNOWN at once, with a time to ask again.
+//!   OUTCOME_UNKNOWN at once, with a `Retry-After`.
 //!
-//! NOT_RUN is said of repeatable work only when every attempt was refused
-//! by its agent or never left this entry.
+//! NOT_RUN is returned for repeatable work only when every attempt was refused
+//! by its agent or never left this entry process.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -46,80 +47,87 @@
 
 mod failure;
 
-/// Attempts that one request may take.
+/// The maximum number of submissions of one request.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// Attempts refused by leaving targets that cost no retry budget.
+/// The maximum number of retries after refusals by leaving targets that cost
+/// no retry budget.
 const FREE_MOVES: u32 = 3;
 
-/// How often a lost link is looked for.
+/// The interval at which a request checks whether its broken link is up again.
 const LOOK_AGAIN: Duration = Duration::from_millis(10);
 
-/// How long after the deadline the agent's own word may take. It says at
-/// the deadline whether the work ran; this entry can only say "unknown".
+/// How long after the deadline the agent may report. The agent reports at the
+/// deadline whether the work ran; without the report the entry process can
+/// only answer "unknown".
 const AGENT_WORD: Millis = Millis(500);
 
-/// When to ask again after an unknown outcome.
+/// The `Retry-After` of an answer with an unknown outcome.
 const ASK_AGAIN: Millis = Millis(1_000);
 
-/// When to come back after a refusal that states no time.
+/// The `Retry-After` when no target can be reached and no cooldown has a known
+/// end.
 const COME_BACK: Millis = Millis(1_000);
 
 /// The lifetime of a resume token.
 const TOKEN_LIFE: Millis = Millis(10 * 60 * 1000);
 
-/// What the caller is told next.
+/// An item of the answer to a caller.
 #[derive(Debug)]
 pub enum Item {
-    /// The request is kept under this token.
+    /// The agent recorded the work, which this resume token names.
     Accepted(String),
-    /// Bytes of the answer.
+    /// Answer bytes.
     Bytes(Vec<u8>),
-    /// All bytes so far are to be discarded.
+    /// All answer bytes so far are to be discarded: another attempt starts
+    /// from the first byte.
     Restart,
-    /// The answer is whole.
+    /// The answer is complete.
     Done(AnswerEnd),
-    /// There is no answer.
+    /// The request ended without a complete answer.
     Failed(Failure),
 }
 
-/// A request to be forwarded.
+/// A request to be forwarded to a target.
 #[derive(Clone, Debug)]
 pub struct Order {
-    /// The request.
+    /// The id of the request.
     pub request: id::Request,
-    /// Who asks.
+    /// The organisation that sent the request.
     pub organisation: Name,
-    /// The organisation's weight.
+    /// The weight of the organisation in the agents' queues.
     pub share: u32,
-    /// The service.
+    /// The service that the request is for.
     pub service: Arc<Service>,
-    /// The request type.
+    /// The type of the request.
     pub request_type: Arc<RequestType>,
-    /// The ticket, for work that must not be repeated.
+    /// The signed text and the fields of the ticket, for work that must not be
+    /// repeated.
     pub ticket: Option<(String, Ticket)>,
-    /// The caller's idempotency key.
+    /// The idempotency key that the caller sent.
     pub key: Option<Name>,
-    /// Whether the work goes on when nobody listens.
+    /// Whether the agent keeps the work and its answer when no caller is
+    /// connected.
     pub persistence: Persistence,
-    /// When the answer has lost its use.
+    /// The time after which the answer is of no use to the caller.
     pub deadline: Millis,
-    /// The body.
+    /// The request body, one JSON value.
     pub body: Vec<u8>,
-    /// What the work is, whatever the request.
+    /// A digest of the work, equal for all requests with the same
+    /// organisation, service, type and body.
     pub work: WorkDigest,
 }
 
-/// What is forwarded.
+/// The work or the kept answer that is forwarded.
 #[derive(Debug)]
 enum Task {
-    /// Work to be done.
+    /// Work that is submitted to a target.
     Work(Box<Order>),
-    /// A kept answer to be read out.
+    /// A kept answer that is read out from an offset.
     Kept { token: Ticket, from: u64 },
 }
 
-/// A request on its way.
+/// A request being forwarded.
 #[derive(Debug)]
 pub struct Forward {
     shared: Arc<Shared>,
@@ -136,7 +144,7 @@
     finished: bool,
 }
 
-/// An attempt that is listened to.
+/// An attempt whose events are received.
 #[derive(Debug)]
 struct Attempt {
     target: Arc<Target>,
@@ -148,13 +156,13 @@
 }
 
 impl Forward {
-    /// Forwards work.
+    /// Forwards work to a target.
     pub fn new(shared: Arc<Shared>, order: Order) -> Forward {
         let deadline = order.deadline;
         Forward::of(shared, Task::Work(Box::new(order)), deadline, 0)
     }
 
-    /// Reads out a kept answer from an offset.
+    /// Reads out a kept answer, starting at the byte offset `from`.
     pub fn kept(
         shared: Arc<Shared>,
         token: Ticket,
@@ -186,8 +194,8 @@
         }
     }
 
-    /// The next thing to tell the caller; after [`Item::Done`] and
-    /// [`Item::Failed`] there is none.
+    /// Returns the next item for the caller, and `None` after [`Item::Done`]
+    /// or [`Item::Failed`].
     pub async fn next(&mut self) -> Option<Item> {
         loop {
             if let Some(item) = self.ready.pop_front() {
@@ -203,7 +211,8 @@
         }
     }
 
-    /// Lets the work go on unheard, to be reclaimed by its token.
+    /// Detaches from the current attempt. The agent goes on with the work, and
+    /// the caller can reclaim the answer by its resume token.
     pub fn leave(mut self) {
         if let Some(attempt) = self.current.take() {
             attempt.link.forget(attempt.assembly.attempt());
@@ -213,6 +222,7 @@
         }
     }
 
+    /// Starts the next attempt.
     async fn start(&mut self) {
         match &self.task {
             Task::Kept { token, from } => {
@@ -246,7 +256,8 @@
             .await;
     }
 
-    /// Submits with the ticket to the process that it names.
+    /// Submits work to the agent process that its ticket names, or to the
+    /// process that answers for it.
     async fn start_ticket(
         &mut self,
         name: Name,
@@ -261,6 +272,7 @@
         self.submit(target).await;
     }
 
+    /// Submits work that needs no ticket to a chosen target.
     async fn start_plain(&mut self) {
         let Task::Work(order) = &self.task else { return };
         let chosen = choose::target(&self.shared, order, &self.tried);
@@ -274,8 +286,8 @@
         self.submit(target).await;
     }
 
-    /// The target at whose agent work waits that no target takes now, if one
-    /// takes it in time.
+    /// Returns the target whose cooldown ends first, if it ends before the
+    /// deadline. The work waits at the agent of that target.
     fn wait_for_return(&self, order: &Order) -> Result<Arc<Target>, Failure> {
         let (service, tried) = (&order.service, &self.tried);
         choose::first_to_return(service, tried, self.deadline).map_err(
@@ -293,7 +305,8 @@
         let Task::Work(order) = &self.task else { return };
         let permit = match quarantine::verdict(&self.shared, order) {
             QuarantineVerdict::Allowed => SubmitMode::Run,
-            // What became of earlier submissions is still told.
+            // The agent still reports the outcome of earlier submissions of
+            // quarantined work.
             QuarantineVerdict::Refused(_)
             | QuarantineVerdict::Suspended(_)
                 if may_be_known(order) =>
@@ -330,6 +343,7 @@
         self.send(target, frame, assembly, request).await;
     }
 
+    /// Sends the first frame of an attempt to a target.
     async fn send(
         &mut self,
         target: Arc<Target>,
@@ -359,11 +373,11 @@
         });
     }
 
-    /// The attempt never left this entry.
+    /// Handles an attempt that never left this entry process.
     fn not_sent(&mut self, target: Arc<Target>) {
         let failure = Failure::new(Code::LinkLost, Execution::NotForwarded);
         match &self.task {
-            // The next round looks for the ticket's process again.
+            // The next attempt looks for the process of the ticket again.
             Task::Work(order) if order.ticket.is_some() => {}
             _ => {
                 self.tried.push(target.name.clone());
@@ -372,6 +386,7 @@
         }
     }
 
+    /// Waits for the next event of an attempt and handles it.
     async fn listen(&mut self, mut attempt: Attempt) {
         let left = self.deadline.since(Millis::now()) + AGENT_WORD;
         let left = left.duration();
@@ -409,6 +424,7 @@
         self.current = Some(attempt);
     }
 
+    /// Signs the resume token for the work of an attempt.
     fn token(&self, attempt: &Attempt) -> String {
         let clock = attempt
             .target
@@ -458,6 +474,7 @@
         }
     }
 
+    /// Queues answer bytes for the caller.
     fn give(&mut self, bytes: Vec<u8>) {
         if !bytes.is_empty() {
             self.given += bytes.len() as u64;
@@ -465,9 +482,9 @@
         }
     }
 
-    /// Opens the agent's window, once a good part of it is used up. This
-    /// runs when the caller asks for more, so a slow caller holds the agent
-    /// back.
+    /// Acknowledges received bytes to the agent once a quarter of its send
+    /// window is used. This runs when the caller reads on, so a slow caller
+    /// slows the agent down.
     fn acknowledge(&mut self) {
         let Some(attempt) = &mut self.current else { return };
         let reached = attempt.assembly.length();
@@ -492,12 +509,14 @@
 }
 
 impl Attempt {
+    /// Records the outcome of an attempt and stops receiving its events.
     fn end(&self, outcome: Outcome) {
         self.link.forget(self.assembly.attempt());
         self.target.end(outcome, Millis::now());
     }
 
-    /// Stops listening before the end.
+    /// Stops receiving the events of an unfinished attempt and sends the agent
+    /// a detach frame.
     fn detach(&self) {
         self.end(Outcome::Neutral);
         let detach = Frame::Detach(self.assembly.attempt());
@@ -505,12 +524,12 @@
     }
 }
 
-/// Whether an agent may have taken the work in before.
+/// Whether an agent may have recorded the work before.
 fn may_be_known(order: &Order) -> bool {
     order.ticket.is_some() || order.key.is_some()
 }
 
-/// Whether a type's work needs a ticket.
+/// Whether requests of a type need a ticket.
 pub fn needs_ticket(request_type: &RequestType) -> bool {
     request_type.repeat == Repeat::Never
 }
--- a/cowsliproad-entry/src/forward/failure.rs
+++ b/cowsliproad-entry/src/forward/failure.rs
@@ -1,4 +1,5 @@
-//! What follows when an attempt fails; see the parent module.
+//! Handles failed attempts: resumes, retries or ends the request. The parent
+//! module describes the rules.
 
 use std::sync::{Arc, atomic::Ordering};
 
@@ -22,6 +23,7 @@
 };
 
 impl Forward {
+    /// Ends a request whose agent did not report in time.
     pub(super) fn time_out(&mut self, attempt: Attempt) {
         attempt.detach();
         self.maybe_ran = true;
@@ -29,20 +31,21 @@
         self.fail(failure.with_retry_after(ASK_AGAIN));
     }
 
-    /// The link broke while the attempt was out.
+    /// Handles a link that broke during an attempt.
     pub(super) async fn lost(&mut self, attempt: Attempt) {
         attempt.target.end(Outcome::Failed, Millis::now());
         match &self.task {
             Task::Work(order) if order.ticket.is_some() => {
-                // Submitted again with the same ticket, the work is found or
-                // truly not run.
+                // The work is submitted again with the same ticket, so the
+                // agent either finds it or certainly has not run it.
                 self.restart_given();
             }
             _ => self.resume(attempt).await,
         }
     }
 
-    /// Goes on with the same work if the same process comes back soon.
+    /// Resumes the answer where it stopped, if the same agent process is
+    /// linked again soon.
     async fn resume(&mut self, attempt: Attempt) {
         let incarnation = attempt.link.incarnation();
         let Some(target) =
@@ -69,7 +72,7 @@
             .await;
     }
 
-    /// Decides what follows a failed attempt.
+    /// Retries or ends the request after a failed attempt.
     pub(super) fn after_failure(&mut self, failure: Failure) {
         if matches!(failure.ran, Execution::Ran | Execution::OutcomeUnknown) {
             self.maybe_ran = true;
@@ -79,7 +82,8 @@
         }
         let failure = self.timed(failure);
         let ran = match &self.task {
-            // Only the agent's own word counts for a ticket.
+            // For work with a ticket only the agent's own report states
+            // whether the work ran.
             Task::Work(order) if order.ticket.is_some() => failure.ran,
             Task::Kept { .. } => failure.ran,
             Task::Work(_) => self.ran(),
@@ -87,8 +91,8 @@
         self.fail(Failure { ran, ..failure });
     }
 
-    /// Adds when to come back to a refusal of a request that crashes its
-    /// targets, which the agent doesn't know.
+    /// Adds a `Retry-After` to the refusal of a crash-inducing request. The
+    /// agent, which refused the request, does not know the time.
     fn timed(&self, failure: Failure) -> Failure {
         let Task::Work(order) = &self.task else { return failure };
         if failure.code != Code::Quarantined {
@@ -102,6 +106,9 @@
         quarantine::refusal(&self.shared, order, failure.ran, after)
     }
 
+    /// Whether the request is retried after a failed attempt. A retry is
+    /// charged to the retry budget, except for the first refusals by leaving
+    /// targets.
     fn may_try_again(&mut self, failure: &Failure) -> bool {
         let Task::Work(order) = &self.task else { return false };
         if order.ticket.is_some() || Millis::now() >= self.deadline {
@@ -130,7 +137,8 @@
         lock(budget).try_spend()
     }
 
-    /// What was given out belongs to an attempt that will not be finished.
+    /// Discards the bytes delivered to the caller, which belong to an attempt
+    /// that will not be finished.
     fn restart_given(&mut self) {
         if self.given > 0 {
             self.given = 0;
@@ -138,6 +146,8 @@
         }
     }
 
+    /// Ends the request with a failure. The `Retry-After` of an overload gets
+    /// jitter, so that callers don't come back all at once.
     pub(super) fn fail(&mut self, mut failure: Failure) {
         if failure.code == Code::Overloaded {
             let spread = |it| patience::jittered_retry(it, rand::random());
@@ -147,6 +157,8 @@
         self.ready.push_back(Item::Failed(failure));
     }
 
+    /// Whether the work certainly did not run, or may have run in an earlier
+    /// attempt.
     pub(super) fn ran(&self) -> Execution {
         if self.maybe_ran {
             Execution::OutcomeUnknown
@@ -155,6 +167,8 @@
         }
     }
 
+    /// Records the success of the work in the retry budget and in the
+    /// quarantine.
     pub(super) fn earn(&self) {
         if let Task::Work(order) = &self.task {
             let budget = &order.service.budget;
@@ -163,9 +177,9 @@
         }
     }
 
-    /// The answer when nobody can be asked about a process. It is final,
-    /// without a time to ask again, only when the process is known to be no
-    /// more.
+    /// The failure when no linked agent answers for an agent process. The
+    /// failure is final, without a `Retry-After`, only when the process is
+    /// known to have ended.
     pub(super) fn out_of_reach(
         &self,
         incarnation: id::Incarnation,
@@ -177,8 +191,8 @@
         unknown(Code::LinkLost)
     }
 
-    /// The target that is, or answers for, a process, waiting a moment for
-    /// a broken link to come back.
+    /// Returns the target whose agent is, or answers for, an agent process.
+    /// Waits a short time for a broken link to come up again.
     pub(super) async fn holder(
         &self,
         name: &str,
@@ -201,8 +215,9 @@
     }
 }
 
-/// Whether the process that a token names is known to be no more, so that
-/// only a peer that answers for it could help. Silence alone proves nothing.
+/// Whether the agent process that a ticket or resume token names is known to
+/// have ended, so that only a peer that answers for it could help. Missing
+/// heartbeats alone prove nothing.
 fn is_gone(
     view: &crate::view::View,
     task: &Task,
@@ -223,6 +238,7 @@
     }
 }
 
+/// A failure whose outcome is unknown, with a `Retry-After`.
 pub(super) fn unknown(code: Code) -> Failure {
     Failure::new(code, Execution::OutcomeUnknown).with_retry_after(ASK_AGAIN)
 }
--- a/cowsliproad-entry/src/lib.rs
+++ b/cowsliproad-entry/src/lib.rs
@@ -1,18 +1,18 @@
-//! The entry: where callers and operators come in.
+//! The entry process, which serves callers and operators.
 //!
-//! All entries are equal and keep nothing. An entry holds a replica of the
-//! configuration folded from the platform's log, links to the agents of the
-//! targets, and the requests in flight through it.
+//! All entry processes are equal and store nothing. An entry process holds a
+//! replica of the configuration folded from the platform's log, links to the
+//! agents of the targets, and the requests in flight through it.
 //!
-//! * [`callers`]: the callers' HTTP interface;
-//! * [`forward`]: one request's attempts, and its one whole answer;
-//! * [`choose`]: the choice of a target; [`target`]: what is known of each;
-//! * [`control`]: the control thread, which owns the replica and publishes
-//!   the [`view::View`] that traffic reads;
-//! * [`quarantine`]: requests that crash their targets are refused;
-//! * [`links`]: links to agents and between entries;
+//! * [`callers`]: the HTTP interface for callers;
+//! * [`forward`]: the attempts of one request, and its one whole answer;
+//! * [`choose`]: the choice of a target; [`target`]: the state of each target;
+//! * [`control`]: the control task, which owns the replica and publishes the
+//!   [`view::View`] that requests read;
+//! * [`quarantine`]: the refusal of crash-inducing requests;
+//! * [`links`]: links to agents and between entry processes;
 //! * [`log`] and [`vms`]: the platform's log and VM list;
-//! * [`admin`]: the operators' gRPC.
+//! * [`admin`]: the gRPC interface for operators.
 
 #![forbid(unsafe_code)]
 
@@ -53,39 +53,40 @@
 
 use crate::{control::Control, settings::Settings, view::Published};
 
-/// What the parts of an entry share.
+/// The state that the tasks of an entry process share.
 #[derive(Debug)]
 pub struct Shared {
-    /// The settings.
+    /// The settings of the entry process.
     pub settings: Settings,
-    /// This process start.
+    /// The id of this start of the entry process.
     pub incarnation: id::Incarnation,
-    /// The key of tickets and resume tokens.
+    /// The key that signs tickets and resume tokens.
     pub ticket_key: [u8; 32],
-    /// What traffic reads.
+    /// The view of the configuration that requests read.
     pub published: Published,
-    /// Requests that crash their targets.
+    /// The crashes recorded for each work digest, by which crash-inducing
+    /// requests are refused.
     pub quarantine: Mutex<CrashLedger>,
-    /// Requests in flight.
+    /// The number of callers' requests in flight through the entry process.
     pub in_flight: AtomicU32,
-    /// Whether the entry is stopping.
+    /// Whether the entry process is stopping.
     pub stopping: AtomicBool,
-    /// Where control events go.
+    /// Sends events to the control task.
     pub control: control::Inbox,
-    /// The client towards the platform.
+    /// The HTTP client for the platform's log and VM list.
     pub client: Client,
-    /// Metrics.
+    /// The metrics of the entry process, in text form at `/metrics`.
     pub metrics: Metrics,
-    /// Instruments.
+    /// The metrics of callers' requests.
     pub instruments: callers::Instruments,
-    /// The logger.
+    /// The logger of the entry process.
     pub log: Logger,
-    /// Where tasks run.
+    /// The thread pools on which the tasks run.
     pub threads: Threads,
 }
 
 impl Shared {
-    /// Where the entry is in its life.
+    /// The phase of the entry process that its heartbeats state.
     pub fn phase(&self) -> Phase {
         match self.stopping.load(Ordering::Relaxed) {
             true => Phase::Leaving,
@@ -94,27 +95,29 @@
     }
 }
 
-/// A running entry.
+/// A running entry process.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// Its parts' shared state.
+    /// The state that the tasks of the entry process share.
     pub shared: Arc<Shared>,
-    /// Where callers connect.
+    /// The address at which callers connect.
     pub http: SocketAddr,
-    /// Where operators connect.
+    /// The address at which operators connect.
     pub admin: SocketAddr,
-    /// Where other entries connect.
+    /// The address at which other entry processes connect.
     pub link: SocketAddr,
     accept_handle: AcceptHandle,
 }
 
-/// How often a stopping entry looks whether its requests are done.
+/// The interval at which a stopping entry process checks whether its requests
+/// have ended.
 const POLL: Duration = Duration::from_millis(10);
 
-/// How long the last bytes of answers get to leave.
+/// How long a stopping entry process waits for the last bytes of answers to be
+/// sent.
 const LINGER: Duration = Duration::from_millis(100);
 
-/// Starts an entry's tasks.
+/// Starts the tasks of an entry process.
 pub async fn start(settings: Settings, threads: Threads) -> io::Result<Entry> {
     let log =
         cowsliproad_kernel::log::logger("entry", &settings.name, settings.log);
@@ -168,7 +171,9 @@
 }
 
 impl Entry {
-    /// Stops gracefully: not ready at once, no request in flight cut off.
+    /// Stops gracefully: the entry process is not ready at once, keeps
+    /// accepting requests for the grace time, and then waits for the requests
+    /// in flight up to the stop limit.
     pub async fn stop(&self) {
         let shared = &self.shared;
         shared.stopping.store(true, Ordering::Relaxed);
--- a/cowsliproad-entry/src/links.rs
+++ b/cowsliproad-entry/src/links.rs
@@ -1,8 +1,9 @@
-//! Links to agents and between entries.
+//! Links to agents and between entry processes.
 //!
-//! An entry keeps a link to every agent that the configuration names, and
-//! one to every entry in its settings. On both, heartbeats tell how far the
-//! peer's configuration is, and whoever is further sends what is lacking.
+//! An entry process keeps a link to every agent in the configuration and to
+//! every entry process in its settings. On both kinds of link, heartbeats
+//! state the configuration offset of the sender, and the side that is ahead
+//! sends the missing configuration.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -24,23 +25,25 @@
     target::{Link, Target},
 };
 
-/// The time between an entry's heartbeats.
+/// The interval between heartbeats of an entry process.
 const BEAT: Duration = Duration::from_millis(500);
 
-/// The offset of the first record; nothing is configured before it.
+/// The offset of the first configuration record. Nothing is configured before
+/// it.
 const FIRST_OFFSET: u64 = 1;
 
-/// The shortest and longest time between two tries to dial.
+/// The backoff between two dial attempts, in milliseconds, drawn from this
+/// range.
 const REDIAL_MS: std::ops::Range<u64> = 50..150;
 
-/// Entries spread what an agent lacks over so many delays, so that mostly
-/// one of them sends it.
+/// The number of delays over which entry processes spread the configuration
+/// that an agent lacks, so that mostly only one of them sends it.
 const PUSH_SLOTS: u64 = 4;
 
-/// The time between two of these delays.
+/// The difference between two successive delays of configuration pushes.
 const PUSH_SLOT: Millis = Millis(150);
 
-/// Keeps a link to an agent up.
+/// Keeps the link to an agent up.
 pub async fn dial_agent(shared: Arc<Shared>, target: Arc<Target>) {
     let identity = identity(&shared);
     loop {
@@ -61,6 +64,7 @@
     }
 }
 
+/// Handles the frames of an agent until the link breaks.
 async fn serve_agent(
     shared: &Arc<Shared>,
     target: &Arc<Target>,
@@ -89,6 +93,8 @@
     target.unlink();
 }
 
+/// Handles a frame from an agent: configuration frames go to the control task,
+/// answer frames to their attempt.
 async fn take(
     shared: &Arc<Shared>,
     sender: &Sender,
@@ -105,6 +111,7 @@
     }
 }
 
+/// Handles a configuration frame from an agent or another entry process.
 async fn take_config(shared: &Shared, sender: &Sender, frame: Frame) {
     match frame {
         Frame::ConfigRecords(records) => {
@@ -115,7 +122,8 @@
         }
         Frame::PullConfig(next) => {
             if let Some(frame) = shared.control.lacking(next).await {
-                // A link that broke is compared anew when it is back.
+                // If the link broke, the offsets are compared again once it is
+                // up.
                 let _ = sender.send(frame).await;
             }
         }
@@ -123,7 +131,7 @@
     }
 }
 
-/// When to send a peer the configuration that it lacks.
+/// Decides when a peer is sent the configuration that it lacks.
 struct Push {
     delay: Millis,
     behind_since: Option<Millis>,
@@ -136,6 +144,8 @@
         Push { delay: Millis(slot * PUSH_SLOT.0), behind_since: None }
     }
 
+    /// Compares configuration offsets with a peer: pulls from a peer that is
+    /// ahead, and pushes to a peer that has been behind for the delay.
     async fn compare(
         &mut self,
         shared: &Shared,
@@ -144,7 +154,7 @@
     ) {
         let own = shared.published.load().state.next_offset();
         if offset > own {
-            // A broken link is compared anew when it is back.
+            // If the link broke, the offsets are compared again once it is up.
             let _ = sender.send(Frame::PullConfig(own)).await;
         }
         if offset >= own {
@@ -153,8 +163,8 @@
         }
         let now = Millis::now();
         let since = *self.behind_since.get_or_insert(now);
-        // A peer without any configuration doesn't wait its turn: it could
-        // not hand its work over yet if it had to stop.
+        // A peer without any configuration is sent it without delay: until
+        // then it could not hand its work over if it had to stop.
         if offset > FIRST_OFFSET && now.since(since) < self.delay {
             return;
         }
@@ -164,7 +174,7 @@
     }
 }
 
-/// Keeps a link to another entry up.
+/// Keeps the link to another entry process up.
 pub async fn dial_peer(shared: Arc<Shared>, address: SocketAddr) {
     let identity = identity(&shared);
     loop {
@@ -177,11 +187,12 @@
     }
 }
 
-/// Asks an agent for the configuration until there is one.
+/// Keeps a link to an agent up and pulls the configuration until this entry
+/// process has one.
 pub async fn dial_seed(shared: Arc<Shared>, address: SocketAddr) {
     let mut published = shared.published.subscribe();
     let configured = async {
-        // The sender lives as long as `shared`, so waiting can't fail.
+        // The watch sender is owned by `shared`, so waiting cannot fail.
         let _ = published.wait_for(|next| *next > FIRST_OFFSET).await;
     };
     tokio::select! {
@@ -190,7 +201,7 @@
     }
 }
 
-/// Accepts links from other entries for as long as the entry runs.
+/// Accepts links from other entry processes while this one runs.
 pub async fn accept_peers(shared: Arc<Shared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -210,6 +221,7 @@
     }
 }
 
+/// Handles the frames of another entry process until the link breaks.
 async fn serve_peer(
     shared: &Arc<Shared>,
     sender: Sender,
@@ -232,26 +244,29 @@
     beats.abort();
 }
 
+/// Sends heartbeats to another entry process until the link breaks.
 async fn beat_peer(shared: Arc<Shared>, sender: Sender) {
     while sender.send(Frame::Heartbeat(beat_of(&shared))).await.is_ok() {
         sleep(BEAT).await;
     }
 }
 
-/// Sends heartbeats to all agents for as long as the entry runs.
+/// Sends heartbeats to all linked agents while the entry process runs.
 pub async fn beat(shared: Arc<Shared>) {
     loop {
         sleep(BEAT).await;
         let beat = beat_of(&shared);
         for target in shared.published.load().targets.values() {
             if let Some(link) = &*target.link.load() {
-                // A full queue keeps the link from falling silent anyway.
+                // A heartbeat is not needed when the send queue is full: the
+                // queued frames show the agent that the link is alive.
                 let _ = link.try_send(Frame::Heartbeat(beat.clone()));
             }
         }
     }
 }
 
+/// The current heartbeat of this entry process.
 fn beat_of(shared: &Shared) -> Heartbeat {
     Heartbeat {
         name: shared.settings.name.clone(),
@@ -266,6 +281,7 @@
     }
 }
 
+/// The identity that this entry process presents when it dials a link.
 fn identity(shared: &Shared) -> Identity {
     Identity {
         role: Role::Entry,
@@ -276,6 +292,7 @@
     }
 }
 
+/// A random backoff before the next dial attempt.
 fn redial() -> Duration {
     Duration::from_millis(rand::random_range(REDIAL_MS))
 }
--- a/cowsliproad-entry/src/log.rs
+++ b/cowsliproad-entry/src/log.rs
@@ -1,8 +1,9 @@
-//! The platform's append-only log, over HTTP.
+//! Reads and appends to the platform's append-only log over HTTP.
 //!
-//! An append either took effect at an offset, did not happen, or nobody
-//! knows. The last is resolved by reading on: the fold tells the verdict of
-//! a command once its record is read back.
+//! An append either took effect at an offset, did not happen, or has an
+//! unknown outcome. An unknown outcome is resolved by reading on: once the
+//! record of a command is read back, the fold gives the verdict of the
+//! command.
 
 use std::{sync::Arc, time::Duration};
 
@@ -27,33 +28,33 @@
 
 use crate::{Shared, control::Event};
 
-/// How long one append may take.
+/// The timeout of one append to the log.
 const APPEND: Duration = Duration::from_secs(2);
 
-/// How long the log holds a read open for new records.
+/// How long the log holds a read open for new records, in milliseconds.
 const READ_WAIT_MS: u64 = 1_000;
 
-/// How long one read may take.
+/// The timeout of one read of the log.
 const READ: Duration = Duration::from_secs(3);
 
-/// The wait after a failed read.
+/// The backoff after a failed read of the log.
 const READ_AGAIN: Duration = Duration::from_millis(200);
 
-/// The largest answer of the log, in bytes.
+/// The maximum size of an HTTP response of the log, in bytes.
 const MAX_READ: usize = 64 << 20;
 
-/// Records after which a snapshot is due. At 40,000 changes a day that is
-/// every two and a half hours.
+/// The minimum number of records between two snapshots. At 40,000 changes a
+/// day there is a snapshot every two and a half hours.
 pub const SNAPSHOT_EVERY: u64 = 4_096;
 
-/// What became of an append.
+/// The outcome of an append to the log.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Append {
-    /// The record has this offset.
+    /// The record was appended at this offset.
     Done(u64),
-    /// The log refused it or can't be reached.
+    /// The log refused the record or could not be reached.
     NotDone,
-    /// The answer was lost.
+    /// The response of the log was lost or could not be read.
     Unknown,
 }
 
@@ -68,7 +69,7 @@
     records: Vec<String>,
 }
 
-/// Appends a record.
+/// Appends a record to the log.
 pub async fn append(shared: &Shared, record: &Record) -> Append {
     let body = Full::new(Bytes::from(fold::encode_record(record)));
     let uri = format!("http://{}/records", shared.settings.log_service);
@@ -91,7 +92,7 @@
     }
 }
 
-/// Reads the log for as long as the entry runs.
+/// Reads the log while the entry process runs.
 pub async fn tail(shared: Arc<Shared>) {
     let mut snapshots = Snapshots::new(&shared);
     loop {
@@ -115,6 +116,8 @@
     }
 }
 
+/// Reads a page of records from an offset on. Returns `None` if the read
+/// failed.
 async fn read(
     shared: &Shared,
     from: u64,
@@ -136,9 +139,9 @@
     Some(ConfigRecords { first_offset: page.first, records })
 }
 
-/// Finds a snapshot when the records that come next have left the log. A
-/// peer or an agent may send one meanwhile, so a search that finds nothing
-/// is simply made again.
+/// Searches the log for a snapshot when the records that come next are no
+/// longer in the log. A peer or an agent may send a snapshot meanwhile, so a
+/// search that finds none is simply repeated.
 async fn restore(shared: &Shared, mut page: ConfigRecords) {
     let oldest = page.first_offset;
     warn!(shared.log, "log_trimmed"; "first" => oldest);
@@ -168,15 +171,15 @@
     }
 }
 
-/// Waits until what was read is in force, so that the next read starts
-/// behind it.
+/// Waits until the records before offset `next` are in force, so that the next
+/// read starts after them.
 async fn settle(shared: &Shared, next: u64) {
     let mut published = shared.published.subscribe();
     let wait = published.wait_for(|it| *it >= next);
     let _ = tokio::time::timeout(Duration::from_millis(500), wait).await;
 }
 
-/// When this entry writes a snapshot.
+/// Decides when this entry process writes a snapshot to the log.
 struct Snapshots {
     seen: u64,
     since: Millis,
@@ -186,8 +189,9 @@
 
 impl Snapshots {
     fn new(shared: &Shared) -> Snapshots {
-        // Random parts make it likely that one entry is first, and the
-        // others then see its snapshot and wait on. Equal ones do no harm.
+        // Random thresholds make it likely that one entry process writes
+        // first; the others see its snapshot and wait again. Two snapshots at
+        // once do no harm.
         let most = shared.settings.snapshot_ms.0;
         Snapshots {
             seen: 0,
@@ -199,6 +203,8 @@
         }
     }
 
+    /// Writes a snapshot if enough records or enough time passed since the
+    /// latest snapshot.
     async fn offer(&mut self, shared: &Shared) {
         let now = Millis::now();
         let seen = shared.published.snapshot();
@@ -224,6 +230,7 @@
     }
 }
 
+/// Records whether the log can be read, and logs a change.
 fn note(shared: &Shared, up: bool) {
     if shared.published.set_log_up(up) != up {
         let state = if up { "up" } else { "down" };
--- a/cowsliproad-entry/src/main.rs
+++ b/cowsliproad-entry/src/main.rs
@@ -1,4 +1,4 @@
-//! The entry's program.
+//! The program of the entry process.
 
 #![forbid(unsafe_code)]
 
--- a/cowsliproad-entry/src/quarantine.rs
+++ b/cowsliproad-entry/src/quarantine.rs
@@ -1,9 +1,10 @@
-//! Requests that crash their targets are refused.
+//! Refuses crash-inducing requests.
 //!
-//! Agents tell every entry that links to them under which work their targets
-//! ended. Entries need not speak to one another for it: one that starts anew
-//! hears it from the agents, and one in a zone that is cut off counts the ends
-//! of the targets that it can reach.
+//! Each agent reports to every entry process that links to it the work under
+//! which its targets ended. Entry processes need no gossip of their own for
+//! this: a restarted entry process gets the reports from the agents, and an
+//! entry process in an availability zone that is cut off counts the crashes of
+//! the targets that it can reach.
 
 use cowsliproad_admission::quarantine::{
     QuarantineChange, QuarantineVerdict, WorkDigest,
@@ -19,7 +20,8 @@
 
 use crate::{Shared, forward::Order, target::Target, view::Service};
 
-/// What a request is, whatever its id. Agents know it without its service.
+/// The digest of a request's work, which does not depend on the request id.
+/// Agents compute the digest without the service.
 pub fn work_of(
     service: &Service,
     organisation: &str,
@@ -30,7 +32,7 @@
         .for_service(&service.name)
 }
 
-/// Takes in what an agent tells.
+/// Merges the crash reports of an agent.
 pub fn hear(shared: &Shared, target: &Target, suspects: Vec<Suspect>) {
     let now = Millis::now();
     let mut ledger = lock(&shared.quarantine);
@@ -51,12 +53,12 @@
     }
 }
 
-/// Notes that a target outlived a request.
+/// Records that a target completed a request without crashing.
 pub fn outlived(shared: &Shared, order: &Order) {
     lock(&shared.quarantine).record_survival(order.work, Millis::now());
 }
 
-/// Whether a request may run now, and when it may come back if not.
+/// Whether a request may run now, and otherwise when the caller may retry.
 pub fn verdict(shared: &Shared, order: &Order) -> QuarantineVerdict {
     let (now, work) = (Millis::now(), order.work);
     let mut ledger = lock(&shared.quarantine);
@@ -67,7 +69,7 @@
     verdict
 }
 
-/// The final answer to a request of such work.
+/// Logs the refusal of a quarantined request and returns its failure.
 pub fn refusal(
     shared: &Shared,
     order: &Order,
--- a/cowsliproad-entry/src/settings.rs
+++ b/cowsliproad-entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! An entry's settings.
+//! The settings of an entry process.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -11,71 +11,74 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// An entry's settings file.
+/// The settings file of an entry process.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The name of its VM.
+    /// The name of the VM on which the entry process runs.
     pub name: Name,
-    /// Its availability zone.
+    /// The availability zone of the entry process.
     pub zone: Name,
-    /// Where callers connect.
+    /// The address at which callers connect.
     pub http: SocketAddr,
-    /// Where operators connect.
+    /// The address at which operators connect.
     pub admin: SocketAddr,
-    /// Where other entries connect.
+    /// The address at which other entry processes connect.
     pub link: SocketAddr,
-    /// The other entries' link addresses.
+    /// The link addresses of the other entry processes.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// Agents' link addresses in its zone, as far as they were known when
-    /// the VM was made. They are asked for the configuration while the entry
-    /// has none, so that a zone that is cut off recovers by itself.
+    /// Link addresses of agents in the same availability zone that were known
+    /// when the VM was created. While the entry process has no configuration
+    /// it asks these agents for it, so that an availability zone that is cut
+    /// off recovers by itself.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The address to dial from, on a VM that has several.
+    /// The local address for outgoing connections, on a VM with several
+    /// addresses.
     #[serde(default)]
     pub source: Option<IpAddr>,
-    /// The platform's log.
+    /// The address of the platform's log.
     pub log_service: SocketAddr,
-    /// The platform's VM list.
+    /// The address of the platform's VM list.
     pub vm_list: SocketAddr,
-    /// The key shared by entries and agents.
+    /// The key shared by entry processes and agents.
     pub key: Secret,
-    /// Requests in flight through this entry.
+    /// The maximum number of requests in flight through the entry process.
     #[serde(default = "Settings::max_in_flight")]
     pub max_in_flight: u32,
-    /// How long a caller may take to send a body.
+    /// How long a caller may take to send a request body.
     #[serde(default = "Settings::body_ms")]
     pub body_ms: Millis,
-    /// How long a stopping entry goes on taking requests, while the balancer
-    /// in front of it notices.
+    /// How long a stopping entry process goes on accepting requests, while the
+    /// load balancer in front of it notices.
     #[serde(default = "Settings::grace_ms")]
     pub grace_ms: Millis,
-    /// The longest time a graceful stop may take after that.
+    /// How long a stopping entry process waits for its requests in flight
+    /// after the grace time.
     #[serde(default = "Settings::stop_ms")]
     pub stop_ms: Millis,
-    /// How long a broken link may take to come back before a request on it
-    /// is answered without it.
+    /// How long a request waits for a broken link to come up again before it
+    /// is retried elsewhere or answered without the link.
     #[serde(default = "Settings::resume_ms")]
     pub resume_ms: Millis,
-    /// The longest time between two snapshots in the log, well inside the
-    /// log's retention.
+    /// The maximum time between two snapshots in the log, well within the
+    /// retention time of the log.
     #[serde(default = "Settings::snapshot_ms")]
     pub snapshot_ms: Millis,
-    /// Round trip to another availability zone, in microseconds.
+    /// The round-trip time to another availability zone, in microseconds.
     #[serde(default = "Settings::zone_us")]
     pub zone_us: u32,
-    /// Traffic threads.
+    /// The number of threads that serve requests.
     #[serde(default = "Settings::threads")]
     pub threads: usize,
-    /// How much is logged.
+    /// The level from which messages are logged.
     #[serde(default)]
     pub log: Level,
 }
 
 impl Settings {
-    /// Settings for an entry, with the usual limits.
+    /// Creates settings with the default limits.
     pub fn new(
         name: &str,
         zone: &str,
@@ -108,7 +111,7 @@
         }
     }
 
-    /// What `--print-default` shows.
+    /// The settings that `--print-default` prints.
     pub fn example() -> Settings {
         let local =
             |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -1,7 +1,7 @@
-//! What an entry knows of each target.
+//! The state that an entry process keeps for each target.
 //!
 //! A [`Target`] lives as long as its declaration and is shared by all views.
-//! Traffic reads and updates its counters under a lock held for nanoseconds;
+//! Requests read and update its counters under a lock held for nanoseconds;
 //! the link is swapped as a whole.
 
 use std::{
@@ -32,29 +32,31 @@
 };
 use tokio::{sync::mpsc, task::AbortHandle};
 
-/// A target and its agent.
+/// A target and the link to its agent.
 #[derive(Debug)]
 pub struct Target {
-    /// Its name.
+    /// The name of the target.
     pub name: Name,
-    /// The service that it serves.
+    /// The service that the target serves.
     pub service: Name,
-    /// Its availability zone.
+    /// The availability zone of the target.
     pub zone: Name,
-    /// Where its agent listens.
+    /// The address at which the agent of the target listens.
     pub address: SocketAddr,
-    /// The link, while there is one.
+    /// The link to the agent, while the link is up.
     pub link: ArcSwapOption<Link>,
-    /// The operators drain it.
+    /// Whether the operators drain the target.
     pub drained: AtomicBool,
-    /// The VM list says that it is leaving.
+    /// Whether the VM list shows the VM of the target as leaving.
     pub vm_leaving: AtomicBool,
-    /// The VM list had it and has it no more.
+    /// Whether the VM of the target was in the VM list and no longer is.
     pub vm_gone: AtomicBool,
     stats: Mutex<Stats>,
     dialler: Mutex<Option<AbortHandle>>,
 }
 
+/// The last heartbeat of a target's agent, the attempts counted since then,
+/// and the health of the target.
 #[derive(Debug, Default)]
 struct Stats {
     beat: Option<Heartbeat>,
@@ -65,7 +67,7 @@
     health: Health,
 }
 
-/// A link to an agent and the attempts on it.
+/// A link to an agent and the attempts on the link.
 #[derive(Debug)]
 pub struct Link {
     sender: Sender,
@@ -73,10 +75,10 @@
     attempts: Mutex<HashMap<id::Attempt, mpsc::UnboundedSender<Event>>>,
 }
 
-/// What an attempt hears from its agent.
+/// An event that an attempt receives from its agent.
 #[derive(Debug)]
 pub enum Event {
-    /// The work was recorded under this request.
+    /// The agent recorded the work under this request id.
     Accepted(id::Request),
     /// A piece of the answer.
     Data(AnswerData),
@@ -84,36 +86,37 @@
     End(AnswerEnd),
     /// The attempt ended without an answer.
     Refused(Failure),
-    /// The link broke.
+    /// The link to the agent broke.
     Lost,
 }
 
-/// How an attempt ended, for the target's counters.
+/// The outcome of an attempt, for the health of its target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// With a whole answer.
+    /// The attempt returned a complete answer.
     Whole,
-    /// The target or its link failed.
+    /// The target or the link to its agent failed.
     Failed,
-    /// It was refused for the time being, or the caller left.
+    /// The attempt was refused for the time being, or the caller left.
     Neutral,
 }
 
-/// What is shown of a target to operators.
+/// The status of a target that operators see.
 #[derive(Clone, Debug)]
 pub struct Status {
-    /// `unreachable`, `ended`, `leaving`, `cooling`, `ejected` or `serving`.
+    /// The state of the target: `unreachable`, `ended`, `leaving`, `cooling`,
+    /// `ejected` or `serving`.
     pub state: &'static str,
-    /// The last load report.
+    /// The last load report of the agent.
     pub load: AgentLoad,
-    /// Its age.
+    /// The age of the last load report.
     pub age: Millis,
-    /// The configuration offset that the agent has folded up to.
+    /// The configuration offset up to which the agent has folded the log.
     pub offset: u64,
 }
 
 impl Target {
-    /// A target without a link.
+    /// Creates the state of a declared target, without a link.
     pub fn new(declared: &cowsliproad_config::object::Target) -> Target {
         Target {
             name: declared.name.clone(),
@@ -129,7 +132,8 @@
         }
     }
 
-    /// Notes the task that keeps the link up.
+    /// Stores the task that keeps the link to the agent up, and aborts the
+    /// task that it replaces.
     pub fn set_dialler(&self, task: AbortHandle) {
         let mut dialler = lock(&self.dialler);
         if let Some(old) = dialler.replace(task) {
@@ -137,7 +141,7 @@
         }
     }
 
-    /// Ends the link for good.
+    /// Drops the link to the agent and stops dialling.
     pub fn close(&self) {
         if let Some(task) = lock(&self.dialler).take() {
             task.abort();
@@ -145,14 +149,16 @@
         self.unlink();
     }
 
-    /// Drops the link; its attempts hear that it broke.
+    /// Drops the link to the agent. The attempts on the link receive
+    /// [`Event::Lost`].
     pub fn unlink(&self) {
         if let Some(link) = self.link.swap(None) {
             link.lose();
         }
     }
 
-    /// Takes a heartbeat in.
+    /// Records a heartbeat of the agent and resets the counters since the last
+    /// heartbeat.
     pub fn take_beat(&self, beat: Heartbeat, now: Millis) {
         let mut stats = lock(&self.stats);
         stats.health.set_retry_after(now, beat.cooldown);
@@ -162,13 +168,15 @@
         stats.done_since = 0;
     }
 
-    /// The last heartbeat and when it came.
+    /// Returns the last heartbeat of the agent and the time at which it
+    /// arrived.
     pub fn beat(&self) -> Option<(Heartbeat, Millis)> {
         let stats = lock(&self.stats);
         stats.beat.clone().map(|beat| (beat, stats.beat_at))
     }
 
-    /// Whether it is linked and its agent is, or answers for, a process.
+    /// Whether the target is linked and its agent is, or answers for, an agent
+    /// process.
     pub fn answers_for(&self, incarnation: id::Incarnation) -> bool {
         let linked = self.link.load().is_some();
         let stats = lock(&self.stats);
@@ -180,7 +188,7 @@
             })
     }
 
-    /// Whether new work may go there, leaving health aside.
+    /// Whether the target may get new work. Ejection and cooldown are ignored.
     pub fn is_open(&self) -> bool {
         let stats = lock(&self.stats);
         let serving =
@@ -194,17 +202,18 @@
             && !self.vm_leaving.load(Ordering::Relaxed)
     }
 
-    /// When the time ends for which the target asked to be left alone.
+    /// When the cooldown that the target asked for ends, if the target is in a
+    /// cooldown.
     pub fn cooldown_end(&self, now: Millis) -> Option<Millis> {
         lock(&self.stats).health.cooldown_end(now)
     }
 
-    /// Whether health admits an attempt now.
+    /// Whether the health of the target admits an attempt now.
     pub fn admits(&self, now: Millis) -> Admission {
         lock(&self.stats).health.peek_admission(now)
     }
 
-    /// The predicted time to the first token there, in microseconds.
+    /// The predicted time to the first token at the target, in microseconds.
     pub fn score(&self, zone_rtt_us: u32) -> u64 {
         let stats = lock(&self.stats);
         let load =
@@ -221,16 +230,16 @@
         candidate.predicted_first_token_us()
     }
 
-    /// Notes that an attempt starts.
+    /// Records the start of an attempt.
     pub fn begin(&self, now: Millis) {
         let mut stats = lock(&self.stats);
         stats.sent_since += 1;
         stats.in_flight += 1;
-        // A probe is used up by the attempt that it admitted.
+        // Uses up the probe that admitted this attempt, if there was one.
         let _ = stats.health.admit_attempt(now);
     }
 
-    /// Notes how an attempt ended.
+    /// Records the outcome of an attempt.
     pub fn end(&self, outcome: Outcome, now: Millis) {
         let mut stats = lock(&self.stats);
         stats.done_since += 1;
@@ -246,7 +255,7 @@
         }
     }
 
-    /// What operators see.
+    /// Returns the status of the target that operators see.
     pub fn status(&self, now: Millis) -> Status {
         let open = self.is_open();
         let linked = self.link.load().is_some();
@@ -272,24 +281,25 @@
 }
 
 impl Stats {
-    /// Whether the target's process is there, by its agent's last word.
+    /// Whether the process of the target runs, by the last heartbeat of its
+    /// agent.
     fn presence(&self) -> Presence {
         self.beat.as_ref().map_or(Presence::Here, |it| it.presence)
     }
 }
 
 impl Link {
-    /// A link without attempts.
+    /// Creates a link without attempts.
     pub fn new(sender: Sender, incarnation: id::Incarnation) -> Link {
         Link { sender, incarnation, attempts: Mutex::default() }
     }
 
-    /// The agent process at the other end.
+    /// The incarnation of the agent process at the other end of the link.
     pub fn incarnation(&self) -> id::Incarnation {
         self.incarnation
     }
 
-    /// Starts to listen for the frames of an attempt.
+    /// Registers an attempt and returns the channel of its events.
     pub fn listen(
         &self,
         attempt: id::Attempt,
@@ -299,22 +309,23 @@
         events
     }
 
-    /// Stops listening.
+    /// Unregisters an attempt. Later frames for the attempt are dropped.
     pub fn forget(&self, attempt: id::Attempt) {
         lock(&self.attempts).remove(&attempt);
     }
 
-    /// Sends a frame.
+    /// Sends a frame to the agent.
     pub async fn send(&self, frame: Frame) -> Result<(), SendError> {
         self.sender.send(frame).await
     }
 
-    /// Sends a frame if there is room.
+    /// Sends a frame to the agent if the send queue has room.
     pub fn try_send(&self, frame: Frame) -> Result<(), SendError> {
         self.sender.try_send(frame)
     }
 
-    /// Gives a frame to its attempt, if it is for one.
+    /// Delivers a frame from the agent to the attempt that the frame names.
+    /// Other frames are dropped.
     pub fn deliver(&self, frame: Frame) {
         let (attempt, event) = match frame {
             Frame::Accepted(it) => (it.attempt, Event::Accepted(it.request)),
@@ -323,12 +334,13 @@
             Frame::Refusal(it) => (it.attempt, Event::Refused(failure(it))),
             _ => return,
         };
-        // An attempt that is not listened to any more is dropped here.
+        // A frame for an unregistered attempt is dropped here.
         if let Some(listener) = lock(&self.attempts).get(&attempt) {
             let _ = listener.send(event);
         }
     }
 
+    /// Sends [`Event::Lost`] to all attempts on the link.
     fn lose(&self) {
         for (_, listener) in lock(&self.attempts).drain() {
             let _ = listener.send(Event::Lost);
@@ -344,7 +356,7 @@
     }
 }
 
-/// How a failure counts for the target that reported it.
+/// The outcome for a target's health of an attempt that ended with a failure.
 pub fn outcome(failure: &Failure) -> Outcome {
     match failure.code {
         Code::TargetFailed | Code::TimedOut | Code::LinkLost => {
--- a/cowsliproad-entry/src/view.rs
+++ b/cowsliproad-entry/src/view.rs
@@ -1,4 +1,4 @@
-//! The immutable view of the configuration that traffic reads.
+//! The immutable view of the configuration that requests read.
 
 use std::{
     collections::HashMap,
@@ -20,53 +20,57 @@
 
 use crate::target::Target;
 
-/// Retries earned by 100 successes.
+/// The retries earned by 100 successful requests.
 const RETRY_PERCENT: u32 = 10;
 
-/// Retries that can be saved up.
+/// The maximum number of retries that a service can save up.
 const RETRY_RESERVE: u32 = 50;
 
-/// A configuration in force, indexed for traffic.
+/// The configuration in force, indexed for requests.
 #[derive(Debug, Default)]
 pub struct View {
-    /// The folded state.
+    /// The state folded from the configuration log.
     pub state: Arc<State>,
-    /// Organisations by the hash of each of their keys.
+    /// The organisations by the hash of each of their keys.
     pub organisations: HashMap<Name, Arc<Organisation>>,
-    /// Services by name.
+    /// The services by name.
     pub services: HashMap<Name, Arc<Service>>,
-    /// Targets by name.
+    /// The targets by name.
     pub targets: HashMap<Name, Arc<Target>>,
 }
 
-/// An organisation and its requests in flight here.
+/// An organisation and its requests in flight through this entry process.
 #[derive(Debug)]
 pub struct Organisation {
-    /// What was declared.
+    /// The declaration of the organisation.
     pub declared: object::Organisation,
-    /// Requests in flight through this entry, shared by successive views.
+    /// The number of the organisation's requests in flight through this entry
+    /// process. Successive views share the counter.
     pub in_flight: Arc<AtomicU32>,
 }
 
-/// A service with its types and targets.
+/// A service with its request types and targets.
 #[derive(Debug)]
 pub struct Service {
-    /// Its name.
+    /// The name of the service.
     pub name: Name,
-    /// What its targets are.
+    /// The kind of back end that the targets of the service run.
     pub backend: Backend,
-    /// Its request types by name.
+    /// The request types of the service, by name.
     pub types: HashMap<Name, Arc<object::RequestType>>,
-    /// Its targets.
+    /// The targets of the service.
     pub targets: Vec<Arc<Target>>,
-    /// Whether so many targets are ejected that none is left out for it.
+    /// Whether so many targets of the service are ejected that ejections are
+    /// ignored.
     pub ejections_doubted: AtomicBool,
-    /// Its retry budget, shared by successive views.
+    /// The retry budget of the service, shared by successive views.
     pub budget: Arc<Mutex<RetryBudget>>,
 }
 
 impl View {
-    /// Indexes a state, taking over counters and targets from an older view.
+    /// Indexes a configuration state. Counters and retry budgets are taken
+    /// over from `old`, and `target` returns the state of each declared
+    /// target.
     pub fn new(
         state: Arc<State>,
         old: &View,
@@ -119,12 +123,13 @@
         view
     }
 
-    /// Counts each service's ejected targets anew.
+    /// Counts the ejected targets of each service and decides whether its
+    /// ejections are ignored.
     pub fn weigh_ejections(&self, now: Millis) {
         let config = health::EjectionConfig::new();
         for service in self.services.values() {
             let targets = &service.targets;
-            // What targets asked for themselves is not doubted.
+            // A cooldown that the target itself asked for is not an ejection.
             let guessed = targets.iter().filter(|it| {
                 it.admits(now) == Admission::Deny
                     && it.cooldown_end(now).is_none()
@@ -135,8 +140,9 @@
         }
     }
 
-    /// The linked target whose agent is, or answers for, a process. The one
-    /// that ran it is asked first, since it mostly still does.
+    /// Returns a linked target whose agent is, or answers for, an agent
+    /// process. The target `name`, which ran that process, is checked first,
+    /// since it mostly still does.
     pub fn holder(
         &self,
         name: &str,
@@ -147,6 +153,7 @@
         targets.find(|target| target.answers_for(incarnation)).cloned()
     }
 
+    /// Adds an organisation under the hash of each of its keys.
     fn add_organisation(
         &mut self,
         declared: &object::Organisation,
@@ -164,7 +171,8 @@
 }
 
 impl Organisation {
-    /// Counts a request in, unless the organisation has its limit in flight.
+    /// Counts a request of the organisation as in flight. Returns `None` if
+    /// the organisation already has its maximum number of requests in flight.
     pub fn enter(&self) -> Option<InFlight> {
         let limit = self.declared.max_in_flight;
         let before = self.in_flight.fetch_add(1, Ordering::Relaxed);
@@ -173,7 +181,7 @@
     }
 }
 
-/// Counts a request out when dropped.
+/// Keeps a request of an organisation counted as in flight until dropped.
 #[derive(Debug)]
 pub struct InFlight {
     counter: Arc<AtomicU32>,
@@ -185,7 +193,8 @@
     }
 }
 
-/// The view in force and the announcement of new ones.
+/// The view in force, and a channel that announces the next log offset of each
+/// new view.
 #[derive(Debug)]
 pub struct Published {
     view: ArcSwap<View>,
@@ -195,7 +204,7 @@
 }
 
 impl Published {
-    /// An empty view.
+    /// Publishes an empty view.
     pub fn new() -> Published {
         Published {
             view: ArcSwap::from_pointee(View::default()),
@@ -205,39 +214,40 @@
         }
     }
 
-    /// The offset up to which a snapshot was last written or seen.
+    /// The next log offset of the latest snapshot written to or read from the
+    /// log.
     pub fn snapshot(&self) -> u64 {
         self.snapshot.load(Ordering::Relaxed)
     }
 
-    /// Notes a snapshot.
+    /// Records that the log holds a snapshot with this next offset.
     pub fn set_snapshot(&self, next: u64) {
         self.snapshot.fetch_max(next, Ordering::Relaxed);
     }
 
-    /// Whether the log answered last time.
+    /// Whether the last read of the log succeeded.
     pub fn is_log_up(&self) -> bool {
         self.log_up.load(Ordering::Relaxed)
     }
 
-    /// Notes whether the log answers and tells whether it did before.
+    /// Records whether the log can be read, and returns the previous value.
     pub fn set_log_up(&self, up: bool) -> bool {
         self.log_up.swap(up, Ordering::Relaxed)
     }
 
-    /// The view in force.
+    /// Returns the view in force.
     pub fn load(&self) -> Arc<View> {
         self.view.load_full()
     }
 
-    /// Puts a view in force and announces it.
+    /// Puts a view in force and announces its next log offset.
     pub fn publish(&self, view: View) {
         let next = view.state.next_offset();
         self.view.store(Arc::new(view));
         self.next.send_replace(next);
     }
 
-    /// Told of the offset after the last record in force.
+    /// Subscribes to the offset after the last log record in force.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.next.subscribe()
     }
@@ -253,6 +263,8 @@
     RetryBudget::new(RETRY_PERCENT, RETRY_RESERVE)
 }
 
+/// The counters of requests in flight of a view's organisations, by
+/// organisation name.
 fn counters(view: &View) -> HashMap<Name, Arc<AtomicU32>> {
     let organisations = view.organisations.values();
     organisations
--- a/cowsliproad-entry/src/vms.rs
+++ b/cowsliproad-entry/src/vms.rs
@@ -1,8 +1,8 @@
 //! The platform's list of live and leaving VMs.
 //!
-//! The list lags, so it only adds to what agents say themselves: a target
-//! that the list shows as leaving gets no new work, even while its agent
-//! has not heard of it. A list that can't be read changes nothing.
+//! The list lags, so it only supplements the heartbeats of agents: a target
+//! whose VM the list shows as leaving gets no new work, even while its agent
+//! does not know. A list that cannot be read changes nothing.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -13,23 +13,23 @@
 
 use crate::{Shared, control::Event};
 
-/// The time between two looks at the list.
+/// The interval between two reads of the VM list, and the timeout of one read.
 const POLL: Duration = Duration::from_millis(500);
 
-/// The largest list, in bytes.
+/// The maximum size of the VM list, in bytes.
 const MAX_LIST: usize = 16 << 20;
 
-/// The state of a VM.
+/// The state of a VM in the VM list.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It runs.
+    /// The VM runs.
     Live,
-    /// It is about to go.
+    /// The VM is about to be removed.
     Leaving,
 }
 
-/// Watches the list for as long as the entry runs.
+/// Reads the VM list at an interval while the entry process runs.
 pub async fn watch(shared: Arc<Shared>) {
     loop {
         if let Some(states) = read(&shared).await {
--- a/cowsliproad-entry/tests/settings.rs
+++ b/cowsliproad-entry/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The entry's settings file.
+//! Tests of the settings file of an entry process.
 
 use cowsliproad_entry::settings::Settings;
 use cowsliproad_kernel::settings;
