--- a/cowsliproad-bench/src/experiment/config.rs
+++ b/cowsliproad-bench/src/experiment/config.rs
@@ -19,7 +19,7 @@
     object::{ObjectKey, ObjectKind, Organisation},
 };
 use cowsliproad_ctl::client::{Client, Error, Mode};
-use cowsliproad_entry::Shared;
+use cowsliproad_entry::EntryState;
 use cowsliproad_kernel::{
     code::{Code, Execution},
     id,
@@ -70,7 +70,7 @@
 /// A replica that is looked at.
 #[derive(Clone)]
 enum Watched {
-    Entry(Arc<Shared>),
+    Entry(Arc<EntryState>),
     Agent(Arc<Replica>),
 }
 
@@ -78,7 +78,7 @@
     fn next(&self) -> u64 {
         match self {
             Watched::Entry(shared) => {
-                shared.published.load().state.next_offset()
+                shared.published.current_view().config_state.next_offset()
             }
             Watched::Agent(replica) => replica.next(),
         }
@@ -89,7 +89,9 @@
             state.get(key).map_or(0, |it| it.revision)
         };
         match self {
-            Watched::Entry(shared) => of(&shared.published.load().state),
+            Watched::Entry(shared) => {
+                of(&shared.published.current_view().config_state)
+            }
             Watched::Agent(replica) => replica.with(of),
         }
     }
@@ -103,7 +105,9 @@
             None => None,
         };
         match self {
-            Watched::Entry(shared) => of(&shared.published.load().state),
+            Watched::Entry(shared) => {
+                of(&shared.published.current_view().config_state)
+            }
             Watched::Agent(replica) => replica.with(of),
         }
     }
@@ -195,7 +199,7 @@
         .iter()
         .filter(|it| it.zone != 0)
         .filter_map(|it| it.entry.as_ref())
-        .map(|it| Client::new(it.handle.admin))
+        .map(|it| Client::new(it.handle.admin_address))
         .collect();
     (0..OPERATORS + RACERS)
         .map(|index| {
@@ -316,7 +320,14 @@
         .gateways
         .iter()
         .filter_map(|it| it.entry.as_ref())
-        .map(|it| it.handle.shared.published.load().state.next_offset())
+        .map(|it| {
+            it.handle
+                .shared
+                .published
+                .current_view()
+                .config_state
+                .next_offset()
+        })
         .max();
     let zone: Vec<usize> = (0..plant.gateways.len())
         .filter(|index| plant.gateways[*index].zone == 0)
@@ -332,8 +343,14 @@
     sleep(OUTAGE).await;
     let late = zone.iter().filter(|index| {
         let entry = plant.gateways[**index].entry.as_ref();
-        let next = entry
-            .map(|it| it.handle.shared.published.load().state.next_offset());
+        let next = entry.map(|it| {
+            it.handle
+                .shared
+                .published
+                .current_view()
+                .config_state
+                .next_offset()
+        });
         next < before
     });
     let late = late.count();
--- a/cowsliproad-bench/src/experiment/demo.rs
+++ b/cowsliproad-bench/src/experiment/demo.rs
@@ -110,7 +110,10 @@
     let up = plant.gateways.iter().filter_map(|it| it.entry.as_ref());
     for entry in up {
         let entry = &entry.handle;
-        eprintln!("callers http://{}  operators {}", entry.http, entry.admin);
+        eprintln!(
+            "callers http://{}  operators {}",
+            entry.caller_address, entry.admin_address
+        );
     }
     eprintln!("organisation key: {}", crate::workload::key("harju-hangars"));
     eprintln!("holding until SIGINT");
--- a/cowsliproad-bench/src/experiment/overhead.rs
+++ b/cowsliproad-bench/src/experiment/overhead.rs
@@ -141,7 +141,8 @@
 /// A request that goes through the plant's first entry.
 pub fn through(plant: &Plant, path: &str, body: String) -> Shot {
     let entry = plant.gateways[0].entry.as_ref();
-    let address = entry.map_or(crate::plant::ANY, |it| it.handle.http);
+    let address =
+        entry.map_or(crate::plant::ANY, |it| it.handle.caller_address);
     Shot {
         address,
         path: format!("/v1/{path}"),
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -24,7 +24,7 @@
     fold::{self, Change, Record},
     object::{self, Organisation},
 };
-use cowsliproad_entry::{target::Target, view::View};
+use cowsliproad_entry::{target::Target, view::ConfigView};
 use cowsliproad_kernel::{
     clock::Millis,
     id,
@@ -168,9 +168,10 @@
             let record = fold::encode_record(&Record { command, change });
             let _ = state.apply_record(offset, &record);
         }
-        let view = View::new(Arc::new(state), &View::default(), |it| {
-            Arc::new(Target::new(it))
-        });
+        let view =
+            ConfigView::new(Arc::new(state), &ConfigView::default(), |it| {
+                Arc::new(Target::new(it))
+            });
         let grown = meter::memory().saturating_sub(before);
         points.push((count as f64, grown as f64));
         std::mem::forget(black_box(view));
@@ -244,7 +245,7 @@
         let start = Instant::now();
         for _ in 0..5 {
             let state = Arc::new(state.clone());
-            let view = View::new(state, &View::default(), |it| {
+            let view = ConfigView::new(state, &ConfigView::default(), |it| {
                 Arc::new(Target::new(it))
             });
             black_box(view);
@@ -397,7 +398,7 @@
         let start = Instant::now();
         for _ in 0..times {
             let found = choice::choose_target(count, &mut random, |index| {
-                Some(targets[index].score(0))
+                Some(targets[index].predicted_first_token_us(0))
             });
             black_box(found);
         }
--- a/cowsliproad-bench/src/node.rs
+++ b/cowsliproad-bench/src/node.rs
@@ -32,9 +32,9 @@
     fn stop(&self) -> impl Future<Output = ()>;
 }
 
-impl Program for cowsliproad_entry::Entry {
+impl Program for cowsliproad_entry::EntryProcess {
     async fn stop(&self) {
-        cowsliproad_entry::Entry::stop(self).await;
+        cowsliproad_entry::EntryProcess::stop_gracefully(self).await;
     }
 }
 
--- a/cowsliproad-bench/src/plant.rs
+++ b/cowsliproad-bench/src/plant.rs
@@ -14,7 +14,7 @@
     apply::{self, Others},
     client::{Client, Mode},
 };
-use cowsliproad_entry::Entry;
+use cowsliproad_entry::EntryProcess;
 use cowsliproad_kernel::{log::Level, secret::Secret};
 use cowsliproad_net::threads::Threads;
 use cowsliproad_standin::{engine, link, log, plain, vms};
@@ -144,7 +144,7 @@
     /// Where that listens.
     pub vms_address: SocketAddr,
     /// The entry, unless it is down.
-    pub entry: Option<Node<Entry>>,
+    pub entry: Option<Node<EntryProcess>>,
 }
 
 /// A deployment.
@@ -239,7 +239,7 @@
     /// A client of the first entry that is up.
     pub fn operator(&self) -> Option<Client> {
         let mut up = self.gateways.iter().filter_map(|it| it.entry.as_ref());
-        up.next().map(|it| Client::new(it.handle.admin))
+        up.next().map(|it| Client::new(it.handle.admin_address))
     }
 
     /// Waits until every entry has a link to every agent that is up.
@@ -317,30 +317,33 @@
             self.key,
         );
         let others = self.gateways.iter().filter(|it| it.name != gateway.name);
-        settings.peers = others.map(|it| it.address).collect();
+        settings.peer_link_addresses = others.map(|it| it.address).collect();
         let near = self.sites.iter().filter(|it| it.zone == gateway.zone);
-        settings.seeds = near.map(|it| it.address).collect();
-        settings.source = Some(source(gateway.zone));
-        settings.grace_ms = cowsliproad_kernel::clock::Millis(200);
-        settings.log = self.config.log;
+        settings.seed_agent_addresses = near.map(|it| it.address).collect();
+        settings.source_address = Some(source(gateway.zone));
+        settings.stop_grace_time = cowsliproad_kernel::clock::Millis(200);
+        settings.log_level = self.config.log;
         let entry = match self.config.layout {
             Layout::Single => {
                 Node::start(&gateway.name, async move || {
-                    cowsliproad_entry::start(settings, Threads::current())
-                        .await
+                    cowsliproad_entry::start_entry(
+                        settings,
+                        Threads::current(),
+                    )
+                    .await
                 })
                 .await?
             }
             Layout::Wide(workers) => {
                 Node::start_wide(&gateway.name, workers, async |threads| {
-                    cowsliproad_entry::start(settings, threads).await
+                    cowsliproad_entry::start_entry(settings, threads).await
                 })
                 .await?
             }
         };
         let gateway = &mut self.gateways[index];
-        gateway.link.lead_to(entry.handle.link);
-        self.balancer.add(entry.handle.http);
+        gateway.link.lead_to(entry.handle.link_address);
+        self.balancer.add(entry.handle.caller_address);
         gateway.entry = Some(entry);
         Ok(())
     }
@@ -348,7 +351,7 @@
     /// Kills an entry; the balancer notices.
     pub async fn kill_entry(&mut self, index: usize) {
         if let Some(entry) = self.gateways[index].entry.take() {
-            let address = entry.handle.http;
+            let address = entry.handle.caller_address;
             entry.kill().await;
             self.balancer.remove(address);
         }
@@ -357,7 +360,7 @@
     /// Stops an entry gracefully.
     pub async fn stop_entry(&mut self, index: usize) {
         if let Some(entry) = self.gateways[index].entry.take() {
-            let address = entry.handle.http;
+            let address = entry.handle.caller_address;
             self.balancer.stopping(address);
             entry.stop().await;
             self.balancer.remove(address);
@@ -381,11 +384,11 @@
     fn is_settled(&self) -> bool {
         let entries = self.gateways.iter().filter_map(|it| it.entry.as_ref());
         entries.into_iter().all(|entry| {
-            let view = entry.handle.shared.published.load();
+            let view = entry.handle.shared.published.current_view();
             let up = self.sites.iter().filter(|it| it.agent.is_some());
             up.into_iter().all(|site| {
                 let target = view.targets.get(site.name.as_str());
-                target.is_some_and(|it| it.is_open())
+                target.is_some_and(|it| it.accepts_new_work())
             })
         })
     }
--- a/cowsliproad-entry/src/admin.rs
+++ b/cowsliproad-entry/src/admin.rs
@@ -28,26 +28,26 @@
 };
 
 use crate::{
-    Shared,
-    log::{self, Append},
+    EntryState,
+    log::{self, AppendOutcome},
 };
 
 /// How long the record of a command may take to be read back from the log.
-const READ_BACK: Duration = Duration::from_secs(4);
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Handles the gRPC requests of operators.
-pub struct Admin {
-    shared: Arc<Shared>,
+pub struct AdminService {
+    shared: Arc<EntryState>,
 }
 
 /// Serves operators until the process no longer accepts connections.
-pub async fn serve(
-    shared: Arc<Shared>,
+pub async fn serve_operators(
+    shared: Arc<EntryState>,
     listener: Listener,
     accept_handle: AcceptHandle,
 ) {
-    let log = shared.log.clone();
-    let admin = message::AdminServer::new(Admin { shared });
+    let log = shared.logger.clone();
+    let admin = message::AdminServer::new(AdminService { shared });
     let service = ServiceBuilder::new(admin).build();
     let closed = async move {
         accept_handle.closed().await;
@@ -59,10 +59,10 @@
     }
 }
 
-type Listing =
+type ListReplyStream =
     Pin<Box<dyn Stream<Item = Result<message::ListReply, Status>> + Send>>;
 
-impl message::Admin for Admin {
+impl message::Admin for AdminService {
     async fn put(
         &self,
         request: Request<message::PutRequest>,
@@ -71,14 +71,14 @@
         let object = request.object.ok_or("object: needed".to_string());
         let object = match object.and_then(convert::from_message) {
             Ok(object) => object,
-            Err(why) => return Ok(refused(Code::BadObject, &why)),
+            Err(why) => return Ok(refused_change(Code::BadObject, &why)),
         };
         if let Err(why) = object.validate() {
-            return Ok(refused(Code::BadObject, &why));
+            return Ok(refused_change(Code::BadObject, &why));
         }
         let change = Change::Put { base_revision: request.base, object };
         let command = id::Command(request.command);
-        Ok(self.change(command, change, request.mode).await)
+        Ok(self.apply_change(command, change, request.mode).await)
     }
 
     async fn delete(
@@ -86,13 +86,13 @@
         request: Request<message::DeleteRequest>,
     ) -> Result<Response<message::ChangeReply>, Status> {
         let request = request.into_inner();
-        let key = match key(&request.kind, &request.name) {
+        let key = match parse_object_key(&request.kind, &request.name) {
             Ok(key) => key,
-            Err(why) => return Ok(refused(Code::BadObject, &why)),
+            Err(why) => return Ok(refused_change(Code::BadObject, &why)),
         };
         let change = Change::Delete { base_revision: request.base, key };
         let command = id::Command(request.command);
-        Ok(self.change(command, change, request.mode).await)
+        Ok(self.apply_change(command, change, request.mode).await)
     }
 
     async fn get(
@@ -100,11 +100,12 @@
         request: Request<message::GetRequest>,
     ) -> Result<Response<message::Entry>, Status> {
         let request = request.into_inner();
-        let key = key(&request.kind, &request.name).map_err(|why| {
-            Status::new(volo_grpc::Code::InvalidArgument, why)
-        })?;
-        let view = self.shared.published.load();
-        let found = view.state.get(&key).map(entry);
+        let key =
+            parse_object_key(&request.kind, &request.name).map_err(|why| {
+                Status::new(volo_grpc::Code::InvalidArgument, why)
+            })?;
+        let view = self.shared.published.current_view();
+        let found = view.config_state.get(&key).map(entry_message);
         found.map(Response::new).ok_or_else(|| {
             let text = Code::NoSuchObject.to_string();
             Status::new(volo_grpc::Code::NotFound, text)
@@ -122,16 +123,16 @@
                 Status::new(volo_grpc::Code::InvalidArgument, why)
             })?),
         };
-        let view = self.shared.published.load();
-        Ok(Response::new(listing(&view.state, kind)))
+        let view = self.shared.published.current_view();
+        Ok(Response::new(list_reply(&view.config_state, kind)))
     }
 
     async fn watch(
         &self,
         _: Request<message::WatchRequest>,
-    ) -> Result<Response<Listing>, Status> {
+    ) -> Result<Response<ListReplyStream>, Status> {
         let shared = self.shared.clone();
-        let published = shared.published.subscribe();
+        let published = shared.published.subscribe_offsets();
         let first = true;
         let state = (shared, published, first);
         let listings =
@@ -140,8 +141,8 @@
                     return None;
                 }
                 published.borrow_and_update();
-                let view = shared.published.load();
-                let reply = listing(&view.state, None);
+                let view = shared.published.current_view();
+                let reply = list_reply(&view.config_state, None);
                 Some((Ok(reply), (shared, published, false)))
             });
         Ok(Response::new(Box::pin(listings)))
@@ -151,45 +152,50 @@
         &self,
         _: Request<message::StatusRequest>,
     ) -> Result<Response<message::StatusReply>, Status> {
-        Ok(Response::new(status(&self.shared)))
+        Ok(Response::new(status_reply(&self.shared)))
     }
 }
 
-impl Admin {
+impl AdminService {
     /// Checks a change without applying it in a dry run; otherwise appends the
     /// change to the log and waits for its verdict.
-    async fn change(
+    async fn apply_change(
         &self,
         command: id::Command,
         change: Change,
         mode: message::Mode,
     ) -> Response<message::ChangeReply> {
         if mode == message::Mode::DRY_RUN {
-            let view = self.shared.published.load();
-            return match view.state.dry_run(&change) {
-                Ok(()) => reply(Code::Ok, Execution::NotRun, 0, "dry run"),
-                Err(code) => refused(code, "dry run"),
+            let view = self.shared.published.current_view();
+            return match view.config_state.dry_run(&change) {
+                Ok(()) => {
+                    change_reply(Code::Ok, Execution::NotRun, 0, "dry run")
+                }
+                Err(code) => refused_change(code, "dry run"),
             };
         }
-        if let Some(verdict) = self.verdict(command) {
-            return self.tell(command, verdict);
+        if let Some(verdict) = self.published_verdict(command) {
+            return self.reply_with_verdict(command, verdict);
         }
         let record = Record { command, change };
         if fold::decode_record(&fold::encode_record(&record)).as_ref()
             != Some(&record)
         {
             // A record that replicas cannot decode would never get a verdict.
-            return refused(Code::BadObject, "the object doesn't encode");
+            return refused_change(
+                Code::BadObject,
+                "the object doesn't encode",
+            );
         }
-        let append = log::append(&self.shared, &record).await;
-        info!(self.shared.log, "append";
+        let append = log::append_record(&self.shared, &record).await;
+        info!(self.shared.logger, "append";
             "command" => %command, "outcome" => ?append);
-        if append == Append::NotDone {
-            return refused(Code::LogUnavailable, "");
+        if append == AppendOutcome::NotDone {
+            return refused_change(Code::LogUnavailable, "");
         }
-        match self.read_back(command).await {
-            Some(verdict) => self.tell(command, verdict),
-            None => reply(
+        match self.wait_for_verdict(command).await {
+            Some(verdict) => self.reply_with_verdict(command, verdict),
+            None => change_reply(
                 Code::AppendUnknown,
                 Execution::OutcomeUnknown,
                 0,
@@ -200,12 +206,12 @@
 
     /// Waits until the record of a command is read back, and returns its
     /// verdict, or `None` after the timeout.
-    async fn read_back(&self, command: id::Command) -> Option<Verdict> {
-        let deadline = Instant::now() + READ_BACK;
-        let mut published = self.shared.published.subscribe();
+    async fn wait_for_verdict(&self, command: id::Command) -> Option<Verdict> {
+        let deadline = Instant::now() + READ_BACK_TIMEOUT;
+        let mut published = self.shared.published.subscribe_offsets();
         loop {
             published.borrow_and_update();
-            if let Some(verdict) = self.verdict(command) {
+            if let Some(verdict) = self.published_verdict(command) {
                 return Some(verdict);
             }
             timeout_at(deadline, published.changed()).await.ok()?.ok()?;
@@ -213,33 +219,33 @@
     }
 
     /// The verdict of a command in the published configuration state.
-    fn verdict(&self, command: id::Command) -> Option<Verdict> {
-        self.shared.published.load().state.verdict(command)
+    fn published_verdict(&self, command: id::Command) -> Option<Verdict> {
+        self.shared.published.current_view().config_state.verdict(command)
     }
 
     /// Logs the verdict of a command and returns it as a reply.
-    fn tell(
+    fn reply_with_verdict(
         &self,
         command: id::Command,
         verdict: Verdict,
     ) -> Response<message::ChangeReply> {
-        info!(self.shared.log, "command";
+        info!(self.shared.logger, "command";
             "command" => %command, "verdict" => ?verdict);
         match verdict {
             Verdict::Accepted(revision) => {
-                reply(Code::Ok, Execution::Ran, revision, "accepted")
+                change_reply(Code::Ok, Execution::Ran, revision, "accepted")
             }
-            Verdict::Refused(code) => refused(code, ""),
+            Verdict::Refused(code) => refused_change(code, ""),
         }
     }
 }
 
-fn refused(code: Code, detail: &str) -> Response<message::ChangeReply> {
+fn refused_change(code: Code, detail: &str) -> Response<message::ChangeReply> {
     let detail = if detail.is_empty() { code.text() } else { detail };
-    reply(code, Execution::NotRun, 0, detail)
+    change_reply(code, Execution::NotRun, 0, detail)
 }
 
-fn reply(
+fn change_reply(
     code: Code,
     ran: Execution,
     revision: u64,
@@ -254,52 +260,54 @@
     })
 }
 
-fn key(kind: &str, name: &str) -> Result<ObjectKey, String> {
+fn parse_object_key(kind: &str, name: &str) -> Result<ObjectKey, String> {
     Ok(ObjectKey::new(kind.parse()?, name))
 }
 
-fn entry(versioned: &VersionedObject) -> message::Entry {
+fn entry_message(versioned: &VersionedObject) -> message::Entry {
     message::Entry {
         revision: versioned.revision,
         object: Some(convert::to_message(&versioned.object)),
     }
 }
 
-fn listing(state: &State, kind: Option<ObjectKind>) -> message::ListReply {
+fn list_reply(state: &State, kind: Option<ObjectKind>) -> message::ListReply {
     let wanted = state
         .objects()
         .filter(|it| kind.is_none_or(|kind| it.object.key().kind == kind));
     message::ListReply {
         next: state.next_offset(),
-        entries: wanted.map(entry).collect(),
+        entries: wanted.map(entry_message).collect(),
     }
 }
 
-fn status(shared: &Shared) -> message::StatusReply {
-    let view = shared.published.load();
+fn status_reply(shared: &EntryState) -> message::StatusReply {
+    let view = shared.published.current_view();
     let now = Millis::now();
     let mut targets: Vec<_> = view.targets.values().collect();
     targets.sort_by(|a, b| a.name.cmp(&b.name));
     let targets = targets.into_iter().map(|target| {
-        let status = target.status(now);
+        let status = target.operator_status(now);
         message::TargetStatus {
             name: target.name.to_string().into(),
             service: target.service.to_string().into(),
             zone: target.zone.to_string().into(),
-            state: status.state.into(),
-            queued: status.load.queued,
-            running: status.load.running,
-            slots: status.load.slots,
-            report_age_ms: status.age.0,
-            offset: status.offset,
+            state: status.state_name.into(),
+            queued: status.agent_load.queued,
+            running: status.agent_load.running,
+            slots: status.agent_load.slots,
+            report_age_ms: status.load_age.0,
+            offset: status.next_config_offset,
         }
     });
-    let log = if shared.published.is_log_up() { "up" } else { "down" };
+    let log = if shared.published.is_log_reachable() { "up" } else { "down" };
     message::StatusReply {
         entry: shared.settings.name.to_string().into(),
-        next: view.state.next_offset(),
+        next: view.config_state.next_offset(),
         log: log.into(),
-        in_flight: shared.in_flight.load(std::sync::atomic::Ordering::Relaxed),
+        in_flight: shared
+            .in_flight_requests
+            .load(std::sync::atomic::Ordering::Relaxed),
         targets: targets.collect(),
     }
 }
--- a/cowsliproad-entry/src/answer.rs
+++ b/cowsliproad-entry/src/answer.rs
@@ -12,40 +12,42 @@
 use serde_json::json;
 use volo_http::{body::Body, response::Response};
 
-use crate::forward::{Forward, Item};
+use crate::forward::{AnswerItem, RequestForwarder};
 
 /// The HTTP header that carries the resume token.
-pub const TOKEN_HEADER: &str = "request-token";
+pub const RESUME_TOKEN_HEADER: &str = "request-token";
 
 /// Waits for the whole answer and returns it as a JSON document.
-pub async fn whole(mut forward: Forward) -> (Response, Option<Failure>) {
+pub async fn whole_answer_response(
+    mut forwarder: RequestForwarder,
+) -> (Response, Option<Failure>) {
     let mut bytes = Vec::new();
     let mut token = String::new();
-    while let Some(item) = forward.next().await {
+    while let Some(item) = forwarder.next_item().await {
         match item {
-            Item::Accepted(text) => token = text,
-            Item::Bytes(more) => bytes.extend_from_slice(&more),
-            Item::Restart => bytes.clear(),
-            Item::Failed(failure) => {
+            AnswerItem::Accepted(text) => token = text,
+            AnswerItem::Bytes(more) => bytes.extend_from_slice(&more),
+            AnswerItem::Restart => bytes.clear(),
+            AnswerItem::Failed(failure) => {
                 let mut response = reply::problem(&failure, "");
-                set_token(&mut response, &token);
+                set_resume_token(&mut response, &token);
                 return (response, Some(failure));
             }
-            Item::Done(end) => {
-                let body = document(end.format, bytes);
+            AnswerItem::Done(end) => {
+                let body = json_document(end.format, bytes);
                 let mut response = reply::json(StatusCode::OK, body);
-                set_token(&mut response, &token);
+                set_resume_token(&mut response, &token);
                 return (response, None);
             }
         }
     }
-    // A [`Forward`] always ends with `Item::Done` or `Item::Failed`.
+    // A request forwarder always ends with `Done` or `Failed`.
     (reply::text(StatusCode::INTERNAL_SERVER_ERROR, ""), None)
 }
 
 /// Wraps a text answer in a JSON document. A JSON answer is returned as it
 /// stands.
-fn document(format: AnswerFormat, bytes: Vec<u8>) -> String {
+fn json_document(format: AnswerFormat, bytes: Vec<u8>) -> String {
     let text = String::from_utf8_lossy(&bytes);
     match format {
         AnswerFormat::Json => text.into_owned(),
@@ -55,49 +57,49 @@
 
 /// The response for accepted work, with the resume token and the path at which
 /// the caller reclaims the answer.
-pub fn accepted(token: &str) -> Response {
+pub fn accepted_response(token: &str) -> Response {
     let body = json!({
         "token": token,
         "reclaim": format!("/v1/requests/{token}"),
     });
     let mut response = reply::json(StatusCode::ACCEPTED, body.to_string());
-    set_token(&mut response, token);
+    set_resume_token(&mut response, token);
     response
 }
 
 /// Adds the resume token to a response.
-pub fn set_token(response: &mut Response, token: &str) {
+pub fn set_resume_token(response: &mut Response, token: &str) {
     if let Ok(value) = HeaderValue::from_str(token)
         && !token.is_empty()
     {
-        response.headers_mut().insert(TOKEN_HEADER, value);
+        response.headers_mut().insert(RESUME_TOKEN_HEADER, value);
     }
 }
 
 /// A value that lives as long as a streamed response and is notified when the
 /// answer ends.
-pub trait Companion: Send + 'static {
+pub trait AnswerObserver: Send + 'static {
     /// Called when the answer is complete, or ended with a failure.
-    fn ended(&mut self, failure: Option<&Failure>);
+    fn answer_ended(&mut self, failure: Option<&Failure>);
 }
 
 /// Streams an answer as server-sent events. The caller of this function has
-/// checked that `first` is not a failure.
-pub fn stream<C: Companion>(
-    forward: Forward,
-    first: Item,
-    from: u64,
-    companion: C,
+/// checked that `first_item` is not a failure.
+pub fn stream_answer<C: AnswerObserver>(
+    forwarder: RequestForwarder,
+    first_item: AnswerItem,
+    first_byte: u64,
+    observer: C,
 ) -> Response {
-    let state = Streaming {
-        forward,
-        first: Some(first),
-        offset: from,
-        rest: Vec::new(),
-        companion,
+    let state = AnswerEvents {
+        forwarder,
+        first_item: Some(first_item),
+        answer_offset: first_byte,
+        incomplete_character: Vec::new(),
+        observer,
     };
     let events = stream::unfold(state, async |mut state| {
-        let event = state.next().await?;
+        let event = state.next_event().await?;
         let frame = Frame::data(Bytes::from(event));
         Some((Ok::<_, Infallible>(frame), state))
     });
@@ -117,41 +119,43 @@
 }
 
 /// The state of an answer that is written as server-sent events.
-struct Streaming<C> {
-    forward: Forward,
-    first: Option<Item>,
-    offset: u64,
+struct AnswerEvents<C> {
+    forwarder: RequestForwarder,
+    first_item: Option<AnswerItem>,
+    answer_offset: u64,
     /// The first bytes of a UTF-8 character whose last bytes have not arrived.
-    rest: Vec<u8>,
-    companion: C,
+    incomplete_character: Vec<u8>,
+    observer: C,
 }
 
-impl<C: Companion> Streaming<C> {
-    async fn next(&mut self) -> Option<String> {
+impl<C: AnswerObserver> AnswerEvents<C> {
+    async fn next_event(&mut self) -> Option<String> {
         loop {
-            let item = match self.first.take() {
+            let item = match self.first_item.take() {
                 Some(item) => item,
-                None => self.forward.next().await?,
+                None => self.forwarder.next_item().await?,
             };
-            if let Some(event) = self.event(item) {
+            if let Some(event) = self.event_for_item(item) {
                 return Some(event);
             }
         }
     }
 
-    fn event(&mut self, item: Item) -> Option<String> {
+    fn event_for_item(&mut self, item: AnswerItem) -> Option<String> {
         match item {
-            Item::Accepted(token) => {
-                Some(event("accepted", None, &json!({ "token": token })))
+            AnswerItem::Accepted(token) => Some(format_event(
+                "accepted",
+                None,
+                &json!({ "token": token }),
+            )),
+            AnswerItem::Bytes(bytes) => self.data_event(bytes),
+            AnswerItem::Restart => {
+                self.answer_offset = 0;
+                self.incomplete_character.clear();
+                Some(format_event("restart", Some(0), &json!({})))
             }
-            Item::Bytes(bytes) => self.bytes(bytes),
-            Item::Restart => {
-                self.offset = 0;
-                self.rest.clear();
-                Some(event("restart", Some(0), &json!({})))
-            }
-            Item::Done(end) => {
-                self.companion.ended(None);
+            AnswerItem::Done(end) => {
+                self.observer.answer_ended(None);
                 let digest: String =
                     end.digest.iter().map(|it| format!("{it:02x}")).collect();
                 let format = match end.format {
@@ -163,36 +167,44 @@
                     "digest": digest,
                     "format": format,
                 });
-                Some(event("done", Some(end.length), &data))
+                Some(format_event("done", Some(end.length), &data))
             }
-            Item::Failed(failure) => {
-                self.companion.ended(Some(&failure));
+            AnswerItem::Failed(failure) => {
+                self.observer.answer_ended(Some(&failure));
                 let data = reply::problem_body(&failure, "");
-                Some(event("failed", None, &data))
+                Some(format_event("failed", None, &data))
             }
         }
     }
 
-    fn bytes(&mut self, bytes: Vec<u8>) -> Option<String> {
-        self.rest.extend_from_slice(&bytes);
-        let whole = match std::str::from_utf8(&self.rest) {
+    fn data_event(&mut self, bytes: Vec<u8>) -> Option<String> {
+        self.incomplete_character.extend_from_slice(&bytes);
+        let whole = match std::str::from_utf8(&self.incomplete_character) {
             Ok(text) => text.len(),
             Err(error) if error.error_len().is_none() => error.valid_up_to(),
             // Bytes that are not UTF-8 are sent with replacement characters.
-            Err(_) => self.rest.len(),
+            Err(_) => self.incomplete_character.len(),
         };
         if whole == 0 {
             return None;
         }
-        let text: Vec<u8> = self.rest.drain(..whole).collect();
-        self.offset += whole as u64;
+        let text: Vec<u8> = self.incomplete_character.drain(..whole).collect();
+        self.answer_offset += whole as u64;
         let text = String::from_utf8_lossy(&text);
-        Some(event("data", Some(self.offset), &json!({ "text": text })))
+        Some(format_event(
+            "data",
+            Some(self.answer_offset),
+            &json!({ "text": text }),
+        ))
     }
 }
 
-fn event(name: &str, id: Option<u64>, data: &serde_json::Value) -> String {
-    match id {
+fn format_event(
+    name: &str,
+    event_id: Option<u64>,
+    data: &serde_json::Value,
+) -> String {
+    match event_id {
         Some(id) => format!("event: {name}\nid: {id}\ndata: {data}\n\n"),
         None => format!("event: {name}\ndata: {data}\n\n"),
     }
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -29,73 +29,79 @@
 use slog::info;
 use volo_http::{request::Request, response::Response};
 
-pub use self::finish::Instruments;
+pub use self::finish::RequestMetrics;
 use self::{
-    finish::{EntryGuard, Finish, Ignored},
-    head::{delivery, idempotency_key, organisation},
+    finish::{EntryInFlightGuard, RequestRecorder, UnrecordedReclaim},
+    head::{
+        authenticate_organisation, read_idempotency_key, requested_delivery,
+    },
 };
 use crate::{
-    Shared,
-    answer::{self, Companion},
+    EntryState,
+    answer::{self, AnswerObserver},
     choose,
-    forward::{Forward, Item, Order, needs_ticket},
+    forward::{AnswerItem, RequestForwarder, WorkRequest, needs_ticket},
     quarantine,
-    target::{Event, Target},
-    view::{InFlight, Organisation, Service},
+    target::{AttemptEvent, Target},
+    view::{Organisation, OrganisationInFlightGuard, Service},
 };
 
 /// The HTTP header that carries a ticket.
 pub const TICKET_HEADER: &str = "request-ticket";
 
 /// The maximum number of tickets issued by one HTTP request.
-const MAX_TICKETS: u64 = 100;
+const MAX_TICKETS_PER_REQUEST: u64 = 100;
 
 /// How long a caller that reclaims a kept answer as JSON waits for the end of
 /// the answer.
-const RECLAIM_WAIT: Millis = Millis(20_000);
+const RECLAIM_TIMEOUT: Millis = Millis(20_000);
 
 /// How long the agent may take to answer a cancel frame.
-const CANCEL_WAIT: Duration = Duration::from_secs(2);
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The `Retry-After` of a response about unfinished work, or about a service
 /// without a reachable target.
-const NOT_YET: Millis = Millis(1_000);
+const UNFINISHED_RETRY_AFTER: Millis = Millis(1_000);
 
 /// The `Retry-After` of a response to a request that exceeds a limit on
 /// requests in flight, or that arrives before the entry process has a
 /// configuration.
-const OVER_SHARE: Millis = Millis(200);
+const OVERLOAD_RETRY_AFTER: Millis = Millis(200);
 
 /// Handles the HTTP requests of callers.
 #[derive(Debug)]
-pub struct Api {
-    shared: Arc<Shared>,
+pub struct CallerApi {
+    shared: Arc<EntryState>,
 }
 
 /// The organisation, service and request type of an HTTP request whose head
 /// was checked.
-struct Checked {
+struct CheckedRequest {
     organisation: Arc<Organisation>,
     service: Arc<Service>,
     request_type: Arc<RequestType>,
 }
 
 /// The problem document of a refused HTTP request.
-struct Refused {
+struct RequestRefusal {
     failure: Failure,
-    detail: String,
+    problem_detail: String,
     /// A new ticket with which the caller can send the request again.
-    ticket: Option<String>,
+    new_ticket: Option<String>,
 }
 
-impl Refused {
-    fn new(failure: Failure) -> Refused {
-        Refused { failure, detail: String::new(), ticket: None }
+impl RequestRefusal {
+    fn new(failure: Failure) -> RequestRefusal {
+        RequestRefusal {
+            failure,
+            problem_detail: String::new(),
+            new_ticket: None,
+        }
     }
 
     fn into_response(self) -> Response {
-        let mut response = reply::problem(&self.failure, &self.detail);
-        let ticket = self.ticket.as_deref().map(HeaderValue::from_str);
+        let mut response = reply::problem(&self.failure, &self.problem_detail);
+        let ticket = self.new_ticket.as_deref().map(HeaderValue::from_str);
         if let Some(Ok(ticket)) = ticket {
             response.headers_mut().insert(TICKET_HEADER, ticket);
         }
@@ -106,19 +112,20 @@
 /// How a caller receives an answer: whole, as a stream of events, or later by
 /// its resume token.
 #[derive(Clone, Copy, Eq, PartialEq)]
-enum Delivery {
+enum AnswerDelivery {
     Whole,
     Stream,
     Async,
 }
 
-impl Handler for Api {
+impl Handler for CallerApi {
     async fn handle(&self, request: Request) -> Response {
         let shared = &self.shared;
-        shared.in_flight.fetch_add(1, Ordering::Relaxed);
-        let guard = EntryGuard { shared: shared.clone() };
-        let mut response = self.route(request, guard).await;
-        if shared.phase() == Phase::Leaving {
+        shared.in_flight_requests.fetch_add(1, Ordering::Relaxed);
+        let entry_in_flight =
+            EntryInFlightGuard { entry_state: shared.clone() };
+        let mut response = self.route_request(request, entry_in_flight).await;
+        if shared.lifecycle_phase() == Phase::Leaving {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
         }
@@ -126,13 +133,17 @@
     }
 }
 
-impl Api {
+impl CallerApi {
     /// Creates the handler of callers' HTTP requests.
-    pub fn new(shared: Arc<Shared>) -> Api {
-        Api { shared }
+    pub fn new(shared: Arc<EntryState>) -> CallerApi {
+        CallerApi { shared }
     }
 
-    async fn route(&self, request: Request, guard: EntryGuard) -> Response {
+    async fn route_request(
+        &self,
+        request: Request,
+        entry_in_flight: EntryInFlightGuard,
+    ) -> Response {
         let path = request.uri().path().to_string();
         let path: Vec<&str> =
             path.split('/').filter(|it| !it.is_empty()).collect();
@@ -140,7 +151,7 @@
             (Method::GET, ["livez"]) => {
                 return reply::text(StatusCode::OK, "live\n");
             }
-            (Method::GET, ["readyz"]) => return self.ready(),
+            (Method::GET, ["readyz"]) => return self.readiness_response(),
             (Method::GET, ["metrics"]) => {
                 let text = self.shared.metrics.text();
                 return reply::text(StatusCode::OK, &text);
@@ -148,29 +159,38 @@
             // Boxed to keep the common future small: the server moves it
             // several times.
             (Method::GET, ["v1", "requests", token]) => {
-                Box::pin(self.reclaim(&request, token, guard)).await
+                Box::pin(self.reclaim_answer(&request, token, entry_in_flight))
+                    .await
             }
             (Method::DELETE, ["v1", "requests", token]) => {
-                Box::pin(self.cancel(&request, token)).await
+                Box::pin(self.cancel_work(&request, token)).await
             }
             (_, ["v1", "requests", _]) => {
-                Err(refused(Code::BadMethod, "GET or DELETE"))
+                Err(refuse_unforwarded(Code::BadMethod, "GET or DELETE"))
+            }
+            (Method::POST, ["v1", service, type_name, "tickets"]) => {
+                self.issue_tickets(&request, service, type_name)
             }
-            (Method::POST, ["v1", service, kind, "tickets"]) => {
-                self.tickets(&request, service, kind)
+            (Method::POST, ["v1", service, type_name]) => {
+                Box::pin(self.submit_work(
+                    request,
+                    service,
+                    type_name,
+                    entry_in_flight,
+                ))
+                .await
             }
-            (Method::POST, ["v1", service, kind]) => {
-                Box::pin(self.submit(request, service, kind, guard)).await
+            (_, ["v1", _, _]) => {
+                Err(refuse_unforwarded(Code::BadMethod, "POST"))
             }
-            (_, ["v1", _, _]) => Err(refused(Code::BadMethod, "POST")),
-            _ => Err(refused(Code::UnknownPath, "")),
+            _ => Err(refuse_unforwarded(Code::UnknownPath, "")),
         };
-        outcome.unwrap_or_else(Refused::into_response)
+        outcome.unwrap_or_else(RequestRefusal::into_response)
     }
 
-    fn ready(&self) -> Response {
-        let view = self.shared.published.load();
-        if self.shared.phase() == Phase::Leaving {
+    fn readiness_response(&self) -> Response {
+        let view = self.shared.published.current_view();
+        if self.shared.lifecycle_phase() == Phase::Leaving {
             return reply::text(StatusCode::SERVICE_UNAVAILABLE, "stopping\n");
         }
         if view.services.is_empty() {
@@ -182,140 +202,157 @@
         reply::text(StatusCode::OK, "ready\n")
     }
 
-    async fn submit(
+    async fn submit_work(
         &self,
         request: Request,
         service: &str,
-        kind: &str,
-        guard: EntryGuard,
-    ) -> Result<Response, Refused> {
-        let arrival = Instant::now();
-        let checked = self.check(&request, service, kind)?;
-        let share = self.admit(&checked)?;
-        let delivery = delivery(&request);
-        let key = idempotency_key(&request)?;
-        let ticket = self.ticket(&request, &checked)?;
-        let body = self.body(request, &checked.request_type).await?;
-        let keep = delivery != Delivery::Whole || key.is_some();
-        let organisation = &checked.organisation.declared.name;
-        let kind = &checked.request_type.name;
-        let work =
-            quarantine::work_of(&checked.service, organisation, kind, &body);
-        let order = Order {
-            request: ticket
+        type_name: &str,
+        entry_in_flight: EntryInFlightGuard,
+    ) -> Result<Response, RequestRefusal> {
+        let arrived_at = Instant::now();
+        let checked = self.check_request(&request, service, type_name)?;
+        let organisation_in_flight = self.admit_request(&checked)?;
+        let delivery = requested_delivery(&request);
+        let key = read_idempotency_key(&request)?;
+        let ticket = self.verify_ticket(&request, &checked)?;
+        let body = self.read_json_body(request, &checked.request_type).await?;
+        let keep = delivery != AnswerDelivery::Whole || key.is_some();
+        let organisation = &checked.organisation.declaration.name;
+        let type_name = &checked.request_type.name;
+        let work = quarantine::work_digest(
+            &checked.service,
+            organisation,
+            type_name,
+            &body,
+        );
+        let work_request = WorkRequest {
+            request_id: ticket
                 .as_ref()
                 .map_or_else(id::Request::random, |it| it.1.request),
-            organisation: checked.organisation.declared.name.clone(),
-            share: checked.organisation.declared.capacity_weight,
+            organisation: checked.organisation.declaration.name.clone(),
+            organisation_weight: checked
+                .organisation
+                .declaration
+                .capacity_weight,
             service: checked.service.clone(),
             request_type: checked.request_type.clone(),
-            ticket,
-            key,
+            signed_ticket: ticket,
+            idempotency_key: key,
             persistence: match keep {
                 true => Persistence::Keep,
                 false => Persistence::Drop,
             },
-            deadline: Millis::now() + checked.request_type.deadline_ms,
-            body,
-            work,
+            answer_deadline: Millis::now() + checked.request_type.deadline_ms,
+            request_body: body,
+            work_digest: work,
         };
-        let finish = Finish {
-            shared: self.shared.clone(),
-            request: order.request,
+        let recorder = RequestRecorder {
+            entry_state: self.shared.clone(),
+            request_id: work_request.request_id,
             request_type: checked.request_type.clone(),
-            arrival,
-            _guard: guard,
-            _share: share,
+            arrived_at,
+            _entry_in_flight: entry_in_flight,
+            _organisation_in_flight: organisation_in_flight,
         };
-        let forward = Forward::new(self.shared.clone(), order);
-        Ok(deliver(forward, delivery, finish, 0).await)
+        let forwarder =
+            RequestForwarder::new(self.shared.clone(), work_request);
+        Ok(deliver_answer(forwarder, delivery, recorder, 0).await)
     }
 
     /// Reads out the kept answer of the request that a resume token names.
-    async fn reclaim(
+    async fn reclaim_answer(
         &self,
         request: &Request,
         token: &str,
-        guard: EntryGuard,
-    ) -> Result<Response, Refused> {
-        let token = self.token(request, token)?;
+        entry_in_flight: EntryInFlightGuard,
+    ) -> Result<Response, RequestRefusal> {
+        let token = self.verify_resume_token(request, token)?;
         let last = request.headers().get("last-event-id");
         let last = last.and_then(|it| it.to_str().ok()?.parse().ok());
-        let delivery = match delivery(request) {
-            Delivery::Stream => Delivery::Stream,
-            Delivery::Whole | Delivery::Async => Delivery::Whole,
+        let delivery = match requested_delivery(request) {
+            AnswerDelivery::Stream => AnswerDelivery::Stream,
+            AnswerDelivery::Whole | AnswerDelivery::Async => {
+                AnswerDelivery::Whole
+            }
         };
-        let from = match delivery {
-            Delivery::Stream => last.unwrap_or(0),
+        let first_byte = match delivery {
+            AnswerDelivery::Stream => last.unwrap_or(0),
             _ => 0,
         };
-        let deadline = Millis::now() + RECLAIM_WAIT;
+        let deadline = Millis::now() + RECLAIM_TIMEOUT;
         let shared = self.shared.clone();
-        let forward = Forward::kept(shared, token, from, deadline);
+        let forwarder = RequestForwarder::for_kept_answer(
+            shared, token, first_byte, deadline,
+        );
         match delivery {
-            Delivery::Stream => {
-                Ok(begin_stream(forward, from, Ignored { _guard: guard })
-                    .await)
-            }
-            _ => Ok(kept_document(forward).await),
+            AnswerDelivery::Stream => Ok(start_answer_stream(
+                forwarder,
+                first_byte,
+                UnrecordedReclaim { _entry_in_flight: entry_in_flight },
+            )
+            .await),
+            _ => Ok(kept_answer_response(forwarder).await),
         }
     }
 
-    /// Sends a cancel frame to the agent that answers for the process named by
-    /// a resume token.
-    async fn cancel(
+    /// Sends a cancel frame to the agent that is, or inherited the work of,
+    /// the process named by a resume token.
+    async fn cancel_work(
         &self,
         request: &Request,
         token: &str,
-    ) -> Result<Response, Refused> {
-        let token = self.token(request, token)?;
-        let view = self.shared.published.load();
-        let holder = view.holder(&token.target, token.incarnation);
-        let link = holder.and_then(|target| target.link.load_full());
+    ) -> Result<Response, RequestRefusal> {
+        let token = self.verify_resume_token(request, token)?;
+        let view = self.shared.published.current_view();
+        let holder =
+            view.target_answering_for(&token.target, token.incarnation);
+        let link = holder.and_then(|target| target.agent_link.load_full());
         let gone = || {
             let failure =
                 Failure::new(Code::TargetGone, Execution::OutcomeUnknown);
-            Refused::new(failure)
+            RequestRefusal::new(failure)
         };
         let link = link.ok_or_else(gone)?;
         let attempt = id::Attempt::random();
-        let mut events = link.listen(attempt);
+        let mut events = link.register_attempt(attempt);
         let cancel = Cancel {
             request: token.request,
             organisation: token.organisation,
             attempt,
         };
-        let sent = link.send(Frame::Cancel(cancel)).await;
+        let sent = link.send_frame(Frame::Cancel(cancel)).await;
         sent.map_err(|_| gone())?;
-        let answer = tokio::time::timeout(CANCEL_WAIT, events.recv()).await;
-        link.forget(attempt);
+        let answer = tokio::time::timeout(CANCEL_TIMEOUT, events.recv()).await;
+        link.unregister_attempt(attempt);
         match answer {
-            Ok(Some(Event::Refused(failure)))
+            Ok(Some(AttemptEvent::Refused(failure)))
                 if failure.code == Code::Cancelled =>
             {
                 let body = json!({ "ran": failure.ran.as_str() });
                 Ok(reply::json(StatusCode::OK, body.to_string()))
             }
-            Ok(Some(Event::Refused(failure))) => Err(Refused::new(failure)),
+            Ok(Some(AttemptEvent::Refused(failure))) => {
+                Err(RequestRefusal::new(failure))
+            }
             _ => Err(gone()),
         }
     }
 
-    fn tickets(
+    fn issue_tickets(
         &self,
         request: &Request,
         service: &str,
-        kind: &str,
-    ) -> Result<Response, Refused> {
-        let checked = self.check(request, service, kind)?;
+        type_name: &str,
+    ) -> Result<Response, RequestRefusal> {
+        let checked = self.check_request(request, service, type_name)?;
         if !needs_ticket(&checked.request_type) {
             let text = "this type may be repeated and takes no tickets";
-            return Err(refused(Code::BadRequest, text));
+            return Err(refuse_unforwarded(Code::BadRequest, text));
         }
         let count = server::query_number(request, "count").unwrap_or(1);
-        let count = count.clamp(1, MAX_TICKETS);
-        let tickets: Result<Vec<String>, Refused> =
-            (0..count).map(|_| self.mint(&checked)).collect();
+        let count = count.clamp(1, MAX_TICKETS_PER_REQUEST);
+        let tickets: Result<Vec<String>, RequestRefusal> =
+            (0..count).map(|_| self.sign_new_ticket(&checked)).collect();
         let tickets = tickets?;
         let body = json!({
             "tickets": tickets,
@@ -326,25 +363,31 @@
 
     /// Signs a ticket for the target with the best score. If no target may be
     /// used now, the ticket names the target whose cooldown ends first.
-    fn mint(&self, checked: &Checked) -> Result<String, Refused> {
+    fn sign_new_ticket(
+        &self,
+        checked: &CheckedRequest,
+    ) -> Result<String, RequestRefusal> {
         let service = &checked.service;
-        let found = choose::best(&self.shared, service, &[]);
+        let found = choose::best_sampled_target(&self.shared, service, &[]);
         let target = match found {
             Some(found) => service.targets[found.chosen_index].clone(),
-            None => self.first_to_return(checked)?,
+            None => self.first_out_of_cooldown(checked)?,
         };
-        let (beat, at) = target.beat().ok_or_else(no_target)?;
+        let (heartbeat, received_at) =
+            target.last_heartbeat().ok_or_else(no_target_refusal)?;
         let ticket = Ticket {
             purpose: Purpose::Ticket,
-            organisation: checked.organisation.declared.name.clone(),
+            organisation: checked.organisation.declaration.name.clone(),
             service: checked.service.name.clone(),
             request_type: checked.request_type.name.clone(),
             target: target.name.clone(),
-            incarnation: beat.incarnation,
+            incarnation: heartbeat.incarnation,
             request: id::Request::random(),
-            expiry: beat.sender_clock + Millis::now().since(at) + TICKET_TTL,
+            expiry: heartbeat.sender_clock
+                + Millis::now().since(received_at)
+                + TICKET_TTL,
         };
-        info!(self.shared.log, "ticket";
+        info!(self.shared.logger, "ticket";
             "request" => %ticket.request,
             "type" => %ticket.request_type,
             "target" => %ticket.target,
@@ -354,105 +397,117 @@
 
     /// Returns the target whose cooldown ends first, if it ends before the
     /// deadline of the request type.
-    fn first_to_return(
+    fn first_out_of_cooldown(
         &self,
-        checked: &Checked,
-    ) -> Result<Arc<Target>, Refused> {
+        checked: &CheckedRequest,
+    ) -> Result<Arc<Target>, RequestRefusal> {
         let deadline = Millis::now() + checked.request_type.deadline_ms;
-        let first = choose::first_to_return(&checked.service, &[], deadline);
+        let first =
+            choose::first_out_of_cooldown(&checked.service, &[], deadline);
         first.map_err(|wait| {
-            let Some(wait) = wait else { return no_target() };
+            let Some(wait) = wait else { return no_target_refusal() };
             let after = patience::jittered_retry(wait, rand::random());
             let failure = Failure::new(Code::Overloaded, Execution::NotRun);
-            Refused::new(failure.with_retry_after(after))
+            RequestRefusal::new(failure.with_retry_after(after))
         })
     }
 
     /// Checks the organisation key, the service, the request type and the
     /// permission of the organisation to send the type.
-    fn check(
+    fn check_request(
         &self,
         request: &Request,
         service: &str,
-        kind: &str,
-    ) -> Result<Checked, Refused> {
-        let view = self.shared.published.load();
-        let organisation = organisation(request, &view)?;
+        type_name: &str,
+    ) -> Result<CheckedRequest, RequestRefusal> {
+        let view = self.shared.published.current_view();
+        let organisation = authenticate_organisation(request, &view)?;
         let service = view
             .services
             .get(service)
             .cloned()
-            .ok_or_else(|| refused(Code::UnknownService, ""))?;
+            .ok_or_else(|| refuse_unforwarded(Code::UnknownService, ""))?;
         let request_type = service
-            .types
-            .get(kind)
+            .request_types
+            .get(type_name)
             .cloned()
-            .ok_or_else(|| refused(Code::UnknownType, ""))?;
-        let senders = &request_type.allowed_organisations;
-        let name = &organisation.declared.name;
-        if !senders.is_empty() && !senders.contains(name) {
-            return Err(refused(Code::NotAllowed, ""));
+            .ok_or_else(|| refuse_unforwarded(Code::UnknownType, ""))?;
+        let allowed = &request_type.allowed_organisations;
+        let name = &organisation.declaration.name;
+        if !allowed.is_empty() && !allowed.contains(name) {
+            return Err(refuse_unforwarded(Code::NotAllowed, ""));
         }
-        Ok(Checked { organisation, service, request_type })
+        Ok(CheckedRequest { organisation, service, request_type })
     }
 
     /// Counts the request as in flight, within the limits of the entry process
     /// and of the organisation.
-    fn admit(&self, checked: &Checked) -> Result<InFlight, Refused> {
-        let most = self.shared.settings.max_in_flight;
+    fn admit_request(
+        &self,
+        checked: &CheckedRequest,
+    ) -> Result<OrganisationInFlightGuard, RequestRefusal> {
+        let max = self.shared.settings.max_in_flight_requests;
         let urgent = checked.request_type.urgency == Urgency::Urgent;
-        // The last tenth of the places is reserved for urgent work.
-        let most = if urgent { most } else { most - most / 10 };
-        let full = self.shared.in_flight.load(Ordering::Relaxed) > most;
+        // The last tenth of the requests in flight is reserved for urgent
+        // work.
+        let limit = if urgent { max } else { max - max / 10 };
+        let full =
+            self.shared.in_flight_requests.load(Ordering::Relaxed) > limit;
         let ran = Execution::NotForwarded;
         if full {
             let failure = Failure::new(Code::Overloaded, ran);
-            let failure = failure.with_retry_after(OVER_SHARE);
-            return Err(Refused::new(failure));
+            let failure = failure.with_retry_after(OVERLOAD_RETRY_AFTER);
+            return Err(RequestRefusal::new(failure));
         }
-        checked.organisation.enter().ok_or_else(|| {
+        checked.organisation.try_begin_request().ok_or_else(|| {
             let failure = Failure::new(Code::OverShare, ran);
-            let failure = failure.with_retry_after(OVER_SHARE);
-            Refused::new(failure)
+            let failure = failure.with_retry_after(OVERLOAD_RETRY_AFTER);
+            RequestRefusal::new(failure)
         })
     }
 
     /// Verifies the ticket of a request whose type requires one.
-    fn ticket(
+    fn verify_ticket(
         &self,
         request: &Request,
-        checked: &Checked,
-    ) -> Result<Option<(String, Ticket)>, Refused> {
+        checked: &CheckedRequest,
+    ) -> Result<Option<(String, Ticket)>, RequestRefusal> {
         if !needs_ticket(&checked.request_type) {
             return Ok(None);
         }
         let Some(text) = request.headers().get(TICKET_HEADER) else {
-            return Err(self.ask_for_ticket(checked));
+            return Err(self.refuse_with_new_ticket(checked));
         };
         let text = text
             .to_str()
-            .map_err(|_| refused(Code::ForgedToken, ""))?
+            .map_err(|_| refuse_unforwarded(Code::ForgedToken, ""))?
             .to_string();
         let ticket = ticket::verify(&text, &self.shared.ticket_key)
-            .map_err(|_| refused(Code::ForgedToken, ""))?;
+            .map_err(|_| refuse_unforwarded(Code::ForgedToken, ""))?;
         let fits = ticket.purpose == Purpose::Ticket
-            && ticket.organisation == checked.organisation.declared.name
+            && ticket.organisation == checked.organisation.declaration.name
             && ticket.service == checked.service.name
             && ticket.request_type == checked.request_type.name;
         if !fits {
-            return Err(refused(Code::ForeignToken, ""));
+            return Err(refuse_unforwarded(Code::ForeignToken, ""));
         }
         Ok(Some((text, ticket)))
     }
 
     /// Refuses a request without a ticket as not run, and issues a ticket with
     /// which the caller can send the request again.
-    fn ask_for_ticket(&self, checked: &Checked) -> Refused {
-        match self.mint(checked) {
+    fn refuse_with_new_ticket(
+        &self,
+        checked: &CheckedRequest,
+    ) -> RequestRefusal {
+        match self.sign_new_ticket(checked) {
             Ok(ticket) => {
                 let failure =
                     Failure::new(Code::TicketNeeded, Execution::NotRun);
-                Refused { ticket: Some(ticket), ..Refused::new(failure) }
+                RequestRefusal {
+                    new_ticket: Some(ticket),
+                    ..RequestRefusal::new(failure)
+                }
             }
             Err(refused) => refused,
         }
@@ -460,82 +515,95 @@
 
     /// Verifies that a resume token is genuine and belongs to the organisation
     /// of the request.
-    fn token(
+    fn verify_resume_token(
         &self,
         request: &Request,
         token: &str,
-    ) -> Result<Ticket, Refused> {
-        let view = self.shared.published.load();
-        let organisation = organisation(request, &view)?;
+    ) -> Result<Ticket, RequestRefusal> {
+        let view = self.shared.published.current_view();
+        let organisation = authenticate_organisation(request, &view)?;
         let token = ticket::verify(token, &self.shared.ticket_key)
-            .map_err(|_| refused(Code::ForgedToken, ""))?;
-        if token.organisation != organisation.declared.name {
-            return Err(refused(Code::ForeignToken, ""));
+            .map_err(|_| refuse_unforwarded(Code::ForgedToken, ""))?;
+        if token.organisation != organisation.declaration.name {
+            return Err(refuse_unforwarded(Code::ForeignToken, ""));
         }
         Ok(token)
     }
 
     /// Reads the request body within the size and time limits and checks that
     /// it is one JSON value.
-    async fn body(
+    async fn read_json_body(
         &self,
         request: Request,
         request_type: &RequestType,
-    ) -> Result<Vec<u8>, Refused> {
+    ) -> Result<Vec<u8>, RequestRefusal> {
         let limit = request_type.max_body_bytes as usize;
-        let patience = self.shared.settings.body_ms.duration();
+        let patience = self.shared.settings.body_timeout.duration();
         let body = request.into_body();
         let body = server::read_body(body, limit, patience).await;
         let body = body.map_err(|error| match error {
-            BodyError::TooLarge => {
-                refused(Code::TooLarge, &format!("at most {limit} bytes"))
-            }
-            BodyError::TimedOut => refused(Code::SlowBody, ""),
+            BodyError::TooLarge => refuse_unforwarded(
+                Code::TooLarge,
+                &format!("at most {limit} bytes"),
+            ),
+            BodyError::TimedOut => refuse_unforwarded(Code::SlowBody, ""),
             BodyError::Incomplete => {
-                refused(Code::BadRequest, "the body was cut")
+                refuse_unforwarded(Code::BadRequest, "the body was cut")
             }
         })?;
-        serde_json::from_slice::<serde::de::IgnoredAny>(&body)
-            .map_err(|error| refused(Code::BadJson, &error.to_string()))?;
+        serde_json::from_slice::<serde::de::IgnoredAny>(&body).map_err(
+            |error| refuse_unforwarded(Code::BadJson, &error.to_string()),
+        )?;
         Ok(body.to_vec())
     }
 }
 
-async fn deliver(
-    mut forward: Forward,
-    delivery: Delivery,
-    mut finish: Finish,
-    from: u64,
+async fn deliver_answer(
+    mut forwarder: RequestForwarder,
+    delivery: AnswerDelivery,
+    mut recorder: RequestRecorder,
+    first_byte: u64,
 ) -> Response {
     match delivery {
-        Delivery::Whole => {
-            let (response, failure) = answer::whole(forward).await;
-            finish.ended(failure.as_ref());
+        AnswerDelivery::Whole => {
+            let (response, failure) =
+                answer::whole_answer_response(forwarder).await;
+            recorder.answer_ended(failure.as_ref());
             response
         }
-        Delivery::Stream => begin_stream(forward, from, finish).await,
-        Delivery::Async => match until_accepted(&mut forward).await {
-            Ok(token) => {
-                forward.leave();
-                finish.ended(None);
-                answer::accepted(&token)
-            }
-            Err(failure) => {
-                finish.ended(Some(&failure));
-                reply::problem(&failure, "")
+        AnswerDelivery::Stream => {
+            start_answer_stream(forwarder, first_byte, recorder).await
+        }
+        AnswerDelivery::Async => {
+            match wait_for_resume_token(&mut forwarder).await {
+                Ok(token) => {
+                    forwarder.detach_from_work();
+                    recorder.answer_ended(None);
+                    answer::accepted_response(&token)
+                }
+                Err(failure) => {
+                    recorder.answer_ended(Some(&failure));
+                    reply::problem(&failure, "")
+                }
             }
-        },
+        }
     }
 }
 
 /// Waits for the resume token of accepted work. Frames of the answer may
 /// arrive before the token and are ignored.
-async fn until_accepted(forward: &mut Forward) -> Result<String, Failure> {
+async fn wait_for_resume_token(
+    forwarder: &mut RequestForwarder,
+) -> Result<String, Failure> {
     loop {
-        match forward.next().await {
-            Some(Item::Accepted(token)) => return Ok(token),
-            Some(Item::Failed(failure)) => return Err(failure),
-            Some(Item::Bytes(_) | Item::Restart | Item::Done(_)) => {}
+        match forwarder.next_item().await {
+            Some(AnswerItem::Accepted(token)) => return Ok(token),
+            Some(AnswerItem::Failed(failure)) => return Err(failure),
+            Some(
+                AnswerItem::Bytes(_)
+                | AnswerItem::Restart
+                | AnswerItem::Done(_),
+            ) => {}
             None => {
                 let code = Code::TargetFailed;
                 return Err(Failure::new(code, Execution::OutcomeUnknown));
@@ -546,44 +614,49 @@
 
 /// Starts the event stream of an answer. A failure before the first answer
 /// item is returned as a plain problem document.
-async fn begin_stream<C: Companion>(
-    mut forward: Forward,
-    from: u64,
-    mut companion: C,
+async fn start_answer_stream<C: AnswerObserver>(
+    mut forwarder: RequestForwarder,
+    first_byte: u64,
+    mut observer: C,
 ) -> Response {
-    match forward.next().await {
-        Some(Item::Failed(failure)) => {
-            companion.ended(Some(&failure));
+    match forwarder.next_item().await {
+        Some(AnswerItem::Failed(failure)) => {
+            observer.answer_ended(Some(&failure));
             reply::problem(&failure, "")
         }
-        Some(first) => answer::stream(forward, first, from, companion),
+        Some(first) => {
+            answer::stream_answer(forwarder, first, first_byte, observer)
+        }
         None => reply::text(StatusCode::INTERNAL_SERVER_ERROR, ""),
     }
 }
 
 /// Returns a kept answer as one document, or "accepted" with a `Retry-After`
 /// while the work is unfinished.
-async fn kept_document(forward: Forward) -> Response {
-    let (response, failure) = answer::whole(forward).await;
+async fn kept_answer_response(forwarder: RequestForwarder) -> Response {
+    let (response, failure) = answer::whole_answer_response(forwarder).await;
     match failure {
         Some(failure) if failure.code == Code::TimedOut => {
             let failure =
                 Failure::new(Code::Accepted, Execution::OutcomeUnknown);
-            let failure = failure.with_retry_after(NOT_YET);
+            let failure = failure.with_retry_after(UNFINISHED_RETRY_AFTER);
             reply::problem(&failure, "the work is not finished yet")
         }
         _ => response,
     }
 }
 
-/// Refuses a request that the entry process checked itself, so that the
-/// request was not forwarded.
-fn refused(code: Code, detail: &str) -> Refused {
+/// A refusal, with the outcome "not forwarded", of a request that the entry
+/// process rejected itself.
+fn refuse_unforwarded(code: Code, detail: &str) -> RequestRefusal {
     let failure = Failure::new(code, Execution::NotForwarded);
-    Refused { detail: detail.into(), ..Refused::new(failure) }
+    RequestRefusal {
+        problem_detail: detail.into(),
+        ..RequestRefusal::new(failure)
+    }
 }
 
-fn no_target() -> Refused {
+fn no_target_refusal() -> RequestRefusal {
     let failure = Failure::new(Code::NoTarget, Execution::NotForwarded);
-    Refused::new(failure.with_retry_after(NOT_YET))
+    RequestRefusal::new(failure.with_retry_after(UNFINISHED_RETRY_AFTER))
 }
--- a/cowsliproad-entry/src/callers/finish.rs
+++ b/cowsliproad-entry/src/callers/finish.rs
@@ -13,54 +13,58 @@
 };
 use slog::info;
 
-use crate::{Shared, answer::Companion, view::InFlight};
+use crate::{
+    EntryState, answer::AnswerObserver, view::OrganisationInFlightGuard,
+};
 
 /// The metrics of callers' requests.
 #[derive(Clone, Debug)]
-pub struct Instruments {
-    results: Counter<u64>,
-    seconds: Histogram<f64>,
+pub struct RequestMetrics {
+    result_counter: Counter<u64>,
+    duration_seconds: Histogram<f64>,
 }
 
-impl Instruments {
+impl RequestMetrics {
     /// Creates the metrics of callers' requests.
-    pub fn new(meter: &Meter) -> Instruments {
-        Instruments {
-            results: meter.u64_counter("entry_results").build(),
-            seconds: meter.f64_histogram("entry_request_seconds").build(),
+    pub fn new(meter: &Meter) -> RequestMetrics {
+        RequestMetrics {
+            result_counter: meter.u64_counter("entry_results").build(),
+            duration_seconds: meter
+                .f64_histogram("entry_request_seconds")
+                .build(),
         }
     }
 }
 
 /// Keeps a request counted as in flight in the entry process until dropped.
-pub(super) struct EntryGuard {
-    pub(super) shared: Arc<Shared>,
+pub(super) struct EntryInFlightGuard {
+    pub(super) entry_state: Arc<EntryState>,
 }
 
-impl Drop for EntryGuard {
+impl Drop for EntryInFlightGuard {
     fn drop(&mut self) {
-        self.shared.in_flight.fetch_sub(1, Ordering::Relaxed);
+        self.entry_state.in_flight_requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// Keeps a request counted as in flight, and records its metrics and logs its
 /// failure when its answer ends.
-pub(super) struct Finish {
-    pub(super) shared: Arc<Shared>,
-    pub(super) request: id::Request,
+pub(super) struct RequestRecorder {
+    pub(super) entry_state: Arc<EntryState>,
+    pub(super) request_id: id::Request,
     pub(super) request_type: Arc<RequestType>,
-    pub(super) arrival: Instant,
-    pub(super) _guard: EntryGuard,
-    pub(super) _share: InFlight,
+    pub(super) arrived_at: Instant,
+    pub(super) _entry_in_flight: EntryInFlightGuard,
+    pub(super) _organisation_in_flight: OrganisationInFlightGuard,
 }
 
-impl Companion for Finish {
-    fn ended(&mut self, failure: Option<&Failure>) {
+impl AnswerObserver for RequestRecorder {
+    fn answer_ended(&mut self, failure: Option<&Failure>) {
         let code = failure.map_or(Code::Ok, |it| it.code);
-        let taken = self.arrival.elapsed();
-        let instruments = &self.shared.instruments;
+        let elapsed = self.arrived_at.elapsed();
+        let request_metrics = &self.entry_state.request_metrics;
         let kind = self.request_type.name.to_string();
-        instruments.results.add(
+        request_metrics.result_counter.add(
             1,
             &[
                 KeyValue::new("type", kind.clone()),
@@ -68,24 +72,24 @@
             ],
         );
         let kind = [KeyValue::new("type", kind)];
-        instruments.seconds.record(taken.as_secs_f64(), &kind);
+        request_metrics.duration_seconds.record(elapsed.as_secs_f64(), &kind);
         if let Some(failure) = failure {
-            info!(self.shared.log, "failed";
-                "request" => %self.request,
+            info!(self.entry_state.logger, "failed";
+                "request" => %self.request_id,
                 "type" => %self.request_type.name,
                 "code" => failure.code.name(),
                 "ran" => failure.ran.as_str(),
-                "taken_ms" => taken.as_millis() as u64);
+                "taken_ms" => elapsed.as_millis() as u64);
         }
     }
 }
 
 /// Keeps a reclaim of a kept answer counted as in flight. A reclaim is not
 /// recorded in the request metrics.
-pub(super) struct Ignored {
-    pub(super) _guard: EntryGuard,
+pub(super) struct UnrecordedReclaim {
+    pub(super) _entry_in_flight: EntryInFlightGuard,
 }
 
-impl Companion for Ignored {
-    fn ended(&mut self, _: Option<&Failure>) {}
+impl AnswerObserver for UnrecordedReclaim {
+    fn answer_ended(&mut self, _: Option<&Failure>) {}
 }
--- a/cowsliproad-entry/src/callers/head.rs
+++ b/cowsliproad-entry/src/callers/head.rs
@@ -10,39 +10,43 @@
 use http::header;
 use volo_http::request::Request;
 
-use super::{Delivery, OVER_SHARE, Refused, refused};
-use crate::view::{Organisation, View};
+use super::{
+    AnswerDelivery, OVERLOAD_RETRY_AFTER, RequestRefusal, refuse_unforwarded,
+};
+use crate::view::{ConfigView, Organisation};
 
 /// The maximum length of an idempotency key, in bytes.
-const MAX_KEY: usize = 128;
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
 
 /// Finds the organisation whose key is the bearer token of an HTTP request.
-pub(super) fn organisation(
+pub(super) fn authenticate_organisation(
     request: &Request,
-    view: &View,
-) -> Result<Arc<Organisation>, Refused> {
+    view: &ConfigView,
+) -> Result<Arc<Organisation>, RequestRefusal> {
     if view.services.is_empty() {
         // Without a configuration no organisation key is known, so no key can
         // be rejected as wrong.
         let failure = Failure::new(Code::NotReady, Execution::NotForwarded);
-        return Err(Refused::new(failure.with_retry_after(OVER_SHARE)));
+        return Err(RequestRefusal::new(
+            failure.with_retry_after(OVERLOAD_RETRY_AFTER),
+        ));
     }
     let value = request
         .headers()
         .get(header::AUTHORIZATION)
-        .ok_or_else(|| refused(Code::NoKey, ""))?;
+        .ok_or_else(|| refuse_unforwarded(Code::NoKey, ""))?;
     let key = value.to_str().ok().and_then(|it| it.strip_prefix("Bearer "));
-    let key = key.ok_or_else(|| refused(Code::NoKey, ""))?;
+    let key = key.ok_or_else(|| refuse_unforwarded(Code::NoKey, ""))?;
     let hash = blake3::hash(key.as_bytes()).to_hex();
     view.organisations
         .get(hash.as_str())
         .cloned()
-        .ok_or_else(|| refused(Code::WrongKey, ""))
+        .ok_or_else(|| refuse_unforwarded(Code::WrongKey, ""))
 }
 
 /// Reads from the `Prefer` and `Accept` headers how the caller receives the
 /// answer.
-pub(super) fn delivery(request: &Request) -> Delivery {
+pub(super) fn requested_delivery(request: &Request) -> AnswerDelivery {
     let has = |name: &str, value: &str| {
         let given = request.headers().get(name);
         given
@@ -50,28 +54,28 @@
             .is_some_and(|it| it.contains(value))
     };
     if has("prefer", "respond-async") {
-        Delivery::Async
+        AnswerDelivery::Async
     } else if has("accept", "text/event-stream") {
-        Delivery::Stream
+        AnswerDelivery::Stream
     } else {
-        Delivery::Whole
+        AnswerDelivery::Whole
     }
 }
 
 /// Reads the idempotency key of an HTTP request, if the caller sent one.
-pub(super) fn idempotency_key(
+pub(super) fn read_idempotency_key(
     request: &Request,
-) -> Result<Option<Name>, Refused> {
+) -> Result<Option<Name>, RequestRefusal> {
     let Some(value) = request.headers().get("idempotency-key") else {
         return Ok(None);
     };
     match value.to_str() {
-        Ok(text) if (1..=MAX_KEY).contains(&text.len()) => {
+        Ok(text) if (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&text.len()) => {
             Ok(Some(text.into()))
         }
         _ => {
             let text = "idempotency-key: 1 to 128 visible characters";
-            Err(refused(Code::BadRequest, text))
+            Err(refuse_unforwarded(Code::BadRequest, text))
         }
     }
 }
--- a/cowsliproad-entry/src/choose.rs
+++ b/cowsliproad-entry/src/choose.rs
@@ -9,86 +9,103 @@
 };
 use slog::info;
 
-use crate::{Shared, forward::Order, target::Target, view::Service};
+use crate::{EntryState, forward::WorkRequest, target::Target, view::Service};
 
-/// Chooses the target of an attempt. Targets in `tried` are left out.
-pub fn target(
-    shared: &Shared,
-    order: &Order,
-    tried: &[Name],
+/// Chooses the target of an attempt. Targets in `tried_targets` are left out.
+pub fn choose_attempt_target(
+    shared: &EntryState,
+    work_request: &WorkRequest,
+    tried_targets: &[Name],
 ) -> Option<Arc<Target>> {
-    let targets = &order.service.targets;
+    let targets = &work_request.service.targets;
     let now = Millis::now();
-    if let Some(key) = &order.key {
-        let open = targets.iter().filter(|it| is_usable(it, tried, now));
-        let steered =
-            open.max_by_key(|it| steer(&order.organisation, key, &it.name));
-        log(shared, order, steered, "idempotency_key", None);
-        return steered.cloned();
+    if let Some(key) = &work_request.idempotency_key {
+        let usable_targets = targets
+            .iter()
+            .filter(|it| is_usable_target(it, tried_targets, now));
+        let preferred = usable_targets.max_by_key(|it| {
+            rendezvous_hash(&work_request.organisation, key, &it.name)
+        });
+        log_choice(shared, work_request, preferred, "idempotency_key", None);
+        return preferred.cloned();
     }
-    let found = best(shared, &order.service, tried);
+    let found =
+        best_sampled_target(shared, &work_request.service, tried_targets);
     let chosen = found.map(|it| &targets[it.chosen_index]);
-    log(shared, order, chosen, "score", found);
+    log_choice(shared, work_request, chosen, "score", found);
     chosen.cloned()
 }
 
 /// Chooses the target with the best score from a few sampled targets of a
 /// service. Ejected targets are left out, unless so many targets of the
 /// service are ejected that the ejections are ignored.
-pub fn best(
-    shared: &Shared,
+pub fn best_sampled_target(
+    shared: &EntryState,
     service: &Service,
-    tried: &[Name],
+    tried_targets: &[Name],
 ) -> Option<Choice> {
     let now = Millis::now();
     let targets = &service.targets;
-    let is_out = |target: &Target| target.admits(now) == Admission::Deny;
-    let believe = !service.ejections_doubted.load(Ordering::Relaxed);
+    let is_ejected =
+        |target: &Target| target.health_admission(now) == Admission::Deny;
+    let heeds_ejections = !service.ignores_ejections.load(Ordering::Relaxed);
     let score = |index: usize| {
         let target = &targets[index];
-        if !is_usable(target, tried, now) || (believe && is_out(target)) {
+        if !is_usable_target(target, tried_targets, now)
+            || (heeds_ejections && is_ejected(target))
+        {
             return None;
         }
-        let near = target.zone == shared.settings.zone;
-        let distance = if near { 0 } else { shared.settings.zone_us };
-        Some(target.score(distance))
+        let same_zone = target.zone == shared.settings.zone;
+        let zone_rtt_us =
+            if same_zone { 0 } else { shared.settings.zone_rtt_us };
+        Some(target.predicted_first_token_us(zone_rtt_us))
     };
     choice::choose_target(targets.len(), &mut rand::rng(), score)
 }
 
-/// Whether a target accepts new work, is not in `tried` and is not in a
-/// cooldown.
-fn is_usable(target: &Target, tried: &[Name], now: Millis) -> bool {
-    is_open(target, tried) && target.cooldown_end(now).is_none()
+/// Whether a target accepts new work, is not in `tried_targets` and is not in
+/// a cooldown.
+fn is_usable_target(
+    target: &Target,
+    tried_targets: &[Name],
+    now: Millis,
+) -> bool {
+    is_untried_and_open(target, tried_targets)
+        && target.cooldown_end(now).is_none()
 }
 
-/// Whether a target accepts new work and is not in `tried`. Cooldowns are
-/// ignored.
-fn is_open(target: &Target, tried: &[Name]) -> bool {
-    target.is_open() && !tried.contains(&target.name)
+/// Whether a target accepts new work and is not in `tried_targets`. Cooldowns
+/// are ignored.
+fn is_untried_and_open(target: &Target, tried_targets: &[Name]) -> bool {
+    target.accepts_new_work() && !tried_targets.contains(&target.name)
 }
 
-/// Returns the target whose cooldown ends first, if it ends before `deadline`.
-/// Otherwise returns as the error the time left until the first cooldown ends,
+/// Returns the target whose cooldown ends first, if the cooldown ends before
+/// `deadline`. Otherwise the error is the time until the first cooldown ends,
 /// or `None` if no target is in a cooldown.
-pub fn first_to_return(
+pub fn first_out_of_cooldown(
     service: &Service,
-    tried: &[Name],
+    tried_targets: &[Name],
     deadline: Millis,
 ) -> Result<Arc<Target>, Option<Millis>> {
     let now = Millis::now();
-    let open = service.targets.iter().filter(|it| is_open(it, tried));
-    let ends = open.filter_map(|it| Some((it, it.cooldown_end(now)?)));
-    match ends.min_by_key(|it| it.1) {
+    let usable_targets = service
+        .targets
+        .iter()
+        .filter(|it| is_untried_and_open(it, tried_targets));
+    let cooldown_ends =
+        usable_targets.filter_map(|it| Some((it, it.cooldown_end(now)?)));
+    match cooldown_ends.min_by_key(|it| it.1) {
         Some((target, end)) if end < deadline => Ok(target.clone()),
         first => Err(first.map(|it| it.1.since(now))),
     }
 }
 
-/// The rendezvous hash of a target for an idempotency key. Every entry process
-/// sends resends of a request to the same target, the one with the highest
-/// hash.
-fn steer(organisation: &str, key: &str, target: &str) -> [u8; 32] {
+/// The rendezvous hash of a target for an idempotency key. The target with the
+/// highest hash is chosen, so resends of a request go to the same target
+/// through any entry process.
+fn rendezvous_hash(organisation: &str, key: &str, target: &str) -> [u8; 32] {
     let mut hasher = blake3::Hasher::new();
     for part in [organisation, key, target] {
         hasher.update(part.as_bytes());
@@ -99,20 +116,20 @@
 
 /// Logs the chosen target of an attempt, how the target was selected, and the
 /// runner-up.
-fn log(
-    shared: &Shared,
-    order: &Order,
+fn log_choice(
+    shared: &EntryState,
+    work_request: &WorkRequest,
     chosen: Option<&Arc<Target>>,
-    why: &str,
+    method: &str,
     choice: Option<Choice>,
 ) {
-    let targets = &order.service.targets;
+    let targets = &work_request.service.targets;
     let second = choice.and_then(|it| it.runner_up);
-    info!(shared.log, "route";
-        "request" => %order.request,
-        "type" => %order.request_type.name,
+    info!(shared.logger, "route";
+        "request" => %work_request.request_id,
+        "type" => %work_request.request_type.name,
         "target" => chosen.map_or("none", |it| &*it.name),
-        "why" => why,
+        "why" => method,
         "score_us" => choice.map_or(0, |it| it.score_us),
         "runner_up" => second.map_or("none", |it| &*targets[it.0].name),
         "runner_up_us" => second.map_or(0, |it| it.1));
--- a/cowsliproad-entry/src/control.rs
+++ b/cowsliproad-entry/src/control.rs
@@ -1,9 +1,10 @@
 //! The control task, which alone owns the configuration replica.
 //!
 //! Events arrive through one queue from the log, from peers and from the VM
-//! list. After each batch a new [`View`] is published. Recent records are kept
-//! unchanged, so that a peer that lags a little is sent only the missing
-//! records, and the whole state is sent only to a peer that lags further.
+//! list. After each batch a new [`ConfigView`] is published. Recent records
+//! are kept unchanged, so that a peer that lags a little is sent only the
+//! missing records, and the whole state is sent only to a peer that lags
+//! further.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -26,21 +27,21 @@
 use slog::info;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::{Shared, links, target::Target, view::View};
+use crate::{EntryState, links, target::Target, view::ConfigView};
 
 /// The maximum number of recent configuration records kept for peers that lag.
-const RECENT: usize = 1024;
+const MAX_RECENT_RECORDS: usize = 1024;
 
 /// The minimum size of a snapshot that is due, in bytes. Smaller records are
 /// not decoded to look for a snapshot.
-const MIN_SNAPSHOT: usize = 4_096;
+const MIN_SNAPSHOT_BYTES: usize = 4_096;
 
 /// The capacity of the control task's event queue.
-const QUEUE: usize = 1024;
+const CONTROL_QUEUE_CAPACITY: usize = 1024;
 
 /// An event for the control task.
 #[derive(Debug)]
-pub enum Event {
+pub enum ControlEvent {
     /// Records read from the log or received from a peer.
     Records(ConfigRecords),
     /// The configuration state of a peer, or of a snapshot in the log.
@@ -49,101 +50,107 @@
     /// channel for the reply.
     Pull(u64, oneshot::Sender<Option<Frame>>),
     /// The VM states of the VM list, by VM name.
-    Vms(HashMap<String, crate::vms::State>),
+    VmStates(HashMap<String, crate::vms::VmState>),
 }
 
 /// Sends events to the control task.
 #[derive(Clone, Debug)]
-pub struct Inbox {
-    queue: mpsc::Sender<Event>,
+pub struct ControlQueue {
+    event_sender: mpsc::Sender<ControlEvent>,
 }
 
-impl Inbox {
+impl ControlQueue {
     /// Sends an event to the control task.
-    pub async fn tell(&self, event: Event) {
+    pub async fn send_event(&self, event: ControlEvent) {
         // The control task ends only with the process.
-        let _ = self.queue.send(event).await;
+        let _ = self.event_sender.send(event).await;
     }
 
     /// Returns the configuration that is missing at a peer whose next log
-    /// offset is `next`, if any.
-    pub async fn lacking(&self, next: u64) -> Option<Frame> {
+    /// offset is `peer_offset`, if any.
+    pub async fn missing_config(&self, peer_offset: u64) -> Option<Frame> {
         let (sender, answer) = oneshot::channel();
-        self.tell(Event::Pull(next, sender)).await;
+        self.send_event(ControlEvent::Pull(peer_offset, sender)).await;
         answer.await.ok().flatten()
     }
 }
 
 /// Creates the event queue of the control task.
-pub fn inbox() -> (Inbox, mpsc::Receiver<Event>) {
-    let (queue, events) = mpsc::channel(QUEUE);
-    (Inbox { queue }, events)
+pub fn control_queue() -> (ControlQueue, mpsc::Receiver<ControlEvent>) {
+    let (event_sender, events) = mpsc::channel(CONTROL_QUEUE_CAPACITY);
+    (ControlQueue { event_sender }, events)
 }
 
 /// The interval at which the ejected targets of each service are counted.
-const WEIGH: Duration = Duration::from_millis(100);
+const EJECTION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Counts ejected targets while the entry process runs, so that a choice need
 /// not look at all targets.
-pub async fn weigh_ejections(shared: Arc<Shared>) {
+pub async fn watch_ejections(shared: Arc<EntryState>) {
     loop {
-        tokio::time::sleep(WEIGH).await;
-        shared.published.load().weigh_ejections(Millis::now());
+        tokio::time::sleep(EJECTION_CHECK_INTERVAL).await;
+        shared
+            .published
+            .current_view()
+            .update_ignored_ejections(Millis::now());
     }
 }
 
 /// The state of the control task.
 #[derive(Debug)]
-pub struct Control {
-    shared: Arc<Shared>,
+pub struct ControlTask {
+    shared: Arc<EntryState>,
     state: State,
-    recent: VecDeque<ByteBuf>,
+    recent_records: VecDeque<ByteBuf>,
     targets: HashMap<Name, Arc<Target>>,
     /// The targets whose VM the VM list has shown.
-    vms_seen: HashSet<Name>,
+    listed_vms: HashSet<Name>,
 }
 
-impl Control {
+impl ControlTask {
     /// Creates the control task with an empty configuration.
-    pub fn new(shared: Arc<Shared>) -> Control {
-        Control {
+    pub fn new(shared: Arc<EntryState>) -> ControlTask {
+        ControlTask {
             shared,
             state: State::new(),
-            recent: VecDeque::new(),
+            recent_records: VecDeque::new(),
             targets: HashMap::new(),
-            vms_seen: HashSet::new(),
+            listed_vms: HashSet::new(),
         }
     }
 
     /// Handles events while the entry process runs.
-    pub async fn run(mut self, mut events: mpsc::Receiver<Event>) {
-        self.publish();
+    pub async fn handle_events(
+        mut self,
+        mut events: mpsc::Receiver<ControlEvent>,
+    ) {
+        self.publish_view();
         while let Some(event) = events.recv().await {
             let before = self.state.next_offset();
-            self.take(event);
+            self.handle_control_event(event);
             while let Ok(event) = events.try_recv() {
-                self.take(event);
+                self.handle_control_event(event);
             }
             if self.state.next_offset() != before {
-                self.publish();
+                self.publish_view();
             }
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_control_event(&mut self, event: ControlEvent) {
         match event {
-            Event::Records(records) => self.records(records),
-            Event::Snapshot(snapshot) => self.snapshot(&snapshot),
-            Event::Pull(next, answer) => {
+            ControlEvent::Records(records) => self.apply_records(records),
+            ControlEvent::Snapshot(snapshot) => self.adopt_snapshot(&snapshot),
+            ControlEvent::Pull(peer_offset, answer) => {
                 // A peer that disconnected does not wait for the reply.
-                let _ = answer.send(self.lacking(next));
+                let _ = answer.send(self.missing_config(peer_offset));
             }
-            Event::Vms(states) => self.vms(&states),
+            ControlEvent::VmStates(states) => self.apply_vm_states(&states),
         }
     }
 
     /// Applies log records in order and skips those that are already applied.
-    fn records(&mut self, records: ConfigRecords) {
+    fn apply_records(&mut self, records: ConfigRecords) {
         for (offset, bytes) in (records.first_offset..).zip(records.records) {
             if offset < self.state.next_offset() {
                 continue;
@@ -151,10 +158,10 @@
             match self.state.apply_record(offset, &bytes) {
                 Ok(outcome) => {
                     self.log_verdict(offset, outcome);
-                    self.note_snapshot(&bytes);
-                    self.recent.push_back(bytes);
-                    if self.recent.len() > RECENT {
-                        self.recent.pop_front();
+                    self.record_log_snapshot(&bytes);
+                    self.recent_records.push_back(bytes);
+                    if self.recent_records.len() > MAX_RECENT_RECORDS {
+                        self.recent_records.pop_front();
                     }
                 }
                 // A snapshot, or records from a peer, will close the gap
@@ -165,31 +172,32 @@
     }
 
     /// Replaces the configuration state by a snapshot that is ahead.
-    fn snapshot(&mut self, snapshot: &ConfigSnapshot) {
+    fn adopt_snapshot(&mut self, snapshot: &ConfigSnapshot) {
         if snapshot.next_offset <= self.state.next_offset() {
             return;
         }
         let Some(other) = fold::decode_state(&snapshot.state) else { return };
         if self.state.adopt_if_newer(other) == Progress::Advanced {
-            self.recent.clear();
-            info!(self.shared.log, "config_snapshot";
+            self.recent_records.clear();
+            info!(self.shared.logger, "config_snapshot";
                 "next" => self.state.next_offset());
         }
     }
 
-    /// Returns the recent records from offset `next` on, or the whole state if
+    /// Returns the recent records from `peer_offset` on, or the whole state if
     /// those records are no longer kept.
-    fn lacking(&self, next: u64) -> Option<Frame> {
+    fn missing_config(&self, peer_offset: u64) -> Option<Frame> {
         let own = self.state.next_offset();
-        if next >= own {
+        if peer_offset >= own {
             return None;
         }
-        let first = own - self.recent.len() as u64;
-        if next >= first {
-            let skip = (next - first) as usize;
-            let records = self.recent.iter().skip(skip).cloned().collect();
+        let first = own - self.recent_records.len() as u64;
+        if peer_offset >= first {
+            let skip = (peer_offset - first) as usize;
+            let records =
+                self.recent_records.iter().skip(skip).cloned().collect();
             return Some(Frame::ConfigRecords(ConfigRecords {
-                first_offset: next,
+                first_offset: peer_offset,
                 records,
             }));
         }
@@ -200,70 +208,73 @@
     }
 
     /// Updates the targets with the states of the VM list.
-    fn vms(&mut self, states: &HashMap<String, crate::vms::State>) {
+    fn apply_vm_states(
+        &mut self,
+        states: &HashMap<String, crate::vms::VmState>,
+    ) {
         for target in self.targets.values() {
             let state = states.get(&*target.name);
-            let leaving = state == Some(&crate::vms::State::Leaving);
+            let leaving = state == Some(&crate::vms::VmState::Leaving);
             let before = target.vm_leaving.swap(leaving, Ordering::Relaxed);
             if before != leaving {
-                info!(self.shared.log, "vm_state";
+                info!(self.shared.logger, "vm_state";
                     "target" => %target.name, "leaving" => leaving);
             }
-            let seen = self.vms_seen.contains(&target.name);
+            let seen = self.listed_vms.contains(&target.name);
             target.vm_gone.store(seen && state.is_none(), Ordering::Relaxed);
             if state.is_some() {
-                self.vms_seen.insert(target.name.clone());
+                self.listed_vms.insert(target.name.clone());
             }
         }
     }
 
     /// Publishes a view of the current state. Targets whose address and
     /// service are unchanged keep their link.
-    fn publish(&mut self) {
-        let old = self.shared.published.load();
+    fn publish_view(&mut self) {
+        let old = self.shared.published.current_view();
         let state = Arc::new(self.state.clone());
         let mut known = std::mem::take(&mut self.targets);
         let mut kept = HashMap::new();
-        let view = View::new(state, &old, |declared| {
+        let view = ConfigView::new(state, &old, |declared| {
             let target = known
                 .remove(&declared.name)
-                .filter(|it| it.address == declared.agent_address)
+                .filter(|it| it.agent_address == declared.agent_address)
                 .filter(|it| it.service == declared.service)
-                .unwrap_or_else(|| self.open(declared));
+                .unwrap_or_else(|| self.open_target(declared));
             let drain = ObjectKey::new(ObjectKind::Drain, &declared.name);
             let drained = self.state.get(&drain).is_some();
-            target.drained.store(drained, Ordering::Relaxed);
+            target.is_drained.store(drained, Ordering::Relaxed);
             kept.insert(declared.name.clone(), target.clone());
             target
         });
         for target in known.values() {
-            target.close();
+            target.close_link();
         }
         self.targets = kept;
-        self.shared.published.publish(view);
+        self.shared.published.publish_view(view);
     }
 
     /// Creates the state of a declared target and starts to dial its agent.
-    fn open(
+    fn open_target(
         &self,
         declared: &cowsliproad_config::object::Target,
     ) -> Arc<Target> {
         let target = Arc::new(Target::new(declared));
-        let dial = links::dial_agent(self.shared.clone(), target.clone());
+        let dial = links::keep_agent_link(self.shared.clone(), target.clone());
         let task = self.shared.threads.traffic.spawn(dial);
-        target.set_dialler(task.abort_handle());
+        target.set_dial_task(task.abort_handle());
         target
     }
 
     /// Records a snapshot in the log, so that this entry process delays its
     /// own when another entry process has written one.
-    fn note_snapshot(&self, bytes: &[u8]) {
-        if bytes.len() < MIN_SNAPSHOT {
+    fn record_log_snapshot(&self, bytes: &[u8]) {
+        if bytes.len() < MIN_SNAPSHOT_BYTES {
             return;
         }
         let record = fold::decode_record(bytes).map(|record| record.change);
         if let Some(Change::Snapshot(state)) = record {
-            self.shared.published.set_snapshot(state.next_offset());
+            self.shared.published.record_snapshot_offset(state.next_offset());
         }
     }
 
@@ -278,7 +289,7 @@
             Verdict::Accepted(_) => "accepted",
             Verdict::Refused(code) => code.name(),
         };
-        info!(self.shared.log, "config_record";
+        info!(self.shared.logger, "config_record";
             "offset" => offset, "command" => %command,
             "verdict" => verdict);
     }
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -1,9 +1,10 @@
 //! Forwards one request in one or more attempts and returns its one whole
 //! answer.
 //!
-//! A [`Forward`] is a pull-based state machine: [`Forward::next`] returns the
-//! next item for the caller. One attempt is relayed at a time. What happens
-//! when an attempt fails depends on whether the work may be repeated:
+//! A [`RequestForwarder`] is a pull-based state machine:
+//! [`RequestForwarder::next_item`] returns the next item for the caller. One
+//! attempt is relayed at a time. What happens when an attempt fails depends on
+//! whether the work may be repeated:
 //!
 //! * Repeatable work whose link broke is first resumed where the answer
 //!   stopped, if the same agent process is linked again soon. Otherwise
@@ -11,7 +12,7 @@
 //!   the caller is sent a restart that discards the bytes so far.
 //! * Work that must not be repeated is only submitted again with the same
 //!   ticket, to the agent process that the ticket names or to the process that
-//!   answers for it. When neither can be reached soon, the answer is
+//!   inherited its work. When neither can be reached soon, the answer is
 //!   OUTCOME_UNKNOWN at once, with a `Retry-After`.
 //!
 //! NOT_RUN is returned for repeatable work only when every attempt was refused
@@ -38,12 +39,14 @@
 use tokio::{sync::mpsc, time::timeout};
 
 use crate::{
-    Shared, choose, quarantine,
-    target::{Event, Link, Outcome, Target, outcome},
+    EntryState, choose, quarantine,
+    target::{
+        AgentLink, AttemptEvent, AttemptOutcome, Target, attempt_outcome,
+    },
     view::Service,
 };
 
-use self::failure::unknown;
+use self::failure::unknown_outcome;
 
 mod failure;
 
@@ -52,32 +55,31 @@
 
 /// The maximum number of retries after refusals by leaving targets that cost
 /// no retry budget.
-const FREE_MOVES: u32 = 3;
+const MAX_FREE_RETRIES: u32 = 3;
 
 /// The interval at which a request checks whether its broken link is up again.
-const LOOK_AGAIN: Duration = Duration::from_millis(10);
+const LINK_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How long after the deadline the agent may report. The agent reports at the
 /// deadline whether the work ran; without the report the entry process can
 /// only answer "unknown".
-const AGENT_WORD: Millis = Millis(500);
+const AGENT_REPORT_TIMEOUT: Millis = Millis(500);
 
 /// The `Retry-After` of an answer with an unknown outcome.
-const ASK_AGAIN: Millis = Millis(1_000);
+const UNKNOWN_OUTCOME_RETRY_AFTER: Millis = Millis(1_000);
 
-/// The `Retry-After` when no target can be reached and no cooldown has a known
-/// end.
-const COME_BACK: Millis = Millis(1_000);
+/// The `Retry-After` when no target can be reached and none is in a cooldown.
+const NO_TARGET_RETRY_AFTER: Millis = Millis(1_000);
 
 /// The lifetime of a resume token.
-const TOKEN_LIFE: Millis = Millis(10 * 60 * 1000);
+const RESUME_TOKEN_TTL: Millis = Millis(10 * 60 * 1000);
 
 /// An item of the answer to a caller.
 #[derive(Debug)]
-pub enum Item {
-    /// The agent recorded the work, which this resume token names.
+pub enum AnswerItem {
+    /// The resume token of the work, which the agent has recorded.
     Accepted(String),
-    /// Answer bytes.
+    /// The next bytes of the answer.
     Bytes(Vec<u8>),
     /// All answer bytes so far are to be discarded: another attempt starts
     /// from the first byte.
@@ -90,443 +92,498 @@
 
 /// A request to be forwarded to a target.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct WorkRequest {
     /// The id of the request.
-    pub request: id::Request,
+    pub request_id: id::Request,
     /// The organisation that sent the request.
     pub organisation: Name,
     /// The weight of the organisation in the agents' queues.
-    pub share: u32,
+    pub organisation_weight: u32,
     /// The service that the request is for.
     pub service: Arc<Service>,
     /// The type of the request.
     pub request_type: Arc<RequestType>,
     /// The signed text and the fields of the ticket, for work that must not be
     /// repeated.
-    pub ticket: Option<(String, Ticket)>,
+    pub signed_ticket: Option<(String, Ticket)>,
     /// The idempotency key that the caller sent.
-    pub key: Option<Name>,
+    pub idempotency_key: Option<Name>,
     /// Whether the agent keeps the work and its answer when no caller is
     /// connected.
     pub persistence: Persistence,
     /// The time after which the answer is of no use to the caller.
-    pub deadline: Millis,
+    pub answer_deadline: Millis,
     /// The request body, one JSON value.
-    pub body: Vec<u8>,
+    pub request_body: Vec<u8>,
     /// A digest of the work, equal for all requests with the same
     /// organisation, service, type and body.
-    pub work: WorkDigest,
+    pub work_digest: WorkDigest,
 }
 
 /// The work or the kept answer that is forwarded.
 #[derive(Debug)]
-enum Task {
+enum ForwardTask {
     /// Work that is submitted to a target.
-    Work(Box<Order>),
-    /// A kept answer that is read out from an offset.
-    Kept { token: Ticket, from: u64 },
+    Work(Box<WorkRequest>),
+    /// A kept answer that is read out from a byte offset.
+    KeptAnswer { token: Ticket, first_byte: u64 },
 }
 
-/// A request being forwarded.
+/// Forwards one request and returns its answer item by item.
 #[derive(Debug)]
-pub struct Forward {
-    shared: Arc<Shared>,
-    task: Task,
+pub struct RequestForwarder {
+    shared: Arc<EntryState>,
+    task: ForwardTask,
     deadline: Millis,
-    current: Option<Attempt>,
-    ready: VecDeque<Item>,
-    tried: Vec<Name>,
-    attempts: u32,
-    free_moves: u32,
-    told_token: bool,
-    given: u64,
-    maybe_ran: bool,
+    current_attempt: Option<ActiveAttempt>,
+    pending_items: VecDeque<AnswerItem>,
+    tried_targets: Vec<Name>,
+    submission_count: u32,
+    free_retry_count: u32,
+    resume_token_sent: bool,
+    delivered_bytes: u64,
+    may_have_run: bool,
     finished: bool,
 }
 
 /// An attempt whose events are received.
 #[derive(Debug)]
-struct Attempt {
+struct ActiveAttempt {
     target: Arc<Target>,
-    link: Arc<Link>,
-    events: mpsc::UnboundedReceiver<Event>,
+    link: Arc<AgentLink>,
+    events: mpsc::UnboundedReceiver<AttemptEvent>,
     assembly: AnswerAssembly,
-    request: id::Request,
-    acknowledged: u64,
+    request_id: id::Request,
+    acknowledged_bytes: u64,
 }
 
-impl Forward {
+impl RequestForwarder {
     /// Forwards work to a target.
-    pub fn new(shared: Arc<Shared>, order: Order) -> Forward {
-        let deadline = order.deadline;
-        Forward::of(shared, Task::Work(Box::new(order)), deadline, 0)
+    pub fn new(
+        shared: Arc<EntryState>,
+        work_request: WorkRequest,
+    ) -> RequestForwarder {
+        let deadline = work_request.answer_deadline;
+        RequestForwarder::with_task(
+            shared,
+            ForwardTask::Work(Box::new(work_request)),
+            deadline,
+            0,
+        )
     }
 
-    /// Reads out a kept answer, starting at the byte offset `from`.
-    pub fn kept(
-        shared: Arc<Shared>,
+    /// Reads out a kept answer, starting at the byte offset `first_byte`.
+    pub fn for_kept_answer(
+        shared: Arc<EntryState>,
         token: Ticket,
-        from: u64,
+        first_byte: u64,
         deadline: Millis,
-    ) -> Forward {
-        Forward::of(shared, Task::Kept { token, from }, deadline, from)
+    ) -> RequestForwarder {
+        RequestForwarder::with_task(
+            shared,
+            ForwardTask::KeptAnswer { token, first_byte },
+            deadline,
+            first_byte,
+        )
     }
 
-    fn of(
-        shared: Arc<Shared>,
-        task: Task,
+    fn with_task(
+        shared: Arc<EntryState>,
+        task: ForwardTask,
         deadline: Millis,
-        given: u64,
-    ) -> Forward {
-        Forward {
+        delivered_bytes: u64,
+    ) -> RequestForwarder {
+        RequestForwarder {
             shared,
             task,
             deadline,
-            current: None,
-            ready: VecDeque::new(),
-            tried: Vec::new(),
-            attempts: 0,
-            free_moves: 0,
-            told_token: false,
-            given,
-            maybe_ran: false,
+            current_attempt: None,
+            pending_items: VecDeque::new(),
+            tried_targets: Vec::new(),
+            submission_count: 0,
+            free_retry_count: 0,
+            resume_token_sent: false,
+            delivered_bytes,
+            may_have_run: false,
             finished: false,
         }
     }
 
-    /// Returns the next item for the caller, and `None` after [`Item::Done`]
-    /// or [`Item::Failed`].
-    pub async fn next(&mut self) -> Option<Item> {
+    /// Returns the next item for the caller, and `None` after
+    /// [`AnswerItem::Done`] or [`AnswerItem::Failed`].
+    pub async fn next_item(&mut self) -> Option<AnswerItem> {
         loop {
-            if let Some(item) = self.ready.pop_front() {
+            if let Some(item) = self.pending_items.pop_front() {
                 return Some(item);
             }
             if self.finished {
                 return None;
             }
-            match self.current.take() {
-                None => self.start().await,
-                Some(attempt) => self.listen(attempt).await,
+            match self.current_attempt.take() {
+                None => self.start_attempt().await,
+                Some(attempt) => self.handle_next_event(attempt).await,
             }
         }
     }
 
     /// Detaches from the current attempt. The agent goes on with the work, and
     /// the caller can reclaim the answer by its resume token.
-    pub fn leave(mut self) {
-        if let Some(attempt) = self.current.take() {
-            attempt.link.forget(attempt.assembly.attempt());
-            attempt.target.end(Outcome::Neutral, Millis::now());
+    pub fn detach_from_work(mut self) {
+        if let Some(attempt) = self.current_attempt.take() {
+            attempt.link.unregister_attempt(attempt.assembly.attempt());
+            attempt
+                .target
+                .record_attempt_end(AttemptOutcome::Neutral, Millis::now());
             let detach = Frame::Detach(attempt.assembly.attempt());
-            let _ = attempt.link.try_send(detach);
+            let _ = attempt.link.try_send_frame(detach);
         }
     }
 
     /// Starts the next attempt.
-    async fn start(&mut self) {
+    async fn start_attempt(&mut self) {
         match &self.task {
-            Task::Kept { token, from } => {
-                let (token, from) = (token.clone(), *from);
-                self.start_kept(token, from).await;
+            ForwardTask::KeptAnswer { token, first_byte } => {
+                let (token, first_byte) = (token.clone(), *first_byte);
+                self.reclaim_kept_answer(token, first_byte).await;
             }
-            Task::Work(order) => match &order.ticket {
+            ForwardTask::Work(work_request) => match &work_request
+                .signed_ticket
+            {
                 Some((_, ticket)) => {
                     let name = ticket.target.clone();
-                    self.start_ticket(name, ticket.incarnation).await;
+                    self.submit_ticketed_work(name, ticket.incarnation).await;
                 }
-                None => self.start_plain().await,
+                None => self.submit_repeatable_work().await,
             },
         }
     }
 
-    async fn start_kept(&mut self, token: Ticket, from: u64) {
-        let Some(target) = self.holder(&token.target, token.incarnation).await
+    async fn reclaim_kept_answer(&mut self, token: Ticket, first_byte: u64) {
+        let Some(target) = self
+            .wait_for_answering_target(&token.target, token.incarnation)
+            .await
         else {
-            return self.fail(self.out_of_reach(token.incarnation));
+            return self.finish_with_failure(
+                self.unreachable_process_failure(token.incarnation),
+            );
         };
         let attempt = id::Attempt::random();
         let reclaim = Reclaim {
             attempt,
             request: token.request,
             organisation: token.organisation,
-            first_byte: from,
+            first_byte,
         };
-        let assembly = AnswerAssembly::starting_at(attempt, from);
-        self.send(target, Frame::Reclaim(reclaim), assembly, token.request)
-            .await;
+        let assembly = AnswerAssembly::starting_at(attempt, first_byte);
+        self.send_first_frame(
+            target,
+            Frame::Reclaim(reclaim),
+            assembly,
+            token.request,
+        )
+        .await;
     }
 
     /// Submits work to the agent process that its ticket names, or to the
-    /// process that answers for it.
-    async fn start_ticket(
+    /// process that inherited its work.
+    async fn submit_ticketed_work(
         &mut self,
-        name: Name,
+        target_name: Name,
         incarnation: id::Incarnation,
     ) {
-        if self.attempts >= MAX_ATTEMPTS {
-            return self.fail(unknown(Code::LinkLost));
+        if self.submission_count >= MAX_ATTEMPTS {
+            return self.finish_with_failure(unknown_outcome(Code::LinkLost));
         }
-        let Some(target) = self.holder(&name, incarnation).await else {
-            return self.fail(self.out_of_reach(incarnation));
+        let Some(target) =
+            self.wait_for_answering_target(&target_name, incarnation).await
+        else {
+            return self.finish_with_failure(
+                self.unreachable_process_failure(incarnation),
+            );
         };
-        self.submit(target).await;
+        self.submit_to_target(target).await;
     }
 
     /// Submits work that needs no ticket to a chosen target.
-    async fn start_plain(&mut self) {
-        let Task::Work(order) = &self.task else { return };
-        let chosen = choose::target(&self.shared, order, &self.tried);
+    async fn submit_repeatable_work(&mut self) {
+        let ForwardTask::Work(work_request) = &self.task else { return };
+        let chosen = choose::choose_attempt_target(
+            &self.shared,
+            work_request,
+            &self.tried_targets,
+        );
         let target = match chosen {
             Some(target) => target,
-            None => match self.wait_for_return(order) {
+            None => match self.first_target_out_of_cooldown(work_request) {
                 Ok(target) => target,
-                Err(failure) => return self.fail(failure),
+                Err(failure) => return self.finish_with_failure(failure),
             },
         };
-        self.submit(target).await;
+        self.submit_to_target(target).await;
     }
 
     /// Returns the target whose cooldown ends first, if it ends before the
-    /// deadline. The work waits at the agent of that target.
-    fn wait_for_return(&self, order: &Order) -> Result<Arc<Target>, Failure> {
-        let (service, tried) = (&order.service, &self.tried);
-        choose::first_to_return(service, tried, self.deadline).map_err(
-            |wait| {
+    /// request's deadline. The work waits at the agent of that target.
+    fn first_target_out_of_cooldown(
+        &self,
+        work_request: &WorkRequest,
+    ) -> Result<Arc<Target>, Failure> {
+        let (service, tried_targets) =
+            (&work_request.service, &self.tried_targets);
+        choose::first_out_of_cooldown(service, tried_targets, self.deadline)
+            .map_err(|wait| {
                 let (code, wait) = match wait {
                     Some(wait) => (Code::Overloaded, wait),
-                    None => (Code::NoTarget, COME_BACK),
+                    None => (Code::NoTarget, NO_TARGET_RETRY_AFTER),
                 };
-                Failure::new(code, self.ran()).with_retry_after(wait)
-            },
-        )
+                Failure::new(code, self.execution_state())
+                    .with_retry_after(wait)
+            })
     }
 
-    async fn submit(&mut self, target: Arc<Target>) {
-        let Task::Work(order) = &self.task else { return };
-        let permit = match quarantine::verdict(&self.shared, order) {
-            QuarantineVerdict::Allowed => SubmitMode::Run,
-            // The agent still reports the outcome of earlier submissions of
-            // quarantined work.
-            QuarantineVerdict::Refused(_)
-            | QuarantineVerdict::Suspended(_)
-                if may_be_known(order) =>
-            {
-                SubmitMode::ReportOnly
-            }
-            QuarantineVerdict::Refused(after)
-            | QuarantineVerdict::Suspended(after) => {
-                let (shared, ran) = (&self.shared, self.ran());
-                let failure = quarantine::refusal(shared, order, ran, after);
-                return self.fail(failure);
-            }
-        };
+    async fn submit_to_target(&mut self, target: Arc<Target>) {
+        let ForwardTask::Work(work_request) = &self.task else { return };
+        let submit_mode =
+            match quarantine::check_quarantine(&self.shared, work_request) {
+                QuarantineVerdict::Allowed => SubmitMode::Run,
+                // The agent still reports the outcome of earlier submissions of
+                // quarantined work.
+                QuarantineVerdict::Refused(_)
+                | QuarantineVerdict::Suspended(_)
+                    if may_be_recorded_by_agent(work_request) =>
+                {
+                    SubmitMode::ReportOnly
+                }
+                QuarantineVerdict::Refused(after)
+                | QuarantineVerdict::Suspended(after) => {
+                    let (shared, ran) = (&self.shared, self.execution_state());
+                    let failure = quarantine::quarantine_failure(
+                        shared,
+                        work_request,
+                        ran,
+                        after,
+                    );
+                    return self.finish_with_failure(failure);
+                }
+            };
         let attempt = id::Attempt::random();
-        let budget = self.deadline.since(Millis::now());
+        let time_left = self.deadline.since(Millis::now());
         let submit = Submit {
             attempt,
-            request: order.request,
-            organisation: order.organisation.clone(),
-            request_type: order.request_type.name.clone(),
-            urgency: order.request_type.urgency,
-            time_left: budget,
-            ticket: order.ticket.as_ref().map(|it| it.0.clone().into_bytes()),
-            idempotency_key: order.key.clone(),
-            persistence: order.persistence,
-            queue_weight: order.share,
-            body: order.body.clone(),
-            mode: permit,
+            request: work_request.request_id,
+            organisation: work_request.organisation.clone(),
+            request_type: work_request.request_type.name.clone(),
+            urgency: work_request.request_type.urgency,
+            time_left,
+            ticket: work_request
+                .signed_ticket
+                .as_ref()
+                .map(|it| it.0.clone().into_bytes()),
+            idempotency_key: work_request.idempotency_key.clone(),
+            persistence: work_request.persistence,
+            queue_weight: work_request.organisation_weight,
+            body: work_request.request_body.clone(),
+            mode: submit_mode,
         };
-        let request = order.request;
-        self.attempts += 1;
+        let request = work_request.request_id;
+        self.submission_count += 1;
         let frame = Frame::Submit(Box::new(submit));
         let assembly = AnswerAssembly::new(attempt);
-        self.send(target, frame, assembly, request).await;
+        self.send_first_frame(target, frame, assembly, request).await;
     }
 
     /// Sends the first frame of an attempt to a target.
-    async fn send(
+    async fn send_first_frame(
         &mut self,
         target: Arc<Target>,
         frame: Frame,
         assembly: AnswerAssembly,
         request: id::Request,
     ) {
-        let Some(link) = target.link.load_full() else {
-            return self.not_sent(target);
+        let Some(link) = target.agent_link.load_full() else {
+            return self.handle_unsent_attempt(target);
         };
         let attempt = assembly.attempt();
-        let events = link.listen(attempt);
-        target.begin(Millis::now());
-        if link.send(frame).await.is_err() {
-            link.forget(attempt);
-            target.end(Outcome::Failed, Millis::now());
-            return self.not_sent(target);
+        let events = link.register_attempt(attempt);
+        target.record_attempt_start(Millis::now());
+        if link.send_frame(frame).await.is_err() {
+            link.unregister_attempt(attempt);
+            target.record_attempt_end(AttemptOutcome::Failed, Millis::now());
+            return self.handle_unsent_attempt(target);
         }
-        let acknowledged = assembly.length();
-        self.current = Some(Attempt {
+        let acknowledged_bytes = assembly.length();
+        self.current_attempt = Some(ActiveAttempt {
             target,
             link,
             events,
             assembly,
-            request,
-            acknowledged,
+            request_id: request,
+            acknowledged_bytes,
         });
     }
 
     /// Handles an attempt that never left this entry process.
-    fn not_sent(&mut self, target: Arc<Target>) {
+    fn handle_unsent_attempt(&mut self, target: Arc<Target>) {
         let failure = Failure::new(Code::LinkLost, Execution::NotForwarded);
         match &self.task {
             // The next attempt looks for the process of the ticket again.
-            Task::Work(order) if order.ticket.is_some() => {}
+            ForwardTask::Work(work_request)
+                if work_request.signed_ticket.is_some() => {}
             _ => {
-                self.tried.push(target.name.clone());
-                self.after_failure(failure);
+                self.tried_targets.push(target.name.clone());
+                self.handle_failed_attempt(failure);
             }
         }
     }
 
     /// Waits for the next event of an attempt and handles it.
-    async fn listen(&mut self, mut attempt: Attempt) {
-        let left = self.deadline.since(Millis::now()) + AGENT_WORD;
+    async fn handle_next_event(&mut self, mut attempt: ActiveAttempt) {
+        let left = self.deadline.since(Millis::now()) + AGENT_REPORT_TIMEOUT;
         let left = left.duration();
         let event = match timeout(left, attempt.events.recv()).await {
             Ok(Some(event)) => event,
-            Ok(None) => Event::Lost,
-            Err(_) => return self.time_out(attempt),
+            Ok(None) => AttemptEvent::Lost,
+            Err(_) => return self.fail_timed_out(attempt),
         };
         match event {
-            Event::Accepted(request) => self.accepted(attempt, request),
-            Event::Data(data) => {
+            AttemptEvent::Accepted(request) => {
+                self.handle_accepted(attempt, request)
+            }
+            AttemptEvent::Data(data) => {
                 let progress = attempt.assembly.push_data(data);
-                self.on_progress(attempt, progress);
+                self.handle_progress(attempt, progress);
             }
-            Event::End(end) => {
+            AttemptEvent::End(end) => {
                 let progress = attempt.assembly.push_end(end);
-                self.on_progress(attempt, progress);
+                self.handle_progress(attempt, progress);
             }
-            Event::Refused(failure) => {
-                attempt.end(outcome(&failure));
-                self.tried.push(attempt.target.name.clone());
-                self.after_failure(failure);
+            AttemptEvent::Refused(failure) => {
+                attempt.record_outcome(attempt_outcome(&failure));
+                self.tried_targets.push(attempt.target.name.clone());
+                self.handle_failed_attempt(failure);
             }
-            Event::Lost => self.lost(attempt).await,
+            AttemptEvent::Lost => self.handle_lost_link(attempt).await,
         }
     }
 
-    fn accepted(&mut self, mut attempt: Attempt, request: id::Request) {
-        attempt.request = request;
-        if !self.told_token {
-            self.told_token = true;
-            let token = self.token(&attempt);
-            self.ready.push_back(Item::Accepted(token));
+    fn handle_accepted(
+        &mut self,
+        mut attempt: ActiveAttempt,
+        request: id::Request,
+    ) {
+        attempt.request_id = request;
+        if !self.resume_token_sent {
+            self.resume_token_sent = true;
+            let token = self.sign_resume_token(&attempt);
+            self.pending_items.push_back(AnswerItem::Accepted(token));
         }
-        self.current = Some(attempt);
+        self.current_attempt = Some(attempt);
     }
 
     /// Signs the resume token for the work of an attempt.
-    fn token(&self, attempt: &Attempt) -> String {
-        let clock = attempt
-            .target
-            .beat()
-            .map(|(beat, at)| beat.sender_clock + Millis::now().since(at));
+    fn sign_resume_token(&self, attempt: &ActiveAttempt) -> String {
+        let clock =
+            attempt.target.last_heartbeat().map(|(heartbeat, received_at)| {
+                heartbeat.sender_clock + Millis::now().since(received_at)
+            });
         let token = match &self.task {
-            Task::Work(order) => Ticket {
+            ForwardTask::Work(work_request) => Ticket {
                 purpose: Purpose::Resume,
-                organisation: order.organisation.clone(),
-                service: order.service.name.clone(),
-                request_type: order.request_type.name.clone(),
+                organisation: work_request.organisation.clone(),
+                service: work_request.service.name.clone(),
+                request_type: work_request.request_type.name.clone(),
                 target: attempt.target.name.clone(),
                 incarnation: attempt.link.incarnation(),
-                request: attempt.request,
-                expiry: clock.unwrap_or_default() + TOKEN_LIFE,
+                request: attempt.request_id,
+                expiry: clock.unwrap_or_default() + RESUME_TOKEN_TTL,
             },
-            Task::Kept { token, .. } => token.clone(),
+            ForwardTask::KeptAnswer { token, .. } => token.clone(),
         };
         ticket::sign(&token, &self.shared.ticket_key)
     }
 
-    fn on_progress(&mut self, attempt: Attempt, progress: Progress) {
+    fn handle_progress(&mut self, attempt: ActiveAttempt, progress: Progress) {
         match progress {
-            Progress::Pending => self.current = Some(attempt),
+            Progress::Pending => self.current_attempt = Some(attempt),
             Progress::Bytes(bytes) => {
-                self.give(bytes);
-                self.current = Some(attempt);
-                self.acknowledge();
+                self.queue_answer_bytes(bytes);
+                self.current_attempt = Some(attempt);
+                self.acknowledge_received_bytes();
             }
             Progress::Complete(bytes) => {
-                self.give(bytes);
+                self.queue_answer_bytes(bytes);
                 let end = attempt.assembly.end_frame().cloned();
-                attempt.end(Outcome::Whole);
-                self.earn();
+                attempt.record_outcome(AttemptOutcome::Whole);
+                self.record_success();
                 self.finished = true;
-                self.ready.extend(end.map(Item::Done));
+                self.pending_items.extend(end.map(AnswerItem::Done));
             }
             Progress::Broken => {
-                attempt.detach();
-                self.tried.push(attempt.target.name.clone());
+                attempt.detach_attempt();
+                self.tried_targets.push(attempt.target.name.clone());
                 let failure = Failure::new(
                     Code::TargetFailed,
                     Execution::OutcomeUnknown,
                 );
-                self.after_failure(failure);
+                self.handle_failed_attempt(failure);
             }
         }
     }
 
     /// Queues answer bytes for the caller.
-    fn give(&mut self, bytes: Vec<u8>) {
+    fn queue_answer_bytes(&mut self, bytes: Vec<u8>) {
         if !bytes.is_empty() {
-            self.given += bytes.len() as u64;
-            self.ready.push_back(Item::Bytes(bytes));
+            self.delivered_bytes += bytes.len() as u64;
+            self.pending_items.push_back(AnswerItem::Bytes(bytes));
         }
     }
 
     /// Acknowledges received bytes to the agent once a quarter of its send
     /// window is used. This runs when the caller reads on, so a slow caller
     /// slows the agent down.
-    fn acknowledge(&mut self) {
-        let Some(attempt) = &mut self.current else { return };
+    fn acknowledge_received_bytes(&mut self) {
+        let Some(attempt) = &mut self.current_attempt else { return };
         let reached = attempt.assembly.length();
-        if reached - attempt.acknowledged < SEND_WINDOW_BYTES / 4 {
+        if reached - attempt.acknowledged_bytes < SEND_WINDOW_BYTES / 4 {
             return;
         }
-        attempt.acknowledged = reached;
+        attempt.acknowledged_bytes = reached;
         let ack = Ack {
             attempt: attempt.assembly.attempt(),
             delivered_bytes: reached,
         };
-        let _ = attempt.link.try_send(Frame::Ack(ack));
+        let _ = attempt.link.try_send_frame(Frame::Ack(ack));
     }
 }
 
-impl Drop for Forward {
+impl Drop for RequestForwarder {
     fn drop(&mut self) {
-        if let Some(attempt) = self.current.take() {
-            attempt.detach();
+        if let Some(attempt) = self.current_attempt.take() {
+            attempt.detach_attempt();
         }
     }
 }
 
-impl Attempt {
+impl ActiveAttempt {
     /// Records the outcome of an attempt and stops receiving its events.
-    fn end(&self, outcome: Outcome) {
-        self.link.forget(self.assembly.attempt());
-        self.target.end(outcome, Millis::now());
+    fn record_outcome(&self, outcome: AttemptOutcome) {
+        self.link.unregister_attempt(self.assembly.attempt());
+        self.target.record_attempt_end(outcome, Millis::now());
     }
 
     /// Stops receiving the events of an unfinished attempt and sends the agent
     /// a detach frame.
-    fn detach(&self) {
-        self.end(Outcome::Neutral);
+    fn detach_attempt(&self) {
+        self.record_outcome(AttemptOutcome::Neutral);
         let detach = Frame::Detach(self.assembly.attempt());
-        let _ = self.link.try_send(detach);
+        let _ = self.link.try_send_frame(detach);
     }
 }
 
 /// Whether an agent may have recorded the work before.
-fn may_be_known(order: &Order) -> bool {
-    order.ticket.is_some() || order.key.is_some()
+fn may_be_recorded_by_agent(work_request: &WorkRequest) -> bool {
+    work_request.signed_ticket.is_some()
+        || work_request.idempotency_key.is_some()
 }
 
 /// Whether requests of a type need a ticket.
--- a/cowsliproad-entry/src/lib.rs
+++ b/cowsliproad-entry/src/lib.rs
@@ -8,7 +8,7 @@
 //! * [`forward`]: the attempts of one request, and its one whole answer;
 //! * [`choose`]: the choice of a target; [`target`]: the state of each target;
 //! * [`control`]: the control task, which owns the replica and publishes the
-//!   [`view::View`] that requests read;
+//!   [`view::ConfigView`] that requests read;
 //! * [`quarantine`]: the refusal of crash-inducing requests;
 //! * [`links`]: links to agents and between entry processes;
 //! * [`log`] and [`vms`]: the platform's log and VM list;
@@ -51,11 +51,11 @@
 use slog::{Logger, info, warn};
 use tokio::time::{Instant, sleep};
 
-use crate::{control::Control, settings::Settings, view::Published};
+use crate::{control::ControlTask, settings::Settings, view::PublishedView};
 
 /// The state that the tasks of an entry process share.
 #[derive(Debug)]
-pub struct Shared {
+pub struct EntryState {
     /// The settings of the entry process.
     pub settings: Settings,
     /// The id of this start of the entry process.
@@ -63,32 +63,32 @@
     /// The key that signs tickets and resume tokens.
     pub ticket_key: [u8; 32],
     /// The view of the configuration that requests read.
-    pub published: Published,
+    pub published: PublishedView,
     /// The crashes recorded for each work digest, by which crash-inducing
     /// requests are refused.
-    pub quarantine: Mutex<CrashLedger>,
+    pub crash_ledger: Mutex<CrashLedger>,
     /// The number of callers' requests in flight through the entry process.
-    pub in_flight: AtomicU32,
+    pub in_flight_requests: AtomicU32,
     /// Whether the entry process is stopping.
-    pub stopping: AtomicBool,
+    pub is_stopping: AtomicBool,
     /// Sends events to the control task.
-    pub control: control::Inbox,
+    pub control_queue: control::ControlQueue,
     /// The HTTP client for the platform's log and VM list.
-    pub client: Client,
+    pub platform_client: Client,
     /// The metrics of the entry process, in text form at `/metrics`.
     pub metrics: Metrics,
     /// The metrics of callers' requests.
-    pub instruments: callers::Instruments,
+    pub request_metrics: callers::RequestMetrics,
     /// The logger of the entry process.
-    pub log: Logger,
+    pub logger: Logger,
     /// The thread pools on which the tasks run.
     pub threads: Threads,
 }
 
-impl Shared {
+impl EntryState {
     /// The phase of the entry process that its heartbeats state.
-    pub fn phase(&self) -> Phase {
-        match self.stopping.load(Ordering::Relaxed) {
+    pub fn lifecycle_phase(&self) -> Phase {
+        match self.is_stopping.load(Ordering::Relaxed) {
             true => Phase::Leaving,
             false => Phase::Serving,
         }
@@ -97,99 +97,116 @@
 
 /// A running entry process.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct EntryProcess {
     /// The state that the tasks of the entry process share.
-    pub shared: Arc<Shared>,
+    pub shared: Arc<EntryState>,
     /// The address at which callers connect.
-    pub http: SocketAddr,
+    pub caller_address: SocketAddr,
     /// The address at which operators connect.
-    pub admin: SocketAddr,
+    pub admin_address: SocketAddr,
     /// The address at which other entry processes connect.
-    pub link: SocketAddr,
+    pub link_address: SocketAddr,
     accept_handle: AcceptHandle,
 }
 
 /// The interval at which a stopping entry process checks whether its requests
 /// have ended.
-const POLL: Duration = Duration::from_millis(10);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How long a stopping entry process waits for the last bytes of answers to be
 /// sent.
-const LINGER: Duration = Duration::from_millis(100);
+const FINAL_WRITE_DELAY: Duration = Duration::from_millis(100);
 
 /// Starts the tasks of an entry process.
-pub async fn start(settings: Settings, threads: Threads) -> io::Result<Entry> {
-    let log =
-        cowsliproad_kernel::log::logger("entry", &settings.name, settings.log);
+pub async fn start_entry(
+    settings: Settings,
+    threads: Threads,
+) -> io::Result<EntryProcess> {
+    let log = cowsliproad_kernel::log::logger(
+        "entry",
+        &settings.name,
+        settings.log_level,
+    );
     let metrics = Metrics::new();
-    let (inbox, events) = control::inbox();
-    let shared = Arc::new(Shared {
+    let (control_queue, events) = control::control_queue();
+    let shared = Arc::new(EntryState {
         incarnation: id::Incarnation::random(),
-        ticket_key: settings.key.derive("cowsliproad ticket").0,
-        published: Published::new(),
-        quarantine: Mutex::default(),
-        in_flight: AtomicU32::new(0),
-        stopping: AtomicBool::new(false),
-        control: inbox,
-        client: Client::with_local_address(settings.source),
-        instruments: callers::Instruments::new(&metrics.meter()),
+        ticket_key: settings.shared_key.derive("cowsliproad ticket").0,
+        published: PublishedView::new(),
+        crash_ledger: Mutex::default(),
+        in_flight_requests: AtomicU32::new(0),
+        is_stopping: AtomicBool::new(false),
+        control_queue: control_queue,
+        platform_client: Client::with_local_address(settings.source_address),
+        request_metrics: callers::RequestMetrics::new(&metrics.meter()),
         metrics,
-        log,
+        logger: log,
         threads: threads.clone(),
         settings,
     });
     let accept_handle = AcceptHandle::new();
-    let http = Listener::bind(shared.settings.http, &accept_handle).await?;
-    let admin = Listener::bind(shared.settings.admin, &accept_handle).await?;
-    let link = tokio::net::TcpListener::bind(shared.settings.link).await?;
-    let entry = Entry {
-        http: http.address(),
-        admin: admin.address(),
-        link: link.local_addr()?,
+    let http =
+        Listener::bind(shared.settings.caller_address, &accept_handle).await?;
+    let admin =
+        Listener::bind(shared.settings.admin_address, &accept_handle).await?;
+    let link =
+        tokio::net::TcpListener::bind(shared.settings.link_address).await?;
+    let entry = EntryProcess {
+        caller_address: http.address(),
+        admin_address: admin.address(),
+        link_address: link.local_addr()?,
         shared: shared.clone(),
         accept_handle: accept_handle.clone(),
     };
-    threads.control.spawn(Control::new(shared.clone()).run(events));
-    threads.control.spawn(control::weigh_ejections(shared.clone()));
-    threads.control.spawn(log::tail(shared.clone()));
-    threads.control.spawn(vms::watch(shared.clone()));
-    threads.control.spawn(links::beat(shared.clone()));
-    threads.control.spawn(links::accept_peers(shared.clone(), link));
-    for peer in shared.settings.peers.clone() {
-        threads.control.spawn(links::dial_peer(shared.clone(), peer));
+    threads
+        .control
+        .spawn(ControlTask::new(shared.clone()).handle_events(events));
+    threads.control.spawn(control::watch_ejections(shared.clone()));
+    threads.control.spawn(log::follow_log(shared.clone()));
+    threads.control.spawn(vms::watch_vm_list(shared.clone()));
+    threads.control.spawn(links::send_agent_heartbeats(shared.clone()));
+    threads.control.spawn(links::accept_peer_links(shared.clone(), link));
+    for peer in shared.settings.peer_link_addresses.clone() {
+        threads.control.spawn(links::keep_peer_link(shared.clone(), peer));
     }
-    for seed in shared.settings.seeds.clone() {
-        threads.control.spawn(links::dial_seed(shared.clone(), seed));
+    for seed in shared.settings.seed_agent_addresses.clone() {
+        threads
+            .control
+            .spawn(links::pull_config_from_seed(shared.clone(), seed));
     }
-    let callers = Arc::new(callers::Api::new(shared.clone()));
+    let callers = Arc::new(callers::CallerApi::new(shared.clone()));
     threads.traffic.spawn(server::serve(http, callers, accept_handle.clone()));
-    threads.control.spawn(admin::serve(shared.clone(), admin, accept_handle));
-    info!(shared.log, "start";
-        "http" => %entry.http, "admin" => %entry.admin,
-        "link" => %entry.link);
+    threads.control.spawn(admin::serve_operators(
+        shared.clone(),
+        admin,
+        accept_handle,
+    ));
+    info!(shared.logger, "start";
+        "http" => %entry.caller_address, "admin" => %entry.admin_address,
+        "link" => %entry.link_address);
     Ok(entry)
 }
 
-impl Entry {
+impl EntryProcess {
     /// Stops gracefully: the entry process is not ready at once, keeps
     /// accepting requests for the grace time, and then waits for the requests
     /// in flight up to the stop limit.
-    pub async fn stop(&self) {
+    pub async fn stop_gracefully(&self) {
         let shared = &self.shared;
-        shared.stopping.store(true, Ordering::Relaxed);
-        let in_flight = || shared.in_flight.load(Ordering::Relaxed);
-        info!(shared.log, "stop"; "in_flight" => in_flight());
-        sleep(shared.settings.grace_ms.duration()).await;
+        shared.is_stopping.store(true, Ordering::Relaxed);
+        let in_flight = || shared.in_flight_requests.load(Ordering::Relaxed);
+        info!(shared.logger, "stop"; "in_flight" => in_flight());
+        sleep(shared.settings.stop_grace_time.duration()).await;
         self.accept_handle.close();
-        let most = shared.settings.stop_ms.duration();
-        let deadline = Instant::now() + most;
+        let stop_timeout = shared.settings.stop_timeout.duration();
+        let deadline = Instant::now() + stop_timeout;
         while in_flight() > 0 && Instant::now() < deadline {
-            sleep(POLL).await;
+            sleep(STOP_POLL_INTERVAL).await;
         }
         if in_flight() > 0 {
-            warn!(shared.log, "stop_bound"; "cut" => in_flight());
+            warn!(shared.logger, "stop_bound"; "cut" => in_flight());
         }
-        sleep(LINGER).await;
-        info!(shared.log, "stopped"; "at" => %Millis::now());
+        sleep(FINAL_WRITE_DELAY).await;
+        info!(shared.logger, "stopped"; "at" => %Millis::now());
     }
 }
--- a/cowsliproad-entry/src/log.rs
+++ b/cowsliproad-entry/src/log.rs
@@ -26,30 +26,30 @@
 use slog::{info, warn};
 use tokio::time::sleep;
 
-use crate::{Shared, control::Event};
+use crate::{EntryState, control::ControlEvent};
 
 /// The timeout of one append to the log.
-const APPEND: Duration = Duration::from_secs(2);
+const LOG_APPEND_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long the log holds a read open for new records, in milliseconds.
-const READ_WAIT_MS: u64 = 1_000;
+const LONG_POLL_WAIT_MS: u64 = 1_000;
 
 /// The timeout of one read of the log.
-const READ: Duration = Duration::from_secs(3);
+const LOG_READ_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The backoff after a failed read of the log.
-const READ_AGAIN: Duration = Duration::from_millis(200);
+const LOG_READ_RETRY_BACKOFF: Duration = Duration::from_millis(200);
 
 /// The maximum size of an HTTP response of the log, in bytes.
-const MAX_READ: usize = 64 << 20;
+const MAX_LOG_RESPONSE_BYTES: usize = 64 << 20;
 
 /// The minimum number of records between two snapshots. At 40,000 changes a
 /// day there is a snapshot every two and a half hours.
-pub const SNAPSHOT_EVERY: u64 = 4_096;
+pub const MIN_RECORDS_BETWEEN_SNAPSHOTS: u64 = 4_096;
 
 /// The outcome of an append to the log.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Append {
+pub enum AppendOutcome {
     /// The record was appended at this offset.
     Done(u64),
     /// The log refused the record or could not be reached.
@@ -59,58 +59,69 @@
 }
 
 #[derive(Deserialize)]
-struct Appended {
+struct AppendReply {
     offset: u64,
 }
 
 #[derive(Deserialize)]
-struct Page {
+struct LogPage {
     first: u64,
     records: Vec<String>,
 }
 
 /// Appends a record to the log.
-pub async fn append(shared: &Shared, record: &Record) -> Append {
+pub async fn append_record(
+    shared: &EntryState,
+    record: &Record,
+) -> AppendOutcome {
     let body = Full::new(Bytes::from(fold::encode_record(record)));
-    let uri = format!("http://{}/records", shared.settings.log_service);
+    let uri =
+        format!("http://{}/records", shared.settings.log_service_address);
     let Ok(request) = Request::post(uri).body(body) else {
-        return Append::NotDone;
+        return AppendOutcome::NotDone;
     };
-    match shared.client.call(request, MAX_READ, APPEND).await {
-        Err(Error::Connect(_) | Error::Refused(_)) => Append::NotDone,
-        Err(_) => Append::Unknown,
+    match shared
+        .platform_client
+        .call(request, MAX_LOG_RESPONSE_BYTES, LOG_APPEND_TIMEOUT)
+        .await
+    {
+        Err(Error::Connect(_) | Error::Refused(_)) => AppendOutcome::NotDone,
+        Err(_) => AppendOutcome::Unknown,
         Ok(answer) if answer.status() == StatusCode::OK => {
-            match serde_json::from_slice::<Appended>(answer.body()) {
-                Ok(appended) => Append::Done(appended.offset),
-                Err(_) => Append::Unknown,
+            match serde_json::from_slice::<AppendReply>(answer.body()) {
+                Ok(appended) => AppendOutcome::Done(appended.offset),
+                Err(_) => AppendOutcome::Unknown,
             }
         }
         Ok(answer) if answer.status() == StatusCode::SERVICE_UNAVAILABLE => {
-            Append::NotDone
+            AppendOutcome::NotDone
         }
-        Ok(_) => Append::Unknown,
+        Ok(_) => AppendOutcome::Unknown,
     }
 }
 
 /// Reads the log while the entry process runs.
-pub async fn tail(shared: Arc<Shared>) {
-    let mut snapshots = Snapshots::new(&shared);
+pub async fn follow_log(shared: Arc<EntryState>) {
+    let mut snapshot_schedule = SnapshotSchedule::new(&shared);
     loop {
-        let next = shared.published.load().state.next_offset();
-        let page = read(&shared, next, READ_WAIT_MS).await;
-        note(&shared, page.is_some());
+        let next = shared.published.current_view().config_state.next_offset();
+        let page = read_page(&shared, next, LONG_POLL_WAIT_MS).await;
+        record_log_state(&shared, page.is_some());
         match page {
-            None => sleep(READ_AGAIN).await,
+            None => sleep(LOG_READ_RETRY_BACKOFF).await,
             Some(page) if page.first_offset > next => {
-                restore(&shared, page).await;
+                restore_from_snapshot(&shared, page).await;
             }
             Some(page) => {
                 let next = page.first_offset + page.records.len() as u64;
                 if !page.records.is_empty() {
-                    shared.control.tell(Event::Records(page)).await;
-                    settle(&shared, next).await;
+                    shared
+                        .control_queue
+                        .send_event(ControlEvent::Records(page))
+                        .await;
+                    wait_until_published(&shared, next).await;
                 }
-                snapshots.offer(&shared).await;
+                snapshot_schedule.write_snapshot_if_due(&shared).await;
             }
         }
     }
@@ -118,21 +129,25 @@
 
 /// Reads a page of records from an offset on. Returns `None` if the read
 /// failed.
-async fn read(
-    shared: &Shared,
+async fn read_page(
+    shared: &EntryState,
     from: u64,
     wait_ms: u64,
 ) -> Option<ConfigRecords> {
     let uri = format!(
         "http://{}/records?from={from}&wait_ms={wait_ms}",
-        shared.settings.log_service
+        shared.settings.log_service_address
     );
     let request = Request::get(uri).body(Full::default()).ok()?;
-    let answer = shared.client.call(request, MAX_READ, READ).await.ok()?;
+    let answer = shared
+        .platform_client
+        .call(request, MAX_LOG_RESPONSE_BYTES, LOG_READ_TIMEOUT)
+        .await
+        .ok()?;
     if answer.status() != StatusCode::OK {
         return None;
     }
-    let page: Page = serde_json::from_slice(answer.body()).ok()?;
+    let page: LogPage = serde_json::from_slice(answer.body()).ok()?;
     let decoded = page.records.iter().map(|it| STANDARD.decode(it));
     let records: Result<Vec<_>, _> = decoded.collect();
     let records = records.ok()?.into_iter().map(ByteBuf::from).collect();
@@ -142,98 +157,106 @@
 /// Searches the log for a snapshot when the records that come next are no
 /// longer in the log. A peer or an agent may send a snapshot meanwhile, so a
 /// search that finds none is simply repeated.
-async fn restore(shared: &Shared, mut page: ConfigRecords) {
+async fn restore_from_snapshot(shared: &EntryState, mut page: ConfigRecords) {
     let oldest = page.first_offset;
-    warn!(shared.log, "log_trimmed"; "first" => oldest);
+    warn!(shared.logger, "log_trimmed"; "first" => oldest);
     while !page.records.is_empty() {
-        let states = page.records.iter().filter_map(|it| snapshot_in(it));
+        let states = page.records.iter().filter_map(|it| decode_snapshot(it));
         let usable = states.filter(|it| it.next_offset() >= oldest);
         if let Some(state) = usable.max_by_key(|it| it.next_offset()) {
             let next = state.next_offset();
             let state = fold::encode_state(&state);
             let snapshot = ConfigSnapshot { next_offset: next, state };
-            shared.control.tell(Event::Snapshot(snapshot)).await;
-            return settle(shared, next).await;
+            shared
+                .control_queue
+                .send_event(ControlEvent::Snapshot(snapshot))
+                .await;
+            return wait_until_published(shared, next).await;
         }
         let next = page.first_offset + page.records.len() as u64;
-        match read(shared, next, 0).await {
+        match read_page(shared, next, 0).await {
             Some(following) => page = following,
             None => break,
         }
     }
-    sleep(READ_AGAIN).await;
+    sleep(LOG_READ_RETRY_BACKOFF).await;
 }
 
-fn snapshot_in(record: &[u8]) -> Option<Box<State>> {
+fn decode_snapshot(record: &[u8]) -> Option<Box<State>> {
     match fold::decode_record(record)?.change {
         Change::Snapshot(state) => Some(state),
         _ => None,
     }
 }
 
-/// Waits until the records before offset `next` are in force, so that the next
+/// Waits until the records before `next_offset` are in force, so that the next
 /// read starts after them.
-async fn settle(shared: &Shared, next: u64) {
-    let mut published = shared.published.subscribe();
-    let wait = published.wait_for(|it| *it >= next);
+async fn wait_until_published(shared: &EntryState, next_offset: u64) {
+    let mut published = shared.published.subscribe_offsets();
+    let wait = published.wait_for(|it| *it >= next_offset);
     let _ = tokio::time::timeout(Duration::from_millis(500), wait).await;
 }
 
 /// Decides when this entry process writes a snapshot to the log.
-struct Snapshots {
-    seen: u64,
-    since: Millis,
-    records: u64,
-    time: Millis,
+struct SnapshotSchedule {
+    snapshot_offset: u64,
+    snapshot_seen_at: Millis,
+    record_threshold: u64,
+    age_threshold: Millis,
 }
 
-impl Snapshots {
-    fn new(shared: &Shared) -> Snapshots {
+impl SnapshotSchedule {
+    fn new(shared: &EntryState) -> SnapshotSchedule {
         // Random thresholds make it likely that one entry process writes
         // first; the others see its snapshot and wait again. Two snapshots at
         // once do no harm.
-        let most = shared.settings.snapshot_ms.0;
-        Snapshots {
-            seen: 0,
-            since: Millis::now(),
-            records: rand::random_range(
-                SNAPSHOT_EVERY..SNAPSHOT_EVERY * 3 / 2,
+        let max_interval = shared.settings.max_snapshot_interval.0;
+        SnapshotSchedule {
+            snapshot_offset: 0,
+            snapshot_seen_at: Millis::now(),
+            record_threshold: rand::random_range(
+                MIN_RECORDS_BETWEEN_SNAPSHOTS
+                    ..MIN_RECORDS_BETWEEN_SNAPSHOTS * 3 / 2,
             ),
-            time: Millis(rand::random_range(most / 2..=most)),
+            age_threshold: Millis(rand::random_range(
+                max_interval / 2..=max_interval,
+            )),
         }
     }
 
     /// Writes a snapshot if enough records or enough time passed since the
     /// latest snapshot.
-    async fn offer(&mut self, shared: &Shared) {
+    async fn write_snapshot_if_due(&mut self, shared: &EntryState) {
         let now = Millis::now();
-        let seen = shared.published.snapshot();
-        if seen != self.seen {
-            self.seen = seen;
-            self.since = now;
+        let seen = shared.published.snapshot_offset();
+        if seen != self.snapshot_offset {
+            self.snapshot_offset = seen;
+            self.snapshot_seen_at = now;
         }
-        let state = shared.published.load().state.clone();
+        let state = shared.published.current_view().config_state.clone();
         let next = state.next_offset();
-        let many = next >= self.seen + self.records;
-        let long = next > 1 && now.since(self.since) >= self.time;
-        if !many && !long {
+        let enough_records =
+            next >= self.snapshot_offset + self.record_threshold;
+        let enough_time =
+            next > 1 && now.since(self.snapshot_seen_at) >= self.age_threshold;
+        if !enough_records && !enough_time {
             return;
         }
-        self.since = now;
+        self.snapshot_seen_at = now;
         let change = Change::Snapshot(Box::new((*state).clone()));
         let record = Record { command: id::Command::random(), change };
-        let outcome = append(shared, &record).await;
-        info!(shared.log, "snapshot"; "next" => next, "outcome" => ?outcome);
-        if outcome != Append::NotDone {
-            shared.published.set_snapshot(next);
+        let outcome = append_record(shared, &record).await;
+        info!(shared.logger, "snapshot"; "next" => next, "outcome" => ?outcome);
+        if outcome != AppendOutcome::NotDone {
+            shared.published.record_snapshot_offset(next);
         }
     }
 }
 
 /// Records whether the log can be read, and logs a change.
-fn note(shared: &Shared, up: bool) {
-    if shared.published.set_log_up(up) != up {
-        let state = if up { "up" } else { "down" };
-        info!(shared.log, "log_service"; "state" => state);
+fn record_log_state(shared: &EntryState, reachable: bool) {
+    if shared.published.set_log_reachable(reachable) != reachable {
+        let state = if reachable { "up" } else { "down" };
+        info!(shared.logger, "log_service"; "state" => state);
     }
 }
--- a/cowsliproad-entry/src/main.rs
+++ b/cowsliproad-entry/src/main.rs
@@ -10,17 +10,17 @@
 static ALLOCATOR: MiMalloc = MiMalloc;
 
 fn main() {
-    let about = "Where callers and operators come in";
+    let about = "The entry process, which serves callers and operators";
     let settings: Settings = program::load_settings(
         "cowsliproad-entry",
         about,
         &Settings::example(),
     );
-    let threads = settings.threads;
+    let threads = settings.traffic_threads;
     program::run(threads, async |threads| {
-        let entry = cowsliproad_entry::start(settings, threads).await?;
+        let entry = cowsliproad_entry::start_entry(settings, threads).await?;
         program::stop_signal().await;
-        entry.stop().await;
+        entry.stop_gracefully().await;
         Ok(())
     });
 }
--- a/cowsliproad-entry/src/quarantine.rs
+++ b/cowsliproad-entry/src/quarantine.rs
@@ -18,11 +18,11 @@
 };
 use slog::info;
 
-use crate::{Shared, forward::Order, target::Target, view::Service};
+use crate::{EntryState, forward::WorkRequest, target::Target, view::Service};
 
 /// The digest of a request's work, which does not depend on the request id.
 /// Agents compute the digest without the service.
-pub fn work_of(
+pub fn work_digest(
     service: &Service,
     organisation: &str,
     request_type: &str,
@@ -33,9 +33,13 @@
 }
 
 /// Merges the crash reports of an agent.
-pub fn hear(shared: &Shared, target: &Target, suspects: Vec<Suspect>) {
+pub fn merge_suspects(
+    shared: &EntryState,
+    target: &Target,
+    suspects: Vec<Suspect>,
+) {
     let now = Millis::now();
-    let mut ledger = lock(&shared.quarantine);
+    let mut ledger = lock(&shared.crash_ledger);
     ledger.evict_expired(now);
     for suspect in suspects {
         let work =
@@ -46,7 +50,7 @@
             change,
             QuarantineChange::Refused | QuarantineChange::Freed
         ) {
-            info!(shared.log, "work_judged"; "work" => %work,
+            info!(shared.logger, "work_judged"; "work" => %work,
                 "change" => ?change, "ends" => ledger.crash_count(work),
                 "target" => %target.name);
         }
@@ -54,14 +58,19 @@
 }
 
 /// Records that a target completed a request without crashing.
-pub fn outlived(shared: &Shared, order: &Order) {
-    lock(&shared.quarantine).record_survival(order.work, Millis::now());
+pub fn record_survival(shared: &EntryState, work_request: &WorkRequest) {
+    lock(&shared.crash_ledger)
+        .record_survival(work_request.work_digest, Millis::now());
 }
 
-/// Whether a request may run now, and otherwise when the caller may retry.
-pub fn verdict(shared: &Shared, order: &Order) -> QuarantineVerdict {
-    let (now, work) = (Millis::now(), order.work);
-    let mut ledger = lock(&shared.quarantine);
+/// The quarantine verdict for a request: allowed, or refused or suspended with
+/// the time after which the caller may retry.
+pub fn check_quarantine(
+    shared: &EntryState,
+    work_request: &WorkRequest,
+) -> QuarantineVerdict {
+    let (now, work) = (Millis::now(), work_request.work_digest);
+    let mut ledger = lock(&shared.crash_ledger);
     let verdict = ledger.verdict(work, now);
     if verdict != QuarantineVerdict::Allowed {
         ledger.record_arrival(work, now);
@@ -70,13 +79,13 @@
 }
 
 /// Logs the refusal of a quarantined request and returns its failure.
-pub fn refusal(
-    shared: &Shared,
-    order: &Order,
+pub fn quarantine_failure(
+    shared: &EntryState,
+    work_request: &WorkRequest,
     ran: Execution,
-    after: Millis,
+    retry_after: Millis,
 ) -> Failure {
-    info!(shared.log, "refused"; "request" => %order.request,
-        "work" => %order.work, "after" => after.0);
-    Failure::new(Code::Quarantined, ran).with_retry_after(after)
+    info!(shared.logger, "refused"; "request" => %work_request.request_id,
+        "work" => %work_request.work_digest, "after" => retry_after.0);
+    Failure::new(Code::Quarantined, ran).with_retry_after(retry_after)
 }
--- a/cowsliproad-entry/src/settings.rs
+++ b/cowsliproad-entry/src/settings.rs
@@ -20,61 +20,82 @@
     /// The availability zone of the entry process.
     pub zone: Name,
     /// The address at which callers connect.
-    pub http: SocketAddr,
+    #[serde(rename = "http")]
+    pub caller_address: SocketAddr,
     /// The address at which operators connect.
-    pub admin: SocketAddr,
+    #[serde(rename = "admin")]
+    pub admin_address: SocketAddr,
     /// The address at which other entry processes connect.
-    pub link: SocketAddr,
+    #[serde(rename = "link")]
+    pub link_address: SocketAddr,
     /// The link addresses of the other entry processes.
-    #[serde(default)]
-    pub peers: Vec<SocketAddr>,
+    #[serde(rename = "peers", default)]
+    pub peer_link_addresses: Vec<SocketAddr>,
     /// Link addresses of agents in the same availability zone that were known
     /// when the VM was created. While the entry process has no configuration
     /// it asks these agents for it, so that an availability zone that is cut
     /// off recovers by itself.
-    #[serde(default)]
-    pub seeds: Vec<SocketAddr>,
+    #[serde(rename = "seeds", default)]
+    pub seed_agent_addresses: Vec<SocketAddr>,
     /// The local address for outgoing connections, on a VM with several
     /// addresses.
-    #[serde(default)]
-    pub source: Option<IpAddr>,
+    #[serde(rename = "source", default)]
+    pub source_address: Option<IpAddr>,
     /// The address of the platform's log.
-    pub log_service: SocketAddr,
+    #[serde(rename = "log_service")]
+    pub log_service_address: SocketAddr,
     /// The address of the platform's VM list.
-    pub vm_list: SocketAddr,
+    #[serde(rename = "vm_list")]
+    pub vm_list_address: SocketAddr,
     /// The key shared by entry processes and agents.
-    pub key: Secret,
+    #[serde(rename = "key")]
+    pub shared_key: Secret,
     /// The maximum number of requests in flight through the entry process.
-    #[serde(default = "Settings::max_in_flight")]
-    pub max_in_flight: u32,
+    #[serde(
+        rename = "max_in_flight",
+        default = "Settings::default_max_in_flight_requests"
+    )]
+    pub max_in_flight_requests: u32,
     /// How long a caller may take to send a request body.
-    #[serde(default = "Settings::body_ms")]
-    pub body_ms: Millis,
+    #[serde(rename = "body_ms", default = "Settings::default_body_timeout")]
+    pub body_timeout: Millis,
     /// How long a stopping entry process goes on accepting requests, while the
     /// load balancer in front of it notices.
-    #[serde(default = "Settings::grace_ms")]
-    pub grace_ms: Millis,
+    #[serde(
+        rename = "grace_ms",
+        default = "Settings::default_stop_grace_time"
+    )]
+    pub stop_grace_time: Millis,
     /// How long a stopping entry process waits for its requests in flight
     /// after the grace time.
-    #[serde(default = "Settings::stop_ms")]
-    pub stop_ms: Millis,
+    #[serde(rename = "stop_ms", default = "Settings::default_stop_timeout")]
+    pub stop_timeout: Millis,
     /// How long a request waits for a broken link to come up again before it
     /// is retried elsewhere or answered without the link.
-    #[serde(default = "Settings::resume_ms")]
-    pub resume_ms: Millis,
+    #[serde(
+        rename = "resume_ms",
+        default = "Settings::default_link_resume_timeout"
+    )]
+    pub link_resume_timeout: Millis,
     /// The maximum time between two snapshots in the log, well within the
     /// retention time of the log.
-    #[serde(default = "Settings::snapshot_ms")]
-    pub snapshot_ms: Millis,
+    #[serde(
+        rename = "snapshot_ms",
+        default = "Settings::default_max_snapshot_interval"
+    )]
+    pub max_snapshot_interval: Millis,
     /// The round-trip time to another availability zone, in microseconds.
-    #[serde(default = "Settings::zone_us")]
-    pub zone_us: u32,
+    #[serde(rename = "zone_us", default = "Settings::default_zone_rtt_us")]
+    pub zone_rtt_us: u32,
     /// The number of threads that serve requests.
-    #[serde(default = "Settings::threads")]
-    pub threads: usize,
+    #[serde(
+        rename = "threads",
+        default = "Settings::default_traffic_threads"
+    )]
+    pub traffic_threads: usize,
     /// The level from which messages are logged.
-    #[serde(default)]
-    pub log: Level,
+    #[serde(rename = "log", default)]
+    pub log_level: Level,
 }
 
 impl Settings {
@@ -82,32 +103,32 @@
     pub fn new(
         name: &str,
         zone: &str,
-        log_service: SocketAddr,
-        vm_list: SocketAddr,
-        key: Secret,
+        log_service_address: SocketAddr,
+        vm_list_address: SocketAddr,
+        shared_key: Secret,
     ) -> Settings {
         let any = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
         Settings {
             name: name.into(),
             zone: zone.into(),
-            http: any,
-            admin: any,
-            link: any,
-            peers: Vec::new(),
-            seeds: Vec::new(),
-            source: None,
-            log_service,
-            vm_list,
-            key,
-            max_in_flight: Settings::max_in_flight(),
-            body_ms: Settings::body_ms(),
-            grace_ms: Settings::grace_ms(),
-            stop_ms: Settings::stop_ms(),
-            resume_ms: Settings::resume_ms(),
-            snapshot_ms: Settings::snapshot_ms(),
-            zone_us: Settings::zone_us(),
-            threads: Settings::threads(),
-            log: Level::Info,
+            caller_address: any,
+            admin_address: any,
+            link_address: any,
+            peer_link_addresses: Vec::new(),
+            seed_agent_addresses: Vec::new(),
+            source_address: None,
+            log_service_address,
+            vm_list_address,
+            shared_key,
+            max_in_flight_requests: Settings::default_max_in_flight_requests(),
+            body_timeout: Settings::default_body_timeout(),
+            stop_grace_time: Settings::default_stop_grace_time(),
+            stop_timeout: Settings::default_stop_timeout(),
+            link_resume_timeout: Settings::default_link_resume_timeout(),
+            max_snapshot_interval: Settings::default_max_snapshot_interval(),
+            zone_rtt_us: Settings::default_zone_rtt_us(),
+            traffic_threads: Settings::default_traffic_threads(),
+            log_level: Level::Info,
         }
     }
 
@@ -122,41 +143,41 @@
             local(9001),
             Secret([0; KEY_BYTES]),
         );
-        settings.http = local(8080);
-        settings.admin = local(8081);
-        settings.link = local(8082);
+        settings.caller_address = local(8080);
+        settings.admin_address = local(8081);
+        settings.link_address = local(8082);
         settings
     }
 
-    fn max_in_flight() -> u32 {
+    fn default_max_in_flight_requests() -> u32 {
         20_000
     }
 
-    fn body_ms() -> Millis {
+    fn default_body_timeout() -> Millis {
         Millis(10_000)
     }
 
-    fn grace_ms() -> Millis {
+    fn default_stop_grace_time() -> Millis {
         Millis(1_000)
     }
 
-    fn stop_ms() -> Millis {
+    fn default_stop_timeout() -> Millis {
         Millis(120_000)
     }
 
-    fn resume_ms() -> Millis {
+    fn default_link_resume_timeout() -> Millis {
         Millis(1_000)
     }
 
-    fn snapshot_ms() -> Millis {
+    fn default_max_snapshot_interval() -> Millis {
         Millis(6 * 60 * 60 * 1000)
     }
 
-    fn zone_us() -> u32 {
+    fn default_zone_rtt_us() -> u32 {
         3_000
     }
 
-    fn threads() -> usize {
+    fn default_traffic_threads() -> usize {
         4
     }
 }
@@ -166,13 +187,13 @@
         if self.name.is_empty() {
             return Err(("name", "the name of the VM".into()));
         }
-        if self.max_in_flight == 0 {
+        if self.max_in_flight_requests == 0 {
             return Err(("max_in_flight", "at least 1".into()));
         }
-        if self.snapshot_ms < Millis(2) {
+        if self.max_snapshot_interval < Millis(2) {
             return Err(("snapshot_ms", "at least 2".into()));
         }
-        if self.peers.contains(&self.link) {
+        if self.peer_link_addresses.contains(&self.link_address) {
             return Err(("peers", "the other entries, not this one".into()));
         }
         Ok(())
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -42,42 +42,42 @@
     /// The availability zone of the target.
     pub zone: Name,
     /// The address at which the agent of the target listens.
-    pub address: SocketAddr,
+    pub agent_address: SocketAddr,
     /// The link to the agent, while the link is up.
-    pub link: ArcSwapOption<Link>,
+    pub agent_link: ArcSwapOption<AgentLink>,
     /// Whether the operators drain the target.
-    pub drained: AtomicBool,
+    pub is_drained: AtomicBool,
     /// Whether the VM list shows the VM of the target as leaving.
     pub vm_leaving: AtomicBool,
     /// Whether the VM of the target was in the VM list and no longer is.
     pub vm_gone: AtomicBool,
-    stats: Mutex<Stats>,
-    dialler: Mutex<Option<AbortHandle>>,
+    stats: Mutex<TargetStats>,
+    dial_task: Mutex<Option<AbortHandle>>,
 }
 
 /// The last heartbeat of a target's agent, the attempts counted since then,
 /// and the health of the target.
 #[derive(Debug, Default)]
-struct Stats {
-    beat: Option<Heartbeat>,
-    beat_at: Millis,
-    sent_since: u32,
-    done_since: u32,
+struct TargetStats {
+    last_heartbeat: Option<Heartbeat>,
+    heartbeat_received_at: Millis,
+    sent_since_heartbeat: u32,
+    completed_since_heartbeat: u32,
     in_flight: u32,
     health: Health,
 }
 
 /// A link to an agent and the attempts on the link.
 #[derive(Debug)]
-pub struct Link {
+pub struct AgentLink {
     sender: Sender,
     incarnation: id::Incarnation,
-    attempts: Mutex<HashMap<id::Attempt, mpsc::UnboundedSender<Event>>>,
+    attempts: Mutex<HashMap<id::Attempt, mpsc::UnboundedSender<AttemptEvent>>>,
 }
 
 /// An event that an attempt receives from its agent.
 #[derive(Debug)]
-pub enum Event {
+pub enum AttemptEvent {
     /// The agent recorded the work under this request id.
     Accepted(id::Request),
     /// A piece of the answer.
@@ -92,7 +92,7 @@
 
 /// The outcome of an attempt, for the health of its target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// The attempt returned a complete answer.
     Whole,
     /// The target or the link to its agent failed.
@@ -103,102 +103,111 @@
 
 /// The status of a target that operators see.
 #[derive(Clone, Debug)]
-pub struct Status {
+pub struct TargetStatus {
     /// The state of the target: `unreachable`, `ended`, `leaving`, `cooling`,
     /// `ejected` or `serving`.
-    pub state: &'static str,
+    pub state_name: &'static str,
     /// The last load report of the agent.
-    pub load: AgentLoad,
-    /// The age of the last load report.
-    pub age: Millis,
-    /// The configuration offset up to which the agent has folded the log.
-    pub offset: u64,
+    pub agent_load: AgentLoad,
+    /// The age of the last load report of the agent.
+    pub load_age: Millis,
+    /// The configuration log offset up to which the agent has applied the
+    /// records.
+    pub next_config_offset: u64,
 }
 
 impl Target {
     /// Creates the state of a declared target, without a link.
-    pub fn new(declared: &cowsliproad_config::object::Target) -> Target {
+    pub fn new(declaration: &cowsliproad_config::object::Target) -> Target {
         Target {
-            name: declared.name.clone(),
-            service: declared.service.clone(),
-            zone: declared.zone.clone(),
-            address: declared.agent_address,
-            link: ArcSwapOption::empty(),
-            drained: AtomicBool::new(false),
+            name: declaration.name.clone(),
+            service: declaration.service.clone(),
+            zone: declaration.zone.clone(),
+            agent_address: declaration.agent_address,
+            agent_link: ArcSwapOption::empty(),
+            is_drained: AtomicBool::new(false),
             vm_leaving: AtomicBool::new(false),
             vm_gone: AtomicBool::new(false),
             stats: Mutex::default(),
-            dialler: Mutex::default(),
+            dial_task: Mutex::default(),
         }
     }
 
     /// Stores the task that keeps the link to the agent up, and aborts the
     /// task that it replaces.
-    pub fn set_dialler(&self, task: AbortHandle) {
-        let mut dialler = lock(&self.dialler);
-        if let Some(old) = dialler.replace(task) {
+    pub fn set_dial_task(&self, task: AbortHandle) {
+        let mut dial_task = lock(&self.dial_task);
+        if let Some(old) = dial_task.replace(task) {
             old.abort();
         }
     }
 
     /// Drops the link to the agent and stops dialling.
-    pub fn close(&self) {
-        if let Some(task) = lock(&self.dialler).take() {
+    pub fn close_link(&self) {
+        if let Some(task) = lock(&self.dial_task).take() {
             task.abort();
         }
-        self.unlink();
+        self.drop_link();
     }
 
     /// Drops the link to the agent. The attempts on the link receive
-    /// [`Event::Lost`].
-    pub fn unlink(&self) {
-        if let Some(link) = self.link.swap(None) {
-            link.lose();
+    /// [`AttemptEvent::Lost`].
+    pub fn drop_link(&self) {
+        if let Some(link) = self.agent_link.swap(None) {
+            link.notify_link_lost();
         }
     }
 
     /// Records a heartbeat of the agent and resets the counters since the last
     /// heartbeat.
-    pub fn take_beat(&self, beat: Heartbeat, now: Millis) {
+    pub fn record_heartbeat(&self, heartbeat: Heartbeat, now: Millis) {
         let mut stats = lock(&self.stats);
-        stats.health.set_retry_after(now, beat.cooldown);
-        stats.beat = Some(beat);
-        stats.beat_at = now;
-        stats.sent_since = 0;
-        stats.done_since = 0;
+        stats.health.set_retry_after(now, heartbeat.cooldown);
+        stats.last_heartbeat = Some(heartbeat);
+        stats.heartbeat_received_at = now;
+        stats.sent_since_heartbeat = 0;
+        stats.completed_since_heartbeat = 0;
     }
 
     /// Returns the last heartbeat of the agent and the time at which it
     /// arrived.
-    pub fn beat(&self) -> Option<(Heartbeat, Millis)> {
+    pub fn last_heartbeat(&self) -> Option<(Heartbeat, Millis)> {
         let stats = lock(&self.stats);
-        stats.beat.clone().map(|beat| (beat, stats.beat_at))
+        stats
+            .last_heartbeat
+            .clone()
+            .map(|heartbeat| (heartbeat, stats.heartbeat_received_at))
     }
 
-    /// Whether the target is linked and its agent is, or answers for, an agent
-    /// process.
-    pub fn answers_for(&self, incarnation: id::Incarnation) -> bool {
-        let linked = self.link.load().is_some();
+    /// Whether the target is linked and its agent is, or inherited the work
+    /// of, an agent process.
+    pub fn answers_for_incarnation(
+        &self,
+        incarnation: id::Incarnation,
+    ) -> bool {
+        let linked = self.agent_link.load().is_some();
         let stats = lock(&self.stats);
-        let beat = stats.beat.as_ref();
+        let heartbeat = stats.last_heartbeat.as_ref();
         linked
-            && beat.is_some_and(|it| {
+            && heartbeat.is_some_and(|it| {
                 it.incarnation == incarnation
                     || it.inherited_incarnations.contains(&incarnation)
             })
     }
 
     /// Whether the target may get new work. Ejection and cooldown are ignored.
-    pub fn is_open(&self) -> bool {
+    pub fn accepts_new_work(&self) -> bool {
         let stats = lock(&self.stats);
-        let serving =
-            stats.beat.as_ref().is_some_and(|it| it.phase == Phase::Serving);
-        let here = stats.presence() == Presence::Here;
+        let serving = stats
+            .last_heartbeat
+            .as_ref()
+            .is_some_and(|it| it.phase == Phase::Serving);
+        let here = stats.reported_presence() == Presence::Here;
         drop(stats);
         serving
             && here
-            && self.link.load().is_some()
-            && !self.drained.load(Ordering::Relaxed)
+            && self.agent_link.load().is_some()
+            && !self.is_drained.load(Ordering::Relaxed)
             && !self.vm_leaving.load(Ordering::Relaxed)
     }
 
@@ -209,19 +218,21 @@
     }
 
     /// Whether the health of the target admits an attempt now.
-    pub fn admits(&self, now: Millis) -> Admission {
+    pub fn health_admission(&self, now: Millis) -> Admission {
         lock(&self.stats).health.peek_admission(now)
     }
 
     /// The predicted time to the first token at the target, in microseconds.
-    pub fn score(&self, zone_rtt_us: u32) -> u64 {
+    pub fn predicted_first_token_us(&self, zone_rtt_us: u32) -> u64 {
         let stats = lock(&self.stats);
-        let load =
-            stats.beat.as_ref().map_or(AgentLoad::default(), |it| it.load);
+        let load = stats
+            .last_heartbeat
+            .as_ref()
+            .map_or(AgentLoad::default(), |it| it.load);
         let candidate = TargetCandidate {
             load,
-            sent_since_report: stats.sent_since,
-            completed_since_report: stats.done_since,
+            sent_since_report: stats.sent_since_heartbeat,
+            completed_since_report: stats.completed_since_heartbeat,
             in_flight: stats.in_flight,
             zone_rtt_us,
             cached_prompt_percent: 0,
@@ -231,38 +242,38 @@
     }
 
     /// Records the start of an attempt.
-    pub fn begin(&self, now: Millis) {
+    pub fn record_attempt_start(&self, now: Millis) {
         let mut stats = lock(&self.stats);
-        stats.sent_since += 1;
+        stats.sent_since_heartbeat += 1;
         stats.in_flight += 1;
         // Uses up the probe that admitted this attempt, if there was one.
         let _ = stats.health.admit_attempt(now);
     }
 
     /// Records the outcome of an attempt.
-    pub fn end(&self, outcome: Outcome, now: Millis) {
+    pub fn record_attempt_end(&self, outcome: AttemptOutcome, now: Millis) {
         let mut stats = lock(&self.stats);
-        stats.done_since += 1;
+        stats.completed_since_heartbeat += 1;
         stats.in_flight = stats.in_flight.saturating_sub(1);
         match outcome {
-            Outcome::Whole => stats.health.record_success(),
-            Outcome::Failed => {
+            AttemptOutcome::Whole => stats.health.record_success(),
+            AttemptOutcome::Failed => {
                 let jitter = rand::random_range(0..100);
                 let config = health::EjectionConfig::new();
                 stats.health.record_failure(&config, now, jitter);
             }
-            Outcome::Neutral => {}
+            AttemptOutcome::Neutral => {}
         }
     }
 
     /// Returns the status of the target that operators see.
-    pub fn status(&self, now: Millis) -> Status {
-        let open = self.is_open();
-        let linked = self.link.load().is_some();
+    pub fn operator_status(&self, now: Millis) -> TargetStatus {
+        let accepting_work = self.accepts_new_work();
+        let linked = self.agent_link.load().is_some();
         let stats = lock(&self.stats);
         let is_ejected = stats.health.is_ejected();
         let is_cooling = stats.health.cooldown_end(now).is_some();
-        let state = match (linked, stats.presence(), open) {
+        let state = match (linked, stats.reported_presence(), accepting_work) {
             (false, _, _) => "unreachable",
             (true, Presence::Gone, _) => "ended",
             (true, Presence::Here, false) => "leaving",
@@ -270,28 +281,29 @@
             (true, Presence::Here, true) if is_ejected => "ejected",
             (true, Presence::Here, true) => "serving",
         };
-        let beat = stats.beat.as_ref();
-        Status {
-            state,
-            load: beat.map_or(AgentLoad::default(), |it| it.load),
-            age: now.since(stats.beat_at),
-            offset: beat.map_or(0, |it| it.next_config_offset),
+        let heartbeat = stats.last_heartbeat.as_ref();
+        TargetStatus {
+            state_name: state,
+            agent_load: heartbeat.map_or(AgentLoad::default(), |it| it.load),
+            load_age: now.since(stats.heartbeat_received_at),
+            next_config_offset: heartbeat
+                .map_or(0, |it| it.next_config_offset),
         }
     }
 }
 
-impl Stats {
+impl TargetStats {
     /// Whether the process of the target runs, by the last heartbeat of its
     /// agent.
-    fn presence(&self) -> Presence {
-        self.beat.as_ref().map_or(Presence::Here, |it| it.presence)
+    fn reported_presence(&self) -> Presence {
+        self.last_heartbeat.as_ref().map_or(Presence::Here, |it| it.presence)
     }
 }
 
-impl Link {
+impl AgentLink {
     /// Creates a link without attempts.
-    pub fn new(sender: Sender, incarnation: id::Incarnation) -> Link {
-        Link { sender, incarnation, attempts: Mutex::default() }
+    pub fn new(sender: Sender, incarnation: id::Incarnation) -> AgentLink {
+        AgentLink { sender, incarnation, attempts: Mutex::default() }
     }
 
     /// The incarnation of the agent process at the other end of the link.
@@ -300,38 +312,42 @@
     }
 
     /// Registers an attempt and returns the channel of its events.
-    pub fn listen(
+    pub fn register_attempt(
         &self,
         attempt: id::Attempt,
-    ) -> mpsc::UnboundedReceiver<Event> {
+    ) -> mpsc::UnboundedReceiver<AttemptEvent> {
         let (sender, events) = mpsc::unbounded_channel();
         lock(&self.attempts).insert(attempt, sender);
         events
     }
 
     /// Unregisters an attempt. Later frames for the attempt are dropped.
-    pub fn forget(&self, attempt: id::Attempt) {
+    pub fn unregister_attempt(&self, attempt: id::Attempt) {
         lock(&self.attempts).remove(&attempt);
     }
 
     /// Sends a frame to the agent.
-    pub async fn send(&self, frame: Frame) -> Result<(), SendError> {
+    pub async fn send_frame(&self, frame: Frame) -> Result<(), SendError> {
         self.sender.send(frame).await
     }
 
     /// Sends a frame to the agent if the send queue has room.
-    pub fn try_send(&self, frame: Frame) -> Result<(), SendError> {
+    pub fn try_send_frame(&self, frame: Frame) -> Result<(), SendError> {
         self.sender.try_send(frame)
     }
 
     /// Delivers a frame from the agent to the attempt that the frame names.
     /// Other frames are dropped.
-    pub fn deliver(&self, frame: Frame) {
+    pub fn deliver_to_attempt(&self, frame: Frame) {
         let (attempt, event) = match frame {
-            Frame::Accepted(it) => (it.attempt, Event::Accepted(it.request)),
-            Frame::Data(it) => (it.attempt, Event::Data(it)),
-            Frame::End(it) => (it.attempt, Event::End(it)),
-            Frame::Refusal(it) => (it.attempt, Event::Refused(failure(it))),
+            Frame::Accepted(it) => {
+                (it.attempt, AttemptEvent::Accepted(it.request))
+            }
+            Frame::Data(it) => (it.attempt, AttemptEvent::Data(it)),
+            Frame::End(it) => (it.attempt, AttemptEvent::End(it)),
+            Frame::Refusal(it) => {
+                (it.attempt, AttemptEvent::Refused(failure_from_refusal(it)))
+            }
             _ => return,
         };
         // A frame for an unregistered attempt is dropped here.
@@ -340,15 +356,15 @@
         }
     }
 
-    /// Sends [`Event::Lost`] to all attempts on the link.
-    fn lose(&self) {
+    /// Sends [`AttemptEvent::Lost`] to all attempts on the link.
+    fn notify_link_lost(&self) {
         for (_, listener) in lock(&self.attempts).drain() {
-            let _ = listener.send(Event::Lost);
+            let _ = listener.send(AttemptEvent::Lost);
         }
     }
 }
 
-fn failure(refusal: Refusal) -> Failure {
+fn failure_from_refusal(refusal: Refusal) -> Failure {
     Failure {
         code: refusal.code,
         ran: refusal.ran,
@@ -357,11 +373,11 @@
 }
 
 /// The outcome for a target's health of an attempt that ended with a failure.
-pub fn outcome(failure: &Failure) -> Outcome {
+pub fn attempt_outcome(failure: &Failure) -> AttemptOutcome {
     match failure.code {
         Code::TargetFailed | Code::TimedOut | Code::LinkLost => {
-            Outcome::Failed
+            AttemptOutcome::Failed
         }
-        _ => Outcome::Neutral,
+        _ => AttemptOutcome::Neutral,
     }
 }
--- a/cowsliproad-entry/src/view.rs
+++ b/cowsliproad-entry/src/view.rs
@@ -21,16 +21,16 @@
 use crate::target::Target;
 
 /// The retries earned by 100 successful requests.
-const RETRY_PERCENT: u32 = 10;
+const RETRIES_PER_100_SUCCESSES: u32 = 10;
 
 /// The maximum number of retries that a service can save up.
-const RETRY_RESERVE: u32 = 50;
+const MAX_SAVED_RETRIES: u32 = 50;
 
 /// The configuration in force, indexed for requests.
 #[derive(Debug, Default)]
-pub struct View {
+pub struct ConfigView {
     /// The state folded from the configuration log.
-    pub state: Arc<State>,
+    pub config_state: Arc<State>,
     /// The organisations by the hash of each of their keys.
     pub organisations: HashMap<Name, Arc<Organisation>>,
     /// The services by name.
@@ -43,10 +43,10 @@
 #[derive(Debug)]
 pub struct Organisation {
     /// The declaration of the organisation.
-    pub declared: object::Organisation,
+    pub declaration: object::Organisation,
     /// The number of the organisation's requests in flight through this entry
     /// process. Successive views share the counter.
-    pub in_flight: Arc<AtomicU32>,
+    pub in_flight_requests: Arc<AtomicU32>,
 }
 
 /// A service with its request types and targets.
@@ -57,34 +57,37 @@
     /// The kind of back end that the targets of the service run.
     pub backend: Backend,
     /// The request types of the service, by name.
-    pub types: HashMap<Name, Arc<object::RequestType>>,
+    pub request_types: HashMap<Name, Arc<object::RequestType>>,
     /// The targets of the service.
     pub targets: Vec<Arc<Target>>,
     /// Whether so many targets of the service are ejected that ejections are
     /// ignored.
-    pub ejections_doubted: AtomicBool,
+    pub ignores_ejections: AtomicBool,
     /// The retry budget of the service, shared by successive views.
-    pub budget: Arc<Mutex<RetryBudget>>,
+    pub retry_budget: Arc<Mutex<RetryBudget>>,
 }
 
-impl View {
+impl ConfigView {
     /// Indexes a configuration state. Counters and retry budgets are taken
-    /// over from `old`, and `target` returns the state of each declared
+    /// over from `old`, and `target_state` returns the state of each declared
     /// target.
     pub fn new(
         state: Arc<State>,
-        old: &View,
-        mut target: impl FnMut(&object::Target) -> Arc<Target>,
-    ) -> View {
-        let mut view = View { state: state.clone(), ..View::default() };
+        old: &ConfigView,
+        mut target_state: impl FnMut(&object::Target) -> Arc<Target>,
+    ) -> ConfigView {
+        let mut view = ConfigView {
+            config_state: state.clone(),
+            ..ConfigView::default()
+        };
         let mut types: HashMap<Name, Vec<object::RequestType>> =
             HashMap::new();
         let mut targets: HashMap<Name, Vec<Arc<Target>>> = HashMap::new();
-        let counters = counters(old);
+        let in_flight_counters = in_flight_counters(old);
         for versioned in state.objects() {
             match &versioned.object {
                 Object::Organisation(it) => {
-                    view.add_organisation(it, &counters);
+                    view.add_organisation(it, &in_flight_counters);
                 }
                 Object::RequestType(it) => {
                     types
@@ -93,7 +96,7 @@
                         .push(it.clone());
                 }
                 Object::Target(it) => {
-                    let target = target(it);
+                    let target = target_state(it);
                     let of_service = targets.entry(it.service.clone());
                     of_service.or_default().push(target.clone());
                     view.targets.insert(it.name.clone(), target);
@@ -107,15 +110,15 @@
             let service = Service {
                 name: it.name.clone(),
                 backend: it.backend,
-                types: types
+                request_types: types
                     .into_iter()
                     .map(|it| (it.name.clone(), Arc::new(it)))
                     .collect(),
                 targets: targets.remove(&it.name).unwrap_or_default(),
-                ejections_doubted: AtomicBool::new(false),
-                budget: old.services.get(&it.name).map_or_else(
-                    || Arc::new(Mutex::new(budget())),
-                    |old| old.budget.clone(),
+                ignores_ejections: AtomicBool::new(false),
+                retry_budget: old.services.get(&it.name).map_or_else(
+                    || Arc::new(Mutex::new(new_retry_budget())),
+                    |old| old.retry_budget.clone(),
                 ),
             };
             view.services.insert(it.name.clone(), Arc::new(service));
@@ -125,46 +128,49 @@
 
     /// Counts the ejected targets of each service and decides whether its
     /// ejections are ignored.
-    pub fn weigh_ejections(&self, now: Millis) {
+    pub fn update_ignored_ejections(&self, now: Millis) {
         let config = health::EjectionConfig::new();
         for service in self.services.values() {
             let targets = &service.targets;
             // A cooldown that the target itself asked for is not an ejection.
-            let guessed = targets.iter().filter(|it| {
-                it.admits(now) == Admission::Deny
+            let ejected = targets.iter().filter(|it| {
+                it.health_admission(now) == Admission::Deny
                     && it.cooldown_end(now).is_none()
             });
-            let doubted =
-                config.exceeds_ejection_limit(guessed.count(), targets.len());
-            service.ejections_doubted.store(doubted, Ordering::Relaxed);
+            let ignored =
+                config.exceeds_ejection_limit(ejected.count(), targets.len());
+            service.ignores_ejections.store(ignored, Ordering::Relaxed);
         }
     }
 
-    /// Returns a linked target whose agent is, or answers for, an agent
-    /// process. The target `name`, which ran that process, is checked first,
-    /// since it mostly still does.
-    pub fn holder(
+    /// Returns a linked target whose agent is, or inherited the work of, an
+    /// agent process. The target `name`, which ran that process, is checked
+    /// first, since it mostly still does.
+    pub fn target_answering_for(
         &self,
         name: &str,
         incarnation: id::Incarnation,
     ) -> Option<Arc<Target>> {
         let named = self.targets.get(name).into_iter();
         let mut targets = named.chain(self.targets.values());
-        targets.find(|target| target.answers_for(incarnation)).cloned()
+        targets
+            .find(|target| target.answers_for_incarnation(incarnation))
+            .cloned()
     }
 
     /// Adds an organisation under the hash of each of its keys.
     fn add_organisation(
         &mut self,
-        declared: &object::Organisation,
-        counters: &HashMap<Name, Arc<AtomicU32>>,
+        declaration: &object::Organisation,
+        in_flight_counters: &HashMap<Name, Arc<AtomicU32>>,
     ) {
-        let in_flight = counters.get(&declared.name).cloned();
+        let in_flight_requests =
+            in_flight_counters.get(&declaration.name).cloned();
         let organisation = Arc::new(Organisation {
-            declared: declared.clone(),
-            in_flight: in_flight.unwrap_or_default(),
+            declaration: declaration.clone(),
+            in_flight_requests: in_flight_requests.unwrap_or_default(),
         });
-        for key in &declared.key_hashes {
+        for key in &declaration.key_hashes {
             self.organisations.insert(key.clone(), organisation.clone());
         }
     }
@@ -173,21 +179,23 @@
 impl Organisation {
     /// Counts a request of the organisation as in flight. Returns `None` if
     /// the organisation already has its maximum number of requests in flight.
-    pub fn enter(&self) -> Option<InFlight> {
-        let limit = self.declared.max_in_flight;
-        let before = self.in_flight.fetch_add(1, Ordering::Relaxed);
-        let guard = InFlight { counter: self.in_flight.clone() };
+    pub fn try_begin_request(&self) -> Option<OrganisationInFlightGuard> {
+        let limit = self.declaration.max_in_flight;
+        let before = self.in_flight_requests.fetch_add(1, Ordering::Relaxed);
+        let guard = OrganisationInFlightGuard {
+            counter: self.in_flight_requests.clone(),
+        };
         (before < limit).then_some(guard)
     }
 }
 
 /// Keeps a request of an organisation counted as in flight until dropped.
 #[derive(Debug)]
-pub struct InFlight {
+pub struct OrganisationInFlightGuard {
     counter: Arc<AtomicU32>,
 }
 
-impl Drop for InFlight {
+impl Drop for OrganisationInFlightGuard {
     fn drop(&mut self) {
         self.counter.fetch_sub(1, Ordering::Relaxed);
     }
@@ -196,78 +204,79 @@
 /// The view in force, and a channel that announces the next log offset of each
 /// new view.
 #[derive(Debug)]
-pub struct Published {
-    view: ArcSwap<View>,
-    next: watch::Sender<u64>,
-    snapshot: AtomicU64,
-    log_up: AtomicBool,
+pub struct PublishedView {
+    current_view: ArcSwap<ConfigView>,
+    next_offset: watch::Sender<u64>,
+    snapshot_offset: AtomicU64,
+    log_reachable: AtomicBool,
 }
 
-impl Published {
+impl PublishedView {
     /// Publishes an empty view.
-    pub fn new() -> Published {
-        Published {
-            view: ArcSwap::from_pointee(View::default()),
-            next: watch::Sender::new(0),
-            snapshot: AtomicU64::new(0),
-            log_up: AtomicBool::new(false),
+    pub fn new() -> PublishedView {
+        PublishedView {
+            current_view: ArcSwap::from_pointee(ConfigView::default()),
+            next_offset: watch::Sender::new(0),
+            snapshot_offset: AtomicU64::new(0),
+            log_reachable: AtomicBool::new(false),
         }
     }
 
     /// The next log offset of the latest snapshot written to or read from the
     /// log.
-    pub fn snapshot(&self) -> u64 {
-        self.snapshot.load(Ordering::Relaxed)
+    pub fn snapshot_offset(&self) -> u64 {
+        self.snapshot_offset.load(Ordering::Relaxed)
     }
 
-    /// Records that the log holds a snapshot with this next offset.
-    pub fn set_snapshot(&self, next: u64) {
-        self.snapshot.fetch_max(next, Ordering::Relaxed);
+    /// Records that the log holds a snapshot of the configuration up to this
+    /// offset.
+    pub fn record_snapshot_offset(&self, next_offset: u64) {
+        self.snapshot_offset.fetch_max(next_offset, Ordering::Relaxed);
     }
 
     /// Whether the last read of the log succeeded.
-    pub fn is_log_up(&self) -> bool {
-        self.log_up.load(Ordering::Relaxed)
+    pub fn is_log_reachable(&self) -> bool {
+        self.log_reachable.load(Ordering::Relaxed)
     }
 
     /// Records whether the log can be read, and returns the previous value.
-    pub fn set_log_up(&self, up: bool) -> bool {
-        self.log_up.swap(up, Ordering::Relaxed)
+    pub fn set_log_reachable(&self, reachable: bool) -> bool {
+        self.log_reachable.swap(reachable, Ordering::Relaxed)
     }
 
     /// Returns the view in force.
-    pub fn load(&self) -> Arc<View> {
-        self.view.load_full()
+    pub fn current_view(&self) -> Arc<ConfigView> {
+        self.current_view.load_full()
     }
 
     /// Puts a view in force and announces its next log offset.
-    pub fn publish(&self, view: View) {
-        let next = view.state.next_offset();
-        self.view.store(Arc::new(view));
-        self.next.send_replace(next);
+    pub fn publish_view(&self, view: ConfigView) {
+        let next = view.config_state.next_offset();
+        self.current_view.store(Arc::new(view));
+        self.next_offset.send_replace(next);
     }
 
     /// Subscribes to the offset after the last log record in force.
-    pub fn subscribe(&self) -> watch::Receiver<u64> {
-        self.next.subscribe()
+    pub fn subscribe_offsets(&self) -> watch::Receiver<u64> {
+        self.next_offset.subscribe()
     }
 }
 
-impl Default for Published {
-    fn default() -> Published {
-        Published::new()
+impl Default for PublishedView {
+    fn default() -> PublishedView {
+        PublishedView::new()
     }
 }
 
-fn budget() -> RetryBudget {
-    RetryBudget::new(RETRY_PERCENT, RETRY_RESERVE)
+fn new_retry_budget() -> RetryBudget {
+    RetryBudget::new(RETRIES_PER_100_SUCCESSES, MAX_SAVED_RETRIES)
 }
 
 /// The counters of requests in flight of a view's organisations, by
 /// organisation name.
-fn counters(view: &View) -> HashMap<Name, Arc<AtomicU32>> {
+fn in_flight_counters(view: &ConfigView) -> HashMap<Name, Arc<AtomicU32>> {
     let organisations = view.organisations.values();
     organisations
-        .map(|it| (it.declared.name.clone(), it.in_flight.clone()))
+        .map(|it| (it.declaration.name.clone(), it.in_flight_requests.clone()))
         .collect()
 }
--- a/cowsliproad-entry/src/vms.rs
+++ b/cowsliproad-entry/src/vms.rs
@@ -11,18 +11,18 @@
 use serde::Deserialize;
 use tokio::time::sleep;
 
-use crate::{Shared, control::Event};
+use crate::{EntryState, control::ControlEvent};
 
 /// The interval between two reads of the VM list, and the timeout of one read.
-const POLL: Duration = Duration::from_millis(500);
+const VM_LIST_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The maximum size of the VM list, in bytes.
-const MAX_LIST: usize = 16 << 20;
+const MAX_VM_LIST_BYTES: usize = 16 << 20;
 
 /// The state of a VM in the VM list.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum VmState {
     /// The VM runs.
     Live,
     /// The VM is about to be removed.
@@ -30,18 +30,27 @@
 }
 
 /// Reads the VM list at an interval while the entry process runs.
-pub async fn watch(shared: Arc<Shared>) {
+pub async fn watch_vm_list(shared: Arc<EntryState>) {
     loop {
-        if let Some(states) = read(&shared).await {
-            shared.control.tell(Event::Vms(states)).await;
+        if let Some(states) = read_vm_list(&shared).await {
+            shared
+                .control_queue
+                .send_event(ControlEvent::VmStates(states))
+                .await;
         }
-        sleep(POLL).await;
+        sleep(VM_LIST_POLL_INTERVAL).await;
     }
 }
 
-async fn read(shared: &Shared) -> Option<HashMap<String, State>> {
-    let uri = format!("http://{}/vms", shared.settings.vm_list);
+async fn read_vm_list(
+    shared: &EntryState,
+) -> Option<HashMap<String, VmState>> {
+    let uri = format!("http://{}/vms", shared.settings.vm_list_address);
     let request = Request::get(uri).body(Full::default()).ok()?;
-    let answer = shared.client.call(request, MAX_LIST, POLL).await.ok()?;
+    let answer = shared
+        .platform_client
+        .call(request, MAX_VM_LIST_BYTES, VM_LIST_POLL_INTERVAL)
+        .await
+        .ok()?;
     serde_json::from_slice(answer.body()).ok()
 }
--- a/cowsliproad-entry/tests/settings.rs
+++ b/cowsliproad-entry/tests/settings.rs
@@ -3,7 +3,7 @@
 use cowsliproad_entry::settings::Settings;
 use cowsliproad_kernel::settings;
 
-fn check(text: &str, expected: &str) {
+fn assert_rejected_with(text: &str, expected: &str) {
     let error = settings::parse::<Settings>("entry.json", text)
         .expect_err("the settings are bad");
     let error = error.to_string();
@@ -11,27 +11,36 @@
 }
 
 #[test]
-fn the_printed_default_is_read_back() {
+fn printed_default_settings_parse() {
     let text = settings::to_json(&Settings::example());
     let read = settings::parse::<Settings>("entry.json", &text);
     assert_eq!(settings::to_json(&read.expect("it is good")), text);
 }
 
 #[test]
-fn an_unknown_field_is_named() {
+fn unknown_field_is_named_in_error() {
     let text = settings::to_json(&Settings::example());
-    check(&text.replace("\"grace_ms\"", "\"grace\""), "unknown field `grace`");
+    assert_rejected_with(
+        &text.replace("\"grace_ms\"", "\"grace\""),
+        "unknown field `grace`",
+    );
 }
 
 #[test]
-fn an_ill_typed_field_is_named() {
+fn ill_typed_field_is_named_in_error() {
     let text = settings::to_json(&Settings::example());
-    check(&text.replace("\"threads\": 4", "\"threads\": \"x\""), "threads");
+    assert_rejected_with(
+        &text.replace("\"threads\": 4", "\"threads\": \"x\""),
+        "threads",
+    );
 }
 
 #[test]
-fn a_value_out_of_range_is_named() {
+fn out_of_range_value_is_named_in_error() {
     let mut settings = Settings::example();
-    settings.max_in_flight = 0;
-    check(&settings::to_json(&settings), "max_in_flight: at least 1");
+    settings.max_in_flight_requests = 0;
+    assert_rejected_with(
+        &settings::to_json(&settings),
+        "max_in_flight: at least 1",
+    );
 }
--- a/tests/callers/main.rs
+++ b/tests/callers/main.rs
@@ -58,7 +58,7 @@
 
     fn address(&self, entry: usize) -> std::net::SocketAddr {
         let entry = self.plant.gateways[entry].entry.as_ref();
-        entry.expect("the entry is up").handle.http
+        entry.expect("the entry is up").handle.caller_address
     }
 
     async fn call(
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -89,7 +89,7 @@
     plant.start_entry(1).await.expect("it starts");
     plant.settle().await.expect("it has its links");
     let entry = plant.gateways[1].entry.as_ref().expect("it is up");
-    let client = Client::new(entry.handle.admin);
+    let client = Client::new(entry.handle.admin_address);
     let held = client.get(&key()).await.expect("it was told");
     assert_eq!(held.revision, first);
 }
--- a/tests/cooldowns.rs
+++ b/tests/cooldowns.rs
@@ -76,7 +76,7 @@
     ticket: Option<&str>,
 ) -> Request<Full<Bytes>> {
     let entry = plant.gateways[entry].entry.as_ref();
-    let address = entry.expect("the entry is up").handle.http;
+    let address = entry.expect("the entry is up").handle.caller_address;
     let id: u64 = rand::random();
     let body = match path {
         STREAM_PATH | ENGINE_PATH => {
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -97,7 +97,7 @@
         }
         let gateway = &plant.gateways[turn % plant.gateways.len()];
         let entry = gateway.entry.as_ref().expect("the entry is up");
-        let address = entry.handle.http;
+        let address = entry.handle.caller_address;
         let body = match path {
             ENGINE_PATH => r#"{"messages":[],"max_tokens":4}"#.to_string(),
             _ => format!(r#"{{"id":"{turn}"}}"#),
