--- a/tests/processes/harness.rs
+++ b/tests/processes/harness.rs
@@ -117,10 +117,11 @@
         for index in 0..entries {
             settings.push(entry_settings(index, log, vms, key));
         }
-        let links: Vec<_> = settings.iter().map(|it| it.link).collect();
+        let links: Vec<_> =
+            settings.iter().map(|it| it.link_address).collect();
         for mut settings in settings {
-            let own = settings.link;
-            settings.peers =
+            let own = settings.link_address;
+            settings.peer_link_addresses =
                 links.iter().copied().filter(|it| *it != own).collect();
             plant.start_entry(settings).await;
         }
@@ -136,10 +137,14 @@
         let program =
             self.spawn("cowsliproad-entry", &settings.name, &settings);
         // It listens at one address after the other.
-        for address in [settings.http, settings.admin, settings.link] {
+        for address in [
+            settings.caller_address,
+            settings.admin_address,
+            settings.link_address,
+        ] {
             wait_for(address).await;
         }
-        self.balancer.add(settings.http);
+        self.balancer.add(settings.caller_address);
         self.entries.push(Entry { settings, program });
     }
 
@@ -153,7 +158,7 @@
 
     /// A client of an entry's operator interface.
     pub fn operator(&self, index: usize) -> Client {
-        Client::new(self.entries[index].settings.admin)
+        Client::new(self.entries[index].settings.admin_address)
     }
 
     /// How often each request ran, summed over the plain services.
@@ -272,10 +277,10 @@
     let mut settings = cowsliproad_entry::settings::Settings::new(
         &name, &zone, log, vms, key,
     );
-    settings.http = free();
-    settings.admin = free();
-    settings.link = free();
-    settings.grace_ms = Millis(300);
+    settings.caller_address = free();
+    settings.admin_address = free();
+    settings.link_address = free();
+    settings.stop_grace_time = Millis(300);
     settings
 }
 
--- a/tests/processes/main.rs
+++ b/tests/processes/main.rs
@@ -63,12 +63,12 @@
     plant.restart_agent(2).await;
 
     demo::reach(&tally, REQUESTS * 3 / 5).await;
-    let address = plant.entries[0].settings.http;
+    let address = plant.entries[0].settings.caller_address;
     plant.entries[0].program.signal(Signal::KILL);
     plant.balancer.remove(address);
 
     demo::reach(&tally, REQUESTS * 4 / 5).await;
-    let address = plant.entries[1].settings.http;
+    let address = plant.entries[1].settings.caller_address;
     plant.balancer.stopping(address);
     let entry = &mut plant.entries[1].program;
     entry.signal(Signal::TERM);
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -110,7 +110,7 @@
         body: &str,
     ) -> Response<Bytes> {
         let entry = self.plant.gateways[entry].entry.as_ref();
-        let address = entry.expect("the entry is up").handle.http;
+        let address = entry.expect("the entry is up").handle.caller_address;
         let key = format!("Bearer {}", workload::key(organisation));
         let mut request = Request::post(format!("http://{address}{path}"))
             .header("authorization", key);
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -78,7 +78,7 @@
         let gateway = plant.gateways.iter().find(|it| it.zone == zone);
         let entry = gateway.and_then(|it| it.entry.as_ref());
         let balancer = Arc::new(Balancer::new());
-        balancer.add(entry.expect("an entry is up").handle.http);
+        balancer.add(entry.expect("an entry is up").handle.caller_address);
         let tally = Arc::new(Tally::new());
         let caller = Caller::new(balancer, tally.clone());
         let mut random = StdRng::seed_from_u64(zone as u64);
