--- a/cowsliproad-entry/src/lib.rs
+++ b/cowsliproad-entry/src/lib.rs
@@ -136,7 +136,7 @@
         crash_ledger: Mutex::default(),
         in_flight_requests: AtomicU32::new(0),
         is_stopping: AtomicBool::new(false),
-        control_queue: control_queue,
+        control_queue,
         platform_client: Client::with_local_address(settings.source_address),
         request_metrics: callers::RequestMetrics::new(&metrics.meter()),
         metrics,
--- a/cowsliproad-entry/src/links.rs
+++ b/cowsliproad-entry/src/links.rs
@@ -168,7 +168,7 @@
     }
 
     /// Compares configuration offsets with a peer: pulls from a peer that is
-    /// ahead, and pushes to a peer that has been behind for the delay.
+    /// ahead, and pushes to a peer that has been behind for `push_delay`.
     async fn sync_config_with_peer(
         &mut self,
         shared: &EntryState,
--- a/cowsliproad-entry/src/log.rs
+++ b/cowsliproad-entry/src/log.rs
@@ -65,7 +65,8 @@
 
 #[derive(Deserialize)]
 struct LogPage {
-    first: u64,
+    #[serde(rename = "first")]
+    first_offset: u64,
     records: Vec<String>,
 }
 
@@ -151,7 +152,7 @@
     let decoded = page.records.iter().map(|it| STANDARD.decode(it));
     let records: Result<Vec<_>, _> = decoded.collect();
     let records = records.ok()?.into_iter().map(ByteBuf::from).collect();
-    Some(ConfigRecords { first_offset: page.first, records })
+    Some(ConfigRecords { first_offset: page.first_offset, records })
 }
 
 /// Searches the log for a snapshot when the records that come next are no
