--- a/cowsliproad-agent/src/replica.rs
+++ b/cowsliproad-agent/src/replica.rs
@@ -6,20 +6,20 @@
 
 use std::sync::{Mutex, MutexGuard};
 
-use cowsliproad_config::{State, fold};
+use cowsliproad_config::{ConfigState, fold};
 use cowsliproad_kernel::sync::lock;
 use cowsliproad_kernel::wire::{ConfigRecords, ConfigSnapshot, Frame};
 
 /// A folded configuration that only moves forward.
 #[derive(Debug)]
 pub struct Replica {
-    state: Mutex<State>,
+    state: Mutex<ConfigState>,
 }
 
 impl Replica {
     /// An empty configuration.
     pub fn new() -> Replica {
-        Replica { state: Mutex::new(State::new()) }
+        Replica { state: Mutex::new(ConfigState::new()) }
     }
 
     /// The offset after the last record folded in.
@@ -28,14 +28,16 @@
     }
 
     /// Runs a function on the state.
-    pub fn with<T>(&self, read: impl FnOnce(&State) -> T) -> T {
+    pub fn with<T>(&self, read: impl FnOnce(&ConfigState) -> T) -> T {
         read(&self.lock())
     }
 
     /// Folds records in; the answer asks for a snapshot after a gap.
     pub fn records(&self, records: &ConfigRecords) -> Option<Frame> {
         let mut state = self.lock();
-        for (offset, bytes) in (records.first_offset..).zip(&records.records) {
+        for (offset, bytes) in
+            (records.first_offset..).zip(&records.encoded_records)
+        {
             if let Err(gap) = state.apply_record(offset, bytes) {
                 return Some(Frame::PullConfig(gap.expected_offset));
             }
@@ -49,8 +51,8 @@
         if snapshot.next_offset <= state.next_offset() {
             return;
         }
-        if let Some(other) = fold::decode_state(&snapshot.state) {
-            state.adopt_if_newer(other);
+        if let Some(other) = fold::decode_state(&snapshot.encoded_config) {
+            state.adopt_newer_peer_state(other);
         }
     }
 
@@ -60,12 +62,12 @@
         (state.next_offset() > next).then(|| {
             Frame::ConfigSnapshot(ConfigSnapshot {
                 next_offset: state.next_offset(),
-                state: fold::encode_state(&state),
+                encoded_config: fold::encode_state(&state),
             })
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, ConfigState> {
         lock(&self.state)
     }
 }
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -16,12 +16,12 @@
     quarantine::{CrashId, CrashLedger, WorkDigest as Kind},
     queue::{Queue, QueueConfig, QueueItem, ServiceRate},
     register::TicketRegister,
-    ticket::{Purpose, Ticket},
+    ticket::{Ticket, TokenPurpose},
 };
 use cowsliproad_agent::work::Work;
 use cowsliproad_config::{
-    Object, State,
-    fold::{self, Change, Record},
+    ConfigState, Object,
+    fold::{self, ConfigChange, ConfigRecord},
     object::{self, Organisation},
 };
 use cowsliproad_entry::{target::Target, view::ConfigView};
@@ -30,8 +30,8 @@
     id,
     plugin::inventory,
     wire::{
-        self, AgentLoad, Answer, AnswerFormat, Content, Frame, Heartbeat,
-        Phase, Presence, Urgency,
+        self, AgentLoad, AnswerContent, AnswerFormat, Frame, Heartbeat,
+        ProcessPhase, StoredAnswer, TargetPresence, Urgency,
     },
 };
 use cowsliproad_routing::choice;
@@ -160,12 +160,13 @@
     let mut points = Points::new();
     for count in [1_000, 2_500, 5_300, 8_000] {
         let before = meter::memory();
-        let mut state = State::new();
+        let mut state = ConfigState::new();
         for (offset, index) in (1..).zip(0..count) {
             let object = organisation(index);
-            let change = Change::Put { base_revision: 0, object };
+            let change = ConfigChange::Put { base_revision: 0, object };
             let command = id::Command::random();
-            let record = fold::encode_record(&Record { command, change });
+            let record =
+                fold::encode_record(&ConfigRecord { command, change });
             let _ = state.apply_record(offset, &record);
         }
         let view =
@@ -228,13 +229,13 @@
         let records: Vec<Vec<u8>> = (0..count)
             .map(|index| {
                 let object = organisation(index);
-                let change = Change::Put { base_revision: 0, object };
+                let change = ConfigChange::Put { base_revision: 0, object };
                 let command = id::Command::random();
-                fold::encode_record(&Record { command, change })
+                fold::encode_record(&ConfigRecord { command, change })
             })
             .collect();
         record_bytes = records[0].len();
-        let mut state = State::new();
+        let mut state = ConfigState::new();
         let start = Instant::now();
         for (offset, record) in (1..).zip(&records) {
             let _ = black_box(state.apply_record(offset, record));
@@ -263,20 +264,20 @@
 fn reports(figures: &mut Value) {
     let beat = |holds: usize| {
         Frame::Heartbeat(Heartbeat {
-            name: "engine-12".into(),
+            sender_name: "engine-12".into(),
             incarnation: id::Incarnation::random(),
             sender_clock: Millis(86_400_000),
-            phase: Phase::Serving,
+            phase: ProcessPhase::Serving,
             load: AgentLoad {
-                queued: 12,
-                running: 16,
-                slots: 16,
-                mean_service_us: 81_234,
-                accepted_total: 1_234_567,
+                queued_requests: 12,
+                running_requests: 16,
+                target_slots: 16,
+                mean_service_time_us: 81_234,
+                accepted_requests_total: 1_234_567,
             },
-            cooldown: Millis(0),
-            presence: Presence::Here,
-            inherited_incarnations: (0..holds)
+            target_cooldown: Millis(0),
+            presence: TargetPresence::Here,
+            taken_over_incarnations: (0..holds)
                 .map(|_| id::Incarnation::random())
                 .collect(),
             next_config_offset: 123_456,
@@ -306,10 +307,10 @@
         let before = meter::memory();
         let kept: Vec<Arc<Work>> = (0..count)
             .map(|index| {
-                Arc::new(Work::finished(Answer {
+                Arc::new(Work::finished(StoredAnswer {
                     request: id::Request(index as u64),
                     organisation: "organisation".into(),
-                    result: Ok(Content {
+                    result: Ok(AnswerContent {
                         format: AnswerFormat::Json,
                         bytes: vec![b'x'; 512],
                     }),
@@ -333,7 +334,7 @@
         let start = Instant::now();
         for request in 0..count {
             let ticket = Ticket {
-                purpose: Purpose::Ticket,
+                purpose: TokenPurpose::Ticket,
                 organisation: "a".into(),
                 service: "s".into(),
                 request_type: "t".into(),
--- a/cowsliproad-direct/src/call/failure.rs
+++ b/cowsliproad-direct/src/call/failure.rs
@@ -151,7 +151,7 @@
             Reason::Busy(after) => {
                 entry.measure.limited("refused");
                 let after = after.clamp(MIN_RETURN, MAX_RETURN);
-                let after = patience::jittered_retry(after, entry.draw());
+                let after = patience::add_retry_jitter(after, entry.draw());
                 ("not run: targets take no more\n", after)
             }
             Reason::Poison(after) => {
@@ -181,10 +181,10 @@
     fn come_back(&self, entry: &Entry) -> Millis {
         // Callers wait for a third of what they have left at most.
         let longest = Millis(self.left().0 / 3);
-        if self.route.is_stream() {
+        if self.route.has_stream_responses() {
             return longest;
         }
-        let after = patience::jittered_retry(FULL_BACKOFF, entry.draw());
+        let after = patience::add_retry_jitter(FULL_BACKOFF, entry.draw());
         longest.min(after)
     }
 }
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -21,8 +21,8 @@
 };
 use cowsliproad_platform::header;
 use cowsliproad_routing::{
-    fleet::{StartTime, Target},
-    owner::LimitOwner,
+    fleet::{ProcessStartUnixMs, Target},
+    owner::RateLimiterOwner,
 };
 use http::{HeaderMap, HeaderValue};
 use slog::{debug, info, warn};
@@ -87,7 +87,7 @@
 #[derive(Default)]
 pub struct Limits {
     socket: Option<Rc<UdpSocket>>,
-    limiters: HashMap<Name, (StartTime, limit::Limiter)>,
+    limiters: HashMap<Name, (ProcessStartUnixMs, limit::Limiter)>,
     open: HashMap<u64, oneshot::Sender<PermitReply>>,
     /// Limits of targets that are not known yet, and when they were heard.
     early: HashMap<Name, (RateLimit, Millis)>,
@@ -278,13 +278,17 @@
         let owner = entry.peers.borrow().owner(target, &zone, now);
         let other = match owner {
             // Whoever asked waits for one question more, not for two.
-            LimitOwner::Remote(_) if asked > 0 && relays < RELAYS => break,
-            LimitOwner::Remote(other) if relays > 0 => other,
+            RateLimiterOwner::Remote(_) if asked > 0 && relays < RELAYS => {
+                break;
+            }
+            RateLimiterOwner::Remote(other) if relays > 0 => other,
             _ => return entry.give(target, owner, patience, now),
         };
         match ask(entry, other, target, patience, relays - 1).await {
-            Some(it) if it.granted => return PermitDecision::Permit(it.wait),
-            Some(it) => return PermitDecision::Later(it.wait),
+            Some(it) if it.permit_granted => {
+                return PermitDecision::Permit(it.permit_wait);
+            }
+            Some(it) => return PermitDecision::Later(it.permit_wait),
             None => {
                 let until = Millis::now() + MUTE_TTL;
                 entry.peers.borrow_mut().mute(other, until);
@@ -305,11 +309,11 @@
     relays: u8,
 ) -> Option<PermitReply> {
     let number = rand::random();
-    let limit = entry.current_limit(target, Millis::now());
+    let rate_limit = entry.current_limit(target, Millis::now());
     let question = PermitRequest {
         request_id: number,
-        limit,
-        max_wait: patience,
+        rate_limit,
+        max_permit_wait: patience,
         forwards_left: relays,
     };
     let (sender, reply) = oneshot::channel();
@@ -323,21 +327,21 @@
 
 /// Answers another entry's question.
 pub fn answer(entry: &Rc<Entry>, ask: PermitRequest, from: SocketAddr) {
-    entry.hear_limit(&ask.limit, Millis::now());
+    entry.hear_limit(&ask.rate_limit, Millis::now());
     let entry = entry.clone();
     let relays = ask.forwards_left.min(RELAYS - 1);
     tokio::task::spawn_local(async move {
-        let target = entry.fleet.borrow().get(&ask.limit.target).cloned();
-        let same =
-            target.filter(|it| it.start.0 == ask.limit.target_start_unix_ms);
-        let (verdict, limit) = match same {
+        let target = entry.fleet.borrow().get(&ask.rate_limit.target).cloned();
+        let same = target
+            .filter(|it| it.start.0 == ask.rate_limit.target_start_unix_ms);
+        let (verdict, rate_limit) = match same {
             Some(target) => {
                 let verdict =
-                    decide(&entry, &target, ask.max_wait, relays).await;
+                    decide(&entry, &target, ask.max_permit_wait, relays).await;
                 (verdict, entry.current_limit(&target, Millis::now()))
             }
             // Its announcement has not come here yet.
-            None => (PermitDecision::Later(RETRY_BACKOFF), ask.limit),
+            None => (PermitDecision::Later(RETRY_BACKOFF), ask.rate_limit),
         };
         let (given, after) = match verdict {
             PermitDecision::Permit(after) => (true, after),
@@ -345,9 +349,9 @@
         };
         let reply = PermitReply {
             request_id: ask.request_id,
-            limit,
-            granted: given,
-            wait: after,
+            rate_limit,
+            permit_granted: given,
+            permit_wait: after,
         };
         entry.say(Datagram::PermitReply(reply), from).await;
     });
@@ -384,7 +388,7 @@
 
     fn hear_limit(&self, limit: &RateLimit, now: Millis) {
         let start = self.fleet.borrow().get(&limit.target).map(|it| it.start);
-        if start != Some(StartTime(limit.target_start_unix_ms)) {
+        if start != Some(ProcessStartUnixMs(limit.target_start_unix_ms)) {
             self.limits.borrow_mut().keep_early(limit, now);
             return;
         }
@@ -392,9 +396,10 @@
         if rate.is_none() != limit.requests_per_second.is_none() {
             return;
         }
-        let report = LimitReport { rate, age: limit.in_force_for };
+        let report = LimitReport { rate, in_force_for: limit.rate_limit_age };
         let endpoint = self.endpoint(&limit.target);
-        let change = endpoint.borrow_mut().limit.merge_report(report, now);
+        let change =
+            endpoint.borrow_mut().limit.merge_limit_report(report, now);
         self.limit_changed(&limit.target, change, Source::Peer);
     }
 
@@ -402,8 +407,8 @@
     pub fn recall_limit(&self, target: &str, now: Millis) {
         let early = self.limits.borrow_mut().early.remove(target);
         if let Some((limit, heard)) = early {
-            let age = limit.in_force_for + now.since(heard);
-            self.hear_limit(&RateLimit { in_force_for: age, ..limit }, now);
+            let age = limit.rate_limit_age + now.since(heard);
+            self.hear_limit(&RateLimit { rate_limit_age: age, ..limit }, now);
         }
     }
 
@@ -468,7 +473,7 @@
     /// What is known of a target's limit.
     fn current_limit(&self, target: &Target, now: Millis) -> RateLimit {
         let report = self.endpoint(&target.id).borrow().limit.report(now);
-        let never = LimitReport { rate: None, age: Millis(u64::MAX) };
+        let never = LimitReport { rate: None, in_force_for: Millis(u64::MAX) };
         limit_of(target, report.unwrap_or(never))
     }
 
@@ -476,29 +481,30 @@
     fn give(
         &self,
         target: &Target,
-        owner: LimitOwner<SocketAddr>,
+        owner: RateLimiterOwner<SocketAddr>,
         patience: Millis,
         now: Millis,
     ) -> PermitDecision {
         let report = self.endpoint(&target.id).borrow().limit.report(now);
-        let Some(LimitReport { rate: Some(rate), age }) = report else {
+        let Some(LimitReport { rate: Some(rate), in_force_for }) = report
+        else {
             return PermitDecision::Permit(Millis(0));
         };
         let share = self.peers.borrow().reached(now);
-        let new = (target.start, limit::Limiter::new(rate, age, now));
+        let new = (target.start, limit::Limiter::new(rate, in_force_for, now));
         let mut limits = self.limits.borrow_mut();
         let kept = limits.limiters.entry(target.id.clone()).or_insert(new);
-        let stands_in = owner == LimitOwner::Substitute;
+        let stands_in = owner == RateLimiterOwner::Substitute;
         let stale = stands_in && kept.1.is_stale(share, now);
         if kept.0 != target.start || stale {
             *kept = new;
         }
-        kept.1.acquire(rate, share, patience, now)
+        kept.1.acquire_permit(rate, share, patience, now)
     }
 
     /// Takes in the answer to a question.
     pub fn hear_reply(&self, reply: PermitReply) {
-        self.hear_limit(&reply.limit, Millis::now());
+        self.hear_limit(&reply.rate_limit, Millis::now());
         let open = self.limits.borrow_mut().open.remove(&reply.request_id);
         if let Some(open) = open {
             // Whoever asked may have stopped waiting just now.
@@ -522,6 +528,6 @@
         target: target.id.clone(),
         target_start_unix_ms: target.start.0,
         requests_per_second: report.rate.map(Rate::per_second),
-        in_force_for: report.age,
+        rate_limit_age: report.in_force_for,
     }
 }
--- a/cowsliproad-entry/src/admin.rs
+++ b/cowsliproad-entry/src/admin.rs
@@ -9,8 +9,8 @@
 
 use cowsliproad_admin::{convert, message};
 use cowsliproad_config::{
-    State,
-    fold::{self, Change, Record, Verdict, VersionedObject},
+    ConfigState,
+    fold::{self, ChangeVerdict, ConfigChange, ConfigRecord, VersionedObject},
     object::{ObjectKey, ObjectKind},
 };
 use cowsliproad_kernel::{
@@ -50,7 +50,7 @@
     let admin = message::AdminServer::new(AdminService { shared });
     let service = ServiceBuilder::new(admin).build();
     let closed = async move {
-        accept_handle.closed().await;
+        accept_handle.stopped_accepting().await;
         Ok(())
     };
     let server = Server::new().add_service(service);
@@ -76,7 +76,7 @@
         if let Err(why) = object.validate() {
             return Ok(refused_change(Code::BadObject, &why));
         }
-        let change = Change::Put { base_revision: request.base, object };
+        let change = ConfigChange::Put { base_revision: request.base, object };
         let command = id::Command(request.command);
         Ok(self.apply_change(command, change, request.mode).await)
     }
@@ -90,7 +90,7 @@
             Ok(key) => key,
             Err(why) => return Ok(refused_change(Code::BadObject, &why)),
         };
-        let change = Change::Delete { base_revision: request.base, key };
+        let change = ConfigChange::Delete { base_revision: request.base, key };
         let command = id::Command(request.command);
         Ok(self.apply_change(command, change, request.mode).await)
     }
@@ -162,12 +162,12 @@
     async fn apply_change(
         &self,
         command: id::Command,
-        change: Change,
+        change: ConfigChange,
         mode: message::Mode,
     ) -> Response<message::ChangeReply> {
         if mode == message::Mode::DRY_RUN {
             let view = self.shared.published.current_view();
-            return match view.config_state.dry_run(&change) {
+            return match view.config_state.check_change(&change) {
                 Ok(()) => {
                     change_reply(Code::Ok, Execution::NotRun, 0, "dry run")
                 }
@@ -177,7 +177,7 @@
         if let Some(verdict) = self.published_verdict(command) {
             return self.reply_with_verdict(command, verdict);
         }
-        let record = Record { command, change };
+        let record = ConfigRecord { command, change };
         if fold::decode_record(&fold::encode_record(&record)).as_ref()
             != Some(&record)
         {
@@ -206,7 +206,10 @@
 
     /// Waits until the record of a command is read back, and returns its
     /// verdict, or `None` after the timeout.
-    async fn wait_for_verdict(&self, command: id::Command) -> Option<Verdict> {
+    async fn wait_for_verdict(
+        &self,
+        command: id::Command,
+    ) -> Option<ChangeVerdict> {
         let deadline = Instant::now() + READ_BACK_TIMEOUT;
         let mut published = self.shared.published.subscribe_offsets();
         loop {
@@ -219,7 +222,10 @@
     }
 
     /// The verdict of a command in the published configuration state.
-    fn published_verdict(&self, command: id::Command) -> Option<Verdict> {
+    fn published_verdict(
+        &self,
+        command: id::Command,
+    ) -> Option<ChangeVerdict> {
         self.shared.published.current_view().config_state.verdict(command)
     }
 
@@ -227,15 +233,15 @@
     fn reply_with_verdict(
         &self,
         command: id::Command,
-        verdict: Verdict,
+        verdict: ChangeVerdict,
     ) -> Response<message::ChangeReply> {
         info!(self.shared.logger, "command";
             "command" => %command, "verdict" => ?verdict);
         match verdict {
-            Verdict::Accepted(revision) => {
+            ChangeVerdict::Accepted(revision) => {
                 change_reply(Code::Ok, Execution::Ran, revision, "accepted")
             }
-            Verdict::Refused(code) => refused_change(code, ""),
+            ChangeVerdict::Refused(code) => refused_change(code, ""),
         }
     }
 }
@@ -271,7 +277,10 @@
     }
 }
 
-fn list_reply(state: &State, kind: Option<ObjectKind>) -> message::ListReply {
+fn list_reply(
+    state: &ConfigState,
+    kind: Option<ObjectKind>,
+) -> message::ListReply {
     let wanted = state
         .objects()
         .filter(|it| kind.is_none_or(|kind| it.object.key().kind == kind));
@@ -293,9 +302,9 @@
             service: target.service.to_string().into(),
             zone: target.zone.to_string().into(),
             state: status.state_name.into(),
-            queued: status.agent_load.queued,
-            running: status.agent_load.running,
-            slots: status.agent_load.slots,
+            queued: status.agent_load.queued_requests,
+            running: status.agent_load.running_requests,
+            slots: status.agent_load.target_slots,
             report_age_ms: status.load_age.0,
             offset: status.next_config_offset,
         }
--- a/cowsliproad-entry/src/answer.rs
+++ b/cowsliproad-entry/src/answer.rs
@@ -4,7 +4,7 @@
 use std::convert::Infallible;
 
 use bytes::Bytes;
-use cowsliproad_kernel::wire::{AnswerFormat, Failure};
+use cowsliproad_kernel::wire::{AnswerFormat, RequestFailure};
 use cowsliproad_net::{reply, server::SyncStream};
 use futures_util::stream;
 use http::{HeaderValue, StatusCode, header};
@@ -20,7 +20,7 @@
 /// Waits for the whole answer and returns it as a JSON document.
 pub async fn whole_answer_response(
     mut forwarder: RequestForwarder,
-) -> (Response, Option<Failure>) {
+) -> (Response, Option<RequestFailure>) {
     let mut bytes = Vec::new();
     let mut token = String::new();
     while let Some(item) = forwarder.next_item().await {
@@ -80,7 +80,7 @@
 /// answer ends.
 pub trait AnswerObserver: Send + 'static {
     /// Called when the answer is complete, or ended with a failure.
-    fn answer_ended(&mut self, failure: Option<&Failure>);
+    fn answer_ended(&mut self, failure: Option<&RequestFailure>);
 }
 
 /// Streams an answer as server-sent events. The caller of this function has
@@ -156,8 +156,11 @@
             }
             AnswerItem::Done(end) => {
                 self.observer.answer_ended(None);
-                let digest: String =
-                    end.digest.iter().map(|it| format!("{it:02x}")).collect();
+                let digest: String = end
+                    .answer_blake3_digest
+                    .iter()
+                    .map(|it| format!("{it:02x}"))
+                    .collect();
                 let format = match end.format {
                     AnswerFormat::Text => "text",
                     AnswerFormat::Json => "json",
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -11,14 +11,17 @@
 use cowsliproad_admission::{
     patience,
     register::TICKET_TTL,
-    ticket::{self, Purpose, Ticket},
+    ticket::{self, Ticket, TokenPurpose},
 };
 use cowsliproad_config::object::RequestType;
 use cowsliproad_kernel::{
     clock::Millis,
     code::{Code, Execution},
     id,
-    wire::{Cancel, Failure, Frame, Persistence, Phase, Urgency},
+    wire::{
+        CancelRequest, Frame, ProcessPhase, RequestFailure,
+        RequestPersistence, Urgency,
+    },
 };
 use cowsliproad_net::{
     reply,
@@ -84,14 +87,14 @@
 
 /// The problem document of a refused HTTP request.
 struct RequestRefusal {
-    failure: Failure,
+    failure: RequestFailure,
     problem_detail: String,
     /// A new ticket with which the caller can send the request again.
     new_ticket: Option<String>,
 }
 
 impl RequestRefusal {
-    fn new(failure: Failure) -> RequestRefusal {
+    fn new(failure: RequestFailure) -> RequestRefusal {
         RequestRefusal {
             failure,
             problem_detail: String::new(),
@@ -125,7 +128,7 @@
         let entry_in_flight =
             EntryInFlightGuard { entry_state: shared.clone() };
         let mut response = self.route_request(request, entry_in_flight).await;
-        if shared.lifecycle_phase() == Phase::Leaving {
+        if shared.lifecycle_phase() == ProcessPhase::Leaving {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
         }
@@ -190,7 +193,7 @@
 
     fn readiness_response(&self) -> Response {
         let view = self.shared.published.current_view();
-        if self.shared.lifecycle_phase() == Phase::Leaving {
+        if self.shared.lifecycle_phase() == ProcessPhase::Leaving {
             return reply::text(StatusCode::SERVICE_UNAVAILABLE, "stopping\n");
         }
         if view.services.is_empty() {
@@ -239,8 +242,8 @@
             signed_ticket: ticket,
             idempotency_key: key,
             persistence: match keep {
-                true => Persistence::Keep,
-                false => Persistence::Drop,
+                true => RequestPersistence::Keep,
+                false => RequestPersistence::Drop,
             },
             answer_deadline: Millis::now() + checked.request_type.deadline_ms,
             request_body: body,
@@ -295,8 +298,8 @@
         }
     }
 
-    /// Sends a cancel frame to the agent that is, or inherited the work of,
-    /// the process named by a resume token.
+    /// Sends a cancel frame to the agent that is, or took over from, the
+    /// process named by a resume token.
     async fn cancel_work(
         &self,
         request: &Request,
@@ -308,19 +311,21 @@
             view.target_answering_for(&token.target, token.incarnation);
         let link = holder.and_then(|target| target.agent_link.load_full());
         let gone = || {
-            let failure =
-                Failure::new(Code::TargetGone, Execution::OutcomeUnknown);
+            let failure = RequestFailure::new(
+                Code::TargetGone,
+                Execution::OutcomeUnknown,
+            );
             RequestRefusal::new(failure)
         };
         let link = link.ok_or_else(gone)?;
         let attempt = id::Attempt::random();
         let mut events = link.register_attempt(attempt);
-        let cancel = Cancel {
+        let cancel = CancelRequest {
             request: token.request,
             organisation: token.organisation,
             attempt,
         };
-        let sent = link.send_frame(Frame::Cancel(cancel)).await;
+        let sent = link.send_frame(Frame::CancelRequest(cancel)).await;
         sent.map_err(|_| gone())?;
         let answer = tokio::time::timeout(CANCEL_TIMEOUT, events.recv()).await;
         link.unregister_attempt(attempt);
@@ -376,7 +381,7 @@
         let (heartbeat, received_at) =
             target.last_heartbeat().ok_or_else(no_target_refusal)?;
         let ticket = Ticket {
-            purpose: Purpose::Ticket,
+            purpose: TokenPurpose::Ticket,
             organisation: checked.organisation.declaration.name.clone(),
             service: checked.service.name.clone(),
             request_type: checked.request_type.name.clone(),
@@ -391,7 +396,7 @@
             "request" => %ticket.request,
             "type" => %ticket.request_type,
             "target" => %ticket.target,
-            "score_us" => found.map_or(0, |it| it.score_us));
+            "score_us" => found.map_or(0, |it| it.chosen_score_us));
         Ok(ticket::sign(&ticket, &self.shared.ticket_key))
     }
 
@@ -406,8 +411,9 @@
             choose::first_out_of_cooldown(&checked.service, &[], deadline);
         first.map_err(|wait| {
             let Some(wait) = wait else { return no_target_refusal() };
-            let after = patience::jittered_retry(wait, rand::random());
-            let failure = Failure::new(Code::Overloaded, Execution::NotRun);
+            let after = patience::add_retry_jitter(wait, rand::random());
+            let failure =
+                RequestFailure::new(Code::Overloaded, Execution::NotRun);
             RequestRefusal::new(failure.with_retry_after(after))
         })
     }
@@ -455,12 +461,12 @@
             self.shared.in_flight_requests.load(Ordering::Relaxed) > limit;
         let ran = Execution::NotForwarded;
         if full {
-            let failure = Failure::new(Code::Overloaded, ran);
+            let failure = RequestFailure::new(Code::Overloaded, ran);
             let failure = failure.with_retry_after(OVERLOAD_RETRY_AFTER);
             return Err(RequestRefusal::new(failure));
         }
         checked.organisation.try_begin_request().ok_or_else(|| {
-            let failure = Failure::new(Code::OverShare, ran);
+            let failure = RequestFailure::new(Code::OverShare, ran);
             let failure = failure.with_retry_after(OVERLOAD_RETRY_AFTER);
             RequestRefusal::new(failure)
         })
@@ -484,7 +490,7 @@
             .to_string();
         let ticket = ticket::verify(&text, &self.shared.ticket_key)
             .map_err(|_| refuse_unforwarded(Code::ForgedToken, ""))?;
-        let fits = ticket.purpose == Purpose::Ticket
+        let fits = ticket.purpose == TokenPurpose::Ticket
             && ticket.organisation == checked.organisation.declaration.name
             && ticket.service == checked.service.name
             && ticket.request_type == checked.request_type.name;
@@ -503,7 +509,7 @@
         match self.sign_new_ticket(checked) {
             Ok(ticket) => {
                 let failure =
-                    Failure::new(Code::TicketNeeded, Execution::NotRun);
+                    RequestFailure::new(Code::TicketNeeded, Execution::NotRun);
                 RequestRefusal {
                     new_ticket: Some(ticket),
                     ..RequestRefusal::new(failure)
@@ -594,7 +600,7 @@
 /// arrive before the token and are ignored.
 async fn wait_for_resume_token(
     forwarder: &mut RequestForwarder,
-) -> Result<String, Failure> {
+) -> Result<String, RequestFailure> {
     loop {
         match forwarder.next_item().await {
             Some(AnswerItem::Accepted(token)) => return Ok(token),
@@ -606,7 +612,10 @@
             ) => {}
             None => {
                 let code = Code::TargetFailed;
-                return Err(Failure::new(code, Execution::OutcomeUnknown));
+                return Err(RequestFailure::new(
+                    code,
+                    Execution::OutcomeUnknown,
+                ));
             }
         }
     }
@@ -638,7 +647,7 @@
     match failure {
         Some(failure) if failure.code == Code::TimedOut => {
             let failure =
-                Failure::new(Code::Accepted, Execution::OutcomeUnknown);
+                RequestFailure::new(Code::Accepted, Execution::OutcomeUnknown);
             let failure = failure.with_retry_after(UNFINISHED_RETRY_AFTER);
             reply::problem(&failure, "the work is not finished yet")
         }
@@ -649,7 +658,7 @@
 /// A refusal, with the outcome "not forwarded", of a request that the entry
 /// process rejected itself.
 fn refuse_unforwarded(code: Code, detail: &str) -> RequestRefusal {
-    let failure = Failure::new(code, Execution::NotForwarded);
+    let failure = RequestFailure::new(code, Execution::NotForwarded);
     RequestRefusal {
         problem_detail: detail.into(),
         ..RequestRefusal::new(failure)
@@ -657,6 +666,6 @@
 }
 
 fn no_target_refusal() -> RequestRefusal {
-    let failure = Failure::new(Code::NoTarget, Execution::NotForwarded);
+    let failure = RequestFailure::new(Code::NoTarget, Execution::NotForwarded);
     RequestRefusal::new(failure.with_retry_after(UNFINISHED_RETRY_AFTER))
 }
--- a/cowsliproad-entry/src/callers/finish.rs
+++ b/cowsliproad-entry/src/callers/finish.rs
@@ -6,7 +6,7 @@
 };
 
 use cowsliproad_config::object::RequestType;
-use cowsliproad_kernel::{code::Code, id, wire::Failure};
+use cowsliproad_kernel::{code::Code, id, wire::RequestFailure};
 use opentelemetry::{
     KeyValue,
     metrics::{Counter, Histogram, Meter},
@@ -59,7 +59,7 @@
 }
 
 impl AnswerObserver for RequestRecorder {
-    fn answer_ended(&mut self, failure: Option<&Failure>) {
+    fn answer_ended(&mut self, failure: Option<&RequestFailure>) {
         let code = failure.map_or(Code::Ok, |it| it.code);
         let elapsed = self.arrived_at.elapsed();
         let request_metrics = &self.entry_state.request_metrics;
@@ -91,5 +91,5 @@
 }
 
 impl AnswerObserver for UnrecordedReclaim {
-    fn answer_ended(&mut self, _: Option<&Failure>) {}
+    fn answer_ended(&mut self, _: Option<&RequestFailure>) {}
 }
--- a/cowsliproad-entry/src/callers/head.rs
+++ b/cowsliproad-entry/src/callers/head.rs
@@ -5,7 +5,7 @@
 use cowsliproad_kernel::{
     Name,
     code::{Code, Execution},
-    wire::Failure,
+    wire::RequestFailure,
 };
 use http::header;
 use volo_http::request::Request;
@@ -26,7 +26,8 @@
     if view.services.is_empty() {
         // Without a configuration no organisation key is known, so no key can
         // be rejected as wrong.
-        let failure = Failure::new(Code::NotReady, Execution::NotForwarded);
+        let failure =
+            RequestFailure::new(Code::NotReady, Execution::NotForwarded);
         return Err(RequestRefusal::new(
             failure.with_retry_after(OVERLOAD_RETRY_AFTER),
         ));
--- a/cowsliproad-entry/src/choose.rs
+++ b/cowsliproad-entry/src/choose.rs
@@ -4,8 +4,8 @@
 
 use cowsliproad_kernel::{Name, clock::Millis};
 use cowsliproad_routing::{
-    choice::{self, Choice},
-    health::Admission,
+    choice::{self, TargetChoice},
+    health::AttemptAdmission,
 };
 use slog::info;
 
@@ -43,11 +43,12 @@
     shared: &EntryState,
     service: &Service,
     tried_targets: &[Name],
-) -> Option<Choice> {
+) -> Option<TargetChoice> {
     let now = Millis::now();
     let targets = &service.targets;
-    let is_ejected =
-        |target: &Target| target.health_admission(now) == Admission::Deny;
+    let is_ejected = |target: &Target| {
+        target.health_admission(now) == AttemptAdmission::Deny
+    };
     let heeds_ejections = !service.ignores_ejections.load(Ordering::Relaxed);
     let score = |index: usize| {
         let target = &targets[index];
@@ -121,16 +122,16 @@
     work_request: &WorkRequest,
     chosen: Option<&Arc<Target>>,
     method: &str,
-    choice: Option<Choice>,
+    choice: Option<TargetChoice>,
 ) {
     let targets = &work_request.service.targets;
-    let second = choice.and_then(|it| it.runner_up);
+    let second = choice.and_then(|it| it.runner_up_index_and_score_us);
     info!(shared.logger, "route";
         "request" => %work_request.request_id,
         "type" => %work_request.request_type.name,
         "target" => chosen.map_or("none", |it| &*it.name),
         "why" => method,
-        "score_us" => choice.map_or(0, |it| it.score_us),
+        "score_us" => choice.map_or(0, |it| it.chosen_score_us),
         "runner_up" => second.map_or("none", |it| &*targets[it.0].name),
         "runner_up_us" => second.map_or(0, |it| it.1));
 }
--- a/cowsliproad-entry/src/control.rs
+++ b/cowsliproad-entry/src/control.rs
@@ -13,8 +13,8 @@
 };
 
 use cowsliproad_config::{
-    State,
-    fold::{self, Change, Progress, Verdict},
+    ConfigState,
+    fold::{self, ChangeVerdict, ConfigChange, StateAdoption},
     object::{ObjectKey, ObjectKind},
 };
 use cowsliproad_kernel::{
@@ -100,7 +100,7 @@
 #[derive(Debug)]
 pub struct ControlTask {
     shared: Arc<EntryState>,
-    state: State,
+    state: ConfigState,
     recent_records: VecDeque<ByteBuf>,
     targets: HashMap<Name, Arc<Target>>,
     /// The targets whose VM the VM list has shown.
@@ -112,7 +112,7 @@
     pub fn new(shared: Arc<EntryState>) -> ControlTask {
         ControlTask {
             shared,
-            state: State::new(),
+            state: ConfigState::new(),
             recent_records: VecDeque::new(),
             targets: HashMap::new(),
             listed_vms: HashSet::new(),
@@ -151,7 +151,9 @@
 
     /// Applies log records in order and skips those that are already applied.
     fn apply_records(&mut self, records: ConfigRecords) {
-        for (offset, bytes) in (records.first_offset..).zip(records.records) {
+        for (offset, bytes) in
+            (records.first_offset..).zip(records.encoded_records)
+        {
             if offset < self.state.next_offset() {
                 continue;
             }
@@ -176,8 +178,11 @@
         if snapshot.next_offset <= self.state.next_offset() {
             return;
         }
-        let Some(other) = fold::decode_state(&snapshot.state) else { return };
-        if self.state.adopt_if_newer(other) == Progress::Advanced {
+        let Some(other) = fold::decode_state(&snapshot.encoded_config) else {
+            return;
+        };
+        if self.state.adopt_newer_peer_state(other) == StateAdoption::Advanced
+        {
             self.recent_records.clear();
             info!(self.shared.logger, "config_snapshot";
                 "next" => self.state.next_offset());
@@ -194,16 +199,16 @@
         let first = own - self.recent_records.len() as u64;
         if peer_offset >= first {
             let skip = (peer_offset - first) as usize;
-            let records =
+            let encoded_records =
                 self.recent_records.iter().skip(skip).cloned().collect();
             return Some(Frame::ConfigRecords(ConfigRecords {
                 first_offset: peer_offset,
-                records,
+                encoded_records,
             }));
         }
         Some(Frame::ConfigSnapshot(ConfigSnapshot {
             next_offset: own,
-            state: fold::encode_state(&self.state),
+            encoded_config: fold::encode_state(&self.state),
         }))
     }
 
@@ -261,7 +266,7 @@
     ) -> Arc<Target> {
         let target = Arc::new(Target::new(declared));
         let dial = links::keep_agent_link(self.shared.clone(), target.clone());
-        let task = self.shared.threads.traffic.spawn(dial);
+        let task = self.shared.threads.traffic_runtime.spawn(dial);
         target.set_dial_task(task.abort_handle());
         target
     }
@@ -273,7 +278,7 @@
             return;
         }
         let record = fold::decode_record(bytes).map(|record| record.change);
-        if let Some(Change::Snapshot(state)) = record {
+        if let Some(ConfigChange::Snapshot(state)) = record {
             self.shared.published.record_snapshot_offset(state.next_offset());
         }
     }
@@ -282,12 +287,12 @@
     fn log_verdict(
         &self,
         offset: u64,
-        outcome: Option<(id::Command, Verdict)>,
+        outcome: Option<(id::Command, ChangeVerdict)>,
     ) {
         let Some((command, verdict)) = outcome else { return };
         let verdict = match verdict {
-            Verdict::Accepted(_) => "accepted",
-            Verdict::Refused(code) => code.name(),
+            ChangeVerdict::Accepted(_) => "accepted",
+            ChangeVerdict::Refused(code) => code.name(),
         };
         info!(self.shared.logger, "config_record";
             "offset" => offset, "command" => %command,
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -12,7 +12,7 @@
 //!   the caller is sent a restart that discards the bytes so far.
 //! * Work that must not be repeated is only submitted again with the same
 //!   ticket, to the agent process that the ticket names or to the process that
-//!   inherited its work. When neither can be reached soon, the answer is
+//!   took over from it. When neither can be reached soon, the answer is
 //!   OUTCOME_UNKNOWN at once, with a `Retry-After`.
 //!
 //! NOT_RUN is returned for repeatable work only when every attempt was refused
@@ -22,20 +22,20 @@
 
 use cowsliproad_admission::{
     quarantine::{QuarantineVerdict, WorkDigest},
-    ticket::{self, Purpose, Ticket},
+    ticket::{self, Ticket, TokenPurpose},
 };
-use cowsliproad_config::object::{Repeat, RequestType};
+use cowsliproad_config::object::{RequestRepeatability, RequestType};
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
     code::{Code, Execution},
     id,
     wire::{
-        Ack, AnswerEnd, Failure, Frame, Persistence, Reclaim,
-        SEND_WINDOW_BYTES, Submit, SubmitMode,
+        AnswerAck, AnswerEnd, Frame, ReclaimAnswer, RequestFailure,
+        RequestPersistence, SEND_WINDOW_BYTES, SubmitMode, SubmitRequest,
     },
 };
-use cowsliproad_relay::{AnswerAssembly, Progress};
+use cowsliproad_relay::{AnswerAssembly, AssemblyProgress};
 use tokio::{sync::mpsc, time::timeout};
 
 use crate::{
@@ -87,7 +87,7 @@
     /// The answer is complete.
     Done(AnswerEnd),
     /// The request ended without a complete answer.
-    Failed(Failure),
+    Failed(RequestFailure),
 }
 
 /// A request to be forwarded to a target.
@@ -110,7 +110,7 @@
     pub idempotency_key: Option<Name>,
     /// Whether the agent keeps the work and its answer when no caller is
     /// connected.
-    pub persistence: Persistence,
+    pub persistence: RequestPersistence,
     /// The time after which the answer is of no use to the caller.
     pub answer_deadline: Millis,
     /// The request body, one JSON value.
@@ -268,16 +268,16 @@
             );
         };
         let attempt = id::Attempt::random();
-        let reclaim = Reclaim {
+        let reclaim = ReclaimAnswer {
             attempt,
             request: token.request,
             organisation: token.organisation,
-            first_byte,
+            first_byte_offset: first_byte,
         };
         let assembly = AnswerAssembly::starting_at(attempt, first_byte);
         self.send_first_frame(
             target,
-            Frame::Reclaim(reclaim),
+            Frame::ReclaimAnswer(reclaim),
             assembly,
             token.request,
         )
@@ -285,7 +285,7 @@
     }
 
     /// Submits work to the agent process that its ticket names, or to the
-    /// process that inherited its work.
+    /// process that took over from it.
     async fn submit_ticketed_work(
         &mut self,
         target_name: Name,
@@ -327,7 +327,7 @@
     fn first_target_out_of_cooldown(
         &self,
         work_request: &WorkRequest,
-    ) -> Result<Arc<Target>, Failure> {
+    ) -> Result<Arc<Target>, RequestFailure> {
         let (service, tried_targets) =
             (&work_request.service, &self.tried_targets);
         choose::first_out_of_cooldown(service, tried_targets, self.deadline)
@@ -336,7 +336,7 @@
                     Some(wait) => (Code::Overloaded, wait),
                     None => (Code::NoTarget, NO_TARGET_RETRY_AFTER),
                 };
-                Failure::new(code, self.execution_state())
+                RequestFailure::new(code, self.execution_state())
                     .with_retry_after(wait)
             })
     }
@@ -368,7 +368,7 @@
             };
         let attempt = id::Attempt::random();
         let time_left = self.deadline.since(Millis::now());
-        let submit = Submit {
+        let submit = SubmitRequest {
             attempt,
             request: work_request.request_id,
             organisation: work_request.organisation.clone(),
@@ -387,7 +387,7 @@
         };
         let request = work_request.request_id;
         self.submission_count += 1;
-        let frame = Frame::Submit(Box::new(submit));
+        let frame = Frame::SubmitRequest(Box::new(submit));
         let assembly = AnswerAssembly::new(attempt);
         self.send_first_frame(target, frame, assembly, request).await;
     }
@@ -411,7 +411,7 @@
             target.record_attempt_end(AttemptOutcome::Failed, Millis::now());
             return self.handle_unsent_attempt(target);
         }
-        let acknowledged_bytes = assembly.length();
+        let acknowledged_bytes = assembly.next_byte_offset();
         self.current_attempt = Some(ActiveAttempt {
             target,
             link,
@@ -424,7 +424,8 @@
 
     /// Handles an attempt that never left this entry process.
     fn handle_unsent_attempt(&mut self, target: Arc<Target>) {
-        let failure = Failure::new(Code::LinkLost, Execution::NotForwarded);
+        let failure =
+            RequestFailure::new(Code::LinkLost, Execution::NotForwarded);
         match &self.task {
             // The next attempt looks for the process of the ticket again.
             ForwardTask::Work(work_request)
@@ -488,7 +489,7 @@
             });
         let token = match &self.task {
             ForwardTask::Work(work_request) => Ticket {
-                purpose: Purpose::Resume,
+                purpose: TokenPurpose::Resume,
                 organisation: work_request.organisation.clone(),
                 service: work_request.service.name.clone(),
                 request_type: work_request.request_type.name.clone(),
@@ -502,15 +503,19 @@
         ticket::sign(&token, &self.shared.ticket_key)
     }
 
-    fn handle_progress(&mut self, attempt: ActiveAttempt, progress: Progress) {
+    fn handle_progress(
+        &mut self,
+        attempt: ActiveAttempt,
+        progress: AssemblyProgress,
+    ) {
         match progress {
-            Progress::Pending => self.current_attempt = Some(attempt),
-            Progress::Bytes(bytes) => {
+            AssemblyProgress::Pending => self.current_attempt = Some(attempt),
+            AssemblyProgress::Bytes(bytes) => {
                 self.queue_answer_bytes(bytes);
                 self.current_attempt = Some(attempt);
                 self.acknowledge_received_bytes();
             }
-            Progress::Complete(bytes) => {
+            AssemblyProgress::Complete(bytes) => {
                 self.queue_answer_bytes(bytes);
                 let end = attempt.assembly.end_frame().cloned();
                 attempt.record_outcome(AttemptOutcome::Whole);
@@ -518,10 +523,10 @@
                 self.finished = true;
                 self.pending_items.extend(end.map(AnswerItem::Done));
             }
-            Progress::Broken => {
+            AssemblyProgress::Broken => {
                 attempt.detach_attempt();
                 self.tried_targets.push(attempt.target.name.clone());
-                let failure = Failure::new(
+                let failure = RequestFailure::new(
                     Code::TargetFailed,
                     Execution::OutcomeUnknown,
                 );
@@ -543,16 +548,16 @@
     /// slows the agent down.
     fn acknowledge_received_bytes(&mut self) {
         let Some(attempt) = &mut self.current_attempt else { return };
-        let reached = attempt.assembly.length();
+        let reached = attempt.assembly.next_byte_offset();
         if reached - attempt.acknowledged_bytes < SEND_WINDOW_BYTES / 4 {
             return;
         }
         attempt.acknowledged_bytes = reached;
-        let ack = Ack {
+        let ack = AnswerAck {
             attempt: attempt.assembly.attempt(),
             delivered_bytes: reached,
         };
-        let _ = attempt.link.try_send_frame(Frame::Ack(ack));
+        let _ = attempt.link.try_send_frame(Frame::AnswerAck(ack));
     }
 }
 
@@ -588,5 +593,5 @@
 
 /// Whether requests of a type need a ticket.
 pub fn needs_ticket(request_type: &RequestType) -> bool {
-    request_type.repeat == Repeat::Never
+    request_type.repeat == RequestRepeatability::Never
 }
--- a/cowsliproad-entry/src/forward/failure.rs
+++ b/cowsliproad-entry/src/forward/failure.rs
@@ -9,7 +9,7 @@
     code::{Code, Execution},
     id,
     sync::lock,
-    wire::{Failure, Frame, Reclaim},
+    wire::{Frame, ReclaimAnswer, RequestFailure},
 };
 use tokio::time::sleep;
 
@@ -27,7 +27,8 @@
     pub(super) fn fail_timed_out(&mut self, attempt: ActiveAttempt) {
         attempt.detach_attempt();
         self.may_have_run = true;
-        let failure = Failure::new(Code::TimedOut, Execution::OutcomeUnknown);
+        let failure =
+            RequestFailure::new(Code::TimedOut, Execution::OutcomeUnknown);
         self.finish_with_failure(
             failure.with_retry_after(UNKNOWN_OUTCOME_RETRY_AFTER),
         );
@@ -60,7 +61,7 @@
         else {
             self.tried_targets.push(attempt.target.name.clone());
             let failure =
-                Failure::new(Code::LinkLost, Execution::OutcomeUnknown);
+                RequestFailure::new(Code::LinkLost, Execution::OutcomeUnknown);
             return self.handle_failed_attempt(failure);
         };
         let next = id::Attempt::random();
@@ -72,16 +73,16 @@
                 token.organisation.clone()
             }
         };
-        let reclaim = Reclaim {
+        let reclaim = ReclaimAnswer {
             attempt: next,
             request: attempt.request_id,
             organisation,
-            first_byte: attempt.assembly.length(),
+            first_byte_offset: attempt.assembly.next_byte_offset(),
         };
         let assembly = attempt.assembly.resume(next);
         self.send_first_frame(
             target,
-            Frame::Reclaim(reclaim),
+            Frame::ReclaimAnswer(reclaim),
             assembly,
             attempt.request_id,
         )
@@ -89,7 +90,7 @@
     }
 
     /// Retries or ends the request after a failed attempt.
-    pub(super) fn handle_failed_attempt(&mut self, failure: Failure) {
+    pub(super) fn handle_failed_attempt(&mut self, failure: RequestFailure) {
         if matches!(failure.ran, Execution::Ran | Execution::OutcomeUnknown) {
             self.may_have_run = true;
         }
@@ -108,12 +109,15 @@
             ForwardTask::KeptAnswer { .. } => failure.ran,
             ForwardTask::Work(_) => self.execution_state(),
         };
-        self.finish_with_failure(Failure { ran, ..failure });
+        self.finish_with_failure(RequestFailure { ran, ..failure });
     }
 
     /// Adds a `Retry-After` to the refusal of a crash-inducing request. The
     /// agent, which refused the request, does not know the time.
-    fn add_quarantine_retry_after(&self, failure: Failure) -> Failure {
+    fn add_quarantine_retry_after(
+        &self,
+        failure: RequestFailure,
+    ) -> RequestFailure {
         let ForwardTask::Work(work_request) = &self.task else {
             return failure;
         };
@@ -137,7 +141,7 @@
     /// Whether the request is retried after a failed attempt. A retry is
     /// charged to the retry budget, except for the first refusals by leaving
     /// targets.
-    fn may_retry(&mut self, failure: &Failure) -> bool {
+    fn may_retry(&mut self, failure: &RequestFailure) -> bool {
         let ForwardTask::Work(work_request) = &self.task else { return false };
         if work_request.signed_ticket.is_some()
             || Millis::now() >= self.deadline
@@ -166,7 +170,7 @@
             return true;
         }
         let budget = &work_request.service.retry_budget;
-        lock(budget).try_spend()
+        lock(budget).try_spend_retry()
     }
 
     /// Discards the bytes delivered to the caller, which belong to an attempt
@@ -180,9 +184,9 @@
 
     /// Ends the request with a failure. The `Retry-After` of an overload gets
     /// jitter, so that callers don't come back all at once.
-    pub(super) fn finish_with_failure(&mut self, mut failure: Failure) {
+    pub(super) fn finish_with_failure(&mut self, mut failure: RequestFailure) {
         if failure.code == Code::Overloaded {
-            let spread = |it| patience::jittered_retry(it, rand::random());
+            let spread = |it| patience::add_retry_jitter(it, rand::random());
             failure.retry_after = failure.retry_after.map(spread);
         }
         self.finished = true;
@@ -209,22 +213,25 @@
         }
     }
 
-    /// The failure when no linked agent is, or inherited the work of, an agent
+    /// The failure when no linked agent is, or took over from, an agent
     /// process. The failure is final, without a `Retry-After`, only when the
     /// process is known to have ended.
     pub(super) fn unreachable_process_failure(
         &self,
         incarnation: id::Incarnation,
-    ) -> Failure {
+    ) -> RequestFailure {
         let view = self.shared.published.current_view();
         if is_process_ended(&view, &self.task, incarnation) {
-            return Failure::new(Code::TargetGone, Execution::OutcomeUnknown);
+            return RequestFailure::new(
+                Code::TargetGone,
+                Execution::OutcomeUnknown,
+            );
         }
         unknown_outcome(Code::LinkLost)
     }
 
-    /// Returns the target whose agent is, or inherited the work of, an agent
-    /// process. Waits a short time for a broken link to come up again.
+    /// Returns the target whose agent is, or took over from, an agent process.
+    /// Waits a short time for a broken link to come up again.
     pub(super) async fn wait_for_answering_target(
         &self,
         target_name: &str,
@@ -248,7 +255,7 @@
 }
 
 /// Whether the agent process that a ticket or resume token names is known to
-/// have ended, so that only an agent that inherited its work could help.
+/// have ended, so that only an agent that took over from it could help.
 /// Missing heartbeats alone prove nothing.
 fn is_process_ended(
     view: &crate::view::ConfigView,
@@ -273,7 +280,7 @@
 }
 
 /// A failure whose outcome is unknown, with a `Retry-After`.
-pub(super) fn unknown_outcome(code: Code) -> Failure {
-    Failure::new(code, Execution::OutcomeUnknown)
+pub(super) fn unknown_outcome(code: Code) -> RequestFailure {
+    RequestFailure::new(code, Execution::OutcomeUnknown)
         .with_retry_after(UNKNOWN_OUTCOME_RETRY_AFTER)
 }
--- a/cowsliproad-entry/src/lib.rs
+++ b/cowsliproad-entry/src/lib.rs
@@ -41,12 +41,12 @@
 };
 
 use cowsliproad_admission::quarantine::CrashLedger;
-use cowsliproad_kernel::{clock::Millis, id, wire::Phase};
+use cowsliproad_kernel::{clock::Millis, id, wire::ProcessPhase};
 use cowsliproad_net::{
     client::Client,
     metrics::Metrics,
     server::{self, AcceptHandle, Listener},
-    threads::Threads,
+    threads::Runtimes,
 };
 use slog::{Logger, info, warn};
 use tokio::time::{Instant, sleep};
@@ -82,15 +82,15 @@
     /// The logger of the entry process.
     pub logger: Logger,
     /// The thread pools on which the tasks run.
-    pub threads: Threads,
+    pub threads: Runtimes,
 }
 
 impl EntryState {
     /// The phase of the entry process that its heartbeats state.
-    pub fn lifecycle_phase(&self) -> Phase {
+    pub fn lifecycle_phase(&self) -> ProcessPhase {
         match self.is_stopping.load(Ordering::Relaxed) {
-            true => Phase::Leaving,
-            false => Phase::Serving,
+            true => ProcessPhase::Leaving,
+            false => ProcessPhase::Serving,
         }
     }
 }
@@ -120,7 +120,7 @@
 /// Starts the tasks of an entry process.
 pub async fn start_entry(
     settings: Settings,
-    threads: Threads,
+    threads: Runtimes,
 ) -> io::Result<EntryProcess> {
     let log = cowsliproad_kernel::log::logger(
         "entry",
@@ -159,24 +159,34 @@
         accept_handle: accept_handle.clone(),
     };
     threads
-        .control
+        .control_runtime
         .spawn(ControlTask::new(shared.clone()).handle_events(events));
-    threads.control.spawn(control::watch_ejections(shared.clone()));
-    threads.control.spawn(log::follow_log(shared.clone()));
-    threads.control.spawn(vms::watch_vm_list(shared.clone()));
-    threads.control.spawn(links::send_agent_heartbeats(shared.clone()));
-    threads.control.spawn(links::accept_peer_links(shared.clone(), link));
+    threads.control_runtime.spawn(control::watch_ejections(shared.clone()));
+    threads.control_runtime.spawn(log::follow_log(shared.clone()));
+    threads.control_runtime.spawn(vms::watch_vm_list(shared.clone()));
+    threads
+        .control_runtime
+        .spawn(links::send_agent_heartbeats(shared.clone()));
+    threads
+        .control_runtime
+        .spawn(links::accept_peer_links(shared.clone(), link));
     for peer in shared.settings.peer_link_addresses.clone() {
-        threads.control.spawn(links::keep_peer_link(shared.clone(), peer));
+        threads
+            .control_runtime
+            .spawn(links::keep_peer_link(shared.clone(), peer));
     }
     for seed in shared.settings.seed_agent_addresses.clone() {
         threads
-            .control
+            .control_runtime
             .spawn(links::pull_config_from_seed(shared.clone(), seed));
     }
     let callers = Arc::new(callers::CallerApi::new(shared.clone()));
-    threads.traffic.spawn(server::serve(http, callers, accept_handle.clone()));
-    threads.control.spawn(admin::serve_operators(
+    threads.traffic_runtime.spawn(server::serve(
+        http,
+        callers,
+        accept_handle.clone(),
+    ));
+    threads.control_runtime.spawn(admin::serve_operators(
         shared.clone(),
         admin,
         accept_handle,
@@ -197,7 +207,7 @@
         let in_flight = || shared.in_flight_requests.load(Ordering::Relaxed);
         info!(shared.logger, "stop"; "in_flight" => in_flight());
         sleep(shared.settings.stop_grace_time.duration()).await;
-        self.accept_handle.close();
+        self.accept_handle.stop_accepting();
         let stop_timeout = shared.settings.stop_timeout.duration();
         let deadline = Instant::now() + stop_timeout;
         while in_flight() > 0 && Instant::now() < deadline {
--- a/cowsliproad-entry/src/links.rs
+++ b/cowsliproad-entry/src/links.rs
@@ -9,7 +9,7 @@
 
 use cowsliproad_kernel::{
     clock::Millis,
-    wire::{AgentLoad, Frame, Heartbeat, Presence, Role},
+    wire::{AgentLoad, Frame, Heartbeat, ProcessRole, TargetPresence},
 };
 use cowsliproad_net::link::{self, Identity, Receiver, Sender};
 use slog::{debug, info};
@@ -91,7 +91,7 @@
                     .sync_config_with_peer(shared, &sender, offset)
                     .await;
             }
-            Frame::Suspects(suspects) => {
+            Frame::SuspectedRequests(suspects) => {
                 quarantine::merge_suspects(shared, target, suspects);
             }
             other => handle_agent_frame(shared, &sender, &link, other).await,
@@ -317,14 +317,14 @@
 /// The current heartbeat of this entry process.
 fn own_heartbeat(shared: &EntryState) -> Heartbeat {
     Heartbeat {
-        name: shared.settings.name.clone(),
+        sender_name: shared.settings.name.clone(),
         incarnation: shared.incarnation,
         sender_clock: Millis::now(),
         phase: shared.lifecycle_phase(),
         load: AgentLoad::default(),
-        cooldown: Millis(0),
-        presence: Presence::Here,
-        inherited_incarnations: Vec::new(),
+        target_cooldown: Millis(0),
+        presence: TargetPresence::Here,
+        taken_over_incarnations: Vec::new(),
         next_config_offset: shared
             .published
             .current_view()
@@ -336,7 +336,7 @@
 /// The identity that this entry process presents when it dials a link.
 fn own_identity(shared: &EntryState) -> Identity {
     Identity {
-        role: Role::Entry,
+        role: ProcessRole::Entry,
         name: shared.settings.name.clone(),
         zone: shared.settings.zone.clone(),
         key: shared.settings.shared_key.0,
--- a/cowsliproad-entry/src/log.rs
+++ b/cowsliproad-entry/src/log.rs
@@ -10,8 +10,8 @@
 use base64::{Engine, engine::general_purpose::STANDARD};
 use bytes::Bytes;
 use cowsliproad_config::{
-    State,
-    fold::{self, Change, Record},
+    ConfigState,
+    fold::{self, ConfigChange, ConfigRecord},
 };
 use cowsliproad_kernel::{
     clock::Millis,
@@ -73,7 +73,7 @@
 /// Appends a record to the log.
 pub async fn append_record(
     shared: &EntryState,
-    record: &Record,
+    record: &ConfigRecord,
 ) -> AppendOutcome {
     let body = Full::new(Bytes::from(fold::encode_record(record)));
     let uri =
@@ -114,8 +114,9 @@
                 restore_from_snapshot(&shared, page).await;
             }
             Some(page) => {
-                let next = page.first_offset + page.records.len() as u64;
-                if !page.records.is_empty() {
+                let next =
+                    page.first_offset + page.encoded_records.len() as u64;
+                if !page.encoded_records.is_empty() {
                     shared
                         .control_queue
                         .send_event(ControlEvent::Records(page))
@@ -151,8 +152,9 @@
     let page: LogPage = serde_json::from_slice(answer.body()).ok()?;
     let decoded = page.records.iter().map(|it| STANDARD.decode(it));
     let records: Result<Vec<_>, _> = decoded.collect();
-    let records = records.ok()?.into_iter().map(ByteBuf::from).collect();
-    Some(ConfigRecords { first_offset: page.first_offset, records })
+    let encoded_records =
+        records.ok()?.into_iter().map(ByteBuf::from).collect();
+    Some(ConfigRecords { first_offset: page.first_offset, encoded_records })
 }
 
 /// Searches the log for a snapshot when the records that come next are no
@@ -161,20 +163,22 @@
 async fn restore_from_snapshot(shared: &EntryState, mut page: ConfigRecords) {
     let oldest = page.first_offset;
     warn!(shared.logger, "log_trimmed"; "first" => oldest);
-    while !page.records.is_empty() {
-        let states = page.records.iter().filter_map(|it| decode_snapshot(it));
+    while !page.encoded_records.is_empty() {
+        let states =
+            page.encoded_records.iter().filter_map(|it| decode_snapshot(it));
         let usable = states.filter(|it| it.next_offset() >= oldest);
         if let Some(state) = usable.max_by_key(|it| it.next_offset()) {
             let next = state.next_offset();
-            let state = fold::encode_state(&state);
-            let snapshot = ConfigSnapshot { next_offset: next, state };
+            let encoded_config = fold::encode_state(&state);
+            let snapshot =
+                ConfigSnapshot { next_offset: next, encoded_config };
             shared
                 .control_queue
                 .send_event(ControlEvent::Snapshot(snapshot))
                 .await;
             return wait_until_published(shared, next).await;
         }
-        let next = page.first_offset + page.records.len() as u64;
+        let next = page.first_offset + page.encoded_records.len() as u64;
         match read_page(shared, next, 0).await {
             Some(following) => page = following,
             None => break,
@@ -183,9 +187,9 @@
     sleep(LOG_READ_RETRY_BACKOFF).await;
 }
 
-fn decode_snapshot(record: &[u8]) -> Option<Box<State>> {
+fn decode_snapshot(record: &[u8]) -> Option<Box<ConfigState>> {
     match fold::decode_record(record)?.change {
-        Change::Snapshot(state) => Some(state),
+        ConfigChange::Snapshot(state) => Some(state),
         _ => None,
     }
 }
@@ -244,8 +248,8 @@
             return;
         }
         self.snapshot_seen_at = now;
-        let change = Change::Snapshot(Box::new((*state).clone()));
-        let record = Record { command: id::Command::random(), change };
+        let change = ConfigChange::Snapshot(Box::new((*state).clone()));
+        let record = ConfigRecord { command: id::Command::random(), change };
         let outcome = append_record(shared, &record).await;
         info!(shared.logger, "snapshot"; "next" => next, "outcome" => ?outcome);
         if outcome != AppendOutcome::NotDone {
--- a/cowsliproad-entry/src/main.rs
+++ b/cowsliproad-entry/src/main.rs
@@ -19,7 +19,7 @@
     let threads = settings.traffic_threads;
     program::run(threads, async |threads| {
         let entry = cowsliproad_entry::start_entry(settings, threads).await?;
-        program::stop_signal().await;
+        program::wait_for_stop_signal().await;
         entry.stop_gracefully().await;
         Ok(())
     });
--- a/cowsliproad-entry/src/quarantine.rs
+++ b/cowsliproad-entry/src/quarantine.rs
@@ -12,9 +12,9 @@
 use cowsliproad_kernel::{
     clock::Millis,
     code::{Code, Execution},
-    gossip::Suspect,
+    gossip::SuspectedRequest,
     sync::lock,
-    wire::Failure,
+    wire::RequestFailure,
 };
 use slog::info;
 
@@ -36,16 +36,16 @@
 pub fn merge_suspects(
     shared: &EntryState,
     target: &Target,
-    suspects: Vec<Suspect>,
+    suspects: Vec<SuspectedRequest>,
 ) {
     let now = Millis::now();
     let mut ledger = lock(&shared.crash_ledger);
     ledger.evict_expired(now);
     for suspect in suspects {
         let work =
-            WorkDigest(suspect.work_digest).for_service(&target.service);
-        let suspect = Suspect { work_digest: work.0, ..suspect };
-        let change = ledger.merge(&suspect, now);
+            WorkDigest(suspect.request_hash).for_service(&target.service);
+        let suspect = SuspectedRequest { request_hash: work.0, ..suspect };
+        let change = ledger.merge_remote_suspect(&suspect, now);
         if matches!(
             change,
             QuarantineChange::Refused | QuarantineChange::Freed
@@ -84,8 +84,8 @@
     work_request: &WorkRequest,
     ran: Execution,
     retry_after: Millis,
-) -> Failure {
+) -> RequestFailure {
     info!(shared.logger, "refused"; "request" => %work_request.request_id,
         "work" => %work_request.work_digest, "after" => retry_after.0);
-    Failure::new(Code::Quarantined, ran).with_retry_after(retry_after)
+    RequestFailure::new(Code::Quarantined, ran).with_retry_after(retry_after)
 }
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -21,13 +21,13 @@
     id,
     sync::lock,
     wire::{
-        AgentLoad, AnswerData, AnswerEnd, Failure, Frame, Heartbeat, Phase,
-        Presence, Refusal,
+        AgentLoad, AnswerData, AnswerEnd, AttemptRefusal, Frame, Heartbeat,
+        ProcessPhase, RequestFailure, TargetPresence,
     },
 };
 use cowsliproad_net::link::{SendError, Sender};
 use cowsliproad_routing::{
-    health::{self, Admission, Health},
+    health::{self, AttemptAdmission, TargetHealth},
     score::TargetCandidate,
 };
 use tokio::{sync::mpsc, task::AbortHandle};
@@ -64,7 +64,7 @@
     sent_since_heartbeat: u32,
     completed_since_heartbeat: u32,
     in_flight: u32,
-    health: Health,
+    health: TargetHealth,
 }
 
 /// A link to an agent and the attempts on the link.
@@ -85,7 +85,7 @@
     /// The end of the answer.
     End(AnswerEnd),
     /// The attempt ended without an answer.
-    Refused(Failure),
+    Refused(RequestFailure),
     /// The link to the agent broke.
     Lost,
 }
@@ -162,7 +162,7 @@
     /// heartbeat.
     pub fn record_heartbeat(&self, heartbeat: Heartbeat, now: Millis) {
         let mut stats = lock(&self.stats);
-        stats.health.set_retry_after(now, heartbeat.cooldown);
+        stats.health.set_retry_after(now, heartbeat.target_cooldown);
         stats.last_heartbeat = Some(heartbeat);
         stats.heartbeat_received_at = now;
         stats.sent_since_heartbeat = 0;
@@ -179,8 +179,8 @@
             .map(|heartbeat| (heartbeat, stats.heartbeat_received_at))
     }
 
-    /// Whether the target is linked and its agent is, or inherited the work
-    /// of, an agent process.
+    /// Whether the target is linked and its agent is, or took over from, an
+    /// agent process.
     pub fn answers_for_incarnation(
         &self,
         incarnation: id::Incarnation,
@@ -191,7 +191,7 @@
         linked
             && heartbeat.is_some_and(|it| {
                 it.incarnation == incarnation
-                    || it.inherited_incarnations.contains(&incarnation)
+                    || it.taken_over_incarnations.contains(&incarnation)
             })
     }
 
@@ -201,8 +201,8 @@
         let serving = stats
             .last_heartbeat
             .as_ref()
-            .is_some_and(|it| it.phase == Phase::Serving);
-        let here = stats.reported_presence() == Presence::Here;
+            .is_some_and(|it| it.phase == ProcessPhase::Serving);
+        let here = stats.reported_presence() == TargetPresence::Here;
         drop(stats);
         serving
             && here
@@ -218,7 +218,7 @@
     }
 
     /// Whether the health of the target admits an attempt now.
-    pub fn health_admission(&self, now: Millis) -> Admission {
+    pub fn health_admission(&self, now: Millis) -> AttemptAdmission {
         lock(&self.stats).health.peek_admission(now)
     }
 
@@ -231,12 +231,12 @@
             .map_or(AgentLoad::default(), |it| it.load);
         let candidate = TargetCandidate {
             load,
-            sent_since_report: stats.sent_since_heartbeat,
-            completed_since_report: stats.completed_since_heartbeat,
+            requests_sent_since_report: stats.sent_since_heartbeat,
+            requests_completed_since_report: stats.completed_since_heartbeat,
             in_flight: stats.in_flight,
             zone_rtt_us,
             cached_prompt_percent: 0,
-            prefill_us: 0,
+            full_prompt_prefill_us: 0,
         };
         candidate.predicted_first_token_us()
     }
@@ -275,11 +275,11 @@
         let is_cooling = stats.health.cooldown_end(now).is_some();
         let state = match (linked, stats.reported_presence(), accepting_work) {
             (false, _, _) => "unreachable",
-            (true, Presence::Gone, _) => "ended",
-            (true, Presence::Here, false) => "leaving",
-            (true, Presence::Here, true) if is_cooling => "cooling",
-            (true, Presence::Here, true) if is_ejected => "ejected",
-            (true, Presence::Here, true) => "serving",
+            (true, TargetPresence::Gone, _) => "ended",
+            (true, TargetPresence::Here, false) => "leaving",
+            (true, TargetPresence::Here, true) if is_cooling => "cooling",
+            (true, TargetPresence::Here, true) if is_ejected => "ejected",
+            (true, TargetPresence::Here, true) => "serving",
         };
         let heartbeat = stats.last_heartbeat.as_ref();
         TargetStatus {
@@ -295,8 +295,10 @@
 impl TargetStats {
     /// Whether the process of the target runs, by the last heartbeat of its
     /// agent.
-    fn reported_presence(&self) -> Presence {
-        self.last_heartbeat.as_ref().map_or(Presence::Here, |it| it.presence)
+    fn reported_presence(&self) -> TargetPresence {
+        self.last_heartbeat
+            .as_ref()
+            .map_or(TargetPresence::Here, |it| it.presence)
     }
 }
 
@@ -340,12 +342,12 @@
     /// Other frames are dropped.
     pub fn deliver_to_attempt(&self, frame: Frame) {
         let (attempt, event) = match frame {
-            Frame::Accepted(it) => {
+            Frame::RequestAccepted(it) => {
                 (it.attempt, AttemptEvent::Accepted(it.request))
             }
             Frame::Data(it) => (it.attempt, AttemptEvent::Data(it)),
             Frame::End(it) => (it.attempt, AttemptEvent::End(it)),
-            Frame::Refusal(it) => {
+            Frame::AttemptRefusal(it) => {
                 (it.attempt, AttemptEvent::Refused(failure_from_refusal(it)))
             }
             _ => return,
@@ -364,8 +366,8 @@
     }
 }
 
-fn failure_from_refusal(refusal: Refusal) -> Failure {
-    Failure {
+fn failure_from_refusal(refusal: AttemptRefusal) -> RequestFailure {
+    RequestFailure {
         code: refusal.code,
         ran: refusal.ran,
         retry_after: refusal.retry_after,
@@ -373,7 +375,7 @@
 }
 
 /// The outcome for a target's health of an attempt that ended with a failure.
-pub fn attempt_outcome(failure: &Failure) -> AttemptOutcome {
+pub fn attempt_outcome(failure: &RequestFailure) -> AttemptOutcome {
     match failure.code {
         Code::TargetFailed | Code::TimedOut | Code::LinkLost => {
             AttemptOutcome::Failed
--- a/cowsliproad-entry/src/view.rs
+++ b/cowsliproad-entry/src/view.rs
@@ -11,11 +11,11 @@
 use arc_swap::ArcSwap;
 use cowsliproad_admission::budget::RetryBudget;
 use cowsliproad_config::{
-    Object, State,
+    ConfigState, Object,
     object::{self, Backend},
 };
 use cowsliproad_kernel::{Name, clock::Millis, id};
-use cowsliproad_routing::health::{self, Admission};
+use cowsliproad_routing::health::{self, AttemptAdmission};
 use tokio::sync::watch;
 
 use crate::target::Target;
@@ -30,7 +30,7 @@
 #[derive(Debug, Default)]
 pub struct ConfigView {
     /// The state folded from the configuration log.
-    pub config_state: Arc<State>,
+    pub config_state: Arc<ConfigState>,
     /// The organisations by the hash of each of their keys.
     pub organisations: HashMap<Name, Arc<Organisation>>,
     /// The services by name.
@@ -72,7 +72,7 @@
     /// over from `old`, and `target_state` returns the state of each declared
     /// target.
     pub fn new(
-        state: Arc<State>,
+        state: Arc<ConfigState>,
         old: &ConfigView,
         mut target_state: impl FnMut(&object::Target) -> Arc<Target>,
     ) -> ConfigView {
@@ -134,7 +134,7 @@
             let targets = &service.targets;
             // A cooldown that the target itself asked for is not an ejection.
             let ejected = targets.iter().filter(|it| {
-                it.health_admission(now) == Admission::Deny
+                it.health_admission(now) == AttemptAdmission::Deny
                     && it.cooldown_end(now).is_none()
             });
             let ignored =
@@ -143,9 +143,9 @@
         }
     }
 
-    /// Returns a linked target whose agent is, or inherited the work of, an
-    /// agent process. The target `name`, which ran that process, is checked
-    /// first, since it mostly still does.
+    /// Returns a linked target whose agent is, or took over from, an agent
+    /// process. The target `name`, which ran that process, is checked first,
+    /// since it mostly still does.
     pub fn target_answering_for(
         &self,
         name: &str,
--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -13,11 +13,11 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    gossip::{self, Subscribe},
-    position::{Era, Position},
+    gossip::{self, LoadSubscription},
+    position::{LogEra, LogPosition},
 };
 use cowsliproad_mapswitch::order::{
-    self, Aim, Directive, Epoch, GroupState, Report,
+    self, DesiredState, Directive, Epoch, GroupState, Report,
 };
 use cowsliproad_platform::engine::EngineState;
 use cowsliproad_routing::cooldown::Cooldown;
@@ -67,7 +67,7 @@
 const FORGET_TIME: Millis = Millis(4_000);
 
 /// A fencing number on its way from the platform's log.
-type Candidacy = JoinHandle<Option<Position>>;
+type Candidacy = JoinHandle<Option<LogPosition>>;
 
 /// An agent.
 pub struct Agent {
@@ -80,7 +80,7 @@
     /// Entries that asked for reports, and when.
     entries: BTreeMap<SocketAddr, Millis>,
     /// What entries say of the service.
-    shape: Option<Subscribe>,
+    shape: Option<LoadSubscription>,
     state: Option<EngineState>,
     /// Which start of the engine all below is of.
     start: Option<u64>,
@@ -103,7 +103,7 @@
     /// The highest fencing number met.
     fence: u64,
     /// The newest era of the platform's log that is known of.
-    era: Era,
+    era: LogEra,
     lead: Option<Lead>,
     /// A number that is being fetched from the platform's log.
     candidacy: Option<Candidacy>,
@@ -184,7 +184,7 @@
             word: None,
             sealed: None,
             fence: 0,
-            era: Era::default(),
+            era: LogEra::default(),
             lead: None,
             candidacy: None,
             begun: Millis::now(),
@@ -250,22 +250,30 @@
     /// the group, no longer needs it.
     fn may_end(&self) -> bool {
         let Some(since) = self.stopping else { return false };
-        let aim = self.word.as_ref().map_or(Aim::Rest, |it| it.0.aim);
-        aim == Aim::Rest || Millis::now().since(since) > STOP_TIME
+        let aim = self
+            .word
+            .as_ref()
+            .map_or(DesiredState::Rest, |it| it.0.desired_state);
+        aim == DesiredState::Rest || Millis::now().since(since) > STOP_TIME
     }
 
     fn pause(&self) -> Millis {
-        let aim = self.word.as_ref().map_or(Aim::Rest, |it| it.0.aim);
+        let aim = self
+            .word
+            .as_ref()
+            .map_or(DesiredState::Rest, |it| it.0.desired_state);
         let rank = self.report().map(|it| it.rank);
         match aim {
-            Aim::Rest => CALM_TIME,
-            Aim::Held { holder, .. } if Some(holder) == rank => HOLD_TIME,
+            DesiredState::Rest => CALM_TIME,
+            DesiredState::Held { holder, .. } if Some(holder) == rank => {
+                HOLD_TIME
+            }
             _ => BUSY_TIME,
         }
     }
 
     fn subscribe(&mut self, bytes: &[u8], from: SocketAddr) {
-        let Some(asked) = gossip::decode::<Subscribe>(bytes) else {
+        let Some(asked) = gossip::decode::<LoadSubscription>(bytes) else {
             warn!(self.log, "strange_datagram"; "from" => %from);
             return;
         };
@@ -277,7 +285,7 @@
         self.entries.retain(|_, heard| now.since(*heard) < FORGET_TIME);
         if !asked.targets.is_empty() {
             self.shape = Some(asked);
-        } else if asked.list_id != self.list() {
+        } else if asked.target_list_id != self.list() {
             // The next report says so, and the entry tells all again.
             self.last.load = Millis(0);
         }
@@ -308,25 +316,32 @@
                 }
             }
             Message::Directive(word, from) => {
-                if word.fence < self.fence {
+                if word.fencing_number < self.fence {
                     return;
                 }
-                self.fence = word.fence;
-                if self.lead.as_ref().is_some_and(|it| it.fence() < word.fence)
+                self.fence = word.fencing_number;
+                if self
+                    .lead
+                    .as_ref()
+                    .is_some_and(|it| it.fence() < word.fencing_number)
                 {
-                    self.step_down(word.fence);
+                    self.step_down(word.fencing_number);
                 }
                 let before = self.word.as_ref().map(|it| it.0);
                 self.note_seal(&word);
                 self.word = Some((word, from, now));
                 if before != Some(word) {
                     self.poll_engine().await;
-                    self.prompt = matches!(word.aim, Aim::Held { .. });
+                    self.prompt = matches!(
+                        word.desired_state,
+                        DesiredState::Held { .. }
+                    );
                 }
             }
             Message::Choices(choices) => {
                 let shape = self.shape.as_ref();
-                let experts = shape.map_or(0, |it| it.experts_per_set.into());
+                let experts =
+                    shape.map_or(0, |it| it.experts_per_layer_set.into());
                 if let Some(lead) = &mut self.lead {
                     lead.count(choices, experts);
                 }
@@ -380,7 +395,7 @@
     }
 
     fn note_seal(&mut self, word: &Directive) {
-        if let Some(step) = order::coordinator_arm_step(word) {
+        if let Some(step) = order::announced_coordinator_arming_step(word) {
             self.sealed = Some((word.epoch, step));
         }
     }
@@ -392,7 +407,7 @@
 
     /// The list of engines that it knows; 0 for none.
     fn list(&self) -> u64 {
-        self.shape.as_ref().map_or(0, |it| it.list_id)
+        self.shape.as_ref().map_or(0, |it| it.target_list_id)
     }
 
     fn report(&self) -> Option<&Report> {
--- a/cowsliproad-rank/src/agent/chair.rs
+++ b/cowsliproad-rank/src/agent/chair.rs
@@ -5,9 +5,11 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    position::{Era, Position},
+    position::{LogEra, LogPosition},
+};
+use cowsliproad_mapswitch::order::{
+    DesiredState, Directive, GroupState, fence,
 };
-use cowsliproad_mapswitch::order::{Aim, Directive, GroupState, fence};
 use cowsliproad_platform::log::{COORDINATORS_TOPIC, Client};
 use slog::{Logger, info, warn};
 
@@ -34,7 +36,7 @@
 
 impl Agent {
     /// Leads, if nobody else does by now.
-    pub(super) async fn take_number(&mut self, record: Option<Position>) {
+    pub(super) async fn take_number(&mut self, record: Option<LogPosition>) {
         let now = Millis::now();
         if let Some(record) = record {
             self.learn_era(record.era);
@@ -53,7 +55,7 @@
         let price = self.settings.move_price;
         let Some(rank) = self.report().map(|it| it.rank) else { return };
         let before = self.word.as_ref();
-        let predecessor = before.map(|it| (it.1.ip(), it.0.fence));
+        let predecessor = before.map(|it| (it.1.ip(), it.0.fencing_number));
         let start = Start { fence, rank, predecessor };
         self.lead = Some(Lead::new(start, price, self.log.clone()));
         self.speak(now).await;
@@ -65,7 +67,7 @@
         if report.standing == GroupState::Broken || self.shape.is_none() {
             return false;
         }
-        let busy = |it: &Directive| it.aim != Aim::Rest;
+        let busy = |it: &Directive| it.desired_state != DesiredState::Rest;
         let timeout = match (report.rank, &self.word) {
             (0, None) => FIRST_TIMEOUT,
             (rank, Some((word, _, _))) if busy(word) => {
@@ -83,7 +85,7 @@
     /// until it is missed.
     pub(super) fn hear_farewell(&mut self, fence: u64) {
         if let Some((word, _, heard)) = &mut self.word
-            && word.fence == fence
+            && word.fencing_number == fence
         {
             info!(self.log, "coordinator_stops"; "fence" => fence);
             *heard = *heard - NEXT_TIMEOUT;
@@ -115,7 +117,7 @@
 
     /// Takes in which era the platform's log is in. Fencing numbers of a later
     /// one are higher than all before.
-    pub(super) fn learn_era(&mut self, era: Era) {
+    pub(super) fn learn_era(&mut self, era: LogEra) {
         if era > self.era {
             info!(self.log, "log_era"; "era" => era.0,
                 "before" => self.era.0);
@@ -135,9 +137,9 @@
 async fn record(
     log: SocketAddr,
     vm: Name,
-    mut era: Era,
+    mut era: LogEra,
     logger: Logger,
-) -> Option<Position> {
+) -> Option<LogPosition> {
     let mut client = Client::new(log);
     for _ in 0..MAX_RECORDS {
         client.raise_era(era);
@@ -162,7 +164,7 @@
 /// The record that was asked for, once it has come.
 pub(super) async fn candidate(
     candidacy: &mut Option<Candidacy>,
-) -> Option<Position> {
+) -> Option<LogPosition> {
     match candidacy {
         Some(task) => task.await.ok().flatten(),
         None => std::future::pending().await,
--- a/cowsliproad-routing/src/score.rs
+++ b/cowsliproad-routing/src/score.rs
@@ -15,10 +15,10 @@
     pub load: AgentLoad,
     /// Requests that this entry process sent to the target since the last load
     /// report.
-    pub sent_since_report: u32,
+    pub requests_sent_since_report: u32,
     /// Requests of this entry process that the target completed since the last
     /// load report.
-    pub completed_since_report: u32,
+    pub requests_completed_since_report: u32,
     /// Requests of this entry process that are in flight at the target.
     pub in_flight: u32,
     /// The round trip to the target's availability zone, in microseconds.
@@ -28,27 +28,28 @@
     pub cached_prompt_percent: u32,
     /// The time to process the whole prompt without a cached prefix, in
     /// microseconds.
-    pub prefill_us: u32,
+    pub full_prompt_prefill_us: u32,
 }
 
 /// The service time assumed before the first load report, in microseconds.
-const DEFAULT_SERVICE_US: u64 = 50_000;
+const DEFAULT_SERVICE_TIME_US: u64 = 50_000;
 
 impl TargetCandidate {
     /// The estimated number of requests at the target, from all entry
     /// processes.
     pub fn estimated_occupancy(&self) -> u64 {
-        let reported = u64::from(self.load.queued + self.load.running);
-        let estimate = (reported + u64::from(self.sent_since_report))
-            .saturating_sub(u64::from(self.completed_since_report));
+        let reported =
+            u64::from(self.load.queued_requests + self.load.running_requests);
+        let estimate = (reported + u64::from(self.requests_sent_since_report))
+            .saturating_sub(u64::from(self.requests_completed_since_report));
         estimate.max(u64::from(self.in_flight))
     }
 
     /// The predicted time to the first token at the target, in microseconds.
     pub fn predicted_first_token_us(&self) -> u64 {
-        let slots = u64::from(self.load.slots.max(1));
-        let service_us = match u64::from(self.load.mean_service_us) {
-            0 => DEFAULT_SERVICE_US,
+        let slots = u64::from(self.load.target_slots.max(1));
+        let service_us = match u64::from(self.load.mean_service_time_us) {
+            0 => DEFAULT_SERVICE_TIME_US,
             known => known,
         };
         let occupancy = self.estimated_occupancy();
@@ -59,7 +60,8 @@
         let sharing_us = occupancy.min(slots) * service_us / slots / 8;
         let uncached_percent =
             u64::from(100 - self.cached_prompt_percent.min(100));
-        let prompt_us = u64::from(self.prefill_us) * uncached_percent / 100;
+        let prompt_us =
+            u64::from(self.full_prompt_prefill_us) * uncached_percent / 100;
         queue_us + sharing_us + prompt_us + u64::from(self.zone_rtt_us)
     }
 }
