--- a/cowsliproad-bench/src/experiment/config.rs
+++ b/cowsliproad-bench/src/experiment/config.rs
@@ -78,7 +78,7 @@
     fn next(&self) -> u64 {
         match self {
             Watched::Entry(shared) => {
-                shared.published.current_view().config_state.next_offset()
+                shared.published_view.current_view().config_state.next_offset()
             }
             Watched::Agent(replica) => replica.next(),
         }
@@ -90,7 +90,7 @@
         };
         match self {
             Watched::Entry(shared) => {
-                of(&shared.published.current_view().config_state)
+                of(&shared.published_view.current_view().config_state)
             }
             Watched::Agent(replica) => replica.with(of),
         }
@@ -107,7 +107,7 @@
         };
         match self {
             Watched::Entry(shared) => {
-                of(&shared.published.current_view().config_state)
+                of(&shared.published_view.current_view().config_state)
             }
             Watched::Agent(replica) => replica.with(of),
         }
@@ -324,7 +324,7 @@
         .map(|it| {
             it.handle
                 .shared
-                .published
+                .published_view
                 .current_view()
                 .config_state
                 .next_offset()
@@ -347,7 +347,7 @@
         let next = entry.map(|it| {
             it.handle
                 .shared
-                .published
+                .published_view
                 .current_view()
                 .config_state
                 .next_offset()
--- a/cowsliproad-bench/src/plant.rs
+++ b/cowsliproad-bench/src/plant.rs
@@ -384,7 +384,7 @@
     fn is_settled(&self) -> bool {
         let entries = self.gateways.iter().filter_map(|it| it.entry.as_ref());
         entries.into_iter().all(|entry| {
-            let view = entry.handle.shared.published.current_view();
+            let view = entry.handle.shared.published_view.current_view();
             let up = self.sites.iter().filter(|it| it.agent.is_some());
             up.into_iter().all(|site| {
                 let target = view.targets.get(site.name.as_str());
--- a/cowsliproad-entry/src/admin.rs
+++ b/cowsliproad-entry/src/admin.rs
@@ -104,7 +104,7 @@
             parse_object_key(&request.kind, &request.name).map_err(|why| {
                 Status::new(volo_grpc::Code::InvalidArgument, why)
             })?;
-        let view = self.shared.published.current_view();
+        let view = self.shared.published_view.current_view();
         let found = view.config_state.get(&key).map(entry_message);
         found.map(Response::new).ok_or_else(|| {
             let text = Code::NoSuchObject.to_string();
@@ -123,7 +123,7 @@
                 Status::new(volo_grpc::Code::InvalidArgument, why)
             })?),
         };
-        let view = self.shared.published.current_view();
+        let view = self.shared.published_view.current_view();
         Ok(Response::new(list_reply(&view.config_state, kind)))
     }
 
@@ -132,7 +132,7 @@
         _: Request<message::WatchRequest>,
     ) -> Result<Response<ListReplyStream>, Status> {
         let shared = self.shared.clone();
-        let published = shared.published.subscribe_offsets();
+        let published = shared.published_view.subscribe_offsets();
         let first = true;
         let state = (shared, published, first);
         let listings =
@@ -141,7 +141,7 @@
                     return None;
                 }
                 published.borrow_and_update();
-                let view = shared.published.current_view();
+                let view = shared.published_view.current_view();
                 let reply = list_reply(&view.config_state, None);
                 Some((Ok(reply), (shared, published, false)))
             });
@@ -166,7 +166,7 @@
         mode: message::Mode,
     ) -> Response<message::ChangeReply> {
         if mode == message::Mode::DRY_RUN {
-            let view = self.shared.published.current_view();
+            let view = self.shared.published_view.current_view();
             return match view.config_state.check_change(&change) {
                 Ok(()) => {
                     change_reply(Code::Ok, Execution::NotRun, 0, "dry run")
@@ -211,7 +211,7 @@
         command: id::Command,
     ) -> Option<ChangeVerdict> {
         let deadline = Instant::now() + READ_BACK_TIMEOUT;
-        let mut published = self.shared.published.subscribe_offsets();
+        let mut published = self.shared.published_view.subscribe_offsets();
         loop {
             published.borrow_and_update();
             if let Some(verdict) = self.published_verdict(command) {
@@ -226,7 +226,7 @@
         &self,
         command: id::Command,
     ) -> Option<ChangeVerdict> {
-        self.shared.published.current_view().config_state.verdict(command)
+        self.shared.published_view.current_view().config_state.verdict(command)
     }
 
     /// Logs the verdict of a command and returns it as a reply.
@@ -291,7 +291,7 @@
 }
 
 fn status_reply(shared: &EntryState) -> message::StatusReply {
-    let view = shared.published.current_view();
+    let view = shared.published_view.current_view();
     let now = Millis::now();
     let mut targets: Vec<_> = view.targets.values().collect();
     targets.sort_by(|a, b| a.name.cmp(&b.name));
@@ -305,11 +305,12 @@
             queued: status.agent_load.queued_requests,
             running: status.agent_load.running_requests,
             slots: status.agent_load.target_slots,
-            report_age_ms: status.load_age.0,
+            report_age_ms: status.agent_load_age.0,
             offset: status.next_config_offset,
         }
     });
-    let log = if shared.published.is_log_reachable() { "up" } else { "down" };
+    let log =
+        if shared.published_view.is_log_reachable() { "up" } else { "down" };
     message::StatusReply {
         entry: shared.settings.name.to_string().into(),
         next: view.config_state.next_offset(),
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -192,7 +192,7 @@
     }
 
     fn readiness_response(&self) -> Response {
-        let view = self.shared.published.current_view();
+        let view = self.shared.published_view.current_view();
         if self.shared.lifecycle_phase() == ProcessPhase::Leaving {
             return reply::text(StatusCode::SERVICE_UNAVAILABLE, "stopping\n");
         }
@@ -222,7 +222,7 @@
         let keep = delivery != AnswerDelivery::Whole || key.is_some();
         let organisation = &checked.organisation.declaration.name;
         let type_name = &checked.request_type.name;
-        let work = quarantine::work_digest(
+        let work = quarantine::compute_work_digest(
             &checked.service,
             organisation,
             type_name,
@@ -306,7 +306,7 @@
         token: &str,
     ) -> Result<Response, RequestRefusal> {
         let token = self.verify_resume_token(request, token)?;
-        let view = self.shared.published.current_view();
+        let view = self.shared.published_view.current_view();
         let holder =
             view.target_answering_for(&token.target, token.incarnation);
         let link = holder.and_then(|target| target.agent_link.load_full());
@@ -376,7 +376,7 @@
         let found = choose::best_sampled_target(&self.shared, service, &[]);
         let target = match found {
             Some(found) => service.targets[found.chosen_index].clone(),
-            None => self.first_out_of_cooldown(checked)?,
+            None => self.earliest_target_out_of_cooldown(checked)?,
         };
         let (heartbeat, received_at) =
             target.last_heartbeat().ok_or_else(no_target_refusal)?;
@@ -402,13 +402,16 @@
 
     /// Returns the target whose cooldown ends first, if it ends before the
     /// deadline of the request type.
-    fn first_out_of_cooldown(
+    fn earliest_target_out_of_cooldown(
         &self,
         checked: &CheckedRequest,
     ) -> Result<Arc<Target>, RequestRefusal> {
         let deadline = Millis::now() + checked.request_type.deadline_ms;
-        let first =
-            choose::first_out_of_cooldown(&checked.service, &[], deadline);
+        let first = choose::earliest_target_out_of_cooldown(
+            &checked.service,
+            &[],
+            deadline,
+        );
         first.map_err(|wait| {
             let Some(wait) = wait else { return no_target_refusal() };
             let after = patience::add_retry_jitter(wait, rand::random());
@@ -426,7 +429,7 @@
         service: &str,
         type_name: &str,
     ) -> Result<CheckedRequest, RequestRefusal> {
-        let view = self.shared.published.current_view();
+        let view = self.shared.published_view.current_view();
         let organisation = authenticate_organisation(request, &view)?;
         let service = view
             .services
@@ -526,7 +529,7 @@
         request: &Request,
         token: &str,
     ) -> Result<Ticket, RequestRefusal> {
-        let view = self.shared.published.current_view();
+        let view = self.shared.published_view.current_view();
         let organisation = authenticate_organisation(request, &view)?;
         let token = ticket::verify(token, &self.shared.ticket_key)
             .map_err(|_| refuse_unforwarded(Code::ForgedToken, ""))?;
--- a/cowsliproad-entry/src/choose.rs
+++ b/cowsliproad-entry/src/choose.rs
@@ -72,20 +72,20 @@
     tried_targets: &[Name],
     now: Millis,
 ) -> bool {
-    is_untried_and_open(target, tried_targets)
+    is_untried_and_accepting(target, tried_targets)
         && target.cooldown_end(now).is_none()
 }
 
 /// Whether a target accepts new work and is not in `tried_targets`. Cooldowns
 /// are ignored.
-fn is_untried_and_open(target: &Target, tried_targets: &[Name]) -> bool {
+fn is_untried_and_accepting(target: &Target, tried_targets: &[Name]) -> bool {
     target.accepts_new_work() && !tried_targets.contains(&target.name)
 }
 
 /// Returns the target whose cooldown ends first, if the cooldown ends before
 /// `deadline`. Otherwise the error is the time until the first cooldown ends,
 /// or `None` if no target is in a cooldown.
-pub fn first_out_of_cooldown(
+pub fn earliest_target_out_of_cooldown(
     service: &Service,
     tried_targets: &[Name],
     deadline: Millis,
@@ -94,7 +94,7 @@
     let usable_targets = service
         .targets
         .iter()
-        .filter(|it| is_untried_and_open(it, tried_targets));
+        .filter(|it| is_untried_and_accepting(it, tried_targets));
     let cooldown_ends =
         usable_targets.filter_map(|it| Some((it, it.cooldown_end(now)?)));
     match cooldown_ends.min_by_key(|it| it.1) {
--- a/cowsliproad-entry/src/control.rs
+++ b/cowsliproad-entry/src/control.rs
@@ -76,7 +76,7 @@
 }
 
 /// Creates the event queue of the control task.
-pub fn control_queue() -> (ControlQueue, mpsc::Receiver<ControlEvent>) {
+pub fn new_control_queue() -> (ControlQueue, mpsc::Receiver<ControlEvent>) {
     let (event_sender, events) = mpsc::channel(CONTROL_QUEUE_CAPACITY);
     (ControlQueue { event_sender }, events)
 }
@@ -90,7 +90,7 @@
     loop {
         tokio::time::sleep(EJECTION_CHECK_INTERVAL).await;
         shared
-            .published
+            .published_view
             .current_view()
             .update_ignored_ejections(Millis::now());
     }
@@ -236,7 +236,7 @@
     /// Publishes a view of the current state. Targets whose address and
     /// service are unchanged keep their link.
     fn publish_view(&mut self) {
-        let old = self.shared.published.current_view();
+        let old = self.shared.published_view.current_view();
         let state = Arc::new(self.state.clone());
         let mut known = std::mem::take(&mut self.targets);
         let mut kept = HashMap::new();
@@ -253,10 +253,10 @@
             target
         });
         for target in known.values() {
-            target.close_link();
+            target.drop_link_and_stop_dialling();
         }
         self.targets = kept;
-        self.shared.published.publish_view(view);
+        self.shared.published_view.publish_view(view);
     }
 
     /// Creates the state of a declared target and starts to dial its agent.
@@ -266,7 +266,7 @@
     ) -> Arc<Target> {
         let target = Arc::new(Target::new(declared));
         let dial = links::keep_agent_link(self.shared.clone(), target.clone());
-        let task = self.shared.threads.traffic_runtime.spawn(dial);
+        let task = self.shared.runtimes.traffic_runtime.spawn(dial);
         target.set_dial_task(task.abort_handle());
         target
     }
@@ -279,7 +279,9 @@
         }
         let record = fold::decode_record(bytes).map(|record| record.change);
         if let Some(ConfigChange::Snapshot(state)) = record {
-            self.shared.published.record_snapshot_offset(state.next_offset());
+            self.shared
+                .published_view
+                .record_snapshot_offset(state.next_offset());
         }
     }
 
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -41,17 +41,17 @@
 use crate::{
     EntryState, choose, quarantine,
     target::{
-        AgentLink, AttemptEvent, AttemptOutcome, Target, attempt_outcome,
+        AgentLink, AttemptEvent, AttemptOutcome, Target, classify_failure,
     },
     view::Service,
 };
 
-use self::failure::unknown_outcome;
+use self::failure::unknown_outcome_failure;
 
 mod failure;
 
 /// The maximum number of submissions of one request.
-const MAX_ATTEMPTS: u32 = 4;
+const MAX_SUBMISSIONS_PER_REQUEST: u32 = 4;
 
 /// The maximum number of retries after refusals by leaving targets that cost
 /// no retry budget.
@@ -291,8 +291,9 @@
         target_name: Name,
         incarnation: id::Incarnation,
     ) {
-        if self.submission_count >= MAX_ATTEMPTS {
-            return self.finish_with_failure(unknown_outcome(Code::LinkLost));
+        if self.submission_count >= MAX_SUBMISSIONS_PER_REQUEST {
+            return self
+                .finish_with_failure(unknown_outcome_failure(Code::LinkLost));
         }
         let Some(target) =
             self.wait_for_answering_target(&target_name, incarnation).await
@@ -314,7 +315,7 @@
         );
         let target = match chosen {
             Some(target) => target,
-            None => match self.first_target_out_of_cooldown(work_request) {
+            None => match self.earliest_target_out_of_cooldown(work_request) {
                 Ok(target) => target,
                 Err(failure) => return self.finish_with_failure(failure),
             },
@@ -324,21 +325,25 @@
 
     /// Returns the target whose cooldown ends first, if it ends before the
     /// request's deadline. The work waits at the agent of that target.
-    fn first_target_out_of_cooldown(
+    fn earliest_target_out_of_cooldown(
         &self,
         work_request: &WorkRequest,
     ) -> Result<Arc<Target>, RequestFailure> {
         let (service, tried_targets) =
             (&work_request.service, &self.tried_targets);
-        choose::first_out_of_cooldown(service, tried_targets, self.deadline)
-            .map_err(|wait| {
-                let (code, wait) = match wait {
-                    Some(wait) => (Code::Overloaded, wait),
-                    None => (Code::NoTarget, NO_TARGET_RETRY_AFTER),
-                };
-                RequestFailure::new(code, self.execution_state())
-                    .with_retry_after(wait)
-            })
+        choose::earliest_target_out_of_cooldown(
+            service,
+            tried_targets,
+            self.deadline,
+        )
+        .map_err(|wait| {
+            let (code, wait) = match wait {
+                Some(wait) => (Code::Overloaded, wait),
+                None => (Code::NoTarget, NO_TARGET_RETRY_AFTER),
+            };
+            RequestFailure::new(code, self.execution_state())
+                .with_retry_after(wait)
+        })
     }
 
     async fn submit_to_target(&mut self, target: Arc<Target>) {
@@ -357,7 +362,7 @@
                 QuarantineVerdict::Refused(after)
                 | QuarantineVerdict::Suspended(after) => {
                     let (shared, ran) = (&self.shared, self.execution_state());
-                    let failure = quarantine::quarantine_failure(
+                    let failure = quarantine::refuse_quarantined(
                         shared,
                         work_request,
                         ran,
@@ -459,7 +464,7 @@
                 self.handle_progress(attempt, progress);
             }
             AttemptEvent::Refused(failure) => {
-                attempt.record_outcome(attempt_outcome(&failure));
+                attempt.record_outcome(classify_failure(&failure));
                 self.tried_targets.push(attempt.target.name.clone());
                 self.handle_failed_attempt(failure);
             }
@@ -494,7 +499,7 @@
                 service: work_request.service.name.clone(),
                 request_type: work_request.request_type.name.clone(),
                 target: attempt.target.name.clone(),
-                incarnation: attempt.link.incarnation(),
+                incarnation: attempt.link.agent_incarnation(),
                 request: attempt.request_id,
                 expiry: clock.unwrap_or_default() + RESUME_TOKEN_TTL,
             },
--- a/cowsliproad-entry/src/forward/failure.rs
+++ b/cowsliproad-entry/src/forward/failure.rs
@@ -14,8 +14,9 @@
 use tokio::time::sleep;
 
 use super::{
-    ActiveAttempt, AnswerItem, ForwardTask, LINK_POLL_INTERVAL, MAX_ATTEMPTS,
-    MAX_FREE_RETRIES, RequestForwarder, UNKNOWN_OUTCOME_RETRY_AFTER,
+    ActiveAttempt, AnswerItem, ForwardTask, LINK_POLL_INTERVAL,
+    MAX_FREE_RETRIES, MAX_SUBMISSIONS_PER_REQUEST, RequestForwarder,
+    UNKNOWN_OUTCOME_RETRY_AFTER,
 };
 use crate::{
     quarantine,
@@ -54,7 +55,7 @@
     /// Resumes the answer where it stopped, if the same agent process is
     /// linked again soon.
     async fn resume_attempt(&mut self, attempt: ActiveAttempt) {
-        let incarnation = attempt.link.incarnation();
+        let incarnation = attempt.link.agent_incarnation();
         let Some(target) = self
             .wait_for_answering_target(&attempt.target.name, incarnation)
             .await
@@ -130,7 +131,7 @@
                 | QuarantineVerdict::Suspended(after) => after,
                 QuarantineVerdict::Allowed => UNKNOWN_OUTCOME_RETRY_AFTER,
             };
-        quarantine::quarantine_failure(
+        quarantine::refuse_quarantined(
             &self.shared,
             work_request,
             failure.ran,
@@ -160,7 +161,7 @@
                 | Code::RegisterFull
                 | Code::UnknownToken
         );
-        if !retryable || self.submission_count >= MAX_ATTEMPTS {
+        if !retryable || self.submission_count >= MAX_SUBMISSIONS_PER_REQUEST {
             return false;
         }
         if failure.code == Code::Leaving
@@ -209,7 +210,7 @@
         if let ForwardTask::Work(work_request) = &self.task {
             let budget = &work_request.service.retry_budget;
             lock(budget).record_success();
-            quarantine::record_survival(&self.shared, work_request);
+            quarantine::record_crash_free_request(&self.shared, work_request);
         }
     }
 
@@ -220,14 +221,14 @@
         &self,
         incarnation: id::Incarnation,
     ) -> RequestFailure {
-        let view = self.shared.published.current_view();
+        let view = self.shared.published_view.current_view();
         if is_process_ended(&view, &self.task, incarnation) {
             return RequestFailure::new(
                 Code::TargetGone,
                 Execution::OutcomeUnknown,
             );
         }
-        unknown_outcome(Code::LinkLost)
+        unknown_outcome_failure(Code::LinkLost)
     }
 
     /// Returns the target whose agent is, or took over from, an agent process.
@@ -241,7 +242,7 @@
         let until = now + self.shared.settings.link_resume_timeout;
         let until = until.min(self.deadline.max(now));
         loop {
-            let view = self.shared.published.current_view();
+            let view = self.shared.published_view.current_view();
             let found = view.target_answering_for(target_name, incarnation);
             if found.is_some() || Millis::now() >= until {
                 return found;
@@ -274,13 +275,13 @@
         return true;
     };
     match target.agent_link.load_full() {
-        Some(link) => link.incarnation() != incarnation,
+        Some(link) => link.agent_incarnation() != incarnation,
         None => target.vm_gone.load(Ordering::Relaxed),
     }
 }
 
 /// A failure whose outcome is unknown, with a `Retry-After`.
-pub(super) fn unknown_outcome(code: Code) -> RequestFailure {
+pub(super) fn unknown_outcome_failure(code: Code) -> RequestFailure {
     RequestFailure::new(code, Execution::OutcomeUnknown)
         .with_retry_after(UNKNOWN_OUTCOME_RETRY_AFTER)
 }
--- a/cowsliproad-entry/src/lib.rs
+++ b/cowsliproad-entry/src/lib.rs
@@ -59,11 +59,11 @@
     /// The settings of the entry process.
     pub settings: Settings,
     /// The id of this start of the entry process.
-    pub incarnation: id::Incarnation,
+    pub own_incarnation: id::Incarnation,
     /// The key that signs tickets and resume tokens.
     pub ticket_key: [u8; 32],
     /// The view of the configuration that requests read.
-    pub published: PublishedView,
+    pub published_view: PublishedView,
     /// The crashes recorded for each work digest, by which crash-inducing
     /// requests are refused.
     pub crash_ledger: Mutex<CrashLedger>,
@@ -82,7 +82,7 @@
     /// The logger of the entry process.
     pub logger: Logger,
     /// The thread pools on which the tasks run.
-    pub threads: Runtimes,
+    pub runtimes: Runtimes,
 }
 
 impl EntryState {
@@ -120,7 +120,7 @@
 /// Starts the tasks of an entry process.
 pub async fn start_entry(
     settings: Settings,
-    threads: Runtimes,
+    runtimes: Runtimes,
 ) -> io::Result<EntryProcess> {
     let log = cowsliproad_kernel::log::logger(
         "entry",
@@ -128,11 +128,11 @@
         settings.log_level,
     );
     let metrics = Metrics::new();
-    let (control_queue, events) = control::control_queue();
+    let (control_queue, events) = control::new_control_queue();
     let shared = Arc::new(EntryState {
-        incarnation: id::Incarnation::random(),
+        own_incarnation: id::Incarnation::random(),
         ticket_key: settings.shared_key.derive("cowsliproad ticket").0,
-        published: PublishedView::new(),
+        published_view: PublishedView::new(),
         crash_ledger: Mutex::default(),
         in_flight_requests: AtomicU32::new(0),
         is_stopping: AtomicBool::new(false),
@@ -141,7 +141,7 @@
         request_metrics: callers::RequestMetrics::new(&metrics.meter()),
         metrics,
         logger: log,
-        threads: threads.clone(),
+        runtimes: runtimes.clone(),
         settings,
     });
     let accept_handle = AcceptHandle::new();
@@ -158,35 +158,35 @@
         shared: shared.clone(),
         accept_handle: accept_handle.clone(),
     };
-    threads
+    runtimes
         .control_runtime
         .spawn(ControlTask::new(shared.clone()).handle_events(events));
-    threads.control_runtime.spawn(control::watch_ejections(shared.clone()));
-    threads.control_runtime.spawn(log::follow_log(shared.clone()));
-    threads.control_runtime.spawn(vms::watch_vm_list(shared.clone()));
-    threads
+    runtimes.control_runtime.spawn(control::watch_ejections(shared.clone()));
+    runtimes.control_runtime.spawn(log::follow_log(shared.clone()));
+    runtimes.control_runtime.spawn(vms::watch_vm_list(shared.clone()));
+    runtimes
         .control_runtime
         .spawn(links::send_agent_heartbeats(shared.clone()));
-    threads
+    runtimes
         .control_runtime
         .spawn(links::accept_peer_links(shared.clone(), link));
     for peer in shared.settings.peer_link_addresses.clone() {
-        threads
+        runtimes
             .control_runtime
             .spawn(links::keep_peer_link(shared.clone(), peer));
     }
     for seed in shared.settings.seed_agent_addresses.clone() {
-        threads
+        runtimes
             .control_runtime
             .spawn(links::pull_config_from_seed(shared.clone(), seed));
     }
     let callers = Arc::new(callers::CallerApi::new(shared.clone()));
-    threads.traffic_runtime.spawn(server::serve(
+    runtimes.traffic_runtime.spawn(server::serve(
         http,
         callers,
         accept_handle.clone(),
     ));
-    threads.control_runtime.spawn(admin::serve_operators(
+    runtimes.control_runtime.spawn(admin::serve_operators(
         shared.clone(),
         admin,
         accept_handle,
--- a/cowsliproad-entry/src/links.rs
+++ b/cowsliproad-entry/src/links.rs
@@ -63,7 +63,7 @@
                     "target" => %target.name, "error" => %error);
             }
         }
-        sleep(redial_backoff()).await;
+        sleep(random_redial_backoff()).await;
     }
 }
 
@@ -92,7 +92,7 @@
                     .await;
             }
             Frame::SuspectedRequests(suspects) => {
-                quarantine::merge_suspects(shared, target, suspects);
+                quarantine::merge_suspected_requests(shared, target, suspects);
             }
             other => handle_agent_frame(shared, &sender, &link, other).await,
         }
@@ -175,7 +175,8 @@
         sender: &Sender,
         peer_offset: u64,
     ) {
-        let own = shared.published.current_view().config_state.next_offset();
+        let own =
+            shared.published_view.current_view().config_state.next_offset();
         if peer_offset > own {
             // If the link broke, the offsets are compared again once it is up.
             let _ = sender.send(Frame::PullConfig(own)).await;
@@ -210,7 +211,7 @@
         {
             serve_peer_link(&shared, sender, receiver, Some(heartbeat)).await;
         }
-        sleep(redial_backoff()).await;
+        sleep(random_redial_backoff()).await;
     }
 }
 
@@ -220,7 +221,7 @@
     shared: Arc<EntryState>,
     address: SocketAddr,
 ) {
-    let mut published = shared.published.subscribe_offsets();
+    let mut published = shared.published_view.subscribe_offsets();
     let configured = async {
         // The watch sender is owned by `shared`, so waiting cannot fail.
         let _ = published.wait_for(|next| *next > FIRST_CONFIG_OFFSET).await;
@@ -241,7 +242,7 @@
             Ok((tcp, _)) => {
                 tokio::spawn(accept_peer_link(shared.clone(), tcp));
             }
-            Err(_) => sleep(redial_backoff()).await,
+            Err(_) => sleep(random_redial_backoff()).await,
         }
     }
 }
@@ -303,7 +304,7 @@
     loop {
         sleep(HEARTBEAT_INTERVAL).await;
         let heartbeat = own_heartbeat(&shared);
-        for target in shared.published.current_view().targets.values() {
+        for target in shared.published_view.current_view().targets.values() {
             if let Some(link) = &*target.agent_link.load() {
                 // A heartbeat is not needed when the send queue is full: the
                 // queued frames show the agent that the link is alive.
@@ -318,7 +319,7 @@
 fn own_heartbeat(shared: &EntryState) -> Heartbeat {
     Heartbeat {
         sender_name: shared.settings.name.clone(),
-        incarnation: shared.incarnation,
+        incarnation: shared.own_incarnation,
         sender_clock: Millis::now(),
         phase: shared.lifecycle_phase(),
         load: AgentLoad::default(),
@@ -326,7 +327,7 @@
         presence: TargetPresence::Here,
         taken_over_incarnations: Vec::new(),
         next_config_offset: shared
-            .published
+            .published_view
             .current_view()
             .config_state
             .next_offset(),
@@ -345,6 +346,6 @@
 }
 
 /// A random backoff before the next dial attempt.
-fn redial_backoff() -> Duration {
+fn random_redial_backoff() -> Duration {
     Duration::from_millis(rand::random_range(REDIAL_BACKOFF_MS))
 }
--- a/cowsliproad-entry/src/log.rs
+++ b/cowsliproad-entry/src/log.rs
@@ -105,9 +105,10 @@
 pub async fn follow_log(shared: Arc<EntryState>) {
     let mut snapshot_schedule = SnapshotSchedule::new(&shared);
     loop {
-        let next = shared.published.current_view().config_state.next_offset();
+        let next =
+            shared.published_view.current_view().config_state.next_offset();
         let page = read_page(&shared, next, LONG_POLL_WAIT_MS).await;
-        record_log_state(&shared, page.is_some());
+        record_log_reachability(&shared, page.is_some());
         match page {
             None => sleep(LOG_READ_RETRY_BACKOFF).await,
             Some(page) if page.first_offset > next => {
@@ -197,7 +198,7 @@
 /// Waits until the records before `next_offset` are in force, so that the next
 /// read starts after them.
 async fn wait_until_published(shared: &EntryState, next_offset: u64) {
-    let mut published = shared.published.subscribe_offsets();
+    let mut published = shared.published_view.subscribe_offsets();
     let wait = published.wait_for(|it| *it >= next_offset);
     let _ = tokio::time::timeout(Duration::from_millis(500), wait).await;
 }
@@ -233,12 +234,12 @@
     /// latest snapshot.
     async fn write_snapshot_if_due(&mut self, shared: &EntryState) {
         let now = Millis::now();
-        let seen = shared.published.snapshot_offset();
+        let seen = shared.published_view.snapshot_offset();
         if seen != self.snapshot_offset {
             self.snapshot_offset = seen;
             self.snapshot_seen_at = now;
         }
-        let state = shared.published.current_view().config_state.clone();
+        let state = shared.published_view.current_view().config_state.clone();
         let next = state.next_offset();
         let enough_records =
             next >= self.snapshot_offset + self.record_threshold;
@@ -253,14 +254,14 @@
         let outcome = append_record(shared, &record).await;
         info!(shared.logger, "snapshot"; "next" => next, "outcome" => ?outcome);
         if outcome != AppendOutcome::NotDone {
-            shared.published.record_snapshot_offset(next);
+            shared.published_view.record_snapshot_offset(next);
         }
     }
 }
 
 /// Records whether the log can be read, and logs a change.
-fn record_log_state(shared: &EntryState, reachable: bool) {
-    if shared.published.set_log_reachable(reachable) != reachable {
+fn record_log_reachability(shared: &EntryState, reachable: bool) {
+    if shared.published_view.set_log_reachable(reachable) != reachable {
         let state = if reachable { "up" } else { "down" };
         info!(shared.logger, "log_service"; "state" => state);
     }
--- a/cowsliproad-entry/src/quarantine.rs
+++ b/cowsliproad-entry/src/quarantine.rs
@@ -22,7 +22,7 @@
 
 /// The digest of a request's work, which does not depend on the request id.
 /// Agents compute the digest without the service.
-pub fn work_digest(
+pub fn compute_work_digest(
     service: &Service,
     organisation: &str,
     request_type: &str,
@@ -33,7 +33,7 @@
 }
 
 /// Merges the crash reports of an agent.
-pub fn merge_suspects(
+pub fn merge_suspected_requests(
     shared: &EntryState,
     target: &Target,
     suspects: Vec<SuspectedRequest>,
@@ -58,7 +58,10 @@
 }
 
 /// Records that a target completed a request without crashing.
-pub fn record_survival(shared: &EntryState, work_request: &WorkRequest) {
+pub fn record_crash_free_request(
+    shared: &EntryState,
+    work_request: &WorkRequest,
+) {
     lock(&shared.crash_ledger)
         .record_survival(work_request.work_digest, Millis::now());
 }
@@ -79,7 +82,7 @@
 }
 
 /// Logs the refusal of a quarantined request and returns its failure.
-pub fn quarantine_failure(
+pub fn refuse_quarantined(
     shared: &EntryState,
     work_request: &WorkRequest,
     ran: Execution,
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -110,7 +110,7 @@
     /// The last load report of the agent.
     pub agent_load: AgentLoad,
     /// The age of the last load report of the agent.
-    pub load_age: Millis,
+    pub agent_load_age: Millis,
     /// The configuration log offset up to which the agent has applied the
     /// records.
     pub next_config_offset: u64,
@@ -143,7 +143,7 @@
     }
 
     /// Drops the link to the agent and stops dialling.
-    pub fn close_link(&self) {
+    pub fn drop_link_and_stop_dialling(&self) {
         if let Some(task) = lock(&self.dial_task).take() {
             task.abort();
         }
@@ -285,7 +285,7 @@
         TargetStatus {
             state_name: state,
             agent_load: heartbeat.map_or(AgentLoad::default(), |it| it.load),
-            load_age: now.since(stats.heartbeat_received_at),
+            agent_load_age: now.since(stats.heartbeat_received_at),
             next_config_offset: heartbeat
                 .map_or(0, |it| it.next_config_offset),
         }
@@ -309,7 +309,7 @@
     }
 
     /// The incarnation of the agent process at the other end of the link.
-    pub fn incarnation(&self) -> id::Incarnation {
+    pub fn agent_incarnation(&self) -> id::Incarnation {
         self.incarnation
     }
 
@@ -375,7 +375,7 @@
 }
 
 /// The outcome for a target's health of an attempt that ended with a failure.
-pub fn attempt_outcome(failure: &RequestFailure) -> AttemptOutcome {
+pub fn classify_failure(failure: &RequestFailure) -> AttemptOutcome {
     match failure.code {
         Code::TargetFailed | Code::TimedOut | Code::LinkLost => {
             AttemptOutcome::Failed
