--- a/cowsliproad-entry/src/control.rs
+++ b/cowsliproad-entry/src/control.rs
@@ -1,9 +1,10 @@
 //! The control task, which alone owns the configuration replica.
 //!
-//! Events come in through one queue, from the log, from peers and from the
-//! VM list. After each batch a new [`View`] is published. Records are kept
-//! for a while as they came, so that a peer that lags a little is sent the
-//! records and only one that lags much is sent the whole state.
+//! Events arrive through one queue from the log, from peers and from the VM
+//! list. After each batch a new [`ConfigView`] is published. Recent records
+//! are kept unchanged, so that a peer that lags a little is sent only the
+//! missing records, and the whole state is sent only to a peer that lags
+//! further.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -26,120 +27,130 @@
 use slog::info;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::{Shared, links, target::Target, view::View};
+use crate::{EntryState, links, target::Target, view::ConfigView};
 
-/// Records that are kept as they came.
-const RECENT: usize = 1024;
+/// The maximum number of recent configuration records kept for peers that lag.
+const MAX_RECENT_RECORDS: usize = 1024;
 
-/// A snapshot that is due is never smaller than this, in bytes.
-const MIN_SNAPSHOT: usize = 4_096;
+/// The minimum size of a snapshot that is due, in bytes. Smaller records are
+/// not decoded to look for a snapshot.
+const MIN_SNAPSHOT_BYTES: usize = 4_096;
 
-/// Events that may wait.
-const QUEUE: usize = 1024;
+/// The capacity of the control task's event queue.
+const CONTROL_QUEUE_CAPACITY: usize = 1024;
 
-/// Something the control task must know.
+/// An event for the control task.
 #[derive(Debug)]
-pub enum Event {
-    /// Records of the log.
+pub enum ControlEvent {
+    /// Records read from the log or received from a peer.
     Records(ConfigRecords),
-    /// A peer's state.
+    /// The configuration state of a peer, or of a snapshot in the log.
     Snapshot(ConfigSnapshot),
-    /// A peer asks for what follows an offset.
+    /// A request for the configuration that follows an offset, with the
+    /// channel for the reply.
     Pull(u64, oneshot::Sender<Option<Frame>>),
-    /// The VM list's states by name.
-    Vms(HashMap<String, crate::vms::State>),
+    /// The VM states of the VM list, by VM name.
+    VmStates(HashMap<String, crate::vms::VmState>),
 }
 
-/// Where events go.
+/// Sends events to the control task.
 #[derive(Clone, Debug)]
-pub struct Inbox {
-    queue: mpsc::Sender<Event>,
+pub struct ControlQueue {
+    event_sender: mpsc::Sender<ControlEvent>,
 }
 
-impl Inbox {
-    /// Tells the control task something.
-    pub async fn tell(&self, event: Event) {
+impl ControlQueue {
+    /// Sends an event to the control task.
+    pub async fn send_event(&self, event: ControlEvent) {
         // The control task ends only with the process.
-        let _ = self.queue.send(event).await;
+        let _ = self.event_sender.send(event).await;
     }
 
-    /// What a peer that has folded up to `next` lacks.
-    pub async fn lacking(&self, next: u64) -> Option<Frame> {
+    /// Returns the configuration that is missing at a peer whose next log
+    /// offset is `peer_offset`, if any.
+    pub async fn missing_config(&self, peer_offset: u64) -> Option<Frame> {
         let (sender, answer) = oneshot::channel();
-        self.tell(Event::Pull(next, sender)).await;
+        self.send_event(ControlEvent::Pull(peer_offset, sender)).await;
         answer.await.ok().flatten()
     }
 }
 
-/// Makes the queue of events.
-pub fn inbox() -> (Inbox, mpsc::Receiver<Event>) {
-    let (queue, events) = mpsc::channel(QUEUE);
-    (Inbox { queue }, events)
+/// Creates the event queue of the control task.
+pub fn new_control_queue() -> (ControlQueue, mpsc::Receiver<ControlEvent>) {
+    let (event_sender, events) = mpsc::channel(CONTROL_QUEUE_CAPACITY);
+    (ControlQueue { event_sender }, events)
 }
 
-/// How often ejections are counted.
-const WEIGH: Duration = Duration::from_millis(100);
+/// The interval at which the ejected targets of each service are counted.
+const EJECTION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Counts ejections for as long as the entry runs, so that a choice needs
+/// Counts ejected targets while the entry process runs, so that a choice need
 /// not look at all targets.
-pub async fn weigh_ejections(shared: Arc<Shared>) {
+pub async fn watch_ejections(shared: Arc<EntryState>) {
     loop {
-        tokio::time::sleep(WEIGH).await;
-        shared.published.load().weigh_ejections(Millis::now());
+        tokio::time::sleep(EJECTION_CHECK_INTERVAL).await;
+        shared
+            .published_view
+            .current_view()
+            .update_ignored_ejections(Millis::now());
     }
 }
 
-/// The control task's state.
+/// The state of the control task.
 #[derive(Debug)]
-pub struct Control {
-    shared: Arc<Shared>,
+pub struct ControlTask {
+    shared: Arc<EntryState>,
     state: ConfigState,
-    recent: VecDeque<ByteBuf>,
+    recent_records: VecDeque<ByteBuf>,
     targets: HashMap<Name, Arc<Target>>,
-    /// The targets that the VM list has shown.
-    vms_seen: HashSet<Name>,
+    /// The targets whose VM the VM list has shown.
+    listed_vms: HashSet<Name>,
 }
 
-impl Control {
-    /// Starts from an empty configuration.
-    pub fn new(shared: Arc<Shared>) -> Control {
-        Control {
+impl ControlTask {
+    /// Creates the control task with an empty configuration.
+    pub fn new(shared: Arc<EntryState>) -> ControlTask {
+        ControlTask {
             shared,
             state: ConfigState::new(),
-            recent: VecDeque::new(),
+            recent_records: VecDeque::new(),
             targets: HashMap::new(),
-            vms_seen: HashSet::new(),
+            listed_vms: HashSet::new(),
         }
     }
 
-    /// Handles events for as long as the entry runs.
-    pub async fn run(mut self, mut events: mpsc::Receiver<Event>) {
-        self.publish();
+    /// Handles events while the entry process runs.
+    pub async fn handle_events(
+        mut self,
+        mut events: mpsc::Receiver<ControlEvent>,
+    ) {
+        self.publish_view();
         while let Some(event) = events.recv().await {
             let before = self.state.next_offset();
-            self.take(event);
+            self.handle_control_event(event);
             while let Ok(event) = events.try_recv() {
-                self.take(event);
+                self.handle_control_event(event);
             }
             if self.state.next_offset() != before {
-                self.publish();
+                self.publish_view();
             }
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_control_event(&mut self, event: ControlEvent) {
         match event {
-            Event::Records(records) => self.records(records),
-            Event::Snapshot(snapshot) => self.snapshot(&snapshot),
-            Event::Pull(next, answer) => {
-                // A peer that left does not wait for its answer.
-                let _ = answer.send(self.lacking(next));
+            ControlEvent::Records(records) => self.apply_records(records),
+            ControlEvent::Snapshot(snapshot) => self.adopt_snapshot(&snapshot),
+            ControlEvent::Pull(peer_offset, answer) => {
+                // A peer that disconnected does not wait for the reply.
+                let _ = answer.send(self.missing_config(peer_offset));
             }
-            Event::Vms(states) => self.vms(&states),
+            ControlEvent::VmStates(states) => self.apply_vm_states(&states),
         }
     }
 
-    fn records(&mut self, records: ConfigRecords) {
+    /// Applies log records in order and skips those that are already applied.
+    fn apply_records(&mut self, records: ConfigRecords) {
         for (offset, bytes) in
             (records.first_offset..).zip(records.encoded_records)
         {
@@ -149,19 +160,21 @@
             match self.state.apply_record(offset, &bytes) {
                 Ok(outcome) => {
                     self.log_verdict(offset, outcome);
-                    self.note_snapshot(&bytes);
-                    self.recent.push_back(bytes);
-                    if self.recent.len() > RECENT {
-                        self.recent.pop_front();
+                    self.record_log_snapshot(&bytes);
+                    self.recent_records.push_back(bytes);
+                    if self.recent_records.len() > MAX_RECENT_RECORDS {
+                        self.recent_records.pop_front();
                     }
                 }
-                // A snapshot or a peer closes the gap.
+                // A snapshot, or records from a peer, will close the gap
+                // before these records.
                 Err(_) => return,
             }
         }
     }
 
-    fn snapshot(&mut self, snapshot: &ConfigSnapshot) {
+    /// Replaces the configuration state by a snapshot that is ahead.
+    fn adopt_snapshot(&mut self, snapshot: &ConfigSnapshot) {
         if snapshot.next_offset <= self.state.next_offset() {
             return;
         }
@@ -170,24 +183,26 @@
         };
         if self.state.adopt_newer_peer_state(other) == StateAdoption::Advanced
         {
-            self.recent.clear();
-            info!(self.shared.log, "config_snapshot";
+            self.recent_records.clear();
+            info!(self.shared.logger, "config_snapshot";
                 "next" => self.state.next_offset());
         }
     }
 
-    fn lacking(&self, next: u64) -> Option<Frame> {
+    /// Returns the recent records from `peer_offset` on, or the whole state if
+    /// those records are no longer kept.
+    fn missing_config(&self, peer_offset: u64) -> Option<Frame> {
         let own = self.state.next_offset();
-        if next >= own {
+        if peer_offset >= own {
             return None;
         }
-        let first = own - self.recent.len() as u64;
-        if next >= first {
-            let skip = (next - first) as usize;
+        let first = own - self.recent_records.len() as u64;
+        if peer_offset >= first {
+            let skip = (peer_offset - first) as usize;
             let encoded_records =
-                self.recent.iter().skip(skip).cloned().collect();
+                self.recent_records.iter().skip(skip).cloned().collect();
             return Some(Frame::ConfigRecords(ConfigRecords {
-                first_offset: next,
+                first_offset: peer_offset,
                 encoded_records,
             }));
         }
@@ -197,69 +212,80 @@
         }))
     }
 
-    fn vms(&mut self, states: &HashMap<String, crate::vms::State>) {
+    /// Updates the targets with the states of the VM list.
+    fn apply_vm_states(
+        &mut self,
+        states: &HashMap<String, crate::vms::VmState>,
+    ) {
         for target in self.targets.values() {
             let state = states.get(&*target.name);
-            let leaving = state == Some(&crate::vms::State::Leaving);
+            let leaving = state == Some(&crate::vms::VmState::Leaving);
             let before = target.vm_leaving.swap(leaving, Ordering::Relaxed);
             if before != leaving {
-                info!(self.shared.log, "vm_state";
+                info!(self.shared.logger, "vm_state";
                     "target" => %target.name, "leaving" => leaving);
             }
-            let seen = self.vms_seen.contains(&target.name);
+            let seen = self.listed_vms.contains(&target.name);
             target.vm_gone.store(seen && state.is_none(), Ordering::Relaxed);
             if state.is_some() {
-                self.vms_seen.insert(target.name.clone());
+                self.listed_vms.insert(target.name.clone());
             }
         }
     }
 
-    fn publish(&mut self) {
-        let old = self.shared.published.load();
+    /// Publishes a view of the current state. Targets whose address and
+    /// service are unchanged keep their link.
+    fn publish_view(&mut self) {
+        let old = self.shared.published_view.current_view();
         let state = Arc::new(self.state.clone());
         let mut known = std::mem::take(&mut self.targets);
         let mut kept = HashMap::new();
-        let view = View::new(state, &old, |declared| {
+        let view = ConfigView::new(state, &old, |declared| {
             let target = known
                 .remove(&declared.name)
-                .filter(|it| it.address == declared.agent_address)
+                .filter(|it| it.agent_address == declared.agent_address)
                 .filter(|it| it.service == declared.service)
-                .unwrap_or_else(|| self.open(declared));
+                .unwrap_or_else(|| self.open_target(declared));
             let drain = ObjectKey::new(ObjectKind::Drain, &declared.name);
             let drained = self.state.get(&drain).is_some();
-            target.drained.store(drained, Ordering::Relaxed);
+            target.is_drained.store(drained, Ordering::Relaxed);
             kept.insert(declared.name.clone(), target.clone());
             target
         });
         for target in known.values() {
-            target.close();
+            target.drop_link_and_stop_dialling();
         }
         self.targets = kept;
-        self.shared.published.publish(view);
+        self.shared.published_view.publish_view(view);
     }
 
-    fn open(
+    /// Creates the state of a declared target and starts to dial its agent.
+    fn open_target(
         &self,
         declared: &cowsliproad_config::object::Target,
     ) -> Arc<Target> {
         let target = Arc::new(Target::new(declared));
-        let dial = links::dial_agent(self.shared.clone(), target.clone());
-        let task = self.shared.threads.traffic_runtime.spawn(dial);
-        target.set_dialler(task.abort_handle());
+        let dial = links::keep_agent_link(self.shared.clone(), target.clone());
+        let task = self.shared.runtimes.traffic_runtime.spawn(dial);
+        target.set_dial_task(task.abort_handle());
         target
     }
 
-    /// Another entry's snapshot puts off this one's.
-    fn note_snapshot(&self, bytes: &[u8]) {
-        if bytes.len() < MIN_SNAPSHOT {
+    /// Records a snapshot in the log, so that this entry process delays its
+    /// own when another entry process has written one.
+    fn record_log_snapshot(&self, bytes: &[u8]) {
+        if bytes.len() < MIN_SNAPSHOT_BYTES {
             return;
         }
         let record = fold::decode_record(bytes).map(|record| record.change);
         if let Some(ConfigChange::Snapshot(state)) = record {
-            self.shared.published.set_snapshot(state.next_offset());
+            self.shared
+                .published_view
+                .record_snapshot_offset(state.next_offset());
         }
     }
 
+    /// Logs the verdict of a configuration command.
     fn log_verdict(
         &self,
         offset: u64,
@@ -270,7 +296,7 @@
             ChangeVerdict::Accepted(_) => "accepted",
             ChangeVerdict::Refused(code) => code.name(),
         };
-        info!(self.shared.log, "config_record";
+        info!(self.shared.logger, "config_record";
             "offset" => offset, "command" => %command,
             "verdict" => verdict);
     }
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -1,7 +1,7 @@
-//! What an entry knows of each target.
+//! The state that an entry process keeps for each target.
 //!
 //! A [`Target`] lives as long as its declaration and is shared by all views.
-//! Traffic reads and updates its counters under a lock held for nanoseconds;
+//! Requests read and update its counters under a lock held for nanoseconds;
 //! the link is swapped as a whole.
 
 use std::{
@@ -32,51 +32,53 @@
 };
 use tokio::{sync::mpsc, task::AbortHandle};
 
-/// A target and its agent.
+/// A target and the link to its agent.
 #[derive(Debug)]
 pub struct Target {
-    /// Its name.
+    /// The name of the target.
     pub name: Name,
-    /// The service that it serves.
+    /// The service that the target serves.
     pub service: Name,
-    /// Its availability zone.
+    /// The availability zone of the target.
     pub zone: Name,
-    /// Where its agent listens.
-    pub address: SocketAddr,
-    /// The link, while there is one.
-    pub link: ArcSwapOption<Link>,
-    /// The operators drain it.
-    pub drained: AtomicBool,
-    /// The VM list says that it is leaving.
+    /// The address at which the agent of the target listens.
+    pub agent_address: SocketAddr,
+    /// The link to the agent, while the link is up.
+    pub agent_link: ArcSwapOption<AgentLink>,
+    /// Whether the operators drain the target.
+    pub is_drained: AtomicBool,
+    /// Whether the VM list shows the VM of the target as leaving.
     pub vm_leaving: AtomicBool,
-    /// The VM list had it and has it no more.
+    /// Whether the VM of the target was in the VM list and no longer is.
     pub vm_gone: AtomicBool,
-    stats: Mutex<Stats>,
-    dialler: Mutex<Option<AbortHandle>>,
+    stats: Mutex<TargetStats>,
+    dial_task: Mutex<Option<AbortHandle>>,
 }
 
+/// The last heartbeat of a target's agent, the attempts counted since then,
+/// and the health of the target.
 #[derive(Debug, Default)]
-struct Stats {
-    beat: Option<Heartbeat>,
-    beat_at: Millis,
-    sent_since: u32,
-    done_since: u32,
+struct TargetStats {
+    last_heartbeat: Option<Heartbeat>,
+    heartbeat_received_at: Millis,
+    sent_since_heartbeat: u32,
+    completed_since_heartbeat: u32,
     in_flight: u32,
     health: TargetHealth,
 }
 
-/// A link to an agent and the attempts on it.
+/// A link to an agent and the attempts on the link.
 #[derive(Debug)]
-pub struct Link {
+pub struct AgentLink {
     sender: Sender,
     incarnation: id::Incarnation,
-    attempts: Mutex<HashMap<id::Attempt, mpsc::UnboundedSender<Event>>>,
+    attempts: Mutex<HashMap<id::Attempt, mpsc::UnboundedSender<AttemptEvent>>>,
 }
 
-/// What an attempt hears from its agent.
+/// An event that an attempt receives from its agent.
 #[derive(Debug)]
-pub enum Event {
-    /// The work was recorded under this request.
+pub enum AttemptEvent {
+    /// The agent recorded the work under this request id.
     Accepted(id::Request),
     /// A piece of the answer.
     Data(AnswerData),
@@ -84,137 +86,153 @@
     End(AnswerEnd),
     /// The attempt ended without an answer.
     Refused(RequestFailure),
-    /// The link broke.
+    /// The link to the agent broke.
     Lost,
 }
 
-/// How an attempt ended, for the target's counters.
+/// The outcome of an attempt, for the health of its target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Outcome {
-    /// With a whole answer.
+pub enum AttemptOutcome {
+    /// The attempt returned a complete answer.
     Whole,
-    /// The target or its link failed.
+    /// The target or the link to its agent failed.
     Failed,
-    /// It was refused for the time being, or the caller left.
+    /// The attempt was refused for the time being, or the caller left.
     Neutral,
 }
 
-/// What is shown of a target to operators.
+/// The status of a target that operators see.
 #[derive(Clone, Debug)]
-pub struct Status {
-    /// `unreachable`, `ended`, `leaving`, `cooling`, `ejected` or `serving`.
-    pub state: &'static str,
-    /// The last load report.
-    pub load: AgentLoad,
-    /// Its age.
-    pub age: Millis,
-    /// The configuration offset that the agent has folded up to.
-    pub offset: u64,
+pub struct TargetStatus {
+    /// The state of the target: `unreachable`, `ended`, `leaving`, `cooling`,
+    /// `ejected` or `serving`.
+    pub state_name: &'static str,
+    /// The last load report of the agent.
+    pub agent_load: AgentLoad,
+    /// The age of the last load report of the agent.
+    pub agent_load_age: Millis,
+    /// The configuration log offset up to which the agent has applied the
+    /// records.
+    pub next_config_offset: u64,
 }
 
 impl Target {
-    /// A target without a link.
-    pub fn new(declared: &cowsliproad_config::object::Target) -> Target {
+    /// Creates the state of a declared target, without a link.
+    pub fn new(declaration: &cowsliproad_config::object::Target) -> Target {
         Target {
-            name: declared.name.clone(),
-            service: declared.service.clone(),
-            zone: declared.zone.clone(),
-            address: declared.agent_address,
-            link: ArcSwapOption::empty(),
-            drained: AtomicBool::new(false),
+            name: declaration.name.clone(),
+            service: declaration.service.clone(),
+            zone: declaration.zone.clone(),
+            agent_address: declaration.agent_address,
+            agent_link: ArcSwapOption::empty(),
+            is_drained: AtomicBool::new(false),
             vm_leaving: AtomicBool::new(false),
             vm_gone: AtomicBool::new(false),
             stats: Mutex::default(),
-            dialler: Mutex::default(),
+            dial_task: Mutex::default(),
         }
     }
 
-    /// Notes the task that keeps the link up.
-    pub fn set_dialler(&self, task: AbortHandle) {
-        let mut dialler = lock(&self.dialler);
-        if let Some(old) = dialler.replace(task) {
+    /// Stores the task that keeps the link to the agent up, and aborts the
+    /// task that it replaces.
+    pub fn set_dial_task(&self, task: AbortHandle) {
+        let mut dial_task = lock(&self.dial_task);
+        if let Some(old) = dial_task.replace(task) {
             old.abort();
         }
     }
 
-    /// Ends the link for good.
-    pub fn close(&self) {
-        if let Some(task) = lock(&self.dialler).take() {
+    /// Drops the link to the agent and stops dialling.
+    pub fn drop_link_and_stop_dialling(&self) {
+        if let Some(task) = lock(&self.dial_task).take() {
             task.abort();
         }
-        self.unlink();
+        self.drop_link();
     }
 
-    /// Drops the link; its attempts hear that it broke.
-    pub fn unlink(&self) {
-        if let Some(link) = self.link.swap(None) {
-            link.lose();
+    /// Drops the link to the agent. The attempts on the link receive
+    /// [`AttemptEvent::Lost`].
+    pub fn drop_link(&self) {
+        if let Some(link) = self.agent_link.swap(None) {
+            link.notify_link_lost();
         }
     }
 
-    /// Takes a heartbeat in.
-    pub fn take_beat(&self, beat: Heartbeat, now: Millis) {
+    /// Records a heartbeat of the agent and resets the counters since the last
+    /// heartbeat.
+    pub fn record_heartbeat(&self, heartbeat: Heartbeat, now: Millis) {
         let mut stats = lock(&self.stats);
-        stats.health.set_retry_after(now, beat.target_cooldown);
-        stats.beat = Some(beat);
-        stats.beat_at = now;
-        stats.sent_since = 0;
-        stats.done_since = 0;
+        stats.health.set_retry_after(now, heartbeat.target_cooldown);
+        stats.last_heartbeat = Some(heartbeat);
+        stats.heartbeat_received_at = now;
+        stats.sent_since_heartbeat = 0;
+        stats.completed_since_heartbeat = 0;
     }
 
-    /// The last heartbeat and when it came.
-    pub fn beat(&self) -> Option<(Heartbeat, Millis)> {
+    /// Returns the last heartbeat of the agent and the time at which it
+    /// arrived.
+    pub fn last_heartbeat(&self) -> Option<(Heartbeat, Millis)> {
         let stats = lock(&self.stats);
-        stats.beat.clone().map(|beat| (beat, stats.beat_at))
+        stats
+            .last_heartbeat
+            .clone()
+            .map(|heartbeat| (heartbeat, stats.heartbeat_received_at))
     }
 
-    /// Whether it is linked and its agent is, or answers for, a process.
-    pub fn answers_for(&self, incarnation: id::Incarnation) -> bool {
-        let linked = self.link.load().is_some();
+    /// Whether the target is linked and its agent is, or took over from, an
+    /// agent process.
+    pub fn answers_for_incarnation(
+        &self,
+        incarnation: id::Incarnation,
+    ) -> bool {
+        let linked = self.agent_link.load().is_some();
         let stats = lock(&self.stats);
-        let beat = stats.beat.as_ref();
+        let heartbeat = stats.last_heartbeat.as_ref();
         linked
-            && beat.is_some_and(|it| {
+            && heartbeat.is_some_and(|it| {
                 it.incarnation == incarnation
                     || it.taken_over_incarnations.contains(&incarnation)
             })
     }
 
-    /// Whether new work may go there, leaving health aside.
-    pub fn is_open(&self) -> bool {
+    /// Whether the target may get new work. Ejection and cooldown are ignored.
+    pub fn accepts_new_work(&self) -> bool {
         let stats = lock(&self.stats);
         let serving = stats
-            .beat
+            .last_heartbeat
             .as_ref()
             .is_some_and(|it| it.phase == ProcessPhase::Serving);
-        let here = stats.presence() == TargetPresence::Here;
+        let here = stats.reported_presence() == TargetPresence::Here;
         drop(stats);
         serving
             && here
-            && self.link.load().is_some()
-            && !self.drained.load(Ordering::Relaxed)
+            && self.agent_link.load().is_some()
+            && !self.is_drained.load(Ordering::Relaxed)
             && !self.vm_leaving.load(Ordering::Relaxed)
     }
 
-    /// When the time ends for which the target asked to be left alone.
+    /// When the cooldown that the target asked for ends, if the target is in a
+    /// cooldown.
     pub fn cooldown_end(&self, now: Millis) -> Option<Millis> {
         lock(&self.stats).health.cooldown_end(now)
     }
 
-    /// Whether health admits an attempt now.
-    pub fn admits(&self, now: Millis) -> AttemptAdmission {
+    /// Whether the health of the target admits an attempt now.
+    pub fn health_admission(&self, now: Millis) -> AttemptAdmission {
         lock(&self.stats).health.peek_admission(now)
     }
 
-    /// The predicted time to the first token there, in microseconds.
-    pub fn score(&self, zone_rtt_us: u32) -> u64 {
+    /// The predicted time to the first token at the target, in microseconds.
+    pub fn predicted_first_token_us(&self, zone_rtt_us: u32) -> u64 {
         let stats = lock(&self.stats);
-        let load =
-            stats.beat.as_ref().map_or(AgentLoad::default(), |it| it.load);
+        let load = stats
+            .last_heartbeat
+            .as_ref()
+            .map_or(AgentLoad::default(), |it| it.load);
         let candidate = TargetCandidate {
             load,
-            requests_sent_since_report: stats.sent_since,
-            requests_completed_since_report: stats.done_since,
+            requests_sent_since_report: stats.sent_since_heartbeat,
+            requests_completed_since_report: stats.completed_since_heartbeat,
             in_flight: stats.in_flight,
             zone_rtt_us,
             cached_prompt_percent: 0,
@@ -223,39 +241,39 @@
         candidate.predicted_first_token_us()
     }
 
-    /// Notes that an attempt starts.
-    pub fn begin(&self, now: Millis) {
+    /// Records the start of an attempt.
+    pub fn record_attempt_start(&self, now: Millis) {
         let mut stats = lock(&self.stats);
-        stats.sent_since += 1;
+        stats.sent_since_heartbeat += 1;
         stats.in_flight += 1;
-        // A probe is used up by the attempt that it admitted.
+        // Uses up the probe that admitted this attempt, if there was one.
         let _ = stats.health.admit_attempt(now);
     }
 
-    /// Notes how an attempt ended.
-    pub fn end(&self, outcome: Outcome, now: Millis) {
+    /// Records the outcome of an attempt.
+    pub fn record_attempt_end(&self, outcome: AttemptOutcome, now: Millis) {
         let mut stats = lock(&self.stats);
-        stats.done_since += 1;
+        stats.completed_since_heartbeat += 1;
         stats.in_flight = stats.in_flight.saturating_sub(1);
         match outcome {
-            Outcome::Whole => stats.health.record_success(),
-            Outcome::Failed => {
+            AttemptOutcome::Whole => stats.health.record_success(),
+            AttemptOutcome::Failed => {
                 let jitter = rand::random_range(0..100);
                 let config = health::EjectionConfig::new();
                 stats.health.record_failure(&config, now, jitter);
             }
-            Outcome::Neutral => {}
+            AttemptOutcome::Neutral => {}
         }
     }
 
-    /// What operators see.
-    pub fn status(&self, now: Millis) -> Status {
-        let open = self.is_open();
-        let linked = self.link.load().is_some();
+    /// Returns the status of the target that operators see.
+    pub fn operator_status(&self, now: Millis) -> TargetStatus {
+        let accepting_work = self.accepts_new_work();
+        let linked = self.agent_link.load().is_some();
         let stats = lock(&self.stats);
         let is_ejected = stats.health.is_ejected();
         let is_cooling = stats.health.cooldown_end(now).is_some();
-        let state = match (linked, stats.presence(), open) {
+        let state = match (linked, stats.reported_presence(), accepting_work) {
             (false, _, _) => "unreachable",
             (true, TargetPresence::Gone, _) => "ended",
             (true, TargetPresence::Here, false) => "leaving",
@@ -263,86 +281,92 @@
             (true, TargetPresence::Here, true) if is_ejected => "ejected",
             (true, TargetPresence::Here, true) => "serving",
         };
-        let beat = stats.beat.as_ref();
-        Status {
-            state,
-            load: beat.map_or(AgentLoad::default(), |it| it.load),
-            age: now.since(stats.beat_at),
-            offset: beat.map_or(0, |it| it.next_config_offset),
+        let heartbeat = stats.last_heartbeat.as_ref();
+        TargetStatus {
+            state_name: state,
+            agent_load: heartbeat.map_or(AgentLoad::default(), |it| it.load),
+            agent_load_age: now.since(stats.heartbeat_received_at),
+            next_config_offset: heartbeat
+                .map_or(0, |it| it.next_config_offset),
         }
     }
 }
 
-impl Stats {
-    /// Whether the target's process is there, by its agent's last word.
-    fn presence(&self) -> TargetPresence {
-        self.beat.as_ref().map_or(TargetPresence::Here, |it| it.presence)
+impl TargetStats {
+    /// Whether the process of the target runs, by the last heartbeat of its
+    /// agent.
+    fn reported_presence(&self) -> TargetPresence {
+        self.last_heartbeat
+            .as_ref()
+            .map_or(TargetPresence::Here, |it| it.presence)
     }
 }
 
-impl Link {
-    /// A link without attempts.
-    pub fn new(sender: Sender, incarnation: id::Incarnation) -> Link {
-        Link { sender, incarnation, attempts: Mutex::default() }
+impl AgentLink {
+    /// Creates a link without attempts.
+    pub fn new(sender: Sender, incarnation: id::Incarnation) -> AgentLink {
+        AgentLink { sender, incarnation, attempts: Mutex::default() }
     }
 
-    /// The agent process at the other end.
-    pub fn incarnation(&self) -> id::Incarnation {
+    /// The incarnation of the agent process at the other end of the link.
+    pub fn agent_incarnation(&self) -> id::Incarnation {
         self.incarnation
     }
 
-    /// Starts to listen for the frames of an attempt.
-    pub fn listen(
+    /// Registers an attempt and returns the channel of its events.
+    pub fn register_attempt(
         &self,
         attempt: id::Attempt,
-    ) -> mpsc::UnboundedReceiver<Event> {
+    ) -> mpsc::UnboundedReceiver<AttemptEvent> {
         let (sender, events) = mpsc::unbounded_channel();
         lock(&self.attempts).insert(attempt, sender);
         events
     }
 
-    /// Stops listening.
-    pub fn forget(&self, attempt: id::Attempt) {
+    /// Unregisters an attempt. Later frames for the attempt are dropped.
+    pub fn unregister_attempt(&self, attempt: id::Attempt) {
         lock(&self.attempts).remove(&attempt);
     }
 
-    /// Sends a frame.
-    pub async fn send(&self, frame: Frame) -> Result<(), SendError> {
+    /// Sends a frame to the agent.
+    pub async fn send_frame(&self, frame: Frame) -> Result<(), SendError> {
         self.sender.send(frame).await
     }
 
-    /// Sends a frame if there is room.
-    pub fn try_send(&self, frame: Frame) -> Result<(), SendError> {
+    /// Sends a frame to the agent if the send queue has room.
+    pub fn try_send_frame(&self, frame: Frame) -> Result<(), SendError> {
         self.sender.try_send(frame)
     }
 
-    /// Gives a frame to its attempt, if it is for one.
-    pub fn deliver(&self, frame: Frame) {
+    /// Delivers a frame from the agent to the attempt that the frame names.
+    /// Other frames are dropped.
+    pub fn deliver_to_attempt(&self, frame: Frame) {
         let (attempt, event) = match frame {
             Frame::RequestAccepted(it) => {
-                (it.attempt, Event::Accepted(it.request))
+                (it.attempt, AttemptEvent::Accepted(it.request))
             }
-            Frame::Data(it) => (it.attempt, Event::Data(it)),
-            Frame::End(it) => (it.attempt, Event::End(it)),
+            Frame::Data(it) => (it.attempt, AttemptEvent::Data(it)),
+            Frame::End(it) => (it.attempt, AttemptEvent::End(it)),
             Frame::AttemptRefusal(it) => {
-                (it.attempt, Event::Refused(failure(it)))
+                (it.attempt, AttemptEvent::Refused(failure_from_refusal(it)))
             }
             _ => return,
         };
-        // An attempt that is not listened to any more is dropped here.
+        // A frame for an unregistered attempt is dropped here.
         if let Some(listener) = lock(&self.attempts).get(&attempt) {
             let _ = listener.send(event);
         }
     }
 
-    fn lose(&self) {
+    /// Sends [`AttemptEvent::Lost`] to all attempts on the link.
+    fn notify_link_lost(&self) {
         for (_, listener) in lock(&self.attempts).drain() {
-            let _ = listener.send(Event::Lost);
+            let _ = listener.send(AttemptEvent::Lost);
         }
     }
 }
 
-fn failure(refusal: AttemptRefusal) -> RequestFailure {
+fn failure_from_refusal(refusal: AttemptRefusal) -> RequestFailure {
     RequestFailure {
         code: refusal.code,
         ran: refusal.ran,
@@ -350,12 +374,12 @@
     }
 }
 
-/// How a failure counts for the target that reported it.
-pub fn outcome(failure: &RequestFailure) -> Outcome {
+/// The outcome for a target's health of an attempt that ended with a failure.
+pub fn classify_failure(failure: &RequestFailure) -> AttemptOutcome {
     match failure.code {
         Code::TargetFailed | Code::TimedOut | Code::LinkLost => {
-            Outcome::Failed
+            AttemptOutcome::Failed
         }
-        _ => Outcome::Neutral,
+        _ => AttemptOutcome::Neutral,
     }
 }
--- a/tests/cooldowns.rs
+++ b/tests/cooldowns.rs
@@ -79,7 +79,7 @@
     ticket: Option<&str>,
 ) -> Request<Full<Bytes>> {
     let entry = cluster.gateways[entry_index].entry.as_ref();
-    let address = entry.expect("the entry is up").handle.http;
+    let address = entry.expect("the entry is up").handle.caller_address;
     let id: u64 = rand::random();
     let body = match path {
         STREAM_REQUEST_PATH | ENGINE_REQUEST_PATH => {
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -98,7 +98,7 @@
         }
         let gateway = &cluster.gateways[turn % cluster.gateways.len()];
         let entry = gateway.entry.as_ref().expect("the entry is up");
-        let address = entry.handle.http;
+        let address = entry.handle.caller_address;
         let body = match path {
             ENGINE_REQUEST_PATH => {
                 r#"{"messages":[],"max_tokens":4}"#.to_string()
