--- a/cowsliproad-admission/src/register.rs
+++ b/cowsliproad-admission/src/register.rs
@@ -42,9 +42,9 @@
     /// The ticket's work is accepted and recorded now, and is to be run.
     Run,
     /// The ticket's work was accepted before: the kept answer is returned.
-    Duplicate,
-    /// The ticket was refused before: its work never runs.
-    Refused,
+    Seen,
+    /// The ticket is refused permanently: its work never runs.
+    Burned,
     /// The ticket expired without a record: its work never runs.
     Expired,
     /// The ticket's record may have been removed: whether its work ran is
@@ -52,7 +52,7 @@
     TooOld,
     /// The register is full. Nothing was recorded, so a later submission of
     /// the ticket may still be accepted.
-    RegisterFull,
+    Full,
 }
 
 /// The ticket records of one agent process.
@@ -84,8 +84,8 @@
     pub fn submit(&mut self, ticket: &Ticket, now: Millis) -> SubmitVerdict {
         self.remove_expired_records(now);
         match self.states.get(&ticket.request) {
-            Some(TicketState::Accepted) => return SubmitVerdict::Duplicate,
-            Some(TicketState::Refused) => return SubmitVerdict::Refused,
+            Some(TicketState::Accepted) => return SubmitVerdict::Seen,
+            Some(TicketState::Refused) => return SubmitVerdict::Burned,
             None => {}
         }
         if ticket.expiry + TICKET_RECORD_RETENTION <= now {
@@ -97,10 +97,10 @@
         if self.sealed {
             // A sealed register refuses every further submission, so the
             // refusal is permanent without a record.
-            return SubmitVerdict::Refused;
+            return SubmitVerdict::Burned;
         }
         if self.states.len() >= self.capacity {
-            return SubmitVerdict::RegisterFull;
+            return SubmitVerdict::Full;
         }
         self.record_ticket_state(ticket, TicketState::Accepted);
         SubmitVerdict::Run
@@ -111,7 +111,7 @@
         match self.submit(ticket, now) {
             SubmitVerdict::Run => {
                 self.states.insert(ticket.request, TicketState::Refused);
-                SubmitVerdict::Refused
+                SubmitVerdict::Burned
             }
             other => other,
         }
--- a/cowsliproad-agent/src/gate/submit.rs
+++ b/cowsliproad-agent/src/gate/submit.rs
@@ -87,16 +87,16 @@
         };
         match verdict {
             SubmitVerdict::Run => self.enqueue(inner, submit, now),
-            SubmitVerdict::Duplicate => {
+            SubmitVerdict::Seen => {
                 inner.works.get(&ticket.request).cloned().ok_or(
                     RequestFailure::new(Code::AnswerDropped, Execution::Ran),
                 )
             }
-            SubmitVerdict::Refused if recalled => Err(QUARANTINED),
-            SubmitVerdict::Refused if leaving => {
+            SubmitVerdict::Burned if recalled => Err(QUARANTINED),
+            SubmitVerdict::Burned if leaving => {
                 Err(RequestFailure::new(Code::Leaving, Execution::NotRun))
             }
-            SubmitVerdict::Refused => {
+            SubmitVerdict::Burned => {
                 Err(RequestFailure::new(Code::TicketBurned, Execution::NotRun))
             }
             SubmitVerdict::Expired => Err(RequestFailure::new(
@@ -107,7 +107,7 @@
                 Code::TicketExpired,
                 Execution::OutcomeUnknown,
             )),
-            SubmitVerdict::RegisterFull => Err(RequestFailure::new(
+            SubmitVerdict::Full => Err(RequestFailure::new(
                 Code::RegisterFull,
                 Execution::NotForwarded,
             )
--- a/tests/properties/register.rs
+++ b/tests/properties/register.rs
@@ -54,12 +54,12 @@
     fn note(&mut self, request: u64, verdict: SubmitVerdict) {
         match verdict {
             SubmitVerdict::Run => *self.ran.entry(request).or_default() += 1,
-            SubmitVerdict::Refused | SubmitVerdict::Expired => {
+            SubmitVerdict::Burned | SubmitVerdict::Expired => {
                 self.not_run.insert(request);
             }
-            SubmitVerdict::Duplicate
+            SubmitVerdict::Seen
             | SubmitVerdict::TooOld
-            | SubmitVerdict::RegisterFull => {}
+            | SubmitVerdict::Full => {}
         }
     }
 
