--- a/cowsliproad-direct/src/ends.rs
+++ b/cowsliproad-direct/src/ends.rs
@@ -1,21 +1,21 @@
-//! Whether a target's process ended under its requests.
+//! Finds out whether a target's process crashed under its requests.
 //!
-//! A connection that breaks under a request says little: the target may have
-//! ended, its group may have stalled, an answer may be lost, or only the
-//! connection went. A caller that leaves says nothing at all. So it is asked
-//! a moment later whether the target lives. Its agent, which stands on the
-//! same VM, says that it reads its report or that its process is gone, and an
-//! answer to anybody says that it lives. Where neither comes, a new connection
-//! tells: a VM whose process is gone refuses it. So does a zone that is cut
-//! off with resets, so a refusal counts only while somebody else in that zone
-//! is heard from. Silence tells nothing, as when a VM is frozen, cut off or
-//! without power.
+//! A connection that breaks under a request proves little: the target may have
+//! crashed, its group may have stalled, an answer may be lost, or only the
+//! connection failed. A caller that disconnects proves nothing. So a probe
+//! checks a moment later whether the target is alive. The target's agent, on
+//! the same VM, states that it read the engine's report or that the process is
+//! gone, and any answer of the target shows that it is alive. Without such a
+//! sign, a new connection is tried: a VM whose process is gone refuses it. A
+//! partition that resets connections to a zone looks the same, so a refusal
+//! counts only while another VM of that zone sends messages. Silence proves
+//! nothing, as when a VM is frozen, partitioned or without power.
 //!
-//! A target may go on with a request that was given up here, as long as it has
-//! time: it waits its turn there and runs when nobody listens any more. So a
-//! sign of life settles such a request only once its time is over, and puts
-//! the question off until then. A request that was never written to a
-//! connection is not asked about at all.
+//! A target may continue with a request that was abandoned here until the
+//! request's deadline: the request waits in the target's queue and runs though
+//! its caller is gone. So a sign of life clears such a request only after the
+//! deadline, and otherwise postpones the check. A request that was never
+//! written to a connection raises no suspicion.
 
 use std::{io, rc::Rc};
 
@@ -29,52 +29,54 @@
     quarantine::Extent,
 };
 
-/// What a report or answer may have taken on its way: one that came sooner
-/// after a break may be from before it.
+/// Latency that a report or answer may have had: one that arrives within this
+/// time after a broken connection may have been sent before.
 pub const MAX_LATENCY: Millis = Millis(100);
 
-/// When a target without an agent is asked. Others whose connections broke
-/// with it are asked about together.
+/// Delay before a target without an agent is probed. Requests whose
+/// connections to the target broke together share one probe.
 const PLAIN_DELAY: Millis = Millis(150);
 
-/// When one beside an agent is asked: its agent reports every 400 ms, so that
-/// after a whole group was cut off no connection is made.
+/// Delay before a target with an agent is probed. The agent reports every 400
+/// ms, so that no connection is made after a whole group was partitioned.
 const AGENT_DELAY: Millis = Millis(550);
 
-/// An agent that was silent for so long before won't speak.
+/// An agent that was silent for this long before the break isn't expected to
+/// report.
 const AGENT_TIMEOUT: Millis = Millis(1_000);
 
-/// The time for a connection to be made or refused.
+/// The timeout for the probe's connection to be accepted or refused.
 const CONNECT_TIMEOUT: Millis = Millis(250);
 
-/// How often is asked when there is no answer, and the pause between.
+/// Probes without a clear result before the target's fate counts as unknown,
+/// and the pause between probes.
 const MAX_ASKED: u32 = 3;
 const RETRY_BACKOFF: Millis = Millis(300);
 
-/// Requests that are asked about at once, some 70 bytes each: all that a
-/// target runs and has waiting from one entry. Those that were given up give
-/// way to others, the oldest first.
+/// Suspicions kept per target, some 70 bytes each: all requests of one entry
+/// that a target runs and queues. The oldest abandoned request gives way to a
+/// new suspicion.
 const MAX_SUSPICIONS: usize = 64;
 
-/// A request under which its target may have ended.
+/// A request during which its target may have crashed.
 #[derive(Clone, Debug)]
 pub struct Suspicion {
     request: Name,
     work: WorkDigest,
-    /// When its connection broke or was given up, or since then the target
-    /// was last seen to live.
+    /// When the request's connection broke or was abandoned, or, if later,
+    /// when the target was last known to be alive.
     at: Millis,
-    /// How long after that the target may still have been at work on it
-    /// before it is asked.
+    /// How long after `at` the target may have continued with the request
+    /// before it is probed.
     lingers: Millis,
-    /// Until when the target may be at work on it at all.
+    /// The latest time at which the target may still run the request.
     until: Millis,
-    /// Whether the target had begun to answer it.
+    /// Whether the target had begun to answer the request.
     has_progress: bool,
 }
 
 impl Suspicion {
-    /// A request whose connection broke.
+    /// A suspicion for a request whose connection broke.
     pub fn broken(request: Name, work: WorkDigest) -> Suspicion {
         let at = Millis::now();
         Suspicion {
@@ -87,13 +89,13 @@
         }
     }
 
-    /// One of whose answer an event had come.
+    /// Sets whether part of the request's answer had arrived.
     pub fn with_progress(self, has_progress: bool) -> Suspicion {
         Suspicion { has_progress, ..self }
     }
 
-    /// A request that was given up here, and that the target may go on with
-    /// until its time is over.
+    /// A suspicion for a request that was abandoned here, and that the target
+    /// may continue until the request's deadline.
     pub fn given_up(
         request: Name,
         work: WorkDigest,
@@ -109,37 +111,40 @@
         self.lingers > Millis(0)
     }
 
-    /// What is still suspected once the target is seen to live.
+    /// The suspicion that remains after the target was seen alive; None after
+    /// the request's deadline.
     fn renewed(&self, now: Millis) -> Option<Suspicion> {
         (self.until > now).then(|| Suspicion { at: now, ..self.clone() })
     }
 
-    /// From when on a sign of life says that the target outlived it.
+    /// The earliest sign of life that shows that the target survived the
+    /// request.
     fn counts_from(&self) -> Millis {
         self.at + self.lingers + MAX_LATENCY
     }
 }
 
-/// When a target is first asked that may go on with a request whose connection
-/// was reset. Most drop it at once; one that reads it late has a tenth of a
-/// second to begin and another to end. Others have it wait its turn for as
-/// long as it has time; these are looked at again as often.
+/// Delay before a target is probed that may continue with a request whose
+/// connection was reset, and the interval of later probes. Most targets drop
+/// the request at once; one that reads the reset late has 100 ms to begin the
+/// request and 100 ms to end it. Other targets keep the request queued until
+/// its deadline.
 const LINGER_INTERVAL: Millis = Millis(500);
 
-/// The longest that a request's time may be: that of streams, and a quarter
-/// more.
+/// The longest that a request may take: the limit for streams plus a quarter.
 const LONGEST_LINGER: Millis = Millis(10_000);
 
-/// What became of a target.
+/// The result of a probe of a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Fate {
     Lives,
     Ended,
-    /// Nobody can tell.
+    /// The probe got no conclusive answer.
     Unknown,
 }
 
-/// Asks whether a target ended under a request.
+/// Records a suspicion that a target crashed under a request, and starts a
+/// probe task unless one runs for the target.
 pub fn suspect(entry: &Rc<Entry>, choice: &Choice, suspect: Suspicion) {
     let mut endpoint = choice.endpoint.borrow_mut();
     if endpoint.suspicions.len() >= MAX_SUSPICIONS {
@@ -155,7 +160,7 @@
     }
 }
 
-/// Looks until nothing is suspected.
+/// Probes a target until no suspicion is left.
 async fn probe(entry: Rc<Entry>, choice: Choice) {
     let mut asked = 0;
     loop {
@@ -168,14 +173,15 @@
         if wait > Millis(0) {
             tokio::select! {
                 () = sleep(wait.duration()) => {}
-                // An agent may have said what became of it.
+                // An agent may have reported on the target.
                 () = entry.news.notified() => {}
             }
             continue;
         }
         let asked_at = Millis::now();
         let fate = match cooldown_end {
-            // Not even a connection is made to a target that wants none.
+            // A target in a cooldown gets no new connections, not even a
+            // probe's.
             Some(_) => Fate::Unknown,
             None => ask(&entry, &choice).await,
         };
@@ -189,8 +195,8 @@
     }
 }
 
-/// Settles what signs of life have settled, and says when to ask about the
-/// rest.
+/// Resolves the suspicions that reports and answers decide, and returns when
+/// to probe for the rest.
 fn settle_by_signs(entry: &Entry, choice: &Choice) -> Option<Millis> {
     let (lived, lost) = {
         let endpoint = choice.endpoint.borrow();
@@ -266,11 +272,11 @@
     }
 }
 
-/// Notes that a target ended under a request.
+/// Records that a target crashed under a request.
 fn note_end(entry: &Entry, choice: &Choice, suspect: &Suspicion) {
     let age = Millis::now().since(suspect.at);
-    // Of what a rank runs, most has begun to answer, and one that crashes it
-    // mostly does so before that.
+    // A rank has begun to answer most requests that it runs, and a
+    // crash-inducing request mostly crashes the rank before that.
     let in_group = choice.endpoint.borrow().group.is_some();
     let is_likely = !suspect.has_progress && !suspect.is_given_up();
     let extent =
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -1,8 +1,8 @@
-//! What the process believes, shared by all its tasks.
+//! State of the entry process, shared by all its tasks.
 //!
-//! All state stands here, in one place: the configuration in force, the
-//! targets and how each has fared, the other entries. Tasks borrow it for a
-//! moment and never across a wait.
+//! The state holds the configuration in force, the known targets with their
+//! health, load and connections, and the other entry processes. Tasks borrow
+//! the state briefly and never across an await.
 
 use std::{
     cell::{Cell, RefCell},
@@ -39,185 +39,202 @@
 pub mod choose;
 mod groups;
 
-/// Routes whose callers' patience is remembered, some 60 bytes each: more
-/// than operators have had.
+/// Routes whose callers' longest deadline is remembered, some 60 bytes each:
+/// more than operators have had.
 const MAX_ROUTES: usize = 10_000;
 
-/// Availability zones that are kept track of, twice those of the largest
-/// fleet to come.
+/// Availability zones that are tracked, twice those of the largest fleet to
+/// come.
 const MAX_ZONES: usize = 64;
 
-/// Entries of other writers that are told of.
+/// Malformed records of the targets topic that are logged, each key once.
 const MAX_REFUSED: usize = 1_000;
 
-/// Where new facts came from, for logs.
+/// Where a state change came from, for logs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Source {
-    /// The platform's log.
+    /// The change was read from the platform's log.
     Log,
-    /// Another entry.
+    /// The change came in a digest or state snapshot of another entry process.
     Peer,
-    /// The entry's own requests.
+    /// The change was observed on this entry's own requests.
     Own,
 }
 
 /// The phases of the process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Phase {
-    /// It serves.
+    /// The process accepts connections and requests.
     Serving,
-    /// It was told to stop and serves on until the balancer knows.
+    /// The process got a stop signal and still accepts connections until the
+    /// load balancer notices.
     Leaving,
-    /// No new connections come: it finishes what it has.
+    /// The process accepts no new connections and finishes the requests in
+    /// flight.
     Closing,
 }
 
-/// What an entry keeps of one target beside what the log says.
+/// State that an entry process keeps for one target in addition to the
+/// target's record in the log.
 #[derive(Debug, Default)]
 pub struct Endpoint {
-    /// How it fared.
+    /// In-flight requests, reported load, latencies and failures of the
+    /// target.
     pub record: Record,
-    /// Idle connections.
+    /// Idle connections to the target.
     pub pool: Pool,
-    /// Open connections, busy ones and those being made included.
+    /// Open connections to the target, including busy connections and those
+    /// being established.
     pub open: usize,
-    /// Wakes requests that wait for a connection.
+    /// Wakes requests that wait for a connection to the target.
     pub freed: Rc<Notify>,
-    /// What its agent last said of its group.
+    /// State of the target's group from the latest report of the target's
+    /// agent.
     pub group: Option<Group>,
-    /// When it was last known to live: its agent read its report, or it
-    /// answered.
+    /// When the target was last known to be alive: its agent read the engine's
+    /// report, or the target answered a request.
     pub lived: Option<Millis>,
-    /// When its agent last said that its process is gone.
+    /// When the target's agent last reported that the engine process is gone.
     pub lost: Option<Millis>,
-    /// Requests under which it may have ended.
+    /// Requests during which the target may have crashed.
     pub suspicions: Vec<Suspicion>,
-    /// How many requests a second it takes.
+    /// The rate limit that the target states in its answers.
     pub limit: CurrentLimit,
-    /// Permits there that came too late for the requests that asked.
+    /// Permits for the target that were granted after their requests stopped
+    /// waiting.
     pub permits: Vec<Permit>,
-    /// When a permit there is to be asked for at the earliest.
+    /// The earliest time at which to request the next permit for the target.
     pub full_until: Millis,
-    /// Whether a permit there is being asked for.
+    /// Whether a permit request for the target is in flight.
     pub asking: bool,
-    /// Whether its last refusal stated a time that is none.
+    /// Whether the target's latest Retry-After header was unreadable; logged
+    /// only once.
     pub unreadable: bool,
-    /// What is known of it since it last asked to be left alone.
+    /// Whether the target takes requests again after its latest cooldown.
     pub recovery: Recovery,
 }
 
-/// What is known of a target since it last asked to be left alone. After that
-/// one request finds out whether it takes more.
+/// State of a target after a cooldown that the target requested with
+/// Retry-After. When the cooldown ends, one probe request shows whether the
+/// target takes more.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Recovery {
-    /// It takes requests.
+    /// The target takes requests.
     #[default]
     Done,
-    /// It has got none yet.
+    /// No request was sent to the target since the cooldown.
     Pending,
-    /// One was sent then.
+    /// The probe request was sent at this time.
     Probed(Millis),
 }
 
-/// The group of a target.
+/// The group of engine ranks that a target belongs to, as last reported by the
+/// target's agent.
 #[derive(Clone, Debug)]
 pub struct Group {
-    /// Its name.
+    /// The group's name.
     pub name: Name,
-    /// Its formation.
+    /// Epoch of the group's formation, raised each time that the group forms
+    /// again.
     pub epoch: u64,
-    /// Whether it takes requests.
+    /// Whether the group accepts requests.
     pub open: bool,
-    /// The last pass that was begun.
+    /// The number of the last forward pass that the group began.
     pub step: u64,
-    /// How long the target's work takes, in percent of the usual.
+    /// How long the target's work takes, in percent of the usual time.
     pub pace: u32,
-    /// When this was heard.
+    /// When the agent's report arrived.
     pub heard: Millis,
 }
 
-/// The state of an entry.
+/// The shared state of an entry process.
 #[derive(Debug)]
 pub struct Entry {
     settings: RefCell<Rc<Settings>>,
-    /// Its logger.
+    /// Logger of this entry process.
     pub log: Logger,
-    /// Its counters.
+    /// Counters and histograms of this entry process.
     pub measure: Measure,
-    /// The configuration in force, as decoded and as it came.
+    /// The configuration in force, decoded and as raw bytes.
     catalog: RefCell<Option<(Arc<Catalog>, Bytes)>>,
-    /// The targets.
+    /// The known targets.
     pub fleet: RefCell<Fleet>,
-    /// The longest that callers of each route were seen to wait.
+    /// The longest remaining deadline seen from callers, per route.
     patience: RefCell<HashMap<Name, Millis>>,
-    /// Keys in the log whose entries were no target's, so that each is told
-    /// of once.
+    /// Keys of malformed records in the targets topic, so that each key is
+    /// logged once.
     refused: RefCell<HashSet<String>>,
-    /// Announcements as they came, for entries that start without the log.
+    /// Raw target announcements by target id, served to entry processes that
+    /// start without the log.
     pub announced: RefCell<HashMap<Name, Bytes>>,
     endpoints: RefCell<HashMap<Name, Rc<RefCell<Endpoint>>>>,
     budgets: RefCell<HashMap<Name, RetryWindow>>,
-    /// What was last said of each group, by any of its ranks.
+    /// The newest known formation of each group, reported by any of its ranks.
     formations: RefCell<HashMap<Name, Formation>>,
-    /// Requests that crash their targets.
+    /// Quarantine of crash-inducing requests.
     pub quarantine: RefCell<Quarantine>,
-    /// When each availability zone was last heard from.
+    /// When a VM of each availability zone last sent a message.
     zones: RefCell<HashMap<Name, Millis>>,
-    /// The pace of requests to targets that name a limit.
+    /// Rate limiters of targets that state a limit, and open permit requests.
     pub limits: RefCell<Limits>,
-    /// Targets that asked to be left alone. They stand apart from what is
-    /// kept of targets, which goes when one drops out of the log.
+    /// Cooldowns that targets requested with Retry-After. They are kept apart
+    /// from the endpoints, which are removed when a target drops out of the
+    /// log.
     pub cooldowns: RefCell<Cooldowns>,
-    /// Other entries.
+    /// The other entry processes.
     pub peers: RefCell<Peers>,
-    /// Wakes requests that wait for a target.
+    /// Wakes requests that wait for a change of targets or groups.
     pub news: Notify,
-    /// Wakes those that wait for a connection to one.
+    /// Wakes requests that wait for a connection to any target.
     pub freed: Rc<Notify>,
-    /// Counts the news, for requests that were not waiting when some came.
+    /// Counts the changes of targets and groups, so that a request that wasn't
+    /// waiting detects those that it missed.
     pub news_told: Cell<u64>,
-    /// Wakes idle connections that are to be closed.
+    /// Wakes idle caller connections that have to be closed at shutdown.
     pub closing: Notify,
-    /// Wakes the task that tells other entries.
+    /// Wakes the task that broadcasts digests to other entries.
     pub rumour: Notify,
-    /// The lists of engines that agents know, by engine.
+    /// The id of the target list that each engine's agent has, by the engine's
+    /// address.
     pub lists: RefCell<HashMap<SocketAddr, u64>>,
-    /// What is known of readings of the targets in the log.
+    /// When the targets topic was last read, by this entry or by another, and
+    /// up to which position.
     pub readings: RefCell<Readings>,
-    /// Wakes the task that reads them.
+    /// Wakes the task that reads the targets topic.
     pub behind: Notify,
-    /// Times that the log came back from an older copy.
+    /// Rollbacks of the platform's log to an older copy.
     pub rollbacks: Rollbacks,
-    /// Wakes the task that waits for another entry's word at the start.
+    /// Wakes the task that waits at startup for digests of other entries.
     pub met: Notify,
-    /// Counts targets that joined.
+    /// Counts targets that joined or restarted, so that agents are asked to
+    /// report at once.
     pub joined: Cell<u64>,
-    /// Requests that were taken and not answered in full.
+    /// Accepted requests whose answers are not complete yet.
     pub under_way: Cell<usize>,
-    /// What the process is doing.
+    /// The phase of the process.
     pub phase: Cell<Phase>,
     random: RefCell<SmallRng>,
 }
 
-/// A target that was chosen.
+/// A target that was chosen for a request.
 #[derive(Clone, Debug)]
 pub struct Choice {
-    /// The target.
+    /// The chosen target.
     pub target: Target,
-    /// What the entry keeps of it.
+    /// The state that the entry keeps for the chosen target.
     pub endpoint: Rc<RefCell<Endpoint>>,
-    /// Its cost when it was chosen, in milliseconds.
+    /// The target's cost when it was chosen, in milliseconds.
     pub cost: f64,
-    /// Connections to it that this entry may have.
+    /// Connections to the target that this entry may have.
     pub connections: usize,
-    /// The limit that it names.
+    /// The rate limit that the target states.
     pub limit: Option<Rate>,
-    /// The permit that the request holds there.
+    /// The permit to send that the request holds at the target.
     pub permit: Option<Permit>,
 }
 
 impl Entry {
-    /// An entry that knows nothing yet.
+    /// Creates an entry without configuration, targets or peers.
     pub fn new(settings: Settings, log: Logger) -> Entry {
         let peers = Peers::new(&settings);
         let readings = Readings::new(settings.heartbeat_ms);
@@ -255,13 +272,14 @@
         }
     }
 
-    /// Its settings.
+    /// The settings in force.
     pub fn settings(&self) -> Rc<Settings> {
         self.settings.borrow().clone()
     }
 
-    /// Puts settings that were read again in force. Addresses stay what they
-    /// were: connections and other entries depend on them.
+    /// Puts reloaded settings in force and logs invalid ones. Names and
+    /// addresses of this entry keep their old values: connections and other
+    /// entries depend on them.
     pub fn reload(&self, read: Result<Settings, settings::Error>) {
         let new = match read {
             Ok(new) => new,
@@ -289,22 +307,23 @@
         *self.settings.borrow_mut() = Rc::new(kept);
     }
 
-    /// The configuration in force.
+    /// The configuration in force, if there is one.
     pub fn catalog(&self) -> Option<Arc<Catalog>> {
         self.catalog.borrow().as_ref().map(|it| it.0.clone())
     }
 
-    /// The configuration in force as it came.
+    /// The raw bytes of the configuration in force, if there is one.
     pub fn raw_catalog(&self) -> Option<Bytes> {
         self.catalog.borrow().as_ref().map(|it| it.1.clone())
     }
 
-    /// The number of the configuration in force; 0 for none.
+    /// The version of the configuration in force; 0 without a configuration.
     pub fn version(&self) -> u64 {
         self.catalog.borrow().as_ref().map_or(0, |it| it.0.version())
     }
 
-    /// Puts a configuration in force unless it is older than what is.
+    /// Puts a configuration in force if its version is newer than the one in
+    /// force.
     pub fn adopt(&self, catalog: Catalog, raw: Bytes, source: Source) {
         let before = self.version();
         if before >= catalog.version() {
@@ -318,7 +337,7 @@
         self.rumour.notify_one();
     }
 
-    /// Notes an entry that is no target's.
+    /// Logs a malformed record of the targets topic, once for each key.
     pub fn refuse_target(&self, key: &str, error: &serde_json::Error) {
         let mut refused = self.refused.borrow_mut();
         if refused.len() < MAX_REFUSED && refused.insert(key.into()) {
@@ -327,19 +346,21 @@
         }
     }
 
-    /// Notes what became of a target.
+    /// Applies a change of a target to the rest of the state: drops the
+    /// endpoint of a target that restarted or left, and wakes waiting requests
+    /// and the digest broadcaster.
     pub fn changed(&self, id: &str, change: Change, source: Source) {
         match change {
             Change::None => return,
-            // Known here, but maybe not to other entries.
+            // The target is known here, but maybe not to other entries.
             Change::Returned => return self.note_change(source),
             Change::Joined | Change::Restarted => {
                 self.note_change(source);
                 if change == Change::Restarted {
                     info!(self.log, "target_restarted"; "target" => id,
                         "source" => ?source);
-                    // Requests there, connections and what its agent said
-                    // were of the start before.
+                    // In-flight requests, connections and agent reports belong
+                    // to the previous start of the target.
                     self.endpoints.borrow_mut().remove(id);
                     self.limits.borrow_mut().forget(id);
                 }
@@ -369,7 +390,8 @@
         self.tell_news();
     }
 
-    /// Takes another entry's reading of the targets in.
+    /// Merges another entry's latest read of the targets topic: when it was
+    /// read and the position of the last change.
     pub fn note_reading(&self, at: Millis, changed: Position, now: Millis) {
         let found = self.readings.borrow_mut().hear(at, changed);
         self.note_gap(found, now);
@@ -378,14 +400,16 @@
         }
     }
 
-    /// Notes that the targets changed, so that other entries read too.
+    /// Records a change of the targets that was read from the log, so that
+    /// other entries read the change too.
     fn note_change(&self, source: Source) {
         if source == Source::Log {
             self.readings.borrow_mut().note_change();
         }
     }
 
-    /// Gives targets that may have lapsed unseen the time to come back.
+    /// Extends the leases of all targets after a gap in the reads of the
+    /// targets topic, since targets may have renewed them unobserved.
     pub fn note_gap(&self, found: Found, now: Millis) {
         if found == Found::Gap {
             info!(self.log, "readings_resumed");
@@ -393,18 +417,18 @@
         }
     }
 
-    /// Tells requests under way that targets or groups have changed.
+    /// Wakes waiting requests because targets or groups have changed.
     pub fn tell_news(&self) {
         self.news_told.set(self.news_told.get() + 1);
         self.news.notify_waiters();
     }
 
-    /// What is kept of a target, if anything is.
+    /// The state kept for a target, if there is any.
     pub fn known_endpoint(&self, id: &str) -> Option<Rc<RefCell<Endpoint>>> {
         self.endpoints.borrow().get(id).cloned()
     }
 
-    /// What is kept of a target.
+    /// The state kept for a target, created if there is none.
     pub fn endpoint(&self, id: &Name) -> Rc<RefCell<Endpoint>> {
         let new = || {
             let freed = self.freed.clone();
@@ -414,15 +438,17 @@
         endpoints.entry(id.clone()).or_insert_with(new).clone()
     }
 
-    /// Whether the entry can serve: it knows routes and targets.
+    /// Whether the entry can serve: it isn't stopping, and it has a
+    /// configuration and at least one usable target.
     pub fn is_ready(&self) -> bool {
         self.phase.get() == Phase::Serving
             && self.catalog.borrow().is_some()
             && self.fleet.borrow().ready().next().is_some()
     }
 
-    /// Takes in how long a caller of a route will wait, and says how long
-    /// callers do on their first try.
+    /// Records the remaining deadline of a caller's request and returns the
+    /// longest one seen on the same route, which is about the deadline of a
+    /// first attempt.
     pub fn patience_of(&self, route: &Name, left: Millis) -> Millis {
         let mut patience = self.patience.borrow_mut();
         if patience.len() > MAX_ROUTES {
@@ -433,7 +459,7 @@
         *longest
     }
 
-    /// Notes that a VM of an availability zone was heard from.
+    /// Records that a message of a VM in an availability zone arrived.
     pub fn heard_from(&self, zone: &Name, at: Millis) {
         let mut zones = self.zones.borrow_mut();
         if let Some(heard) = zones.get_mut(zone) {
@@ -443,8 +469,8 @@
         }
     }
 
-    /// Whether there is a way to an availability zone since a moment: one of
-    /// its VMs was heard from, or, for the own zone, any other VM was.
+    /// Whether an availability zone was reachable since a moment: a VM of the
+    /// zone sent a message or, for this entry's own zone, any other VM did.
     pub fn reaches(&self, zone: &Name, since: Millis) -> bool {
         let own = self.settings().zone == *zone;
         let zones = self.zones.borrow();
@@ -452,12 +478,12 @@
         heard.any(|it| *it.1 >= since)
     }
 
-    /// Notes a request in its service's retry budget.
+    /// Records a request in its service's retry budget.
     pub fn count_request(&self, service: &Name, now: Millis) {
         self.budget(service, |it| it.record_request(now));
     }
 
-    /// Spends a retry of a service, if there is one left.
+    /// Spends a retry of a service's budget; false if the budget is exhausted.
     pub fn spend_retry(&self, service: &Name, now: Millis) -> bool {
         let entries = self.peers.borrow().entries();
         self.budget(service, |it| it.try_spend(entries, now))
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -1,4 +1,5 @@
-//! Which target a request goes to, from what the entry believes of all.
+//! Choice of the target for a request, by cost, from this entry's state of all
+//! targets.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -10,45 +11,51 @@
 
 use super::{Choice, Endpoint, Entry, Group, Recovery, groups::AGENT_TIMEOUT};
 
-/// The targets of a service that work, as an entry sees them at a moment.
+/// Snapshot of the usable targets of a service, scored by cost, at one moment.
 pub struct Candidates {
     seen: Vec<Seen>,
     at: Millis,
     usual: Usual,
-    /// Requests of others that no report shows.
+    /// Estimated requests of other entries that no agent's report includes
+    /// yet.
     unseen: f64,
-    /// Requests a second that a target would get if all were sent as many.
+    /// Requests a second that each target would get if all targets got equally
+    /// many.
     part: f64,
-    /// Targets that fit, also those that don't work.
+    /// Eligible targets, including those that can't be used now.
     fitting: usize,
-    /// Those of them that work and asked to be left alone.
+    /// Eligible, working targets in a cooldown that they requested with
+    /// Retry-After.
     cooling: usize,
-    /// When the first of these takes requests again, or one that is being
-    /// probed may get another request.
+    /// When the first cooldown ends, or the first probe of a recovering target
+    /// times out.
     cooldown_end: Option<Millis>,
 }
 
-/// A target that a request could go to, or could but for its limit.
+/// A target that could get the request, if the target's rate limit allows it.
 struct Seen {
     choice: Choice,
-    /// When a permit there may be asked for, if one has to be.
+    /// The earliest time to request a permit, if the target's rate limit
+    /// demands one.
     free: Option<Millis>,
 }
 
-/// When targets take a request again that take none now by their own word.
+/// When targets that now decline requests by a rate limit or a cooldown take
+/// requests again.
 #[derive(Clone, Copy, Debug)]
 pub struct Shortage {
-    /// When one that names a limit may have a permit.
+    /// When the first rate-limited target may grant a permit.
     pub limit_end: Option<Millis>,
-    /// When one that asked to be left alone takes requests again.
+    /// When the first target's cooldown ends.
     pub cooldown_end: Option<Millis>,
-    /// Whether there is no other target that may be usable before.
+    /// Whether every eligible target is rate-limited or in a cooldown, so that
+    /// no other target may become usable before.
     pub is_complete: bool,
 }
 
 impl Shortage {
-    /// What the targets lack that were seen at a moment; nothing where none
-    /// is kept from use by its own word.
+    /// The shortage in snapshots of targets; None if no target declines
+    /// requests by a rate limit or a cooldown.
     pub fn new<'a>(
         looks: impl Iterator<Item = &'a Candidates>,
     ) -> Option<Shortage> {
@@ -69,28 +76,29 @@
         shortage.end().map(|_| shortage)
     }
 
-    /// When the first target may take a request.
+    /// When the first target may take a request again.
     pub fn end(&self) -> Option<Millis> {
         self.limit_end.into_iter().chain(self.cooldown_end).min()
     }
 }
 
-/// Whether a request may ask for permits at targets that name limits.
+/// Whether a request may wait for permits at rate-limited targets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Asks {
-    /// For one that is free now; it goes elsewhere if there is none.
+    /// Only for a permit that is free now; otherwise the request goes to
+    /// another target.
     Now,
-    /// For one that is free within this time.
+    /// For a permit that becomes free within this time.
     Ahead(Millis),
-    /// It may not.
+    /// The request doesn't ask for permits.
     Never,
 }
 
 impl Candidates {
-    /// The target with the least cost, or, where agents report, one of those
-    /// with little cost; see [`pick::spread`]. One that takes fewer requests
-    /// than its part is chosen whenever it costs no more, so that it gets what
-    /// it takes. `draw` is a random number from 0 to 1.
+    /// Chooses the target with the least cost or, where agents report, one of
+    /// the cheapest at random; see [`pick::spread`]. A target whose rate limit
+    /// is below its equal share is preferred at the same or lower cost, so
+    /// that its limit is used up. `draw` is a random number from 0 to 1.
     pub fn choose(&self, asks: Asks, draw: f64) -> Option<Choice> {
         let usable = self.seen.iter().filter(|it| self.is_usable(it, asks));
         let usable: Vec<&Choice> = usable.map(|it| &it.choice).collect();
@@ -120,7 +128,8 @@
 }
 
 impl Endpoint {
-    /// Until when only one request is under way there, if that is so.
+    /// When the probe of a recovering target times out, while one is in
+    /// flight. Until then no other request is sent to the target.
     fn probe_end(&self, now: Millis) -> Option<Millis> {
         match self.recovery {
             Recovery::Probed(at) => Some(at + PROBE_TIMEOUT),
@@ -129,7 +138,8 @@
         .filter(|end| *end > now)
     }
 
-    /// Notes that a request is about to be sent there.
+    /// Records that a request is about to be sent, which makes the request a
+    /// probe if the target is recovering.
     pub fn probe(&mut self, now: Millis) {
         if self.recovery != Recovery::Done {
             self.recovery = Recovery::Probed(now);
@@ -138,7 +148,7 @@
 }
 
 impl Entry {
-    /// Looks at the targets of a service that `fits` lets through. Cooldowns
+    /// Scores the targets of a service for which `fits` is true. Cooldowns
     /// count as longer by `stagger`.
     pub fn candidates(
         &self,
@@ -153,8 +163,8 @@
         let own = fleet.ready().filter(|it| &*it.service == service);
         let endpoints: Vec<(&Target, Rc<RefCell<Endpoint>>)> =
             own.map(|it| (it, self.endpoint(&it.id))).collect();
-        // Where most agents report, a target whose agent is silent is not
-        // idle but unknown: its VM may be frozen, or it may be the slow one.
+        // Where most agents report, a target whose agent is silent is not idle
+        // but unknown: the VM may be frozen or slow.
         let known = |group: &Option<Group>| {
             let heard = group.as_ref().map(|it| now.since(it.heard));
             heard.is_some_and(|age| age < AGENT_TIMEOUT)
@@ -237,8 +247,8 @@
         }
     }
 
-    /// Requests a second that a target of a service would get if all were
-    /// sent as many.
+    /// Requests a second that each target of a service would get from all
+    /// entries if all targets got equally many.
     fn part(&self, service: &str, targets: usize, now: Millis) -> f64 {
         let entries = self.peers.borrow().entries() as f64;
         let budgets = self.budgets.borrow();
@@ -247,9 +257,10 @@
         usual * entries / targets.max(1) as f64
     }
 
-    /// Requests that other entries send to a service without a report that
-    /// shows them. Entries see much the same, so they send what this one does:
-    /// as often as usual, and in a moment what it sent in a moment.
+    /// Estimates the requests that other entries sent to a service and that no
+    /// report includes yet. Entries see much the same state, so they are taken
+    /// to send what this entry does: its usual rate, or its latest burst if
+    /// that is more.
     fn unseen(&self, service: &str, records: &[Record], now: Millis) -> f64 {
         let others = (self.peers.borrow().entries() - 1) as f64;
         let sent: u32 = records.iter().map(Record::unreported).sum();
@@ -260,7 +271,8 @@
         usual.max(f64::from(sent)) * others
     }
 
-    /// Connections that this entry may have to one target of a service.
+    /// Connections that this entry may open to one target of a service: its
+    /// part of the service's limit.
     fn connections(&self, service: &str) -> usize {
         let catalog = self.catalog.borrow();
         let service = catalog.as_ref().and_then(|it| it.0.service(service));
@@ -274,14 +286,15 @@
 
 const SECOND: Millis = Millis(1_000);
 
-/// How long the first request after a cooldown is waited for before another
-/// one is sent.
+/// How long the probe after a cooldown is awaited before another request is
+/// sent.
 const PROBE_TIMEOUT: Millis = Millis(400);
 
-/// The time for which requests of others are allowed for: two reports of an
-/// agent. `cowsliproad-bench routing` compares it with others.
+/// The time for which requests of other entries are estimated: two report
+/// intervals of an agent. `cowsliproad-bench routing` compares this interval
+/// with others.
 const UNSEEN_INTERVAL: Millis = Millis(800);
 
-/// Connections to a target that an entry may have however many entries there
-/// are.
+/// Connections to one target that every entry may open, however many entries
+/// share the service's limit.
 const MIN_CONNECTIONS: usize = 1;
--- a/cowsliproad-direct/src/entry/groups.rs
+++ b/cowsliproad-direct/src/entry/groups.rs
@@ -1,4 +1,4 @@
-//! What the entry believes of the groups that targets are ranks of.
+//! State of the groups whose ranks the targets are.
 
 use cowsliproad_kernel::{Name, clock::Millis};
 use cowsliproad_routing::formation::Formation;
@@ -7,19 +7,20 @@
 use super::{Choice, Entry, Group};
 
 impl Entry {
-    /// Notes that a target called its group broken. All of its ranks refuse
-    /// then, and it opens in a new formation, so nothing is sent to any of
-    /// them before an agent reports one. Each would refuse a request that
-    /// can wait here, and draw on the retry budget.
+    /// Records that a target called its group broken. All ranks of a broken
+    /// group refuse requests until the group forms again, so nothing is sent
+    /// to any rank before an agent reports a new formation. Each rank would
+    /// refuse a request that can wait here, and each refusal would draw on the
+    /// retry budget.
     pub fn note_broken(&self, choice: &Choice) {
         let endpoint = choice.endpoint.borrow();
         let Some(group) = &endpoint.group else { return };
         self.note_formation(&group.name, group.epoch, false);
     }
 
-    /// Notes what a rank says of its group. A group that is open is so at all
-    /// ranks: were each waited for, the first to say so would be sent all
-    /// that waited.
+    /// Merges a rank's report on its group. A group that accepts requests does
+    /// so at all ranks: if each rank's report were awaited, the first rank to
+    /// report would get all waiting requests.
     pub fn note_formation(&self, group: &Name, epoch: u64, open: bool) {
         let mut formations = self.formations.borrow_mut();
         let new = Formation::new(epoch, open);
@@ -30,9 +31,9 @@
         }
     }
 
-    /// Notes that a rank's process is gone. Passes need all ranks, so the
-    /// others begin nothing, though their engines say so only once they have
-    /// waited for it in vain.
+    /// Records that a rank's process is gone. A forward pass needs all ranks,
+    /// so the other ranks begin nothing, though their engines report it only
+    /// after waiting in vain for the lost rank.
     pub fn note_lost_rank(&self, group: &Group, now: Millis) {
         let mut formations = self.formations.borrow_mut();
         let Some(known) = formations.get_mut(&group.name) else { return };
@@ -42,7 +43,8 @@
         }
     }
 
-    /// Notes a pass that a rank reports. A group that goes on has lost none.
+    /// Records a forward pass that a rank reports. A group that goes on with
+    /// passes has lost no rank.
     pub fn note_step(&self, group: &Name, epoch: u64, step: u64, now: Millis) {
         let mut formations = self.formations.borrow_mut();
         let Some(known) = formations.get_mut(group) else { return };
@@ -52,14 +54,14 @@
         }
     }
 
-    /// Whether a group takes requests, as far as is known.
+    /// Whether a group accepts requests, by the newest known formation.
     pub(super) fn is_open(&self, group: &Group, now: Millis) -> bool {
         let formations = self.formations.borrow();
         let newest = formations.get(&group.name);
         newest.map_or(group.open, |it| it.is_open(now))
     }
 
-    /// Whether the agent beside a target spoke lately.
+    /// Whether the agent on a target's VM has reported recently.
     pub fn hears_of(&self, choice: &Choice) -> bool {
         let now = Millis::now();
         let endpoint = choice.endpoint.borrow();
@@ -67,7 +69,8 @@
         group.is_some_and(|it| now.since(it.heard) < AGENT_TIMEOUT)
     }
 
-    /// The last pass that any group of a service is known to have begun.
+    /// The highest forward pass that any group of a service is known to have
+    /// begun.
     pub fn step_of(&self, service: &str) -> u64 {
         let mut last = 0;
         self.each_group(service, |group| {
@@ -76,8 +79,8 @@
         last
     }
 
-    /// Looks at what is known of the group of each of a service's targets.
-    /// Streams ask with each event, so nothing is copied.
+    /// Calls `look` with the known group, if any, of each target of a service.
+    /// Streams call this for each event, so nothing is copied.
     pub fn each_group(
         &self,
         service: &str,
@@ -94,5 +97,5 @@
     }
 }
 
-/// An agent that two reports are missing of is silent.
+/// An agent counts as silent after two missing reports.
 pub(super) const AGENT_TIMEOUT: Millis = Millis(1_000);
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -1,14 +1,14 @@
-//! Configuration and targets, followed in the platform's log.
+//! Follows the configuration and the targets in the platform's log.
 //!
-//! The configuration changes seldom and has to be in force everywhere within
-//! seconds, so its topic is read with a long poll. Targets renew their
-//! entries all the time: a long poll there would wake for each, so the topic
-//! is read by a timer, well inside the time in which a leaving target has to
-//! be known, and by one entry for all.
+//! The configuration changes seldom and must be in force everywhere within
+//! seconds, so its topic is read by long polling. Targets renew their records
+//! continuously, and a long poll would return for each renewal. So the targets
+//! topic is read on a timer, well within the time in which a leaving target
+//! has to be known, and by one entry process on behalf of all.
 //!
-//! When the log turns this entry away, the others tell it what they read; see
-//! [`crate::peers`]. What happens when the log comes back from an older copy
-//! stands in [`crate::rollback`].
+//! While the log refuses this entry's reads, other entries send the state that
+//! they read; see [`crate::peers`]. Rollbacks of the log to an older copy are
+//! handled in [`crate::rollback`].
 
 use std::{collections::HashMap, rc::Rc};
 
@@ -28,24 +28,26 @@
     peers,
 };
 
-/// How long the log may hold a read of the configuration. A connection that
-/// fell silent is noticed when this is over; other entries tell us sooner.
+/// How long the log may hold a long poll for the configuration. A dead
+/// connection is noticed when this time is over; other entries send new
+/// versions sooner.
 const POLL_TIMEOUT: Millis = Millis(15_000);
 
-/// The pauses between calls that fail, doubled from the first to the last.
+/// Bounds of the backoff after failed calls, which doubles with each failure.
 const MIN_BACKOFF: Millis = Millis(150);
 const MAX_BACKOFF: Millis = Millis(1_200);
 
-/// The least time between two calls for one topic, so that a storm of new
-/// versions costs no more than 20 calls a second; only the newest counts.
+/// The least time between two calls for one topic, so that a burst of new
+/// configurations costs no more than 20 calls a second; only the newest
+/// version counts.
 const MIN_READ_INTERVAL: Millis = Millis(50);
 
-/// The part of the time for a leaving target in which the targets are read
-/// once at the latest by some entry, in percent. Two readings may be late or
-/// lost before a target gets requests for too long.
+/// How often some entry reads the targets, in percent of the time in which a
+/// leaving target must be known. Two reads may be late or lost before a target
+/// gets requests for too long.
 const READ_PERCENT: u64 = 40;
 
-/// Contact with the log as one task sees it.
+/// Successes and failures of one task's calls to the log.
 #[derive(Debug)]
 pub struct Contact {
     topic: &'static str,
@@ -54,12 +56,12 @@
 }
 
 impl Contact {
-    /// Nothing called yet.
+    /// Creates the contact of a task that has made no calls yet.
     pub fn new(topic: &'static str) -> Contact {
         Contact { topic, last: Millis::now(), failures: 0 }
     }
 
-    /// Notes an answer.
+    /// Records a successful call and resets the backoff.
     pub fn good(&mut self, entry: &Entry) {
         let now = Millis::now();
         let away = now.since(self.last);
@@ -71,7 +73,7 @@
         self.last = now;
     }
 
-    /// Notes a failure and waits before the next call.
+    /// Records a failed call and waits for the backoff.
     pub async fn bad(&mut self, entry: &Entry, error: &Error) {
         if self.failures == 0 {
             warn!(entry.log, "log_lost"; "topic" => self.topic,
@@ -84,13 +86,14 @@
     }
 }
 
-/// A time between three quarters and the whole of one, so that entries
-/// spread.
+/// Returns a random time from three quarters of `time` to all of it, so that
+/// the calls of entries spread out.
 fn jittered(time: Millis) -> Millis {
     Millis(rand::rng().random_range(time.0 * 3 / 4..=time.0))
 }
 
-/// Reads one topic: first the newest record of every key, then what follows.
+/// Reads one topic of the log: first the newest record of every key, then the
+/// records that follow.
 #[derive(Debug)]
 pub struct Reader {
     topic: &'static str,
@@ -100,30 +103,30 @@
     has_read: bool,
 }
 
-/// What a read brought.
+/// The result of reading a topic.
 #[derive(Debug)]
 pub struct Reading {
-    /// The records.
+    /// The records that were read.
     pub records: Vec<Record>,
-    /// The place after them.
+    /// The position after the last record.
     pub end: Position,
-    /// Which records they are.
+    /// Which records of the topic were read.
     pub scope: Scope,
 }
 
-/// Which records a read brought.
+/// Which records of a topic a read returned.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Scope {
-    /// The newest of every key, for the first time.
+    /// The newest record of every key, read for the first time.
     First,
-    /// The newest of every key once more.
+    /// The newest record of every key, read again.
     All,
-    /// Those since the last read.
+    /// The records since the previous read.
     New,
 }
 
 impl Reader {
-    /// Nothing read yet.
+    /// Creates a reader that starts with the newest record of every key.
     pub fn new(entry: &Entry, topic: &'static str) -> Reader {
         Reader {
             topic,
@@ -134,7 +137,8 @@
         }
     }
 
-    /// Reads on. The log may hold the call for `hold` until there is a record.
+    /// Reads the next records. The log may hold the call for up to `hold`
+    /// until there is a record.
     pub async fn read(
         &mut self,
         entry: &Entry,
@@ -169,10 +173,11 @@
         Ok(Reading { records, end: next, scope })
     }
 
-    /// Prepares the next read after one that failed.
+    /// Prepares the next read after a failed one; backs off unless records
+    /// expired or the log was rolled back.
     pub async fn recover(&mut self, entry: &Entry, error: &Error) {
         match error {
-            // The next read notices by itself.
+            // The next read detects the new era and starts again.
             Error::RolledBack => {}
             Error::Expired => {
                 info!(entry.log, "records_expired"; "topic" => self.topic);
@@ -183,7 +188,7 @@
     }
 }
 
-/// Follows the configuration for ever.
+/// Follows the configuration topic; never returns.
 pub async fn catalog(entry: Rc<Entry>) {
     let mut reader = Reader::new(&entry, log::CONFIG_TOPIC);
     let mut called = Millis(0);
@@ -222,7 +227,7 @@
     }
 }
 
-/// Follows the targets for ever.
+/// Follows the targets topic; never returns.
 pub async fn targets(entry: Rc<Entry>) {
     let mut reader = Reader::new(&entry, log::TARGETS_TOPIC);
     loop {
@@ -234,10 +239,12 @@
                 let found = entry.readings.borrow_mut().read(now, reading.end);
                 entry.note_gap(found, now);
                 take(&entry, &reading, now);
-                // What was back by then has been read.
+                // Targets that renewed their records before the read began are
+                // among the records just read.
                 let gone = entry.fleet.borrow_mut().tick(begun);
                 note_gone(&entry, &gone);
-                // The others need not read.
+                // The digest shows that this entry has just read the topic, so
+                // that other entries don't.
                 entry.rumour.notify_one();
             }
             Err(error) => {
@@ -250,8 +257,8 @@
     }
 }
 
-/// Waits until nobody is known to have read the targets for too long, or until
-/// a target counts as gone unless it is back.
+/// Waits until the latest read of the targets by any entry is too old, or
+/// until a target's lease ends unless it is renewed.
 async fn wait_for_turn(entry: &Rc<Entry>) {
     let period = Millis(entry.settings().drain_ms.0 * READ_PERCENT / 100);
     let patience = jittered(period);
@@ -270,7 +277,8 @@
     }
 }
 
-/// Takes announcements in; all of them withdraw those that are missing.
+/// Applies target records that were read from the log. Targets that are
+/// missing from a full read count as withdrawn.
 fn take(entry: &Entry, reading: &Reading, now: Millis) {
     let records = &reading.records;
     let news = records
@@ -283,8 +291,8 @@
     }
     entry.note_read(log::TARGETS_TOPIC, records.len(), news);
     if reading.scope == Scope::First {
-        // Others told of the targets known so far, and the log may have come
-        // back from a copy that lacks them.
+        // Other entries announced the targets known so far, and the log may be
+        // an older copy that lacks them.
         entry.fleet.borrow_mut().regained(now);
     }
     let listed: HashMap<&str, Start> =
@@ -294,8 +302,8 @@
     note_gone(entry, &gone);
 }
 
-/// Which start of a target a record is of. One of another writer may hide a
-/// target, and counts as its newest.
+/// The start of the target that a record announces. A malformed record may
+/// hide a target, and counts as the target's newest start.
 fn start(record: &Record) -> Option<(&str, Start)> {
     let raw = record.value.as_ref()?;
     let start = target::decode(&record.key, raw).map(|it| it.start);
@@ -308,7 +316,8 @@
     }
 }
 
-/// Takes one announcement or withdrawal in, and says what it changed.
+/// Applies one announcement or withdrawal of a target and returns the
+/// resulting change.
 pub fn announce(
     entry: &Entry,
     record: &Record,
@@ -327,8 +336,8 @@
                 }
                 change
             }
-            // Another writer's entry names no target, and changes nothing of
-            // one that has that name.
+            // A malformed record describes no target, and leaves a known
+            // target of the same name as it is.
             Err(error) => {
                 entry.refuse_target(&record.key, &error);
                 return Change::None;
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -1,13 +1,14 @@
-//! Targets that name how many requests a second they take from all entries.
+//! Enforces rate limits that targets set for the sum of all entries.
 //!
-//! What is decided stands in [`cowsliproad_admission::limit`]; here is who
-//! tells and asks whom. What a target says is told to the other entries at
-//! once and then by digests. A request that is to go to such a target first
-//! gets a permit: from this entry, if it keeps the target's pace, else by one
-//! datagram there and one back. An entry that is asked and knows of a better
-//! owner passes the question on, so that entries that know different ones of
-//! the others still keep one pace; one that gets no answer from the owner
-//! takes its place, and begins anew.
+//! The limiter itself is in [`cowsliproad_admission::limit`]; this module
+//! exchanges limits and permits between entries. A limit that a target states
+//! is broadcast to the other entries at once and then in digests. A request to
+//! such a target first acquires a permit: from this entry, if it owns the
+//! target's limiter, otherwise by one datagram to the owner and one back. An
+//! entry that gets a permit request but knows a better owner forwards the
+//! request, so that entries with different views of the peers share one
+//! limiter. An entry that gets no answer from the owner substitutes for the
+//! owner, with a new limiter.
 
 use std::{cell::RefCell, collections::HashMap, fmt, net::SocketAddr, rc::Rc};
 
@@ -38,58 +39,59 @@
     entry::{Choice, Endpoint, Entry, Recovery, Source},
 };
 
-/// How often a question for a permit may be passed on: to the entry that is
-/// taken for the owner, and from there to the one that it takes for it.
+/// How often a permit request may be forwarded: to the supposed owner, and
+/// from there to the owner that it knows.
 const RELAYS: u8 = 2;
 
-/// The time for an answer from an entry that asks nobody else.
+/// The timeout for a reply to a permit request that isn't forwarded.
 const REPLY_TIMEOUT: Millis = Millis(120);
 
-/// How long a request that can go elsewhere waits for its answer.
+/// The timeout for a reply if the caller's request can go to another target.
 const SHORT_REPLY_TIMEOUT: Millis = Millis(40);
 
-/// How long an entry that didn't answer is passed over.
+/// How long an entry that didn't reply is passed over as owner.
 const MUTE_TTL: Millis = Millis(2_000);
 
-/// Entries that are asked for one permit. Each may be gone.
+/// Entries that are asked for the same permit. Each may be gone.
 const MAX_ASKED: usize = 2;
 
-/// When a permit is asked for again if nobody knows when one is free.
+/// When a permit is requested again if no entry knows when one is free.
 const RETRY_BACKOFF: Millis = Millis(250);
 
-/// How long a permit is held for its request to get a connection.
+/// How long a permit stays valid while its request gets a connection.
 const PERMIT_TTL: Millis = Millis(400);
 
-/// How long a limit that has changed, or is over, is told with each digest.
+/// How long a limit that has changed or was removed is part of each digest.
 const BROADCAST_TTL: Millis = Millis(8_000);
 
-/// How long what is told of an unknown target is kept: it is announced by
+/// How long a limit of an unknown target is kept: the target is announced by
 /// then.
 const UNKNOWN_TTL: Millis = Millis(10_000);
 
-/// Limits that others are told of at a time, some 40 bytes each.
+/// Limits in one digest, some 40 bytes each.
 const MAX_UPDATES: usize = 256;
 
-/// Changes of limits are told at once no more often than this, however often
-/// targets change them.
+/// The least time between immediate broadcasts of changed limits, however
+/// often targets change them.
 const MIN_BROADCAST_INTERVAL: Millis = Millis(100);
 
-/// How much others are told of limits and of suspended work.
+/// Which limits and suspended work a digest holds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Update {
-    /// What has changed lately.
+    /// Only recent changes.
     Changed,
-    /// All of it.
+    /// All limits and all suspended work.
     All,
 }
 
-/// The pace of requests to targets, and questions that are open.
+/// Rate limiters of targets, and permit requests to other entries that await a
+/// reply.
 #[derive(Default)]
 pub struct Limits {
     socket: Option<Rc<UdpSocket>>,
     limiters: HashMap<Name, (Start, limit::Limiter)>,
     open: HashMap<u64, oneshot::Sender<PermitReply>>,
-    /// Limits of targets that are not known yet, and when they were heard.
+    /// Limits of targets that are not known yet, and when they arrived.
     early: HashMap<Name, (RateLimit, Millis)>,
     told: Millis,
 }
@@ -105,12 +107,12 @@
 }
 
 impl Limits {
-    /// Asks and answers through a socket from now on.
+    /// Sets the socket for permit requests and replies.
     pub fn speak(&mut self, socket: Rc<UdpSocket>) {
         self.socket = Some(socket);
     }
 
-    /// Keeps what was told of a target that isn't known yet.
+    /// Keeps the limit of a target that isn't known yet.
     fn keep_early(&mut self, limit: &RateLimit, now: Millis) {
         if self.early.len() >= MAX_UPDATES {
             self.early.retain(|_, it| now.since(it.1) < UNKNOWN_TTL);
@@ -120,26 +122,28 @@
         }
     }
 
-    /// Forgets the pace of a target that left.
+    /// Removes the limiter of a target that left.
     pub fn forget(&mut self, target: &str) {
         self.limiters.remove(target);
     }
 }
 
 impl Choice {
-    /// Whether a request may be sent there now.
+    /// Whether a request may be sent to the chosen target now: the target has
+    /// no limit, or the request holds a valid permit.
     pub fn may_send(&self, now: Millis) -> bool {
         let rate = self.endpoint.borrow().limit.rate();
         let Some(rate) = rate else { return true };
         self.permit.is_some_and(|it| it.is_valid(rate, now))
     }
 
-    /// Gives back the permit of a request that wasn't sent.
+    /// Returns the permit of a request that wasn't sent.
     pub fn give_back(&self) {
         self.endpoint.borrow_mut().permits.extend(self.permit);
     }
 
-    /// Notes that a request got no answer there.
+    /// Records a failed attempt at the chosen target: returns an unused
+    /// permit, restarts an unused probe, and counts the failure.
     pub fn on_attempt_failed(&self, entry: &Entry, error: &AttemptError) {
         if matches!(error, AttemptError::Unsent(_) | AttemptError::Withheld(_))
         {
@@ -150,7 +154,8 @@
             }
         }
         let now = Millis::now();
-        // A target that says when it takes requests again needs no guess.
+        // A refusal with a cooldown already keeps requests away from the
+        // target.
         let is_failure = match error {
             AttemptError::Withheld(_) => false,
             AttemptError::Refused(_) => {
@@ -167,7 +172,8 @@
 }
 
 impl Endpoint {
-    /// A permit that came too late for the request that asked for it.
+    /// Whether there is a spare permit, granted too late for the request that
+    /// asked for it.
     pub fn has_permit(&self, rate: Rate, now: Millis) -> bool {
         self.permits.iter().any(|it| it.is_valid(rate, now))
     }
@@ -179,8 +185,9 @@
     }
 }
 
-/// Gets a permit at the target that was chosen, if it names a limit. One that
-/// is free within `patience` is waited for.
+/// Acquires a permit for the chosen target, if the target has a rate limit;
+/// returns whether the request may be sent. Waits for a permit that becomes
+/// valid within `patience`.
 pub async fn permit(
     entry: &Rc<Entry>,
     choice: &mut Choice,
@@ -216,8 +223,8 @@
     true
 }
 
-/// A permit whose time has not come. If its request is gone by then another
-/// one may have it.
+/// A permit that isn't valid yet. If its request is dropped before, another
+/// request may use the permit.
 struct Held {
     endpoint: Rc<RefCell<Endpoint>>,
     permit: Option<Permit>,
@@ -229,7 +236,8 @@
     }
 }
 
-/// Asks for a permit, and keeps one that comes too late for the next request.
+/// Requests a permit, and keeps it for the next request if the asking one no
+/// longer waits.
 async fn get(
     entry: Rc<Entry>,
     choice: Choice,
@@ -256,7 +264,7 @@
         }
         PermitDecision::Later(after) => {
             endpoint.full_until = now + after;
-            // Whoever asked may have gone elsewhere.
+            // The asking request may have gone to another target.
             let _ = given.send(None);
         }
     }
@@ -265,7 +273,8 @@
         "verdict" => ?verdict, "patience" => patience.0);
 }
 
-/// Decides on a permit, here or where the target's pace is kept.
+/// Grants or refuses a permit, here or at the entry that owns the target's
+/// limiter.
 async fn decide(
     entry: &Rc<Entry>,
     target: &Target,
@@ -277,7 +286,7 @@
         let zone = entry.settings().zone.clone();
         let owner = entry.peers.borrow().owner(target, &zone, now);
         let other = match owner {
-            // Whoever asked waits for one question more, not for two.
+            // The asking entry waits for one forwarded request, not for two.
             Owner::Other(_) if asked > 0 && relays < RELAYS => break,
             Owner::Other(other) if relays > 0 => other,
             _ => return entry.give(target, owner, patience, now),
@@ -296,7 +305,7 @@
     PermitDecision::Later(RETRY_BACKOFF)
 }
 
-/// Asks another entry for a permit.
+/// Requests a permit from another entry; None without a reply in time.
 async fn ask(
     entry: &Entry,
     other: SocketAddr,
@@ -321,7 +330,7 @@
     reply.ok()?.ok()
 }
 
-/// Answers another entry's question.
+/// Answers another entry's permit request.
 pub fn answer(entry: &Rc<Entry>, ask: PermitRequest, from: SocketAddr) {
     entry.hear_limit(&ask.limit, Millis::now());
     let entry = entry.clone();
@@ -336,7 +345,7 @@
                     decide(&entry, &target, ask.max_wait, relays).await;
                 (verdict, entry.current_limit(&target, Millis::now()))
             }
-            // Its announcement has not come here yet.
+            // The target's announcement has not arrived here yet.
             None => (PermitDecision::Later(RETRY_BACKOFF), ask.limit),
         };
         let (given, after) = match verdict {
@@ -354,7 +363,7 @@
 }
 
 impl Entry {
-    /// Takes in what a target says of its limit with an answer.
+    /// Applies the rate limit in the headers of a target's answer.
     pub fn note_limit(
         &self,
         choice: &Choice,
@@ -375,7 +384,7 @@
         self.limit_changed(&choice.target.id, news.change, Source::Own);
     }
 
-    /// Takes in what another entry tells of limits.
+    /// Merges the rate limits in another entry's digest.
     pub fn hear_limits(&self, limits: &[RateLimit], now: Millis) {
         for limit in limits {
             self.hear_limit(limit, now);
@@ -398,7 +407,7 @@
         self.limit_changed(&limit.target, change, Source::Peer);
     }
 
-    /// Takes in what was told of a target before it was known here.
+    /// Applies a limit that arrived before its target was known here.
     pub fn recall_limit(&self, target: &str, now: Millis) {
         let early = self.limits.borrow_mut().early.remove(target);
         if let Some((limit, heard)) = early {
@@ -429,7 +438,8 @@
         if change == LimitChange::Loosened {
             self.tell_news();
         }
-        // Others hand it on too: there may be more entries than one tells.
+        // Every entry broadcasts the change: there may be more entries than
+        // one digest reaches.
         let now = Millis::now();
         let mut limits = self.limits.borrow_mut();
         if now.since(limits.told) >= MIN_BROADCAST_INTERVAL {
@@ -438,7 +448,7 @@
         }
     }
 
-    /// What others are told of limits.
+    /// The limits to include in a digest.
     pub fn limit_updates(&self, which: Update, now: Millis) -> Vec<RateLimit> {
         let fleet = self.fleet.borrow();
         let told = |target: &Target| {
@@ -455,7 +465,7 @@
         fleet.ready().filter_map(told).take(MAX_UPDATES).collect()
     }
 
-    /// Targets that name a limit.
+    /// The number of targets with a rate limit.
     pub fn limits_known(&self) -> usize {
         let fleet = self.fleet.borrow();
         let limited = |target: &&Target| {
@@ -465,14 +475,14 @@
         fleet.ready().filter(limited).count()
     }
 
-    /// What is known of a target's limit.
+    /// The known limit of a target, or an unlimited rate of the greatest age.
     fn current_limit(&self, target: &Target, now: Millis) -> RateLimit {
         let report = self.endpoint(&target.id).borrow().limit.report(now);
         let never = LimitReport { rate: None, age: Millis(u64::MAX) };
         limit_of(target, report.unwrap_or(never))
     }
 
-    /// Decides on a permit as the one that keeps the target's pace.
+    /// Grants or refuses a permit as the owner of the target's limiter.
     fn give(
         &self,
         target: &Target,
@@ -496,12 +506,12 @@
         kept.1.acquire(rate, share, patience, now)
     }
 
-    /// Takes in the answer to a question.
+    /// Passes a permit reply to the task that awaits it.
     pub fn hear_reply(&self, reply: PermitReply) {
         self.hear_limit(&reply.limit, Millis::now());
         let open = self.limits.borrow_mut().open.remove(&reply.request_id);
         if let Some(open) = open {
-            // Whoever asked may have stopped waiting just now.
+            // The asking task may have stopped waiting just now.
             let _ = open.send(reply);
         }
     }
--- a/cowsliproad-direct/src/measure.rs
+++ b/cowsliproad-direct/src/measure.rs
@@ -1,4 +1,4 @@
-//! The entry's counters and histograms.
+//! Metrics of the entry process.
 
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_net::metrics::Metrics;
@@ -7,7 +7,8 @@
     metrics::{Counter, Gauge, Histogram},
 };
 
-/// Counters and histograms, and the text that shows them.
+/// The counters, gauges and histograms of an entry process, and their text
+/// output.
 #[derive(Clone, Debug)]
 pub struct Measure {
     metrics: Metrics,
@@ -28,7 +29,7 @@
 }
 
 impl Measure {
-    /// Nothing measured yet.
+    /// Creates all metrics at zero.
     pub fn new() -> Measure {
         let metrics = Metrics::new();
         let meter = metrics.meter();
@@ -51,72 +52,73 @@
         }
     }
 
-    /// Notes an answer's status and the time to its first byte.
+    /// Records an answer's status and the time to its first byte.
     pub fn answered(&self, status: u16, took: Millis) {
         let status = KeyValue::new("status", i64::from(status));
         self.answers.add(1, std::slice::from_ref(&status));
         self.first_byte.record(took.0, &[status]);
     }
 
-    /// Notes the time to the end of an answer.
+    /// Records the time until an answer was complete.
     pub fn ended(&self, took: Millis) {
         self.whole.record(took.0, &[]);
     }
 
-    /// Notes how a try at a target ended.
+    /// Records the outcome of an attempt at a target.
     pub fn tried(&self, outcome: &'static str) {
         self.tries.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Notes what became of requests under which a target may have ended.
+    /// Records the outcome of suspicions that a target crashed under requests.
     pub fn suspected(&self, requests: usize, outcome: &'static str) {
         let outcome = KeyValue::new("outcome", outcome);
         self.suspicions.add(requests as u64, &[outcome]);
     }
 
-    /// Notes work that is refused, a request of it that was, or work that is
-    /// refused no longer.
+    /// Records a quarantine event: work was refused, suspended or freed, or a
+    /// request for refused work was rejected.
     pub fn quarantined(&self, outcome: &'static str) {
         self.quarantined.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Notes what came of asking for a place at a target that names a limit.
+    /// Records the outcome of a permit request at a rate-limited target.
     pub fn limited(&self, outcome: &'static str) {
         self.limited.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Notes how many targets name a limit.
+    /// Sets the number of targets that state a rate limit.
     pub fn knows_limits(&self, targets: usize) {
         self.limits.record(targets as u64, &[]);
     }
 
-    /// Notes that a target asked to be left alone, or for longer.
+    /// Records that a target requested a cooldown, or a longer one.
     pub fn cooled_down(&self) {
         self.cooldowns.add(1, &[]);
     }
 
-    /// Notes how many targets are left alone.
+    /// Sets the number of targets in a cooldown.
     pub fn knows_cooling(&self, targets: usize) {
         self.cooling.record(targets as u64, &[]);
     }
 
-    /// Notes that the platform's log came back from an older copy.
+    /// Records a rollback of the platform's log to an older copy.
     pub fn rolled_back(&self) {
         self.rollbacks.add(1, &[]);
     }
 
-    /// Notes how long it took until all of that log was read again.
+    /// Records the time from a rollback until all topics of the log were read
+    /// again.
     pub fn caught_up(&self, took: Millis) {
         self.caught_up.record(took.0, &[]);
     }
 
-    /// Notes how many other entries and targets it knows.
+    /// Sets the numbers of known other entries and of usable targets.
     pub fn knows(&self, peers: usize, targets: usize) {
         self.peers.record(peers as u64, &[]);
         self.targets.record(targets as u64, &[]);
     }
 
-    /// All of it as text.
+    /// Renders all metrics as text.
     pub fn text(&self) -> String {
         self.metrics.text()
     }
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -1,10 +1,12 @@
-//! What entries tell one another, and what they hear.
+//! Gossip between entry processes.
 //!
-//! Each entry sends a short digest to the others twice a second, and at once
-//! when something changed: the version of its configuration and the targets
-//! that it saw leave. One that the platform's log turns away so learns of a
-//! new version, fetches it from whoever has it, and stops using a target in
-//! time. Entries meet through seeds and then through one another.
+//! Each entry sends a short digest to other entries twice a second, and at
+//! once after a change: the version of its configuration, the targets that it
+//! saw leave, rate limits and crash-inducing requests. An entry whose reads
+//! the platform's log refuses so learns that there is a new configuration,
+//! fetches it from the entry that has it, and stops using a target in time.
+//! Entries find one another through the seeds in their settings, then through
+//! the addresses in digests.
 
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc};
 
@@ -37,44 +39,46 @@
 
 pub use self::state::state;
 
-/// How often other entries are told. Two digests may be lost before an entry
-/// that the log turns away misses a change for longer than its bound.
+/// The interval between digests. Two digests may be lost before an entry that
+/// can't read the log misses a change for longer than it may.
 const BROADCAST_INTERVAL: Millis = Millis(500);
 
-/// Every so many digests the agents are asked to report, and at once when
-/// there are new ones: after a restart of everything they wait for it.
+/// Agents are asked to report in every round of this number, and at once when
+/// targets joined: after a restart of all processes they wait for the request.
 const ASK_EVERY: u32 = 2;
 
-/// Every so many digests tell all limits and all suspended work, the others
-/// what has changed.
+/// Every digest of this number holds all limits and all suspended work; the
+/// others hold recent changes.
 const RENEW_EVERY: u32 = 8;
 
-/// Entries told at a time. With more of them news travels on by digests.
+/// Recipients of one digest. With more entries, changes spread over several
+/// digests.
 const MAX_RECIPIENTS: usize = 16;
 
-/// Without a word for so long an entry is no longer told to others.
+/// An entry that has sent no digest for this time is forgotten.
 const PEER_TTL: Millis = Millis(12_000);
 
-/// How long the targets that left are told of.
+/// How long the departure of a target is broadcast.
 const DEPARTURE_TTL: Millis = Millis(8_000);
 
-/// How long an entry that starts waits for the word of another one.
+/// How long an entry that starts waits for digests of all seeds.
 const MEETING_TIMEOUT: Millis = Millis(400);
 
-/// How long it waits for a newer configuration that another one told of.
+/// How long an entry that starts waits for a newer configuration that another
+/// entry announced.
 const NEWER_TIMEOUT: Millis = Millis(2_000);
 
-/// The pause after a datagram that could not be received.
+/// The pause after a failed receive.
 const ERROR_BACKOFF: Millis = Millis(120);
 
-/// Other entries.
+/// The other entry processes that are known, and the seeds.
 #[derive(Debug)]
 pub struct Peers {
     own: SocketAddr,
     seeds: Vec<SocketAddr>,
     known: BTreeMap<SocketAddr, Peer>,
-    /// The newest version of the configuration that any of them told of, and
-    /// who did.
+    /// The newest configuration version in any digest, and the entry that sent
+    /// it.
     newest: (u64, SocketAddr),
     fetching: bool,
 }
@@ -84,12 +88,12 @@
     vm: Name,
     zone: Name,
     heard: Millis,
-    /// Until when it is taken for one that doesn't answer.
+    /// Until when the entry counts as unresponsive to permit requests.
     mute_until: Millis,
 }
 
 impl Peers {
-    /// Nobody met yet.
+    /// Creates the state before any digest has arrived.
     pub fn new(settings: &Settings) -> Peers {
         let mut peers = Peers {
             own: settings.peer_address(),
@@ -102,7 +106,7 @@
         peers
     }
 
-    /// Takes new seeds.
+    /// Replaces the seeds; this entry's own address is left out.
     pub fn reseed(&mut self, settings: &Settings) {
         let own = self.own;
         let seeds = settings.seeds.iter();
@@ -110,8 +114,8 @@
         self.seeds = seeds.filter(|it| *it != own).collect();
     }
 
-    /// The number of entries, this one included. Those that can't be reached
-    /// count for a while, since they go on serving.
+    /// The number of entries, including this one. Entries that can't be
+    /// reached count for a while, since they continue to serve.
     pub fn entries(&self) -> usize {
         self.known.len().max(self.seeds.len()) + 1
     }
@@ -125,12 +129,12 @@
             heard: now,
             mute_until: known.map_or(Millis(0), |it| it.mute_until),
         };
-        // A VM that was replaced speaks from another address.
+        // A VM that was replaced has a new address.
         self.known.retain(|at, it| it.vm != peer.vm || *at == digest.address);
         self.known.insert(digest.address, peer).is_none()
     }
 
-    /// The entry that keeps the pace of a target, this one too.
+    /// The entry that owns the rate limiter of a target; it may be this entry.
     pub fn owner(
         &self,
         target: &Target,
@@ -154,16 +158,16 @@
         owner::owner(target, own, others)
     }
 
-    /// Notes that an entry doesn't answer questions.
+    /// Records that an entry doesn't answer permit requests.
     pub fn mute(&mut self, address: SocketAddr, until: Millis) {
         if let Some(peer) = self.known.get_mut(&address) {
             peer.mute_until = until;
         }
     }
 
-    /// The part of all entries that are heard from, this one included. Seeds
-    /// that a new entry hasn't met yet are among them, until it would have
-    /// forgotten them.
+    /// The part of all entries that sent a digest lately, including this one.
+    /// Seeds that a new entry has had no digest from count as entries until
+    /// they would have been forgotten.
     pub fn reached(&self, now: Millis) -> f64 {
         let silence = self.silence();
         let known = self.known.values();
@@ -177,7 +181,7 @@
         (heard.count() + 1) as f64 / all as f64
     }
 
-    /// Whether all seeds were met.
+    /// Whether a digest from each seed has arrived.
     fn has_met_seeds(&self) -> bool {
         self.seeds.iter().all(|it| self.known.contains_key(it))
     }
@@ -186,7 +190,7 @@
         owner::silence(self.known.len(), MAX_RECIPIENTS)
     }
 
-    /// Notes entries that others speak of.
+    /// Returns the addresses in another entry's digest that are not known yet.
     fn introduce(&mut self, peers: &[SocketAddr]) -> Vec<SocketAddr> {
         let new = |it: &&SocketAddr| {
             **it != self.own && !self.known.contains_key(*it)
@@ -204,7 +208,8 @@
     }
 }
 
-/// Tells other entries and asks agents, for ever.
+/// Broadcasts digests to other entries and asks agents to report; never
+/// returns.
 pub async fn tell(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
     let mut round = 0;
     let mut asked = 0;
@@ -222,7 +227,7 @@
         let known = entry.peers.borrow().known.len();
         entry.measure.knows(known, entry.fleet.borrow().ready().count());
         entry.measure.knows_limits(entry.limits_known());
-        // Some requests count cooldowns as longer.
+        // Some requests count cooldowns as longer than they are.
         let over = now - MAX_STAGGER - PROBE_PERIOD;
         entry.cooldowns.borrow_mut().sweep(over);
         entry.measure.knows_cooling(entry.cooldowns.borrow().active(now));
@@ -279,12 +284,13 @@
     }
 }
 
-/// Takes datagrams for ever.
+/// Receives datagrams and dispatches them by type; never returns.
 pub async fn listen(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; gossip::MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
-            // An unreachable peer shows here; the next datagram may be good.
+            // An unreachable peer causes errors here; the next datagram may be
+            // good.
             sleep(ERROR_BACKOFF.duration()).await;
             continue;
         };
@@ -337,7 +343,7 @@
         info!(entry.log, "peer_met"; "peer" => &*heard.vm,
             "address" => %heard.address);
     }
-    // One that starts waits for it.
+    // An entry that starts waits for this digest.
     let starts = heard.config_version == 0 && entry.version() > 0;
     if is_new || starts {
         let own =
@@ -359,10 +365,10 @@
     }
 }
 
-/// Waits, in an entry that starts, until all others that it was told of have
-/// said which version of the configuration they use, or as long as those that
-/// run need for that, and until it has the newest of these: the log may have
-/// come back from an older copy, and some others may be as far behind.
+/// Waits, at startup, for digests of all seeds and then for the newest
+/// configuration that any digest announces; each wait has a timeout. The log
+/// may have been rolled back to an older copy, and some other entries may be
+/// as far behind.
 pub async fn meet(entry: &Entry, version: u64) {
     let has_heard_all = hear_all(entry).await;
     let has_newest =
@@ -374,13 +380,14 @@
     }
 }
 
-/// Waits until all others that an entry was told of have spoken, or as long as
-/// those that run need for that. Returns whether they have.
+/// Waits until a digest from each seed has arrived, or for the time that a
+/// running entry needs to send one. Returns whether all arrived.
 async fn hear_all(entry: &Entry) -> bool {
     hear_until(entry, MEETING_TIMEOUT, Peers::has_met_seeds).await
 }
 
-/// Waits for others until something holds; returns whether it does in time.
+/// Waits for digests until a condition on the peers holds; returns whether it
+/// holds in time.
 async fn hear_until(
     entry: &Entry,
     time: Millis,
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -1,7 +1,7 @@
-//! What entries and the agents beside model engines tell one another.
+//! Messages between entries and the agents on the VMs of model engines.
 //!
-//! Agents report to whoever asks them to, so a new entry hears from all of
-//! them within a second, and nobody keeps a list.
+//! Agents report to every entry that subscribes, so a new entry gets reports
+//! of all agents within a second, and no process keeps a list of entries.
 
 use std::net::SocketAddr;
 
@@ -20,10 +20,12 @@
 use super::send;
 use crate::entry::{Entry, Group, Source};
 
-/// Steps of a target's pace that are news to requests under way, in percent.
+/// Requests in flight are woken when a target's pace crosses a multiple of
+/// this percentage.
 const NEWS_PERCENT: u32 = 100;
 
-/// Asks all agents to report.
+/// Asks all agents to report, and sends the list of targets to agents that
+/// don't have the current one.
 pub(super) async fn ask_agents(entry: &Entry, socket: &UdpSocket) {
     for whole in subscriptions(entry) {
         let named = Subscribe { targets: Vec::new(), ..whole.clone() };
@@ -38,8 +40,8 @@
     }
 }
 
-/// Tells an agent that has just started of the others: it can do nothing
-/// before it knows them.
+/// Sends the list of targets to an agent that has just started: the agent can
+/// do nothing without the list.
 pub(super) async fn introduce(
     entry: &Entry,
     socket: &UdpSocket,
@@ -57,7 +59,7 @@
     SocketAddr::new(target.ip(), entry.settings().peer_port)
 }
 
-/// What the agents of each service of engines are told.
+/// The subscriptions to send, one for each service of engines.
 fn subscriptions(entry: &Entry) -> Vec<Subscribe> {
     let Some(catalog) = entry.catalog() else { return Vec::new() };
     let fleet = entry.fleet.borrow();
@@ -83,7 +85,7 @@
     }
 }
 
-/// Takes an agent's report in.
+/// Applies an agent's report on its engine.
 pub(super) fn take_load(entry: &Entry, load: &EngineLoad) {
     entry.lists.borrow_mut().insert(load.target, load.list_id);
     let now = Millis::now();
@@ -128,7 +130,7 @@
     }
 }
 
-/// Takes in that an agent finds no process of its engine.
+/// Applies an agent's message that its engine's process is gone.
 pub(super) fn take_lost(entry: &Entry, lost: &EngineExit) {
     let now = Millis::now();
     let Some(target) = target_at(entry, lost.target, lost.start_unix_ms)
@@ -147,8 +149,9 @@
     }
 }
 
-/// The target that listens at an address, of the start that its agent saw.
-/// One that took the place of another is announced before that one lapses.
+/// The target at an address whose start is the one that the agent reported, or
+/// unknown. A target that replaces another at the address is announced before
+/// the old one's lease ends.
 fn target_at(
     entry: &Entry,
     address: SocketAddr,
--- a/cowsliproad-direct/src/peers/state.rs
+++ b/cowsliproad-direct/src/peers/state.rs
@@ -1,5 +1,5 @@
-//! The state that an entry takes from another one: the configuration and the
-//! targets, where the log doesn't bring them in time.
+//! Transfer of the configuration and the targets from another entry, where the
+//! log doesn't bring them in time.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -23,19 +23,21 @@
     follow,
 };
 
-/// What the own reading of the log is given before a peer is asked.
+/// How long this entry waits for its own read of the log before it asks a
+/// peer.
 const OWN_READ_DELAY: Millis = Millis(120);
 
-/// The time for fetching a peer's state.
+/// The timeout for fetching a peer's state.
 const FETCH_TIMEOUT: Millis = Millis(1_000);
 
-/// The largest state that is fetched.
+/// The largest state that is accepted from a peer.
 const MAX_STATE_BYTES: usize = 16 << 20;
 
-/// The path of an entry's state.
+/// The HTTP path that serves an entry's state.
 const STATE_PATH: &str = "/state";
 
-/// What an entry that starts without the log takes from another.
+/// The configuration and the target announcements, as sent to an entry that
+/// can't read the log.
 #[derive(Debug, Deserialize, Serialize)]
 struct State {
     #[serde(with = "serde_bytes")]
@@ -50,7 +52,8 @@
     value: Vec<u8>,
 }
 
-/// Fetches a peer's state if the log doesn't bring it in time.
+/// Fetches a peer's state unless this entry's own read of the log brings it in
+/// time.
 pub(super) async fn catch_up(entry: &Rc<Entry>, heard: &GossipDigest) {
     sleep(OWN_READ_DELAY.duration()).await;
     let knows = entry.version() >= heard.config_version && entry.is_ready();
@@ -95,7 +98,7 @@
         Ok(catalog) => entry.adopt(catalog, raw, Source::Peer),
         Err(error) => warn!(entry.log, "catalog_refused"; "error" => %error),
     }
-    // Own knowledge of the targets goes first, as long as the log tells more.
+    // This entry's own targets are kept while its reads of the log succeed.
     let knows = entry.fleet.borrow().ready().next().is_some();
     if knows && !entry.readings.borrow().needs_peer() {
         return;
@@ -109,7 +112,7 @@
     entry.readings.borrow_mut().merged();
 }
 
-/// The entry's state, for one that starts or is turned away by the log.
+/// Serves this entry's state to an entry that starts or can't read the log.
 pub fn state(
     entry: &Entry,
     request: &Request<Incoming>,
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -1,15 +1,18 @@
-//! The entry's part in refusing requests that crash their targets.
+//! Quarantine of crash-inducing requests, shared between entries.
 //!
-//! What is decided stands in [`cowsliproad_admission::quarantine`]. Here is
-//! who is told: other entries at once and then by digests, so that it works
-//! while the platform's log is away and within a zone that is cut off; and
-//! the log, from the second end on, so that entries that all start anew know
-//! it, and one that the others don't reach. What the log brings is waited
-//! for, which costs two calls a minute.
+//! The rules for suspicion and refusal are in
+//! [`cowsliproad_admission::quarantine`]. This module spreads the crash
+//! records. Other entries get them at once and then in digests, so that the
+//! quarantine works while the platform's log is down and within a partitioned
+//! zone. From the second crash on, records are also written to the log, so
+//! that they survive a restart of all entries and reach an entry that the
+//! others can't reach. The log is read by long polling, which costs two calls
+//! a minute.
 //!
-//! A log that comes back from an older copy has lost some of it. Whoever has
-//! what it lacks writes that again after a random time, first those who wrote
-//! it before; as all read what one of them writes, mostly one does.
+//! A log that is rolled back to an older copy loses some records. Entries that
+//! have a lost record write it again after a random delay, first the entries
+//! that wrote it before. All entries read the rewritten record, so mostly one
+//! entry writes it.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, HashSet},
@@ -37,89 +40,95 @@
     limits::Update,
 };
 
-/// Ends from which on work is written to the log. After the first, one end
-/// more is the price of all entries' starting anew; written from the first
-/// on, each killed target would cost a call for all that it ran.
+/// Crashes of a work digest from which on its record is written to the log.
+/// Without an earlier record, a restart of all entries costs one more crash;
+/// if the first crash were written, each killed target would cost a call for
+/// every request that it ran.
 const WRITTEN_ENDS: usize = 2;
 
-/// How long the log may hold a read: the longest that it allows.
+/// How long the log may hold a long poll: the longest that it allows.
 const POLL_TIMEOUT: Millis = Millis(30_000);
 
-/// The least time between two reads of which the first brought nothing.
+/// The least time between two reads if the first one returned no records.
 const MIN_READ_INTERVAL: Millis = Millis(15_000);
 
-/// When work that the log lost is written again: by whoever wrote it before,
-/// and by others for each entry, so that one mostly goes first.
+/// Delays before a record that the log lost is written again: for the entry
+/// that wrote it, and for the others per entry, so that mostly one entry
+/// writes first.
 const OWN_REWRITE_DELAY: Millis = Millis(300);
 const REWRITE_DELAY_PER_ENTRY: Millis = Millis(50);
 
-/// The longest of the latter.
+/// The longest delay before another entry's lost record is written again.
 const MAX_REWRITE_DELAY: Millis = Millis(10_000);
 
-/// A target that answers so soon after its end did not end: none has started
-/// again by then.
+/// A target that answers within this time after its supposed crash didn't
+/// crash: no target restarts faster.
 const MIN_RESTART_DELAY: Millis = Millis(1_000);
 
-/// Announcements of before an end are read by then.
+/// Announcements from before a crash are read within this time.
 const READ_DELAY: Millis = Millis(3_000);
 
-/// Two announcements that lie further apart are not of one reading.
+/// The least time between two announcements that surely came from different
+/// reads.
 const MIN_RENEWAL_INTERVAL: Millis = Millis(1_000);
 
-/// How often what is over is looked for.
+/// How often expired records are evicted.
 const SWEEP_INTERVAL: Millis = Millis(10_000);
 
-/// Ended targets whose signs of life are looked for, 100 bytes each.
+/// Crashed targets that are watched for signs of life, 100 bytes each.
 const MAX_ENDED: usize = 1_024;
 
-/// What the entry knows and has to do.
+/// This entry's crash ledger, and the records to write to the log.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     ledger: CrashLedger,
-    /// Work of which this entry saw something itself.
+    /// Work with a crash or survival that this entry observed itself.
     own: HashSet<WorkDigest>,
-    /// Work that the log is to be told of, and that it was told of.
+    /// Work whose record has to be written to or deleted from the log, and
+    /// work whose record this entry wrote.
     unwritten: BTreeSet<WorkDigest>,
     written: HashSet<WorkDigest>,
-    /// Work that the log lost, and when it is to be told again.
+    /// Work whose record the log lost, and when to write it again.
     lost: BTreeMap<WorkDigest, Millis>,
-    /// Ends that are held against work, whose targets may yet show life.
+    /// Crashes counted against work, whose targets may yet show signs of life.
     ended: HashMap<CrashId, Ended>,
-    /// Wakes the task that writes.
+    /// Wakes the task that writes records to the log.
     due: Rc<Notify>,
     swept: Millis,
 }
 
-/// A target that was taken for ended.
+/// A supposed crash of a target.
 #[derive(Clone, Copy, Debug)]
 struct Ended {
-    /// When it was first heard of.
+    /// When the crash was first reported or observed.
     at: Millis,
-    /// An announcement that was read after the end, and when.
+    /// Sequence number and read time of the target's first announcement that
+    /// was read long enough after the crash.
     announced: Option<(u64, Millis)>,
 }
 
-/// What stops working with a target.
+/// How much of a group stops working when a target crashes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Extent {
-    /// It alone.
+    /// Only the target stops.
     Target,
-    /// The group that goes in lock-step with it.
+    /// The whole group stops, since its ranks run in lock-step.
     Group,
 }
 
-/// What the log keeps of a piece of work.
+/// The log's record of a crash-inducing request.
 #[derive(Debug, Deserialize, Serialize)]
 struct Kept {
     #[serde(rename = "s")]
     suspect: Suspect,
-    /// When it was written, as a Unix millisecond.
+    /// When the record was written, as a Unix time in milliseconds.
     #[serde(rename = "t")]
     at: u64,
 }
 
 impl Quarantine {
-    /// Whether work may run now. Work that is refused counts as seen.
+    /// Returns whether work may run now, and records the arrival of refused
+    /// work.
     pub fn admit(
         &mut self,
         work: WorkDigest,
@@ -132,12 +141,12 @@
         verdict
     }
 
-    /// Whether work is refused.
+    /// Whether work is refused now.
     pub fn refuses(&self, work: WorkDigest, now: Millis) -> bool {
         self.ledger.verdict(work, now) != QuarantineVerdict::Allowed
     }
 
-    /// What other entries are told.
+    /// Suspects and retracted crashes to send to other entries.
     pub fn updates(
         &self,
         update: Update,
@@ -158,7 +167,7 @@
         }
     }
 
-    /// Forgets what is over, and has the log forget it.
+    /// Evicts expired records, and deletes them from the log.
     pub fn sweep(&mut self, now: Millis) {
         if now.since(self.swept) < SWEEP_INTERVAL {
             return;
@@ -177,7 +186,8 @@
         self.ended.retain(|end, _| ledger.counts_crash(*end));
     }
 
-    /// Work that the log is to be told of now, or when there is some.
+    /// The work whose record is to be written now; otherwise the time of the
+    /// next write, if one is scheduled.
     fn due(&mut self, now: Millis) -> Result<WorkDigest, Option<Millis>> {
         let next = self.lost.iter().min_by_key(|it| it.1);
         let next = next.map(|it| (*it.0, *it.1));
@@ -191,7 +201,7 @@
         first.ok_or(next.map(|it| it.1))
     }
 
-    /// Notes that the log keeps so much of a piece of work.
+    /// Cancels the rewrite of a lost record that the log holds again.
     fn note_kept(&mut self, kept: &Suspect, now: Millis) {
         let work = WorkDigest(kept.work_digest);
         if let Some(own) = self.ledger.suspect(work, now)
@@ -208,7 +218,7 @@
         }
     }
 
-    /// What is known of the end of a target, if it is held against work.
+    /// The watched crash of this start of a target, if there is one.
     fn end_of(&mut self, target: &Target) -> Option<(CrashId, &mut Ended)> {
         if self.ended.is_empty() {
             return None;
@@ -219,8 +229,8 @@
 }
 
 impl Entry {
-    /// Notes that a target ended under work, and with it a whole group or the
-    /// target alone.
+    /// Records that a target, alone or with its whole group, crashed under
+    /// work.
     pub fn note_ended(
         &self,
         target: &Target,
@@ -242,20 +252,21 @@
         self.judged(work, suspended, Source::Own);
     }
 
-    /// Notes that a target outlived work.
+    /// Records that a target survived work.
     pub fn note_outlived(&self, work: WorkDigest, now: Millis) {
         let mut quarantine = self.quarantine.borrow_mut();
         let change = quarantine.ledger.record_survival(work, now);
         if change != QuarantineChange::None {
-            // What the log keeps of it is to say so too.
+            // The log's record must state the survival too.
             quarantine.own.insert(work);
         }
         drop(quarantine);
         self.judged(work, change, Source::Own);
     }
 
-    /// Notes that a target answers what was sent to it after its end was heard
-    /// of. Later it may have started again under its name.
+    /// Retracts a target's crash if the target answers a request that was sent
+    /// after the crash was reported. An answer that arrives later may come
+    /// from a new start under the same name.
     pub fn note_answer(&self, target: &Target, sent: Millis, now: Millis) {
         let mut quarantine = self.quarantine.borrow_mut();
         let Some((end, ended)) = quarantine.end_of(target) else { return };
@@ -267,8 +278,8 @@
         }
     }
 
-    /// Notes that an agent reads the report of its engine's start. Where the
-    /// start isn't told it may be one that came after the target.
+    /// Retracts a target's crash if the target's agent still reads reports of
+    /// the same start. An unstated start may be a later one.
     pub fn note_report(&self, target: &Target, start: Start, now: Millis) {
         if start != target.start || start == Start::default() {
             return;
@@ -282,7 +293,8 @@
         }
     }
 
-    /// Notes that a target renews its announcement.
+    /// Retracts a target's crash if the target renews its announcement in a
+    /// later read.
     pub fn note_announcement(&self, target: &Target, now: Millis) {
         let mut quarantine = self.quarantine.borrow_mut();
         let Some((end, ended)) = quarantine.end_of(target) else { return };
@@ -297,7 +309,7 @@
         }
     }
 
-    /// Notes that what was taken for the end of a target was none.
+    /// Retracts a supposed crash whose target is alive.
     fn note_lives(&self, end: CrashId, now: Millis, source: Source) {
         let mut quarantine = self.quarantine.borrow_mut();
         if quarantine.ledger.is_retracted(end) {
@@ -319,7 +331,7 @@
         }
     }
 
-    /// Takes in what another entry tells of work that ends targets.
+    /// Merges suspects and retracted crashes of another entry's digest.
     pub fn hear_suspects(
         &self,
         suspects: &Suspects,
@@ -354,7 +366,8 @@
         change
     }
 
-    /// Does what follows when something is learnt of a piece of work.
+    /// Logs, counts and broadcasts a change of a work digest's verdict, and
+    /// wakes waiting requests.
     fn judged(
         &self,
         work: WorkDigest,
@@ -372,7 +385,7 @@
                 info!(self.log, "work_refused"; "work" => %work,
                     "ends" => ends, "source" => ?source);
                 self.measure.quarantined("refused");
-                // Requests that wait with it are answered now.
+                // Waiting requests for this work are rejected now.
                 self.tell_news();
             }
             QuarantineChange::Suspended => {
@@ -397,7 +410,7 @@
     }
 }
 
-/// Follows what the log keeps, for ever.
+/// Follows the quarantine topic of the log; never returns.
 pub async fn follow(entry: Rc<Entry>) {
     let mut reader = Reader::new(&entry, log::QUARANTINE_TOPIC);
     loop {
@@ -418,7 +431,8 @@
             entry.note_read(log::QUARANTINE_TOPIC, records, new);
             note_lost(&entry, &kept);
         } else if reading.records.is_empty() {
-            // A log that doesn't hold reads is not asked all the time.
+            // A log that returns from long polls at once is not read
+            // continuously.
             let rest = (called + MIN_READ_INTERVAL).since(Millis::now());
             let era = entry.rollbacks.era();
             let over = entry.rollbacks.after(era);
@@ -427,8 +441,8 @@
     }
 }
 
-/// What a record of the log keeps, if it keeps anything. Work that was
-/// forgotten elsewhere is forgotten here in its own time.
+/// Decodes a record of the quarantine topic; None for a deleted or malformed
+/// one. Records deleted by another entry expire here in their own time.
 fn decode(entry: &Entry, record: &Record) -> Option<Kept> {
     let kept = gossip::decode::<Kept>(record.value.as_ref()?);
     if kept.is_none() {
@@ -438,13 +452,14 @@
     kept
 }
 
-/// Takes in what the log keeps, and says whether it told something new.
+/// Merges a record of the log, and returns whether it changed the ledger.
 fn take(entry: &Entry, kept: &Kept) -> bool {
     let now = Millis::now();
     let age = Millis(unix_now()).since(Millis(kept.at));
     let mut suspect = kept.suspect.clone();
     match &mut suspect.rejected_for {
-        // It may have come since, which is not written each time.
+        // The work may have arrived since; arrivals are not written to the log
+        // each time.
         Some(refused) => {
             *refused = *refused + age;
             suspect.since_last_seen = Millis(0);
@@ -456,14 +471,14 @@
     let mut quarantine = entry.quarantine.borrow_mut();
     quarantine.note_kept(&suspect, now);
     if quarantine.ledger.suspect(work, now).is_none() {
-        // It is over, and whoever wrote it may be gone.
+        // The record has expired, and the entry that wrote it may be gone.
         quarantine.unwritten.insert(work);
         quarantine.due.notify_one();
     }
     change != QuarantineChange::None
 }
 
-/// Finds the work that the log should keep and lost.
+/// Schedules the rewrite of records that the log should hold and lost.
 fn note_lost(entry: &Entry, kept: &[Kept]) {
     let now = Millis::now();
     let kept = kept.iter().map(|it| (it.suspect.work_digest, &it.suspect));
@@ -492,7 +507,8 @@
     }
 }
 
-/// Whether what the log keeps of a piece of work says all that is known.
+/// Whether the log's record of work includes everything in this entry's
+/// ledger.
 fn covers(kept: &Suspect, own: &Suspect) -> bool {
     let tells = |it: &u64| {
         kept.crashes.contains(it) || kept.excused_crashes.contains(it)
@@ -506,7 +522,7 @@
         && kept.rejected_for.is_some() >= own.rejected_for.is_some()
 }
 
-/// Writes to the log what it has to keep, for ever.
+/// Writes and deletes records of the quarantine topic; never returns.
 pub async fn write(entry: Rc<Entry>) {
     let mut client = Client::new(entry.settings().log);
     let mut contact = Contact::new(log::QUARANTINE_TOPIC);
@@ -549,17 +565,18 @@
     }
 }
 
-/// What the log is to keep of work; nothing if it is to forget it.
+/// The encoded record of work for the log; empty to delete the record.
 fn value_of(entry: &Entry, work: WorkDigest) -> Vec<u8> {
     let suspect =
         entry.quarantine.borrow().ledger.suspect(work, Millis::now());
-    // A suspension is over before others read it again.
+    // A suspension ends before other entries read the record.
     let suspect = suspect.map(|it| Suspect { suspended_for: None, ..it });
     let kept = suspect.map(|suspect| Kept { suspect, at: unix_now() });
     kept.map(|it| gossip::encode(&it)).unwrap_or_default()
 }
 
-/// The time of day, for records that outlive this process.
+/// The Unix time in milliseconds, for records that are kept beyond this
+/// process's lifetime.
 fn unix_now() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |it| it.as_millis() as u64)
--- a/cowsliproad-direct/src/rollback.rs
+++ b/cowsliproad-direct/src/rollback.rs
@@ -1,23 +1,23 @@
-//! What an entry does when the platform's log comes back from an older copy.
+//! Handles rollbacks of the platform's log to an older copy.
 //!
-//! The newest records are gone then, and offsets that were read are given out
-//! again. The log raises its era, which each answer states, so whoever calls
-//! it notices, and entries tell one another.
+//! After a rollback the newest records are gone, and offsets that were read
+//! are assigned again. The log raises its era, which each answer states, so
+//! every client notices, and entries pass the era on in their digests.
 //!
-//! * Nothing that is believed is forgotten, and no older record replaces a
-//!   newer one: a configuration counts by its version, an announcement of a
-//!   target by its start and its sequence, and quarantined work by all that is
-//!   known of it, never by when it is read.
-//! * The newest record of every key is read again, since what was written
-//!   since may lie where this entry has read before.
-//! * Targets that the copy lacks stay in use for as long as a living one may
-//!   take to write its entry again. The copy may list others that left, so
-//!   other entries are told of those once more.
+//! * No state is dropped, and no older record replaces a newer one: a
+//!   configuration counts by its version, an announcement of a target by its
+//!   start and its sequence, and quarantined work by all that is known about
+//!   it, never by the time of the read.
+//! * The newest record of every key is read again, since records written after
+//!   the rollback may lie at offsets that this entry has read before.
+//! * Targets that the copy lacks stay in use for as long as a living target
+//!   may take to write its record again. The copy may list targets that left,
+//!   so their departures are broadcast to other entries once more.
 //! * Quarantined work that the copy lacks is written again; see
 //!   [`crate::quarantine`].
 //!
-//! All entries notice at once, so each waits for a random time before it
-//! reads.
+//! All entries notice a rollback at once, so each waits for a random time
+//! before it reads.
 
 use std::{
     cell::{Cell, RefCell},
@@ -33,38 +33,43 @@
 
 use crate::entry::{Entry, Source};
 
-/// The time over which all entries read a topic again, for each of them.
+/// The time over which the entries spread their re-reads of a topic, for each
+/// entry.
 const SPREAD_PER_ENTRY: Millis = Millis(10);
 
-/// The longest of it: a new configuration is to be in force in two seconds.
+/// The longest spread of re-reads: a new configuration must be in force within
+/// two seconds.
 const MAX_SPREAD: Millis = Millis(1_000);
 
-/// How long other entries are told of targets that left before.
+/// How long after a rollback the earlier departures of targets are broadcast
+/// again.
 const BROADCAST_TTL: Millis = Millis(8_000);
 
-/// How old the copy may be: targets that left since may be listed in it.
+/// The greatest age of the copy: targets that left since then may be listed in
+/// it.
 const MAX_AGE: Millis = Millis(60_000);
 
-/// What is known of rollbacks.
+/// The log's newest known era and the latest rollback.
 #[derive(Debug)]
 pub struct Rollbacks {
-    /// The newest era that is known of.
+    /// The newest known era of the log.
     era: watch::Sender<Era>,
-    /// Whether anything was read, so that a later era is a rollback.
+    /// Whether anything was read from the log, so that a later era means a
+    /// rollback.
     has_read: Cell<bool>,
     last: RefCell<Option<Rollback>>,
 }
 
 #[derive(Debug)]
 struct Rollback {
-    /// When it was noticed.
+    /// When the rollback was noticed.
     at: Millis,
-    /// What is yet to be read again.
+    /// The topics that have not been read again since the rollback.
     unread: BTreeSet<&'static str>,
 }
 
 impl Rollbacks {
-    /// None met yet.
+    /// Creates the state before any rollback.
     pub fn new() -> Rollbacks {
         Rollbacks {
             era: watch::Sender::new(Era::default()),
@@ -73,20 +78,20 @@
         }
     }
 
-    /// The newest era that is known of.
+    /// The newest known era of the log.
     pub fn era(&self) -> Era {
         *self.era.borrow()
     }
 
-    /// Waits until an era is over.
+    /// Waits until the log is in a newer era than `era`.
     pub async fn after(&self, era: Era) {
         let mut newest = self.era.subscribe();
-        // The sender lives as long as the entry.
+        // The sender exists as long as the entry.
         let _ = newest.wait_for(|it| *it > era).await;
     }
 
-    /// For how long back other entries are told of targets that left, if a
-    /// rollback makes that more than usual.
+    /// How far back departures of targets are broadcast, if a recent rollback
+    /// extends the usual time.
     pub fn departures(&self, now: Millis) -> Option<Millis> {
         let last = self.last.borrow();
         let last = last.as_ref().filter(|it| now.since(it.at) < BROADCAST_TTL);
@@ -101,7 +106,8 @@
 }
 
 impl Entry {
-    /// Takes in which era the log is in.
+    /// Records the log's era; a newer era than before means a rollback once
+    /// anything was read.
     pub fn learn_era(&self, era: Era, source: Source) {
         let before = self.rollbacks.era();
         if era <= before {
@@ -124,15 +130,15 @@
         self.rumour.notify_one();
     }
 
-    /// How long this entry waits before it reads a topic again.
+    /// A random delay before this entry reads a topic again after a rollback.
     pub fn reading_delay(&self) -> Millis {
         let entries = self.peers.borrow().entries() as u64;
         let spread = Millis(SPREAD_PER_ENTRY.0 * entries).min(MAX_SPREAD);
         Millis((spread.0 as f64 * self.draw()) as u64)
     }
 
-    /// Notes that a topic was read whole, and how many of its records told
-    /// something new.
+    /// Records that a topic was read in full after a rollback, and how many of
+    /// its records changed the state.
     pub fn note_read(&self, topic: &'static str, records: usize, new: usize) {
         self.rollbacks.has_read.set(true);
         let mut last = self.rollbacks.last.borrow_mut();
--- a/cowsliproad-direct/src/settings.rs
+++ b/cowsliproad-direct/src/settings.rs
@@ -1,4 +1,4 @@
-//! The entry's settings file.
+//! The settings file of the entry process.
 
 use std::net::SocketAddr;
 
@@ -7,54 +7,55 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// All that an entry is told before it starts.
+/// Settings of an entry process.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The VM's name, for logs and other entries.
+    /// The VM's name, used in logs and sent to other entries.
     pub vm: Name,
-    /// The availability zone.
+    /// The availability zone of this entry's VM.
     pub zone: Name,
-    /// Where callers connect.
+    /// The address where callers connect.
     pub callers: SocketAddr,
-    /// Where readiness and metrics are asked for.
+    /// The address that serves readiness and metrics.
     pub readiness: SocketAddr,
-    /// Entries to ask first. Some may be gone.
+    /// Addresses of other entries to contact at startup. Some may be gone.
     pub seeds: Vec<SocketAddr>,
-    /// The port on which entries and agents reach one another.
+    /// The port for messages between entries and agents, the same on all VMs.
     pub peer_port: u16,
-    /// The platform's log.
+    /// The address of the platform's log.
     pub log: SocketAddr,
-    /// How often a target renews its entry in the log.
+    /// How often a target renews its record in the log.
     pub heartbeat_ms: Millis,
-    /// How soon after a target's leaving nothing new may reach it.
+    /// The time after a target leaves by which new requests must have ceased
+    /// to reach it.
     pub drain_ms: Millis,
-    /// The time from SIGTERM to the process's end by force.
+    /// The time from SIGTERM until the process is killed.
     pub grace_ms: Millis,
-    /// How long a request waits for a target to be usable, where its route
-    /// doesn't say how long callers stay without an event.
+    /// How long a request waits for a usable target, where the route doesn't
+    /// set how long callers wait without an event.
     pub wait_ms: Millis,
-    /// What all entries together may send again.
+    /// The retry budget that all entries share.
     pub retries: Retries,
-    /// How much is logged.
+    /// The minimum level of log messages.
     #[serde(default)]
     pub log_level: Level,
 }
 
-/// The retry budget of a service over all entries.
+/// The retry budget of a service, shared by all entries.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Retries {
-    /// Retries for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Retries beyond that.
+    /// Retries allowed in addition, independent of the number of requests.
     pub slack: f64,
-    /// The span over which both are counted.
+    /// The sliding window over which requests and retries are counted.
     pub span_ms: Millis,
 }
 
 impl Settings {
-    /// Settings to start from.
+    /// Example settings for the help text.
     pub fn example() -> Settings {
         let local = |port| SocketAddr::from(([127, 0, 0, 1], port));
         Settings {
@@ -78,7 +79,8 @@
         }
     }
 
-    /// Whether all that can't change without a restart is alike.
+    /// Whether two settings agree in everything that needs a restart to
+    /// change.
     pub fn same_addresses(&self, other: &Settings) -> bool {
         self.vm == other.vm
             && self.zone == other.zone
@@ -87,7 +89,8 @@
             && self.peer_port == other.peer_port
     }
 
-    /// Where this entry takes datagrams and calls of other entries.
+    /// The address where this entry receives datagrams and calls of other
+    /// entries.
     pub fn peer_address(&self) -> SocketAddr {
         SocketAddr::new(self.callers.ip(), self.peer_port)
     }
@@ -124,11 +127,12 @@
     }
 }
 
-/// Targets are read twice in this time, and a reading may be lost.
+/// Within this time the targets are read twice, and one read may be lost.
 const MIN_DRAIN: Millis = Millis(200);
 
-/// The balancer needs up to three seconds to notice that we aren't ready.
+/// The load balancer needs up to three seconds to notice that this entry isn't
+/// ready.
 const MIN_GRACE: Millis = Millis(4_000);
 
-/// Two steps in which the budget's span slides.
+/// Two steps of the retry budget's sliding window.
 const MIN_SPAN: Millis = Millis(1_000);
--- a/cowsliproad-direct/src/stated.rs
+++ b/cowsliproad-direct/src/stated.rs
@@ -1,8 +1,8 @@
-//! What targets state of themselves in the headers of their answers.
+//! Load, Retry-After and leaving headers that targets send with their answers.
 //!
-//! It concerns the process that answers, whichever request the answer is to.
-//! The answer of another process at a target's address says nothing of the
-//! target and never comes here.
+//! These headers describe the process that answers, whichever request the
+//! answer is to. Answers of another process at a target's address say nothing
+//! about the target and are not passed to this module.
 
 use std::time::SystemTime;
 
@@ -16,7 +16,7 @@
 use crate::entry::{Choice, Entry, Recovery, Source};
 
 impl Entry {
-    /// Takes in what a target states with its answer to a request.
+    /// Applies the load, Retry-After and leaving headers of a target's answer.
     pub fn note_stated(
         &self,
         choice: &Choice,
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Notes that a target takes nothing new, and tells other entries.
+    /// Marks a target as taking no new requests, and broadcasts that to other
+    /// entries.
     pub fn note_left(&self, target: &Target) {
         let (id, start) = (&target.id, target.start);
         let now = Millis::now();
@@ -52,7 +53,7 @@
         self.changed(id, change, Source::Own);
     }
 
-    /// Whether this start of a target takes new requests.
+    /// Whether this start of a target accepts new requests.
     pub fn is_ready_target(&self, target: &Target) -> bool {
         let fleet = self.fleet.borrow();
         fleet.get(&target.id).is_some_and(|it| it.start == target.start)
@@ -98,12 +99,13 @@
             "stated" => ?stated, "wait" => wait.0,
             "left_before" => before.map(|it| it.since(now).0));
         self.measure.cooled_down();
-        // Requests that wait for this target go elsewhere.
+        // Requests that wait for this target now choose another one.
         self.tell_news();
         self.freed.notify_waiters();
     }
 
-    /// Notes an answer that asks for nothing.
+    /// Marks a target as recovered when an answer without Retry-After arrives
+    /// after the cooldown.
     fn note_recovered(&self, choice: &Choice) {
         if choice.endpoint.borrow().recovery == Recovery::Done {
             return;
@@ -114,7 +116,8 @@
         }
     }
 
-    /// When a target takes requests again that asked to be left alone.
+    /// The end of the cooldown that a target requested with Retry-After, if it
+    /// is in one.
     pub fn cooldown_end(
         &self,
         target: &Target,
@@ -123,7 +126,7 @@
         self.cooldowns.borrow().end(target, now)
     }
 
-    /// Waits until a target asks to be left alone.
+    /// Waits until a target is in a cooldown.
     pub async fn until_cooldown(&self, target: &Target) {
         loop {
             let news = self.news.notified();
