--- a/cowsliproad-direct/src/attempt.rs
+++ b/cowsliproad-direct/src/attempt.rs
@@ -32,7 +32,7 @@
 impl Attempt {
     /// Counts a request in.
     pub fn new(entry: &Rc<Entry>, call: &Call, choice: &Choice) -> Attempt {
-        choice.endpoint.borrow_mut().record.start();
+        choice.endpoint.borrow_mut().request_stats.start();
         Attempt {
             entry: entry.clone(),
             choice: choice.clone(),
@@ -82,9 +82,9 @@
         let Some(sent) = self.sent.get() else { return };
         let target = &self.choice.target;
         let mut endpoint = self.choice.endpoint.borrow_mut();
-        endpoint.lived = endpoint.lived.max(Some(sent));
+        endpoint.last_seen_alive = endpoint.last_seen_alive.max(Some(sent));
         drop(endpoint);
-        self.entry.heard_from(&target.zone, sent);
+        self.entry.record_zone_contact(&target.zone, sent);
         self.entry.note_answer(target, sent, Millis::now());
     }
 
@@ -97,14 +97,14 @@
     pub fn success(&self) {
         let now = Millis::now();
         let took = now.since(self.began);
-        self.choice.endpoint.borrow_mut().record.success(took, now);
+        self.choice.endpoint.borrow_mut().request_stats.success(took, now);
         self.outlived();
         self.entry.note_outlived(self.call.1, now);
     }
 
     /// Notes an answer that tells of a failure.
     pub fn failed(&self) {
-        self.choice.endpoint.borrow_mut().record.failure(Millis::now());
+        self.choice.endpoint.borrow_mut().request_stats.failure(Millis::now());
         self.outlived();
     }
 
@@ -151,7 +151,7 @@
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        self.choice.endpoint.borrow_mut().record.end();
+        self.choice.endpoint.borrow_mut().request_stats.end();
         self.give_up();
     }
 }
--- a/cowsliproad-direct/src/call.rs
+++ b/cowsliproad-direct/src/call.rs
@@ -257,7 +257,7 @@
             let at_fault = head.headers.contains_key(&header::FAULTY_TARGET);
             drop(body);
             if at_fault {
-                entry.note_broken(choice);
+                entry.record_broken_group(choice);
                 return Err(AttemptError::Refused("its group is broken"));
             }
             return Err(AttemptError::Refused("refused by the target"));
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -17,7 +17,7 @@
 use crate::{
     entry::{
         Choice, Entry,
-        choose::{Asks, Shortage},
+        choose::{PermitWait, Shortage},
     },
     limits,
     reply::Body,
@@ -47,8 +47,10 @@
     ) -> Result<Choice, Response<Body>> {
         let wait = self.until.min(self.waits_since + self.wait(entry));
         loop {
-            let (news, freed) =
-                (entry.news.notified(), entry.freed.notified());
+            let (news, connection_freed) = (
+                entry.targets_changed.notified(),
+                entry.connection_freed.notified(),
+            );
             let now = Millis::now();
             let verdict = entry.quarantine.borrow_mut().admit(self.work, now);
             match verdict {
@@ -94,7 +96,7 @@
             let pause = ends.min().map_or(patience, |it| it.since(now));
             tokio::select! {
                 () = news => {}
-                () = freed => {}
+                () = connection_freed => {}
                 () = sleep(pause.min(patience).duration()) => {}
             }
         }
@@ -116,7 +118,7 @@
             && self.certainty == Certainty::NotRun
             && !self.may_go_elsewhere()
             && self.has_others(entry, now);
-        shortage.is_complete && (!ends_in_time || returns)
+        shortage.covers_all_targets && (!ends_in_time || returns)
     }
 
     /// Whether its route allows it to be sent to one more target.
@@ -129,7 +131,7 @@
     fn has_others(&self, entry: &Entry, now: Millis) -> bool {
         let others = |it: &Target| !self.sent.contains(&it.id);
         let others = entry.candidates(&self.service, now, Millis(0), others);
-        others.choose(Asks::Now, 0.0).is_some()
+        others.choose(PermitWait::Now, 0.0).is_some()
     }
 
     /// How long no target takes its caller's next try.
@@ -140,7 +142,7 @@
         now: Millis,
     ) -> Millis {
         let all = entry.candidates(&self.service, now, Millis(0), |_| true);
-        if all.choose(Asks::Now, 0.0).is_some() {
+        if all.choose(PermitWait::Now, 0.0).is_some() {
             return Millis(0);
         }
         let all = Shortage::new([&all].into_iter());
@@ -153,7 +155,7 @@
     fn spread_out(&mut self, entry: &Entry, most: Millis) {
         if self.stagger.0 == 0 {
             let most = MAX_STAGGER.min(most).0 as f64;
-            self.stagger = Millis((most * entry.draw()) as u64);
+            self.stagger = Millis((most * entry.random_fraction()) as u64);
         }
     }
 
@@ -175,14 +177,14 @@
         }
         let now = Millis::now();
         if self.next == RetryCost::Budget
-            && !entry.spend_retry(&self.service, now)
+            && !entry.try_spend_retry(&self.service, now)
         {
             choice.give_back();
             let reason = Reason::NoTarget("no retry is left");
             return Err(self.reject_with(entry, reason));
         }
         self.log_choice(entry, &choice, now);
-        choice.endpoint.borrow_mut().probe(now);
+        choice.endpoint.borrow_mut().mark_probe(now);
         self.tries += 1;
         self.denied = 0;
         Ok(Some(choice))
@@ -207,7 +209,7 @@
             time_left,
             caller_try,
         };
-        stream.decide(now, entry.draw())
+        stream.decide(now, entry.random_fraction())
     }
 
     /// How long the request may wait for a target to be usable. A caller of a
@@ -251,15 +253,16 @@
             entry.candidates(&self.service, now, stagger, fits)
         };
         let may_ask = self.denied < MAX_DENIED;
-        let asks = if may_ask { Asks::Now } else { Asks::Never };
+        let asks = if may_ask { PermitWait::Now } else { PermitWait::Never };
         let more = self.may_go_elsewhere();
         let first = candidates(more);
-        if let Some(choice) = first.choose(asks, entry.draw()) {
+        if let Some(choice) = first.choose(asks, entry.random_fraction()) {
             return Ok((choice, Millis(0)));
         }
         let before = more.then(|| candidates(false));
         let before = before.as_ref();
-        let chosen = before.and_then(|it| it.choose(asks, entry.draw()));
+        let chosen =
+            before.and_then(|it| it.choose(asks, entry.random_fraction()));
         if let Some(choice) = chosen {
             return Ok((choice, Millis(0)));
         }
@@ -267,8 +270,9 @@
         if !may_ask || ahead == Millis(0) {
             return Err(Shortage::new(seen()));
         }
-        let asks = Asks::Ahead(ahead);
-        let chosen = seen().find_map(|it| it.choose(asks, entry.draw()));
+        let asks = PermitWait::Ahead(ahead);
+        let chosen =
+            seen().find_map(|it| it.choose(asks, entry.random_fraction()));
         let chosen = chosen.map(|it| (it, ahead));
         chosen.ok_or_else(|| Shortage::new(seen()))
     }
@@ -276,13 +280,13 @@
     fn log_choice(&self, entry: &Entry, choice: &Choice, now: Millis) {
         let endpoint = choice.endpoint.borrow();
         let group = endpoint.group.as_ref();
-        let age = group.map_or(-1, |it| now.since(it.heard).0 as i64);
+        let age = group.map_or(-1, |it| now.since(it.reported_at).0 as i64);
         let report = endpoint.limit.report(now);
         info!(entry.log, "chosen"; "request" => &*self.id,
             "work" => %self.work,
             "target" => &*choice.target.id, "route" => &*self.route.name,
-            "cost" => choice.cost as u64, "at_target" => endpoint.record.occupancy(now),
-            "own" => endpoint.record.in_flight(), "report_age" => age,
+            "cost" => choice.cost as u64, "at_target" => endpoint.request_stats.occupancy(now),
+            "own" => endpoint.request_stats.in_flight(), "report_age" => age,
             "limit" => choice.limit.map(|it| it.per_second()),
             "limit_age" => report.map(|it| it.age.0),
             "denied" => self.denied,
--- a/cowsliproad-direct/src/call/failure.rs
+++ b/cowsliproad-direct/src/call/failure.rs
@@ -66,11 +66,11 @@
     ) -> Option<Response<Body>> {
         let why = match error {
             AttemptError::Refused(why) => {
-                entry.measure.tried("refused");
+                entry.metrics.tried("refused");
                 why
             }
             AttemptError::Unsent(why) => {
-                entry.measure.tried("unsent");
+                entry.metrics.tried("unsent");
                 self.sent.retain(|it| *it != choice.target.id);
                 // What never arrived is no repeat.
                 if self.left().0 > 0 && self.tries < MAX_TRIES {
@@ -81,7 +81,7 @@
                 why
             }
             AttemptError::Withheld(why) => {
-                entry.measure.tried("withheld");
+                entry.metrics.tried("withheld");
                 self.sent.retain(|it| *it != choice.target.id);
                 if self.left().0 > 0 && self.tries < MAX_TRIES {
                     info!(entry.log, "withheld"; "request" => &*self.id,
@@ -91,7 +91,7 @@
                 why
             }
             AttemptError::Unknown(why) | AttemptError::Broken(why) => {
-                entry.measure.tried("unknown");
+                entry.metrics.tried("unknown");
                 self.ran();
                 why
             }
@@ -148,17 +148,18 @@
                 ("not run: too late for a first event\n", after)
             }
             Reason::Busy(after) => {
-                entry.measure.limited("refused");
+                entry.metrics.limited("refused");
                 let after = after.clamp(MIN_RETURN, MAX_RETURN);
-                let after = patience::jittered_retry(after, entry.draw());
+                let after =
+                    patience::jittered_retry(after, entry.random_fraction());
                 ("not run: targets take no more\n", after)
             }
             Reason::Poison(after) => {
-                entry.measure.quarantined("request");
+                entry.metrics.quarantined("request");
                 ("targets ended each time they ran this\n", after)
             }
             Reason::Suspended(after) => {
-                entry.measure.quarantined("suspended request");
+                entry.metrics.quarantined("suspended request");
                 ("a target ended while it ran this\n", after)
             }
         };
@@ -183,7 +184,8 @@
         if self.route.streams() {
             return longest;
         }
-        let after = patience::jittered_retry(FULL_BACKOFF, entry.draw());
+        let after =
+            patience::jittered_retry(FULL_BACKOFF, entry.random_fraction());
         longest.min(after)
     }
 }
--- a/cowsliproad-direct/src/callers.rs
+++ b/cowsliproad-direct/src/callers.rs
@@ -68,7 +68,7 @@
     let end =
         Instant::now() + (entry.settings().grace_ms - END_MARGIN).duration();
     entry.phase.set(Phase::Leaving);
-    info!(entry.log, "stopping"; "under_way" => entry.under_way.get());
+    info!(entry.log, "stopping"; "under_way" => entry.unfinished_requests.get());
     let noticed = Instant::now() + DRAIN_DELAY.duration();
     tokio::select! {
         never = accept(entry, &listener) => match never {},
@@ -76,13 +76,13 @@
     }
     drop(listener);
     entry.phase.set(Phase::Closing);
-    entry.closing.notify_waiters();
-    while entry.under_way.get() > 0 && Instant::now() < end {
+    entry.idle_close_requested.notify_waiters();
+    while entry.unfinished_requests.get() > 0 && Instant::now() < end {
         sleep(STOP_CHECK_INTERVAL.duration()).await;
     }
     // The last answers are on their way through the sockets.
     sleep(FLUSH_DELAY.duration()).await;
-    info!(entry.log, "stopping"; "left" => entry.under_way.get());
+    info!(entry.log, "stopping"; "left" => entry.unfinished_requests.get());
     Ok(())
 }
 
@@ -120,7 +120,7 @@
 
 impl Busy {
     fn new(entry: &Rc<Entry>, activity: &Rc<Activity>) -> Busy {
-        entry.under_way.set(entry.under_way.get() + 1);
+        entry.unfinished_requests.set(entry.unfinished_requests.get() + 1);
         activity.busy.set(activity.busy.get() + 1);
         Busy { entry: entry.clone(), activity: activity.clone() }
     }
@@ -128,7 +128,9 @@
 
 impl Drop for Busy {
     fn drop(&mut self) {
-        self.entry.under_way.set(self.entry.under_way.get() - 1);
+        self.entry
+            .unfinished_requests
+            .set(self.entry.unfinished_requests.get() - 1);
         self.activity.busy.set(self.activity.busy.get() - 1);
         self.activity.idle_since.set(Millis::now());
         self.activity.head_since.set(None);
@@ -162,7 +164,7 @@
             // A connection that breaks has nobody left to tell.
             _ = &mut serving => return,
             () = sleep(IDLE_CHECK_INTERVAL.duration()) => {}
-            () = entry.closing.notified() => {}
+            () = entry.idle_close_requested.notified() => {}
         }
         match verdict(&entry, &activity) {
             Verdict::Attempt => {}
--- a/cowsliproad-direct/src/ends.rs
+++ b/cowsliproad-direct/src/ends.rs
@@ -43,7 +43,7 @@
 
 /// An agent that was silent for this long before the break isn't expected to
 /// report.
-const AGENT_TIMEOUT: Millis = Millis(1_000);
+const AGENT_REPORT_TIMEOUT: Millis = Millis(1_000);
 
 /// The timeout for the probe's connection to be accepted or refused.
 const CONNECT_TIMEOUT: Millis = Millis(250);
@@ -148,7 +148,7 @@
 pub fn suspect(entry: &Rc<Entry>, choice: &Choice, suspect: Suspicion) {
     let mut endpoint = choice.endpoint.borrow_mut();
     if endpoint.suspicions.len() >= MAX_SUSPICIONS {
-        entry.measure.suspected(1, "untold");
+        entry.metrics.suspected(1, "untold");
         let oldest =
             endpoint.suspicions.iter().position(Suspicion::is_given_up);
         let Some(oldest) = oldest else { return };
@@ -174,7 +174,7 @@
             tokio::select! {
                 () = sleep(wait.duration()) => {}
                 // An agent may have reported on the target.
-                () = entry.news.notified() => {}
+                () = entry.targets_changed.notified() => {}
             }
             continue;
         }
@@ -198,15 +198,17 @@
 /// Resolves the suspicions that reports and answers decide, and returns when
 /// to probe for the rest.
 fn settle_by_signs(entry: &Entry, choice: &Choice) -> Option<Millis> {
-    let (lived, lost) = {
+    let (last_seen_alive, exit_reported_at) = {
         let endpoint = choice.endpoint.borrow();
-        (endpoint.lived, endpoint.lost)
+        (endpoint.last_seen_alive, endpoint.exit_reported_at)
+    };
+    let outlived = |it: &Suspicion| {
+        last_seen_alive.is_some_and(|at| it.counts_from() <= at)
     };
-    let outlived =
-        |it: &Suspicion| lived.is_some_and(|at| it.counts_from() <= at);
     settle(entry, choice, Fate::Lives, outlived);
-    let ended =
-        |it: &Suspicion| lost.is_some_and(|at| it.at <= at + MAX_LATENCY);
+    let ended = |it: &Suspicion| {
+        exit_reported_at.is_some_and(|at| it.at <= at + MAX_LATENCY)
+    };
     settle(entry, choice, Fate::Ended, ended);
     let endpoint = choice.endpoint.borrow();
     let due = |it: &Suspicion| it.at + it.lingers + patience(&endpoint, it.at);
@@ -214,9 +216,9 @@
 }
 
 fn patience(endpoint: &Endpoint, since: Millis) -> Millis {
-    let heard = endpoint.group.as_ref().map(|it| since.since(it.heard));
+    let heard = endpoint.group.as_ref().map(|it| since.since(it.reported_at));
     match heard {
-        Some(age) if age < AGENT_TIMEOUT => AGENT_DELAY,
+        Some(age) if age < AGENT_REPORT_TIMEOUT => AGENT_DELAY,
         _ => PLAIN_DELAY,
     }
 }
@@ -229,7 +231,8 @@
         Ok(Ok(_)) => Fate::Lives,
         Ok(Err(error))
             if error.kind() == io::ErrorKind::ConnectionRefused
-                && entry.reaches(&choice.target.zone, since) =>
+                && entry
+                    .has_zone_contact_since(&choice.target.zone, since) =>
         {
             Fate::Ended
         }
@@ -261,10 +264,10 @@
         return;
     }
     match fate {
-        Fate::Lives => entry.measure.suspected(settled.len(), "lives"),
-        Fate::Unknown => entry.measure.suspected(settled.len(), "unknown"),
+        Fate::Lives => entry.metrics.suspected(settled.len(), "lives"),
+        Fate::Unknown => entry.metrics.suspected(settled.len(), "unknown"),
         Fate::Ended => {
-            entry.measure.suspected(settled.len(), "ended");
+            entry.metrics.suspected(settled.len(), "ended");
             for suspect in settled {
                 note_end(entry, choice, &suspect);
             }
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -31,7 +31,7 @@
 use tokio::sync::Notify;
 
 use crate::{
-    ends::Suspicion, limits::Limits, measure::Measure, peers::Peers,
+    ends::Suspicion, limits::Limits, measure::EntryMetrics, peers::Peers,
     quarantine::Quarantine, rollback::Rollbacks, settings::Settings,
     upstream::Pool,
 };
@@ -41,14 +41,14 @@
 
 /// Routes whose callers' longest deadline is remembered, some 60 bytes each:
 /// more than operators have had.
-const MAX_ROUTES: usize = 10_000;
+const MAX_REMEMBERED_ROUTES: usize = 10_000;
 
 /// Availability zones that are tracked, twice those of the largest fleet to
 /// come.
-const MAX_ZONES: usize = 64;
+const MAX_TRACKED_ZONES: usize = 64;
 
 /// Malformed records of the targets topic that are logged, each key once.
-const MAX_REFUSED: usize = 1_000;
+const MAX_INVALID_TARGET_KEYS: usize = 1_000;
 
 /// Where a state change came from, for logs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -80,36 +80,36 @@
 pub struct Endpoint {
     /// In-flight requests, reported load, latencies and failures of the
     /// target.
-    pub record: Record,
+    pub request_stats: Record,
     /// Idle connections to the target.
     pub pool: Pool,
     /// Open connections to the target, including busy connections and those
     /// being established.
-    pub open: usize,
+    pub open_connections: usize,
     /// Wakes requests that wait for a connection to the target.
-    pub freed: Rc<Notify>,
+    pub connection_freed: Rc<Notify>,
     /// State of the target's group from the latest report of the target's
     /// agent.
     pub group: Option<Group>,
     /// When the target was last known to be alive: its agent read the engine's
     /// report, or the target answered a request.
-    pub lived: Option<Millis>,
+    pub last_seen_alive: Option<Millis>,
     /// When the target's agent last reported that the engine process is gone.
-    pub lost: Option<Millis>,
+    pub exit_reported_at: Option<Millis>,
     /// Requests during which the target may have crashed.
     pub suspicions: Vec<Suspicion>,
     /// The rate limit that the target states in its answers.
     pub limit: CurrentLimit,
     /// Permits for the target that were granted after their requests stopped
     /// waiting.
-    pub permits: Vec<Permit>,
+    pub spare_permits: Vec<Permit>,
     /// The earliest time at which to request the next permit for the target.
-    pub full_until: Millis,
+    pub next_permit_request_at: Millis,
     /// Whether a permit request for the target is in flight.
-    pub asking: bool,
+    pub permit_requested: bool,
     /// Whether the target's latest Retry-After header was unreadable; logged
     /// only once.
-    pub unreadable: bool,
+    pub retry_after_invalid: bool,
     /// Whether the target takes requests again after its latest cooldown.
     pub recovery: Recovery,
 }
@@ -138,13 +138,13 @@
     /// again.
     pub epoch: u64,
     /// Whether the group accepts requests.
-    pub open: bool,
+    pub accepts_requests: bool,
     /// The number of the last forward pass that the group began.
-    pub step: u64,
+    pub last_pass: u64,
     /// How long the target's work takes, in percent of the usual time.
-    pub pace: u32,
+    pub pace_percent: u32,
     /// When the agent's report arrived.
-    pub heard: Millis,
+    pub reported_at: Millis,
 }
 
 /// The shared state of an entry process.
@@ -154,27 +154,27 @@
     /// Logger of this entry process.
     pub log: Logger,
     /// Counters and histograms of this entry process.
-    pub measure: Measure,
+    pub metrics: EntryMetrics,
     /// The configuration in force, decoded and as raw bytes.
     catalog: RefCell<Option<(Arc<Catalog>, Bytes)>>,
     /// The known targets.
     pub fleet: RefCell<Fleet>,
     /// The longest remaining deadline seen from callers, per route.
-    patience: RefCell<HashMap<Name, Millis>>,
+    longest_patience: RefCell<HashMap<Name, Millis>>,
     /// Keys of malformed records in the targets topic, so that each key is
     /// logged once.
-    refused: RefCell<HashSet<String>>,
+    invalid_target_keys: RefCell<HashSet<String>>,
     /// Raw target announcements by target id, served to entry processes that
     /// start without the log.
-    pub announced: RefCell<HashMap<Name, Bytes>>,
+    pub raw_announcements: RefCell<HashMap<Name, Bytes>>,
     endpoints: RefCell<HashMap<Name, Rc<RefCell<Endpoint>>>>,
-    budgets: RefCell<HashMap<Name, RetryWindow>>,
+    retry_budgets: RefCell<HashMap<Name, RetryWindow>>,
     /// The newest known formation of each group, reported by any of its ranks.
     formations: RefCell<HashMap<Name, Formation>>,
     /// Quarantine of crash-inducing requests.
     pub quarantine: RefCell<Quarantine>,
     /// When a VM of each availability zone last sent a message.
-    zones: RefCell<HashMap<Name, Millis>>,
+    zone_last_seen: RefCell<HashMap<Name, Millis>>,
     /// Rate limiters of targets that state a limit, and open permit requests.
     pub limits: RefCell<Limits>,
     /// Cooldowns that targets requested with Retry-After. They are kept apart
@@ -184,36 +184,36 @@
     /// The other entry processes.
     pub peers: RefCell<Peers>,
     /// Wakes requests that wait for a change of targets or groups.
-    pub news: Notify,
+    pub targets_changed: Notify,
     /// Wakes requests that wait for a connection to any target.
-    pub freed: Rc<Notify>,
+    pub connection_freed: Rc<Notify>,
     /// Counts the changes of targets and groups, so that a request that wasn't
     /// waiting detects those that it missed.
-    pub news_told: Cell<u64>,
+    pub target_change_count: Cell<u64>,
     /// Wakes idle caller connections that have to be closed at shutdown.
-    pub closing: Notify,
+    pub idle_close_requested: Notify,
     /// Wakes the task that broadcasts digests to other entries.
-    pub rumour: Notify,
+    pub digest_wakeup: Notify,
     /// The id of the target list that each engine's agent has, by the engine's
     /// address.
-    pub lists: RefCell<HashMap<SocketAddr, u64>>,
+    pub agent_list_ids: RefCell<HashMap<SocketAddr, u64>>,
     /// When the targets topic was last read, by this entry or by another, and
     /// up to which position.
     pub readings: RefCell<Readings>,
     /// Wakes the task that reads the targets topic.
-    pub behind: Notify,
+    pub read_wakeup: Notify,
     /// Rollbacks of the platform's log to an older copy.
     pub rollbacks: Rollbacks,
     /// Wakes the task that waits at startup for digests of other entries.
-    pub met: Notify,
+    pub digest_received: Notify,
     /// Counts targets that joined or restarted, so that agents are asked to
     /// report at once.
-    pub joined: Cell<u64>,
+    pub joined_targets: Cell<u64>,
     /// Accepted requests whose answers are not complete yet.
-    pub under_way: Cell<usize>,
+    pub unfinished_requests: Cell<usize>,
     /// The phase of the process.
     pub phase: Cell<Phase>,
-    random: RefCell<SmallRng>,
+    rng: RefCell<SmallRng>,
 }
 
 /// A target that was chosen for a request.
@@ -226,7 +226,7 @@
     /// The target's cost when it was chosen, in milliseconds.
     pub cost: f64,
     /// Connections to the target that this entry may have.
-    pub connections: usize,
+    pub max_connections: usize,
     /// The rate limit that the target states.
     pub limit: Option<Rate>,
     /// The permit to send that the request holds at the target.
@@ -241,34 +241,34 @@
         Entry {
             settings: RefCell::new(Rc::new(settings)),
             log,
-            measure: Measure::new(),
+            metrics: EntryMetrics::new(),
             catalog: RefCell::new(None),
             fleet: RefCell::new(Fleet::new(fleet::Config::new())),
-            patience: RefCell::new(HashMap::new()),
-            refused: RefCell::new(HashSet::new()),
-            announced: RefCell::new(HashMap::new()),
+            longest_patience: RefCell::new(HashMap::new()),
+            invalid_target_keys: RefCell::new(HashSet::new()),
+            raw_announcements: RefCell::new(HashMap::new()),
             endpoints: RefCell::new(HashMap::new()),
-            budgets: RefCell::new(HashMap::new()),
+            retry_budgets: RefCell::new(HashMap::new()),
             formations: RefCell::new(HashMap::new()),
             quarantine: RefCell::new(Quarantine::default()),
-            zones: RefCell::new(HashMap::new()),
+            zone_last_seen: RefCell::new(HashMap::new()),
             limits: RefCell::new(Limits::default()),
             cooldowns: RefCell::new(Cooldowns::new()),
             peers: RefCell::new(peers),
-            news: Notify::new(),
-            freed: Rc::default(),
-            news_told: Cell::new(0),
-            closing: Notify::new(),
-            rumour: Notify::new(),
-            lists: RefCell::new(HashMap::new()),
+            targets_changed: Notify::new(),
+            connection_freed: Rc::default(),
+            target_change_count: Cell::new(0),
+            idle_close_requested: Notify::new(),
+            digest_wakeup: Notify::new(),
+            agent_list_ids: RefCell::new(HashMap::new()),
             readings: RefCell::new(readings),
-            behind: Notify::new(),
+            read_wakeup: Notify::new(),
             rollbacks: Rollbacks::new(),
-            met: Notify::new(),
-            joined: Cell::new(0),
-            under_way: Cell::new(0),
+            digest_received: Notify::new(),
+            joined_targets: Cell::new(0),
+            unfinished_requests: Cell::new(0),
             phase: Cell::new(Phase::Serving),
-            random: RefCell::new(SmallRng::from_os_rng()),
+            rng: RefCell::new(SmallRng::from_os_rng()),
         }
     }
 
@@ -301,7 +301,7 @@
             ..new
         };
         if kept.retries != old.retries {
-            self.budgets.borrow_mut().clear();
+            self.retry_budgets.borrow_mut().clear();
         }
         self.peers.borrow_mut().reseed(&kept);
         *self.settings.borrow_mut() = Rc::new(kept);
@@ -318,14 +318,14 @@
     }
 
     /// The version of the configuration in force; 0 without a configuration.
-    pub fn version(&self) -> u64 {
+    pub fn catalog_version(&self) -> u64 {
         self.catalog.borrow().as_ref().map_or(0, |it| it.0.version())
     }
 
     /// Puts a configuration in force if its version is newer than the one in
     /// force.
-    pub fn adopt(&self, catalog: Catalog, raw: Bytes, source: Source) {
-        let before = self.version();
+    pub fn adopt_catalog(&self, catalog: Catalog, raw: Bytes, source: Source) {
+        let before = self.catalog_version();
         if before >= catalog.version() {
             return;
         }
@@ -333,14 +333,16 @@
             "before" => before, "routes" => catalog.routes(),
             "source" => ?source);
         *self.catalog.borrow_mut() = Some((Arc::new(catalog), raw));
-        self.tell_news();
-        self.rumour.notify_one();
+        self.notify_target_change();
+        self.digest_wakeup.notify_one();
     }
 
     /// Logs a malformed record of the targets topic, once for each key.
-    pub fn refuse_target(&self, key: &str, error: &serde_json::Error) {
-        let mut refused = self.refused.borrow_mut();
-        if refused.len() < MAX_REFUSED && refused.insert(key.into()) {
+    pub fn record_invalid_target(&self, key: &str, error: &serde_json::Error) {
+        let mut invalid_target_keys = self.invalid_target_keys.borrow_mut();
+        if invalid_target_keys.len() < MAX_INVALID_TARGET_KEYS
+            && invalid_target_keys.insert(key.into())
+        {
             warn!(self.log, "target_refused"; "target" => key,
                 "error" => %error);
         }
@@ -349,13 +351,18 @@
     /// Applies a change of a target to the rest of the state: drops the
     /// endpoint of a target that restarted or left, and wakes waiting requests
     /// and the digest broadcaster.
-    pub fn changed(&self, id: &str, change: Change, source: Source) {
+    pub fn apply_target_change(
+        &self,
+        id: &str,
+        change: Change,
+        source: Source,
+    ) {
         match change {
             Change::None => return,
             // The target is known here, but maybe not to other entries.
-            Change::Returned => return self.note_change(source),
+            Change::Returned => return self.record_log_change(source),
             Change::Joined | Change::Restarted => {
-                self.note_change(source);
+                self.record_log_change(source);
                 if change == Change::Restarted {
                     info!(self.log, "target_restarted"; "target" => id,
                         "source" => ?source);
@@ -369,40 +376,42 @@
                 info!(self.log, "target_joined"; "target" => id,
                     "service" => &*target.service,
                     "address" => %target.address, "source" => ?source);
-                self.joined.set(self.joined.get() + 1);
-                self.rumour.notify_one();
+                self.joined_targets.set(self.joined_targets.get() + 1);
+                self.digest_wakeup.notify_one();
                 drop(fleet);
                 self.recall_limit(id, Millis::now());
             }
             Change::Left => {
-                self.note_change(source);
+                self.record_log_change(source);
                 info!(self.log, "target_left"; "target" => id,
                     "source" => ?source);
                 self.endpoints.borrow_mut().remove(id);
                 self.limits.borrow_mut().forget(id);
                 let addresses: HashSet<SocketAddr> =
                     self.fleet.borrow().ready().map(|it| it.address).collect();
-                self.lists.borrow_mut().retain(|it, _| addresses.contains(it));
-                self.announced.borrow_mut().remove(id);
-                self.rumour.notify_one();
+                self.agent_list_ids
+                    .borrow_mut()
+                    .retain(|it, _| addresses.contains(it));
+                self.raw_announcements.borrow_mut().remove(id);
+                self.digest_wakeup.notify_one();
             }
         }
-        self.tell_news();
+        self.notify_target_change();
     }
 
     /// Merges another entry's latest read of the targets topic: when it was
     /// read and the position of the last change.
-    pub fn note_reading(&self, at: Millis, changed: Position, now: Millis) {
+    pub fn merge_peer_read(&self, at: Millis, changed: Position, now: Millis) {
         let found = self.readings.borrow_mut().hear(at, changed);
-        self.note_gap(found, now);
+        self.extend_leases_after_gap(found, now);
         if self.readings.borrow().is_behind() {
-            self.behind.notify_one();
+            self.read_wakeup.notify_one();
         }
     }
 
     /// Records a change of the targets that was read from the log, so that
     /// other entries read the change too.
-    fn note_change(&self, source: Source) {
+    fn record_log_change(&self, source: Source) {
         if source == Source::Log {
             self.readings.borrow_mut().note_change();
         }
@@ -410,7 +419,7 @@
 
     /// Extends the leases of all targets after a gap in the reads of the
     /// targets topic, since targets may have renewed them unobserved.
-    pub fn note_gap(&self, found: Found, now: Millis) {
+    pub fn extend_leases_after_gap(&self, found: Found, now: Millis) {
         if found == Found::Gap {
             info!(self.log, "readings_resumed");
             self.fleet.borrow_mut().regained(now);
@@ -418,21 +427,27 @@
     }
 
     /// Wakes waiting requests because targets or groups have changed.
-    pub fn tell_news(&self) {
-        self.news_told.set(self.news_told.get() + 1);
-        self.news.notify_waiters();
+    pub fn notify_target_change(&self) {
+        self.target_change_count.set(self.target_change_count.get() + 1);
+        self.targets_changed.notify_waiters();
     }
 
     /// The state kept for a target, if there is any.
-    pub fn known_endpoint(&self, id: &str) -> Option<Rc<RefCell<Endpoint>>> {
+    pub fn existing_endpoint(
+        &self,
+        id: &str,
+    ) -> Option<Rc<RefCell<Endpoint>>> {
         self.endpoints.borrow().get(id).cloned()
     }
 
     /// The state kept for a target, created if there is none.
     pub fn endpoint(&self, id: &Name) -> Rc<RefCell<Endpoint>> {
         let new = || {
-            let freed = self.freed.clone();
-            Rc::new(RefCell::new(Endpoint { freed, ..Endpoint::default() }))
+            let connection_freed = self.connection_freed.clone();
+            Rc::new(RefCell::new(Endpoint {
+                connection_freed,
+                ..Endpoint::default()
+            }))
         };
         let mut endpoints = self.endpoints.borrow_mut();
         endpoints.entry(id.clone()).or_insert_with(new).clone()
@@ -449,9 +464,13 @@
     /// Records the remaining deadline of a caller's request and returns the
     /// longest one seen on the same route, which is about the deadline of a
     /// first attempt.
-    pub fn patience_of(&self, route: &Name, left: Millis) -> Millis {
-        let mut patience = self.patience.borrow_mut();
-        if patience.len() > MAX_ROUTES {
+    pub fn update_longest_patience(
+        &self,
+        route: &Name,
+        left: Millis,
+    ) -> Millis {
+        let mut patience = self.longest_patience.borrow_mut();
+        if patience.len() > MAX_REMEMBERED_ROUTES {
             patience.clear();
         }
         let longest = patience.entry(route.clone()).or_default();
@@ -460,41 +479,41 @@
     }
 
     /// Records that a message of a VM in an availability zone arrived.
-    pub fn heard_from(&self, zone: &Name, at: Millis) {
-        let mut zones = self.zones.borrow_mut();
+    pub fn record_zone_contact(&self, zone: &Name, at: Millis) {
+        let mut zones = self.zone_last_seen.borrow_mut();
         if let Some(heard) = zones.get_mut(zone) {
             *heard = at.max(*heard);
-        } else if zones.len() < MAX_ZONES {
+        } else if zones.len() < MAX_TRACKED_ZONES {
             zones.insert(zone.clone(), at);
         }
     }
 
     /// Whether an availability zone was reachable since a moment: a VM of the
     /// zone sent a message or, for this entry's own zone, any other VM did.
-    pub fn reaches(&self, zone: &Name, since: Millis) -> bool {
+    pub fn has_zone_contact_since(&self, zone: &Name, since: Millis) -> bool {
         let own = self.settings().zone == *zone;
-        let zones = self.zones.borrow();
+        let zones = self.zone_last_seen.borrow();
         let mut heard = zones.iter().filter(|it| own || it.0 == zone);
         heard.any(|it| *it.1 >= since)
     }
 
     /// Records a request in its service's retry budget.
-    pub fn count_request(&self, service: &Name, now: Millis) {
-        self.budget(service, |it| it.record_request(now));
+    pub fn record_request_in_budget(&self, service: &Name, now: Millis) {
+        self.with_retry_budget(service, |it| it.record_request(now));
     }
 
     /// Spends a retry of a service's budget; false if the budget is exhausted.
-    pub fn spend_retry(&self, service: &Name, now: Millis) -> bool {
+    pub fn try_spend_retry(&self, service: &Name, now: Millis) -> bool {
         let entries = self.peers.borrow().entries();
-        self.budget(service, |it| it.try_spend(entries, now))
+        self.with_retry_budget(service, |it| it.try_spend(entries, now))
     }
 
     /// A random number from 0 to 1.
-    pub fn draw(&self) -> f64 {
-        rand::Rng::random(&mut *self.random.borrow_mut())
+    pub fn random_fraction(&self) -> f64 {
+        rand::Rng::random(&mut *self.rng.borrow_mut())
     }
 
-    fn budget<T>(
+    fn with_retry_budget<T>(
         &self,
         service: &Name,
         with: impl FnOnce(&mut RetryWindow) -> T,
@@ -505,7 +524,7 @@
             retries.slack,
             retries.span_ms,
         );
-        let mut budgets = self.budgets.borrow_mut();
+        let mut budgets = self.retry_budgets.borrow_mut();
         let window = budgets
             .entry(service.clone())
             .or_insert_with(|| RetryWindow::new(config));
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -9,35 +9,37 @@
     pick::{self, Candidate, Distance, Record, Usual},
 };
 
-use super::{Choice, Endpoint, Entry, Group, Recovery, groups::AGENT_TIMEOUT};
+use super::{
+    Choice, Endpoint, Entry, Group, Recovery, groups::AGENT_REPORT_TIMEOUT,
+};
 
 /// Snapshot of the usable targets of a service, scored by cost, at one moment.
 pub struct Candidates {
-    seen: Vec<Seen>,
-    at: Millis,
+    scored: Vec<ScoredTarget>,
+    observed_at: Millis,
     usual: Usual,
     /// Estimated requests of other entries that no agent's report includes
     /// yet.
-    unseen: f64,
+    unreported_requests: f64,
     /// Requests a second that each target would get if all targets got equally
     /// many.
-    part: f64,
+    equal_share_per_second: f64,
     /// Eligible targets, including those that can't be used now.
-    fitting: usize,
+    eligible_count: usize,
     /// Eligible, working targets in a cooldown that they requested with
     /// Retry-After.
-    cooling: usize,
+    cooling_count: usize,
     /// When the first cooldown ends, or the first probe of a recovering target
     /// times out.
     cooldown_end: Option<Millis>,
 }
 
 /// A target that could get the request, if the target's rate limit allows it.
-struct Seen {
+struct ScoredTarget {
     choice: Choice,
     /// The earliest time to request a permit, if the target's rate limit
     /// demands one.
-    free: Option<Millis>,
+    permit_at: Option<Millis>,
 }
 
 /// When targets that now decline requests by a rate limit or a cooldown take
@@ -50,28 +52,28 @@
     pub cooldown_end: Option<Millis>,
     /// Whether every eligible target is rate-limited or in a cooldown, so that
     /// no other target may become usable before.
-    pub is_complete: bool,
+    pub covers_all_targets: bool,
 }
 
 impl Shortage {
     /// The shortage in snapshots of targets; None if no target declines
     /// requests by a rate limit or a cooldown.
     pub fn new<'a>(
-        looks: impl Iterator<Item = &'a Candidates>,
+        snapshots: impl Iterator<Item = &'a Candidates>,
     ) -> Option<Shortage> {
         let mut shortage = Shortage {
             limit_end: None,
             cooldown_end: None,
-            is_complete: true,
+            covers_all_targets: true,
         };
-        for look in looks {
-            let limited = look.seen.iter().filter_map(|it| it.free);
+        for snapshot in snapshots {
+            let limited = snapshot.scored.iter().filter_map(|it| it.permit_at);
             let limit_end = shortage.limit_end.into_iter().chain(limited);
             shortage.limit_end = limit_end.min();
             let ends = shortage.cooldown_end.into_iter();
-            shortage.cooldown_end = ends.chain(look.cooldown_end).min();
-            let kept = look.seen.len() + look.cooling;
-            shortage.is_complete &= kept == look.fitting;
+            shortage.cooldown_end = ends.chain(snapshot.cooldown_end).min();
+            let kept = snapshot.scored.len() + snapshot.cooling_count;
+            shortage.covers_all_targets &= kept == snapshot.eligible_count;
         }
         shortage.end().map(|_| shortage)
     }
@@ -84,7 +86,7 @@
 
 /// Whether a request may wait for permits at rate-limited targets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Asks {
+pub enum PermitWait {
     /// Only for a permit that is free now; otherwise the request goes to
     /// another target.
     Now,
@@ -99,30 +101,46 @@
     /// the cheapest at random; see [`pick::spread`]. A target whose rate limit
     /// is below its equal share is preferred at the same or lower cost, so
     /// that its limit is used up. `draw` is a random number from 0 to 1.
-    pub fn choose(&self, asks: Asks, draw: f64) -> Option<Choice> {
-        let usable = self.seen.iter().filter(|it| self.is_usable(it, asks));
+    pub fn choose(
+        &self,
+        permit_wait: PermitWait,
+        draw: f64,
+    ) -> Option<Choice> {
+        let usable =
+            self.scored.iter().filter(|it| self.is_usable(it, permit_wait));
         let usable: Vec<&Choice> = usable.map(|it| &it.choice).collect();
         let costs: Vec<f64> = usable.iter().map(|it| it.cost).collect();
         let slots = usable.iter().map(|it| it.target.slots).max()?;
         let step = self.usual.in_step() / f64::from(slots);
-        let place = pick::spread(&costs, step, self.unseen, draw)?;
-        let binds = |it: &Choice| {
-            it.limit.is_some_and(|it| it.per_second() < self.part)
+        let place =
+            pick::spread(&costs, step, self.unreported_requests, draw)?;
+        let is_below_share = |it: &Choice| {
+            it.limit.is_some_and(|it| {
+                it.per_second() < self.equal_share_per_second
+            })
         };
-        let scarce =
-            usable.iter().filter(|it| binds(it) && it.cost <= costs[place]);
-        let scarce = scarce.min_by(|a, b| a.cost.total_cmp(&b.cost));
-        Some((*scarce.unwrap_or(&usable[place])).clone())
+        let limited = usable
+            .iter()
+            .filter(|it| is_below_share(it) && it.cost <= costs[place]);
+        let limited = limited.min_by(|a, b| a.cost.total_cmp(&b.cost));
+        Some((*limited.unwrap_or(&usable[place])).clone())
     }
 
-    fn is_usable(&self, seen: &Seen, asks: Asks) -> bool {
-        let Some(free) = seen.free else { return true };
-        match asks {
-            Asks::Now => {
-                free <= self.at && !seen.choice.endpoint.borrow().asking
+    fn is_usable(
+        &self,
+        scored: &ScoredTarget,
+        permit_wait: PermitWait,
+    ) -> bool {
+        let Some(permit_at) = scored.permit_at else { return true };
+        match permit_wait {
+            PermitWait::Now => {
+                permit_at <= self.observed_at
+                    && !scored.choice.endpoint.borrow().permit_requested
             }
-            Asks::Ahead(patience) => free <= self.at + patience,
-            Asks::Never => false,
+            PermitWait::Ahead(patience) => {
+                permit_at <= self.observed_at + patience
+            }
+            PermitWait::Never => false,
         }
     }
 }
@@ -140,7 +158,7 @@
 
     /// Records that a request is about to be sent, which makes the request a
     /// probe if the target is recovering.
-    pub fn probe(&mut self, now: Millis) {
+    pub fn mark_probe(&mut self, now: Millis) {
         if self.recovery != Recovery::Done {
             self.recovery = Recovery::Probed(now);
         }
@@ -155,103 +173,123 @@
         service: &str,
         now: Millis,
         stagger: Millis,
-        fits: impl Fn(&Target) -> bool,
+        is_eligible: impl Fn(&Target) -> bool,
     ) -> Candidates {
         let fleet = self.fleet.borrow();
-        let most = self.connections(service);
+        let max_connections = self.max_connections(service);
         let zone = &self.settings().zone;
-        let own = fleet.ready().filter(|it| &*it.service == service);
+        let of_service = fleet.ready().filter(|it| &*it.service == service);
         let endpoints: Vec<(&Target, Rc<RefCell<Endpoint>>)> =
-            own.map(|it| (it, self.endpoint(&it.id))).collect();
+            of_service.map(|it| (it, self.endpoint(&it.id))).collect();
         // Where most agents report, a target whose agent is silent is not idle
         // but unknown: the VM may be frozen or slow.
-        let known = |group: &Option<Group>| {
-            let heard = group.as_ref().map(|it| now.since(it.heard));
-            heard.is_some_and(|age| age < AGENT_TIMEOUT)
+        let has_recent_report = |group: &Option<Group>| {
+            let heard = group.as_ref().map(|it| now.since(it.reported_at));
+            heard.is_some_and(|age| age < AGENT_REPORT_TIMEOUT)
         };
-        let heard = endpoints.iter().filter(|it| known(&it.1.borrow().group));
-        let reported = heard.count() * 2 > endpoints.len();
+        let heard = endpoints
+            .iter()
+            .filter(|it| has_recent_report(&it.1.borrow().group));
+        let most_report = heard.count() * 2 > endpoints.len();
         let records: Vec<Record> =
-            endpoints.iter().map(|it| it.1.borrow().record).collect();
+            endpoints.iter().map(|it| it.1.borrow().request_stats).collect();
         let usual = Usual::new(records.iter());
-        let unseen =
-            if reported { self.unseen(service, &records, now) } else { 0.0 };
+        let unreported_requests = if most_report {
+            self.unreported_requests(service, &records, now)
+        } else {
+            0.0
+        };
         let targets = endpoints.len();
-        let mut fitting = 0;
-        let (mut cooling, mut cooldown_end) = (0, None);
-        let mut seen: Vec<Seen> = Vec::new();
+        let mut eligible_count = 0;
+        let (mut cooling_count, mut cooldown_end) = (0, None);
+        let mut scored: Vec<ScoredTarget> = Vec::new();
         for (target, endpoint) in endpoints {
-            if !fits(target) {
+            if !is_eligible(target) {
                 continue;
             }
-            fitting += 1;
-            let held = endpoint.borrow();
-            let group = held.group.as_ref();
-            let closed = group.is_some_and(|it| !self.is_open(it, now));
-            if closed || reported && !known(&held.group) {
+            eligible_count += 1;
+            let endpoint_state = endpoint.borrow();
+            let group = endpoint_state.group.as_ref();
+            let closed =
+                group.is_some_and(|it| !self.group_accepts_requests(it, now));
+            if closed
+                || most_report && !has_recent_report(&endpoint_state.group)
+            {
                 continue;
             }
             if let Some(end) = self.cooldown_end(target, now - stagger) {
-                cooling += 1;
+                cooling_count += 1;
                 let end = end + stagger;
                 cooldown_end = cooldown_end.into_iter().chain([end]).min();
                 continue;
             }
-            if let Some(end) = held.probe_end(now) {
+            if let Some(end) = endpoint_state.probe_end(now) {
                 cooldown_end = cooldown_end.into_iter().chain([end]).min();
                 continue;
             }
-            if held.open >= most && held.pool.is_empty() {
+            if endpoint_state.open_connections >= max_connections
+                && endpoint_state.pool.is_empty()
+            {
                 continue;
             }
             let near = target.zone == *zone;
             let distance = if near { Distance::Near } else { Distance::Far };
             let usual_ms = match group {
                 Some(_) => usual.in_step(),
-                None => usual.alone(&held.record, now),
+                None => usual.alone(&endpoint_state.request_stats, now),
             };
             let candidate = Candidate {
-                record: &held.record,
+                record: &endpoint_state.request_stats,
                 slots: target.slots,
                 distance,
-                pace: group.map_or(100, |it| it.pace),
+                pace: group.map_or(100, |it| it.pace_percent),
                 usual_ms,
             };
             let cost = pick::cost(&candidate, now);
-            let limit = held.limit.rate();
-            let needs = limit.filter(|it| !held.has_permit(*it, now));
-            let free = needs.map(|_| held.full_until);
-            drop(held);
+            let limit = endpoint_state.limit.rate();
+            let needs =
+                limit.filter(|it| !endpoint_state.has_permit(*it, now));
+            let permit_at =
+                needs.map(|_| endpoint_state.next_permit_request_at);
+            drop(endpoint_state);
             let choice = Choice {
                 target: target.clone(),
                 endpoint,
                 cost,
-                connections: most,
+                max_connections,
                 limit,
                 permit: None,
             };
-            seen.push(Seen { choice, free });
+            scored.push(ScoredTarget { choice, permit_at });
         }
-        let limited = seen.iter().any(|it| it.choice.limit.is_some());
-        let part =
-            if limited { self.part(service, targets, now) } else { 0.0 };
+        let limited = scored.iter().any(|it| it.choice.limit.is_some());
+        let equal_share_per_second = if limited {
+            self.equal_share_per_second(service, targets, now)
+        } else {
+            0.0
+        };
         Candidates {
-            seen,
-            at: now,
+            scored,
+            observed_at: now,
             usual,
-            unseen,
-            part,
-            fitting,
-            cooling,
+            unreported_requests,
+            equal_share_per_second,
+            eligible_count,
+            cooling_count,
             cooldown_end,
         }
     }
 
     /// Requests a second that each target of a service would get from all
     /// entries if all targets got equally many.
-    fn part(&self, service: &str, targets: usize, now: Millis) -> f64 {
+    fn equal_share_per_second(
+        &self,
+        service: &str,
+        targets: usize,
+        now: Millis,
+    ) -> f64 {
         let entries = self.peers.borrow().entries() as f64;
-        let budgets = self.budgets.borrow();
+        let budgets = self.retry_budgets.borrow();
         let usual = budgets.get(service);
         let usual = usual.map_or(0.0, |it| it.expected_requests(SECOND, now));
         usual * entries / targets.max(1) as f64
@@ -261,26 +299,32 @@
     /// report includes yet. Entries see much the same state, so they are taken
     /// to send what this entry does: its usual rate, or its latest burst if
     /// that is more.
-    fn unseen(&self, service: &str, records: &[Record], now: Millis) -> f64 {
+    fn unreported_requests(
+        &self,
+        service: &str,
+        records: &[Record],
+        now: Millis,
+    ) -> f64 {
         let others = (self.peers.borrow().entries() - 1) as f64;
         let sent: u32 = records.iter().map(Record::unreported).sum();
-        let budgets = self.budgets.borrow();
+        let budgets = self.retry_budgets.borrow();
         let usual = budgets.get(service);
-        let usual =
-            usual.map_or(0.0, |it| it.expected_requests(UNSEEN_INTERVAL, now));
+        let usual = usual
+            .map_or(0.0, |it| it.expected_requests(UNREPORTED_INTERVAL, now));
         usual.max(f64::from(sent)) * others
     }
 
     /// Connections that this entry may open to one target of a service: its
     /// part of the service's limit.
-    fn connections(&self, service: &str) -> usize {
+    fn max_connections(&self, service: &str) -> usize {
         let catalog = self.catalog.borrow();
         let service = catalog.as_ref().and_then(|it| it.0.service(service));
-        let Some(most) = service.and_then(|it| it.connections) else {
+        let Some(max_connections) = service.and_then(|it| it.connections)
+        else {
             return usize::MAX;
         };
         let entries = self.peers.borrow().entries();
-        (most as usize / entries).max(MIN_CONNECTIONS)
+        (max_connections as usize / entries).max(MIN_CONNECTIONS)
     }
 }
 
@@ -293,7 +337,7 @@
 /// The time for which requests of other entries are estimated: two report
 /// intervals of an agent. `cowsliproad-bench routing` compares this interval
 /// with others.
-const UNSEEN_INTERVAL: Millis = Millis(800);
+const UNREPORTED_INTERVAL: Millis = Millis(800);
 
 /// Connections to one target that every entry may open, however many entries
 /// share the service's limit.
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -198,10 +198,10 @@
         called = Millis::now();
         match reader.read(&entry, POLL_TIMEOUT).await {
             Ok(reading) => {
-                let before = entry.version();
+                let before = entry.catalog_version();
                 adopt_newest(&entry, &reading.records).await;
                 if reading.scope != Scope::New {
-                    let new = usize::from(entry.version() > before);
+                    let new = usize::from(entry.catalog_version() > before);
                     let records = reading.records.len();
                     entry.note_read(log::CONFIG_TOPIC, records, new);
                 }
@@ -218,7 +218,7 @@
         match catalog::decode(raw) {
             Ok(catalog) => {
                 peers::meet(entry, catalog.version()).await;
-                return entry.adopt(catalog, raw.clone(), Source::Log);
+                return entry.adopt_catalog(catalog, raw.clone(), Source::Log);
             }
             Err(error) => {
                 warn!(entry.log, "catalog_refused"; "error" => %error);
@@ -237,7 +237,7 @@
             Ok(reading) => {
                 let now = Millis::now();
                 let found = entry.readings.borrow_mut().read(now, reading.end);
-                entry.note_gap(found, now);
+                entry.extend_leases_after_gap(found, now);
                 take(&entry, &reading, now);
                 // Targets that renewed their records before the read began are
                 // among the records just read.
@@ -245,7 +245,7 @@
                 note_gone(&entry, &gone);
                 // The digest shows that this entry has just read the topic, so
                 // that other entries don't.
-                entry.rumour.notify_one();
+                entry.digest_wakeup.notify_one();
             }
             Err(error) => {
                 if !matches!(error, Error::Expired | Error::RolledBack) {
@@ -272,7 +272,7 @@
         }
         tokio::select! {
             () = sleep(wait.duration()) => {}
-            () = entry.behind.notified() => {}
+            () = entry.read_wakeup.notified() => {}
         }
     }
 }
@@ -312,7 +312,7 @@
 
 fn note_gone(entry: &Entry, gone: &[Name]) {
     for id in gone {
-        entry.changed(id, Change::Left, Source::Log);
+        entry.apply_target_change(id, Change::Left, Source::Log);
     }
 }
 
@@ -332,18 +332,21 @@
                 entry.note_announcement(&target, now);
                 let change = entry.fleet.borrow_mut().announce(target, now);
                 if entry.fleet.borrow().is_ready(&id) {
-                    entry.announced.borrow_mut().insert(id, raw.clone());
+                    entry
+                        .raw_announcements
+                        .borrow_mut()
+                        .insert(id, raw.clone());
                 }
                 change
             }
             // A malformed record describes no target, and leaves a known
             // target of the same name as it is.
             Err(error) => {
-                entry.refuse_target(&record.key, &error);
+                entry.record_invalid_target(&record.key, &error);
                 return Change::None;
             }
         },
     };
-    entry.changed(&record.key, change, source);
+    entry.apply_target_change(&record.key, change, source);
     change
 }
--- a/cowsliproad-direct/src/forward.rs
+++ b/cowsliproad-direct/src/forward.rs
@@ -30,7 +30,7 @@
     let id = head.headers.get(&header::REQUEST_ID).cloned();
     let answer = match receive(entry, head, body, arrived).await {
         Ok(mut call) => {
-            entry.count_request(&call.service, arrived);
+            entry.record_request_in_budget(&call.service, arrived);
             if call.route.streams() {
                 stream::run(entry, call, busy).await
             } else {
@@ -50,10 +50,10 @@
 ) -> Response<Body> {
     let took = Millis::now().since(arrived);
     let status = answer.status().as_u16();
-    entry.measure.answered(status, took);
+    entry.metrics.answered(status, took);
     let text = id.as_ref().and_then(|it| it.to_str().ok()).unwrap_or("-");
     info!(entry.log, "answered"; "request" => text, "status" => status,
-        "took" => took.0, "version" => entry.version());
+        "took" => took.0, "version" => entry.catalog_version());
     if let Some(id) = &id
         && !answer.headers().contains_key(&header::REQUEST_ID)
     {
@@ -77,7 +77,7 @@
         let error = match tried.await {
             Ok(Ok(answer)) if answer.status().is_server_error() => {
                 attempt.failed();
-                entry.measure.tried("failed");
+                entry.metrics.tried("failed");
                 call.ran();
                 if !call.may_try_again(entry, &choice, "failed") {
                     return answer;
@@ -87,7 +87,7 @@
             }
             Ok(Ok(answer)) => {
                 attempt.success();
-                entry.measure.tried("answered");
+                entry.metrics.tried("answered");
                 return answer;
             }
             Ok(Err(error)) => error,
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -139,7 +139,7 @@
 
     /// Returns the permit of a request that wasn't sent.
     pub fn give_back(&self) {
-        self.endpoint.borrow_mut().permits.extend(self.permit);
+        self.endpoint.borrow_mut().spare_permits.extend(self.permit);
     }
 
     /// Records a failed attempt at the chosen target: returns an unused
@@ -166,7 +166,7 @@
             | AttemptError::Broken(_) => true,
         };
         if is_failure {
-            self.endpoint.borrow_mut().record.failure(now);
+            self.endpoint.borrow_mut().request_stats.failure(now);
         }
     }
 }
@@ -175,13 +175,15 @@
     /// Whether there is a spare permit, granted too late for the request that
     /// asked for it.
     pub fn has_permit(&self, rate: Rate, now: Millis) -> bool {
-        self.permits.iter().any(|it| it.is_valid(rate, now))
+        self.spare_permits.iter().any(|it| it.is_valid(rate, now))
     }
 
     fn take_permit(&mut self, rate: Rate, now: Millis) -> Option<Permit> {
-        self.permits.retain(|it| it.valid_until >= now && it.rate <= rate);
-        let at = self.permits.iter().position(|it| it.is_valid(rate, now))?;
-        Some(self.permits.swap_remove(at))
+        self.spare_permits
+            .retain(|it| it.valid_until >= now && it.rate <= rate);
+        let at =
+            self.spare_permits.iter().position(|it| it.is_valid(rate, now))?;
+        Some(self.spare_permits.swap_remove(at))
     }
 }
 
@@ -200,16 +202,16 @@
         choice.permit = kept;
         return true;
     }
-    choice.endpoint.borrow_mut().asking = true;
+    choice.endpoint.borrow_mut().permit_requested = true;
     let (sender, given) = oneshot::channel();
-    let asking = get(entry.clone(), choice.clone(), patience, sender);
-    tokio::task::spawn_local(asking);
+    let task = get(entry.clone(), choice.clone(), patience, sender);
+    tokio::task::spawn_local(task);
     let wait = match patience {
         Millis(0) => SHORT_REPLY_TIMEOUT,
         _ => Millis(REPLY_TIMEOUT.0 * u64::from(RELAYS + 1)),
     };
     let Ok(Ok(Some(permit))) = timeout(wait.duration(), given).await else {
-        entry.measure.limited("none");
+        entry.metrics.limited("none");
         return false;
     };
     let mut held =
@@ -219,7 +221,7 @@
         () = entry.until_cooldown(&choice.target) => return false,
     }
     choice.permit = held.permit.take();
-    entry.measure.limited("permit");
+    entry.metrics.limited("permit");
     true
 }
 
@@ -232,7 +234,7 @@
 
 impl Drop for Held {
     fn drop(&mut self) {
-        self.endpoint.borrow_mut().permits.extend(self.permit.take());
+        self.endpoint.borrow_mut().spare_permits.extend(self.permit.take());
     }
 }
 
@@ -247,7 +249,7 @@
     let verdict = decide(&entry, &choice.target, patience, RELAYS).await;
     let now = Millis::now();
     let mut endpoint = choice.endpoint.borrow_mut();
-    endpoint.asking = false;
+    endpoint.permit_requested = false;
     match verdict {
         PermitDecision::Permit(after) => {
             let valid_from = now + after;
@@ -259,11 +261,11 @@
                 valid_until: valid_from + PERMIT_TTL,
             };
             if given.send(Some(permit)).is_err() {
-                endpoint.permits.push(permit);
+                endpoint.spare_permits.push(permit);
             }
         }
         PermitDecision::Later(after) => {
-            endpoint.full_until = now + after;
+            endpoint.next_permit_request_at = now + after;
             // The asking request may have gone to another target.
             let _ = given.send(None);
         }
@@ -425,18 +427,18 @@
         if change == LimitChange::None {
             return;
         }
-        let Some(endpoint) = self.known_endpoint(target) else { return };
+        let Some(endpoint) = self.existing_endpoint(target) else { return };
         let mut endpoint = endpoint.borrow_mut();
         let rate = endpoint.limit.rate();
         if change == LimitChange::Loosened {
-            endpoint.full_until = Millis(0);
+            endpoint.next_permit_request_at = Millis(0);
         }
         drop(endpoint);
         info!(self.log, "limit"; "target" => &**target,
             "a_second" => rate.map(Rate::per_second), "change" => ?change,
             "source" => ?source);
         if change == LimitChange::Loosened {
-            self.tell_news();
+            self.notify_target_change();
         }
         // Every entry broadcasts the change: there may be more entries than
         // one digest reaches.
@@ -444,7 +446,7 @@
         let mut limits = self.limits.borrow_mut();
         if now.since(limits.told) >= MIN_BROADCAST_INTERVAL {
             limits.told = now;
-            self.rumour.notify_one();
+            self.digest_wakeup.notify_one();
         }
     }
 
@@ -452,7 +454,7 @@
     pub fn limit_updates(&self, which: Update, now: Millis) -> Vec<RateLimit> {
         let fleet = self.fleet.borrow();
         let told = |target: &Target| {
-            let endpoint = self.known_endpoint(&target.id)?;
+            let endpoint = self.existing_endpoint(&target.id)?;
             let limit = endpoint.borrow().limit;
             let report = limit.report(now)?;
             let is_news = now.since(limit.changed_at()) < BROADCAST_TTL;
@@ -469,7 +471,7 @@
     pub fn limits_known(&self) -> usize {
         let fleet = self.fleet.borrow();
         let limited = |target: &&Target| {
-            let endpoint = self.known_endpoint(&target.id);
+            let endpoint = self.existing_endpoint(&target.id);
             endpoint.is_some_and(|it| it.borrow().limit.rate().is_some())
         };
         fleet.ready().filter(limited).count()
--- a/cowsliproad-direct/src/measure.rs
+++ b/cowsliproad-direct/src/measure.rs
@@ -10,7 +10,7 @@
 /// The counters, gauges and histograms of an entry process, and their text
 /// output.
 #[derive(Clone, Debug)]
-pub struct Measure {
+pub struct EntryMetrics {
     metrics: Metrics,
     answers: Counter<u64>,
     tries: Counter<u64>,
@@ -28,12 +28,12 @@
     targets: Gauge<u64>,
 }
 
-impl Measure {
+impl EntryMetrics {
     /// Creates all metrics at zero.
-    pub fn new() -> Measure {
+    pub fn new() -> EntryMetrics {
         let metrics = Metrics::new();
         let meter = metrics.meter();
-        Measure {
+        EntryMetrics {
             answers: meter.u64_counter("answers").build(),
             tries: meter.u64_counter("tries").build(),
             first_byte: meter.u64_histogram("first_byte_ms").build(),
@@ -124,8 +124,8 @@
     }
 }
 
-impl Default for Measure {
-    fn default() -> Measure {
-        Measure::new()
+impl Default for EntryMetrics {
+    fn default() -> EntryMetrics {
+        EntryMetrics::new()
     }
 }
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -225,21 +225,23 @@
             send(&entry, &socket, &digest, peer).await;
         }
         let known = entry.peers.borrow().known.len();
-        entry.measure.knows(known, entry.fleet.borrow().ready().count());
-        entry.measure.knows_limits(entry.limits_known());
+        entry.metrics.knows(known, entry.fleet.borrow().ready().count());
+        entry.metrics.knows_limits(entry.limits_known());
         // Some requests count cooldowns as longer than they are.
         let over = now - MAX_STAGGER - PROBE_PERIOD;
         entry.cooldowns.borrow_mut().sweep(over);
-        entry.measure.knows_cooling(entry.cooldowns.borrow().active(now));
-        let joined = entry.joined.get();
+        entry.metrics.knows_cooling(entry.cooldowns.borrow().active(now));
+        let joined = entry.joined_targets.get();
         if round % ASK_EVERY == 0 || joined != asked {
             asked = joined;
             agents::ask_agents(&entry, &socket).await;
         }
         round += 1;
-        let _ =
-            timeout(BROADCAST_INTERVAL.duration(), entry.rumour.notified())
-                .await;
+        let _ = timeout(
+            BROADCAST_INTERVAL.duration(),
+            entry.digest_wakeup.notified(),
+        )
+        .await;
     }
 }
 
@@ -259,7 +261,7 @@
     GossipDigest {
         vm: entry.settings().vm.clone(),
         address: entry.settings().peer_address(),
-        config_version: entry.version(),
+        config_version: entry.catalog_version(),
         log_era: entry.rollbacks.era(),
         targets_read_age_ms: now.since(entry.readings.borrow().at()).0,
         last_change_offset: entry.readings.borrow().changed().offset,
@@ -326,25 +328,25 @@
         withdrawn.map(|it| (&it.0, Parting::After(Start(it.1), it.2)));
     for (id, parting) in left.chain(withdrawn) {
         let change = entry.fleet.borrow_mut().hear_parting(id, parting, now);
-        entry.changed(id, change, Source::Peer);
+        entry.apply_target_change(id, change, Source::Peer);
     }
-    entry.heard_from(&heard.zone, now);
+    entry.record_zone_contact(&heard.zone, now);
     entry.hear_suspects(&heard.suspects, &heard.retracted_crashes, now);
     entry.hear_limits(&heard.limits, now);
     let at = now - Millis(heard.targets_read_age_ms);
     let changed = Position::new(heard.log_era, heard.last_change_offset);
-    entry.note_reading(at, changed, now);
+    entry.merge_peer_read(at, changed, now);
     let (is_new, others) = {
         let mut peers = entry.peers.borrow_mut();
         (peers.hear(&heard, now), peers.introduce(&heard.peers))
     };
-    entry.met.notify_waiters();
+    entry.digest_received.notify_waiters();
     if is_new {
         info!(entry.log, "peer_met"; "peer" => &*heard.vm,
             "address" => %heard.address);
     }
     // An entry that starts waits for this digest.
-    let starts = heard.config_version == 0 && entry.version() > 0;
+    let starts = heard.config_version == 0 && entry.catalog_version() > 0;
     if is_new || starts {
         let own =
             gossip::encode(&Datagram::Digest(digest(entry, Update::All, now)));
@@ -352,7 +354,7 @@
             send(entry, socket, &own, other).await;
         }
     }
-    let behind = heard.config_version > entry.version()
+    let behind = heard.config_version > entry.catalog_version()
         || heard.config_version > 0 && !entry.is_ready()
         || entry.readings.borrow().needs_peer();
     if behind && !entry.peers.borrow().fetching {
@@ -395,7 +397,7 @@
 ) -> bool {
     let end = Millis::now() + time;
     loop {
-        let met = entry.met.notified();
+        let met = entry.digest_received.notified();
         if holds(&entry.peers.borrow()) {
             return true;
         }
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -33,7 +33,8 @@
         let (whole, named) = (gossip::encode(&whole), gossip::encode(&named));
         for target in targets {
             let agent = agent_of(entry, target);
-            let knows = entry.lists.borrow().get(&target) == Some(&list);
+            let knows =
+                entry.agent_list_ids.borrow().get(&target) == Some(&list);
             let message = if knows { &named } else { &whole };
             send(entry, socket, message, agent).await;
         }
@@ -87,13 +88,13 @@
 
 /// Applies an agent's report on its engine.
 pub(super) fn take_load(entry: &Entry, load: &EngineLoad) {
-    entry.lists.borrow_mut().insert(load.target, load.list_id);
+    entry.agent_list_ids.borrow_mut().insert(load.target, load.list_id);
     let now = Millis::now();
     let Some(target) = target_at(entry, load.target, load.start_unix_ms)
     else {
         return;
     };
-    entry.heard_from(&target.zone, now);
+    entry.record_zone_contact(&target.zone, now);
     entry.note_report(&target, Start(load.start_unix_ms), now);
     if load.leaving && target.start == Start(load.start_unix_ms) {
         info!(entry.log, "target_leaving"; "target" => &*target.id,
@@ -103,22 +104,26 @@
     let id = target.id;
     let endpoint = entry.endpoint(&id);
     let mut endpoint = endpoint.borrow_mut();
-    let stands = |it: &Group| (it.epoch, it.open, it.pace / NEWS_PERCENT);
+    let stands = |it: &Group| {
+        (it.epoch, it.accepts_requests, it.pace_percent / NEWS_PERCENT)
+    };
     let before = endpoint.group.as_ref().map(stands);
-    endpoint.record.report(load.running.saturating_add(load.queued), now);
-    endpoint.lived = Some(now);
-    endpoint.lost = None;
+    endpoint
+        .request_stats
+        .report(load.running.saturating_add(load.queued), now);
+    endpoint.last_seen_alive = Some(now);
+    endpoint.exit_reported_at = None;
     let group = Group {
         name: load.group.clone(),
         epoch: load.group_epoch,
-        open: load.group_accepts_requests,
-        step: load.forward_pass,
-        pace: load.pace_percent,
-        heard: now,
+        accepts_requests: load.group_accepts_requests,
+        last_pass: load.forward_pass,
+        pace_percent: load.pace_percent,
+        reported_at: now,
     };
     let after = stands(&group);
-    entry.note_formation(&group.name, group.epoch, group.open);
-    entry.note_step(&group.name, group.epoch, group.step, now);
+    entry.merge_formation(&group.name, group.epoch, group.accepts_requests);
+    entry.record_pass(&group.name, group.epoch, group.last_pass, now);
     endpoint.group = Some(group);
     drop(endpoint);
     if before != Some(after) {
@@ -126,26 +131,27 @@
             "epoch" => load.group_epoch,
             "open" => load.group_accepts_requests,
             "step" => load.forward_pass, "pace" => load.pace_percent);
-        entry.tell_news();
+        entry.notify_target_change();
     }
 }
 
 /// Applies an agent's message that its engine's process is gone.
-pub(super) fn take_lost(entry: &Entry, lost: &EngineExit) {
+pub(super) fn take_lost(entry: &Entry, engine_exit: &EngineExit) {
     let now = Millis::now();
-    let Some(target) = target_at(entry, lost.target, lost.start_unix_ms)
+    let Some(target) =
+        target_at(entry, engine_exit.target, engine_exit.start_unix_ms)
     else {
         return;
     };
-    entry.heard_from(&target.zone, now);
+    entry.record_zone_contact(&target.zone, now);
     let endpoint = entry.endpoint(&target.id);
-    let before = endpoint.borrow_mut().lost.replace(now);
+    let before = endpoint.borrow_mut().exit_reported_at.replace(now);
     if before.is_none() {
         info!(entry.log, "target_lost"; "target" => &*target.id);
         if let Some(group) = &endpoint.borrow().group {
-            entry.note_lost_rank(group, now);
+            entry.record_rank_exit(group, now);
         }
-        entry.tell_news();
+        entry.notify_target_change();
     }
 }
 
--- a/cowsliproad-direct/src/peers/state.rs
+++ b/cowsliproad-direct/src/peers/state.rs
@@ -56,7 +56,8 @@
 /// time.
 pub(super) async fn catch_up(entry: &Rc<Entry>, heard: &GossipDigest) {
     sleep(OWN_READ_DELAY.duration()).await;
-    let knows = entry.version() >= heard.config_version && entry.is_ready();
+    let knows =
+        entry.catalog_version() >= heard.config_version && entry.is_ready();
     if knows && !entry.readings.borrow().needs_peer() {
         return;
     }
@@ -95,7 +96,7 @@
 fn take_state(entry: &Entry, state: State) {
     let raw = Bytes::from(state.catalog);
     match catalog::decode(&raw) {
-        Ok(catalog) => entry.adopt(catalog, raw, Source::Peer),
+        Ok(catalog) => entry.adopt_catalog(catalog, raw, Source::Peer),
         Err(error) => warn!(entry.log, "catalog_refused"; "error" => %error),
     }
     // This entry's own targets are kept while its reads of the log succeed.
@@ -123,7 +124,7 @@
         *answer.status_mut() = StatusCode::NOT_FOUND;
         return answer;
     };
-    let announced = entry.announced.borrow();
+    let announced = entry.raw_announcements.borrow();
     let targets = announced.iter().map(|(id, value)| Announcement {
         id: id.to_string(),
         value: value.to_vec(),
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -327,7 +327,7 @@
             self.judged(work, QuarantineChange::Freed, source);
         }
         if source != Source::Peer {
-            self.rumour.notify_one();
+            self.digest_wakeup.notify_one();
         }
     }
 
@@ -384,9 +384,9 @@
             QuarantineChange::Refused => {
                 info!(self.log, "work_refused"; "work" => %work,
                     "ends" => ends, "source" => ?source);
-                self.measure.quarantined("refused");
+                self.metrics.quarantined("refused");
                 // Waiting requests for this work are rejected now.
-                self.tell_news();
+                self.notify_target_change();
             }
             QuarantineChange::Suspended => {
                 let verdict =
@@ -394,18 +394,18 @@
                 info!(self.log, "work_suspended"; "work" => %work,
                     "ends" => ends, "verdict" => ?verdict,
                     "source" => ?source);
-                self.measure.quarantined("suspended");
-                self.tell_news();
+                self.metrics.quarantined("suspended");
+                self.notify_target_change();
             }
             QuarantineChange::Freed => {
                 info!(self.log, "work_freed"; "work" => %work,
                     "ends" => ends, "source" => ?source);
-                self.measure.quarantined("freed");
+                self.metrics.quarantined("freed");
             }
         }
         self.quarantine.borrow_mut().note(work);
         if source == Source::Own {
-            self.rumour.notify_one();
+            self.digest_wakeup.notify_one();
         }
     }
 }
@@ -494,7 +494,7 @@
         if kept.get(&work.0).is_some_and(|it| covers(it, &suspect)) {
             continue;
         }
-        let drawn = entry.draw();
+        let drawn = entry.random_fraction();
         let mut quarantine = entry.quarantine.borrow_mut();
         let wait = match quarantine.written.contains(&work) {
             true => drawn * OWN_REWRITE_DELAY.0 as f64,
--- a/cowsliproad-direct/src/readiness.rs
+++ b/cowsliproad-direct/src/readiness.rs
@@ -64,7 +64,7 @@
         READINESS_PATH => {
             (StatusCode::SERVICE_UNAVAILABLE, "not ready\n".into())
         }
-        METRICS_PATH => (StatusCode::OK, entry.measure.text()),
+        METRICS_PATH => (StatusCode::OK, entry.metrics.text()),
         _ => (StatusCode::NOT_FOUND, String::new()),
     };
     let mut answer = Response::new(Full::new(Bytes::from(text)));
--- a/cowsliproad-direct/src/receive.rs
+++ b/cowsliproad-direct/src/receive.rs
@@ -71,7 +71,7 @@
     };
     let found = find(&catalog, &head).map_err(refuse)?;
     let Found { route, organisation } = found;
-    let Some(service) = route.draw(entry.draw()).cloned() else {
+    let Some(service) = route.draw(entry.random_fraction()).cloned() else {
         return Err(reply::not_run(
             "the route has no service\n",
             FULL_BACKOFF,
@@ -85,7 +85,7 @@
         route,
         service,
     };
-    let most = entry.patience_of(&target.route.name, left);
+    let most = entry.update_longest_patience(&target.route.name, left);
     let caller_try = CallerTry::new(left, most);
     let time = Span { arrived, until: arrived + time, caller_try };
     head.headers = headers;
--- a/cowsliproad-direct/src/rollback.rs
+++ b/cowsliproad-direct/src/rollback.rs
@@ -121,20 +121,20 @@
         let now = Millis::now();
         info!(self.log, "log_rolled_back"; "era" => era.0,
             "before" => before.0, "source" => ?source);
-        self.measure.rolled_back();
+        self.metrics.rolled_back();
         self.fleet.borrow_mut().regained(now);
         let unread =
             BTreeSet::from([CONFIG_TOPIC, TARGETS_TOPIC, QUARANTINE_TOPIC]);
         *self.rollbacks.last.borrow_mut() = Some(Rollback { at: now, unread });
-        self.behind.notify_one();
-        self.rumour.notify_one();
+        self.read_wakeup.notify_one();
+        self.digest_wakeup.notify_one();
     }
 
     /// A random delay before this entry reads a topic again after a rollback.
     pub fn reading_delay(&self) -> Millis {
         let entries = self.peers.borrow().entries() as u64;
         let spread = Millis(SPREAD_PER_ENTRY.0 * entries).min(MAX_SPREAD);
-        Millis((spread.0 as f64 * self.draw()) as u64)
+        Millis((spread.0 as f64 * self.random_fraction()) as u64)
     }
 
     /// Records that a topic was read in full after a rollback, and how many of
@@ -152,7 +152,7 @@
             "new" => new, "took" => took.0);
         if rollback.unread.is_empty() {
             info!(self.log, "log_caught_up"; "took" => took.0);
-            self.measure.caught_up(took);
+            self.metrics.caught_up(took);
         }
     }
 }
--- a/cowsliproad-direct/src/stated.rs
+++ b/cowsliproad-direct/src/stated.rs
@@ -50,7 +50,7 @@
         let (id, start) = (&target.id, target.start);
         let now = Millis::now();
         let change = self.fleet.borrow_mut().leave(id, start, now);
-        self.changed(id, change, Source::Own);
+        self.apply_target_change(id, change, Source::Own);
     }
 
     /// Whether this start of a target accepts new requests.
@@ -76,7 +76,8 @@
             }
             RetryAfter::Unreadable => {
                 let mut endpoint = choice.endpoint.borrow_mut();
-                if !std::mem::replace(&mut endpoint.unreadable, true) {
+                if !std::mem::replace(&mut endpoint.retry_after_invalid, true)
+                {
                     warn!(self.log, "retry_after_refused";
                         "request" => request, "target" => &*target.id,
                         "stated" => ?stated);
@@ -91,17 +92,17 @@
             return;
         }
         let mut endpoint = choice.endpoint.borrow_mut();
-        endpoint.unreadable = false;
+        endpoint.retry_after_invalid = false;
         endpoint.recovery = Recovery::Pending;
         drop(endpoint);
         info!(self.log, "cooldown"; "request" => request,
             "target" => &*target.id, "status" => head.status.as_u16(),
             "stated" => ?stated, "wait" => wait.0,
             "left_before" => before.map(|it| it.since(now).0));
-        self.measure.cooled_down();
+        self.metrics.cooled_down();
         // Requests that wait for this target now choose another one.
-        self.tell_news();
-        self.freed.notify_waiters();
+        self.notify_target_change();
+        self.connection_freed.notify_waiters();
     }
 
     /// Marks a target as recovered when an answer without Retry-After arrives
@@ -112,7 +113,7 @@
         }
         if self.cooldown_end(&choice.target, Millis::now()).is_none() {
             choice.endpoint.borrow_mut().recovery = Recovery::Done;
-            self.freed.notify_waiters();
+            self.connection_freed.notify_waiters();
         }
     }
 
@@ -129,7 +130,7 @@
     /// Waits until a target is in a cooldown.
     pub async fn until_cooldown(&self, target: &Target) {
         loop {
-            let news = self.news.notified();
+            let news = self.targets_changed.notified();
             if self.cooldown_end(target, Millis::now()).is_some() {
                 return;
             }
@@ -146,6 +147,10 @@
         (numbers.next(), numbers.next())
     {
         let requests = running.saturating_add(waiting);
-        choice.endpoint.borrow_mut().record.report(requests, Millis::now());
+        choice
+            .endpoint
+            .borrow_mut()
+            .request_stats
+            .report(requests, Millis::now());
     }
 }
--- a/cowsliproad-direct/src/stream.rs
+++ b/cowsliproad-direct/src/stream.rs
@@ -180,7 +180,7 @@
             opened = &mut opening => {
                 return opened.inspect_err(|error| attempt.left(error));
             }
-            () = entry.news.notified() => {}
+            () = entry.targets_changed.notified() => {}
             () = sleep_until(end.min(look)) => {}
         }
         if Instant::now() >= end {
@@ -195,7 +195,7 @@
         }
         // A request may wait its turn at a target that is well.
         let alone = is_left_behind(entry, choice, since);
-        if alone && !entry.hears_of(choice) {
+        if alone && !entry.has_recent_agent_report(choice) {
             return Err(AttemptError::Unknown("silent"));
         }
     }
@@ -215,7 +215,7 @@
                 ));
             }
             // News may have come while an event was passed on.
-            let told = entry.news_told.get();
+            let told = entry.target_change_count.get();
             if self.news != told {
                 self.news = told;
                 if slows_others(entry, &self.choice) {
@@ -225,7 +225,7 @@
             let look = Instant::now() + SILENCE_CHECK_INTERVAL.duration();
             let frame = tokio::select! {
                 frame = self.body.frame() => frame,
-                () = entry.news.notified() => continue,
+                () = entry.targets_changed.notified() => continue,
                 () = sleep_until(end.min(look)) => {
                     if Instant::now() >= end {
                         return Next::Failed(AttemptError::Unknown("no time left"));
@@ -269,7 +269,7 @@
 
 impl Moment {
     fn new(entry: &Entry, choice: &Choice) -> Moment {
-        let step = entry.step_of(&choice.target.service);
+        let step = entry.last_pass_of(&choice.target.service);
         Moment { at: Millis::now(), step }
     }
 }
@@ -279,8 +279,9 @@
     let now = Millis::now();
     let endpoint = choice.endpoint.borrow();
     let Some(group) = &endpoint.group else { return false };
-    let goes_on = entry.step_of(&choice.target.service) >= since.step + PASSES;
-    now.since(since.at) > SILENCE_TIMEOUT && group.open && goes_on
+    let goes_on =
+        entry.last_pass_of(&choice.target.service) >= since.step + PASSES;
+    now.since(since.at) > SILENCE_TIMEOUT && group.accepts_requests && goes_on
 }
 
 /// Whether a target is so slow that it sets the pace of its group, and others
@@ -288,14 +289,14 @@
 /// in a pass, so moving a dozen streams away from it gives all others their
 /// pace back.
 fn slows_others(entry: &Entry, choice: &Choice) -> bool {
-    let pace = |group: Option<&Group>| group.map_or(100, |it| it.pace);
+    let pace = |group: Option<&Group>| group.map_or(100, |it| it.pace_percent);
     let own = pace(choice.endpoint.borrow().group.as_ref());
     if own < SLOW_PERCENT {
         return false;
     }
     let mut least = u32::MAX;
     let service = &choice.target.service;
-    entry.each_group(service, |group| least = least.min(pace(group)));
+    entry.for_each_group(service, |group| least = least.min(pace(group)));
     u64::from(least) * u64::from(SLOW_PERCENT) / 100 <= u64::from(own)
 }
 
@@ -318,7 +319,7 @@
         let outcome = self.pass(&mut run, first).await;
         drop(run);
         let took = Millis::now().since(self.call.arrived);
-        self.entry.measure.ended(took);
+        self.entry.metrics.ended(took);
         info!(self.entry.log, "stream_ended"; "request" => &*self.call.id,
             "outcome" => outcome, "events" => self.events,
             "pause" => self.pause.0, "took" => took.0);
--- a/cowsliproad-direct/src/upstream.rs
+++ b/cowsliproad-direct/src/upstream.rs
@@ -141,7 +141,7 @@
     let idle = &mut endpoint.pool.idle;
     if idle.len() < MAX_IDLE {
         idle.push(Idle { sender, until: now + time, used: now });
-        endpoint.freed.notify_waiters();
+        endpoint.connection_freed.notify_waiters();
     }
 }
 
@@ -195,15 +195,15 @@
 /// Sees to it that one more connection is within this entry's share: ends one
 /// that has idled too long for this request, or waits for one to end.
 async fn make_room(attempt: &Attempt, choice: &Choice) -> Result<(), Failure> {
-    let freed = choice.endpoint.borrow().freed.clone();
+    let connection_freed = choice.endpoint.borrow().connection_freed.clone();
     let until = Instant::now() + CONNECT_TIMEOUT.duration();
     loop {
-        let mut changed = std::pin::pin!(freed.notified());
+        let mut changed = std::pin::pin!(connection_freed.notified());
         changed.as_mut().enable();
         attempt.may_send(Millis::now()).map_err(Failure::Withheld)?;
         {
             let mut endpoint = choice.endpoint.borrow_mut();
-            if endpoint.open < choice.connections {
+            if endpoint.open_connections < choice.max_connections {
                 return Ok(());
             }
             let idle = &mut endpoint.pool.idle;
@@ -258,7 +258,7 @@
 
 impl Open {
     fn new(endpoint: &Rc<RefCell<Endpoint>>) -> Open {
-        endpoint.borrow_mut().open += 1;
+        endpoint.borrow_mut().open_connections += 1;
         Open { endpoint: endpoint.clone() }
     }
 }
@@ -266,8 +266,8 @@
 impl Drop for Open {
     fn drop(&mut self) {
         let mut endpoint = self.endpoint.borrow_mut();
-        endpoint.open -= 1;
-        endpoint.freed.notify_waiters();
+        endpoint.open_connections -= 1;
+        endpoint.connection_freed.notify_waiters();
     }
 }
 
