--- a/cowsliproad-direct/src/attempt.rs
+++ b/cowsliproad-direct/src/attempt.rs
@@ -85,7 +85,7 @@
         endpoint.last_seen_alive = endpoint.last_seen_alive.max(Some(sent));
         drop(endpoint);
         self.entry.record_zone_contact(&target.zone, sent);
-        self.entry.note_answer(target, sent, Millis::now());
+        self.entry.check_answer_after_crash(target, sent, Millis::now());
     }
 
     /// Notes an event of its answer.
@@ -99,7 +99,7 @@
         let took = now.since(self.began);
         self.choice.endpoint.borrow_mut().request_stats.success(took, now);
         self.outlived();
-        self.entry.note_outlived(self.call.1, now);
+        self.entry.record_survival(self.call.1, now);
     }
 
     /// Notes an answer that tells of a failure.
@@ -144,7 +144,7 @@
             let (request, work) = self.call.clone();
             let suspect = new(request, work);
             let suspect = suspect.with_progress(self.has_progress.get());
-            ends::suspect(&self.entry, &self.choice, suspect);
+            ends::add_suspicion(&self.entry, &self.choice, suspect);
         }
     }
 }
--- a/cowsliproad-direct/src/call.rs
+++ b/cowsliproad-direct/src/call.rs
@@ -240,17 +240,17 @@
         let (head, body) = answer.into_parts();
         if head.status == StatusCode::MISDIRECTED_REQUEST {
             // Another process answers: this one is no more.
-            entry.note_left(&choice.target);
+            entry.mark_left(&choice.target);
             return Err(AttemptError::Refused("another incarnation"));
         }
-        entry.note_stated(choice, &self.id, &head);
+        entry.apply_response_headers(choice, &self.id, &head);
         let echoed = head.headers.get(&header::REQUEST_ID);
         let own = self.head.headers.get(&header::REQUEST_ID);
         if echoed.is_some() && echoed != own {
             return Err(AttemptError::Unknown("another request's answer"));
         }
         if echoed.is_some() || head.headers.contains_key(&header::NOT_RUN) {
-            entry.note_limit(choice, attempt, &head.headers);
+            entry.apply_limit_header(choice, attempt, &head.headers);
         }
         attempt.answered();
         if head.headers.contains_key(&header::NOT_RUN) {
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -171,7 +171,7 @@
         {
             return Err(self.reject_with(entry, Reason::TooLate(after)));
         }
-        if !limits::permit(entry, &mut choice, patience).await {
+        if !limits::acquire_permit(entry, &mut choice, patience).await {
             self.denied += 1;
             return Ok(None);
         }
@@ -179,7 +179,7 @@
         if self.next == RetryCost::Budget
             && !entry.try_spend_retry(&self.service, now)
         {
-            choice.give_back();
+            choice.return_permit();
             let reason = Reason::NoTarget("no retry is left");
             return Err(self.reject_with(entry, reason));
         }
--- a/cowsliproad-direct/src/call/failure.rs
+++ b/cowsliproad-direct/src/call/failure.rs
@@ -66,11 +66,11 @@
     ) -> Option<Response<Body>> {
         let why = match error {
             AttemptError::Refused(why) => {
-                entry.metrics.tried("refused");
+                entry.metrics.record_attempt("refused");
                 why
             }
             AttemptError::Unsent(why) => {
-                entry.metrics.tried("unsent");
+                entry.metrics.record_attempt("unsent");
                 self.sent.retain(|it| *it != choice.target.id);
                 // What never arrived is no repeat.
                 if self.left().0 > 0 && self.tries < MAX_TRIES {
@@ -81,7 +81,7 @@
                 why
             }
             AttemptError::Withheld(why) => {
-                entry.metrics.tried("withheld");
+                entry.metrics.record_attempt("withheld");
                 self.sent.retain(|it| *it != choice.target.id);
                 if self.left().0 > 0 && self.tries < MAX_TRIES {
                     info!(entry.log, "withheld"; "request" => &*self.id,
@@ -91,7 +91,7 @@
                 why
             }
             AttemptError::Unknown(why) | AttemptError::Broken(why) => {
-                entry.metrics.tried("unknown");
+                entry.metrics.record_attempt("unknown");
                 self.ran();
                 why
             }
@@ -148,18 +148,18 @@
                 ("not run: too late for a first event\n", after)
             }
             Reason::Busy(after) => {
-                entry.metrics.limited("refused");
+                entry.metrics.record_permit_request("refused");
                 let after = after.clamp(MIN_RETURN, MAX_RETURN);
                 let after =
                     patience::jittered_retry(after, entry.random_fraction());
                 ("not run: targets take no more\n", after)
             }
             Reason::Poison(after) => {
-                entry.metrics.quarantined("request");
+                entry.metrics.record_quarantine("request");
                 ("targets ended each time they ran this\n", after)
             }
             Reason::Suspended(after) => {
-                entry.metrics.quarantined("suspended request");
+                entry.metrics.record_quarantine("suspended request");
                 ("a target ended while it ran this\n", after)
             }
         };
--- a/cowsliproad-direct/src/ends.rs
+++ b/cowsliproad-direct/src/ends.rs
@@ -26,7 +26,7 @@
 
 use crate::{
     entry::{Choice, Endpoint, Entry},
-    quarantine::Extent,
+    quarantine::CrashExtent,
 };
 
 /// Latency that a report or answer may have had: one that arrives within this
@@ -35,11 +35,11 @@
 
 /// Delay before a target without an agent is probed. Requests whose
 /// connections to the target broke together share one probe.
-const PLAIN_DELAY: Millis = Millis(150);
+const PLAIN_PROBE_DELAY: Millis = Millis(150);
 
 /// Delay before a target with an agent is probed. The agent reports every 400
 /// ms, so that no connection is made after a whole group was partitioned.
-const AGENT_DELAY: Millis = Millis(550);
+const AGENT_PROBE_DELAY: Millis = Millis(550);
 
 /// An agent that was silent for this long before the break isn't expected to
 /// report.
@@ -50,8 +50,8 @@
 
 /// Probes without a clear result before the target's fate counts as unknown,
 /// and the pause between probes.
-const MAX_ASKED: u32 = 3;
-const RETRY_BACKOFF: Millis = Millis(300);
+const MAX_PROBES: u32 = 3;
+const PROBE_RETRY_BACKOFF: Millis = Millis(300);
 
 /// Suspicions kept per target, some 70 bytes each: all requests of one entry
 /// that a target runs and queues. The oldest abandoned request gives way to a
@@ -65,12 +65,12 @@
     work: WorkDigest,
     /// When the request's connection broke or was abandoned, or, if later,
     /// when the target was last known to be alive.
-    at: Millis,
+    broken_at: Millis,
     /// How long after `at` the target may have continued with the request
     /// before it is probed.
-    lingers: Millis,
+    linger_time: Millis,
     /// The latest time at which the target may still run the request.
-    until: Millis,
+    may_run_until: Millis,
     /// Whether the target had begun to answer the request.
     has_progress: bool,
 }
@@ -78,13 +78,13 @@
 impl Suspicion {
     /// A suspicion for a request whose connection broke.
     pub fn broken(request: Name, work: WorkDigest) -> Suspicion {
-        let at = Millis::now();
+        let broken_at = Millis::now();
         Suspicion {
             request,
             work,
-            at,
-            lingers: Millis(0),
-            until: at,
+            broken_at,
+            linger_time: Millis(0),
+            may_run_until: broken_at,
             has_progress: false,
         }
     }
@@ -99,28 +99,29 @@
     pub fn given_up(
         request: Name,
         work: WorkDigest,
-        until: Millis,
+        may_run_until: Millis,
     ) -> Suspicion {
         let broken = Suspicion::broken(request, work);
-        let lingers = LINGER_INTERVAL;
-        let until = until.min(broken.at + LONGEST_LINGER);
-        Suspicion { lingers, until, ..broken }
+        let linger_time = LINGER_INTERVAL;
+        let may_run_until = may_run_until.min(broken.broken_at + MAX_LINGER);
+        Suspicion { linger_time, may_run_until, ..broken }
     }
 
     fn is_given_up(&self) -> bool {
-        self.lingers > Millis(0)
+        self.linger_time > Millis(0)
     }
 
     /// The suspicion that remains after the target was seen alive; None after
     /// the request's deadline.
     fn renewed(&self, now: Millis) -> Option<Suspicion> {
-        (self.until > now).then(|| Suspicion { at: now, ..self.clone() })
+        (self.may_run_until > now)
+            .then(|| Suspicion { broken_at: now, ..self.clone() })
     }
 
     /// The earliest sign of life that shows that the target survived the
     /// request.
-    fn counts_from(&self) -> Millis {
-        self.at + self.lingers + MAX_LATENCY
+    fn survival_proven_from(&self) -> Millis {
+        self.broken_at + self.linger_time + MAX_LATENCY
     }
 }
 
@@ -132,23 +133,23 @@
 const LINGER_INTERVAL: Millis = Millis(500);
 
 /// The longest that a request may take: the limit for streams plus a quarter.
-const LONGEST_LINGER: Millis = Millis(10_000);
+const MAX_LINGER: Millis = Millis(10_000);
 
 /// The result of a probe of a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Fate {
-    Lives,
-    Ended,
+enum ProbeOutcome {
+    Alive,
+    Crashed,
     /// The probe got no conclusive answer.
     Unknown,
 }
 
 /// Records a suspicion that a target crashed under a request, and starts a
 /// probe task unless one runs for the target.
-pub fn suspect(entry: &Rc<Entry>, choice: &Choice, suspect: Suspicion) {
+pub fn add_suspicion(entry: &Rc<Entry>, choice: &Choice, suspect: Suspicion) {
     let mut endpoint = choice.endpoint.borrow_mut();
     if endpoint.suspicions.len() >= MAX_SUSPICIONS {
-        entry.metrics.suspected(1, "untold");
+        entry.metrics.record_suspicions(1, "untold");
         let oldest =
             endpoint.suspicions.iter().position(Suspicion::is_given_up);
         let Some(oldest) = oldest else { return };
@@ -156,19 +157,19 @@
     }
     endpoint.suspicions.push(suspect);
     if endpoint.suspicions.len() == 1 {
-        tokio::task::spawn_local(probe(entry.clone(), choice.clone()));
+        tokio::task::spawn_local(probe_target(entry.clone(), choice.clone()));
     }
 }
 
 /// Probes a target until no suspicion is left.
-async fn probe(entry: Rc<Entry>, choice: Choice) {
-    let mut asked = 0;
+async fn probe_target(entry: Rc<Entry>, choice: Choice) {
+    let mut probes = 0;
     loop {
-        let Some(due) = settle_by_signs(&entry, &choice) else { return };
+        let Some(due) = resolve_by_signs(&entry, &choice) else { return };
         let now = Millis::now();
         let cooldown_end = entry.cooldown_end(&choice.target, now);
-        let due = cooldown_end
-            .map_or(due, |end| due.max(end.min(due + LONGEST_LINGER)));
+        let due =
+            cooldown_end.map_or(due, |end| due.max(end.min(due + MAX_LINGER)));
         let wait = due.since(now);
         if wait > Millis(0) {
             tokio::select! {
@@ -178,72 +179,77 @@
             }
             continue;
         }
-        let asked_at = Millis::now();
-        let fate = match cooldown_end {
+        let probed_at = Millis::now();
+        let outcome = match cooldown_end {
             // A target in a cooldown gets no new connections, not even a
             // probe's.
-            Some(_) => Fate::Unknown,
-            None => ask(&entry, &choice).await,
+            Some(_) => ProbeOutcome::Unknown,
+            None => try_connection(&entry, &choice).await,
         };
-        asked += 1;
-        if fate == Fate::Unknown && asked < MAX_ASKED {
-            sleep(RETRY_BACKOFF.duration()).await;
+        probes += 1;
+        if outcome == ProbeOutcome::Unknown && probes < MAX_PROBES {
+            sleep(PROBE_RETRY_BACKOFF.duration()).await;
             continue;
         }
-        settle(&entry, &choice, fate, |it| it.at + it.lingers <= asked_at);
-        asked = 0;
+        resolve_suspicions(&entry, &choice, outcome, |it| {
+            it.broken_at + it.linger_time <= probed_at
+        });
+        probes = 0;
     }
 }
 
 /// Resolves the suspicions that reports and answers decide, and returns when
 /// to probe for the rest.
-fn settle_by_signs(entry: &Entry, choice: &Choice) -> Option<Millis> {
+fn resolve_by_signs(entry: &Entry, choice: &Choice) -> Option<Millis> {
     let (last_seen_alive, exit_reported_at) = {
         let endpoint = choice.endpoint.borrow();
         (endpoint.last_seen_alive, endpoint.exit_reported_at)
     };
     let outlived = |it: &Suspicion| {
-        last_seen_alive.is_some_and(|at| it.counts_from() <= at)
+        last_seen_alive.is_some_and(|at| it.survival_proven_from() <= at)
     };
-    settle(entry, choice, Fate::Lives, outlived);
+    resolve_suspicions(entry, choice, ProbeOutcome::Alive, outlived);
     let ended = |it: &Suspicion| {
-        exit_reported_at.is_some_and(|at| it.at <= at + MAX_LATENCY)
+        exit_reported_at.is_some_and(|at| it.broken_at <= at + MAX_LATENCY)
     };
-    settle(entry, choice, Fate::Ended, ended);
+    resolve_suspicions(entry, choice, ProbeOutcome::Crashed, ended);
     let endpoint = choice.endpoint.borrow();
-    let due = |it: &Suspicion| it.at + it.lingers + patience(&endpoint, it.at);
+    let due = |it: &Suspicion| {
+        it.broken_at + it.linger_time + probe_delay(&endpoint, it.broken_at)
+    };
     endpoint.suspicions.iter().map(due).min()
 }
 
-fn patience(endpoint: &Endpoint, since: Millis) -> Millis {
+fn probe_delay(endpoint: &Endpoint, since: Millis) -> Millis {
     let heard = endpoint.group.as_ref().map(|it| since.since(it.reported_at));
     match heard {
-        Some(age) if age < AGENT_REPORT_TIMEOUT => AGENT_DELAY,
-        _ => PLAIN_DELAY,
+        Some(age) if age < AGENT_REPORT_TIMEOUT => AGENT_PROBE_DELAY,
+        _ => PLAIN_PROBE_DELAY,
     }
 }
 
-async fn ask(entry: &Entry, choice: &Choice) -> Fate {
-    let newest = choice.endpoint.borrow().suspicions.last().map(|it| it.at);
+async fn try_connection(entry: &Entry, choice: &Choice) -> ProbeOutcome {
+    let newest =
+        choice.endpoint.borrow().suspicions.last().map(|it| it.broken_at);
     let since = newest.unwrap_or_default() + MAX_LATENCY;
     let opening = TcpStream::connect(choice.target.address);
     match tokio::time::timeout(CONNECT_TIMEOUT.duration(), opening).await {
-        Ok(Ok(_)) => Fate::Lives,
+        Ok(Ok(_)) => ProbeOutcome::Alive,
         Ok(Err(error))
             if error.kind() == io::ErrorKind::ConnectionRefused
                 && entry
                     .has_zone_contact_since(&choice.target.zone, since) =>
         {
-            Fate::Ended
+            ProbeOutcome::Crashed
         }
-        Ok(Err(_)) | Err(_) => Fate::Unknown,
+        Ok(Err(_)) | Err(_) => ProbeOutcome::Unknown,
     }
 }
 
-fn settle(
+fn resolve_suspicions(
     entry: &Entry,
     choice: &Choice,
-    fate: Fate,
+    outcome: ProbeOutcome,
     is_settled: impl Fn(&Suspicion) -> bool,
 ) {
     let now = Millis::now();
@@ -252,7 +258,7 @@
         if !is_settled(it) {
             return true;
         }
-        let lives_on = fate == Fate::Lives;
+        let lives_on = outcome == ProbeOutcome::Alive;
         if let Some(renewed) = it.renewed(now).filter(|_| lives_on) {
             *it = renewed;
             return true;
@@ -263,29 +269,41 @@
     if settled.is_empty() {
         return;
     }
-    match fate {
-        Fate::Lives => entry.metrics.suspected(settled.len(), "lives"),
-        Fate::Unknown => entry.metrics.suspected(settled.len(), "unknown"),
-        Fate::Ended => {
-            entry.metrics.suspected(settled.len(), "ended");
+    match outcome {
+        ProbeOutcome::Alive => {
+            entry.metrics.record_suspicions(settled.len(), "lives")
+        }
+        ProbeOutcome::Unknown => {
+            entry.metrics.record_suspicions(settled.len(), "unknown")
+        }
+        ProbeOutcome::Crashed => {
+            entry.metrics.record_suspicions(settled.len(), "ended");
             for suspect in settled {
-                note_end(entry, choice, &suspect);
+                record_crash(entry, choice, &suspect);
             }
         }
     }
 }
 
 /// Records that a target crashed under a request.
-fn note_end(entry: &Entry, choice: &Choice, suspect: &Suspicion) {
-    let age = Millis::now().since(suspect.at);
+fn record_crash(entry: &Entry, choice: &Choice, suspect: &Suspicion) {
+    let age = Millis::now().since(suspect.broken_at);
     // A rank has begun to answer most requests that it runs, and a
     // crash-inducing request mostly crashes the rank before that.
     let in_group = choice.endpoint.borrow().group.is_some();
     let is_likely = !suspect.has_progress && !suspect.is_given_up();
-    let extent =
-        if in_group && is_likely { Extent::Group } else { Extent::Target };
+    let extent = if in_group && is_likely {
+        CrashExtent::Group
+    } else {
+        CrashExtent::Target
+    };
     info!(entry.log, "ended_under"; "target" => &*choice.target.id,
         "request" => &*suspect.request, "work" => %suspect.work,
         "known_after" => age.0, "extent" => ?extent);
-    entry.note_ended(&choice.target, suspect.work, extent, Millis::now());
+    entry.record_crash_under(
+        &choice.target,
+        suspect.work,
+        extent,
+        Millis::now(),
+    );
 }
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -303,7 +303,7 @@
         if kept.retries != old.retries {
             self.retry_budgets.borrow_mut().clear();
         }
-        self.peers.borrow_mut().reseed(&kept);
+        self.peers.borrow_mut().replace_seeds(&kept);
         *self.settings.borrow_mut() = Rc::new(kept);
     }
 
@@ -369,7 +369,7 @@
                     // In-flight requests, connections and agent reports belong
                     // to the previous start of the target.
                     self.endpoints.borrow_mut().remove(id);
-                    self.limits.borrow_mut().forget(id);
+                    self.limits.borrow_mut().remove_limiter(id);
                 }
                 let fleet = self.fleet.borrow();
                 let Some(target) = fleet.get(id) else { return };
@@ -379,14 +379,14 @@
                 self.joined_targets.set(self.joined_targets.get() + 1);
                 self.digest_wakeup.notify_one();
                 drop(fleet);
-                self.recall_limit(id, Millis::now());
+                self.apply_early_limit(id, Millis::now());
             }
             Change::Left => {
                 self.record_log_change(source);
                 info!(self.log, "target_left"; "target" => id,
                     "source" => ?source);
                 self.endpoints.borrow_mut().remove(id);
-                self.limits.borrow_mut().forget(id);
+                self.limits.borrow_mut().remove_limiter(id);
                 let addresses: HashSet<SocketAddr> =
                     self.fleet.borrow().ready().map(|it| it.address).collect();
                 self.agent_list_ids
@@ -504,7 +504,7 @@
 
     /// Spends a retry of a service's budget; false if the budget is exhausted.
     pub fn try_spend_retry(&self, service: &Name, now: Millis) -> bool {
-        let entries = self.peers.borrow().entries();
+        let entries = self.peers.borrow().entry_count();
         self.with_retry_budget(service, |it| it.try_spend(entries, now))
     }
 
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -166,8 +166,8 @@
 }
 
 impl Entry {
-    /// Scores the targets of a service for which `fits` is true. Cooldowns
-    /// count as longer by `stagger`.
+    /// Scores the targets of a service for which `is_eligible` is true.
+    /// Cooldowns count as longer by `stagger`.
     pub fn candidates(
         &self,
         service: &str,
@@ -248,7 +248,7 @@
             let cost = pick::cost(&candidate, now);
             let limit = endpoint_state.limit.rate();
             let needs =
-                limit.filter(|it| !endpoint_state.has_permit(*it, now));
+                limit.filter(|it| !endpoint_state.has_spare_permit(*it, now));
             let permit_at =
                 needs.map(|_| endpoint_state.next_permit_request_at);
             drop(endpoint_state);
@@ -288,7 +288,7 @@
         targets: usize,
         now: Millis,
     ) -> f64 {
-        let entries = self.peers.borrow().entries() as f64;
+        let entries = self.peers.borrow().entry_count() as f64;
         let budgets = self.retry_budgets.borrow();
         let usual = budgets.get(service);
         let usual = usual.map_or(0.0, |it| it.expected_requests(SECOND, now));
@@ -305,7 +305,7 @@
         records: &[Record],
         now: Millis,
     ) -> f64 {
-        let others = (self.peers.borrow().entries() - 1) as f64;
+        let others = (self.peers.borrow().entry_count() - 1) as f64;
         let sent: u32 = records.iter().map(Record::unreported).sum();
         let budgets = self.retry_budgets.borrow();
         let usual = budgets.get(service);
@@ -323,7 +323,7 @@
         else {
             return usize::MAX;
         };
-        let entries = self.peers.borrow().entries();
+        let entries = self.peers.borrow().entry_count();
         (max_connections as usize / entries).max(MIN_CONNECTIONS)
     }
 }
--- a/cowsliproad-direct/src/entry/groups.rs
+++ b/cowsliproad-direct/src/entry/groups.rs
@@ -95,7 +95,7 @@
         last
     }
 
-    /// Calls `look` with the known group, if any, of each target of a service.
+    /// Calls `visit` with the known group, if any, of each target of a service.
     /// Streams call this for each event, so nothing is copied.
     pub fn for_each_group(
         &self,
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -45,36 +45,40 @@
 /// How often some entry reads the targets, in percent of the time in which a
 /// leaving target must be known. Two reads may be late or lost before a target
 /// gets requests for too long.
-const READ_PERCENT: u64 = 40;
+const READ_INTERVAL_PERCENT: u64 = 40;
 
 /// Successes and failures of one task's calls to the log.
 #[derive(Debug)]
-pub struct Contact {
+pub struct LogContact {
     topic: &'static str,
-    last: Millis,
+    last_success: Millis,
     failures: u32,
 }
 
-impl Contact {
+impl LogContact {
     /// Creates the contact of a task that has made no calls yet.
-    pub fn new(topic: &'static str) -> Contact {
-        Contact { topic, last: Millis::now(), failures: 0 }
+    pub fn new(topic: &'static str) -> LogContact {
+        LogContact { topic, last_success: Millis::now(), failures: 0 }
     }
 
     /// Records a successful call and resets the backoff.
-    pub fn good(&mut self, entry: &Entry) {
+    pub fn record_success(&mut self, entry: &Entry) {
         let now = Millis::now();
-        let away = now.since(self.last);
+        let away = now.since(self.last_success);
         if self.failures > 0 {
             info!(entry.log, "log_regained"; "topic" => self.topic,
                 "away" => away.0, "failures" => self.failures);
         }
         self.failures = 0;
-        self.last = now;
+        self.last_success = now;
     }
 
     /// Records a failed call and waits for the backoff.
-    pub async fn bad(&mut self, entry: &Entry, error: &Error) {
+    pub async fn back_off_after_failure(
+        &mut self,
+        entry: &Entry,
+        error: &Error,
+    ) {
         if self.failures == 0 {
             warn!(entry.log, "log_lost"; "topic" => self.topic,
                 "error" => %error);
@@ -95,28 +99,28 @@
 /// Reads one topic of the log: first the newest record of every key, then the
 /// records that follow.
 #[derive(Debug)]
-pub struct Reader {
+pub struct TopicReader {
     topic: &'static str,
     client: Client,
-    contact: Contact,
-    next: Option<Position>,
+    contact: LogContact,
+    next_position: Option<Position>,
     has_read: bool,
 }
 
 /// The result of reading a topic.
 #[derive(Debug)]
-pub struct Reading {
+pub struct TopicRead {
     /// The records that were read.
     pub records: Vec<Record>,
     /// The position after the last record.
-    pub end: Position,
+    pub end_position: Position,
     /// Which records of the topic were read.
-    pub scope: Scope,
+    pub scope: ReadScope,
 }
 
 /// Which records of a topic a read returned.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Scope {
+pub enum ReadScope {
     /// The newest record of every key, read for the first time.
     First,
     /// The newest record of every key, read again.
@@ -125,14 +129,14 @@
     New,
 }
 
-impl Reader {
+impl TopicReader {
     /// Creates a reader that starts with the newest record of every key.
-    pub fn new(entry: &Entry, topic: &'static str) -> Reader {
-        Reader {
+    pub fn new(entry: &Entry, topic: &'static str) -> TopicReader {
+        TopicReader {
             topic,
             client: Client::new(entry.settings().log),
-            contact: Contact::new(topic),
-            next: None,
+            contact: LogContact::new(topic),
+            next_position: None,
             has_read: false,
         }
     }
@@ -142,35 +146,37 @@
     pub async fn read(
         &mut self,
         entry: &Entry,
-        hold: Millis,
-    ) -> Result<Reading, Error> {
-        let is_over = |it: Position| it.era < entry.rollbacks.era();
-        if self.next.is_some_and(is_over) {
-            self.next = None;
-            sleep(entry.reading_delay().duration()).await;
+        max_hold: Millis,
+    ) -> Result<TopicRead, Error> {
+        let is_old = |it: Position| it.era < entry.rollbacks.era();
+        if self.next_position.is_some_and(is_old) {
+            self.next_position = None;
+            sleep(entry.reread_delay().duration()).await;
         }
         let era = entry.rollbacks.era();
         self.client.raise_era(era);
         let call = async {
-            match self.next {
+            match self.next_position {
                 None => self.client.read_newest(self.topic).await,
-                Some(from) => self.client.read(self.topic, from, hold).await,
+                Some(from) => {
+                    self.client.read(self.topic, from, max_hold).await
+                }
             }
         };
         let read = tokio::select! {
             read = call => read,
-            () = entry.rollbacks.after(era) => Err(Error::RolledBack),
+            () = entry.rollbacks.wait_for_era_after(era) => Err(Error::RolledBack),
         };
-        entry.learn_era(self.client.era(), Source::Log);
+        entry.observe_era(self.client.era(), Source::Log);
         let Page { next_position: next, records } = read?;
-        self.contact.good(entry);
-        let scope = match self.next.replace(next) {
-            None if self.has_read => Scope::All,
-            None => Scope::First,
-            Some(_) => Scope::New,
+        self.contact.record_success(entry);
+        let scope = match self.next_position.replace(next) {
+            None if self.has_read => ReadScope::All,
+            None => ReadScope::First,
+            Some(_) => ReadScope::New,
         };
         self.has_read = true;
-        Ok(Reading { records, end: next, scope })
+        Ok(TopicRead { records, end_position: next, scope })
     }
 
     /// Prepares the next read after a failed one; backs off unless records
@@ -181,16 +187,16 @@
             Error::RolledBack => {}
             Error::Expired => {
                 info!(entry.log, "records_expired"; "topic" => self.topic);
-                self.next = None;
+                self.next_position = None;
             }
-            error => self.contact.bad(entry, error).await,
+            error => self.contact.back_off_after_failure(entry, error).await,
         }
     }
 }
 
 /// Follows the configuration topic; never returns.
-pub async fn catalog(entry: Rc<Entry>) {
-    let mut reader = Reader::new(&entry, log::CONFIG_TOPIC);
+pub async fn follow_catalog(entry: Rc<Entry>) {
+    let mut reader = TopicReader::new(&entry, log::CONFIG_TOPIC);
     let mut called = Millis(0);
     loop {
         let pause = (called + MIN_READ_INTERVAL).since(Millis::now());
@@ -199,11 +205,11 @@
         match reader.read(&entry, POLL_TIMEOUT).await {
             Ok(reading) => {
                 let before = entry.catalog_version();
-                adopt_newest(&entry, &reading.records).await;
-                if reading.scope != Scope::New {
+                adopt_newest_catalog(&entry, &reading.records).await;
+                if reading.scope != ReadScope::New {
                     let new = usize::from(entry.catalog_version() > before);
                     let records = reading.records.len();
-                    entry.note_read(log::CONFIG_TOPIC, records, new);
+                    entry.record_full_read(log::CONFIG_TOPIC, records, new);
                 }
             }
             Err(error) => reader.recover(&entry, &error).await,
@@ -211,13 +217,13 @@
     }
 }
 
-async fn adopt_newest(entry: &Entry, records: &[Record]) {
+async fn adopt_newest_catalog(entry: &Entry, records: &[Record]) {
     let versions = records.iter().rev();
     for record in versions.filter(|it| it.key == catalog::CONFIG_KEY) {
         let Some(raw) = &record.value else { continue };
         match catalog::decode(raw) {
             Ok(catalog) => {
-                peers::meet(entry, catalog.version()).await;
+                peers::wait_for_newest_catalog(entry, catalog.version()).await;
                 return entry.adopt_catalog(catalog, raw.clone(), Source::Log);
             }
             Err(error) => {
@@ -228,21 +234,24 @@
 }
 
 /// Follows the targets topic; never returns.
-pub async fn targets(entry: Rc<Entry>) {
-    let mut reader = Reader::new(&entry, log::TARGETS_TOPIC);
+pub async fn follow_targets(entry: Rc<Entry>) {
+    let mut reader = TopicReader::new(&entry, log::TARGETS_TOPIC);
     loop {
-        wait_for_turn(&entry).await;
+        wait_until_read_is_due(&entry).await;
         let begun = Millis::now();
         match reader.read(&entry, Millis(0)).await {
             Ok(reading) => {
                 let now = Millis::now();
-                let found = entry.readings.borrow_mut().read(now, reading.end);
+                let found = entry
+                    .readings
+                    .borrow_mut()
+                    .read(now, reading.end_position);
                 entry.extend_leases_after_gap(found, now);
-                take(&entry, &reading, now);
+                apply_target_records(&entry, &reading, now);
                 // Targets that renewed their records before the read began are
                 // among the records just read.
                 let gone = entry.fleet.borrow_mut().tick(begun);
-                note_gone(&entry, &gone);
+                record_left_targets(&entry, &gone);
                 // The digest shows that this entry has just read the topic, so
                 // that other entries don't.
                 entry.digest_wakeup.notify_one();
@@ -259,12 +268,13 @@
 
 /// Waits until the latest read of the targets by any entry is too old, or
 /// until a target's lease ends unless it is renewed.
-async fn wait_for_turn(entry: &Rc<Entry>) {
-    let period = Millis(entry.settings().drain_ms.0 * READ_PERCENT / 100);
-    let patience = jittered(period);
+async fn wait_until_read_is_due(entry: &Rc<Entry>) {
+    let period =
+        Millis(entry.settings().drain_ms.0 * READ_INTERVAL_PERCENT / 100);
+    let max_age = jittered(period);
     loop {
         let now = Millis::now();
-        let wait = entry.readings.borrow().due_in(patience, now);
+        let wait = entry.readings.borrow().due_in(max_age, now);
         let lapse = entry.fleet.borrow().next_lapse();
         let wait = lapse.map_or(wait, |at| wait.min(at.since(now)));
         if wait == Millis(0) {
@@ -279,38 +289,38 @@
 
 /// Applies target records that were read from the log. Targets that are
 /// missing from a full read count as withdrawn.
-fn take(entry: &Entry, reading: &Reading, now: Millis) {
+fn apply_target_records(entry: &Entry, reading: &TopicRead, now: Millis) {
     let records = &reading.records;
-    let news = records
+    let changes = records
         .iter()
-        .map(|it| announce(entry, it, now, Source::Log))
+        .map(|it| apply_announcement(entry, it, now, Source::Log))
         .filter(|it| *it != Change::None)
         .count();
-    if reading.scope == Scope::New {
+    if reading.scope == ReadScope::New {
         return;
     }
-    entry.note_read(log::TARGETS_TOPIC, records.len(), news);
-    if reading.scope == Scope::First {
+    entry.record_full_read(log::TARGETS_TOPIC, records.len(), changes);
+    if reading.scope == ReadScope::First {
         // Other entries announced the targets known so far, and the log may be
         // an older copy that lacks them.
         entry.fleet.borrow_mut().regained(now);
     }
     let listed: HashMap<&str, Start> =
-        records.iter().filter_map(start).collect();
+        records.iter().filter_map(announced_start).collect();
     let gone =
         entry.fleet.borrow_mut().keep_only(|id| listed.get(id).copied(), now);
-    note_gone(entry, &gone);
+    record_left_targets(entry, &gone);
 }
 
 /// The start of the target that a record announces. A malformed record may
 /// hide a target, and counts as the target's newest start.
-fn start(record: &Record) -> Option<(&str, Start)> {
+fn announced_start(record: &Record) -> Option<(&str, Start)> {
     let raw = record.value.as_ref()?;
     let start = target::decode(&record.key, raw).map(|it| it.start);
     Some((&record.key, start.unwrap_or(Start(u64::MAX))))
 }
 
-fn note_gone(entry: &Entry, gone: &[Name]) {
+fn record_left_targets(entry: &Entry, gone: &[Name]) {
     for id in gone {
         entry.apply_target_change(id, Change::Left, Source::Log);
     }
@@ -318,7 +328,7 @@
 
 /// Applies one announcement or withdrawal of a target and returns the
 /// resulting change.
-pub fn announce(
+pub fn apply_announcement(
     entry: &Entry,
     record: &Record,
     now: Millis,
@@ -329,7 +339,7 @@
         Some(raw) => match target::decode(&record.key, raw) {
             Ok(target) => {
                 let id = target.id.clone();
-                entry.note_announcement(&target, now);
+                entry.check_renewal_after_crash(&target, now);
                 let change = entry.fleet.borrow_mut().announce(target, now);
                 if entry.fleet.borrow().is_ready(&id) {
                     entry
--- a/cowsliproad-direct/src/forward.rs
+++ b/cowsliproad-direct/src/forward.rs
@@ -50,7 +50,7 @@
 ) -> Response<Body> {
     let took = Millis::now().since(arrived);
     let status = answer.status().as_u16();
-    entry.metrics.answered(status, took);
+    entry.metrics.record_answer(status, took);
     let text = id.as_ref().and_then(|it| it.to_str().ok()).unwrap_or("-");
     info!(entry.log, "answered"; "request" => text, "status" => status,
         "took" => took.0, "version" => entry.catalog_version());
@@ -77,7 +77,7 @@
         let error = match tried.await {
             Ok(Ok(answer)) if answer.status().is_server_error() => {
                 attempt.failed();
-                entry.metrics.tried("failed");
+                entry.metrics.record_attempt("failed");
                 call.ran();
                 if !call.may_try_again(entry, &choice, "failed") {
                     return answer;
@@ -87,7 +87,7 @@
             }
             Ok(Ok(answer)) => {
                 attempt.success();
-                entry.metrics.tried("answered");
+                entry.metrics.record_attempt("answered");
                 return answer;
             }
             Ok(Err(error)) => error,
--- a/cowsliproad-direct/src/lib.rs
+++ b/cowsliproad-direct/src/lib.rs
@@ -67,18 +67,27 @@
     let datagrams = Rc::new(UdpSocket::bind(settings.peer_address()).await?);
     info!(log, "started"; "callers" => %settings.callers);
     let entry = Rc::new(Entry::new(settings, log.clone()));
-    entry.limits.borrow_mut().speak(datagrams.clone());
+    entry.limits.borrow_mut().set_socket(datagrams.clone());
     let answers =
         readiness::serve(entry.clone(), readiness, readiness::answer);
     tokio::task::spawn_local(answers);
-    let states = readiness::serve(entry.clone(), peer_calls, peers::state);
+    let states =
+        readiness::serve(entry.clone(), peer_calls, peers::serve_state);
     tokio::task::spawn_local(states);
-    tokio::task::spawn_local(peers::listen(entry.clone(), datagrams.clone()));
-    tokio::task::spawn_local(peers::tell(entry.clone(), datagrams));
-    tokio::task::spawn_local(follow::catalog(entry.clone()));
-    tokio::task::spawn_local(follow::targets(entry.clone()));
-    tokio::task::spawn_local(quarantine::follow(entry.clone()));
-    tokio::task::spawn_local(quarantine::write(entry.clone()));
+    tokio::task::spawn_local(peers::receive_datagrams(
+        entry.clone(),
+        datagrams.clone(),
+    ));
+    tokio::task::spawn_local(peers::broadcast_digests(
+        entry.clone(),
+        datagrams,
+    ));
+    tokio::task::spawn_local(follow::follow_catalog(entry.clone()));
+    tokio::task::spawn_local(follow::follow_targets(entry.clone()));
+    tokio::task::spawn_local(quarantine::follow_quarantine(entry.clone()));
+    tokio::task::spawn_local(quarantine::write_quarantine_records(
+        entry.clone(),
+    ));
     let reloaded = entry.clone();
     let reload =
         program::watch_settings(path, move |read| reloaded.reload(read));
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -41,7 +41,7 @@
 
 /// How often a permit request may be forwarded: to the supposed owner, and
 /// from there to the owner that it knows.
-const RELAYS: u8 = 2;
+const MAX_FORWARDS: u8 = 2;
 
 /// The timeout for a reply to a permit request that isn't forwarded.
 const REPLY_TIMEOUT: Millis = Millis(120);
@@ -50,26 +50,26 @@
 const SHORT_REPLY_TIMEOUT: Millis = Millis(40);
 
 /// How long an entry that didn't reply is passed over as owner.
-const MUTE_TTL: Millis = Millis(2_000);
+const UNRESPONSIVE_TTL: Millis = Millis(2_000);
 
 /// Entries that are asked for the same permit. Each may be gone.
-const MAX_ASKED: usize = 2;
+const MAX_OWNERS_ASKED: usize = 2;
 
 /// When a permit is requested again if no entry knows when one is free.
-const RETRY_BACKOFF: Millis = Millis(250);
+const PERMIT_RETRY_BACKOFF: Millis = Millis(250);
 
 /// How long a permit stays valid while its request gets a connection.
 const PERMIT_TTL: Millis = Millis(400);
 
 /// How long a limit that has changed or was removed is part of each digest.
-const BROADCAST_TTL: Millis = Millis(8_000);
+const LIMIT_BROADCAST_TTL: Millis = Millis(8_000);
 
 /// How long a limit of an unknown target is kept: the target is announced by
 /// then.
-const UNKNOWN_TTL: Millis = Millis(10_000);
+const UNKNOWN_TARGET_TTL: Millis = Millis(10_000);
 
 /// Limits in one digest, some 40 bytes each.
-const MAX_UPDATES: usize = 256;
+const MAX_LIMITS_PER_DIGEST: usize = 256;
 
 /// The least time between immediate broadcasts of changed limits, however
 /// often targets change them.
@@ -77,7 +77,7 @@
 
 /// Which limits and suspended work a digest holds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Update {
+pub enum UpdateScope {
     /// Only recent changes.
     Changed,
     /// All limits and all suspended work.
@@ -90,10 +90,10 @@
 pub struct Limits {
     socket: Option<Rc<UdpSocket>>,
     limiters: HashMap<Name, (Start, limit::Limiter)>,
-    open: HashMap<u64, oneshot::Sender<PermitReply>>,
+    pending_requests: HashMap<u64, oneshot::Sender<PermitReply>>,
     /// Limits of targets that are not known yet, and when they arrived.
-    early: HashMap<Name, (RateLimit, Millis)>,
-    told: Millis,
+    early_limits: HashMap<Name, (RateLimit, Millis)>,
+    last_broadcast: Millis,
 }
 
 impl fmt::Debug for Limits {
@@ -101,29 +101,31 @@
         formatter
             .debug_struct("Limits")
             .field("limiters", &self.limiters)
-            .field("open", &self.open.len())
+            .field("open", &self.pending_requests.len())
             .finish_non_exhaustive()
     }
 }
 
 impl Limits {
     /// Sets the socket for permit requests and replies.
-    pub fn speak(&mut self, socket: Rc<UdpSocket>) {
+    pub fn set_socket(&mut self, socket: Rc<UdpSocket>) {
         self.socket = Some(socket);
     }
 
     /// Keeps the limit of a target that isn't known yet.
-    fn keep_early(&mut self, limit: &RateLimit, now: Millis) {
-        if self.early.len() >= MAX_UPDATES {
-            self.early.retain(|_, it| now.since(it.1) < UNKNOWN_TTL);
+    fn store_early_limit(&mut self, limit: &RateLimit, now: Millis) {
+        if self.early_limits.len() >= MAX_LIMITS_PER_DIGEST {
+            self.early_limits
+                .retain(|_, it| now.since(it.1) < UNKNOWN_TARGET_TTL);
         }
-        if self.early.len() < MAX_UPDATES {
-            self.early.insert(limit.target.clone(), (limit.clone(), now));
+        if self.early_limits.len() < MAX_LIMITS_PER_DIGEST {
+            self.early_limits
+                .insert(limit.target.clone(), (limit.clone(), now));
         }
     }
 
     /// Removes the limiter of a target that left.
-    pub fn forget(&mut self, target: &str) {
+    pub fn remove_limiter(&mut self, target: &str) {
         self.limiters.remove(target);
     }
 }
@@ -138,7 +140,7 @@
     }
 
     /// Returns the permit of a request that wasn't sent.
-    pub fn give_back(&self) {
+    pub fn return_permit(&self) {
         self.endpoint.borrow_mut().spare_permits.extend(self.permit);
     }
 
@@ -147,7 +149,7 @@
     pub fn on_attempt_failed(&self, entry: &Entry, error: &AttemptError) {
         if matches!(error, AttemptError::Unsent(_) | AttemptError::Withheld(_))
         {
-            self.give_back();
+            self.return_permit();
             let mut endpoint = self.endpoint.borrow_mut();
             if matches!(endpoint.recovery, Recovery::Probed(_)) {
                 endpoint.recovery = Recovery::Pending;
@@ -174,11 +176,15 @@
 impl Endpoint {
     /// Whether there is a spare permit, granted too late for the request that
     /// asked for it.
-    pub fn has_permit(&self, rate: Rate, now: Millis) -> bool {
+    pub fn has_spare_permit(&self, rate: Rate, now: Millis) -> bool {
         self.spare_permits.iter().any(|it| it.is_valid(rate, now))
     }
 
-    fn take_permit(&mut self, rate: Rate, now: Millis) -> Option<Permit> {
+    fn take_spare_permit(
+        &mut self,
+        rate: Rate,
+        now: Millis,
+    ) -> Option<Permit> {
         self.spare_permits
             .retain(|it| it.valid_until >= now && it.rate <= rate);
         let at =
@@ -190,49 +196,51 @@
 /// Acquires a permit for the chosen target, if the target has a rate limit;
 /// returns whether the request may be sent. Waits for a permit that becomes
 /// valid within `patience`.
-pub async fn permit(
+pub async fn acquire_permit(
     entry: &Rc<Entry>,
     choice: &mut Choice,
     patience: Millis,
 ) -> bool {
     let Some(rate) = choice.limit else { return true };
     let now = Millis::now();
-    let kept = choice.endpoint.borrow_mut().take_permit(rate, now);
+    let kept = choice.endpoint.borrow_mut().take_spare_permit(rate, now);
     if kept.is_some() {
         choice.permit = kept;
         return true;
     }
     choice.endpoint.borrow_mut().permit_requested = true;
     let (sender, given) = oneshot::channel();
-    let task = get(entry.clone(), choice.clone(), patience, sender);
+    let task = request_permit(entry.clone(), choice.clone(), patience, sender);
     tokio::task::spawn_local(task);
     let wait = match patience {
         Millis(0) => SHORT_REPLY_TIMEOUT,
-        _ => Millis(REPLY_TIMEOUT.0 * u64::from(RELAYS + 1)),
+        _ => Millis(REPLY_TIMEOUT.0 * u64::from(MAX_FORWARDS + 1)),
     };
     let Ok(Ok(Some(permit))) = timeout(wait.duration(), given).await else {
-        entry.metrics.limited("none");
+        entry.metrics.record_permit_request("none");
         return false;
     };
-    let mut held =
-        Held { endpoint: choice.endpoint.clone(), permit: Some(permit) };
+    let mut held = PendingPermit {
+        endpoint: choice.endpoint.clone(),
+        permit: Some(permit),
+    };
     tokio::select! {
         () = sleep(permit.valid_from.since(Millis::now()).duration()) => {}
-        () = entry.until_cooldown(&choice.target) => return false,
+        () = entry.wait_for_cooldown(&choice.target) => return false,
     }
     choice.permit = held.permit.take();
-    entry.metrics.limited("permit");
+    entry.metrics.record_permit_request("permit");
     true
 }
 
 /// A permit that isn't valid yet. If its request is dropped before, another
 /// request may use the permit.
-struct Held {
+struct PendingPermit {
     endpoint: Rc<RefCell<Endpoint>>,
     permit: Option<Permit>,
 }
 
-impl Drop for Held {
+impl Drop for PendingPermit {
     fn drop(&mut self) {
         self.endpoint.borrow_mut().spare_permits.extend(self.permit.take());
     }
@@ -240,13 +248,14 @@
 
 /// Requests a permit, and keeps it for the next request if the asking one no
 /// longer waits.
-async fn get(
+async fn request_permit(
     entry: Rc<Entry>,
     choice: Choice,
     patience: Millis,
     given: oneshot::Sender<Option<Permit>>,
 ) {
-    let verdict = decide(&entry, &choice.target, patience, RELAYS).await;
+    let verdict =
+        decide_permit(&entry, &choice.target, patience, MAX_FORWARDS).await;
     let now = Millis::now();
     let mut endpoint = choice.endpoint.borrow_mut();
     endpoint.permit_requested = false;
@@ -277,96 +286,105 @@
 
 /// Grants or refuses a permit, here or at the entry that owns the target's
 /// limiter.
-async fn decide(
+async fn decide_permit(
     entry: &Rc<Entry>,
     target: &Target,
     patience: Millis,
-    relays: u8,
+    forwards: u8,
 ) -> PermitDecision {
-    for asked in 0..MAX_ASKED {
+    for asked in 0..MAX_OWNERS_ASKED {
         let now = Millis::now();
         let zone = entry.settings().zone.clone();
-        let owner = entry.peers.borrow().owner(target, &zone, now);
+        let owner = entry.peers.borrow().limiter_owner(target, &zone, now);
         let other = match owner {
             // The asking entry waits for one forwarded request, not for two.
-            Owner::Other(_) if asked > 0 && relays < RELAYS => break,
-            Owner::Other(other) if relays > 0 => other,
-            _ => return entry.give(target, owner, patience, now),
+            Owner::Other(_) if asked > 0 && forwards < MAX_FORWARDS => break,
+            Owner::Other(other) if forwards > 0 => other,
+            _ => return entry.decide_as_owner(target, owner, patience, now),
         };
-        match ask(entry, other, target, patience, relays - 1).await {
+        match request_permit_from(entry, other, target, patience, forwards - 1)
+            .await
+        {
             Some(it) if it.granted => return PermitDecision::Permit(it.wait),
             Some(it) => return PermitDecision::Later(it.wait),
             None => {
-                let until = Millis::now() + MUTE_TTL;
-                entry.peers.borrow_mut().mute(other, until);
+                let until = Millis::now() + UNRESPONSIVE_TTL;
+                entry.peers.borrow_mut().mark_unresponsive(other, until);
                 info!(entry.log, "keeper_mute"; "peer" => %other,
                     "target" => &*target.id);
             }
         }
     }
-    PermitDecision::Later(RETRY_BACKOFF)
+    PermitDecision::Later(PERMIT_RETRY_BACKOFF)
 }
 
 /// Requests a permit from another entry; None without a reply in time.
-async fn ask(
+async fn request_permit_from(
     entry: &Entry,
     other: SocketAddr,
     target: &Target,
     patience: Millis,
-    relays: u8,
+    forwards: u8,
 ) -> Option<PermitReply> {
     let number = rand::random();
     let limit = entry.current_limit(target, Millis::now());
-    let question = PermitRequest {
+    let request = PermitRequest {
         request_id: number,
         limit,
         max_wait: patience,
-        forwards_left: relays,
+        forwards_left: forwards,
     };
     let (sender, reply) = oneshot::channel();
-    entry.limits.borrow_mut().open.insert(number, sender);
-    entry.say(Datagram::PermitRequest(question), other).await;
-    let wait = Millis(REPLY_TIMEOUT.0 * (u64::from(relays) + 1));
+    entry.limits.borrow_mut().pending_requests.insert(number, sender);
+    entry.send_permit_message(Datagram::PermitRequest(request), other).await;
+    let wait = Millis(REPLY_TIMEOUT.0 * (u64::from(forwards) + 1));
     let reply = timeout(wait.duration(), reply).await;
-    entry.limits.borrow_mut().open.remove(&number);
+    entry.limits.borrow_mut().pending_requests.remove(&number);
     reply.ok()?.ok()
 }
 
 /// Answers another entry's permit request.
-pub fn answer(entry: &Rc<Entry>, ask: PermitRequest, from: SocketAddr) {
-    entry.hear_limit(&ask.limit, Millis::now());
+pub fn answer_permit_request(
+    entry: &Rc<Entry>,
+    request: PermitRequest,
+    from: SocketAddr,
+) {
+    entry.merge_limit(&request.limit, Millis::now());
     let entry = entry.clone();
-    let relays = ask.forwards_left.min(RELAYS - 1);
+    let forwards = request.forwards_left.min(MAX_FORWARDS - 1);
     tokio::task::spawn_local(async move {
-        let target = entry.fleet.borrow().get(&ask.limit.target).cloned();
-        let same =
-            target.filter(|it| it.start.0 == ask.limit.target_start_unix_ms);
+        let target = entry.fleet.borrow().get(&request.limit.target).cloned();
+        let same = target
+            .filter(|it| it.start.0 == request.limit.target_start_unix_ms);
         let (verdict, limit) = match same {
             Some(target) => {
                 let verdict =
-                    decide(&entry, &target, ask.max_wait, relays).await;
+                    decide_permit(&entry, &target, request.max_wait, forwards)
+                        .await;
                 (verdict, entry.current_limit(&target, Millis::now()))
             }
             // The target's announcement has not arrived here yet.
-            None => (PermitDecision::Later(RETRY_BACKOFF), ask.limit),
+            None => {
+                (PermitDecision::Later(PERMIT_RETRY_BACKOFF), request.limit)
+            }
         };
         let (given, after) = match verdict {
             PermitDecision::Permit(after) => (true, after),
             PermitDecision::Later(after) => (false, after),
         };
         let reply = PermitReply {
-            request_id: ask.request_id,
+            request_id: request.request_id,
             limit,
             granted: given,
             wait: after,
         };
-        entry.say(Datagram::PermitReply(reply), from).await;
+        entry.send_permit_message(Datagram::PermitReply(reply), from).await;
     });
 }
 
 impl Entry {
     /// Applies the rate limit in the headers of a target's answer.
-    pub fn note_limit(
+    pub fn apply_limit_header(
         &self,
         choice: &Choice,
         attempt: &Attempt,
@@ -383,20 +401,20 @@
             warn!(self.log, "limit_refused"; "target" => &*choice.target.id,
                 "limit" => ?named);
         }
-        self.limit_changed(&choice.target.id, news.change, Source::Own);
+        self.on_limit_change(&choice.target.id, news.change, Source::Own);
     }
 
     /// Merges the rate limits in another entry's digest.
-    pub fn hear_limits(&self, limits: &[RateLimit], now: Millis) {
+    pub fn merge_limits(&self, limits: &[RateLimit], now: Millis) {
         for limit in limits {
-            self.hear_limit(limit, now);
+            self.merge_limit(limit, now);
         }
     }
 
-    fn hear_limit(&self, limit: &RateLimit, now: Millis) {
+    fn merge_limit(&self, limit: &RateLimit, now: Millis) {
         let start = self.fleet.borrow().get(&limit.target).map(|it| it.start);
         if start != Some(Start(limit.target_start_unix_ms)) {
-            self.limits.borrow_mut().keep_early(limit, now);
+            self.limits.borrow_mut().store_early_limit(limit, now);
             return;
         }
         let rate = limit.requests_per_second.and_then(Rate::new);
@@ -406,19 +424,19 @@
         let report = LimitReport { rate, age: limit.in_force_for };
         let endpoint = self.endpoint(&limit.target);
         let change = endpoint.borrow_mut().limit.merge_report(report, now);
-        self.limit_changed(&limit.target, change, Source::Peer);
+        self.on_limit_change(&limit.target, change, Source::Peer);
     }
 
     /// Applies a limit that arrived before its target was known here.
-    pub fn recall_limit(&self, target: &str, now: Millis) {
-        let early = self.limits.borrow_mut().early.remove(target);
+    pub fn apply_early_limit(&self, target: &str, now: Millis) {
+        let early = self.limits.borrow_mut().early_limits.remove(target);
         if let Some((limit, heard)) = early {
             let age = limit.in_force_for + now.since(heard);
-            self.hear_limit(&RateLimit { in_force_for: age, ..limit }, now);
+            self.merge_limit(&RateLimit { in_force_for: age, ..limit }, now);
         }
     }
 
-    fn limit_changed(
+    fn on_limit_change(
         &self,
         target: &Name,
         change: LimitChange,
@@ -444,31 +462,35 @@
         // one digest reaches.
         let now = Millis::now();
         let mut limits = self.limits.borrow_mut();
-        if now.since(limits.told) >= MIN_BROADCAST_INTERVAL {
-            limits.told = now;
+        if now.since(limits.last_broadcast) >= MIN_BROADCAST_INTERVAL {
+            limits.last_broadcast = now;
             self.digest_wakeup.notify_one();
         }
     }
 
     /// The limits to include in a digest.
-    pub fn limit_updates(&self, which: Update, now: Millis) -> Vec<RateLimit> {
+    pub fn limit_updates(
+        &self,
+        scope: UpdateScope,
+        now: Millis,
+    ) -> Vec<RateLimit> {
         let fleet = self.fleet.borrow();
         let told = |target: &Target| {
             let endpoint = self.existing_endpoint(&target.id)?;
             let limit = endpoint.borrow().limit;
             let report = limit.report(now)?;
-            let is_news = now.since(limit.changed_at()) < BROADCAST_TTL;
-            let is_told = match which {
-                Update::Changed => is_news,
-                Update::All => is_news || report.rate.is_some(),
+            let is_news = now.since(limit.changed_at()) < LIMIT_BROADCAST_TTL;
+            let is_told = match scope {
+                UpdateScope::Changed => is_news,
+                UpdateScope::All => is_news || report.rate.is_some(),
             };
-            is_told.then(|| limit_of(target, report))
+            is_told.then(|| encode_limit(target, report))
         };
-        fleet.ready().filter_map(told).take(MAX_UPDATES).collect()
+        fleet.ready().filter_map(told).take(MAX_LIMITS_PER_DIGEST).collect()
     }
 
     /// The number of targets with a rate limit.
-    pub fn limits_known(&self) -> usize {
+    pub fn limited_target_count(&self) -> usize {
         let fleet = self.fleet.borrow();
         let limited = |target: &&Target| {
             let endpoint = self.existing_endpoint(&target.id);
@@ -481,11 +503,11 @@
     fn current_limit(&self, target: &Target, now: Millis) -> RateLimit {
         let report = self.endpoint(&target.id).borrow().limit.report(now);
         let never = LimitReport { rate: None, age: Millis(u64::MAX) };
-        limit_of(target, report.unwrap_or(never))
+        encode_limit(target, report.unwrap_or(never))
     }
 
     /// Grants or refuses a permit as the owner of the target's limiter.
-    fn give(
+    fn decide_as_owner(
         &self,
         target: &Target,
         owner: Owner<SocketAddr>,
@@ -496,7 +518,7 @@
         let Some(LimitReport { rate: Some(rate), age }) = report else {
             return PermitDecision::Permit(Millis(0));
         };
-        let share = self.peers.borrow().reached(now);
+        let share = self.peers.borrow().reachable_share(now);
         let new = (target.start, limit::Limiter::new(rate, age, now));
         let mut limits = self.limits.borrow_mut();
         let kept = limits.limiters.entry(target.id.clone()).or_insert(new);
@@ -509,16 +531,20 @@
     }
 
     /// Passes a permit reply to the task that awaits it.
-    pub fn hear_reply(&self, reply: PermitReply) {
-        self.hear_limit(&reply.limit, Millis::now());
-        let open = self.limits.borrow_mut().open.remove(&reply.request_id);
-        if let Some(open) = open {
+    pub fn deliver_permit_reply(&self, reply: PermitReply) {
+        self.merge_limit(&reply.limit, Millis::now());
+        let pending_request = self
+            .limits
+            .borrow_mut()
+            .pending_requests
+            .remove(&reply.request_id);
+        if let Some(pending_request) = pending_request {
             // The asking task may have stopped waiting just now.
-            let _ = open.send(reply);
+            let _ = pending_request.send(reply);
         }
     }
 
-    async fn say(&self, message: Datagram, to: SocketAddr) {
+    async fn send_permit_message(&self, message: Datagram, to: SocketAddr) {
         let Some(socket) = self.limits.borrow().socket.clone() else {
             return;
         };
@@ -529,7 +555,7 @@
     }
 }
 
-fn limit_of(target: &Target, report: LimitReport) -> RateLimit {
+fn encode_limit(target: &Target, report: LimitReport) -> RateLimit {
     RateLimit {
         target: target.id.clone(),
         target_start_unix_ms: target.start.0,
--- a/cowsliproad-direct/src/measure.rs
+++ b/cowsliproad-direct/src/measure.rs
@@ -53,67 +53,67 @@
     }
 
     /// Records an answer's status and the time to its first byte.
-    pub fn answered(&self, status: u16, took: Millis) {
+    pub fn record_answer(&self, status: u16, took: Millis) {
         let status = KeyValue::new("status", i64::from(status));
         self.answers.add(1, std::slice::from_ref(&status));
         self.first_byte.record(took.0, &[status]);
     }
 
     /// Records the time until an answer was complete.
-    pub fn ended(&self, took: Millis) {
+    pub fn record_answer_end(&self, took: Millis) {
         self.whole.record(took.0, &[]);
     }
 
     /// Records the outcome of an attempt at a target.
-    pub fn tried(&self, outcome: &'static str) {
+    pub fn record_attempt(&self, outcome: &'static str) {
         self.tries.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
     /// Records the outcome of suspicions that a target crashed under requests.
-    pub fn suspected(&self, requests: usize, outcome: &'static str) {
+    pub fn record_suspicions(&self, requests: usize, outcome: &'static str) {
         let outcome = KeyValue::new("outcome", outcome);
         self.suspicions.add(requests as u64, &[outcome]);
     }
 
     /// Records a quarantine event: work was refused, suspended or freed, or a
     /// request for refused work was rejected.
-    pub fn quarantined(&self, outcome: &'static str) {
+    pub fn record_quarantine(&self, outcome: &'static str) {
         self.quarantined.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
     /// Records the outcome of a permit request at a rate-limited target.
-    pub fn limited(&self, outcome: &'static str) {
+    pub fn record_permit_request(&self, outcome: &'static str) {
         self.limited.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
     /// Sets the number of targets that state a rate limit.
-    pub fn knows_limits(&self, targets: usize) {
+    pub fn set_limited_targets(&self, targets: usize) {
         self.limits.record(targets as u64, &[]);
     }
 
     /// Records that a target requested a cooldown, or a longer one.
-    pub fn cooled_down(&self) {
+    pub fn record_cooldown(&self) {
         self.cooldowns.add(1, &[]);
     }
 
     /// Sets the number of targets in a cooldown.
-    pub fn knows_cooling(&self, targets: usize) {
+    pub fn set_cooling_targets(&self, targets: usize) {
         self.cooling.record(targets as u64, &[]);
     }
 
     /// Records a rollback of the platform's log to an older copy.
-    pub fn rolled_back(&self) {
+    pub fn record_log_rollback(&self) {
         self.rollbacks.add(1, &[]);
     }
 
     /// Records the time from a rollback until all topics of the log were read
     /// again.
-    pub fn caught_up(&self, took: Millis) {
+    pub fn record_log_catch_up(&self, took: Millis) {
         self.caught_up.record(took.0, &[]);
     }
 
     /// Sets the numbers of known other entries and of usable targets.
-    pub fn knows(&self, peers: usize, targets: usize) {
+    pub fn set_known_peers_and_targets(&self, peers: usize, targets: usize) {
         self.peers.record(peers as u64, &[]);
         self.targets.record(targets as u64, &[]);
     }
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -30,14 +30,14 @@
 use crate::{
     call::{MAX_STAGGER, PROBE_PERIOD},
     entry::{Entry, Source},
-    limits::{self, Update},
+    limits::{self, UpdateScope},
     settings::Settings,
 };
 
 mod agents;
 mod state;
 
-pub use self::state::state;
+pub use self::state::serve_state;
 
 /// The interval between digests. Two digests may be lost before an entry that
 /// can't read the log misses a change for longer than it may.
@@ -45,11 +45,11 @@
 
 /// Agents are asked to report in every round of this number, and at once when
 /// targets joined: after a restart of all processes they wait for the request.
-const ASK_EVERY: u32 = 2;
+const AGENT_REQUEST_ROUNDS: u32 = 2;
 
 /// Every digest of this number holds all limits and all suspended work; the
 /// others hold recent changes.
-const RENEW_EVERY: u32 = 8;
+const FULL_DIGEST_ROUNDS: u32 = 8;
 
 /// Recipients of one digest. With more entries, changes spread over several
 /// digests.
@@ -62,53 +62,53 @@
 const DEPARTURE_TTL: Millis = Millis(8_000);
 
 /// How long an entry that starts waits for digests of all seeds.
-const MEETING_TIMEOUT: Millis = Millis(400);
+const SEED_DIGEST_TIMEOUT: Millis = Millis(400);
 
 /// How long an entry that starts waits for a newer configuration that another
 /// entry announced.
-const NEWER_TIMEOUT: Millis = Millis(2_000);
+const NEWER_CONFIG_TIMEOUT: Millis = Millis(2_000);
 
 /// The pause after a failed receive.
-const ERROR_BACKOFF: Millis = Millis(120);
+const RECEIVE_ERROR_BACKOFF: Millis = Millis(120);
 
 /// The other entry processes that are known, and the seeds.
 #[derive(Debug)]
 pub struct Peers {
-    own: SocketAddr,
+    own_address: SocketAddr,
     seeds: Vec<SocketAddr>,
-    known: BTreeMap<SocketAddr, Peer>,
+    known_peers: BTreeMap<SocketAddr, Peer>,
     /// The newest configuration version in any digest, and the entry that sent
     /// it.
-    newest: (u64, SocketAddr),
-    fetching: bool,
+    newest_config: (u64, SocketAddr),
+    fetching_state: bool,
 }
 
 #[derive(Debug)]
 struct Peer {
     vm: Name,
     zone: Name,
-    heard: Millis,
+    last_digest_at: Millis,
     /// Until when the entry counts as unresponsive to permit requests.
-    mute_until: Millis,
+    unresponsive_until: Millis,
 }
 
 impl Peers {
     /// Creates the state before any digest has arrived.
     pub fn new(settings: &Settings) -> Peers {
         let mut peers = Peers {
-            own: settings.peer_address(),
+            own_address: settings.peer_address(),
             seeds: Vec::new(),
-            known: BTreeMap::new(),
-            newest: (0, settings.peer_address()),
-            fetching: false,
+            known_peers: BTreeMap::new(),
+            newest_config: (0, settings.peer_address()),
+            fetching_state: false,
         };
-        peers.reseed(settings);
+        peers.replace_seeds(settings);
         peers
     }
 
     /// Replaces the seeds; this entry's own address is left out.
-    pub fn reseed(&mut self, settings: &Settings) {
-        let own = self.own;
+    pub fn replace_seeds(&mut self, settings: &Settings) {
+        let own = self.own_address;
         let seeds = settings.seeds.iter();
         let seeds = seeds.map(|it| SocketAddr::new(it.ip(), own.port()));
         self.seeds = seeds.filter(|it| *it != own).collect();
@@ -116,40 +116,43 @@
 
     /// The number of entries, including this one. Entries that can't be
     /// reached count for a while, since they continue to serve.
-    pub fn entries(&self) -> usize {
-        self.known.len().max(self.seeds.len()) + 1
+    pub fn entry_count(&self) -> usize {
+        self.known_peers.len().max(self.seeds.len()) + 1
     }
 
-    fn hear(&mut self, digest: &GossipDigest, now: Millis) -> bool {
-        self.newest = self.newest.max((digest.config_version, digest.address));
-        let known = self.known.get(&digest.address);
+    fn merge_digest(&mut self, digest: &GossipDigest, now: Millis) -> bool {
+        self.newest_config =
+            self.newest_config.max((digest.config_version, digest.address));
+        let known = self.known_peers.get(&digest.address);
         let peer = Peer {
             vm: digest.vm.clone(),
             zone: digest.zone.clone(),
-            heard: now,
-            mute_until: known.map_or(Millis(0), |it| it.mute_until),
+            last_digest_at: now,
+            unresponsive_until: known
+                .map_or(Millis(0), |it| it.unresponsive_until),
         };
         // A VM that was replaced has a new address.
-        self.known.retain(|at, it| it.vm != peer.vm || *at == digest.address);
-        self.known.insert(digest.address, peer).is_none()
+        self.known_peers
+            .retain(|at, it| it.vm != peer.vm || *at == digest.address);
+        self.known_peers.insert(digest.address, peer).is_none()
     }
 
     /// The entry that owns the rate limiter of a target; it may be this entry.
-    pub fn owner(
+    pub fn limiter_owner(
         &self,
         target: &Target,
         own_zone: &Name,
         now: Millis,
     ) -> Owner<SocketAddr> {
-        let silence = self.silence();
+        let silence = self.silence_timeout();
         let own = Member {
-            address: self.own,
+            address: self.own_address,
             zone: own_zone,
             presence: Presence::Heard,
         };
-        let others = self.known.iter().map(|(address, peer)| {
-            let silent = now.since(peer.heard) >= silence;
-            let presence = match silent || peer.mute_until > now {
+        let others = self.known_peers.iter().map(|(address, peer)| {
+            let silent = now.since(peer.last_digest_at) >= silence;
+            let presence = match silent || peer.unresponsive_until > now {
                 true => Presence::Silent,
                 false => Presence::Heard,
             };
@@ -159,82 +162,91 @@
     }
 
     /// Records that an entry doesn't answer permit requests.
-    pub fn mute(&mut self, address: SocketAddr, until: Millis) {
-        if let Some(peer) = self.known.get_mut(&address) {
-            peer.mute_until = until;
+    pub fn mark_unresponsive(&mut self, address: SocketAddr, until: Millis) {
+        if let Some(peer) = self.known_peers.get_mut(&address) {
+            peer.unresponsive_until = until;
         }
     }
 
     /// The part of all entries that sent a digest lately, including this one.
     /// Seeds that a new entry has had no digest from count as entries until
     /// they would have been forgotten.
-    pub fn reached(&self, now: Millis) -> f64 {
-        let silence = self.silence();
-        let known = self.known.values();
-        let heard = known.filter(|it| now.since(it.heard) < silence);
-        let unmet = |it: &&SocketAddr| !self.known.contains_key(*it);
+    pub fn reachable_share(&self, now: Millis) -> f64 {
+        let silence = self.silence_timeout();
+        let known = self.known_peers.values();
+        let reachable =
+            known.filter(|it| now.since(it.last_digest_at) < silence);
+        let unmet = |it: &&SocketAddr| !self.known_peers.contains_key(*it);
         let unmet = match now < PEER_TTL {
             true => self.seeds.iter().filter(unmet).count(),
             false => 0,
         };
-        let all = self.known.len() + unmet + 1;
-        (heard.count() + 1) as f64 / all as f64
+        let all = self.known_peers.len() + unmet + 1;
+        (reachable.count() + 1) as f64 / all as f64
     }
 
     /// Whether a digest from each seed has arrived.
     fn has_met_seeds(&self) -> bool {
-        self.seeds.iter().all(|it| self.known.contains_key(it))
+        self.seeds.iter().all(|it| self.known_peers.contains_key(it))
     }
 
-    fn silence(&self) -> Millis {
-        owner::silence(self.known.len(), MAX_RECIPIENTS)
+    fn silence_timeout(&self) -> Millis {
+        owner::silence(self.known_peers.len(), MAX_RECIPIENTS)
     }
 
     /// Returns the addresses in another entry's digest that are not known yet.
-    fn introduce(&mut self, peers: &[SocketAddr]) -> Vec<SocketAddr> {
+    fn unknown_addresses(&mut self, peers: &[SocketAddr]) -> Vec<SocketAddr> {
         let new = |it: &&SocketAddr| {
-            **it != self.own && !self.known.contains_key(*it)
+            **it != self.own_address && !self.known_peers.contains_key(*it)
         };
         peers.iter().filter(new).copied().collect()
     }
 
-    fn recipients(&mut self, now: Millis) -> Vec<SocketAddr> {
-        self.known.retain(|_, it| now.since(it.heard) < PEER_TTL);
-        let known = self.known.keys().copied();
-        let mut told = known.choose_multiple(&mut rand::rng(), MAX_RECIPIENTS);
-        let unmet = |it: &&SocketAddr| !self.known.contains_key(*it);
-        told.extend(self.seeds.iter().filter(unmet));
-        told
+    fn pick_recipients(&mut self, now: Millis) -> Vec<SocketAddr> {
+        self.known_peers
+            .retain(|_, it| now.since(it.last_digest_at) < PEER_TTL);
+        let known = self.known_peers.keys().copied();
+        let mut recipients =
+            known.choose_multiple(&mut rand::rng(), MAX_RECIPIENTS);
+        let unmet = |it: &&SocketAddr| !self.known_peers.contains_key(*it);
+        recipients.extend(self.seeds.iter().filter(unmet));
+        recipients
     }
 }
 
 /// Broadcasts digests to other entries and asks agents to report; never
 /// returns.
-pub async fn tell(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
+pub async fn broadcast_digests(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
     let mut round = 0;
-    let mut asked = 0;
+    let mut counted_joins = 0;
     loop {
         let now = Millis::now();
         entry.quarantine.borrow_mut().sweep(now);
-        let recipients = entry.peers.borrow_mut().recipients(now);
-        let all = round % RENEW_EVERY == 0;
-        let which = if all { Update::All } else { Update::Changed };
-        let digest =
-            gossip::encode(&Datagram::Digest(digest(&entry, which, now)));
+        let recipients = entry.peers.borrow_mut().pick_recipients(now);
+        let all = round % FULL_DIGEST_ROUNDS == 0;
+        let scope = if all { UpdateScope::All } else { UpdateScope::Changed };
+        let digest = gossip::encode(&Datagram::Digest(build_digest(
+            &entry, scope, now,
+        )));
         for peer in recipients {
-            send(&entry, &socket, &digest, peer).await;
+            send_datagram(&entry, &socket, &digest, peer).await;
         }
-        let known = entry.peers.borrow().known.len();
-        entry.metrics.knows(known, entry.fleet.borrow().ready().count());
-        entry.metrics.knows_limits(entry.limits_known());
+        let known = entry.peers.borrow().known_peers.len();
+        entry.metrics.set_known_peers_and_targets(
+            known,
+            entry.fleet.borrow().ready().count(),
+        );
+        entry.metrics.set_limited_targets(entry.limited_target_count());
         // Some requests count cooldowns as longer than they are.
         let over = now - MAX_STAGGER - PROBE_PERIOD;
         entry.cooldowns.borrow_mut().sweep(over);
-        entry.metrics.knows_cooling(entry.cooldowns.borrow().active(now));
+        entry
+            .metrics
+            .set_cooling_targets(entry.cooldowns.borrow().active(now));
         let joined = entry.joined_targets.get();
-        if round % ASK_EVERY == 0 || joined != asked {
-            asked = joined;
-            agents::ask_agents(&entry, &socket).await;
+        if round % AGENT_REQUEST_ROUNDS == 0 || joined != counted_joins {
+            counted_joins = joined;
+            agents::request_agent_reports(&entry, &socket).await;
         }
         round += 1;
         let _ = timeout(
@@ -245,10 +257,18 @@
     }
 }
 
-fn digest(entry: &Entry, update: Update, now: Millis) -> GossipDigest {
-    let since = now - entry.rollbacks.departures(now).unwrap_or(DEPARTURE_TTL);
+fn build_digest(
+    entry: &Entry,
+    scope: UpdateScope,
+    now: Millis,
+) -> GossipDigest {
+    let since = now
+        - entry
+            .rollbacks
+            .extended_departure_window(now)
+            .unwrap_or(DEPARTURE_TTL);
     let fleet = entry.fleet.borrow();
-    let (suspects, lives) = entry.quarantine.borrow().updates(update, now);
+    let (suspects, retracted) = entry.quarantine.borrow().updates(scope, now);
     let (mut left, mut withdrawn) = (Vec::new(), Vec::new());
     for (id, parting) in fleet.left_since(since) {
         match parting {
@@ -267,15 +287,15 @@
         last_change_offset: entry.readings.borrow().changed().offset,
         departed: left,
         withdrawn,
-        peers: entry.peers.borrow().known.keys().copied().collect(),
+        peers: entry.peers.borrow().known_peers.keys().copied().collect(),
         zone: entry.settings().zone.clone(),
         suspects,
-        retracted_crashes: lives,
-        limits: entry.limit_updates(update, now),
+        retracted_crashes: retracted,
+        limits: entry.limit_updates(scope, now),
     }
 }
 
-async fn send(
+async fn send_datagram(
     entry: &Entry,
     socket: &UdpSocket,
     message: &[u8],
@@ -287,82 +307,103 @@
 }
 
 /// Receives datagrams and dispatches them by type; never returns.
-pub async fn listen(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
+pub async fn receive_datagrams(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; gossip::MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
             // An unreachable peer causes errors here; the next datagram may be
             // good.
-            sleep(ERROR_BACKOFF.duration()).await;
+            sleep(RECEIVE_ERROR_BACKOFF.duration()).await;
             continue;
         };
         match gossip::decode::<Datagram>(&buffer[..length]) {
             Some(Datagram::Digest(digest)) => {
-                hear(&entry, &socket, digest).await;
+                handle_digest(&entry, &socket, digest).await;
             }
             Some(Datagram::Load(load)) => {
-                agents::take_load(&entry, &load);
+                agents::apply_engine_load(&entry, &load);
                 if load.list_id == 0 {
-                    agents::introduce(&entry, &socket, load.target).await;
+                    agents::send_target_list(&entry, &socket, load.target)
+                        .await;
                 }
             }
             Some(Datagram::EngineExit(lost)) => {
-                agents::take_lost(&entry, &lost)
+                agents::apply_engine_exit(&entry, &lost)
             }
             Some(Datagram::PermitRequest(ask)) => {
-                limits::answer(&entry, ask, from)
+                limits::answer_permit_request(&entry, ask, from)
+            }
+            Some(Datagram::PermitReply(reply)) => {
+                entry.deliver_permit_reply(reply)
             }
-            Some(Datagram::PermitReply(reply)) => entry.hear_reply(reply),
             None => warn!(entry.log, "strange_datagram"; "bytes" => length),
         }
     }
 }
 
-async fn hear(entry: &Rc<Entry>, socket: &UdpSocket, heard: GossipDigest) {
+async fn handle_digest(
+    entry: &Rc<Entry>,
+    socket: &UdpSocket,
+    received_digest: GossipDigest,
+) {
     let now = Millis::now();
-    entry.learn_era(heard.log_era, Source::Peer);
-    let left = heard.departed.iter();
+    entry.observe_era(received_digest.log_era, Source::Peer);
+    let left = received_digest.departed.iter();
     let left = left.map(|it| (&it.0, Parting::ForGood(Start(it.1))));
-    let withdrawn = heard.withdrawn.iter();
+    let withdrawn = received_digest.withdrawn.iter();
     let withdrawn =
         withdrawn.map(|it| (&it.0, Parting::After(Start(it.1), it.2)));
     for (id, parting) in left.chain(withdrawn) {
         let change = entry.fleet.borrow_mut().hear_parting(id, parting, now);
         entry.apply_target_change(id, change, Source::Peer);
     }
-    entry.record_zone_contact(&heard.zone, now);
-    entry.hear_suspects(&heard.suspects, &heard.retracted_crashes, now);
-    entry.hear_limits(&heard.limits, now);
-    let at = now - Millis(heard.targets_read_age_ms);
-    let changed = Position::new(heard.log_era, heard.last_change_offset);
+    entry.record_zone_contact(&received_digest.zone, now);
+    entry.merge_suspects(
+        &received_digest.suspects,
+        &received_digest.retracted_crashes,
+        now,
+    );
+    entry.merge_limits(&received_digest.limits, now);
+    let at = now - Millis(received_digest.targets_read_age_ms);
+    let changed = Position::new(
+        received_digest.log_era,
+        received_digest.last_change_offset,
+    );
     entry.merge_peer_read(at, changed, now);
     let (is_new, others) = {
         let mut peers = entry.peers.borrow_mut();
-        (peers.hear(&heard, now), peers.introduce(&heard.peers))
+        (
+            peers.merge_digest(&received_digest, now),
+            peers.unknown_addresses(&received_digest.peers),
+        )
     };
     entry.digest_received.notify_waiters();
     if is_new {
-        info!(entry.log, "peer_met"; "peer" => &*heard.vm,
-            "address" => %heard.address);
+        info!(entry.log, "peer_met"; "peer" => &*received_digest.vm,
+            "address" => %received_digest.address);
     }
     // An entry that starts waits for this digest.
-    let starts = heard.config_version == 0 && entry.catalog_version() > 0;
+    let starts =
+        received_digest.config_version == 0 && entry.catalog_version() > 0;
     if is_new || starts {
-        let own =
-            gossip::encode(&Datagram::Digest(digest(entry, Update::All, now)));
-        for other in others.into_iter().chain([heard.address]) {
-            send(entry, socket, &own, other).await;
+        let own = gossip::encode(&Datagram::Digest(build_digest(
+            entry,
+            UpdateScope::All,
+            now,
+        )));
+        for other in others.into_iter().chain([received_digest.address]) {
+            send_datagram(entry, socket, &own, other).await;
         }
     }
-    let behind = heard.config_version > entry.catalog_version()
-        || heard.config_version > 0 && !entry.is_ready()
+    let behind = received_digest.config_version > entry.catalog_version()
+        || received_digest.config_version > 0 && !entry.is_ready()
         || entry.readings.borrow().needs_peer();
-    if behind && !entry.peers.borrow().fetching {
-        entry.peers.borrow_mut().fetching = true;
+    if behind && !entry.peers.borrow().fetching_state {
+        entry.peers.borrow_mut().fetching_state = true;
         let entry = entry.clone();
         tokio::task::spawn_local(async move {
-            state::catch_up(&entry, &heard).await;
-            entry.peers.borrow_mut().fetching = false;
+            state::catch_up_from_peers(&entry, &received_digest).await;
+            entry.peers.borrow_mut().fetching_state = false;
         });
     }
 }
@@ -371,34 +412,37 @@
 /// configuration that any digest announces; each wait has a timeout. The log
 /// may have been rolled back to an older copy, and some other entries may be
 /// as far behind.
-pub async fn meet(entry: &Entry, version: u64) {
-    let has_heard_all = hear_all(entry).await;
+pub async fn wait_for_newest_catalog(entry: &Entry, version: u64) {
+    let has_heard_all = wait_for_seed_digests(entry).await;
+    let has_newest = |it: &Peers| {
+        entry.catalog().is_some() || it.newest_config.0 <= version
+    };
     let has_newest =
-        |it: &Peers| entry.catalog().is_some() || it.newest.0 <= version;
-    let has_newest = hear_until(entry, NEWER_TIMEOUT, has_newest).await;
+        wait_for_digests_until(entry, NEWER_CONFIG_TIMEOUT, has_newest).await;
     if !(has_heard_all && has_newest) {
         info!(entry.log, "not_all_met"; "version" => version,
-            "newest" => entry.peers.borrow().newest.0);
+            "newest" => entry.peers.borrow().newest_config.0);
     }
 }
 
 /// Waits until a digest from each seed has arrived, or for the time that a
 /// running entry needs to send one. Returns whether all arrived.
-async fn hear_all(entry: &Entry) -> bool {
-    hear_until(entry, MEETING_TIMEOUT, Peers::has_met_seeds).await
+async fn wait_for_seed_digests(entry: &Entry) -> bool {
+    wait_for_digests_until(entry, SEED_DIGEST_TIMEOUT, Peers::has_met_seeds)
+        .await
 }
 
 /// Waits for digests until a condition on the peers holds; returns whether it
 /// holds in time.
-async fn hear_until(
+async fn wait_for_digests_until(
     entry: &Entry,
-    time: Millis,
-    holds: impl Fn(&Peers) -> bool,
+    max_wait: Millis,
+    condition: impl Fn(&Peers) -> bool,
 ) -> bool {
-    let end = Millis::now() + time;
+    let end = Millis::now() + max_wait;
     loop {
         let met = entry.digest_received.notified();
-        if holds(&entry.peers.borrow()) {
+        if condition(&entry.peers.borrow()) {
             return true;
         }
         let left = end.since(Millis::now());
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -17,46 +17,49 @@
 use slog::info;
 use tokio::net::UdpSocket;
 
-use super::send;
+use super::send_datagram;
 use crate::entry::{Entry, Group, Source};
 
 /// Requests in flight are woken when a target's pace crosses a multiple of
 /// this percentage.
-const NEWS_PERCENT: u32 = 100;
+const PACE_STEP_PERCENT: u32 = 100;
 
 /// Asks all agents to report, and sends the list of targets to agents that
 /// don't have the current one.
-pub(super) async fn ask_agents(entry: &Entry, socket: &UdpSocket) {
-    for whole in subscriptions(entry) {
-        let named = Subscribe { targets: Vec::new(), ..whole.clone() };
-        let (list, targets) = (whole.list_id, whole.targets.clone());
-        let (whole, named) = (gossip::encode(&whole), gossip::encode(&named));
+pub(super) async fn request_agent_reports(entry: &Entry, socket: &UdpSocket) {
+    for full in subscriptions(entry) {
+        let without_targets =
+            Subscribe { targets: Vec::new(), ..full.clone() };
+        let (list, targets) = (full.list_id, full.targets.clone());
+        let (full, without_targets) =
+            (gossip::encode(&full), gossip::encode(&without_targets));
         for target in targets {
-            let agent = agent_of(entry, target);
+            let agent = agent_address(entry, target);
             let knows =
                 entry.agent_list_ids.borrow().get(&target) == Some(&list);
-            let message = if knows { &named } else { &whole };
-            send(entry, socket, message, agent).await;
+            let message = if knows { &without_targets } else { &full };
+            send_datagram(entry, socket, message, agent).await;
         }
     }
 }
 
 /// Sends the list of targets to an agent that has just started: the agent can
 /// do nothing without the list.
-pub(super) async fn introduce(
+pub(super) async fn send_target_list(
     entry: &Entry,
     socket: &UdpSocket,
     target: SocketAddr,
 ) {
     let mut subscriptions = subscriptions(entry).into_iter();
-    let whole = subscriptions.find(|it| it.targets.contains(&target));
-    if let Some(whole) = whole {
-        let message = gossip::encode(&whole);
-        send(entry, socket, &message, agent_of(entry, target)).await;
+    let full = subscriptions.find(|it| it.targets.contains(&target));
+    if let Some(full) = full {
+        let message = gossip::encode(&full);
+        send_datagram(entry, socket, &message, agent_address(entry, target))
+            .await;
     }
 }
 
-fn agent_of(entry: &Entry, target: SocketAddr) -> SocketAddr {
+fn agent_address(entry: &Entry, target: SocketAddr) -> SocketAddr {
     SocketAddr::new(target.ip(), entry.settings().peer_port)
 }
 
@@ -87,7 +90,7 @@
 }
 
 /// Applies an agent's report on its engine.
-pub(super) fn take_load(entry: &Entry, load: &EngineLoad) {
+pub(super) fn apply_engine_load(entry: &Entry, load: &EngineLoad) {
     entry.agent_list_ids.borrow_mut().insert(load.target, load.list_id);
     let now = Millis::now();
     let Some(target) = target_at(entry, load.target, load.start_unix_ms)
@@ -95,19 +98,19 @@
         return;
     };
     entry.record_zone_contact(&target.zone, now);
-    entry.note_report(&target, Start(load.start_unix_ms), now);
+    entry.check_report_after_crash(&target, Start(load.start_unix_ms), now);
     if load.leaving && target.start == Start(load.start_unix_ms) {
         info!(entry.log, "target_leaving"; "target" => &*target.id,
             "source" => ?Source::Peer);
-        return entry.note_left(&target);
+        return entry.mark_left(&target);
     }
     let id = target.id;
     let endpoint = entry.endpoint(&id);
     let mut endpoint = endpoint.borrow_mut();
-    let stands = |it: &Group| {
-        (it.epoch, it.accepts_requests, it.pace_percent / NEWS_PERCENT)
+    let visible_state = |it: &Group| {
+        (it.epoch, it.accepts_requests, it.pace_percent / PACE_STEP_PERCENT)
     };
-    let before = endpoint.group.as_ref().map(stands);
+    let before = endpoint.group.as_ref().map(visible_state);
     endpoint
         .request_stats
         .report(load.running.saturating_add(load.queued), now);
@@ -121,7 +124,7 @@
         pace_percent: load.pace_percent,
         reported_at: now,
     };
-    let after = stands(&group);
+    let after = visible_state(&group);
     entry.merge_formation(&group.name, group.epoch, group.accepts_requests);
     entry.record_pass(&group.name, group.epoch, group.last_pass, now);
     endpoint.group = Some(group);
@@ -136,7 +139,7 @@
 }
 
 /// Applies an agent's message that its engine's process is gone.
-pub(super) fn take_lost(entry: &Entry, engine_exit: &EngineExit) {
+pub(super) fn apply_engine_exit(entry: &Entry, engine_exit: &EngineExit) {
     let now = Millis::now();
     let Some(target) =
         target_at(entry, engine_exit.target, engine_exit.start_unix_ms)
--- a/cowsliproad-direct/src/peers/state.rs
+++ b/cowsliproad-direct/src/peers/state.rs
@@ -17,7 +17,7 @@
 use slog::warn;
 use tokio::time::sleep;
 
-use super::hear_all;
+use super::wait_for_seed_digests;
 use crate::{
     entry::{Entry, Source},
     follow,
@@ -39,7 +39,7 @@
 /// The configuration and the target announcements, as sent to an entry that
 /// can't read the log.
 #[derive(Debug, Deserialize, Serialize)]
-struct State {
+struct EntryState {
     #[serde(with = "serde_bytes")]
     catalog: Vec<u8>,
     targets: Vec<Announcement>,
@@ -54,26 +54,29 @@
 
 /// Fetches a peer's state unless this entry's own read of the log brings it in
 /// time.
-pub(super) async fn catch_up(entry: &Rc<Entry>, heard: &GossipDigest) {
+pub(super) async fn catch_up_from_peers(
+    entry: &Rc<Entry>,
+    received_digest: &GossipDigest,
+) {
     sleep(OWN_READ_DELAY.duration()).await;
-    let knows =
-        entry.catalog_version() >= heard.config_version && entry.is_ready();
+    let knows = entry.catalog_version() >= received_digest.config_version
+        && entry.is_ready();
     if knows && !entry.readings.borrow().needs_peer() {
         return;
     }
     if entry.catalog().is_none() {
-        hear_all(entry).await;
+        wait_for_seed_digests(entry).await;
     }
-    let (newest, ahead) = entry.peers.borrow().newest;
-    let ahead = (newest > heard.config_version).then_some(ahead);
-    for address in ahead.into_iter().chain([heard.address]) {
-        if let Some(state) = fetch(entry, address).await {
-            return take_state(entry, state);
+    let (newest, ahead) = entry.peers.borrow().newest_config;
+    let ahead = (newest > received_digest.config_version).then_some(ahead);
+    for address in ahead.into_iter().chain([received_digest.address]) {
+        if let Some(state) = fetch_state(entry, address).await {
+            return apply_state(entry, state);
         }
     }
 }
 
-async fn fetch(entry: &Entry, peer: SocketAddr) -> Option<State> {
+async fn fetch_state(entry: &Entry, peer: SocketAddr) -> Option<EntryState> {
     let uri = format!("http://{peer}{STATE_PATH}");
     let request = Request::get(uri).body(Full::new(Bytes::new())).ok()?;
     let client = Client::new();
@@ -86,14 +89,14 @@
             return None;
         }
     };
-    let state = gossip::decode::<State>(&body);
+    let state = gossip::decode::<EntryState>(&body);
     if state.is_none() {
         warn!(entry.log, "strange_state"; "peer" => %peer);
     }
     state
 }
 
-fn take_state(entry: &Entry, state: State) {
+fn apply_state(entry: &Entry, state: EntryState) {
     let raw = Bytes::from(state.catalog);
     match catalog::decode(&raw) {
         Ok(catalog) => entry.adopt_catalog(catalog, raw, Source::Peer),
@@ -108,13 +111,13 @@
     for announcement in state.targets {
         let value = Some(announcement.value.into());
         let record = Record { key: announcement.id, value };
-        follow::announce(entry, &record, now, Source::Peer);
+        follow::apply_announcement(entry, &record, now, Source::Peer);
     }
     entry.readings.borrow_mut().merged();
 }
 
 /// Serves this entry's state to an entry that starts or can't read the log.
-pub fn state(
+pub fn serve_state(
     entry: &Entry,
     request: &Request<Incoming>,
 ) -> Response<Full<Bytes>> {
@@ -129,6 +132,7 @@
         id: id.to_string(),
         value: value.to_vec(),
     });
-    let state = State { catalog: raw.to_vec(), targets: targets.collect() };
+    let state =
+        EntryState { catalog: raw.to_vec(), targets: targets.collect() };
     Response::new(Full::new(gossip::encode(&state).into()))
 }
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -36,15 +36,15 @@
 use crate::{
     ends::MAX_LATENCY,
     entry::{Entry, Source},
-    follow::{Contact, Reader, Scope},
-    limits::Update,
+    follow::{LogContact, ReadScope, TopicReader},
+    limits::UpdateScope,
 };
 
 /// Crashes of a work digest from which on its record is written to the log.
 /// Without an earlier record, a restart of all entries costs one more crash;
 /// if the first crash were written, each killed target would cost a call for
 /// every request that it ran.
-const WRITTEN_ENDS: usize = 2;
+const MIN_WRITTEN_CRASHES: usize = 2;
 
 /// How long the log may hold a long poll: the longest that it allows.
 const POLL_TIMEOUT: Millis = Millis(30_000);
@@ -66,7 +66,7 @@
 const MIN_RESTART_DELAY: Millis = Millis(1_000);
 
 /// Announcements from before a crash are read within this time.
-const READ_DELAY: Millis = Millis(3_000);
+const ANNOUNCEMENT_READ_DELAY: Millis = Millis(3_000);
 
 /// The least time between two announcements that surely came from different
 /// reads.
@@ -76,32 +76,32 @@
 const SWEEP_INTERVAL: Millis = Millis(10_000);
 
 /// Crashed targets that are watched for signs of life, 100 bytes each.
-const MAX_ENDED: usize = 1_024;
+const MAX_WATCHED_CRASHES: usize = 1_024;
 
 /// This entry's crash ledger, and the records to write to the log.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     ledger: CrashLedger,
     /// Work with a crash or survival that this entry observed itself.
-    own: HashSet<WorkDigest>,
+    observed_work: HashSet<WorkDigest>,
     /// Work whose record has to be written to or deleted from the log, and
     /// work whose record this entry wrote.
-    unwritten: BTreeSet<WorkDigest>,
-    written: HashSet<WorkDigest>,
+    pending_writes: BTreeSet<WorkDigest>,
+    written_work: HashSet<WorkDigest>,
     /// Work whose record the log lost, and when to write it again.
-    lost: BTreeMap<WorkDigest, Millis>,
+    lost_records: BTreeMap<WorkDigest, Millis>,
     /// Crashes counted against work, whose targets may yet show signs of life.
-    ended: HashMap<CrashId, Ended>,
+    watched_crashes: HashMap<CrashId, WatchedCrash>,
     /// Wakes the task that writes records to the log.
-    due: Rc<Notify>,
-    swept: Millis,
+    write_wakeup: Rc<Notify>,
+    last_sweep: Millis,
 }
 
 /// A supposed crash of a target.
 #[derive(Clone, Copy, Debug)]
-struct Ended {
+struct WatchedCrash {
     /// When the crash was first reported or observed.
-    at: Millis,
+    reported_at: Millis,
     /// Sequence number and read time of the target's first announcement that
     /// was read long enough after the crash.
     announced: Option<(u64, Millis)>,
@@ -109,7 +109,7 @@
 
 /// How much of a group stops working when a target crashes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Extent {
+pub enum CrashExtent {
     /// Only the target stops.
     Target,
     /// The whole group stops, since its ranks run in lock-step.
@@ -118,12 +118,12 @@
 
 /// The log's record of a crash-inducing request.
 #[derive(Debug, Deserialize, Serialize)]
-struct Kept {
+struct StoredSuspect {
     #[serde(rename = "s")]
     suspect: Suspect,
     /// When the record was written, as a Unix time in milliseconds.
     #[serde(rename = "t")]
-    at: u64,
+    written_at: u64,
 }
 
 impl Quarantine {
@@ -149,182 +149,199 @@
     /// Suspects and retracted crashes to send to other entries.
     pub fn updates(
         &self,
-        update: Update,
+        scope: UpdateScope,
         now: Millis,
     ) -> (Suspects, Vec<u64>) {
-        let suspects = match update {
-            Update::Changed => self.ledger.updates(now),
-            Update::All => self.ledger.updates_and_suspensions(now),
+        let suspects = match scope {
+            UpdateScope::Changed => self.ledger.updates(now),
+            UpdateScope::All => self.ledger.updates_and_suspensions(now),
         };
         (Suspects::pack(suspects), self.ledger.recent_retractions(now))
     }
 
-    fn note(&mut self, work: WorkDigest) {
+    fn queue_write_if_observed(&mut self, work: WorkDigest) {
         let known = self.ledger.crash_count(work);
-        if self.own.contains(&work) && known >= WRITTEN_ENDS {
-            self.unwritten.insert(work);
-            self.due.notify_one();
+        if self.observed_work.contains(&work) && known >= MIN_WRITTEN_CRASHES {
+            self.pending_writes.insert(work);
+            self.write_wakeup.notify_one();
         }
     }
 
     /// Evicts expired records, and deletes them from the log.
     pub fn sweep(&mut self, now: Millis) {
-        if now.since(self.swept) < SWEEP_INTERVAL {
+        if now.since(self.last_sweep) < SWEEP_INTERVAL {
             return;
         }
-        self.swept = now;
+        self.last_sweep = now;
         for work in self.ledger.evict_expired(now) {
-            if self.written.remove(&work) {
-                self.unwritten.insert(work);
-                self.due.notify_one();
+            if self.written_work.remove(&work) {
+                self.pending_writes.insert(work);
+                self.write_wakeup.notify_one();
             }
         }
         let ledger = &self.ledger;
-        self.own.retain(|it| ledger.has_case(*it));
-        self.written.retain(|it| ledger.has_case(*it));
-        self.lost.retain(|it, _| ledger.has_case(*it));
-        self.ended.retain(|end, _| ledger.counts_crash(*end));
+        self.observed_work.retain(|it| ledger.has_case(*it));
+        self.written_work.retain(|it| ledger.has_case(*it));
+        self.lost_records.retain(|it, _| ledger.has_case(*it));
+        self.watched_crashes
+            .retain(|crash_id, _| ledger.counts_crash(*crash_id));
     }
 
     /// The work whose record is to be written now; otherwise the time of the
     /// next write, if one is scheduled.
-    fn due(&mut self, now: Millis) -> Result<WorkDigest, Option<Millis>> {
-        let next = self.lost.iter().min_by_key(|it| it.1);
+    fn next_write(
+        &mut self,
+        now: Millis,
+    ) -> Result<WorkDigest, Option<Millis>> {
+        let next = self.lost_records.iter().min_by_key(|it| it.1);
         let next = next.map(|it| (*it.0, *it.1));
         if let Some((work, at)) = next
             && at <= now
         {
-            self.lost.remove(&work);
-            self.unwritten.insert(work);
+            self.lost_records.remove(&work);
+            self.pending_writes.insert(work);
         }
-        let first = self.unwritten.first().copied();
+        let first = self.pending_writes.first().copied();
         first.ok_or(next.map(|it| it.1))
     }
 
     /// Cancels the rewrite of a lost record that the log holds again.
-    fn note_kept(&mut self, kept: &Suspect, now: Millis) {
+    fn cancel_rewrite_if_stored(&mut self, kept: &Suspect, now: Millis) {
         let work = WorkDigest(kept.work_digest);
         if let Some(own) = self.ledger.suspect(work, now)
             && covers(kept, &own)
         {
-            self.lost.remove(&work);
+            self.lost_records.remove(&work);
         }
     }
 
-    fn watch(&mut self, end: CrashId, now: Millis) {
-        if self.ended.len() < MAX_ENDED {
-            let new = Ended { at: now, announced: None };
-            self.ended.entry(end).or_insert(new);
+    fn watch_crash(&mut self, crash_id: CrashId, now: Millis) {
+        if self.watched_crashes.len() < MAX_WATCHED_CRASHES {
+            let new = WatchedCrash { reported_at: now, announced: None };
+            self.watched_crashes.entry(crash_id).or_insert(new);
         }
     }
 
     /// The watched crash of this start of a target, if there is one.
-    fn end_of(&mut self, target: &Target) -> Option<(CrashId, &mut Ended)> {
-        if self.ended.is_empty() {
+    fn crash_of(
+        &mut self,
+        target: &Target,
+    ) -> Option<(CrashId, &mut WatchedCrash)> {
+        if self.watched_crashes.is_empty() {
             return None;
         }
-        let end = self.ledger.crash_id(&target.id, target.start.0);
-        self.ended.get_mut(&end).map(|it| (end, it))
+        let crash_id = self.ledger.crash_id(&target.id, target.start.0);
+        self.watched_crashes.get_mut(&crash_id).map(|it| (crash_id, it))
     }
 }
 
 impl Entry {
     /// Records that a target, alone or with its whole group, crashed under
     /// work.
-    pub fn note_ended(
+    pub fn record_crash_under(
         &self,
         target: &Target,
         work: WorkDigest,
-        extent: Extent,
+        extent: CrashExtent,
         now: Millis,
     ) {
         let mut quarantine = self.quarantine.borrow_mut();
-        let end = quarantine.ledger.crash_id(&target.id, target.start.0);
-        quarantine.watch(end, now);
-        quarantine.own.insert(work);
-        let change = quarantine.ledger.record_crash(work, end, now);
+        let crash_id = quarantine.ledger.crash_id(&target.id, target.start.0);
+        quarantine.watch_crash(crash_id, now);
+        quarantine.observed_work.insert(work);
+        let change = quarantine.ledger.record_crash(work, crash_id, now);
         let suspended = match extent {
-            Extent::Group => quarantine.ledger.suspend(work, now),
-            Extent::Target => QuarantineChange::None,
+            CrashExtent::Group => quarantine.ledger.suspend(work, now),
+            CrashExtent::Target => QuarantineChange::None,
         };
         drop(quarantine);
-        self.judged(work, change, Source::Own);
-        self.judged(work, suspended, Source::Own);
+        self.on_quarantine_change(work, change, Source::Own);
+        self.on_quarantine_change(work, suspended, Source::Own);
     }
 
     /// Records that a target survived work.
-    pub fn note_outlived(&self, work: WorkDigest, now: Millis) {
+    pub fn record_survival(&self, work: WorkDigest, now: Millis) {
         let mut quarantine = self.quarantine.borrow_mut();
         let change = quarantine.ledger.record_survival(work, now);
         if change != QuarantineChange::None {
             // The log's record must state the survival too.
-            quarantine.own.insert(work);
+            quarantine.observed_work.insert(work);
         }
         drop(quarantine);
-        self.judged(work, change, Source::Own);
+        self.on_quarantine_change(work, change, Source::Own);
     }
 
     /// Retracts a target's crash if the target answers a request that was sent
     /// after the crash was reported. An answer that arrives later may come
     /// from a new start under the same name.
-    pub fn note_answer(&self, target: &Target, sent: Millis, now: Millis) {
+    pub fn check_answer_after_crash(
+        &self,
+        target: &Target,
+        sent: Millis,
+        now: Millis,
+    ) {
         let mut quarantine = self.quarantine.borrow_mut();
-        let Some((end, ended)) = quarantine.end_of(target) else { return };
-        let is_later = sent > ended.at;
-        let is_soon = now.since(ended.at) < MIN_RESTART_DELAY;
+        let Some((id, watched)) = quarantine.crash_of(target) else { return };
+        let is_later = sent > watched.reported_at;
+        let is_soon = now.since(watched.reported_at) < MIN_RESTART_DELAY;
         drop(quarantine);
         if is_later && is_soon {
-            self.note_lives(end, now, Source::Own);
+            self.retract_crash(id, now, Source::Own);
         }
     }
 
     /// Retracts a target's crash if the target's agent still reads reports of
     /// the same start. An unstated start may be a later one.
-    pub fn note_report(&self, target: &Target, start: Start, now: Millis) {
+    pub fn check_report_after_crash(
+        &self,
+        target: &Target,
+        start: Start,
+        now: Millis,
+    ) {
         if start != target.start || start == Start::default() {
             return;
         }
         let mut quarantine = self.quarantine.borrow_mut();
-        let Some((end, ended)) = quarantine.end_of(target) else { return };
-        let is_later = now.since(ended.at) >= MAX_LATENCY;
+        let Some((id, watched)) = quarantine.crash_of(target) else { return };
+        let is_later = now.since(watched.reported_at) >= MAX_LATENCY;
         drop(quarantine);
         if is_later {
-            self.note_lives(end, now, Source::Own);
+            self.retract_crash(id, now, Source::Own);
         }
     }
 
     /// Retracts a target's crash if the target renews its announcement in a
     /// later read.
-    pub fn note_announcement(&self, target: &Target, now: Millis) {
+    pub fn check_renewal_after_crash(&self, target: &Target, now: Millis) {
         let mut quarantine = self.quarantine.borrow_mut();
-        let Some((end, ended)) = quarantine.end_of(target) else { return };
-        if now.since(ended.at) < READ_DELAY {
+        let Some((id, watched)) = quarantine.crash_of(target) else { return };
+        if now.since(watched.reported_at) < ANNOUNCEMENT_READ_DELAY {
             return;
         }
         let (first, at) =
-            *ended.announced.get_or_insert((target.sequence, now));
+            *watched.announced.get_or_insert((target.sequence, now));
         drop(quarantine);
         if target.sequence > first && now.since(at) >= MIN_RENEWAL_INTERVAL {
-            self.note_lives(end, now, Source::Log);
+            self.retract_crash(id, now, Source::Log);
         }
     }
 
     /// Retracts a supposed crash whose target is alive.
-    fn note_lives(&self, end: CrashId, now: Millis, source: Source) {
+    fn retract_crash(&self, crash_id: CrashId, now: Millis, source: Source) {
         let mut quarantine = self.quarantine.borrow_mut();
-        if quarantine.ledger.is_retracted(end) {
+        if quarantine.ledger.is_retracted(crash_id) {
             return;
         }
-        let held = quarantine.ledger.counts_crash(end);
-        let freed = quarantine.ledger.retract_crash(end, now);
-        quarantine.ended.remove(&end);
+        let was_counted = quarantine.ledger.counts_crash(crash_id);
+        let freed = quarantine.ledger.retract_crash(crash_id, now);
+        quarantine.watched_crashes.remove(&crash_id);
         drop(quarantine);
-        if !held {
+        if !was_counted {
             return;
         }
-        info!(self.log, "end_taken_back"; "end" => ?end, "source" => ?source);
+        info!(self.log, "end_taken_back"; "end" => ?crash_id, "source" => ?source);
         for work in freed {
-            self.judged(work, QuarantineChange::Freed, source);
+            self.on_quarantine_change(work, QuarantineChange::Freed, source);
         }
         if source != Source::Peer {
             self.digest_wakeup.notify_one();
@@ -332,21 +349,21 @@
     }
 
     /// Merges suspects and retracted crashes of another entry's digest.
-    pub fn hear_suspects(
+    pub fn merge_suspects(
         &self,
         suspects: &Suspects,
-        lives: &[u64],
+        retracted_crashes: &[u64],
         now: Millis,
     ) {
-        for end in lives.iter().map(|it| CrashId(*it)) {
-            self.note_lives(end, now, Source::Peer);
+        for crash_id in retracted_crashes.iter().map(|it| CrashId(*it)) {
+            self.retract_crash(crash_id, now, Source::Peer);
         }
         for suspect in suspects.unpack() {
-            self.hear_suspect(&suspect, now, Source::Peer);
+            self.merge_suspect(&suspect, now, Source::Peer);
         }
     }
 
-    fn hear_suspect(
+    fn merge_suspect(
         &self,
         suspect: &Suspect,
         now: Millis,
@@ -354,21 +371,25 @@
     ) -> QuarantineChange {
         let mut quarantine = self.quarantine.borrow_mut();
         let change = quarantine.ledger.merge(suspect, now);
-        for end in suspect.crashes.iter().map(|it| CrashId(*it)) {
+        for crash_id in suspect.crashes.iter().map(|it| CrashId(*it)) {
             if change != QuarantineChange::None
-                && !quarantine.ledger.is_retracted(end)
+                && !quarantine.ledger.is_retracted(crash_id)
             {
-                quarantine.watch(end, now);
+                quarantine.watch_crash(crash_id, now);
             }
         }
         drop(quarantine);
-        self.judged(WorkDigest(suspect.work_digest), change, source);
+        self.on_quarantine_change(
+            WorkDigest(suspect.work_digest),
+            change,
+            source,
+        );
         change
     }
 
     /// Logs, counts and broadcasts a change of a work digest's verdict, and
     /// wakes waiting requests.
-    fn judged(
+    fn on_quarantine_change(
         &self,
         work: WorkDigest,
         change: QuarantineChange,
@@ -378,13 +399,13 @@
             return;
         }
         let now = Millis::now();
-        let ends = self.quarantine.borrow().ledger.crash_count(work);
+        let crashes = self.quarantine.borrow().ledger.crash_count(work);
         match change {
             QuarantineChange::None | QuarantineChange::Suspected => {}
             QuarantineChange::Refused => {
                 info!(self.log, "work_refused"; "work" => %work,
-                    "ends" => ends, "source" => ?source);
-                self.metrics.quarantined("refused");
+                    "ends" => crashes, "source" => ?source);
+                self.metrics.record_quarantine("refused");
                 // Waiting requests for this work are rejected now.
                 self.notify_target_change();
             }
@@ -392,18 +413,18 @@
                 let verdict =
                     self.quarantine.borrow().ledger.verdict(work, now);
                 info!(self.log, "work_suspended"; "work" => %work,
-                    "ends" => ends, "verdict" => ?verdict,
+                    "ends" => crashes, "verdict" => ?verdict,
                     "source" => ?source);
-                self.metrics.quarantined("suspended");
+                self.metrics.record_quarantine("suspended");
                 self.notify_target_change();
             }
             QuarantineChange::Freed => {
                 info!(self.log, "work_freed"; "work" => %work,
-                    "ends" => ends, "source" => ?source);
-                self.metrics.quarantined("freed");
+                    "ends" => crashes, "source" => ?source);
+                self.metrics.record_quarantine("freed");
             }
         }
-        self.quarantine.borrow_mut().note(work);
+        self.quarantine.borrow_mut().queue_write_if_observed(work);
         if source == Source::Own {
             self.digest_wakeup.notify_one();
         }
@@ -411,8 +432,8 @@
 }
 
 /// Follows the quarantine topic of the log; never returns.
-pub async fn follow(entry: Rc<Entry>) {
-    let mut reader = Reader::new(&entry, log::QUARANTINE_TOPIC);
+pub async fn follow_quarantine(entry: Rc<Entry>) {
+    let mut reader = TopicReader::new(&entry, log::QUARANTINE_TOPIC);
     loop {
         let called = Millis::now();
         let reading = match reader.read(&entry, POLL_TIMEOUT).await {
@@ -423,19 +444,19 @@
             }
         };
         let records = reading.records.iter();
-        let kept: Vec<Kept> =
+        let kept: Vec<StoredSuspect> =
             records.filter_map(|it| decode(&entry, it)).collect();
-        let new = kept.iter().filter(|it| take(&entry, it)).count();
-        if reading.scope != Scope::New {
+        let new = kept.iter().filter(|it| merge_record(&entry, it)).count();
+        if reading.scope != ReadScope::New {
             let records = reading.records.len();
-            entry.note_read(log::QUARANTINE_TOPIC, records, new);
-            note_lost(&entry, &kept);
+            entry.record_full_read(log::QUARANTINE_TOPIC, records, new);
+            schedule_rewrites(&entry, &kept);
         } else if reading.records.is_empty() {
             // A log that returns from long polls at once is not read
             // continuously.
             let rest = (called + MIN_READ_INTERVAL).since(Millis::now());
             let era = entry.rollbacks.era();
-            let over = entry.rollbacks.after(era);
+            let over = entry.rollbacks.wait_for_era_after(era);
             let _ = timeout(rest.duration(), over).await;
         }
     }
@@ -443,8 +464,8 @@
 
 /// Decodes a record of the quarantine topic; None for a deleted or malformed
 /// one. Records deleted by another entry expire here in their own time.
-fn decode(entry: &Entry, record: &Record) -> Option<Kept> {
-    let kept = gossip::decode::<Kept>(record.value.as_ref()?);
+fn decode(entry: &Entry, record: &Record) -> Option<StoredSuspect> {
+    let kept = gossip::decode::<StoredSuspect>(record.value.as_ref()?);
     if kept.is_none() {
         warn!(entry.log, "strange_record"; "topic" => log::QUARANTINE_TOPIC,
             "key" => &record.key);
@@ -453,9 +474,9 @@
 }
 
 /// Merges a record of the log, and returns whether it changed the ledger.
-fn take(entry: &Entry, kept: &Kept) -> bool {
+fn merge_record(entry: &Entry, kept: &StoredSuspect) -> bool {
     let now = Millis::now();
-    let age = Millis(unix_now()).since(Millis(kept.at));
+    let age = Millis(unix_now_ms()).since(Millis(kept.written_at));
     let mut suspect = kept.suspect.clone();
     match &mut suspect.rejected_for {
         // The work may have arrived since; arrivals are not written to the log
@@ -466,29 +487,29 @@
         }
         None => suspect.since_last_seen = suspect.since_last_seen + age,
     }
-    let change = entry.hear_suspect(&suspect, now, Source::Log);
+    let change = entry.merge_suspect(&suspect, now, Source::Log);
     let work = WorkDigest(suspect.work_digest);
     let mut quarantine = entry.quarantine.borrow_mut();
-    quarantine.note_kept(&suspect, now);
+    quarantine.cancel_rewrite_if_stored(&suspect, now);
     if quarantine.ledger.suspect(work, now).is_none() {
         // The record has expired, and the entry that wrote it may be gone.
-        quarantine.unwritten.insert(work);
-        quarantine.due.notify_one();
+        quarantine.pending_writes.insert(work);
+        quarantine.write_wakeup.notify_one();
     }
     change != QuarantineChange::None
 }
 
 /// Schedules the rewrite of records that the log should hold and lost.
-fn note_lost(entry: &Entry, kept: &[Kept]) {
+fn schedule_rewrites(entry: &Entry, kept: &[StoredSuspect]) {
     let now = Millis::now();
     let kept = kept.iter().map(|it| (it.suspect.work_digest, &it.suspect));
     let kept: HashMap<u64, &Suspect> = kept.collect();
-    let entries = entry.peers.borrow().entries() as u64;
+    let entries = entry.peers.borrow().entry_count() as u64;
     let others = Millis(REWRITE_DELAY_PER_ENTRY.0 * entries);
     let others = others.min(MAX_REWRITE_DELAY);
     let known = entry.quarantine.borrow().ledger.snapshot(now);
     let known =
-        known.into_iter().filter(|it| it.crashes.len() >= WRITTEN_ENDS);
+        known.into_iter().filter(|it| it.crashes.len() >= MIN_WRITTEN_CRASHES);
     for suspect in known {
         let work = WorkDigest(suspect.work_digest);
         if kept.get(&work.0).is_some_and(|it| covers(it, &suspect)) {
@@ -496,13 +517,13 @@
         }
         let drawn = entry.random_fraction();
         let mut quarantine = entry.quarantine.borrow_mut();
-        let wait = match quarantine.written.contains(&work) {
+        let wait = match quarantine.written_work.contains(&work) {
             true => drawn * OWN_REWRITE_DELAY.0 as f64,
             false => OWN_REWRITE_DELAY.0 as f64 + drawn * others.0 as f64,
         };
         let at = now + Millis(wait as u64);
-        quarantine.lost.insert(work, at);
-        quarantine.due.notify_one();
+        quarantine.lost_records.insert(work, at);
+        quarantine.write_wakeup.notify_one();
         info!(entry.log, "work_lost"; "work" => %work, "wait" => wait as u64);
     }
 }
@@ -523,13 +544,13 @@
 }
 
 /// Writes and deletes records of the quarantine topic; never returns.
-pub async fn write(entry: Rc<Entry>) {
+pub async fn write_quarantine_records(entry: Rc<Entry>) {
     let mut client = Client::new(entry.settings().log);
-    let mut contact = Contact::new(log::QUARANTINE_TOPIC);
-    let due = entry.quarantine.borrow().due.clone();
+    let mut contact = LogContact::new(log::QUARANTINE_TOPIC);
+    let due = entry.quarantine.borrow().write_wakeup.clone();
     loop {
         let now = Millis::now();
-        let next = entry.quarantine.borrow_mut().due(now);
+        let next = entry.quarantine.borrow_mut().next_write(now);
         let work = match next {
             Ok(work) => work,
             Err(None) => {
@@ -542,22 +563,22 @@
                 continue;
             }
         };
-        let value = value_of(&entry, work);
+        let value = encode_record(&entry, work);
         let key = work.to_string();
         client.raise_era(entry.rollbacks.era());
         let written = client.put(log::QUARANTINE_TOPIC, &key, &value).await;
-        entry.learn_era(client.era(), Source::Log);
+        entry.observe_era(client.era(), Source::Log);
         if let Err(error) = written {
-            contact.bad(&entry, &error).await;
+            contact.back_off_after_failure(&entry, &error).await;
             continue;
         }
-        contact.good(&entry);
+        contact.record_success(&entry);
         let mut quarantine = entry.quarantine.borrow_mut();
-        quarantine.unwritten.remove(&work);
+        quarantine.pending_writes.remove(&work);
         if value.is_empty() {
-            quarantine.written.remove(&work);
+            quarantine.written_work.remove(&work);
         } else {
-            quarantine.written.insert(work);
+            quarantine.written_work.insert(work);
         }
         drop(quarantine);
         info!(entry.log, "work_written"; "work" => %work,
@@ -566,18 +587,19 @@
 }
 
 /// The encoded record of work for the log; empty to delete the record.
-fn value_of(entry: &Entry, work: WorkDigest) -> Vec<u8> {
+fn encode_record(entry: &Entry, work: WorkDigest) -> Vec<u8> {
     let suspect =
         entry.quarantine.borrow().ledger.suspect(work, Millis::now());
     // A suspension ends before other entries read the record.
     let suspect = suspect.map(|it| Suspect { suspended_for: None, ..it });
-    let kept = suspect.map(|suspect| Kept { suspect, at: unix_now() });
+    let kept = suspect
+        .map(|suspect| StoredSuspect { suspect, written_at: unix_now_ms() });
     kept.map(|it| gossip::encode(&it)).unwrap_or_default()
 }
 
 /// The Unix time in milliseconds, for records that are kept beyond this
 /// process's lifetime.
-fn unix_now() -> u64 {
+fn unix_now_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |it| it.as_millis() as u64)
 }
--- a/cowsliproad-direct/src/rollback.rs
+++ b/cowsliproad-direct/src/rollback.rs
@@ -35,19 +35,19 @@
 
 /// The time over which the entries spread their re-reads of a topic, for each
 /// entry.
-const SPREAD_PER_ENTRY: Millis = Millis(10);
+const REREAD_SPREAD_PER_ENTRY: Millis = Millis(10);
 
 /// The longest spread of re-reads: a new configuration must be in force within
 /// two seconds.
-const MAX_SPREAD: Millis = Millis(1_000);
+const MAX_REREAD_SPREAD: Millis = Millis(1_000);
 
 /// How long after a rollback the earlier departures of targets are broadcast
 /// again.
-const BROADCAST_TTL: Millis = Millis(8_000);
+const DEPARTURE_BROADCAST_TTL: Millis = Millis(8_000);
 
 /// The greatest age of the copy: targets that left since then may be listed in
 /// it.
-const MAX_AGE: Millis = Millis(60_000);
+const MAX_LOG_COPY_AGE: Millis = Millis(60_000);
 
 /// The log's newest known era and the latest rollback.
 #[derive(Debug)]
@@ -56,16 +56,16 @@
     era: watch::Sender<Era>,
     /// Whether anything was read from the log, so that a later era means a
     /// rollback.
-    has_read: Cell<bool>,
-    last: RefCell<Option<Rollback>>,
+    has_read_log: Cell<bool>,
+    last_rollback: RefCell<Option<Rollback>>,
 }
 
 #[derive(Debug)]
 struct Rollback {
     /// When the rollback was noticed.
-    at: Millis,
+    noticed_at: Millis,
     /// The topics that have not been read again since the rollback.
-    unread: BTreeSet<&'static str>,
+    unread_topics: BTreeSet<&'static str>,
 }
 
 impl Rollbacks {
@@ -73,8 +73,8 @@
     pub fn new() -> Rollbacks {
         Rollbacks {
             era: watch::Sender::new(Era::default()),
-            has_read: Cell::new(false),
-            last: RefCell::new(None),
+            has_read_log: Cell::new(false),
+            last_rollback: RefCell::new(None),
         }
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Waits until the log is in a newer era than `era`.
-    pub async fn after(&self, era: Era) {
+    pub async fn wait_for_era_after(&self, era: Era) {
         let mut newest = self.era.subscribe();
         // The sender exists as long as the entry.
         let _ = newest.wait_for(|it| *it > era).await;
@@ -92,10 +92,12 @@
 
     /// How far back departures of targets are broadcast, if a recent rollback
     /// extends the usual time.
-    pub fn departures(&self, now: Millis) -> Option<Millis> {
-        let last = self.last.borrow();
-        let last = last.as_ref().filter(|it| now.since(it.at) < BROADCAST_TTL);
-        last.map(|_| MAX_AGE)
+    pub fn extended_departure_window(&self, now: Millis) -> Option<Millis> {
+        let last = self.last_rollback.borrow();
+        let last = last
+            .as_ref()
+            .filter(|it| now.since(it.noticed_at) < DEPARTURE_BROADCAST_TTL);
+        last.map(|_| MAX_LOG_COPY_AGE)
     }
 }
 
@@ -108,51 +110,58 @@
 impl Entry {
     /// Records the log's era; a newer era than before means a rollback once
     /// anything was read.
-    pub fn learn_era(&self, era: Era, source: Source) {
+    pub fn observe_era(&self, era: Era, source: Source) {
         let before = self.rollbacks.era();
         if era <= before {
             return;
         }
         self.rollbacks.era.send_replace(era);
         self.readings.borrow_mut().enter(era);
-        if !self.rollbacks.has_read.get() {
+        if !self.rollbacks.has_read_log.get() {
             return;
         }
         let now = Millis::now();
         info!(self.log, "log_rolled_back"; "era" => era.0,
             "before" => before.0, "source" => ?source);
-        self.metrics.rolled_back();
+        self.metrics.record_log_rollback();
         self.fleet.borrow_mut().regained(now);
-        let unread =
+        let unread_topics =
             BTreeSet::from([CONFIG_TOPIC, TARGETS_TOPIC, QUARANTINE_TOPIC]);
-        *self.rollbacks.last.borrow_mut() = Some(Rollback { at: now, unread });
+        *self.rollbacks.last_rollback.borrow_mut() =
+            Some(Rollback { noticed_at: now, unread_topics });
         self.read_wakeup.notify_one();
         self.digest_wakeup.notify_one();
     }
 
     /// A random delay before this entry reads a topic again after a rollback.
-    pub fn reading_delay(&self) -> Millis {
-        let entries = self.peers.borrow().entries() as u64;
-        let spread = Millis(SPREAD_PER_ENTRY.0 * entries).min(MAX_SPREAD);
+    pub fn reread_delay(&self) -> Millis {
+        let entries = self.peers.borrow().entry_count() as u64;
+        let spread =
+            Millis(REREAD_SPREAD_PER_ENTRY.0 * entries).min(MAX_REREAD_SPREAD);
         Millis((spread.0 as f64 * self.random_fraction()) as u64)
     }
 
     /// Records that a topic was read in full after a rollback, and how many of
     /// its records changed the state.
-    pub fn note_read(&self, topic: &'static str, records: usize, new: usize) {
-        self.rollbacks.has_read.set(true);
-        let mut last = self.rollbacks.last.borrow_mut();
+    pub fn record_full_read(
+        &self,
+        topic: &'static str,
+        records: usize,
+        new: usize,
+    ) {
+        self.rollbacks.has_read_log.set(true);
+        let mut last = self.rollbacks.last_rollback.borrow_mut();
         let Some(rollback) = last.as_mut() else { return };
-        if !rollback.unread.remove(topic) {
+        if !rollback.unread_topics.remove(topic) {
             return;
         }
-        let took = Millis::now().since(rollback.at);
+        let took = Millis::now().since(rollback.noticed_at);
         info!(self.log, "topic_read_again"; "topic" => topic,
             "era" => self.rollbacks.era().0, "records" => records,
             "new" => new, "took" => took.0);
-        if rollback.unread.is_empty() {
+        if rollback.unread_topics.is_empty() {
             info!(self.log, "log_caught_up"; "took" => took.0);
-            self.metrics.caught_up(took);
+            self.metrics.record_log_catch_up(took);
         }
     }
 }
--- a/cowsliproad-direct/src/stated.rs
+++ b/cowsliproad-direct/src/stated.rs
@@ -17,18 +17,18 @@
 
 impl Entry {
     /// Applies the load, Retry-After and leaving headers of a target's answer.
-    pub fn note_stated(
+    pub fn apply_response_headers(
         &self,
         choice: &Choice,
         request: &str,
         head: &response::Parts,
     ) {
-        note_load(choice, &head.headers);
-        self.note_retry_after(choice, request, head);
-        self.note_leaving(choice, request, head);
+        record_load_header(choice, &head.headers);
+        self.apply_retry_after(choice, request, head);
+        self.apply_leaving_header(choice, request, head);
     }
 
-    fn note_leaving(
+    fn apply_leaving_header(
         &self,
         choice: &Choice,
         request: &str,
@@ -40,13 +40,13 @@
             info!(self.log, "target_leaving"; "request" => request,
                 "target" => &*choice.target.id,
                 "status" => head.status.as_u16());
-            self.note_left(&choice.target);
+            self.mark_left(&choice.target);
         }
     }
 
     /// Marks a target as taking no new requests, and broadcasts that to other
     /// entries.
-    pub fn note_left(&self, target: &Target) {
+    pub fn mark_left(&self, target: &Target) {
         let (id, start) = (&target.id, target.start);
         let now = Millis::now();
         let change = self.fleet.borrow_mut().leave(id, start, now);
@@ -59,7 +59,7 @@
         fleet.get(&target.id).is_some_and(|it| it.start == target.start)
     }
 
-    fn note_retry_after(
+    fn apply_retry_after(
         &self,
         choice: &Choice,
         request: &str,
@@ -72,7 +72,7 @@
         let wait = match read {
             RetryAfter::Wait(wait) if wait.0 > 0 => wait,
             RetryAfter::None | RetryAfter::Wait(_) => {
-                return self.note_recovered(choice);
+                return self.record_recovery(choice);
             }
             RetryAfter::Unreadable => {
                 let mut endpoint = choice.endpoint.borrow_mut();
@@ -83,7 +83,7 @@
                         "stated" => ?stated);
                 }
                 drop(endpoint);
-                return self.note_recovered(choice);
+                return self.record_recovery(choice);
             }
         };
         let now = Millis::now();
@@ -99,7 +99,7 @@
             "target" => &*target.id, "status" => head.status.as_u16(),
             "stated" => ?stated, "wait" => wait.0,
             "left_before" => before.map(|it| it.since(now).0));
-        self.metrics.cooled_down();
+        self.metrics.record_cooldown();
         // Requests that wait for this target now choose another one.
         self.notify_target_change();
         self.connection_freed.notify_waiters();
@@ -107,7 +107,7 @@
 
     /// Marks a target as recovered when an answer without Retry-After arrives
     /// after the cooldown.
-    fn note_recovered(&self, choice: &Choice) {
+    fn record_recovery(&self, choice: &Choice) {
         if choice.endpoint.borrow().recovery == Recovery::Done {
             return;
         }
@@ -128,7 +128,7 @@
     }
 
     /// Waits until a target is in a cooldown.
-    pub async fn until_cooldown(&self, target: &Target) {
+    pub async fn wait_for_cooldown(&self, target: &Target) {
         loop {
             let news = self.targets_changed.notified();
             if self.cooldown_end(target, Millis::now()).is_some() {
@@ -139,7 +139,7 @@
     }
 }
 
-fn note_load(choice: &Choice, headers: &HeaderMap) {
+fn record_load_header(choice: &Choice, headers: &HeaderMap) {
     let text = headers.get(&header::LOAD).and_then(|it| it.to_str().ok());
     let Some(text) = text else { return };
     let mut numbers = text.split(',').map(|it| it.trim().parse::<u32>());
--- a/cowsliproad-direct/src/stream.rs
+++ b/cowsliproad-direct/src/stream.rs
@@ -319,7 +319,7 @@
         let outcome = self.pass(&mut run, first).await;
         drop(run);
         let took = Millis::now().since(self.call.arrived);
-        self.entry.metrics.ended(took);
+        self.entry.metrics.record_answer_end(took);
         info!(self.entry.log, "stream_ended"; "request" => &*self.call.id,
             "outcome" => outcome, "events" => self.events,
             "pause" => self.pause.0, "took" => took.0);
