--- a/cowsliproad-bench/src/bin/cowsliproad-naive.rs
+++ b/cowsliproad-bench/src/bin/cowsliproad-naive.rs
@@ -73,9 +73,9 @@
 async fn run(settings: Settings) -> io::Result<()> {
     let front = Shared::default();
     tokio::task::spawn_local(follow(front.clone(), settings.clone()));
-    let readiness = TcpListener::bind(settings.readiness).await?;
+    let readiness = TcpListener::bind(settings.readiness_address).await?;
     tokio::task::spawn_local(serve(front.clone(), readiness));
-    let callers = TcpListener::bind(settings.callers).await?;
+    let callers = TcpListener::bind(settings.caller_address).await?;
     tokio::select! {
         () = serve(front, callers) => {}
         () = program::stop_signal() => {}
@@ -84,7 +84,7 @@
 }
 
 async fn follow(front: Shared, settings: Settings) {
-    let mut client = Client::new(settings.log);
+    let mut client = Client::new(settings.log_address);
     loop {
         // What could not be read is read the next time.
         if let Ok(page) = client.read_newest(CONFIG_TOPIC).await {
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -217,7 +217,7 @@
     /// answered just before comes back when it was told to.
     fn wait(&self, entry: &Entry) -> Millis {
         let silence = self.route.silence.map(|it| it - ANSWER_LATENCY);
-        silence.unwrap_or(entry.settings().wait_ms)
+        silence.unwrap_or(entry.settings().target_wait_ms)
     }
 
     /// The best target that the request may still be sent to, and how long it
--- a/cowsliproad-direct/src/callers.rs
+++ b/cowsliproad-direct/src/callers.rs
@@ -65,8 +65,8 @@
         never = accept(entry, &listener) => match never {},
         () = program::stop_signal() => {}
     }
-    let end =
-        Instant::now() + (entry.settings().grace_ms - END_MARGIN).duration();
+    let end = Instant::now()
+        + (entry.settings().shutdown_grace_ms - END_MARGIN).duration();
     entry.phase.set(Phase::Leaving);
     info!(entry.log, "stopping"; "under_way" => entry.unfinished_requests.get());
     let noticed = Instant::now() + DRAIN_DELAY.duration();
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -291,12 +291,12 @@
         let old = self.settings();
         info!(self.log, "settings_read";
             "changed" => new != *old,
-            "needs_restart" => !new.same_addresses(&old));
+            "needs_restart" => !new.has_same_addresses(&old));
         let kept = Settings {
             vm: old.vm.clone(),
             zone: old.zone.clone(),
-            callers: old.callers,
-            readiness: old.readiness,
+            caller_address: old.caller_address,
+            readiness_address: old.readiness_address,
             peer_port: old.peer_port,
             ..new
         };
@@ -520,9 +520,9 @@
     ) -> T {
         let retries = self.settings().retries;
         let config = RetryWindowConfig::new(
-            retries.ratio,
-            retries.slack,
-            retries.span_ms,
+            retries.retries_per_request,
+            retries.extra_retries,
+            retries.window_ms,
         );
         let mut budgets = self.retry_budgets.borrow_mut();
         let window = budgets
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -134,7 +134,7 @@
     pub fn new(entry: &Entry, topic: &'static str) -> TopicReader {
         TopicReader {
             topic,
-            client: Client::new(entry.settings().log),
+            client: Client::new(entry.settings().log_address),
             contact: LogContact::new(topic),
             next_position: None,
             has_read: false,
--- a/cowsliproad-direct/src/lib.rs
+++ b/cowsliproad-direct/src/lib.rs
@@ -61,11 +61,11 @@
 /// Runs an entry until it is told to stop and has finished its requests.
 pub async fn run(path: PathBuf, settings: Settings) -> io::Result<()> {
     let log = log::logger("direct", &settings.vm, settings.log_level);
-    let callers = TcpListener::bind(settings.callers).await?;
-    let readiness = TcpListener::bind(settings.readiness).await?;
+    let callers = TcpListener::bind(settings.caller_address).await?;
+    let readiness = TcpListener::bind(settings.readiness_address).await?;
     let peer_calls = TcpListener::bind(settings.peer_address()).await?;
     let datagrams = Rc::new(UdpSocket::bind(settings.peer_address()).await?);
-    info!(log, "started"; "callers" => %settings.callers);
+    info!(log, "started"; "callers" => %settings.caller_address);
     let entry = Rc::new(Entry::new(settings, log.clone()));
     entry.limits.borrow_mut().set_socket(datagrams.clone());
     let answers =
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -109,7 +109,7 @@
     /// Replaces the seeds; this entry's own address is left out.
     pub fn replace_seeds(&mut self, settings: &Settings) {
         let own = self.own_address;
-        let seeds = settings.seeds.iter();
+        let seeds = settings.seed_addresses.iter();
         let seeds = seeds.map(|it| SocketAddr::new(it.ip(), own.port()));
         self.seeds = seeds.filter(|it| *it != own).collect();
     }
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -545,7 +545,7 @@
 
 /// Writes and deletes records of the quarantine topic; never returns.
 pub async fn write_quarantine_records(entry: Rc<Entry>) {
-    let mut client = Client::new(entry.settings().log);
+    let mut client = Client::new(entry.settings().log_address);
     let mut contact = LogContact::new(log::QUARANTINE_TOPIC);
     let due = entry.quarantine.borrow().write_wakeup.clone();
     loop {
--- a/cowsliproad-direct/src/settings.rs
+++ b/cowsliproad-direct/src/settings.rs
@@ -16,25 +16,31 @@
     /// The availability zone of this entry's VM.
     pub zone: Name,
     /// The address where callers connect.
-    pub callers: SocketAddr,
+    #[serde(rename = "callers")]
+    pub caller_address: SocketAddr,
     /// The address that serves readiness and metrics.
-    pub readiness: SocketAddr,
+    #[serde(rename = "readiness")]
+    pub readiness_address: SocketAddr,
     /// Addresses of other entries to contact at startup. Some may be gone.
-    pub seeds: Vec<SocketAddr>,
+    #[serde(rename = "seeds")]
+    pub seed_addresses: Vec<SocketAddr>,
     /// The port for messages between entries and agents, the same on all VMs.
     pub peer_port: u16,
     /// The address of the platform's log.
-    pub log: SocketAddr,
+    #[serde(rename = "log")]
+    pub log_address: SocketAddr,
     /// How often a target renews its record in the log.
     pub heartbeat_ms: Millis,
     /// The time after a target leaves by which new requests must have ceased
     /// to reach it.
     pub drain_ms: Millis,
     /// The time from SIGTERM until the process is killed.
-    pub grace_ms: Millis,
+    #[serde(rename = "grace_ms")]
+    pub shutdown_grace_ms: Millis,
     /// How long a request waits for a usable target, where the route doesn't
     /// set how long callers wait without an event.
-    pub wait_ms: Millis,
+    #[serde(rename = "wait_ms")]
+    pub target_wait_ms: Millis,
     /// The retry budget that all entries share.
     pub retries: Retries,
     /// The minimum level of log messages.
@@ -47,11 +53,14 @@
 #[serde(deny_unknown_fields)]
 pub struct Retries {
     /// Retries allowed per request.
-    pub ratio: f64,
+    #[serde(rename = "ratio")]
+    pub retries_per_request: f64,
     /// Retries allowed in addition, independent of the number of requests.
-    pub slack: f64,
+    #[serde(rename = "slack")]
+    pub extra_retries: f64,
     /// The sliding window over which requests and retries are counted.
-    pub span_ms: Millis,
+    #[serde(rename = "span_ms")]
+    pub window_ms: Millis,
 }
 
 impl Settings {
@@ -61,19 +70,19 @@
         Settings {
             vm: "entry-1".into(),
             zone: "a".into(),
-            callers: local(8080),
-            readiness: local(8081),
-            seeds: vec![local(8082)],
+            caller_address: local(8080),
+            readiness_address: local(8081),
+            seed_addresses: vec![local(8082)],
             peer_port: 7340,
-            log: local(8223),
+            log_address: local(8223),
             heartbeat_ms: Millis(1_200),
             drain_ms: Millis(2_000),
-            grace_ms: Millis(8_000),
-            wait_ms: Millis(1_500),
+            shutdown_grace_ms: Millis(8_000),
+            target_wait_ms: Millis(1_500),
             retries: Retries {
-                ratio: 0.2,
-                slack: 90.0,
-                span_ms: Millis(10_000),
+                retries_per_request: 0.2,
+                extra_retries: 90.0,
+                window_ms: Millis(10_000),
             },
             log_level: Level::Info,
         }
@@ -81,18 +90,18 @@
 
     /// Whether two settings agree in everything that needs a restart to
     /// change.
-    pub fn same_addresses(&self, other: &Settings) -> bool {
+    pub fn has_same_addresses(&self, other: &Settings) -> bool {
         self.vm == other.vm
             && self.zone == other.zone
-            && self.callers == other.callers
-            && self.readiness == other.readiness
+            && self.caller_address == other.caller_address
+            && self.readiness_address == other.readiness_address
             && self.peer_port == other.peer_port
     }
 
     /// The address where this entry receives datagrams and calls of other
     /// entries.
     pub fn peer_address(&self) -> SocketAddr {
-        SocketAddr::new(self.callers.ip(), self.peer_port)
+        SocketAddr::new(self.caller_address.ip(), self.peer_port)
     }
 }
 
@@ -108,18 +117,20 @@
             let least = format!("at least {MIN_DRAIN} is needed");
             return Err(("drain_ms", least));
         }
-        if self.grace_ms.0 < MIN_GRACE.0 {
+        if self.shutdown_grace_ms.0 < MIN_GRACE.0 {
             let least = format!("at least {MIN_GRACE} is needed");
             return Err(("grace_ms", least));
         }
         let share = 0.0..=1.0;
-        if !share.contains(&self.retries.ratio) {
+        if !share.contains(&self.retries.retries_per_request) {
             return Err(("retries.ratio", "0 to 1 is needed".into()));
         }
-        if self.retries.slack.is_nan() || self.retries.slack < 0.0 {
+        if self.retries.extra_retries.is_nan()
+            || self.retries.extra_retries < 0.0
+        {
             return Err(("retries.slack", "0 or more is needed".into()));
         }
-        if self.retries.span_ms.0 < MIN_SPAN.0 {
+        if self.retries.window_ms.0 < MIN_SPAN.0 {
             let least = format!("at least {MIN_SPAN} is needed");
             return Err(("retries.span_ms", least));
         }
--- a/cowsliproad-direct/tests/entry/harness.rs
+++ b/cowsliproad-direct/tests/entry/harness.rs
@@ -163,12 +163,15 @@
         let at = |port| SocketAddr::from((vm, port));
         Settings {
             vm: format!("entry-{}", self.next).into(),
-            callers: at(CALLERS),
-            readiness: at(READINESS),
+            caller_address: at(CALLERS),
+            readiness_address: at(READINESS),
             peer_port: PEERS,
-            seeds: seeds.iter().map(|it| it.settings.callers).collect(),
-            log: self.log_address,
-            wait_ms: Millis(1_900),
+            seed_addresses: seeds
+                .iter()
+                .map(|it| it.settings.caller_address)
+                .collect(),
+            log_address: self.log_address,
+            target_wait_ms: Millis(1_900),
             ..Settings::example()
         }
     }
@@ -211,7 +214,8 @@
     /// Starts a process whose log goes somewhere.
     pub fn start_with(settings: Settings, output: Stdio) -> Entry {
         let directory = std::env::temp_dir();
-        let name = format!("cowsliproad-{}.json", settings.callers.ip());
+        let name =
+            format!("cowsliproad-{}.json", settings.caller_address.ip());
         let file = directory.join(name);
         write(&file, &settings);
         let child = Command::new(env!("CARGO_BIN_EXE_cowsliproad-direct"))
@@ -230,7 +234,7 @@
     /// What the balancer is told.
     pub async fn is_ready(&self) -> bool {
         let path = READINESS_PATH;
-        let uri = format!("http://{}{path}", self.settings.readiness);
+        let uri = format!("http://{}{path}", self.settings.readiness_address);
         let request = Request::get(uri).body(Full::default());
         let request = request.expect("a request");
         let answer = Client::new().call(request, 1_000, PATIENCE).await;
@@ -239,7 +243,8 @@
 
     /// A gauge or counter of the process.
     pub async fn metric(&self, name: &str) -> Option<f64> {
-        let uri = format!("http://{}/metrics", self.settings.readiness);
+        let uri =
+            format!("http://{}/metrics", self.settings.readiness_address);
         metric(&uri, name).await
     }
 
@@ -314,7 +319,7 @@
         body: &str,
     ) -> Request<Full<Bytes>> {
         let number = REQUEST.fetch_add(1, Ordering::Relaxed);
-        Request::post(format!("http://{}{path}", self.settings.callers))
+        Request::post(format!("http://{}{path}", self.settings.caller_address))
             .header(http::header::HOST, "host.example")
             .header(http::header::AUTHORIZATION, format!("Bearer {key}"))
             .header(header::REQUEST_ID, format!("q{number}"))
--- a/cowsliproad-direct/tests/entry/news.rs
+++ b/cowsliproad-direct/tests/entry/news.rs
@@ -77,7 +77,7 @@
     let first = plant.entry().await;
     let mut settings = plant.settings(&[&first]);
     // Nobody listens there.
-    settings.log.set_port(1);
+    settings.log_address.set_port(1);
     let second = Entry::start(settings);
     second.until_ready().await;
     assert_eq!(status(&second, "/many/a", KEY).await, StatusCode::OK);
@@ -99,7 +99,7 @@
     })
     .await;
     // One answer above waits for a target for up to its own patience.
-    let waited = Duration::from_millis(second.settings.wait_ms.0);
+    let waited = Duration::from_millis(second.settings.target_wait_ms.0);
     assert!(left.elapsed() < BOUND + waited);
 }
 
--- a/cowsliproad-direct/tests/entry/processes.rs
+++ b/cowsliproad-direct/tests/entry/processes.rs
@@ -69,10 +69,10 @@
         for number in 0..count {
             let seeds: Vec<&Entry> = entries.iter().take(3).collect();
             let mut settings = plant.settings(&seeds);
-            let address = (settings.callers.ip(), LOG_PORT).into();
-            let link = Proxy::start(address, settings.log).await;
+            let address = (settings.caller_address.ip(), LOG_PORT).into();
+            let link = Proxy::start(address, settings.log_address).await;
             links.push(link.expect("a proxy"));
-            settings.log = address;
+            settings.log_address = address;
             let seeds = (0..number.min(3)).collect();
             lives.push(Life { from: Instant::now(), until: None, seeds });
             entries.push(siege::start(settings));
@@ -150,7 +150,7 @@
         let others = others.filter_map(|it| {
             let entry = it.borrow();
             let (process, entry) = entry.as_ref()?;
-            Some((*process, entry.settings.callers))
+            Some((*process, entry.settings.caller_address))
         });
         let (known, seeds) = others.take(3).unzip();
         let settings = match address {
@@ -158,11 +158,11 @@
             // A VM that is replaced keeps its name.
             Address::Of(other) => Settings {
                 vm: gone.settings.vm.clone(),
-                log: gone.settings.log,
+                log_address: gone.settings.log_address,
                 ..*other
             },
         };
-        let settings = Settings { seeds, ..settings };
+        let settings = Settings { seed_addresses: seeds, ..settings };
         if signal == Signal::KILL {
             gone.ended().await;
         }
--- a/cowsliproad-direct/tests/entry/rollback_siege.rs
+++ b/cowsliproad-direct/tests/entry/rollback_siege.rs
@@ -419,7 +419,7 @@
         let mut known = Vec::new();
         for place in 0..self.processes.count() {
             let metrics = self.processes.with(place, |_, entry| {
-                format!("http://{}/metrics", entry.settings.readiness)
+                format!("http://{}/metrics", entry.settings.readiness_address)
             });
             let Some(metrics) = metrics else { continue };
             let targets = metric(&metrics, "targets").await;
--- a/cowsliproad-direct/tests/entry/rollbacks.rs
+++ b/cowsliproad-direct/tests/entry/rollbacks.rs
@@ -105,7 +105,7 @@
     let first = plant.entry().await;
     let mut settings = plant.settings(&[&first]);
     // Nobody listens there.
-    settings.log.set_port(1);
+    settings.log_address.set_port(1);
     let second = Entry::start(settings);
     second.until_ready().await;
     let copy = Instant::now();
@@ -372,7 +372,7 @@
     /// Starts an entry whose lines are kept.
     fn of(plant: &mut Plant, seeds: &[&Entry]) -> (Entry, Lines) {
         let settings = plant.settings(seeds);
-        let name = format!("cowsliproad-{}.log", settings.callers.ip());
+        let name = format!("cowsliproad-{}.log", settings.caller_address.ip());
         let path = std::env::temp_dir().join(name);
         let file = File::create(&path).expect("a file");
         (Entry::start_with(settings, file.into()), Lines(path))
--- a/cowsliproad-direct/tests/entry/stop.rs
+++ b/cowsliproad-direct/tests/entry/stop.rs
@@ -69,7 +69,7 @@
     plant.target("i-1", "plain").await;
     let mut entry = plant.entry().await;
     let mut settings = entry.settings.clone();
-    settings.retries.ratio = 0.1;
+    settings.retries.retries_per_request = 0.1;
     write(&entry.file, &settings);
     entry.signal(Signal::HUP);
     std::fs::write(&entry.file, "{").expect("a broken file");
