--- a/cowsliproad-direct/src/attempt.rs
+++ b/cowsliproad-direct/src/attempt.rs
@@ -127,7 +127,9 @@
             | AttemptError::Withheld(_) => {
                 self.outlived();
             }
-            AttemptError::Broken(_) => self.suspect(Suspicion::broken),
+            AttemptError::Broken(_) => {
+                self.suspect(Suspicion::for_broken_connection)
+            }
             AttemptError::Unknown(_) => self.give_up(),
         }
     }
@@ -135,7 +137,7 @@
     fn give_up(&self) {
         let until = self.until;
         self.suspect(|request, work| {
-            Suspicion::given_up(request, work, until)
+            Suspicion::abandoned(request, work, until)
         });
     }
 
@@ -143,7 +145,7 @@
         if !self.settled.replace(true) && self.sent.get().is_some() {
             let (request, work) = self.call.clone();
             let suspect = new(request, work);
-            let suspect = suspect.with_progress(self.has_progress.get());
+            let suspect = suspect.with_answer_begun(self.has_progress.get());
             ends::add_suspicion(&self.entry, &self.choice, suspect);
         }
     }
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -52,7 +52,8 @@
                 entry.connection_freed.notified(),
             );
             let now = Millis::now();
-            let verdict = entry.quarantine.borrow_mut().admit(self.work, now);
+            let verdict =
+                entry.quarantine.borrow_mut().admit_work(self.work, now);
             match verdict {
                 QuarantineVerdict::Allowed => {}
                 QuarantineVerdict::Refused(after) => {
@@ -146,7 +147,8 @@
             return Millis(0);
         }
         let all = Shortage::new([&all].into_iter());
-        let end = all.and_then(|it| it.end()).or(shortage.end());
+        let end =
+            all.and_then(|it| it.earliest_end()).or(shortage.earliest_end());
         end.map_or(Millis(0), |it| it.since(now))
     }
 
@@ -270,7 +272,7 @@
         if !may_ask || ahead == Millis(0) {
             return Err(Shortage::new(seen()));
         }
-        let asks = PermitWait::Ahead(ahead);
+        let asks = PermitWait::Within(ahead);
         let chosen =
             seen().find_map(|it| it.choose(asks, entry.random_fraction()));
         let chosen = chosen.map(|it| (it, ahead));
@@ -281,13 +283,13 @@
         let endpoint = choice.endpoint.borrow();
         let group = endpoint.group.as_ref();
         let age = group.map_or(-1, |it| now.since(it.reported_at).0 as i64);
-        let report = endpoint.limit.report(now);
+        let report = endpoint.rate_limit.report(now);
         info!(entry.log, "chosen"; "request" => &*self.id,
             "work" => %self.work,
             "target" => &*choice.target.id, "route" => &*self.route.name,
             "cost" => choice.cost as u64, "at_target" => endpoint.request_stats.occupancy(now),
             "own" => endpoint.request_stats.in_flight(), "report_age" => age,
-            "limit" => choice.limit.map(|it| it.per_second()),
+            "limit" => choice.rate_limit.map(|it| it.per_second()),
             "limit_age" => report.map(|it| it.age.0),
             "denied" => self.denied,
             "left" => self.left().0, "try" => self.tries + 1);
--- a/cowsliproad-direct/src/ends.rs
+++ b/cowsliproad-direct/src/ends.rs
@@ -48,9 +48,10 @@
 /// The timeout for the probe's connection to be accepted or refused.
 const CONNECT_TIMEOUT: Millis = Millis(250);
 
-/// Probes without a clear result before the target's fate counts as unknown,
-/// and the pause between probes.
+/// Probes without a conclusive answer before the target's state counts as
+/// unknown.
 const MAX_PROBES: u32 = 3;
+/// The pause between probes without a conclusive answer.
 const PROBE_RETRY_BACKOFF: Millis = Millis(300);
 
 /// Suspicions kept per target, some 70 bytes each: all requests of one entry
@@ -61,59 +62,62 @@
 /// A request during which its target may have crashed.
 #[derive(Clone, Debug)]
 pub struct Suspicion {
-    request: Name,
+    request_id: Name,
     work: WorkDigest,
     /// When the request's connection broke or was abandoned, or, if later,
     /// when the target was last known to be alive.
     broken_at: Millis,
-    /// How long after `at` the target may have continued with the request
-    /// before it is probed.
+    /// How long after `broken_at` the target may have continued with the
+    /// request before it is probed.
     linger_time: Millis,
     /// The latest time at which the target may still run the request.
     may_run_until: Millis,
     /// Whether the target had begun to answer the request.
-    has_progress: bool,
+    answer_begun: bool,
 }
 
 impl Suspicion {
     /// A suspicion for a request whose connection broke.
-    pub fn broken(request: Name, work: WorkDigest) -> Suspicion {
+    pub fn for_broken_connection(
+        request_id: Name,
+        work: WorkDigest,
+    ) -> Suspicion {
         let broken_at = Millis::now();
         Suspicion {
-            request,
+            request_id,
             work,
             broken_at,
             linger_time: Millis(0),
             may_run_until: broken_at,
-            has_progress: false,
+            answer_begun: false,
         }
     }
 
     /// Sets whether part of the request's answer had arrived.
-    pub fn with_progress(self, has_progress: bool) -> Suspicion {
-        Suspicion { has_progress, ..self }
+    pub fn with_answer_begun(self, answer_begun: bool) -> Suspicion {
+        Suspicion { answer_begun, ..self }
     }
 
     /// A suspicion for a request that was abandoned here, and that the target
     /// may continue until the request's deadline.
-    pub fn given_up(
-        request: Name,
+    pub fn abandoned(
+        request_id: Name,
         work: WorkDigest,
         may_run_until: Millis,
     ) -> Suspicion {
-        let broken = Suspicion::broken(request, work);
+        let broken = Suspicion::for_broken_connection(request_id, work);
         let linger_time = LINGER_INTERVAL;
         let may_run_until = may_run_until.min(broken.broken_at + MAX_LINGER);
         Suspicion { linger_time, may_run_until, ..broken }
     }
 
-    fn is_given_up(&self) -> bool {
+    fn is_abandoned(&self) -> bool {
         self.linger_time > Millis(0)
     }
 
     /// The suspicion that remains after the target was seen alive; None after
     /// the request's deadline.
-    fn renewed(&self, now: Millis) -> Option<Suspicion> {
+    fn after_sign_of_life(&self, now: Millis) -> Option<Suspicion> {
         (self.may_run_until > now)
             .then(|| Suspicion { broken_at: now, ..self.clone() })
     }
@@ -151,7 +155,7 @@
     if endpoint.suspicions.len() >= MAX_SUSPICIONS {
         entry.metrics.record_suspicions(1, "untold");
         let oldest =
-            endpoint.suspicions.iter().position(Suspicion::is_given_up);
+            endpoint.suspicions.iter().position(Suspicion::is_abandoned);
         let Some(oldest) = oldest else { return };
         endpoint.suspicions.remove(oldest);
     }
@@ -205,14 +209,14 @@
         let endpoint = choice.endpoint.borrow();
         (endpoint.last_seen_alive, endpoint.exit_reported_at)
     };
-    let outlived = |it: &Suspicion| {
+    let survived = |it: &Suspicion| {
         last_seen_alive.is_some_and(|at| it.survival_proven_from() <= at)
     };
-    resolve_suspicions(entry, choice, ProbeOutcome::Alive, outlived);
-    let ended = |it: &Suspicion| {
+    resolve_suspicions(entry, choice, ProbeOutcome::Alive, survived);
+    let crashed = |it: &Suspicion| {
         exit_reported_at.is_some_and(|at| it.broken_at <= at + MAX_LATENCY)
     };
-    resolve_suspicions(entry, choice, ProbeOutcome::Crashed, ended);
+    resolve_suspicions(entry, choice, ProbeOutcome::Crashed, crashed);
     let endpoint = choice.endpoint.borrow();
     let due = |it: &Suspicion| {
         it.broken_at + it.linger_time + probe_delay(&endpoint, it.broken_at)
@@ -221,8 +225,9 @@
 }
 
 fn probe_delay(endpoint: &Endpoint, since: Millis) -> Millis {
-    let heard = endpoint.group.as_ref().map(|it| since.since(it.reported_at));
-    match heard {
+    let report_age =
+        endpoint.group.as_ref().map(|it| since.since(it.reported_at));
+    match report_age {
         Some(age) if age < AGENT_REPORT_TIMEOUT => AGENT_PROBE_DELAY,
         _ => PLAIN_PROBE_DELAY,
     }
@@ -258,8 +263,9 @@
         if !is_settled(it) {
             return true;
         }
-        let lives_on = outcome == ProbeOutcome::Alive;
-        if let Some(renewed) = it.renewed(now).filter(|_| lives_on) {
+        let is_alive = outcome == ProbeOutcome::Alive;
+        if let Some(renewed) = it.after_sign_of_life(now).filter(|_| is_alive)
+        {
             *it = renewed;
             return true;
         }
@@ -291,14 +297,14 @@
     // A rank has begun to answer most requests that it runs, and a
     // crash-inducing request mostly crashes the rank before that.
     let in_group = choice.endpoint.borrow().group.is_some();
-    let is_likely = !suspect.has_progress && !suspect.is_given_up();
+    let is_likely = !suspect.answer_begun && !suspect.is_abandoned();
     let extent = if in_group && is_likely {
         CrashExtent::Group
     } else {
         CrashExtent::Target
     };
     info!(entry.log, "ended_under"; "target" => &*choice.target.id,
-        "request" => &*suspect.request, "work" => %suspect.work,
+        "request" => &*suspect.request_id, "work" => %suspect.work,
         "known_after" => age.0, "extent" => ?extent);
     entry.record_crash_under(
         &choice.target,
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -61,7 +61,7 @@
     Own,
 }
 
-/// The phases of the process.
+/// The phases of an entry process, from serving to the end of its shutdown.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Phase {
     /// The process accepts connections and requests.
@@ -99,7 +99,7 @@
     /// Requests during which the target may have crashed.
     pub suspicions: Vec<Suspicion>,
     /// The rate limit that the target states in its answers.
-    pub limit: CurrentLimit,
+    pub rate_limit: CurrentLimit,
     /// Permits for the target that were granted after their requests stopped
     /// waiting.
     pub spare_permits: Vec<Permit>,
@@ -228,7 +228,7 @@
     /// Connections to the target that this entry may have.
     pub max_connections: usize,
     /// The rate limit that the target states.
-    pub limit: Option<Rate>,
+    pub rate_limit: Option<Rate>,
     /// The permit to send that the request holds at the target.
     pub permit: Option<Permit>,
 }
@@ -481,8 +481,8 @@
     /// Records that a message of a VM in an availability zone arrived.
     pub fn record_zone_contact(&self, zone: &Name, at: Millis) {
         let mut zones = self.zone_last_seen.borrow_mut();
-        if let Some(heard) = zones.get_mut(zone) {
-            *heard = at.max(*heard);
+        if let Some(last_seen) = zones.get_mut(zone) {
+            *last_seen = at.max(*last_seen);
         } else if zones.len() < MAX_TRACKED_ZONES {
             zones.insert(zone.clone(), at);
         }
@@ -493,8 +493,8 @@
     pub fn has_zone_contact_since(&self, zone: &Name, since: Millis) -> bool {
         let own = self.settings().zone == *zone;
         let zones = self.zone_last_seen.borrow();
-        let mut heard = zones.iter().filter(|it| own || it.0 == zone);
-        heard.any(|it| *it.1 >= since)
+        let mut last_seen = zones.iter().filter(|it| own || it.0 == zone);
+        last_seen.any(|it| *it.1 >= since)
     }
 
     /// Records a request in its service's retry budget.
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -75,11 +75,11 @@
             let kept = snapshot.scored.len() + snapshot.cooling_count;
             shortage.covers_all_targets &= kept == snapshot.eligible_count;
         }
-        shortage.end().map(|_| shortage)
+        shortage.earliest_end().map(|_| shortage)
     }
 
     /// When the first target may take a request again.
-    pub fn end(&self) -> Option<Millis> {
+    pub fn earliest_end(&self) -> Option<Millis> {
         self.limit_end.into_iter().chain(self.cooldown_end).min()
     }
 }
@@ -91,7 +91,7 @@
     /// another target.
     Now,
     /// For a permit that becomes free within this time.
-    Ahead(Millis),
+    Within(Millis),
     /// The request doesn't ask for permits.
     Never,
 }
@@ -115,7 +115,7 @@
         let place =
             pick::spread(&costs, step, self.unreported_requests, draw)?;
         let is_below_share = |it: &Choice| {
-            it.limit.is_some_and(|it| {
+            it.rate_limit.is_some_and(|it| {
                 it.per_second() < self.equal_share_per_second
             })
         };
@@ -137,7 +137,7 @@
                 permit_at <= self.observed_at
                     && !scored.choice.endpoint.borrow().permit_requested
             }
-            PermitWait::Ahead(patience) => {
+            PermitWait::Within(patience) => {
                 permit_at <= self.observed_at + patience
             }
             PermitWait::Never => false,
@@ -184,13 +184,14 @@
         // Where most agents report, a target whose agent is silent is not idle
         // but unknown: the VM may be frozen or slow.
         let has_recent_report = |group: &Option<Group>| {
-            let heard = group.as_ref().map(|it| now.since(it.reported_at));
-            heard.is_some_and(|age| age < AGENT_REPORT_TIMEOUT)
+            let report_age =
+                group.as_ref().map(|it| now.since(it.reported_at));
+            report_age.is_some_and(|age| age < AGENT_REPORT_TIMEOUT)
         };
-        let heard = endpoints
+        let reporting = endpoints
             .iter()
             .filter(|it| has_recent_report(&it.1.borrow().group));
-        let most_report = heard.count() * 2 > endpoints.len();
+        let most_report = reporting.count() * 2 > endpoints.len();
         let records: Vec<Record> =
             endpoints.iter().map(|it| it.1.borrow().request_stats).collect();
         let usual = Usual::new(records.iter());
@@ -246,9 +247,9 @@
                 usual_ms,
             };
             let cost = pick::cost(&candidate, now);
-            let limit = endpoint_state.limit.rate();
-            let needs =
-                limit.filter(|it| !endpoint_state.has_spare_permit(*it, now));
+            let rate_limit = endpoint_state.rate_limit.rate();
+            let needs = rate_limit
+                .filter(|it| !endpoint_state.has_spare_permit(*it, now));
             let permit_at =
                 needs.map(|_| endpoint_state.next_permit_request_at);
             drop(endpoint_state);
@@ -257,12 +258,12 @@
                 endpoint,
                 cost,
                 max_connections,
-                limit,
+                rate_limit,
                 permit: None,
             };
             scored.push(ScoredTarget { choice, permit_at });
         }
-        let limited = scored.iter().any(|it| it.choice.limit.is_some());
+        let limited = scored.iter().any(|it| it.choice.rate_limit.is_some());
         let equal_share_per_second = if limited {
             self.equal_share_per_second(service, targets, now)
         } else {
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -33,8 +33,10 @@
 /// versions sooner.
 const POLL_TIMEOUT: Millis = Millis(15_000);
 
-/// Bounds of the backoff after failed calls, which doubles with each failure.
+/// The first backoff after a failed call; each further failure doubles the
+/// backoff.
 const MIN_BACKOFF: Millis = Millis(150);
+/// The longest backoff after failed calls.
 const MAX_BACKOFF: Millis = Millis(1_200);
 
 /// The least time between two calls for one topic, so that a burst of new
@@ -143,7 +145,7 @@
 
     /// Reads the next records. The log may hold the call for up to `hold`
     /// until there is a record.
-    pub async fn read(
+    pub async fn read_next(
         &mut self,
         entry: &Entry,
         max_hold: Millis,
@@ -181,7 +183,7 @@
 
     /// Prepares the next read after a failed one; backs off unless records
     /// expired or the log was rolled back.
-    pub async fn recover(&mut self, entry: &Entry, error: &Error) {
+    pub async fn prepare_retry(&mut self, entry: &Entry, error: &Error) {
         match error {
             // The next read detects the new era and starts again.
             Error::RolledBack => {}
@@ -202,7 +204,7 @@
         let pause = (called + MIN_READ_INTERVAL).since(Millis::now());
         sleep(pause.duration()).await;
         called = Millis::now();
-        match reader.read(&entry, POLL_TIMEOUT).await {
+        match reader.read_next(&entry, POLL_TIMEOUT).await {
             Ok(reading) => {
                 let before = entry.catalog_version();
                 adopt_newest_catalog(&entry, &reading.records).await;
@@ -212,7 +214,7 @@
                     entry.record_full_read(log::CONFIG_TOPIC, records, new);
                 }
             }
-            Err(error) => reader.recover(&entry, &error).await,
+            Err(error) => reader.prepare_retry(&entry, &error).await,
         }
     }
 }
@@ -239,7 +241,7 @@
     loop {
         wait_until_read_is_due(&entry).await;
         let begun = Millis::now();
-        match reader.read(&entry, Millis(0)).await {
+        match reader.read_next(&entry, Millis(0)).await {
             Ok(reading) => {
                 let now = Millis::now();
                 let found = entry
@@ -260,7 +262,7 @@
                 if !matches!(error, Error::Expired | Error::RolledBack) {
                     entry.readings.borrow_mut().lost();
                 }
-                reader.recover(&entry, &error).await;
+                reader.prepare_retry(&entry, &error).await;
             }
         }
     }
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -134,7 +134,7 @@
     /// Whether a request may be sent to the chosen target now: the target has
     /// no limit, or the request holds a valid permit.
     pub fn may_send(&self, now: Millis) -> bool {
-        let rate = self.endpoint.borrow().limit.rate();
+        let rate = self.endpoint.borrow().rate_limit.rate();
         let Some(rate) = rate else { return true };
         self.permit.is_some_and(|it| it.is_valid(rate, now))
     }
@@ -201,7 +201,7 @@
     choice: &mut Choice,
     patience: Millis,
 ) -> bool {
-    let Some(rate) = choice.limit else { return true };
+    let Some(rate) = choice.rate_limit else { return true };
     let now = Millis::now();
     let kept = choice.endpoint.borrow_mut().take_spare_permit(rate, now);
     if kept.is_some() {
@@ -262,7 +262,7 @@
     match verdict {
         PermitDecision::Permit(after) => {
             let valid_from = now + after;
-            let rate = endpoint.limit.rate().or(choice.limit);
+            let rate = endpoint.rate_limit.rate().or(choice.rate_limit);
             let Some(rate) = rate else { return };
             let permit = Permit {
                 rate,
@@ -326,20 +326,20 @@
     patience: Millis,
     forwards: u8,
 ) -> Option<PermitReply> {
-    let number = rand::random();
+    let id = rand::random();
     let limit = entry.current_limit(target, Millis::now());
     let request = PermitRequest {
-        request_id: number,
+        request_id: id,
         limit,
         max_wait: patience,
         forwards_left: forwards,
     };
     let (sender, reply) = oneshot::channel();
-    entry.limits.borrow_mut().pending_requests.insert(number, sender);
+    entry.limits.borrow_mut().pending_requests.insert(id, sender);
     entry.send_permit_message(Datagram::PermitRequest(request), other).await;
     let wait = Millis(REPLY_TIMEOUT.0 * (u64::from(forwards) + 1));
     let reply = timeout(wait.duration(), reply).await;
-    entry.limits.borrow_mut().pending_requests.remove(&number);
+    entry.limits.borrow_mut().pending_requests.remove(&id);
     reply.ok()?.ok()
 }
 
@@ -395,13 +395,13 @@
         let sent = attempt.sent_at().unwrap_or(now);
         let bytes = named.map(HeaderValue::as_bytes);
         let mut endpoint = choice.endpoint.borrow_mut();
-        let news = endpoint.limit.observe_header(bytes, sent, now);
+        let observed = endpoint.rate_limit.observe_header(bytes, sent, now);
         drop(endpoint);
-        if news.newly_invalid {
+        if observed.newly_invalid {
             warn!(self.log, "limit_refused"; "target" => &*choice.target.id,
                 "limit" => ?named);
         }
-        self.on_limit_change(&choice.target.id, news.change, Source::Own);
+        self.on_limit_change(&choice.target.id, observed.change, Source::Own);
     }
 
     /// Merges the rate limits in another entry's digest.
@@ -423,7 +423,8 @@
         }
         let report = LimitReport { rate, age: limit.in_force_for };
         let endpoint = self.endpoint(&limit.target);
-        let change = endpoint.borrow_mut().limit.merge_report(report, now);
+        let change =
+            endpoint.borrow_mut().rate_limit.merge_report(report, now);
         self.on_limit_change(&limit.target, change, Source::Peer);
     }
 
@@ -447,7 +448,7 @@
         }
         let Some(endpoint) = self.existing_endpoint(target) else { return };
         let mut endpoint = endpoint.borrow_mut();
-        let rate = endpoint.limit.rate();
+        let rate = endpoint.rate_limit.rate();
         if change == LimitChange::Loosened {
             endpoint.next_permit_request_at = Millis(0);
         }
@@ -475,18 +476,23 @@
         now: Millis,
     ) -> Vec<RateLimit> {
         let fleet = self.fleet.borrow();
-        let told = |target: &Target| {
+        let to_update = |target: &Target| {
             let endpoint = self.existing_endpoint(&target.id)?;
-            let limit = endpoint.borrow().limit;
+            let limit = endpoint.borrow().rate_limit;
             let report = limit.report(now)?;
-            let is_news = now.since(limit.changed_at()) < LIMIT_BROADCAST_TTL;
-            let is_told = match scope {
-                UpdateScope::Changed => is_news,
-                UpdateScope::All => is_news || report.rate.is_some(),
+            let is_recent =
+                now.since(limit.changed_at()) < LIMIT_BROADCAST_TTL;
+            let is_included = match scope {
+                UpdateScope::Changed => is_recent,
+                UpdateScope::All => is_recent || report.rate.is_some(),
             };
-            is_told.then(|| encode_limit(target, report))
+            is_included.then(|| encode_limit(target, report))
         };
-        fleet.ready().filter_map(told).take(MAX_LIMITS_PER_DIGEST).collect()
+        fleet
+            .ready()
+            .filter_map(to_update)
+            .take(MAX_LIMITS_PER_DIGEST)
+            .collect()
     }
 
     /// The number of targets with a rate limit.
@@ -494,14 +500,14 @@
         let fleet = self.fleet.borrow();
         let limited = |target: &&Target| {
             let endpoint = self.existing_endpoint(&target.id);
-            endpoint.is_some_and(|it| it.borrow().limit.rate().is_some())
+            endpoint.is_some_and(|it| it.borrow().rate_limit.rate().is_some())
         };
         fleet.ready().filter(limited).count()
     }
 
     /// The known limit of a target, or an unlimited rate of the greatest age.
     fn current_limit(&self, target: &Target, now: Millis) -> RateLimit {
-        let report = self.endpoint(&target.id).borrow().limit.report(now);
+        let report = self.endpoint(&target.id).borrow().rate_limit.report(now);
         let never = LimitReport { rate: None, age: Millis(u64::MAX) };
         encode_limit(target, report.unwrap_or(never))
     }
@@ -514,7 +520,7 @@
         patience: Millis,
         now: Millis,
     ) -> PermitDecision {
-        let report = self.endpoint(&target.id).borrow().limit.report(now);
+        let report = self.endpoint(&target.id).borrow().rate_limit.report(now);
         let Some(LimitReport { rate: Some(rate), age }) = report else {
             return PermitDecision::Permit(Millis(0));
         };
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -40,15 +40,16 @@
 pub use self::state::serve_state;
 
 /// The interval between digests. Two digests may be lost before an entry that
-/// can't read the log misses a change for longer than it may.
+/// can't read the log misses a change for longer than allowed.
 const BROADCAST_INTERVAL: Millis = Millis(500);
 
-/// Agents are asked to report in every round of this number, and at once when
-/// targets joined: after a restart of all processes they wait for the request.
+/// Digest rounds between requests to the agents to report. When targets
+/// joined, agents are asked at once: after a restart of all processes they
+/// wait for the request.
 const AGENT_REQUEST_ROUNDS: u32 = 2;
 
-/// Every digest of this number holds all limits and all suspended work; the
-/// others hold recent changes.
+/// Digest rounds between full digests, which hold all limits and all suspended
+/// work; the other digests hold only recent changes.
 const FULL_DIGEST_ROUNDS: u32 = 8;
 
 /// Recipients of one digest. With more entries, changes spread over several
@@ -176,17 +177,18 @@
         let known = self.known_peers.values();
         let reachable =
             known.filter(|it| now.since(it.last_digest_at) < silence);
-        let unmet = |it: &&SocketAddr| !self.known_peers.contains_key(*it);
-        let unmet = match now < PEER_TTL {
-            true => self.seeds.iter().filter(unmet).count(),
+        let unknown_seeds =
+            |it: &&SocketAddr| !self.known_peers.contains_key(*it);
+        let unknown_seeds = match now < PEER_TTL {
+            true => self.seeds.iter().filter(unknown_seeds).count(),
             false => 0,
         };
-        let all = self.known_peers.len() + unmet + 1;
+        let all = self.known_peers.len() + unknown_seeds + 1;
         (reachable.count() + 1) as f64 / all as f64
     }
 
     /// Whether a digest from each seed has arrived.
-    fn has_met_seeds(&self) -> bool {
+    fn has_digest_of_each_seed(&self) -> bool {
         self.seeds.iter().all(|it| self.known_peers.contains_key(it))
     }
 
@@ -208,8 +210,9 @@
         let known = self.known_peers.keys().copied();
         let mut recipients =
             known.choose_multiple(&mut rand::rng(), MAX_RECIPIENTS);
-        let unmet = |it: &&SocketAddr| !self.known_peers.contains_key(*it);
-        recipients.extend(self.seeds.iter().filter(unmet));
+        let unknown_seeds =
+            |it: &&SocketAddr| !self.known_peers.contains_key(*it);
+        recipients.extend(self.seeds.iter().filter(unknown_seeds));
         recipients
     }
 }
@@ -221,7 +224,7 @@
     let mut counted_joins = 0;
     loop {
         let now = Millis::now();
-        entry.quarantine.borrow_mut().sweep(now);
+        entry.quarantine.borrow_mut().evict_expired(now);
         let recipients = entry.peers.borrow_mut().pick_recipients(now);
         let all = round % FULL_DIGEST_ROUNDS == 0;
         let scope = if all { UpdateScope::All } else { UpdateScope::Changed };
@@ -268,7 +271,8 @@
             .extended_departure_window(now)
             .unwrap_or(DEPARTURE_TTL);
     let fleet = entry.fleet.borrow();
-    let (suspects, retracted) = entry.quarantine.borrow().updates(scope, now);
+    let (suspects, retracted) =
+        entry.quarantine.borrow().gossip_updates(scope, now);
     let (mut left, mut withdrawn) = (Vec::new(), Vec::new());
     for (id, parting) in fleet.left_since(since) {
         match parting {
@@ -428,8 +432,12 @@
 /// Waits until a digest from each seed has arrived, or for the time that a
 /// running entry needs to send one. Returns whether all arrived.
 async fn wait_for_seed_digests(entry: &Entry) -> bool {
-    wait_for_digests_until(entry, SEED_DIGEST_TIMEOUT, Peers::has_met_seeds)
-        .await
+    wait_for_digests_until(
+        entry,
+        SEED_DIGEST_TIMEOUT,
+        Peers::has_digest_of_each_seed,
+    )
+    .await
 }
 
 /// Waits for digests until a condition on the peers holds; returns whether it
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -27,7 +27,7 @@
 /// Asks all agents to report, and sends the list of targets to agents that
 /// don't have the current one.
 pub(super) async fn request_agent_reports(entry: &Entry, socket: &UdpSocket) {
-    for full in subscriptions(entry) {
+    for full in build_subscriptions(entry) {
         let without_targets =
             Subscribe { targets: Vec::new(), ..full.clone() };
         let (list, targets) = (full.list_id, full.targets.clone());
@@ -50,7 +50,7 @@
     socket: &UdpSocket,
     target: SocketAddr,
 ) {
-    let mut subscriptions = subscriptions(entry).into_iter();
+    let mut subscriptions = build_subscriptions(entry).into_iter();
     let full = subscriptions.find(|it| it.targets.contains(&target));
     if let Some(full) = full {
         let message = gossip::encode(&full);
@@ -64,19 +64,23 @@
 }
 
 /// The subscriptions to send, one for each service of engines.
-fn subscriptions(entry: &Entry) -> Vec<Subscribe> {
+fn build_subscriptions(entry: &Entry) -> Vec<Subscribe> {
     let Some(catalog) = entry.catalog() else { return Vec::new() };
     let fleet = entry.fleet.borrow();
     let subscription = |service: &Service| {
         let engine = service.engine.as_ref()?;
         let own = fleet.ready().filter(|it| it.service == service.name);
         let targets: Vec<SocketAddr> = own.map(|it| it.address).collect();
-        Some(subscribe(engine, &targets, entry.rollbacks.era()))
+        Some(build_subscription(engine, &targets, entry.rollbacks.era()))
     };
     catalog.services().filter_map(subscription).collect()
 }
 
-fn subscribe(engine: &Engine, targets: &[SocketAddr], era: Era) -> Subscribe {
+fn build_subscription(
+    engine: &Engine,
+    targets: &[SocketAddr],
+    era: Era,
+) -> Subscribe {
     Subscribe {
         list_id: gossip::target_list_id(targets),
         targets: targets.to_vec(),
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -52,13 +52,14 @@
 /// The least time between two reads if the first one returned no records.
 const MIN_READ_INTERVAL: Millis = Millis(15_000);
 
-/// Delays before a record that the log lost is written again: for the entry
-/// that wrote it, and for the others per entry, so that mostly one entry
-/// writes first.
+/// The longest random delay before the entry that wrote a record which the log
+/// lost writes the record again.
 const OWN_REWRITE_DELAY: Millis = Millis(300);
+/// The additional delay for the other entries, multiplied by their number, so
+/// that mostly one entry writes the record.
 const REWRITE_DELAY_PER_ENTRY: Millis = Millis(50);
 
-/// The longest delay before another entry's lost record is written again.
+/// The longest additional delay of the other entries.
 const MAX_REWRITE_DELAY: Millis = Millis(10_000);
 
 /// A target that answers within this time after its supposed crash didn't
@@ -129,7 +130,7 @@
 impl Quarantine {
     /// Returns whether work may run now, and records the arrival of refused
     /// work.
-    pub fn admit(
+    pub fn admit_work(
         &mut self,
         work: WorkDigest,
         now: Millis,
@@ -142,12 +143,12 @@
     }
 
     /// Whether work is refused now.
-    pub fn refuses(&self, work: WorkDigest, now: Millis) -> bool {
+    pub fn refuses_work(&self, work: WorkDigest, now: Millis) -> bool {
         self.ledger.verdict(work, now) != QuarantineVerdict::Allowed
     }
 
     /// Suspects and retracted crashes to send to other entries.
-    pub fn updates(
+    pub fn gossip_updates(
         &self,
         scope: UpdateScope,
         now: Millis,
@@ -168,7 +169,7 @@
     }
 
     /// Evicts expired records, and deletes them from the log.
-    pub fn sweep(&mut self, now: Millis) {
+    pub fn evict_expired(&mut self, now: Millis) {
         if now.since(self.last_sweep) < SWEEP_INTERVAL {
             return;
         }
@@ -209,7 +210,7 @@
     fn cancel_rewrite_if_stored(&mut self, kept: &Suspect, now: Millis) {
         let work = WorkDigest(kept.work_digest);
         if let Some(own) = self.ledger.suspect(work, now)
-            && covers(kept, &own)
+            && record_covers_ledger(kept, &own)
         {
             self.lost_records.remove(&work);
         }
@@ -436,16 +437,16 @@
     let mut reader = TopicReader::new(&entry, log::QUARANTINE_TOPIC);
     loop {
         let called = Millis::now();
-        let reading = match reader.read(&entry, POLL_TIMEOUT).await {
+        let reading = match reader.read_next(&entry, POLL_TIMEOUT).await {
             Ok(reading) => reading,
             Err(error) => {
-                reader.recover(&entry, &error).await;
+                reader.prepare_retry(&entry, &error).await;
                 continue;
             }
         };
         let records = reading.records.iter();
         let kept: Vec<StoredSuspect> =
-            records.filter_map(|it| decode(&entry, it)).collect();
+            records.filter_map(|it| decode_record(&entry, it)).collect();
         let new = kept.iter().filter(|it| merge_record(&entry, it)).count();
         if reading.scope != ReadScope::New {
             let records = reading.records.len();
@@ -464,7 +465,7 @@
 
 /// Decodes a record of the quarantine topic; None for a deleted or malformed
 /// one. Records deleted by another entry expire here in their own time.
-fn decode(entry: &Entry, record: &Record) -> Option<StoredSuspect> {
+fn decode_record(entry: &Entry, record: &Record) -> Option<StoredSuspect> {
     let kept = gossip::decode::<StoredSuspect>(record.value.as_ref()?);
     if kept.is_none() {
         warn!(entry.log, "strange_record"; "topic" => log::QUARANTINE_TOPIC,
@@ -512,7 +513,10 @@
         known.into_iter().filter(|it| it.crashes.len() >= MIN_WRITTEN_CRASHES);
     for suspect in known {
         let work = WorkDigest(suspect.work_digest);
-        if kept.get(&work.0).is_some_and(|it| covers(it, &suspect)) {
+        if kept
+            .get(&work.0)
+            .is_some_and(|it| record_covers_ledger(it, &suspect))
+        {
             continue;
         }
         let drawn = entry.random_fraction();
@@ -530,7 +534,7 @@
 
 /// Whether the log's record of work includes everything in this entry's
 /// ledger.
-fn covers(kept: &Suspect, own: &Suspect) -> bool {
+fn record_covers_ledger(kept: &Suspect, own: &Suspect) -> bool {
     let tells = |it: &u64| {
         kept.crashes.contains(it) || kept.excused_crashes.contains(it)
     };
@@ -547,19 +551,19 @@
 pub async fn write_quarantine_records(entry: Rc<Entry>) {
     let mut client = Client::new(entry.settings().log_address);
     let mut contact = LogContact::new(log::QUARANTINE_TOPIC);
-    let due = entry.quarantine.borrow().write_wakeup.clone();
+    let write_wakeup = entry.quarantine.borrow().write_wakeup.clone();
     loop {
         let now = Millis::now();
         let next = entry.quarantine.borrow_mut().next_write(now);
         let work = match next {
             Ok(work) => work,
             Err(None) => {
-                due.notified().await;
+                write_wakeup.notified().await;
                 continue;
             }
             Err(Some(at)) => {
                 let wait = at.since(now).duration();
-                let _ = timeout(wait, due.notified()).await;
+                let _ = timeout(wait, write_wakeup.notified()).await;
                 continue;
             }
         };
--- a/cowsliproad-direct/src/stated.rs
+++ b/cowsliproad-direct/src/stated.rs
@@ -130,11 +130,11 @@
     /// Waits until a target is in a cooldown.
     pub async fn wait_for_cooldown(&self, target: &Target) {
         loop {
-            let news = self.targets_changed.notified();
+            let changed = self.targets_changed.notified();
             if self.cooldown_end(target, Millis::now()).is_some() {
                 return;
             }
-            news.await;
+            changed.await;
         }
     }
 }
--- a/cowsliproad-direct/src/stream.rs
+++ b/cowsliproad-direct/src/stream.rs
@@ -190,7 +190,7 @@
             return Err(AttemptError::Unknown("slow"));
         }
         // It may still wait its turn there; left alone it ends one more.
-        if entry.quarantine.borrow().refuses(work, Millis::now()) {
+        if entry.quarantine.borrow().refuses_work(work, Millis::now()) {
             return Err(AttemptError::Unknown("it crashes its targets"));
         }
         // A request may wait its turn at a target that is well.
