--- a/cowsliproad-direct/src/ends.rs
+++ b/cowsliproad-direct/src/ends.rs
@@ -51,6 +51,7 @@
 /// Probes without a conclusive answer before the target's state counts as
 /// unknown.
 const MAX_PROBES: u32 = 3;
+
 /// The pause between probes without a conclusive answer.
 const PROBE_RETRY_BACKOFF: Millis = Millis(300);
 
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -48,7 +48,7 @@
 pub struct Shortage {
     /// When the first rate-limited target may grant a permit.
     pub limit_end: Option<Millis>,
-    /// When the first target's cooldown ends.
+    /// When the first cooldown of a target ends.
     pub cooldown_end: Option<Millis>,
     /// Whether every eligible target is rate-limited or in a cooldown, so that
     /// no other target may become usable before.
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -6,8 +6,8 @@
 //! topic is read on a timer, well within the time in which a leaving target
 //! has to be known, and by one entry process on behalf of all.
 //!
-//! While the log refuses this entry's reads, other entries send the state that
-//! they read; see [`crate::peers`]. Rollbacks of the log to an older copy are
+//! While this entry can't read the log, other entries send the state that they
+//! read; see [`crate::peers`]. Rollbacks of the log to an older copy are
 //! handled in [`crate::rollback`].
 
 use std::{collections::HashMap, rc::Rc};
@@ -36,6 +36,7 @@
 /// The first backoff after a failed call; each further failure doubles the
 /// backoff.
 const MIN_BACKOFF: Millis = Millis(150);
+
 /// The longest backoff after failed calls.
 const MAX_BACKOFF: Millis = Millis(1_200);
 
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -2,11 +2,11 @@
 //!
 //! Each entry sends a short digest to other entries twice a second, and at
 //! once after a change: the version of its configuration, the targets that it
-//! saw leave, rate limits and crash-inducing requests. An entry whose reads
-//! the platform's log refuses so learns that there is a new configuration,
-//! fetches it from the entry that has it, and stops using a target in time.
-//! Entries find one another through the seeds in their settings, then through
-//! the addresses in digests.
+//! saw leave, rate limits and crash-inducing requests. An entry that can't
+//! read the platform's log thus learns of a new configuration, fetches it from
+//! the entry that has it, and stops using a target in time. Entries find one
+//! another through the seeds in their settings, then through the addresses in
+//! digests.
 
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc};
 
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -40,10 +40,10 @@
     limits::UpdateScope,
 };
 
-/// Crashes of a work digest from which on its record is written to the log.
-/// Without an earlier record, a restart of all entries costs one more crash;
-/// if the first crash were written, each killed target would cost a call for
-/// every request that it ran.
+/// Crashes under a request from which on the request's record is written to
+/// the log. Without an earlier record, a restart of all entries costs one more
+/// crash; if the first crash were written, each killed target would cost a
+/// call for every request that it ran.
 const MIN_WRITTEN_CRASHES: usize = 2;
 
 /// How long the log may hold a long poll: the longest that it allows.
@@ -55,6 +55,7 @@
 /// The longest random delay before the entry that wrote a record which the log
 /// lost writes the record again.
 const OWN_REWRITE_DELAY: Millis = Millis(300);
+
 /// The additional delay for the other entries, multiplied by their number, so
 /// that mostly one entry writes the record.
 const REWRITE_DELAY_PER_ENTRY: Millis = Millis(50);
@@ -83,15 +84,19 @@
 #[derive(Debug, Default)]
 pub struct Quarantine {
     ledger: CrashLedger,
-    /// Work with a crash or survival that this entry observed itself.
+    /// Digests of requests under which this entry itself observed a crash or a
+    /// survival of a target.
     observed_work: HashSet<WorkDigest>,
-    /// Work whose record has to be written to or deleted from the log, and
-    /// work whose record this entry wrote.
+    /// Digests of requests whose records have to be written to the log or
+    /// deleted from the log.
     pending_writes: BTreeSet<WorkDigest>,
+    /// Digests of requests whose records in the log this entry wrote.
     written_work: HashSet<WorkDigest>,
-    /// Work whose record the log lost, and when to write it again.
+    /// Digests of requests whose records the log lost, and when to write each
+    /// record again.
     lost_records: BTreeMap<WorkDigest, Millis>,
-    /// Crashes counted against work, whose targets may yet show signs of life.
+    /// Crashes that are counted against requests, whose targets may yet show
+    /// signs of life.
     watched_crashes: HashMap<CrashId, WatchedCrash>,
     /// Wakes the task that writes records to the log.
     write_wakeup: Rc<Notify>,
@@ -128,8 +133,8 @@
 }
 
 impl Quarantine {
-    /// Returns whether work may run now, and records the arrival of refused
-    /// work.
+    /// Returns whether requests with a work digest may run now, and records
+    /// the arrival of a refused one.
     pub fn admit_work(
         &mut self,
         work: WorkDigest,
@@ -142,7 +147,7 @@
         verdict
     }
 
-    /// Whether work is refused now.
+    /// Whether requests with a work digest are refused now.
     pub fn refuses_work(&self, work: WorkDigest, now: Millis) -> bool {
         self.ledger.verdict(work, now) != QuarantineVerdict::Allowed
     }
@@ -188,8 +193,8 @@
             .retain(|crash_id, _| ledger.counts_crash(*crash_id));
     }
 
-    /// The work whose record is to be written now; otherwise the time of the
-    /// next write, if one is scheduled.
+    /// The digest of the request whose record is to be written to the log now;
+    /// otherwise the time of the next write, if one is scheduled.
     fn next_write(
         &mut self,
         now: Millis,
@@ -237,8 +242,8 @@
 }
 
 impl Entry {
-    /// Records that a target, alone or with its whole group, crashed under
-    /// work.
+    /// Records that a target, alone or with its whole group, crashed under a
+    /// request with this work digest.
     pub fn record_crash_under(
         &self,
         target: &Target,
@@ -260,7 +265,7 @@
         self.on_quarantine_change(work, suspended, Source::Own);
     }
 
-    /// Records that a target survived work.
+    /// Records that a target survived a request with this work digest.
     pub fn record_survival(&self, work: WorkDigest, now: Millis) {
         let mut quarantine = self.quarantine.borrow_mut();
         let change = quarantine.ledger.record_survival(work, now);
@@ -388,8 +393,8 @@
         change
     }
 
-    /// Logs, counts and broadcasts a change of a work digest's verdict, and
-    /// wakes waiting requests.
+    /// Logs, counts and broadcasts a change of the quarantine's verdict on a
+    /// request, and wakes waiting requests.
     fn on_quarantine_change(
         &self,
         work: WorkDigest,
@@ -407,7 +412,7 @@
                 info!(self.log, "work_refused"; "work" => %work,
                     "ends" => crashes, "source" => ?source);
                 self.metrics.record_quarantine("refused");
-                // Waiting requests for this work are rejected now.
+                // Waiting requests with this work digest are rejected now.
                 self.notify_target_change();
             }
             QuarantineChange::Suspended => {
@@ -480,8 +485,8 @@
     let age = Millis(unix_now_ms()).since(Millis(kept.written_at));
     let mut suspect = kept.suspect.clone();
     match &mut suspect.rejected_for {
-        // The work may have arrived since; arrivals are not written to the log
-        // each time.
+        // The request may have arrived since; arrivals are not written to the
+        // log each time.
         Some(refused) => {
             *refused = *refused + age;
             suspect.since_last_seen = Millis(0);
@@ -532,7 +537,7 @@
     }
 }
 
-/// Whether the log's record of work includes everything in this entry's
+/// Whether the log's record of a request includes everything in this entry's
 /// ledger.
 fn record_covers_ledger(kept: &Suspect, own: &Suspect) -> bool {
     let tells = |it: &u64| {
@@ -590,7 +595,7 @@
     }
 }
 
-/// The encoded record of work for the log; empty to delete the record.
+/// The encoded record of a request for the log; empty to delete the record.
 fn encode_record(entry: &Entry, work: WorkDigest) -> Vec<u8> {
     let suspect =
         entry.quarantine.borrow().ledger.suspect(work, Millis::now());
--- a/cowsliproad-direct/src/rollback.rs
+++ b/cowsliproad-direct/src/rollback.rs
@@ -33,12 +33,12 @@
 
 use crate::entry::{Entry, Source};
 
-/// The time over which the entries spread their re-reads of a topic, for each
-/// entry.
+/// The time, per entry, over which all entries spread their reads of a topic
+/// after a rollback.
 const REREAD_SPREAD_PER_ENTRY: Millis = Millis(10);
 
-/// The longest spread of re-reads: a new configuration must be in force within
-/// two seconds.
+/// The longest time over which reads after a rollback are spread: a new
+/// configuration must be in force within two seconds.
 const MAX_REREAD_SPREAD: Millis = Millis(1_000);
 
 /// How long after a rollback the earlier departures of targets are broadcast
