--- a/cowsliproad-direct/src/attempt.rs
+++ b/cowsliproad-direct/src/attempt.rs
@@ -11,140 +11,150 @@
     entry::{Choice, Entry},
 };
 
-/// One attempt at a target. However it ends, by its caller too, it is
-/// asked whether the target ended under it, unless it is known not to have.
+/// One attempt to run a request at a target. However it ends, also if the
+/// caller leaves, the entry process checks whether the target crashed during
+/// it, unless the target is known to have survived.
 #[derive(Debug)]
 pub struct Attempt {
     entry: Rc<Entry>,
     choice: Choice,
-    call: (Name, WorkDigest),
-    began: Millis,
-    /// When the request ends, also at the target.
-    until: Millis,
-    /// When it was written to a connection.
-    sent: Cell<Option<Millis>>,
-    /// Whether an event of its answer came.
-    has_progress: Cell<bool>,
-    /// Whether it is known, or asked, what became of the target.
-    settled: Cell<bool>,
+    /// The id and the work digest of the request.
+    request: (Name, WorkDigest),
+    started_at: Millis,
+    /// When the request expires, here and at the target.
+    deadline: Millis,
+    /// When the request was written to a connection.
+    sent_at: Cell<Option<Millis>>,
+    /// Whether an event of the response arrived.
+    event_received: Cell<bool>,
+    /// Whether the target is known to have survived, or the check has begun.
+    target_check_settled: Cell<bool>,
 }
 
 impl Attempt {
-    /// Counts a request in.
+    /// Starts an attempt, which counts as in flight at its target until
+    /// dropped.
     pub fn new(entry: &Rc<Entry>, call: &Call, choice: &Choice) -> Attempt {
         choice.endpoint.borrow_mut().record.start();
         Attempt {
             entry: entry.clone(),
             choice: choice.clone(),
-            call: (call.id.clone(), call.work),
-            began: Millis::now(),
-            until: call.until,
-            sent: Cell::new(None),
-            has_progress: Cell::new(false),
-            settled: Cell::new(false),
+            request: (call.request_id.clone(), call.work),
+            started_at: Millis::now(),
+            deadline: call.deadline,
+            sent_at: Cell::new(None),
+            event_received: Cell::new(false),
+            target_check_settled: Cell::new(false),
         }
     }
 
-    /// Whether it may be written now. What its target asks for may have
-    /// changed since it was chosen.
+    /// Whether the request may be sent now, or why not. The target may have
+    /// left, entered a cooldown or changed its limit since it was chosen.
     pub fn may_send(&self, now: Millis) -> Result<(), &'static str> {
         if !self.entry.is_ready_target(&self.choice.target) {
             return Err("its target left");
         }
         if self.entry.cooldown_end(&self.choice.target, now).is_some() {
-            return Err("its target asked to be left alone");
+            return Err("its target is in a cooldown");
         }
         if !self.choice.may_send(now) {
-            return Err("its target named a limit");
+            return Err("its target stated a limit");
         }
         Ok(())
     }
 
-    /// Notes that it is written to a connection. As long as none is made, what
-    /// becomes of the target says nothing of the request.
-    pub fn sent(&self) {
-        self.sent.set(Some(Millis::now()));
+    /// Records that the request is being written to a connection. Until then,
+    /// a crash of the target can't be due to the request.
+    pub fn note_sent(&self) {
+        self.sent_at.set(Some(Millis::now()));
     }
 
-    /// Notes that nothing was written after all.
-    pub fn unsent(&self) {
-        self.sent.set(None);
+    /// Records that no byte of the request was written after all.
+    pub fn note_not_sent(&self) {
+        self.sent_at.set(None);
     }
 
-    /// When it was written to a connection.
+    /// When the request was written to a connection.
     pub fn sent_at(&self) -> Option<Millis> {
-        self.sent.get()
+        self.sent_at.get()
     }
 
-    /// Notes that the target answers: it lived when the request was sent. The
-    /// answer may have been on its way for long.
-    pub fn answered(&self) {
-        let Some(sent) = self.sent.get() else { return };
+    /// Records that the target responded, which shows that it was alive when
+    /// the request was sent. The response may have been delayed since.
+    pub fn note_response(&self) {
+        let Some(sent_at) = self.sent_at.get() else { return };
         let target = &self.choice.target;
         let mut endpoint = self.choice.endpoint.borrow_mut();
-        endpoint.lived = endpoint.lived.max(Some(sent));
+        endpoint.lived = endpoint.lived.max(Some(sent_at));
         drop(endpoint);
-        self.entry.heard_from(&target.zone, sent);
-        self.entry.note_answer(target, sent, Millis::now());
+        self.entry.heard_from(&target.zone, sent_at);
+        self.entry.note_answer(target, sent_at, Millis::now());
     }
 
-    /// Notes an event of its answer.
-    pub fn progress(&self) {
-        self.has_progress.set(true);
+    /// Records that an event of the response arrived.
+    pub fn note_event(&self) {
+        self.event_received.set(true);
     }
 
-    /// Notes a good answer.
-    pub fn success(&self) {
+    /// Records a successful response.
+    pub fn note_success(&self) {
         let now = Millis::now();
-        let took = now.since(self.began);
+        let took = now.since(self.started_at);
         self.choice.endpoint.borrow_mut().record.success(took, now);
-        self.outlived();
-        self.entry.note_outlived(self.call.1, now);
+        self.note_target_survived();
+        self.entry.note_outlived(self.request.1, now);
     }
 
-    /// Notes an answer that tells of a failure.
-    pub fn failed(&self) {
+    /// Records a response with a failure status.
+    pub fn note_failure_response(&self) {
         self.choice.endpoint.borrow_mut().record.failure(Millis::now());
-        self.outlived();
+        self.note_target_survived();
     }
 
-    /// Notes that the target outlived it.
-    pub fn outlived(&self) {
-        self.settled.set(true);
+    /// Records that the target did not crash during the attempt.
+    pub fn note_target_survived(&self) {
+        self.target_check_settled.set(true);
     }
 
-    /// Notes that there was no answer.
-    pub fn on_attempt_failed(&self, error: &AttemptError) {
+    /// Records that the attempt ended without a response to pass on.
+    pub fn note_error(&self, error: &AttemptError) {
         self.choice.on_attempt_failed(&self.entry, error);
-        self.left(error);
+        self.check_target_after_error(error);
     }
 
-    /// Asks what became of the target, if it may have begun it.
-    pub fn left(&self, error: &AttemptError) {
+    /// Checks whether the target crashed, if it may have begun the request.
+    pub fn check_target_after_error(&self, error: &AttemptError) {
         match error {
             AttemptError::Refused(_)
             | AttemptError::Unsent(_)
             | AttemptError::Withheld(_) => {
-                self.outlived();
+                self.note_target_survived();
             }
-            AttemptError::Broken(_) => self.suspect(Suspicion::broken),
-            AttemptError::Unknown(_) => self.give_up(),
+            AttemptError::ConnectionBroken(_) => {
+                self.record_suspicion(Suspicion::broken)
+            }
+            AttemptError::MayHaveRun(_) => self.suspect_given_up(),
         }
     }
 
-    fn give_up(&self) {
-        let until = self.until;
-        self.suspect(|request, work| {
-            Suspicion::given_up(request, work, until)
+    fn suspect_given_up(&self) {
+        let deadline = self.deadline;
+        self.record_suspicion(|request, work| {
+            Suspicion::given_up(request, work, deadline)
         });
     }
 
-    fn suspect(&self, new: impl FnOnce(Name, WorkDigest) -> Suspicion) {
-        if !self.settled.replace(true) && self.sent.get().is_some() {
-            let (request, work) = self.call.clone();
-            let suspect = new(request, work);
-            let suspect = suspect.with_progress(self.has_progress.get());
-            ends::suspect(&self.entry, &self.choice, suspect);
+    fn record_suspicion(
+        &self,
+        new_suspicion: impl FnOnce(Name, WorkDigest) -> Suspicion,
+    ) {
+        if !self.target_check_settled.replace(true)
+            && self.sent_at.get().is_some()
+        {
+            let (request, work) = self.request.clone();
+            let suspicion = new_suspicion(request, work);
+            let suspicion = suspicion.with_progress(self.event_received.get());
+            ends::suspect(&self.entry, &self.choice, suspicion);
         }
     }
 }
@@ -152,6 +162,6 @@
 impl Drop for Attempt {
     fn drop(&mut self) {
         self.choice.endpoint.borrow_mut().record.end();
-        self.give_up();
+        self.suspect_given_up();
     }
 }
--- a/cowsliproad-direct/src/call.rs
+++ b/cowsliproad-direct/src/call.rs
@@ -1,18 +1,19 @@
-//! Tries at targets, until there is an answer to give.
+//! Sends a request to targets, with retries, until there is a response.
 //!
-//! Each try ends in one of a few ways, and what may follow depends on what is
-//! certain:
+//! Each attempt ends in one of three ways, which decide whether a retry is
+//! allowed:
 //!
-//! * the target answered: its answer is given unchanged, or, for a failure
-//!   of a request that may be repeated, another target is tried first;
-//! * it said that it did not run the request, or the request was never sent:
-//!   another try is free of risk;
-//! * anything else: the request may have run. Only one that may be repeated
-//!   is tried again; the caller of another is told that nobody knows.
+//! * The target responded. Its response is passed on unchanged; for a failure
+//!   response to a repeatable request, another target is tried first.
+//! * The target stated that it did not run the request, or the request was
+//!   never sent. A retry is safe.
+//! * Anything else: the request may have run. Only a repeatable request is
+//!   retried; for any other, the caller is told that the outcome is unknown.
 //!
-//! "Not run" is said only when every try ended in the second way. The number
-//! of targets that one request is sent to stays within its route's bound,
-//! and every try after the first draws on the retry budget.
+//! The caller gets "not run" only if every attempt ended in the second way.
+//! The number of targets that a request is sent to stays within the bound of
+//! its route, and every attempt after the first spends a retry from the retry
+//! budget.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -32,261 +33,277 @@
 use crate::{
     attempt::Attempt,
     entry::{Choice, Entry},
-    receive::{DEFAULT_TIMEOUT, drop_hop_by_hop, work_of},
+    receive::{DEFAULT_CALLER_TIMEOUT, digest_work, remove_hop_by_hop},
     reply::Body,
-    upstream::{self, Failure, Lease, Reuse},
+    upstream::{self, ConnectionLease, ConnectionReuse, SendError},
 };
 
 mod choose;
 pub mod failure;
 
-pub use self::choose::{MAX_STAGGER, PROBE_PERIOD};
+pub use self::choose::{COOLDOWN_PROBE_PERIOD, MAX_COOLDOWN_STAGGER};
 
-/// The largest answer that is read whole before it is passed on.
-const MAX_ANSWER_BYTES: usize = 8 << 20;
+/// The largest response body that is buffered before it is passed on.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// A first answer may take this part of the time it is wanted in, in
-/// percent, before another target is asked: what is left is enough for it.
-const FIRST_TRY_PERCENT: u64 = 50;
+/// The part of the route's target latency, in percent, that an attempt may
+/// take before the request goes to another target, which needs the rest.
+const FIRST_ATTEMPT_PERCENT: u64 = 50;
 
-/// The least time for a first try, three times the way there and back and
-/// the usual work.
-const MIN_TRY: Millis = Millis(40);
+/// The shortest attempt timeout: three times a round trip plus the usual
+/// execution time.
+const MIN_ATTEMPT_TIMEOUT: Millis = Millis(40);
 
-/// Ranks that a request falls back in a target's queue once it is late.
-const LATE_RANKS: u16 = 2;
+/// Ranks that a request loses in a target's queue once it misses the target
+/// latency of its route.
+const LATE_RANK_PENALTY: u16 = 2;
 
-/// The last rank of a target's queue.
-const LAST_RANK: u16 = 9;
+/// The lowest priority in a target's queue, where rank 0 is served first.
+const MAX_QUEUE_RANK: u16 = 9;
 
-/// A request on its way.
+/// A caller's request, with the state of its attempts at targets.
 #[derive(Debug)]
 pub struct Call {
-    /// Its id, for logs.
-    pub id: Name,
-    /// What it is, whatever its id.
+    /// The id of the request, for logs.
+    pub request_id: Name,
+    /// Digest of what the request executes, independent of its id.
     pub work: WorkDigest,
-    /// The rule it goes by.
+    /// The route that matched the request.
     pub route: Arc<Route>,
-    /// The service that it goes to.
+    /// The service that the request goes to.
     pub service: Name,
-    /// When its head arrived.
+    /// When the head of the request arrived.
     pub arrived: Millis,
-    /// When its caller gives up or its route ends it.
-    pub until: Millis,
-    /// Which of its caller's tries it is.
+    /// When the caller gives up or the timeout of the route expires.
+    pub deadline: Millis,
+    /// Whether the request is the caller's first try or a retry.
     caller_try: CallerTry,
-    /// Its rank among others, 0 first.
+    /// The priority of the request; 0 is the most urgent.
     priority: u8,
+    /// The method, URI and headers sent to targets.
     head: request::Parts,
     body: Bytes,
-    /// Since when it waits for a target.
-    waits_since: Millis,
-    /// Targets that it was sent to.
-    sent: Vec<Name>,
-    tries: usize,
-    /// Places that it asked for in vain since its last try.
-    denied: usize,
-    /// How long after the end of a cooldown that it waited for it goes.
-    stagger: Millis,
-    /// Tries that may have run.
-    runs: usize,
-    /// What the next try draws on.
-    next: RetryCost,
-    /// Whether it may have run.
-    certainty: Certainty,
+    /// Since when the request has been waiting for a target.
+    waiting_since: Millis,
+    /// Targets that the request was sent to.
+    attempted_targets: Vec<Name>,
+    /// Attempts made so far, including attempts that sent nothing.
+    attempt_count: usize,
+    /// Permits that were denied to the request since its last attempt.
+    denied_permits: usize,
+    /// Delay of the request after the end of a cooldown that it waited for.
+    cooldown_stagger: Millis,
+    /// Attempts in which a target may have run the request.
+    possible_runs: usize,
+    /// What the next attempt costs.
+    next_retry_cost: RetryCost,
+    /// Whether any target may have run the request.
+    execution: ExecutionStatus,
 }
 
-/// What a try draws on.
+/// What an attempt costs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum RetryCost {
-    /// Nothing: the request has reached no target yet.
-    Nothing,
-    /// The retry budget.
+    /// No retry: the request has reached no target yet.
+    Free,
+    /// One retry from the retry budget.
     Budget,
 }
 
-/// What is known of all tries so far.
+/// Whether the attempts of a request so far may have run it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Certainty {
-    /// No try ran.
+enum ExecutionStatus {
+    /// No attempt ran.
     NotRun,
-    /// Some try may have run.
+    /// Some attempt may have run.
     Unknown,
 }
 
-/// How a try ended without an answer to pass on.
+/// Why an attempt ended without a response to pass on.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum AttemptError {
-    /// The target did not run it and never will.
+    /// The target did not run the request and never will.
     Refused(&'static str),
-    /// It was not sent.
+    /// The request was not sent.
     Unsent(&'static str),
-    /// It was not sent, as its target has asked for less since it was chosen.
+    /// The request was not sent, because its target has entered a cooldown,
+    /// lowered its limit or left since it was chosen.
     Withheld(&'static str),
-    /// It may have run, and was given up here.
-    Unknown(&'static str),
-    /// It may have run, and its connection broke.
-    Broken(&'static str),
+    /// The request may have run, and the entry process gave up on it.
+    MayHaveRun(&'static str),
+    /// The request may have run, and its connection broke.
+    ConnectionBroken(&'static str),
 }
 
-/// An answer whose body is still to be read.
+/// A target's response whose body has not been read yet.
 #[derive(Debug)]
-pub struct Opened {
-    /// Its status and headers.
+pub struct OpenResponse {
+    /// The status and headers of the response.
     pub head: response::Parts,
-    /// Its body.
+    /// The unread body of the response.
     pub body: Incoming,
-    /// Its connection.
-    pub lease: Lease,
+    /// The connection that carries the response.
+    pub lease: ConnectionLease,
 }
 
-/// Where a request goes.
+/// The route, service and priority of a request.
 #[derive(Clone, Debug)]
 pub struct Destination {
-    /// The rule it goes by.
+    /// The route that matched the request.
     pub route: Arc<Route>,
-    /// The service that it goes to.
+    /// The service that the request goes to.
     pub service: Name,
-    /// Its rank among others, 0 first.
+    /// The priority of the request; 0 is the most urgent.
     pub priority: u8,
 }
 
-/// When a request began and when it ends.
+/// The arrival time and deadline of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Span {
-    /// When its head arrived.
+pub struct RequestTimes {
+    /// When the head of the request arrived.
     pub arrived: Millis,
-    /// When its caller gives up or its route ends it.
-    pub until: Millis,
-    /// Which of its caller's tries it is.
+    /// When the caller gives up or the timeout of the route expires.
+    pub deadline: Millis,
+    /// Whether the request is the caller's first try or a retry.
     pub caller_try: CallerTry,
 }
 
 impl Call {
-    /// A request with the headers that targets get.
+    /// Creates a call from a request whose headers are those sent to targets.
     pub fn new(
         head: request::Parts,
         body: Bytes,
         destination: Destination,
-        span: Span,
+        times: RequestTimes,
     ) -> Call {
-        let id = head.headers.get(&header::REQUEST_ID);
-        let id = id.and_then(|it| it.to_str().ok()).unwrap_or("-").into();
+        let request_id = head.headers.get(&header::REQUEST_ID);
+        let request_id =
+            request_id.and_then(|it| it.to_str().ok()).unwrap_or("-").into();
         Call {
-            id,
-            work: work_of(&head, &body),
+            request_id,
+            work: digest_work(&head, &body),
             route: destination.route,
             service: destination.service,
             priority: destination.priority,
-            arrived: span.arrived,
-            until: span.until,
-            caller_try: span.caller_try,
+            arrived: times.arrived,
+            deadline: times.deadline,
+            caller_try: times.caller_try,
             head,
             body,
-            waits_since: span.arrived,
-            sent: Vec::new(),
-            tries: 0,
-            denied: 0,
-            stagger: Millis(0),
-            runs: 0,
-            next: RetryCost::Nothing,
-            certainty: Certainty::NotRun,
+            waiting_since: times.arrived,
+            attempted_targets: Vec::new(),
+            attempt_count: 0,
+            denied_permits: 0,
+            cooldown_stagger: Millis(0),
+            possible_runs: 0,
+            next_retry_cost: RetryCost::Free,
+            execution: ExecutionStatus::NotRun,
         }
     }
 
-    /// Notes that a try may have run.
-    pub fn ran(&mut self) {
-        self.certainty = Certainty::Unknown;
-        self.runs += 1;
+    /// Records that an attempt may have run the request.
+    pub fn note_possible_run(&mut self) {
+        self.execution = ExecutionStatus::Unknown;
+        self.possible_runs += 1;
     }
 
-    /// Notes that it begins to wait for a target anew.
-    pub fn waits_anew(&mut self) {
-        self.waits_since = Millis::now();
+    /// Restarts the time limit for waiting for a target.
+    pub fn restart_wait(&mut self) {
+        self.waiting_since = Millis::now();
     }
 
-    /// The time left.
-    pub fn left(&self) -> Millis {
-        self.until.since(Millis::now())
+    /// The time until the deadline of the request.
+    pub fn time_left(&self) -> Millis {
+        self.deadline.since(Millis::now())
     }
 
-    /// The moment at which the request ends.
-    pub fn end(&self) -> Instant {
-        Instant::now() + self.left().duration()
+    /// The deadline of the request on tokio's clock.
+    pub fn deadline_instant(&self) -> Instant {
+        Instant::now() + self.time_left().duration()
     }
 
-    /// Sends the request and waits for the head of an answer of its own.
-    pub async fn open(
+    /// Sends the request to a target and waits for the head of its response,
+    /// which must echo the id of the request.
+    pub async fn send_to_target(
         &mut self,
         entry: &Rc<Entry>,
         choice: &Choice,
         attempt: &Attempt,
-        resume: Option<u64>,
-    ) -> Result<Opened, AttemptError> {
-        let reuse =
-            if self.route.repeats() { Reuse::Any } else { Reuse::Fresh };
-        if !self.sent.contains(&choice.target.id) {
-            self.sent.push(choice.target.id.clone());
+        last_event_id: Option<u64>,
+    ) -> Result<OpenResponse, AttemptError> {
+        let allowed_reuse = if self.route.repeats() {
+            ConnectionReuse::Any
+        } else {
+            ConnectionReuse::Fresh
+        };
+        if !self.attempted_targets.contains(&choice.target.id) {
+            self.attempted_targets.push(choice.target.id.clone());
         }
-        let request = self.request(choice, resume);
-        let (answer, lease) = upstream::send(attempt, choice, request, reuse)
-            .await
-            .map_err(|failure| match failure {
-                Failure::Unsent(why) => AttemptError::Unsent(why),
-                Failure::Withheld(why) => AttemptError::Withheld(why),
-                Failure::Unknown(why) => AttemptError::Broken(why),
-            })?;
-        let (head, body) = answer.into_parts();
+        let request = self.build_request(choice, last_event_id);
+        let (response, lease) =
+            upstream::send_request(attempt, choice, request, allowed_reuse)
+                .await
+                .map_err(|error| match error {
+                    SendError::Unsent(why) => AttemptError::Unsent(why),
+                    SendError::Withheld(why) => AttemptError::Withheld(why),
+                    SendError::Unknown(why) => {
+                        AttemptError::ConnectionBroken(why)
+                    }
+                })?;
+        let (head, body) = response.into_parts();
         if head.status == StatusCode::MISDIRECTED_REQUEST {
-            // Another process answers: this one is no more.
+            // Another process of the target responded: the chosen incarnation
+            // has ended.
             entry.note_left(&choice.target);
             return Err(AttemptError::Refused("another incarnation"));
         }
-        entry.note_stated(choice, &self.id, &head);
-        let echoed = head.headers.get(&header::REQUEST_ID);
-        let own = self.head.headers.get(&header::REQUEST_ID);
-        if echoed.is_some() && echoed != own {
-            return Err(AttemptError::Unknown("another request's answer"));
+        entry.note_stated(choice, &self.request_id, &head);
+        let echoed_id = head.headers.get(&header::REQUEST_ID);
+        let own_id = self.head.headers.get(&header::REQUEST_ID);
+        if echoed_id.is_some() && echoed_id != own_id {
+            return Err(AttemptError::MayHaveRun("another request's answer"));
         }
-        if echoed.is_some() || head.headers.contains_key(&header::NOT_RUN) {
+        if echoed_id.is_some() || head.headers.contains_key(&header::NOT_RUN) {
             entry.note_limit(choice, attempt, &head.headers);
         }
-        attempt.answered();
+        attempt.note_response();
         if head.headers.contains_key(&header::NOT_RUN) {
-            let at_fault = head.headers.contains_key(&header::FAULTY_TARGET);
+            let group_is_broken =
+                head.headers.contains_key(&header::FAULTY_TARGET);
             drop(body);
-            if at_fault {
+            if group_is_broken {
                 entry.note_broken(choice);
                 return Err(AttemptError::Refused("its group is broken"));
             }
             return Err(AttemptError::Refused("refused by the target"));
         }
-        if echoed.is_none()
+        if echoed_id.is_none()
             || head.headers.contains_key(standard::CONTENT_ENCODING)
             || head.status.is_success()
                 && !head.headers.contains_key(&header::SIGNATURE)
         {
-            return Err(AttemptError::Unknown("not an answer of the target"));
+            return Err(AttemptError::MayHaveRun(
+                "not a response of the target",
+            ));
         }
-        Ok(Opened { head, body, lease })
+        Ok(OpenResponse { head, body, lease })
     }
 
-    /// A whole answer.
-    pub async fn get(
+    /// Sends the request to a target and reads the whole response.
+    pub async fn fetch_response(
         &mut self,
         entry: &Rc<Entry>,
         choice: &Choice,
         attempt: &Attempt,
     ) -> Result<Response<Body>, AttemptError> {
-        let opened = self.open(entry, choice, attempt, None).await?;
-        read_whole(opened).await
+        let opened = self.send_to_target(entry, choice, attempt, None).await?;
+        read_whole_response(opened).await
     }
 
-    fn request(
+    fn build_request(
         &self,
         choice: &Choice,
-        resume: Option<u64>,
+        last_event_id: Option<u64>,
     ) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.head.method.clone();
@@ -297,62 +314,68 @@
             .cloned()
             .map_or_else(Uri::default, Uri::from);
         let mut headers = self.head.headers.clone();
-        headers.insert(header::TIME_LEFT, HeaderValue::from(self.left().0));
-        headers.insert(header::URGENCY, HeaderValue::from(self.urgency()));
+        headers
+            .insert(header::TIME_LEFT, HeaderValue::from(self.time_left().0));
+        headers.insert(header::URGENCY, HeaderValue::from(self.queue_rank()));
         if let Ok(id) = HeaderValue::from_str(&choice.target.id) {
             headers.insert(header::EXPECTED_TARGET, id);
         }
-        if let Some(event) = resume {
-            headers.insert(header::LAST_EVENT_ID, HeaderValue::from(event));
+        if let Some(id) = last_event_id {
+            headers.insert(header::LAST_EVENT_ID, HeaderValue::from(id));
         }
         *request.headers_mut() = headers;
         request
     }
 
-    /// Its rank in the target's queue. One that can't be on time any more
-    /// goes behind those that can: after an outage the others would all be
-    /// late too, for as long as the backlog lasts.
-    fn urgency(&self) -> u16 {
-        let time = self.route.timeout.unwrap_or(DEFAULT_TIMEOUT);
-        let waited = time.since(self.left());
-        let late = self.route.aim.is_some_and(|aim| waited > aim);
+    /// The rank of the request in the target's queue. A late request goes
+    /// behind requests that can still be on time; otherwise, after an outage,
+    /// those would all be late too for as long as the backlog lasts.
+    fn queue_rank(&self) -> u16 {
+        let time = self.route.timeout.unwrap_or(DEFAULT_CALLER_TIMEOUT);
+        let waited = time.since(self.time_left());
+        let is_late = self.route.aim.is_some_and(|aim| waited > aim);
         let rank = u16::from(self.priority);
-        let rank = if late { rank + LATE_RANKS } else { rank };
-        rank.min(LAST_RANK)
+        let rank = if is_late { rank + LATE_RANK_PENALTY } else { rank };
+        rank.min(MAX_QUEUE_RANK)
     }
 
-    /// How long the next try may take.
-    pub fn patience(&self) -> Millis {
-        let left = self.left();
-        let last = self.sent.len() + 1 >= self.route.attempts as usize;
-        let Some(aim) = self.route.aim else { return left };
-        if last || !self.route.repeats() {
-            return left;
+    /// The timeout of the next attempt.
+    pub fn attempt_timeout(&self) -> Millis {
+        let time_left = self.time_left();
+        let is_last =
+            self.attempted_targets.len() + 1 >= self.route.attempts as usize;
+        let Some(aim) = self.route.aim else { return time_left };
+        if is_last || !self.route.repeats() {
+            return time_left;
         }
-        let first = Millis(aim.0 * FIRST_TRY_PERCENT / 100);
-        first.max(MIN_TRY).min(left)
+        let first_timeout = Millis(aim.0 * FIRST_ATTEMPT_PERCENT / 100);
+        first_timeout.max(MIN_ATTEMPT_TIMEOUT).min(time_left)
     }
 }
 
-/// Reads the body of an answer and keeps its connection.
-pub async fn read_whole(
-    opened: Opened,
+/// Reads the whole body of a response and returns its connection to the pool.
+pub async fn read_whole_response(
+    opened: OpenResponse,
 ) -> Result<Response<Body>, AttemptError> {
-    let Opened { mut head, body, lease } = opened;
-    let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
-    let body = body.map_err(|_| AttemptError::Broken("the answer was cut"))?;
-    lease.keep(Millis::now());
-    let promises = matches!(
+    let OpenResponse { mut head, body, lease } = opened;
+    let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
+    let body = body
+        .map_err(|_| AttemptError::ConnectionBroken("the answer was cut"))?;
+    lease.release_to_pool(Millis::now());
+    let is_refusal = matches!(
         head.status,
         StatusCode::SERVICE_UNAVAILABLE
             | StatusCode::TOO_MANY_REQUESTS
             | StatusCode::REQUEST_TIMEOUT
     );
-    if promises {
-        // It doesn't say that it did not run the request, so we can't.
-        return Err(AttemptError::Unknown("a refusal without a promise"));
+    if is_refusal {
+        // The response doesn't state that the request was not run, so the
+        // entry process can't state that either.
+        return Err(AttemptError::MayHaveRun(
+            "a refusal that doesn't state that the request was not run",
+        ));
     }
-    drop_hop_by_hop(&mut head.headers);
+    remove_hop_by_hop(&mut head.headers);
     head.headers.remove(standard::CONTENT_LENGTH);
     let body = Body::Whole(Full::new(body.to_bytes()));
     Ok(Response::from_parts(head, body))
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -1,5 +1,4 @@
-//! Which target a request goes to next, and the wait for one; see the parent
-//! module.
+//! Chooses the next target of a request, and waits while no target is usable.
 
 use std::rc::Rc;
 
@@ -13,7 +12,9 @@
 use slog::info;
 use tokio::time::sleep;
 
-use super::{Call, Certainty, LAST_RANK, RetryCost, failure::Reason};
+use super::{
+    Call, ExecutionStatus, MAX_QUEUE_RANK, RetryCost, failure::RejectionReason,
+};
 use crate::{
     entry::{
         Choice, Entry,
@@ -23,29 +24,31 @@
     reply::Body,
 };
 
-/// Permits that a request asks for in vain before it goes where no limit is,
-/// or is refused.
-const MAX_DENIED: usize = 3;
+/// After so many denied permits a request goes to a target without a limit, or
+/// is rejected.
+const MAX_DENIED_PERMITS: usize = 3;
 
-/// What is left of a caller's patience for the answer's way, also from a VM
-/// that has used up its share of the processor for the moment.
-const ANSWER_LATENCY: Millis = Millis(100);
+/// Time reserved before a caller's deadline for delivering the response, also
+/// from a VM whose CPU share is used up for the moment.
+const RESPONSE_DELIVERY_MARGIN: Millis = Millis(100);
 
-/// Requests that wait for the end of one cooldown are sent within this time,
-/// not all at once.
-pub const MAX_STAGGER: Millis = Millis(200);
+/// Requests that wait for the end of a cooldown are spread over this time, so
+/// that the target doesn't get all of them at once.
+pub const MAX_COOLDOWN_STAGGER: Millis = Millis(200);
 
-/// Within this time after a cooldown, requests that can go elsewhere find out
-/// whether the target takes more.
-pub const PROBE_PERIOD: Millis = Millis(1_000);
+/// For this time after a cooldown, requests that may be retried elsewhere
+/// probe whether the target accepts requests again; other requests avoid
+/// that target.
+pub const COOLDOWN_PROBE_PERIOD: Millis = Millis(1_000);
 
 impl Call {
-    /// Chooses the next target, and waits for one if there is none.
+    /// Chooses the next target, and waits while no target is usable.
     pub async fn next_target(
         &mut self,
         entry: &Rc<Entry>,
     ) -> Result<Choice, Response<Body>> {
-        let wait = self.until.min(self.waits_since + self.wait(entry));
+        let wait_until =
+            self.deadline.min(self.waiting_since + self.max_wait(entry));
         loop {
             let (news, freed) =
                 (entry.news.notified(), entry.freed.notified());
@@ -54,86 +57,100 @@
             match verdict {
                 QuarantineVerdict::Allowed => {}
                 QuarantineVerdict::Refused(after) => {
-                    return Err(self.reject_with(entry, Reason::Poison(after)));
+                    return Err(
+                        self.rejection(entry, RejectionReason::Poison(after))
+                    );
                 }
                 QuarantineVerdict::Suspended(after) => {
-                    let reason = Reason::Suspended(after);
-                    return Err(self.reject_with(entry, reason));
+                    let reason = RejectionReason::Suspended(after);
+                    return Err(self.rejection(entry, reason));
                 }
             }
-            let ahead = self.share_of(wait.since(now));
-            let shortage = match self.choose(entry, now, ahead) {
-                Ok((choice, patience)) => {
-                    match self.take(entry, choice, patience).await? {
+            let lookahead = self.permit_lookahead(wait_until.since(now));
+            let shortage = match self.choose_target(entry, now, lookahead) {
+                Ok((choice, max_permit_wait)) => {
+                    match self
+                        .reserve_target(entry, choice, max_permit_wait)
+                        .await?
+                    {
                         Some(choice) => return Ok(choice),
                         None => continue,
                     }
                 }
                 Err(shortage) => shortage,
             };
-            let patience = wait.since(now);
+            let wait_left = wait_until.since(now);
             if let Some(shortage) = shortage
-                && (patience.0 == 0
-                    || self.is_futile(entry, &shortage, wait, now))
+                && (wait_left.0 == 0
+                    || self.is_wait_futile(entry, &shortage, wait_until, now))
             {
-                let after = self.free_after(entry, &shortage, now);
-                return Err(self.reject_with(entry, Reason::Busy(after)));
+                let after = self.time_until_usable(entry, &shortage, now);
+                return Err(
+                    self.rejection(entry, RejectionReason::Busy(after))
+                );
             }
-            if patience.0 == 0 {
-                let reason = Reason::NoTarget("no target can be used");
-                return Err(self.reject_with(entry, reason));
+            if wait_left.0 == 0 {
+                let reason =
+                    RejectionReason::NoTarget("no target can be used");
+                return Err(self.rejection(entry, reason));
             }
             let cooldown_end = shortage.and_then(|it| it.cooldown_end);
             if let Some(end) = cooldown_end {
-                self.spread_out(entry, wait.since(end));
+                self.draw_cooldown_stagger(entry, wait_until.since(end));
             }
-            // A permit that is free now was asked for in vain.
+            // A limit that ends now can't end the wait: a permit that is free
+            // now has already been denied.
             let limit_end = shortage.and_then(|it| it.limit_end);
             let ends = limit_end.into_iter().filter(|it| *it > now);
             let ends = ends.chain(cooldown_end);
-            let pause = ends.min().map_or(patience, |it| it.since(now));
+            let pause = ends.min().map_or(wait_left, |it| it.since(now));
             tokio::select! {
                 () = news => {}
                 () = freed => {}
-                () = sleep(pause.min(patience).duration()) => {}
+                () = sleep(pause.min(wait_left).duration()) => {}
             }
         }
     }
 
-    /// Whether it waits in vain for the targets that it may be sent to.
-    fn is_futile(
+    /// Whether no target can become usable for the request by `wait_until`, or
+    /// a retry by the caller would reach another target sooner.
+    fn is_wait_futile(
         &self,
         entry: &Entry,
         shortage: &Shortage,
-        wait: Millis,
+        wait_until: Millis,
         now: Millis,
     ) -> bool {
-        let in_time =
-            |end: Millis| end <= wait && end + ANSWER_LATENCY <= self.until;
+        let in_time = |end: Millis| {
+            end <= wait_until
+                && end + RESPONSE_DELIVERY_MARGIN <= self.deadline
+        };
         let ends_in_time = shortage.cooldown_end.is_some_and(in_time);
-        // A caller that may come back gets to another target sooner.
-        let returns = self.caller_try == CallerTry::First
-            && self.certainty == Certainty::NotRun
-            && !self.may_go_elsewhere()
-            && self.has_others(entry, now);
-        shortage.is_complete && (!ends_in_time || returns)
+        // A caller's retry may go to a target that this request may not.
+        let caller_retry_is_sooner = self.caller_try == CallerTry::First
+            && self.execution == ExecutionStatus::NotRun
+            && !self.may_attempt_new_target()
+            && self.has_unattempted_target(entry, now);
+        shortage.is_complete && (!ends_in_time || caller_retry_is_sooner)
     }
 
-    /// Whether its route allows it to be sent to one more target.
-    fn may_go_elsewhere(&self) -> bool {
-        self.sent.len() < self.route.attempts as usize
+    /// Whether the route allows the request to be sent to one more target.
+    fn may_attempt_new_target(&self) -> bool {
+        self.attempted_targets.len() < self.route.attempts as usize
     }
 
-    /// Whether its caller's next try could be sent to a target now that this
-    /// one may not be sent to.
-    fn has_others(&self, entry: &Entry, now: Millis) -> bool {
-        let others = |it: &Target| !self.sent.contains(&it.id);
-        let others = entry.candidates(&self.service, now, Millis(0), others);
-        others.choose(Asks::Now, 0.0).is_some()
+    /// Whether some usable target has not got this request yet. The caller's
+    /// retry could go there even if this request may not.
+    fn has_unattempted_target(&self, entry: &Entry, now: Millis) -> bool {
+        let unattempted =
+            |it: &Target| !self.attempted_targets.contains(&it.id);
+        let candidates =
+            entry.candidates(&self.service, now, Millis(0), unattempted);
+        candidates.choose(Asks::Now, 0.0).is_some()
     }
 
-    /// How long no target takes its caller's next try.
-    fn free_after(
+    /// The time until some target accepts a retry by the caller.
+    fn time_until_usable(
         &self,
         entry: &Entry,
         shortage: &Shortage,
@@ -148,58 +165,61 @@
         end.map_or(Millis(0), |it| it.since(now))
     }
 
-    /// Draws how long after the end of a cooldown it goes, once, within the
-    /// time that it can wait.
-    fn spread_out(&mut self, entry: &Entry, most: Millis) {
-        if self.stagger.0 == 0 {
-            let most = MAX_STAGGER.min(most).0 as f64;
-            self.stagger = Millis((most * entry.draw()) as u64);
+    /// Draws the random delay of the request after the end of a cooldown,
+    /// once, and at most `max_delay`.
+    fn draw_cooldown_stagger(&mut self, entry: &Entry, max_delay: Millis) {
+        if self.cooldown_stagger.0 == 0 {
+            let max_delay = MAX_COOLDOWN_STAGGER.min(max_delay).0 as f64;
+            self.cooldown_stagger = Millis((max_delay * entry.draw()) as u64);
         }
     }
 
-    /// Takes a target that was chosen, with a permit there if it names a limit;
-    /// none if it has no permit within `patience`.
-    async fn take(
+    /// Acquires what an attempt at the chosen target needs: a permit if the
+    /// target states a limit, and a retry. Returns `None` if the target grants
+    /// no permit within `max_permit_wait`.
+    async fn reserve_target(
         &mut self,
         entry: &Rc<Entry>,
         mut choice: Choice,
-        patience: Millis,
+        max_permit_wait: Millis,
     ) -> Result<Option<Choice>, Response<Body>> {
-        if let Admission::RetryAfter(after) = self.start(entry, Millis::now())
+        if let Admission::RetryAfter(after) =
+            self.admit_stream_start(entry, Millis::now())
         {
-            return Err(self.reject_with(entry, Reason::TooLate(after)));
+            return Err(self.rejection(entry, RejectionReason::TooLate(after)));
         }
-        if !limits::permit(entry, &mut choice, patience).await {
-            self.denied += 1;
+        if !limits::permit(entry, &mut choice, max_permit_wait).await {
+            self.denied_permits += 1;
             return Ok(None);
         }
         let now = Millis::now();
-        if self.next == RetryCost::Budget
+        if self.next_retry_cost == RetryCost::Budget
             && !entry.spend_retry(&self.service, now)
         {
             choice.give_back();
-            let reason = Reason::NoTarget("no retry is left");
-            return Err(self.reject_with(entry, reason));
+            let reason = RejectionReason::NoTarget("no retry is left");
+            return Err(self.rejection(entry, reason));
         }
         self.log_choice(entry, &choice, now);
         choice.endpoint.borrow_mut().probe(now);
-        self.tries += 1;
-        self.denied = 0;
+        self.attempt_count += 1;
+        self.denied_permits = 0;
         Ok(Some(choice))
     }
 
-    /// Whether a stream that nothing has run of is still worth its start.
-    fn start(&self, entry: &Entry, now: Millis) -> Admission {
+    /// Whether a stream that no target has run can still send its first event
+    /// in time, or the caller should retry later.
+    fn admit_stream_start(&self, entry: &Entry, now: Millis) -> Admission {
         let (Some(silence_timeout), Some(first_event_aim)) =
             (self.route.silence, self.route.aim)
         else {
             return Admission::Now;
         };
-        if self.certainty == Certainty::Unknown {
+        if self.execution == ExecutionStatus::Unknown {
             return Admission::Now;
         }
         let Call { arrived, caller_try, .. } = *self;
-        let time_left = self.left();
+        let time_left = self.time_left();
         let stream = PendingStream {
             arrived,
             silence_timeout,
@@ -210,67 +230,74 @@
         stream.decide(now, entry.draw())
     }
 
-    /// How long the request may wait for a target to be usable. A caller of a
-    /// stream that hears nothing for longer leaves and is lost; one that is
-    /// answered just before comes back when it was told to.
-    fn wait(&self, entry: &Entry) -> Millis {
-        let silence = self.route.silence.map(|it| it - ANSWER_LATENCY);
+    /// How long the request may wait for a usable target. The caller of a
+    /// stream leaves for good after the silence timeout of the route; rejected
+    /// just before that, it retries at the stated time.
+    fn max_wait(&self, entry: &Entry) -> Millis {
+        let silence =
+            self.route.silence.map(|it| it - RESPONSE_DELIVERY_MARGIN);
         silence.unwrap_or(entry.settings().wait_ms)
     }
 
-    /// The best target that the request may still be sent to, and how long it
-    /// may wait for a permit there: a new one while its route allows more, else
-    /// one that was asked before; one that takes it now, else one that does so
-    /// within `ahead`. Without one, what the targets' own words have to do with
-    /// that. A request that may go to one target only leaves those whose
-    /// cooldown has just ended to others, if it can.
-    fn choose(
+    /// The best target for the request, and how long the request may wait for
+    /// a permit there. Targets that have not got the request come first while
+    /// the route allows one more; targets that accept it now come before
+    /// targets that accept it within `lookahead`. If there is none, returns
+    /// the shortage that limits and cooldowns stated by targets cause, if any.
+    /// A request that may go to only one target avoids targets whose cooldown
+    /// has just ended, if it can.
+    fn choose_target(
         &self,
         entry: &Entry,
         now: Millis,
-        ahead: Millis,
+        lookahead: Millis,
     ) -> Result<(Choice, Millis), Option<Shortage>> {
-        let choose = |after| self.choose_after(entry, now, ahead, after);
+        let choose =
+            |after| self.choose_with_stagger(entry, now, lookahead, after);
         if self.route.attempts > 1 || entry.cooldowns.borrow().is_empty() {
-            return choose(self.stagger);
+            return choose(self.cooldown_stagger);
         }
-        let chosen = choose(self.stagger + PROBE_PERIOD);
-        chosen.or_else(|_| choose(self.stagger))
+        let chosen = choose(self.cooldown_stagger + COOLDOWN_PROBE_PERIOD);
+        chosen.or_else(|_| choose(self.cooldown_stagger))
     }
 
-    /// The same, where cooldowns count as longer by `stagger`.
-    fn choose_after(
+    /// Chooses a target like [`Call::choose_target`], with every cooldown
+    /// extended by `cooldown_stagger`.
+    fn choose_with_stagger(
         &self,
         entry: &Entry,
         now: Millis,
-        ahead: Millis,
-        stagger: Millis,
+        lookahead: Millis,
+        cooldown_stagger: Millis,
     ) -> Result<(Choice, Millis), Option<Shortage>> {
-        let candidates = |new: bool| {
-            let fits = |it: &Target| self.sent.contains(&it.id) != new;
-            entry.candidates(&self.service, now, stagger, fits)
+        let candidates = |unattempted: bool| {
+            let fits = |it: &Target| {
+                self.attempted_targets.contains(&it.id) != unattempted
+            };
+            entry.candidates(&self.service, now, cooldown_stagger, fits)
         };
-        let may_ask = self.denied < MAX_DENIED;
+        let may_ask = self.denied_permits < MAX_DENIED_PERMITS;
         let asks = if may_ask { Asks::Now } else { Asks::Never };
-        let more = self.may_go_elsewhere();
-        let first = candidates(more);
-        if let Some(choice) = first.choose(asks, entry.draw()) {
+        let more_allowed = self.may_attempt_new_target();
+        let preferred = candidates(more_allowed);
+        if let Some(choice) = preferred.choose(asks, entry.draw()) {
             return Ok((choice, Millis(0)));
         }
-        let before = more.then(|| candidates(false));
-        let before = before.as_ref();
-        let chosen = before.and_then(|it| it.choose(asks, entry.draw()));
+        let attempted = more_allowed.then(|| candidates(false));
+        let attempted = attempted.as_ref();
+        let chosen = attempted.and_then(|it| it.choose(asks, entry.draw()));
         if let Some(choice) = chosen {
             return Ok((choice, Millis(0)));
         }
-        let seen = || [Some(&first), before].into_iter().flatten();
-        if !may_ask || ahead == Millis(0) {
-            return Err(Shortage::new(seen()));
+        let considered =
+            || [Some(&preferred), attempted].into_iter().flatten();
+        if !may_ask || lookahead == Millis(0) {
+            return Err(Shortage::new(considered()));
         }
-        let asks = Asks::Ahead(ahead);
-        let chosen = seen().find_map(|it| it.choose(asks, entry.draw()));
-        let chosen = chosen.map(|it| (it, ahead));
-        chosen.ok_or_else(|| Shortage::new(seen()))
+        let asks = Asks::Ahead(lookahead);
+        let chosen = considered().find_map(|it| it.choose(asks, entry.draw()));
+        let chosen = chosen.map(|it| (it, lookahead));
+        chosen.ok_or_else(|| Shortage::new(considered()))
     }
 
     fn log_choice(&self, entry: &Entry, choice: &Choice, now: Millis) {
@@ -278,22 +305,23 @@
         let group = endpoint.group.as_ref();
         let age = group.map_or(-1, |it| now.since(it.heard).0 as i64);
         let report = endpoint.limit.report(now);
-        info!(entry.log, "chosen"; "request" => &*self.id,
+        info!(entry.log, "chosen"; "request" => &*self.request_id,
             "work" => %self.work,
             "target" => &*choice.target.id, "route" => &*self.route.name,
-            "cost" => choice.cost as u64, "at_target" => endpoint.record.occupancy(now),
+            "cost" => choice.cost as u64,
+            "at_target" => endpoint.record.occupancy(now),
             "own" => endpoint.record.in_flight(), "report_age" => age,
             "limit" => choice.limit.map(|it| it.per_second()),
             "limit_age" => report.map(|it| it.age.0),
-            "denied" => self.denied,
-            "left" => self.left().0, "try" => self.tries + 1);
+            "denied" => self.denied_permits,
+            "left" => self.time_left().0, "try" => self.attempt_count + 1);
     }
 
-    /// How far ahead a permit may lie that it takes. Less urgent requests leave
-    /// those that lie further ahead to more urgent ones.
-    fn share_of(&self, patience: Millis) -> Millis {
-        let ranks = u64::from(LAST_RANK) + 1;
-        let rank = u64::from(self.urgency());
-        Millis(patience.0 * (ranks - rank) / ranks)
+    /// How far in the future a permit for the request may start. Less urgent
+    /// requests leave later permits to more urgent ones.
+    fn permit_lookahead(&self, wait_left: Millis) -> Millis {
+        let ranks = u64::from(MAX_QUEUE_RANK) + 1;
+        let rank = u64::from(self.queue_rank());
+        Millis(wait_left.0 * (ranks - rank) / ranks)
     }
 }
--- a/cowsliproad-direct/src/call/failure.rs
+++ b/cowsliproad-direct/src/call/failure.rs
@@ -1,4 +1,5 @@
-//! What follows when a try fails, or can't be made; see the parent module.
+//! Decides between a retry and a rejection after an attempt failed or no
+//! target could be chosen.
 
 use std::rc::Rc;
 
@@ -8,182 +9,207 @@
 use slog::info;
 use tokio::time::sleep;
 
-use super::{AttemptError, Call, Certainty, RetryCost};
+use super::{AttemptError, Call, ExecutionStatus, RetryCost};
 use crate::{
     entry::{Choice, Entry},
     reply::{self, Body},
 };
 
-/// When to come back if all targets are full.
-pub const FULL_BACKOFF: Millis = Millis(250);
+/// The retry delay for callers when all targets are full.
+pub const TARGETS_FULL_BACKOFF: Millis = Millis(250);
 
-/// Callers that are told of a free place come back after this at the least:
-/// their way there and back takes longer than the place stays free.
-const MIN_RETURN: Millis = Millis(50);
+/// The shortest retry delay for callers rejected while targets are busy: a
+/// free permit would expire during the round trip to the caller.
+const MIN_RETRY_AFTER: Millis = Millis(50);
 
-/// They look for new targets after this at the latest.
-const MAX_RETURN: Millis = Millis(600_000);
+/// The longest retry delay for callers rejected while targets are busy, so
+/// that they find targets that have joined since.
+const MAX_RETRY_AFTER: Millis = Millis(600_000);
 
-/// Tries beyond the targets that a route allows, at targets that were asked
-/// before and said that they did not run the request.
-const SPARE_TRIES: usize = 4;
+/// Attempts beyond the number of targets that a route allows. These go to
+/// targets that have stated that they did not run the request.
+const MAX_EXTRA_ATTEMPTS: usize = 4;
 
-/// Tries of one request of any kind. Those that can't connect end at once or
-/// after a quarter of a second each.
-const MAX_TRIES: usize = 12;
+/// Attempts of one request, including those that could not connect, each of
+/// which ends at once or after 250 ms.
+const MAX_ATTEMPTS: usize = 12;
 
-/// Why a request gets no answer of a target.
+/// Why a request is rejected without a target's response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reason {
-    /// No attempt may follow.
+pub enum RejectionReason {
+    /// No further attempt is allowed.
     NoTarget(&'static str),
-    /// It waited so long that no first event can reach its caller in time.
+    /// The request waited so long that no first event can reach its caller in
+    /// time. The caller may retry after this delay.
     TooLate(Millis),
-    /// Its targets take no more, by their own word, before so long.
+    /// The targets have stated limits or cooldowns that leave no capacity for
+    /// this long.
     Busy(Millis),
-    /// Targets crashed each time they ran it.
+    /// A crash-inducing request: targets crashed each time they ran it. It
+    /// stays in quarantine for this long.
     Poison(Millis),
-    /// A rank of a group crashed as it ran it, and it is not sent to another
-    /// one before so long.
+    /// One rank of a group crashed while it ran the request, which is not sent
+    /// to another rank for this long.
     Suspended(Millis),
 }
 
-/// The pause after a connection broke under a request. It gives connections to
-/// other targets that ended at the same moment time to break, so that the
-/// retry doesn't pick one of them.
-const BREAK_DELAY: Millis = Millis(8);
+/// The delay of a retry after a connection broke. Connections to other targets
+/// that crashed at the same moment break meanwhile, so that the retry avoids
+/// those targets.
+const CONNECTION_LOSS_DELAY: Millis = Millis(8);
 
-/// The pause before a target that refused is asked again.
-const RETRY_BACKOFF: Millis = Millis(60);
+/// The delay before a request is retried at a target that refused it.
+const REFUSAL_BACKOFF: Millis = Millis(60);
 
 impl Call {
-    /// Takes an error in. Returns the final answer if nothing may follow.
-    pub async fn on_attempt_failed(
+    /// Records the error of an attempt. Returns the rejection if no retry is
+    /// allowed, or `None` after the delay that precedes a retry.
+    pub async fn note_attempt_error(
         &mut self,
         entry: &Rc<Entry>,
         choice: &Choice,
         error: AttemptError,
     ) -> Option<Response<Body>> {
-        let why = match error {
-            AttemptError::Refused(why) => {
+        let cause = match error {
+            AttemptError::Refused(cause) => {
                 entry.measure.tried("refused");
-                why
+                cause
             }
-            AttemptError::Unsent(why) => {
+            AttemptError::Unsent(cause) => {
                 entry.measure.tried("unsent");
-                self.sent.retain(|it| *it != choice.target.id);
-                // What never arrived is no repeat.
-                if self.left().0 > 0 && self.tries < MAX_TRIES {
-                    info!(entry.log, "unsent"; "request" => &*self.id,
-                        "target" => &*choice.target.id, "why" => why);
+                self.attempted_targets.retain(|it| *it != choice.target.id);
+                // Sending a request that never arrived is no retry.
+                if self.time_left().0 > 0 && self.attempt_count < MAX_ATTEMPTS
+                {
+                    info!(entry.log, "unsent"; "request" => &*self.request_id,
+                        "target" => &*choice.target.id, "why" => cause);
                     return None;
                 }
-                why
+                cause
             }
-            AttemptError::Withheld(why) => {
+            AttemptError::Withheld(cause) => {
                 entry.measure.tried("withheld");
-                self.sent.retain(|it| *it != choice.target.id);
-                if self.left().0 > 0 && self.tries < MAX_TRIES {
-                    info!(entry.log, "withheld"; "request" => &*self.id,
-                        "target" => &*choice.target.id, "why" => why);
+                self.attempted_targets.retain(|it| *it != choice.target.id);
+                if self.time_left().0 > 0 && self.attempt_count < MAX_ATTEMPTS
+                {
+                    info!(entry.log, "withheld";
+                        "request" => &*self.request_id,
+                        "target" => &*choice.target.id, "why" => cause);
                     return None;
                 }
-                why
+                cause
             }
-            AttemptError::Unknown(why) | AttemptError::Broken(why) => {
+            AttemptError::MayHaveRun(cause)
+            | AttemptError::ConnectionBroken(cause) => {
                 entry.measure.tried("unknown");
-                self.ran();
-                why
+                self.note_possible_run();
+                cause
             }
         };
-        if !self.may_try_again(entry, choice, why) {
-            return Some(self.reject_with(entry, Reason::NoTarget(why)));
+        if !self.may_retry(entry, choice, cause) {
+            return Some(
+                self.rejection(entry, RejectionReason::NoTarget(cause)),
+            );
         }
-        if matches!(error, AttemptError::Broken(_)) {
-            sleep(BREAK_DELAY.duration()).await;
+        if matches!(error, AttemptError::ConnectionBroken(_)) {
+            sleep(CONNECTION_LOSS_DELAY.duration()).await;
         }
-        let again = self.sent.len() >= self.route.attempts as usize;
+        let targets_used_up =
+            self.attempted_targets.len() >= self.route.attempts as usize;
         let now = Millis::now();
-        let cools = entry.cooldown_end(&choice.target, now).is_some();
-        if again && !cools && matches!(error, AttemptError::Refused(_)) {
-            sleep(RETRY_BACKOFF.duration()).await;
+        let is_cooling = entry.cooldown_end(&choice.target, now).is_some();
+        if targets_used_up
+            && !is_cooling
+            && matches!(error, AttemptError::Refused(_))
+        {
+            sleep(REFUSAL_BACKOFF.duration()).await;
         }
         None
     }
 
-    /// Whether another try is allowed. It draws on the budget once there is a
-    /// target for it.
-    pub fn may_try_again(
+    /// Whether a retry is allowed. The retry budget is spent later, once a
+    /// target has been chosen.
+    pub fn may_retry(
         &mut self,
         entry: &Entry,
         choice: &Choice,
-        why: &'static str,
+        cause: &'static str,
     ) -> bool {
-        let safe = self.certainty == Certainty::NotRun || self.route.repeats();
+        let is_safe =
+            self.execution == ExecutionStatus::NotRun || self.route.repeats();
         let attempts = self.route.attempts as usize;
-        let room = self.runs < attempts && self.tries < attempts + SPARE_TRIES;
-        let allowed = safe && room && self.left().0 > 0;
-        self.next = RetryCost::Budget;
-        info!(entry.log, "missed"; "request" => &*self.id,
-            "target" => &*choice.target.id, "why" => why,
-            "repeats" => self.route.repeats(), "tries" => self.tries,
-            "runs" => self.runs, "again" => allowed,
-            "left" => self.left().0);
+        let within_bounds = self.possible_runs < attempts
+            && self.attempt_count < attempts + MAX_EXTRA_ATTEMPTS;
+        let allowed = is_safe && within_bounds && self.time_left().0 > 0;
+        self.next_retry_cost = RetryCost::Budget;
+        info!(entry.log, "missed"; "request" => &*self.request_id,
+            "target" => &*choice.target.id, "why" => cause,
+            "repeats" => self.route.repeats(), "tries" => self.attempt_count,
+            "runs" => self.possible_runs, "again" => allowed,
+            "left" => self.time_left().0);
         allowed
     }
 
-    /// The final answer of a request that gets none of a target. That it has
-    /// not run, and when its caller may come back, is said where that is so.
-    pub fn reject_with(
+    /// Logs the rejection of a request and builds the response. This states
+    /// "not run", with a retry delay, only if no target can have run the
+    /// request.
+    pub fn rejection(
         &self,
         entry: &Entry,
-        reason: Reason,
+        reason: RejectionReason,
     ) -> Response<Body> {
-        let left = self.left();
+        let left = self.time_left();
         let (text, after) = match reason {
-            Reason::NoTarget(_) => {
-                ("not run: no target\n", self.come_back(entry))
+            RejectionReason::NoTarget(_) => {
+                ("not run: no target\n", self.retry_after(entry))
             }
-            Reason::TooLate(after) => {
+            RejectionReason::TooLate(after) => {
                 ("not run: too late for a first event\n", after)
             }
-            Reason::Busy(after) => {
+            RejectionReason::Busy(after) => {
                 entry.measure.limited("refused");
-                let after = after.clamp(MIN_RETURN, MAX_RETURN);
+                let after = after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
                 let after = patience::jittered_retry(after, entry.draw());
                 ("not run: targets take no more\n", after)
             }
-            Reason::Poison(after) => {
+            RejectionReason::Poison(after) => {
                 entry.measure.quarantined("request");
                 ("targets ended each time they ran this\n", after)
             }
-            Reason::Suspended(after) => {
+            RejectionReason::Suspended(after) => {
                 entry.measure.quarantined("suspended request");
                 ("a target ended while it ran this\n", after)
             }
         };
-        info!(entry.log, "rejected"; "request" => &*self.id,
-            "reason" => ?reason, "certainty" => ?self.certainty,
-            "tries" => self.tries, "caller_try" => ?self.caller_try,
+        info!(entry.log, "rejected"; "request" => &*self.request_id,
+            "reason" => ?reason, "certainty" => ?self.execution,
+            "tries" => self.attempt_count, "caller_try" => ?self.caller_try,
             "waited" => Millis::now().since(self.arrived).0,
             "after" => after.0, "left" => left.0, "work" => %self.work);
-        match (self.certainty, reason) {
-            (Certainty::NotRun, _) => reply::not_run(text, after),
-            (Certainty::Unknown, Reason::Poison(_)) => reply::unknown(text),
-            (Certainty::Unknown, _) if left.0 == 0 => reply::overdue(),
-            (Certainty::Unknown, _) => reply::unknown("no whole answer\n"),
+        match (self.execution, reason) {
+            (ExecutionStatus::NotRun, _) => reply::not_run(text, after),
+            (ExecutionStatus::Unknown, RejectionReason::Poison(_)) => {
+                reply::outcome_unknown(text)
+            }
+            (ExecutionStatus::Unknown, _) if left.0 == 0 => {
+                reply::deadline_exceeded()
+            }
+            (ExecutionStatus::Unknown, _) => {
+                reply::outcome_unknown("no whole answer\n")
+            }
         }
     }
 
-    /// When the caller should come back. Those of streams wait as long as they
-    /// do: their group may have formed again by then.
-    fn come_back(&self, entry: &Entry) -> Millis {
-        // Callers wait for a third of what they have left at most.
-        let longest = Millis(self.left().0 / 3);
+    /// The retry delay stated to the caller. For streams it is as long as
+    /// callers honour, because the group may have formed again by then.
+    fn retry_after(&self, entry: &Entry) -> Millis {
+        // Callers wait for at most a third of their remaining time.
+        let max_delay = Millis(self.time_left().0 / 3);
         if self.route.streams() {
-            return longest;
+            return max_delay;
         }
-        let after = patience::jittered_retry(FULL_BACKOFF, entry.draw());
-        longest.min(after)
+        let delay =
+            patience::jittered_retry(TARGETS_FULL_BACKOFF, entry.draw());
+        max_delay.min(delay)
     }
 }
--- a/cowsliproad-direct/src/callers.rs
+++ b/cowsliproad-direct/src/callers.rs
@@ -1,13 +1,14 @@
 //! Connections of callers and their requests.
 //!
-//! Each connection has a task. It ends the connection when no request has
-//! come for the idle time in force, or when a request's head takes too long,
-//! but never between a request and its answer. Limits are read when they are
-//! applied, so a changed configuration holds for open connections too.
+//! Each connection has a task. The task closes the connection after the
+//! configured idle timeout, or if the head of a request takes too long, but
+//! never between a request and its response. Limits are read when they are
+//! applied, so a changed configuration also applies to open connections.
 //!
-//! On SIGTERM the entry isn't ready at once, but takes new connections until
-//! the balancer has noticed. Every answer then says that its connection
-//! closes, and idle connections are closed once no new ones come.
+//! On SIGTERM the entry process stops reporting ready at once, but accepts
+//! connections until the load balancer has noticed. Every response from then
+//! on carries `Connection: close`. Idle connections are closed once no new
+//! connections are accepted.
 
 use std::{cell::Cell, convert::Infallible, io, rc::Rc};
 
@@ -33,64 +34,73 @@
     upstream,
 };
 
-/// The balancer asks once a second and needs two misses.
+/// How long connections are accepted after SIGTERM. The load balancer checks
+/// readiness every second and stops sending after two failed checks.
 const DRAIN_DELAY: Millis = Millis(3_200);
 
-/// What is left of the grace time for the process's own end.
-const END_MARGIN: Millis = Millis(400);
+/// The part of the grace period reserved for the exit of the process.
+const PROCESS_EXIT_MARGIN: Millis = Millis(400);
 
-/// How often a connection's idle time is looked at.
+/// How often the idle time of a connection is checked.
 const IDLE_CHECK_INTERVAL: Millis = Millis(1_000);
 
-/// How often the end of all requests is looked for while stopping.
+/// How often a stopping process checks whether all requests have finished;
+/// also the delay after a failed accept.
 const STOP_CHECK_INTERVAL: Millis = Millis(50);
 
-/// The time for the last answers to leave the process.
+/// The time for the last responses to leave the sockets.
 const FLUSH_DELAY: Millis = Millis(100);
 
-/// What idle connections are given beyond the limit that callers know, so
-/// that a request sent at the limit still finds its connection open.
+/// How much longer than the idle timeout known to callers a connection stays
+/// open, so that a request sent just before that timeout still arrives.
 const IDLE_GRACE: Millis = Millis(2_000);
 
-/// Heads shorter than this are always read; the library asks for so much.
-const MIN_HEAD_BYTES: usize = 8_192;
+/// The smallest buffer for request heads that hyper accepts. Shorter heads are
+/// always read, whatever the configured limit.
+const MIN_HEAD_BUFFER_BYTES: usize = 8_192;
 
-/// Serves callers until the process was told to stop and all requests are
-/// answered, or the grace time is over.
-pub async fn serve(
+/// Serves callers until a stop signal arrives and then either all requests
+/// have finished or the grace period is over.
+pub async fn serve_callers(
     entry: &Rc<Entry>,
     listener: TcpListener,
 ) -> io::Result<()> {
     tokio::select! {
-        never = accept(entry, &listener) => match never {},
+        never = accept_connections(entry, &listener) => match never {},
         () = program::stop_signal() => {}
     }
-    let end =
-        Instant::now() + (entry.settings().grace_ms - END_MARGIN).duration();
+    let grace_end = Instant::now()
+        + (entry.settings().grace_ms - PROCESS_EXIT_MARGIN).duration();
     entry.phase.set(Phase::Leaving);
     info!(entry.log, "stopping"; "under_way" => entry.under_way.get());
-    let noticed = Instant::now() + DRAIN_DELAY.duration();
+    let drained_at = Instant::now() + DRAIN_DELAY.duration();
     tokio::select! {
-        never = accept(entry, &listener) => match never {},
-        () = sleep_until(noticed) => {}
+        never = accept_connections(entry, &listener) => match never {},
+        () = sleep_until(drained_at) => {}
     }
     drop(listener);
     entry.phase.set(Phase::Closing);
     entry.closing.notify_waiters();
-    while entry.under_way.get() > 0 && Instant::now() < end {
+    while entry.under_way.get() > 0 && Instant::now() < grace_end {
         sleep(STOP_CHECK_INTERVAL.duration()).await;
     }
-    // The last answers are on their way through the sockets.
+    // Lets the last responses leave the sockets.
     sleep(FLUSH_DELAY.duration()).await;
     info!(entry.log, "stopping"; "left" => entry.under_way.get());
     Ok(())
 }
 
-async fn accept(entry: &Rc<Entry>, listener: &TcpListener) -> Infallible {
+async fn accept_connections(
+    entry: &Rc<Entry>,
+    listener: &TcpListener,
+) -> Infallible {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(connection(entry.clone(), stream));
+                tokio::task::spawn_local(serve_connection(
+                    entry.clone(),
+                    stream,
+                ));
             }
             Err(error) => {
                 info!(entry.log, "accept_failed"; "error" => %error);
@@ -100,94 +110,101 @@
     }
 }
 
-/// What a connection is doing.
+/// The activity on a caller's connection, for its timeouts.
 #[derive(Debug, Default)]
-struct Activity {
-    /// Requests that are being answered.
-    busy: Cell<usize>,
-    /// When the last answer ended or the connection began.
+struct ConnectionActivity {
+    /// In-flight requests on the connection.
+    in_flight: Cell<usize>,
+    /// When the last response ended, or the connection opened.
     idle_since: Cell<Millis>,
-    /// When bytes came after that.
-    head_since: Cell<Option<Millis>>,
+    /// When the first byte of the next request head arrived.
+    head_started_at: Cell<Option<Millis>>,
 }
 
-/// A request that is being answered.
+/// Counts one in-flight request of a caller until dropped.
 #[derive(Debug)]
-pub struct Busy {
+pub struct InFlightRequest {
     entry: Rc<Entry>,
-    activity: Rc<Activity>,
+    activity: Rc<ConnectionActivity>,
 }
 
-impl Busy {
-    fn new(entry: &Rc<Entry>, activity: &Rc<Activity>) -> Busy {
+impl InFlightRequest {
+    fn new(
+        entry: &Rc<Entry>,
+        activity: &Rc<ConnectionActivity>,
+    ) -> InFlightRequest {
         entry.under_way.set(entry.under_way.get() + 1);
-        activity.busy.set(activity.busy.get() + 1);
-        Busy { entry: entry.clone(), activity: activity.clone() }
+        activity.in_flight.set(activity.in_flight.get() + 1);
+        InFlightRequest { entry: entry.clone(), activity: activity.clone() }
     }
 }
 
-impl Drop for Busy {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.entry.under_way.set(self.entry.under_way.get() - 1);
-        self.activity.busy.set(self.activity.busy.get() - 1);
+        self.activity.in_flight.set(self.activity.in_flight.get() - 1);
         self.activity.idle_since.set(Millis::now());
-        self.activity.head_since.set(None);
+        self.activity.head_started_at.set(None);
     }
 }
 
-async fn connection(entry: Rc<Entry>, stream: TcpStream) {
-    let activity = Rc::new(Activity::default());
+async fn serve_connection(entry: Rc<Entry>, stream: TcpStream) {
+    let activity = Rc::new(ConnectionActivity::default());
     activity.idle_since.set(Millis::now());
     let service = service_fn(|request: Request<Incoming>| {
         let (entry, activity) = (entry.clone(), activity.clone());
-        async move { Ok::<_, Infallible>(answer(entry, activity, request).await) }
+        async move { Ok::<_, Infallible>(respond(entry, activity, request).await) }
+    });
+    let configured = upstream::configure_socket(&stream).and_then(|()| {
+        HookedStream::new(stream, HeadWatcher(activity.clone()))
     });
-    let opened = upstream::prepare(&stream)
-        .and_then(|()| HookedStream::new(stream, Watch(activity.clone())));
-    let stream = match opened {
+    let stream = match configured {
         Ok(stream) => stream,
         Err(error) => {
             info!(entry.log, "connection_lost"; "error" => %error);
             return;
         }
     };
-    let head = limits(&entry).header_bytes.max(MIN_HEAD_BYTES);
+    let max_head_bytes =
+        current_limits(&entry).header_bytes.max(MIN_HEAD_BUFFER_BYTES);
     let mut serving = std::pin::pin!(
         http1::Builder::new()
-            .max_buf_size(head)
+            .max_buf_size(max_head_bytes)
             .serve_connection(TokioIo::new(stream), service)
     );
     loop {
         tokio::select! {
-            // A connection that breaks has nobody left to tell.
+            // If the connection failed, nobody is left to send an error to.
             _ = &mut serving => return,
             () = sleep(IDLE_CHECK_INTERVAL.duration()) => {}
             () = entry.closing.notified() => {}
         }
-        match verdict(&entry, &activity) {
-            Verdict::Attempt => {}
-            // A request under way is answered first.
-            Verdict::End => serving.as_mut().graceful_shutdown(),
-            // The library waits for the rest of a head for ever.
-            Verdict::Drop => return,
+        match next_action(&entry, &activity) {
+            ConnectionAction::Keep => {}
+            // hyper completes an in-flight request first.
+            ConnectionAction::ShutDown => serving.as_mut().graceful_shutdown(),
+            // hyper would wait for the rest of the head forever.
+            ConnectionAction::Drop => return,
         }
     }
 }
 
-/// What is to become of a connection.
-enum Verdict {
-    Attempt,
-    End,
+/// What to do with a caller's connection after a check.
+enum ConnectionAction {
+    Keep,
+    /// Close the connection after any in-flight request.
+    ShutDown,
+    /// Close the connection at once.
     Drop,
 }
 
-async fn answer(
+async fn respond(
     entry: Rc<Entry>,
-    activity: Rc<Activity>,
+    activity: Rc<ConnectionActivity>,
     request: Request<Incoming>,
 ) -> Response<Body> {
-    let busy = Busy::new(&entry, &activity);
-    let mut answer = forward::answer(&entry, request, busy).await;
+    let in_flight = InFlightRequest::new(&entry, &activity);
+    let mut answer = forward::respond(&entry, request, in_flight).await;
     if entry.phase.get() != Phase::Serving {
         let close = HeaderValue::from_static("close");
         answer.headers_mut().insert(header::CONNECTION, close);
@@ -195,36 +212,42 @@
     answer
 }
 
-fn verdict(entry: &Entry, activity: &Activity) -> Verdict {
-    let busy = activity.busy.get() > 0;
-    let limits = limits(entry);
+fn next_action(
+    entry: &Entry,
+    activity: &ConnectionActivity,
+) -> ConnectionAction {
+    let is_answering = activity.in_flight.get() > 0;
+    let limits = current_limits(entry);
     let now = Millis::now();
-    let head = activity.head_since.get();
-    let late = |since: Millis| now.since(since) > limits.header_time;
-    if !busy && head.is_some_and(late) {
-        return Verdict::Drop;
+    let head_started_at = activity.head_started_at.get();
+    let is_late = |since: Millis| now.since(since) > limits.header_time;
+    if !is_answering && head_started_at.is_some_and(is_late) {
+        return ConnectionAction::Drop;
     }
     let idle = now.since(activity.idle_since.get());
-    let spent =
-        !busy && head.is_none() && idle > limits.idle_time + IDLE_GRACE;
-    if spent || entry.phase.get() == Phase::Closing {
-        return Verdict::End;
+    let idle_expired = !is_answering
+        && head_started_at.is_none()
+        && idle > limits.idle_time + IDLE_GRACE;
+    if idle_expired || entry.phase.get() == Phase::Closing {
+        return ConnectionAction::ShutDown;
     }
-    Verdict::Attempt
+    ConnectionAction::Keep
 }
 
-fn limits(entry: &Entry) -> Limits {
+fn current_limits(entry: &Entry) -> Limits {
     entry.catalog().map_or_else(Limits::new, |it| it.limits())
 }
 
-/// Notes when the bytes of a head begin to come.
-struct Watch(Rc<Activity>);
+/// Records when the first byte of a request head arrives.
+struct HeadWatcher(Rc<ConnectionActivity>);
 
-impl Hooks for Watch {
+impl Hooks for HeadWatcher {
     fn on_read(&mut self) {
         let activity = &self.0;
-        if activity.busy.get() == 0 && activity.head_since.get().is_none() {
-            activity.head_since.set(Some(Millis::now()));
+        if activity.in_flight.get() == 0
+            && activity.head_started_at.get().is_none()
+        {
+            activity.head_started_at.set(Some(Millis::now()));
         }
     }
 }
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -33,7 +33,7 @@
 use crate::{
     ends::Suspicion, limits::Limits, measure::Measure, peers::Peers,
     quarantine::Quarantine, rollback::Rollbacks, settings::Settings,
-    upstream::Pool,
+    upstream::ConnectionPool,
 };
 
 pub mod choose;
@@ -78,7 +78,7 @@
     /// How it fared.
     pub record: Record,
     /// Idle connections.
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     /// Open connections, busy ones and those being made included.
     pub open: usize,
     /// Wakes requests that wait for a connection.
--- a/cowsliproad-direct/src/forward.rs
+++ b/cowsliproad-direct/src/forward.rs
@@ -1,4 +1,4 @@
-//! From a caller's request to its answer.
+//! Handles a caller's request, from its head to the final response.
 
 use std::rc::Rc;
 
@@ -12,93 +12,101 @@
 use crate::{
     attempt::Attempt,
     call::{AttemptError, Call},
-    callers::Busy,
+    callers::InFlightRequest,
     entry::Entry,
-    receive::receive,
+    receive::receive_request,
     reply::{self, Body},
     stream,
 };
 
-/// Answers a caller's request.
-pub async fn answer(
+/// Forwards a caller's request to targets and returns the response.
+pub async fn respond(
     entry: &Rc<Entry>,
     request: Request<Incoming>,
-    busy: Busy,
+    in_flight: InFlightRequest,
 ) -> Response<Body> {
     let arrived = Millis::now();
     let (head, body) = request.into_parts();
-    let id = head.headers.get(&header::REQUEST_ID).cloned();
-    let answer = match receive(entry, head, body, arrived).await {
+    let request_id = head.headers.get(&header::REQUEST_ID).cloned();
+    let response = match receive_request(entry, head, body, arrived).await {
         Ok(mut call) => {
             entry.count_request(&call.service, arrived);
             if call.route.streams() {
-                stream::run(entry, call, busy).await
+                stream::respond_with_stream(entry, call, in_flight).await
             } else {
-                whole(entry, &mut call).await
+                forward_buffered(entry, &mut call).await
             }
         }
-        Err(answer) => answer,
+        Err(response) => response,
     };
-    log_answer(entry, answer, id, arrived)
+    finish_response(entry, response, request_id, arrived)
 }
 
-fn log_answer(
+/// Logs and counts a response, and sets its request id if it has none.
+fn finish_response(
     entry: &Entry,
-    mut answer: Response<Body>,
-    id: Option<HeaderValue>,
+    mut response: Response<Body>,
+    request_id: Option<HeaderValue>,
     arrived: Millis,
 ) -> Response<Body> {
-    let took = Millis::now().since(arrived);
-    let status = answer.status().as_u16();
-    entry.measure.answered(status, took);
-    let text = id.as_ref().and_then(|it| it.to_str().ok()).unwrap_or("-");
-    info!(entry.log, "answered"; "request" => text, "status" => status,
-        "took" => took.0, "version" => entry.version());
-    if let Some(id) = &id
-        && !answer.headers().contains_key(&header::REQUEST_ID)
+    let duration = Millis::now().since(arrived);
+    let status = response.status().as_u16();
+    entry.measure.answered(status, duration);
+    let id_text =
+        request_id.as_ref().and_then(|it| it.to_str().ok()).unwrap_or("-");
+    info!(entry.log, "answered"; "request" => id_text, "status" => status,
+        "took" => duration.0, "version" => entry.version());
+    if let Some(id) = &request_id
+        && !response.headers().contains_key(&header::REQUEST_ID)
     {
-        reply::belongs(&mut answer, id);
+        reply::set_request_id(&mut response, id);
     }
-    answer
+    response
 }
 
-/// Gets a whole answer that is passed on at once.
-async fn whole(entry: &Rc<Entry>, call: &mut Call) -> Response<Body> {
-    let mut kept = None;
+/// Sends a request that is no stream to targets until one returns a complete
+/// response, or rejects it.
+async fn forward_buffered(
+    entry: &Rc<Entry>,
+    call: &mut Call,
+) -> Response<Body> {
+    let mut failure_response = None;
     loop {
         let choice = match call.next_target(entry).await {
             Ok(choice) => choice,
-            Err(answer) => return kept.unwrap_or(answer),
+            Err(response) => return failure_response.unwrap_or(response),
         };
         let attempt = Attempt::new(entry, call, &choice);
-        let patience = call.patience();
-        let tried =
-            timeout(patience.duration(), call.get(entry, &choice, &attempt));
-        let error = match tried.await {
-            Ok(Ok(answer)) if answer.status().is_server_error() => {
-                attempt.failed();
+        let attempt_timeout = call.attempt_timeout();
+        let attempt_result = timeout(
+            attempt_timeout.duration(),
+            call.fetch_response(entry, &choice, &attempt),
+        );
+        let error = match attempt_result.await {
+            Ok(Ok(response)) if response.status().is_server_error() => {
+                attempt.note_failure_response();
                 entry.measure.tried("failed");
-                call.ran();
-                if !call.may_try_again(entry, &choice, "failed") {
-                    return answer;
+                call.note_possible_run();
+                if !call.may_retry(entry, &choice, "failed") {
+                    return response;
                 }
-                kept = Some(answer);
+                failure_response = Some(response);
                 continue;
             }
-            Ok(Ok(answer)) => {
-                attempt.success();
+            Ok(Ok(response)) => {
+                attempt.note_success();
                 entry.measure.tried("answered");
-                return answer;
+                return response;
             }
             Ok(Err(error)) => error,
-            Err(_) => AttemptError::Unknown("no answer in time"),
+            Err(_) => AttemptError::MayHaveRun("no answer in time"),
         };
-        attempt.on_attempt_failed(&error);
+        attempt.note_error(&error);
         drop(attempt);
-        if let Some(answer) =
-            call.on_attempt_failed(entry, &choice, error).await
+        if let Some(response) =
+            call.note_attempt_error(entry, &choice, error).await
         {
-            return kept.unwrap_or(answer);
+            return failure_response.unwrap_or(response);
         }
     }
 }
--- a/cowsliproad-direct/src/lib.rs
+++ b/cowsliproad-direct/src/lib.rs
@@ -1,31 +1,31 @@
-//! An entry that forwards callers' requests straight to targets.
+//! An entry process that forwards callers' requests directly to targets.
 //!
-//! Where a target says truthfully that it did not run a request, and refuses
-//! one that was meant for another incarnation, one entry alone can keep "at
-//! most once" and "not run". Tickets and the hop through an agent buy
-//! nothing there.
+//! If a target states truthfully that it did not run a request, and refuses a
+//! request meant for another incarnation, a single entry process can guarantee
+//! "at most once" and "not run" without tickets and without the hop through an
+//! agent.
 //!
 //! * [`settings`]: the settings file;
-//! * [`entry`]: what the process believes, shared by all its tasks;
+//! * [`entry`]: the state shared by all tasks of the process;
 //! * [`callers`]: connections of callers and their requests;
-//! * [`receive`]: a request read whole, and where it goes;
-//! * [`forward`]: from a request to its answer;
-//! * [`call`]: tries at targets, and what may follow each;
-//! * [`stream`]: answers that are streams of events, resumed elsewhere;
-//! * [`stated`]: what targets state with their answers;
+//! * [`receive`]: reading and routing of requests;
+//! * [`forward`]: handling of a request up to its response;
+//! * [`call`]: attempts at targets, with retries and rejections;
+//! * [`stream`]: event streams, resumed at another target after a failure;
+//! * [`stated`]: what targets state with their responses;
 //! * [`attempt`]: one attempt at a target;
 //! * [`upstream`]: connections to targets;
-//! * [`ends`]: whether a target ended under its requests;
-//! * [`limits`]: targets that name how much they take from all entries;
-//! * [`quarantine`]: all entries refuse requests that crash their targets;
+//! * [`ends`]: whether a target crashed while it ran requests;
+//! * [`limits`]: rate limits that targets state for all entry processes;
+//! * [`quarantine`]: crash-inducing requests, refused by all entry processes;
 //! * [`follow`]: configuration and targets from the platform's log;
-//! * [`rollback`]: what is done when that log comes back from an older copy;
-//! * [`peers`]: what entries and agents tell one another;
-//! * [`reply`]: the entry's own answers;
-//! * [`readiness`], [`measure`]: what the balancer and operators ask.
+//! * [`rollback`]: recovery after that log was restored from an older copy;
+//! * [`peers`]: gossip among entry processes and agents;
+//! * [`reply`]: responses that the entry process creates itself;
+//! * [`readiness`], [`measure`]: readiness and metrics endpoints.
 //!
-//! One thread does it all: a VM has a part of one core, and state that no
-//! other thread sees needs no locks.
+//! The process has one thread: a VM has a fraction of one core, and state that
+//! no other thread sees needs no locks.
 
 #![forbid(unsafe_code)]
 
@@ -58,32 +58,44 @@
 pub mod stream;
 pub mod upstream;
 
-/// Runs an entry until it is told to stop and has finished its requests.
-pub async fn run(path: PathBuf, settings: Settings) -> io::Result<()> {
+/// Runs an entry process until it gets a stop signal and has finished its
+/// requests.
+pub async fn run(
+    settings_path: PathBuf,
+    settings: Settings,
+) -> io::Result<()> {
     let log = log::logger("direct", &settings.vm, settings.log_level);
-    let callers = TcpListener::bind(settings.callers).await?;
-    let readiness = TcpListener::bind(settings.readiness).await?;
-    let peer_calls = TcpListener::bind(settings.peer_address()).await?;
-    let datagrams = Rc::new(UdpSocket::bind(settings.peer_address()).await?);
+    let caller_listener = TcpListener::bind(settings.callers).await?;
+    let readiness_listener = TcpListener::bind(settings.readiness).await?;
+    let peer_listener = TcpListener::bind(settings.peer_address()).await?;
+    let peer_socket = Rc::new(UdpSocket::bind(settings.peer_address()).await?);
     info!(log, "started"; "callers" => %settings.callers);
     let entry = Rc::new(Entry::new(settings, log.clone()));
-    entry.limits.borrow_mut().speak(datagrams.clone());
-    let answers =
-        readiness::serve(entry.clone(), readiness, readiness::answer);
-    tokio::task::spawn_local(answers);
-    let states = readiness::serve(entry.clone(), peer_calls, peers::state);
-    tokio::task::spawn_local(states);
-    tokio::task::spawn_local(peers::listen(entry.clone(), datagrams.clone()));
-    tokio::task::spawn_local(peers::tell(entry.clone(), datagrams));
+    entry.limits.borrow_mut().speak(peer_socket.clone());
+    let readiness_server = readiness::serve_queries(
+        entry.clone(),
+        readiness_listener,
+        readiness::answer_query,
+    );
+    tokio::task::spawn_local(readiness_server);
+    let state_server =
+        readiness::serve_queries(entry.clone(), peer_listener, peers::state);
+    tokio::task::spawn_local(state_server);
+    tokio::task::spawn_local(peers::listen(
+        entry.clone(),
+        peer_socket.clone(),
+    ));
+    tokio::task::spawn_local(peers::tell(entry.clone(), peer_socket));
     tokio::task::spawn_local(follow::catalog(entry.clone()));
     tokio::task::spawn_local(follow::targets(entry.clone()));
     tokio::task::spawn_local(quarantine::follow(entry.clone()));
     tokio::task::spawn_local(quarantine::write(entry.clone()));
-    let reloaded = entry.clone();
-    let reload =
-        program::watch_settings(path, move |read| reloaded.reload(read));
-    tokio::task::spawn_local(reload);
-    callers::serve(&entry, callers).await?;
+    let reloading_entry = entry.clone();
+    let settings_watch = program::watch_settings(settings_path, move |read| {
+        reloading_entry.reload(read)
+    });
+    tokio::task::spawn_local(settings_watch);
+    callers::serve_callers(&entry, caller_listener).await?;
     info!(log, "stopped");
     Ok(())
 }
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -157,8 +157,8 @@
                 entry.cooldown_end(&self.target, now).is_none()
             }
             AttemptError::Unsent(_)
-            | AttemptError::Unknown(_)
-            | AttemptError::Broken(_) => true,
+            | AttemptError::MayHaveRun(_)
+            | AttemptError::ConnectionBroken(_) => true,
         };
         if is_failure {
             self.endpoint.borrow_mut().record.failure(now);
--- a/cowsliproad-direct/src/main.rs
+++ b/cowsliproad-direct/src/main.rs
@@ -1,4 +1,5 @@
-//! The program of an entry that forwards straight to targets.
+//! The executable of an entry process that forwards requests directly to
+//! targets.
 
 #![forbid(unsafe_code)]
 
@@ -9,7 +10,7 @@
 use cowsliproad_platform::SETTINGS_VARIABLE;
 
 fn main() -> ExitCode {
-    let about = "Takes callers' requests straight to targets";
+    let about = "Forwards callers' requests directly to targets";
     let example = Settings::example();
     let name = "cowsliproad-direct";
     let (path, settings) = program::load_settings_or_env(
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -26,7 +26,7 @@
 };
 
 use crate::{
-    call::{MAX_STAGGER, PROBE_PERIOD},
+    call::{COOLDOWN_PROBE_PERIOD, MAX_COOLDOWN_STAGGER},
     entry::{Entry, Source},
     limits::{self, Update},
     settings::Settings,
@@ -223,7 +223,7 @@
         entry.measure.knows(known, entry.fleet.borrow().ready().count());
         entry.measure.knows_limits(entry.limits_known());
         // Some requests count cooldowns as longer.
-        let over = now - MAX_STAGGER - PROBE_PERIOD;
+        let over = now - MAX_COOLDOWN_STAGGER - COOLDOWN_PROBE_PERIOD;
         entry.cooldowns.borrow_mut().sweep(over);
         entry.measure.knows_cooling(entry.cooldowns.borrow().active(now));
         let joined = entry.joined.get();
--- a/cowsliproad-direct/src/readiness.rs
+++ b/cowsliproad-direct/src/readiness.rs
@@ -1,5 +1,5 @@
-//! What the platform's balancer and operators ask an entry, and the server
-//! for such small questions.
+//! The readiness and metrics endpoints for the platform's load balancer and
+//! operators, and the HTTP server for such small queries.
 
 use std::{convert::Infallible, rc::Rc};
 
@@ -17,21 +17,23 @@
 
 use crate::entry::Entry;
 
-/// The path of the counters and histograms.
+/// The path that serves counters and histograms.
 const METRICS_PATH: &str = "/metrics";
 
-/// The longest that a connection is kept. The balancer asks once a second.
+/// The longest lifetime of a query connection. The load balancer sends a query
+/// every second.
 const CONNECTION_TTL: Millis = Millis(20_000);
 
-/// The pause after a failed accept, for example without a free descriptor.
+/// The delay after a failed accept, for example for lack of a free file
+/// descriptor.
 const ACCEPT_BACKOFF: Millis = Millis(50);
 
-/// Takes connections for ever and answers each request at once, as `answer`
-/// says.
-pub async fn serve(
+/// Accepts connections forever and responds to each request with the result of
+/// `answer_query`.
+pub async fn serve_queries(
     entry: Rc<Entry>,
     listener: TcpListener,
-    answer: fn(&Entry, &Request<Incoming>) -> Response<Full<Bytes>>,
+    answer_query: fn(&Entry, &Request<Incoming>) -> Response<Full<Bytes>>,
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -41,19 +43,19 @@
         let entry = entry.clone();
         tokio::task::spawn_local(async move {
             let service = service_fn(|request: Request<Incoming>| {
-                let answer = answer(&entry, &request);
+                let answer = answer_query(&entry, &request);
                 async move { Ok::<_, Infallible>(answer) }
             });
             let serving = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service);
-            // Whoever breaks off, or keeps a connection, asks again.
+            // A client whose connection fails or is closed here reconnects.
             let _ = timeout(CONNECTION_TTL.duration(), serving).await;
         });
     }
 }
 
-/// Says whether callers may come, and shows the counters.
-pub fn answer(
+/// Responds to a readiness or metrics query.
+pub fn answer_query(
     entry: &Entry,
     request: &Request<Incoming>,
 ) -> Response<Full<Bytes>> {
--- a/cowsliproad-direct/src/receive.rs
+++ b/cowsliproad-direct/src/receive.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read whole, and where it goes.
+//! Reads a caller's request and chooses its route and service.
 
 use std::rc::Rc;
 
@@ -15,18 +15,18 @@
 use tokio::time::timeout;
 
 use crate::{
-    call::{Call, Destination, Span, failure::FULL_BACKOFF},
+    call::{Call, Destination, RequestTimes, failure::TARGETS_FULL_BACKOFF},
     entry::Entry,
     reply::{self, Body},
 };
 
-/// How long a caller waits that doesn't say how long.
-pub const DEFAULT_TIMEOUT: Millis = Millis(30_000);
+/// The timeout of a request whose caller states none.
+pub const DEFAULT_CALLER_TIMEOUT: Millis = Millis(30_000);
 
-/// When to come back if an entry knows no configuration or no target yet.
+/// The retry delay for callers while the entry process has no configuration.
 const STARTING_BACKOFF: Millis = Millis(400);
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which apply to a single connection.
 const HOP_BY_HOP: [HeaderName; 7] = [
     standard::CONNECTION,
     standard::TRANSFER_ENCODING,
@@ -37,62 +37,75 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// Reads a request whole and finds out where it goes.
-pub async fn receive(
+/// Reads the body of a request and chooses its route and service. Returns the
+/// response to the caller if either fails.
+pub async fn receive_request(
     entry: &Rc<Entry>,
     mut head: request::Parts,
     body: Incoming,
     arrived: Millis,
 ) -> Result<Call, Response<Body>> {
-    let left = number(&head.headers, &header::TIME_LEFT).map(Millis);
-    let left = left.unwrap_or(DEFAULT_TIMEOUT);
+    let time_left =
+        parse_number(&head.headers, &header::TIME_LEFT).map(Millis);
+    let time_left = time_left.unwrap_or(DEFAULT_CALLER_TIMEOUT);
     let catalog = entry.catalog();
-    let most =
+    let max_body_bytes =
         catalog.as_ref().map_or(usize::MAX, |it| it.limits().body_bytes);
-    let body = timeout(left.duration(), Limited::new(body, most).collect());
+    let body = timeout(
+        time_left.duration(),
+        Limited::new(body, max_body_bytes).collect(),
+    );
     let body = match body.await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
-            return Err(reply::plain(status, "the body is too large\n"));
+            return Err(reply::plain_text(status, "the body is too large\n"));
         }
         Ok(Err(_)) => {
             let status = StatusCode::BAD_REQUEST;
-            return Err(reply::plain(status, "the body ends early\n"));
+            return Err(reply::plain_text(status, "the body ends early\n"));
         }
         Err(_) => {
             let status = StatusCode::REQUEST_TIMEOUT;
-            return Err(reply::plain(status, "the body takes too long\n"));
+            return Err(reply::plain_text(
+                status,
+                "the body takes too long\n",
+            ));
         }
     };
-    // A version that came while the body was read counts.
+    // The configuration may have changed while the body was read.
     let Some(catalog) = entry.catalog() else {
         return Err(reply::not_run("starting\n", STARTING_BACKOFF));
     };
-    let found = find(&catalog, &head).map_err(refuse)?;
+    let found = find_route(&catalog, &head).map_err(refusal_response)?;
     let Found { route, organisation } = found;
     let Some(service) = route.draw(entry.draw()).cloned() else {
         return Err(reply::not_run(
             "the route has no service\n",
-            FULL_BACKOFF,
+            TARGETS_FULL_BACKOFF,
         ));
     };
-    let time = route.timeout.map_or(left, |it| it.min(left));
-    let headers = passed_on(&head.headers, organisation.as_deref());
-    let rank = organisation.as_ref().and_then(|it| it.priority);
-    let target = Destination {
-        priority: rank.unwrap_or(route.priority),
+    let timeout_left = route.timeout.map_or(time_left, |it| it.min(time_left));
+    let target_headers =
+        headers_for_target(&head.headers, organisation.as_deref());
+    let own_priority = organisation.as_ref().and_then(|it| it.priority);
+    let destination = Destination {
+        priority: own_priority.unwrap_or(route.priority),
         route,
         service,
     };
-    let most = entry.patience_of(&target.route.name, left);
-    let caller_try = CallerTry::new(left, most);
-    let time = Span { arrived, until: arrived + time, caller_try };
-    head.headers = headers;
-    Ok(Call::new(head, body, target, time))
+    let usual_patience = entry.patience_of(&destination.route.name, time_left);
+    let caller_try = CallerTry::new(time_left, usual_patience);
+    let times =
+        RequestTimes { arrived, deadline: arrived + timeout_left, caller_try };
+    head.headers = target_headers;
+    Ok(Call::new(head, body, destination, times))
 }
 
-fn find(catalog: &Catalog, head: &request::Parts) -> Result<Found, Refusal> {
+fn find_route(
+    catalog: &Catalog,
+    head: &request::Parts,
+) -> Result<Found, Refusal> {
     let text = |name: HeaderName| {
         head.headers.get(name).and_then(|it| it.to_str().ok())
     };
@@ -104,25 +117,25 @@
     catalog.find(host, head.uri.path(), key)
 }
 
-fn refuse(refusal: Refusal) -> Response<Body> {
+fn refusal_response(refusal: Refusal) -> Response<Body> {
     match refusal {
         Refusal::NoRoute => {
-            reply::plain(StatusCode::NOT_FOUND, "no such route\n")
+            reply::plain_text(StatusCode::NOT_FOUND, "no such route\n")
         }
         Refusal::BadKey => {
-            reply::plain(StatusCode::UNAUTHORIZED, "no such key\n")
+            reply::plain_text(StatusCode::UNAUTHORIZED, "no such key\n")
         }
     }
 }
 
-/// The headers that targets get: the caller's, without those that concern
-/// one connection or that only we may set.
-fn passed_on(
+/// The caller's headers as they are sent to targets, without hop-by-hop
+/// headers and headers that only the entry process may set.
+fn headers_for_target(
     headers: &HeaderMap,
     organisation: Option<&Organisation>,
 ) -> HeaderMap {
-    let mut passed = headers.clone();
-    drop_hop_by_hop(&mut passed);
+    let mut target_headers = headers.clone();
+    remove_hop_by_hop(&mut target_headers);
     for name in [
         standard::CONTENT_LENGTH,
         standard::AUTHORIZATION,
@@ -131,37 +144,37 @@
         header::EXPECTED_TARGET,
         header::URGENCY,
     ] {
-        passed.remove(name);
+        target_headers.remove(name);
     }
     let name = organisation.map(|it| &*it.name);
     if let Some(name) = name.and_then(|it| HeaderValue::from_str(it).ok()) {
-        passed.insert(header::ORGANISATION, name);
+        target_headers.insert(header::ORGANISATION, name);
     }
-    passed
+    target_headers
 }
 
-/// Drops the headers that concern one connection only, also those that the
-/// connection header names.
-pub fn drop_hop_by_hop(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+/// Removes hop-by-hop headers, including those that the `Connection` header
+/// lists.
+pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
+    let listed_headers: Vec<HeaderName> = headers
         .get_all(standard::CONNECTION)
         .iter()
         .filter_map(|it| it.to_str().ok())
         .flat_map(|it| it.split(','))
         .filter_map(|it| HeaderName::from_bytes(it.trim().as_bytes()).ok())
         .collect();
-    for name in named.iter().chain(&HOP_BY_HOP) {
+    for name in listed_headers.iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
 }
 
-fn number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
+fn parse_number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
-/// What a request is, by all of it that a target could run differently. Who
-/// asks is known by the organisation, which is all of it that targets see.
-pub fn work_of(head: &request::Parts, body: &[u8]) -> WorkDigest {
+/// A digest of all parts of a request that affect how a target runs it. The
+/// organisation stands for the caller, of whom targets see nothing else.
+pub fn digest_work(head: &request::Parts, body: &[u8]) -> WorkDigest {
     let text =
         |name| head.headers.get(name).map_or(&[][..], |it| it.as_bytes());
     let path = head.uri.path_and_query().map_or("/", |it| it.as_str());
--- a/cowsliproad-direct/src/reply.rs
+++ b/cowsliproad-direct/src/reply.rs
@@ -1,7 +1,8 @@
-//! The entry's own answers, and the body type of all answers.
+//! Responses that the entry process creates itself, and the body type of all
+//! responses.
 //!
-//! A status that says "not run" is only built by [`not_run`], so that each
-//! use can be found and checked.
+//! Only [`not_run`] builds a response that states "not run", so that each use
+//! can be found and checked.
 
 use std::{
     convert::Infallible,
@@ -17,45 +18,48 @@
 use http_body_util::Full;
 use tokio::sync::mpsc;
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum Body {
-    /// At hand.
+    /// A complete body in memory.
     Whole(Full<Bytes>),
-    /// Events as they come. Without [`Piece::End`] the answer is cut.
-    Events(mpsc::Receiver<Piece>),
+    /// A stream of events. If the channel closes without [`StreamPiece::End`],
+    /// the response is aborted.
+    Events(mpsc::Receiver<StreamPiece>),
 }
 
-/// A piece of a stream.
+/// A part of an event stream.
 #[derive(Debug)]
-pub enum Piece {
-    /// Whole events.
+pub enum StreamPiece {
+    /// One or more complete events.
     Events(Bytes),
-    /// The stream is complete.
+    /// The end of a complete stream.
     End,
 }
 
-/// Why the body of an answer ends early.
+/// The error that aborts the body of an incomplete stream.
 #[derive(Debug)]
-pub struct Cut;
+pub struct StreamCut;
 
 impl http_body::Body for Body {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = StreamCut;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamCut>>> {
         match self.get_mut() {
             Body::Whole(whole) => Pin::new(whole)
                 .poll_frame(context)
                 .map_err(|never: Infallible| match never {}),
             Body::Events(pieces) => {
                 pieces.poll_recv(context).map(|it| match it {
-                    Some(Piece::Events(bytes)) => Some(Ok(Frame::data(bytes))),
-                    Some(Piece::End) => None,
-                    None => Some(Err(Cut)),
+                    Some(StreamPiece::Events(bytes)) => {
+                        Some(Ok(Frame::data(bytes)))
+                    }
+                    Some(StreamPiece::End) => None,
+                    None => Some(Err(StreamCut)),
                 })
             }
         }
@@ -76,47 +80,49 @@
     }
 }
 
-/// An answer with a line of text for whoever reads it.
-pub fn plain(status: StatusCode, text: &'static str) -> Response<Body> {
+/// A response with a line of plain text.
+pub fn plain_text(status: StatusCode, text: &'static str) -> Response<Body> {
     let body = Full::new(Bytes::from_static(text.as_bytes()));
-    let mut answer = Response::new(Body::Whole(body));
-    *answer.status_mut() = status;
-    answer.headers_mut().insert(
+    let mut response = Response::new(Body::Whole(body));
+    *response.status_mut() = status;
+    response.headers_mut().insert(
         http::header::CONTENT_TYPE,
         HeaderValue::from_static("text/plain"),
     );
-    answer
+    response
 }
 
-/// Says that the request has not run and never will, and when to come back.
-pub fn not_run(text: &'static str, after: Millis) -> Response<Body> {
-    let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, text);
-    let seconds = format!("{}.{:03}", after.0 / 1_000, after.0 % 1_000);
+/// A response stating that the request has not run and never will, with the
+/// delay after which the caller may retry.
+pub fn not_run(text: &'static str, retry_after: Millis) -> Response<Body> {
+    let mut response = plain_text(StatusCode::SERVICE_UNAVAILABLE, text);
+    let seconds =
+        format!("{}.{:03}", retry_after.0 / 1_000, retry_after.0 % 1_000);
     if let Ok(value) = HeaderValue::from_str(&seconds) {
-        answer.headers_mut().insert(http::header::RETRY_AFTER, value);
+        response.headers_mut().insert(http::header::RETRY_AFTER, value);
     }
-    answer
+    response
 }
 
-/// Says nothing of whether the request has run.
-pub fn unknown(text: &'static str) -> Response<Body> {
-    plain(StatusCode::BAD_GATEWAY, text)
+/// A response to a request that may or may not have run.
+pub fn outcome_unknown(text: &'static str) -> Response<Body> {
+    plain_text(StatusCode::BAD_GATEWAY, text)
 }
 
-/// Says that the time is over, and nothing of whether the request has run.
-pub fn overdue() -> Response<Body> {
-    plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n")
+/// A response to a request that may or may not have run by its deadline.
+pub fn deadline_exceeded() -> Response<Body> {
+    plain_text(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n")
 }
 
-/// Names the request that an answer belongs to.
-pub fn belongs(answer: &mut Response<Body>, id: &HeaderValue) {
-    answer.headers_mut().insert(header::REQUEST_ID, id.clone());
+/// Sets the header that names the request of a response.
+pub fn set_request_id(response: &mut Response<Body>, id: &HeaderValue) {
+    response.headers_mut().insert(header::REQUEST_ID, id.clone());
 }
 
-impl std::fmt::Display for Cut {
+impl std::fmt::Display for StreamCut {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the stream can't be completed")
+        f.write_str("the event stream ended before it was complete")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for StreamCut {}
--- a/cowsliproad-direct/src/stream.rs
+++ b/cowsliproad-direct/src/stream.rs
@@ -1,11 +1,10 @@
-//! Answers that are streams of events, resumed at another target within one
-//! answer.
+//! Event streams to callers, resumed at another target after a failure.
 //!
-//! The caller gets whole events only. When a target breaks off, the stream
-//! goes on at another one after the last event that was passed on, so none
-//! is missing, doubled or joined. The answer keeps the head of its first
-//! target. A stream that can't go on is cut, so that it doesn't look
-//! complete.
+//! The caller gets complete events only. If a target fails, the stream resumes
+//! at another target after the last event that was passed on, so that no event
+//! is lost, duplicated or merged with another one. The response keeps the head
+//! that the first target sent. A stream that can't be resumed is aborted, so
+//! that it doesn't look complete.
 
 use std::rc::Rc;
 
@@ -22,218 +21,246 @@
 
 use crate::{
     attempt::Attempt,
-    call::{AttemptError, Call, Opened, read_whole},
-    callers::Busy,
+    call::{AttemptError, Call, OpenResponse, read_whole_response},
+    callers::InFlightRequest,
     entry::{Choice, Entry, Group},
-    receive::drop_hop_by_hop,
-    reply::{Body, Piece},
-    upstream::Lease,
+    receive::remove_hop_by_hop,
+    reply::{Body, StreamPiece},
+    upstream::ConnectionLease,
 };
 
-/// Pieces that wait for a slow reader, a second's worth of events.
-const WAITING_PIECES: usize = 16;
+/// Stream pieces buffered for a slow caller: about one second of events.
+const PIECE_CHANNEL_CAPACITY: usize = 16;
 
-/// How long a target may be silent while its group goes on. Ten passes.
+/// How long a target may send nothing while its group makes progress: ten
+/// steps of the group.
 const SILENCE_TIMEOUT: Millis = Millis(800);
 
-/// How often a silent stream is looked at.
+/// How often a stream without data is checked.
 const SILENCE_CHECK_INTERVAL: Millis = Millis(400);
 
-/// From this pace on a target's streams are moved, in percent of the usual. A
-/// move costs its new target that the prompt is read again.
-const SLOW_PERCENT: u32 = 300;
+/// Streams leave a target whose steps take this much of the usual time, in
+/// percent. A move is costly, because the new target must process the prompt
+/// again.
+const SLOW_PACE_PERCENT: u32 = 300;
 
-/// Passes that a group must have begun to go on.
-const PASSES: u64 = 6;
+/// Steps that a group must have begun to count as making progress.
+const MIN_GROUP_STEPS: u64 = 6;
 
-/// One target's part of a stream.
-struct Run {
+/// The part of a caller's stream that one target sends.
+struct TargetStream {
     choice: Choice,
     attempt: Attempt,
     body: Incoming,
-    lease: Option<Lease>,
+    lease: Option<ConnectionLease>,
     splitter: EventSplitter,
-    last_bytes: Moment,
-    /// The news that it knows of.
-    news: u64,
+    last_data_at: StepSnapshot,
+    /// The value of [`Entry::news_told`] at the last check.
+    seen_news: u64,
 }
 
-/// What came next.
-enum Next {
+/// The next item that a target's stream yields.
+enum NextEvent {
     Event(Event),
-    End,
+    Complete,
     Failed(AttemptError),
 }
 
-/// Answers with a stream.
-pub async fn run(
+/// Forwards a stream request to targets and returns a response whose body
+/// relays the events.
+pub async fn respond_with_stream(
     entry: &Rc<Entry>,
     mut call: Call,
-    busy: Busy,
+    in_flight: InFlightRequest,
 ) -> Response<Body> {
     let (head, run, first) = loop {
         let choice = match call.next_target(entry).await {
             Ok(choice) => choice,
             Err(answer) => return answer,
         };
-        match begin(entry, &mut call, &choice).await {
-            Ok(Begun::Stream(head, run, first)) => break (head, run, first),
-            Ok(Begun::Whole(answer)) => return answer,
+        match wait_for_first_event(entry, &mut call, &choice).await {
+            Ok(Reply::Stream(head, run, first)) => break (head, run, first),
+            Ok(Reply::Whole(answer)) => return answer,
             Err(error) => {
                 choice.on_attempt_failed(entry, &error);
                 if let Some(answer) =
-                    call.on_attempt_failed(entry, &choice, error).await
+                    call.note_attempt_error(entry, &choice, error).await
                 {
                     return answer;
                 }
             }
         }
     };
-    let (pieces, body) = mpsc::channel(WAITING_PIECES);
-    let relay = Relay {
+    let (pieces, body) = mpsc::channel(PIECE_CHANNEL_CAPACITY);
+    let caller_stream = CallerStream {
         entry: entry.clone(),
         call,
         pieces,
-        last: None,
-        events: 0,
-        given: None,
-        pause: Millis(0),
+        last_event_id: None,
+        event_count: 0,
+        last_event_at: None,
+        longest_gap: Millis(0),
     };
-    tokio::task::spawn_local(relay.run(*run, first, busy));
+    tokio::task::spawn_local(caller_stream.run(*run, first, in_flight));
     Response::from_parts(head, Body::Events(body))
 }
 
-enum Begun {
-    /// A stream with its first event.
-    Stream(response::Parts, Box<Run>, Option<Event>),
-    /// A failure, passed on as it is.
+/// The first reply of a target that is passed on to the caller.
+enum Reply {
+    /// A stream with its first event, if it has any.
+    Stream(response::Parts, Box<TargetStream>, Option<Event>),
+    /// A response with a failure status, passed on unchanged.
     Whole(Response<Body>),
 }
 
 /// Sends the request and waits for the first event.
-async fn begin(
+async fn wait_for_first_event(
     entry: &Rc<Entry>,
     call: &mut Call,
     choice: &Choice,
-) -> Result<Begun, AttemptError> {
-    let mut run = match open(entry, call, choice, None).await? {
-        Ok(opened) => opened,
-        Err(opened) => {
-            return read_whole(opened).await.map(Begun::Whole);
-        }
-    };
-    let end = call.end();
-    let (mut head, run_ref) = (run.0, &mut run.1);
-    let first = match run_ref.next(entry, end).await {
-        Next::Event(event) => Some(event),
-        Next::End => None,
-        Next::Failed(error) => {
-            run_ref.attempt.left(&error);
+) -> Result<Reply, AttemptError> {
+    let mut opened =
+        match open_target_stream(entry, call, choice, None).await? {
+            Ok(opened) => opened,
+            Err(opened) => {
+                return read_whole_response(opened).await.map(Reply::Whole);
+            }
+        };
+    let deadline = call.deadline_instant();
+    let (mut head, target_stream) = (opened.0, &mut opened.1);
+    let first_event = match target_stream.next_event(entry, deadline).await {
+        NextEvent::Event(event) => Some(event),
+        NextEvent::Complete => None,
+        NextEvent::Failed(error) => {
+            target_stream.attempt.check_target_after_error(&error);
             return Err(error);
         }
     };
-    drop_hop_by_hop(&mut head.headers);
+    remove_hop_by_hop(&mut head.headers);
     head.headers.remove(standard::CONTENT_LENGTH);
-    Ok(Begun::Stream(head, Box::new(run.1), first))
+    Ok(Reply::Stream(head, Box::new(opened.1), first_event))
 }
 
-/// Opens a run; an answer that is no stream is the inner error.
-async fn open(
+/// Opens a stream at a target. A response with a failure status is returned as
+/// the inner error.
+async fn open_target_stream(
     entry: &Rc<Entry>,
     call: &mut Call,
     choice: &Choice,
-    resume: Option<u64>,
-) -> Result<Result<(response::Parts, Run), Opened>, AttemptError> {
+    last_event_id: Option<u64>,
+) -> Result<Result<(response::Parts, TargetStream), OpenResponse>, AttemptError>
+{
     let attempt = Attempt::new(entry, call, choice);
-    let opened = answer(entry, call, choice, &attempt, resume).await?;
+    let opened =
+        wait_for_head(entry, call, choice, &attempt, last_event_id).await?;
     if !opened.head.status.is_success() {
-        attempt.outlived();
+        attempt.note_target_survived();
         return Ok(Err(opened));
     }
-    let run = Run {
+    let target_stream = TargetStream {
         choice: choice.clone(),
         attempt,
         body: opened.body,
         lease: Some(opened.lease),
         splitter: EventSplitter::new(),
-        last_bytes: Moment::new(entry, choice),
-        news: 0,
+        last_data_at: StepSnapshot::new(entry, choice),
+        seen_news: 0,
     };
-    Ok(Ok((opened.head, run)))
+    Ok(Ok((opened.head, target_stream)))
 }
 
-/// Waits for the head of an answer, for as long as the target is well.
-async fn answer(
+/// Waits for the head of a target's response, and gives up early if the target
+/// is slow, silent, or the request is in quarantine.
+async fn wait_for_head(
     entry: &Rc<Entry>,
     call: &mut Call,
     choice: &Choice,
     attempt: &Attempt,
-    resume: Option<u64>,
-) -> Result<Opened, AttemptError> {
-    let (end, work) = (call.end(), call.work);
-    let since = Moment::new(entry, choice);
-    let mut opening =
-        std::pin::pin!(call.open(entry, choice, attempt, resume));
+    last_event_id: Option<u64>,
+) -> Result<OpenResponse, AttemptError> {
+    let (deadline, work) = (call.deadline_instant(), call.work);
+    let since = StepSnapshot::new(entry, choice);
+    let mut opening = std::pin::pin!(call.send_to_target(
+        entry,
+        choice,
+        attempt,
+        last_event_id
+    ));
     loop {
-        let look = Instant::now() + SILENCE_CHECK_INTERVAL.duration();
+        let next_check = Instant::now() + SILENCE_CHECK_INTERVAL.duration();
         tokio::select! {
             opened = &mut opening => {
-                return opened.inspect_err(|error| attempt.left(error));
+                return opened.inspect_err(
+                    |error| attempt.check_target_after_error(error));
             }
             () = entry.news.notified() => {}
-            () = sleep_until(end.min(look)) => {}
+            () = sleep_until(deadline.min(next_check)) => {}
         }
-        if Instant::now() >= end {
-            return Err(AttemptError::Unknown("no answer in time"));
+        if Instant::now() >= deadline {
+            return Err(AttemptError::MayHaveRun("no answer in time"));
         }
-        if slows_others(entry, choice) {
-            return Err(AttemptError::Unknown("slow"));
+        if slows_its_group(entry, choice) {
+            return Err(AttemptError::MayHaveRun("slow"));
         }
-        // It may still wait its turn there; left alone it ends one more.
+        // The request may still be queued at the target and would crash that
+        // target too.
         if entry.quarantine.borrow().refuses(work, Millis::now()) {
-            return Err(AttemptError::Unknown("it crashes its targets"));
+            return Err(AttemptError::MayHaveRun(
+                "the request crashes its targets",
+            ));
         }
-        // A request may wait its turn at a target that is well.
-        let alone = is_left_behind(entry, choice, since);
-        if alone && !entry.hears_of(choice) {
-            return Err(AttemptError::Unknown("silent"));
+        // A request may be queued at a healthy target, whose agent still
+        // reports.
+        let lags = lags_behind_group(entry, choice, since);
+        if lags && !entry.hears_of(choice) {
+            return Err(AttemptError::MayHaveRun("silent"));
         }
     }
 }
 
-impl Run {
-    /// The next whole event, the end, or why there is none.
-    async fn next(&mut self, entry: &Entry, end: Instant) -> Next {
+impl TargetStream {
+    /// Waits for the next complete event, the end of the stream or a failure.
+    async fn next_event(
+        &mut self,
+        entry: &Entry,
+        deadline: Instant,
+    ) -> NextEvent {
         loop {
             if let Some(event) = self.splitter.pop() {
-                self.attempt.progress();
-                return Next::Event(event);
+                self.attempt.note_event();
+                return NextEvent::Event(event);
             }
             if self.splitter.exceeds_max_size() {
-                return Next::Failed(AttemptError::Unknown(
-                    "an event without an end",
+                return NextEvent::Failed(AttemptError::MayHaveRun(
+                    "an event exceeds the maximum size",
                 ));
             }
-            // News may have come while an event was passed on.
-            let told = entry.news_told.get();
-            if self.news != told {
-                self.news = told;
-                if slows_others(entry, &self.choice) {
-                    return Next::Failed(AttemptError::Unknown("slow"));
+            // A change may have been announced while an event was passed on,
+            // when nothing waited for the notification.
+            let news_count = entry.news_told.get();
+            if self.seen_news != news_count {
+                self.seen_news = news_count;
+                if slows_its_group(entry, &self.choice) {
+                    return NextEvent::Failed(AttemptError::MayHaveRun(
+                        "slow",
+                    ));
                 }
             }
-            let look = Instant::now() + SILENCE_CHECK_INTERVAL.duration();
+            let next_check =
+                Instant::now() + SILENCE_CHECK_INTERVAL.duration();
             let frame = tokio::select! {
                 frame = self.body.frame() => frame,
                 () = entry.news.notified() => continue,
-                () = sleep_until(end.min(look)) => {
-                    if Instant::now() >= end {
-                        return Next::Failed(AttemptError::Unknown("no time left"));
+                () = sleep_until(deadline.min(next_check)) => {
+                    if Instant::now() >= deadline {
+                        return NextEvent::Failed(
+                            AttemptError::MayHaveRun("no time left"));
                     }
-                    if is_left_behind(entry, &self.choice, self.last_bytes) {
+                    if lags_behind_group(entry, &self.choice, self.last_data_at) {
                         info!(entry.log, "silent";
                             "target" => &*self.choice.target.id);
-                        return Next::Failed(AttemptError::Unknown("silent"));
+                        return NextEvent::Failed(
+                            AttemptError::MayHaveRun("silent"));
                     }
                     continue;
                 }
@@ -242,130 +269,146 @@
                 Some(Ok(frame)) => {
                     let Ok(bytes) = frame.into_data() else { continue };
                     self.splitter.push(&bytes);
-                    self.last_bytes = Moment::new(entry, &self.choice);
+                    self.last_data_at = StepSnapshot::new(entry, &self.choice);
                 }
                 Some(Err(_)) => {
-                    return Next::Failed(AttemptError::Broken(
+                    return NextEvent::Failed(AttemptError::ConnectionBroken(
                         "the stream was cut",
                     ));
                 }
                 None if self.splitter.has_partial_event() => {
-                    return Next::Failed(AttemptError::Broken(
+                    return NextEvent::Failed(AttemptError::ConnectionBroken(
                         "cut inside an event",
                     ));
                 }
-                None => return Next::End,
+                None => return NextEvent::Complete,
             }
         }
     }
 }
 
-/// A moment and the pass that a target's group was at.
+/// A time and the step that a target's group had reached by then.
 #[derive(Clone, Copy, Debug)]
-struct Moment {
-    at: Millis,
+struct StepSnapshot {
+    taken_at: Millis,
     step: u64,
 }
 
-impl Moment {
-    fn new(entry: &Entry, choice: &Choice) -> Moment {
+impl StepSnapshot {
+    fn new(entry: &Entry, choice: &Choice) -> StepSnapshot {
         let step = entry.step_of(&choice.target.service);
-        Moment { at: Millis::now(), step }
+        StepSnapshot { taken_at: Millis::now(), step }
     }
 }
 
-/// Whether a target has sent nothing for long while its group went on.
-fn is_left_behind(entry: &Entry, choice: &Choice, since: Moment) -> bool {
+/// Whether a target has sent nothing since `since`, for longer than the
+/// silence timeout, while its group made progress.
+fn lags_behind_group(
+    entry: &Entry,
+    choice: &Choice,
+    since: StepSnapshot,
+) -> bool {
     let now = Millis::now();
     let endpoint = choice.endpoint.borrow();
     let Some(group) = &endpoint.group else { return false };
-    let goes_on = entry.step_of(&choice.target.service) >= since.step + PASSES;
-    now.since(since.at) > SILENCE_TIMEOUT && group.open && goes_on
+    let group_advanced =
+        entry.step_of(&choice.target.service) >= since.step + MIN_GROUP_STEPS;
+    now.since(since.taken_at) > SILENCE_TIMEOUT && group.open && group_advanced
 }
 
-/// Whether a target is so slow that it sets the pace of its group, and others
-/// of the service are not. A rank without requests takes no time of its own
-/// in a pass, so moving a dozen streams away from it gives all others their
-/// pace back.
-fn slows_others(entry: &Entry, choice: &Choice) -> bool {
+/// Whether a target slows down its whole group while other targets of the
+/// service are not slow. A rank without requests adds no time to a step, so
+/// moving a dozen streams off the slow rank restores the speed of the others.
+fn slows_its_group(entry: &Entry, choice: &Choice) -> bool {
     let pace = |group: Option<&Group>| group.map_or(100, |it| it.pace);
-    let own = pace(choice.endpoint.borrow().group.as_ref());
-    if own < SLOW_PERCENT {
+    let own_pace = pace(choice.endpoint.borrow().group.as_ref());
+    if own_pace < SLOW_PACE_PERCENT {
         return false;
     }
-    let mut least = u32::MAX;
+    let mut fastest_pace = u32::MAX;
     let service = &choice.target.service;
-    entry.each_group(service, |group| least = least.min(pace(group)));
-    u64::from(least) * u64::from(SLOW_PERCENT) / 100 <= u64::from(own)
+    entry.each_group(service, |group| {
+        fastest_pace = fastest_pace.min(pace(group))
+    });
+    u64::from(fastest_pace) * u64::from(SLOW_PACE_PERCENT) / 100
+        <= u64::from(own_pace)
 }
 
-/// Passes a stream on to its caller.
-struct Relay {
+/// The stream to one caller, relayed from one target after another.
+struct CallerStream {
     entry: Rc<Entry>,
     call: Call,
-    pieces: mpsc::Sender<Piece>,
-    /// The last event that was passed on.
-    last: Option<u64>,
-    events: u64,
-    /// When it was passed on.
-    given: Option<Millis>,
-    /// The longest pause between two events.
-    pause: Millis,
+    pieces: mpsc::Sender<StreamPiece>,
+    /// The id of the last event that was passed on.
+    last_event_id: Option<u64>,
+    event_count: u64,
+    /// When the last event was passed on.
+    last_event_at: Option<Millis>,
+    /// The longest time between two events.
+    longest_gap: Millis,
 }
 
-impl Relay {
-    async fn run(mut self, mut run: Run, first: Option<Event>, busy: Busy) {
-        let outcome = self.pass(&mut run, first).await;
-        drop(run);
-        let took = Millis::now().since(self.call.arrived);
-        self.entry.measure.ended(took);
-        info!(self.entry.log, "stream_ended"; "request" => &*self.call.id,
-            "outcome" => outcome, "events" => self.events,
-            "pause" => self.pause.0, "took" => took.0);
-        drop(busy);
+impl CallerStream {
+    async fn run(
+        mut self,
+        mut target_stream: TargetStream,
+        first_event: Option<Event>,
+        in_flight: InFlightRequest,
+    ) {
+        let outcome = self.relay_events(&mut target_stream, first_event).await;
+        drop(target_stream);
+        let duration = Millis::now().since(self.call.arrived);
+        self.entry.measure.ended(duration);
+        info!(self.entry.log, "stream_ended";
+            "request" => &*self.call.request_id,
+            "outcome" => outcome, "events" => self.event_count,
+            "pause" => self.longest_gap.0, "took" => duration.0);
+        drop(in_flight);
     }
 
-    /// Passes events on until the stream ends in one way or another.
-    async fn pass(
+    /// Relays events until the stream ends. Returns the outcome for the log.
+    async fn relay_events(
         &mut self,
-        run: &mut Run,
-        first: Option<Event>,
+        target_stream: &mut TargetStream,
+        first_event: Option<Event>,
     ) -> &'static str {
-        if let Some(event) = first
-            && !self.give(event).await
+        if let Some(event) = first_event
+            && !self.send_event(event).await
         {
             return "caller left";
         }
         loop {
-            let end = self.call.end();
+            let deadline = self.call.deadline_instant();
             let pieces = self.pieces.clone();
             let next = tokio::select! {
-                next = run.next(&self.entry, end) => next,
+                next = target_stream.next_event(&self.entry, deadline) => next,
                 () = pieces.closed() => return "caller left",
             };
             match next {
-                Next::Event(event) => {
-                    if !self.give(event).await {
+                NextEvent::Event(event) => {
+                    if !self.send_event(event).await {
                         return "caller left";
                     }
                 }
-                Next::End => {
-                    run.attempt.success();
-                    if let Some(lease) = run.lease.take() {
-                        lease.keep(Millis::now());
+                NextEvent::Complete => {
+                    target_stream.attempt.note_success();
+                    if let Some(lease) = target_stream.lease.take() {
+                        lease.release_to_pool(Millis::now());
                     }
-                    // A caller that left needs no end.
-                    let _ = self.pieces.send(Piece::End).await;
+                    // If the caller has left, the end needn't arrive.
+                    let _ = self.pieces.send(StreamPiece::End).await;
                     return "complete";
                 }
-                Next::Failed(error) => {
-                    run.attempt.on_attempt_failed(&error);
+                NextEvent::Failed(error) => {
+                    target_stream.attempt.note_error(&error);
                     let resumed = tokio::select! {
-                        resumed = self.resume(run, error) => resumed,
+                        next = self.resume_elsewhere(target_stream, error) => next,
                         () = pieces.closed() => return "caller left",
                     };
                     match resumed {
-                        Some(next) => *run = next,
+                        Some(resumed_stream) => {
+                            *target_stream = resumed_stream
+                        }
                         None => return "cut",
                     }
                 }
@@ -373,41 +416,54 @@
         }
     }
 
-    /// Goes on at another target, if that is allowed and one can be had.
-    async fn resume(&mut self, run: &Run, error: AttemptError) -> Option<Run> {
+    /// Resumes the stream at another target, if a retry is allowed and a
+    /// target is usable.
+    async fn resume_elsewhere(
+        &mut self,
+        target_stream: &TargetStream,
+        error: AttemptError,
+    ) -> Option<TargetStream> {
         let mut error = error;
-        let mut choice = run.choice.clone();
-        self.call.waits_anew();
+        let mut choice = target_stream.choice.clone();
+        self.call.restart_wait();
         loop {
             self.call
-                .on_attempt_failed(&self.entry, &choice, error)
+                .note_attempt_error(&self.entry, &choice, error)
                 .await
                 .is_none()
                 .then_some(())?;
             choice = self.call.next_target(&self.entry).await.ok()?;
-            match open(&self.entry, &mut self.call, &choice, self.last).await {
-                Ok(Ok((_, next))) => return Some(next),
-                Ok(Err(_)) => error = AttemptError::Unknown("a failure"),
-                Err(other) => error = other,
+            match open_target_stream(
+                &self.entry,
+                &mut self.call,
+                &choice,
+                self.last_event_id,
+            )
+            .await
+            {
+                Ok(Ok((_, resumed_stream))) => return Some(resumed_stream),
+                Ok(Err(_)) => error = AttemptError::MayHaveRun("a failure"),
+                Err(next_error) => error = next_error,
             }
         }
     }
 
-    /// Passes an event on, unless the caller has it.
-    async fn give(&mut self, event: Event) -> bool {
-        if event.id.is_some() && event.id <= self.last {
+    /// Sends an event to the caller unless it was sent before. Returns false
+    /// if the caller left or the deadline passed.
+    async fn send_event(&mut self, event: Event) -> bool {
+        if event.id.is_some() && event.id <= self.last_event_id {
             return true;
         }
-        self.last = event.id.or(self.last);
-        self.events += 1;
+        self.last_event_id = event.id.or(self.last_event_id);
+        self.event_count += 1;
         let now = Millis::now();
-        let pause = self.given.replace(now).map(|it| now.since(it));
-        self.pause = self.pause.max(pause.unwrap_or_default());
-        let end = self.call.end();
-        let given = tokio::time::timeout_at(
-            end,
-            self.pieces.send(Piece::Events(event.bytes)),
+        let gap = self.last_event_at.replace(now).map(|it| now.since(it));
+        self.longest_gap = self.longest_gap.max(gap.unwrap_or_default());
+        let deadline = self.call.deadline_instant();
+        let sent = tokio::time::timeout_at(
+            deadline,
+            self.pieces.send(StreamPiece::Events(event.bytes)),
         );
-        matches!(given.await, Ok(Ok(())))
+        matches!(sent.await, Ok(Ok(())))
     }
 }
--- a/cowsliproad-direct/src/upstream.rs
+++ b/cowsliproad-direct/src/upstream.rs
@@ -1,13 +1,14 @@
 //! Connections to targets.
 //!
-//! A connection carries one request at a time. One that answered is kept for
-//! the next request, the latest used first, for less than the time that the
-//! target says it keeps idle ones. Extra bytes on an idle connection end it,
-//! and an answer must name its request, so a late one belongs to nobody.
+//! A connection carries one request at a time. After a complete response it is
+//! pooled for less than the idle timeout that the target states; the most
+//! recently used connection is reused first. Unexpected bytes on an idle
+//! connection close it, and a response must name its request, so that a late
+//! response can't be taken for that of another request.
 //!
-//! A request that must not be repeated takes a connection that was used a
-//! moment ago or a new one: the target may close an older one just then, and
-//! a request that was written to it may have run.
+//! A request that must not be repeated uses a new connection or one that was
+//! used a moment ago: the target may be closing an older connection, and a
+//! request written to it may have run.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -32,175 +33,199 @@
     entry::{Choice, Endpoint},
 };
 
-/// A dropped opening packet is sent again after a second or more; another
-/// target is a better use of that time.
+/// The timeout of a TCP connect. A lost SYN is retransmitted after a second or
+/// more; trying another target is a better use of that time.
 const CONNECT_TIMEOUT: Millis = Millis(250);
 
-/// Unacknowledged bytes for so long mean that the other side is gone.
+/// Unacknowledged bytes for this long show that the peer is gone.
 const UNACKED_TIMEOUT: Millis = Millis(1_500);
 
-/// After so much silence the other side is asked whether it lives.
-const KEEPALIVE_DELAY: Millis = Millis(1_000);
+/// The idle time before the first TCP keepalive probe, and between probes.
+const KEEPALIVE_INTERVAL: Millis = Millis(1_000);
 
-/// How long an idle connection is kept if the target doesn't say.
-const USUAL_IDLE: Millis = Millis(4_000);
+/// How long an idle connection is pooled if the target states no timeout.
+const DEFAULT_IDLE_TIMEOUT: Millis = Millis(4_000);
 
-/// The part of the time that a target keeps idle connections for which we
-/// use them, in percent. It may close them a little early.
-const IDLE_PERCENT: u64 = 60;
+/// How long an idle connection is pooled, in percent of the idle timeout that
+/// the target states. The target may close connections a little early.
+const IDLE_TIMEOUT_PERCENT: u64 = 60;
 
-/// The longest that an idle connection is kept, whatever the target says.
-const LONGEST_IDLE: Millis = Millis(60_000);
+/// The longest time that an idle connection is pooled, whatever the target
+/// states.
+const MAX_IDLE_TIMEOUT: Millis = Millis(60_000);
 
-/// How lately a connection must have been used for work that must not be
-/// repeated. Targets close idle connections after a second or more.
-const FRESH: Millis = Millis(300);
+/// The longest idle time of a connection that is reused for a request that
+/// must not be repeated. Targets close idle connections after a second or
+/// more.
+const MAX_FRESH_IDLE: Millis = Millis(300);
 
-/// Idle connections kept to one target.
-const MAX_IDLE: usize = 16;
+/// Idle connections pooled for one target.
+const MAX_IDLE_CONNECTIONS: usize = 16;
 
-/// What may be done when a request was not answered.
+/// Why a request got no response, which decides whether it may be retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Failure {
-    /// It was not sent.
+pub enum SendError {
+    /// The request was not sent.
     Unsent(&'static str),
-    /// It was not sent, as its target has asked for less since it was chosen.
+    /// The request was not sent, because its target has entered a cooldown,
+    /// lowered its limit or left since it was chosen.
     Withheld(&'static str),
-    /// It was sent and may have run.
+    /// The request was sent and may have run.
     Unknown(&'static str),
 }
 
-/// Idle connections to one target.
+/// The idle connections to one target.
 #[derive(Debug, Default)]
-pub struct Pool {
-    idle: Vec<Idle>,
+pub struct ConnectionPool {
+    idle: Vec<IdleConnection>,
 }
 
+/// An idle connection in a pool.
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
-    until: Millis,
-    used: Millis,
+    expires_at: Millis,
+    last_used: Millis,
 }
 
 /// Which connections a request may use.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reuse {
-    /// Any that is open.
+pub enum ConnectionReuse {
+    /// Any open connection.
     Any,
-    /// One that was used a moment ago.
+    /// Only a connection that was used a moment ago.
     Fresh,
 }
 
-/// A connection whose answer is being read.
+/// A connection on which a response is being read.
 #[derive(Debug)]
-pub struct Lease {
+pub struct ConnectionLease {
     sender: SendRequest<Full<Bytes>>,
     endpoint: Rc<RefCell<Endpoint>>,
-    keep: Millis,
+    idle_timeout: Millis,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Whether no connection is idle.
     pub fn is_empty(&self) -> bool {
         self.idle.is_empty()
     }
 
-    fn take(
+    fn take_connection(
         &mut self,
-        reuse: Reuse,
+        reuse: ConnectionReuse,
         now: Millis,
     ) -> Option<SendRequest<Full<Bytes>>> {
-        self.idle.retain(|it| now < it.until && !it.sender.is_closed());
-        let fits = |it: &Idle| match reuse {
-            Reuse::Any => it.sender.is_ready(),
-            Reuse::Fresh => it.sender.is_ready() && now.since(it.used) < FRESH,
+        self.idle.retain(|it| now < it.expires_at && !it.sender.is_closed());
+        let is_usable = |it: &IdleConnection| match reuse {
+            ConnectionReuse::Any => it.sender.is_ready(),
+            ConnectionReuse::Fresh => {
+                it.sender.is_ready()
+                    && now.since(it.last_used) < MAX_FRESH_IDLE
+            }
         };
-        let at = self.idle.iter().rposition(fits)?;
-        Some(self.idle.swap_remove(at).sender)
+        let index = self.idle.iter().rposition(is_usable)?;
+        Some(self.idle.swap_remove(index).sender)
     }
 }
 
-impl Lease {
-    /// Keeps the connection for the next request, after a whole answer.
-    pub fn keep(self, now: Millis) {
-        keep(&self.endpoint, self.sender, self.keep, now);
+impl ConnectionLease {
+    /// Returns the connection to the pool after a complete response.
+    pub fn release_to_pool(self, now: Millis) {
+        pool_connection(&self.endpoint, self.sender, self.idle_timeout, now);
     }
 }
 
-fn keep(
+fn pool_connection(
     endpoint: &RefCell<Endpoint>,
     sender: SendRequest<Full<Bytes>>,
-    time: Millis,
+    idle_timeout: Millis,
     now: Millis,
 ) {
-    if time.0 == 0 || sender.is_closed() {
+    if idle_timeout.0 == 0 || sender.is_closed() {
         return;
     }
     let mut endpoint = endpoint.borrow_mut();
     let idle = &mut endpoint.pool.idle;
-    if idle.len() < MAX_IDLE {
-        idle.push(Idle { sender, until: now + time, used: now });
+    if idle.len() < MAX_IDLE_CONNECTIONS {
+        idle.push(IdleConnection {
+            sender,
+            expires_at: now + idle_timeout,
+            last_used: now,
+        });
         endpoint.freed.notify_waiters();
     }
 }
 
-/// Sends a request and waits for the head of its answer.
-pub async fn send(
+/// Sends a request to a target and waits for the head of the response.
+pub async fn send_request(
     attempt: &Attempt,
     choice: &Choice,
     mut request: Request<Full<Bytes>>,
-    reuse: Reuse,
-) -> Result<(Response<Incoming>, Lease), Failure> {
+    reuse: ConnectionReuse,
+) -> Result<(Response<Incoming>, ConnectionLease), SendError> {
     loop {
-        let kept = {
+        let pooled = {
             let mut endpoint = choice.endpoint.borrow_mut();
-            endpoint.pool.take(reuse, Millis::now())
+            endpoint.pool.take_connection(reuse, Millis::now())
         };
-        let was_kept = kept.is_some();
-        let mut sender = match kept {
+        let was_pooled = pooled.is_some();
+        let mut sender = match pooled {
             Some(sender) => sender,
             None => {
-                make_room(attempt, choice).await?;
+                wait_for_connection_slot(attempt, choice).await?;
                 connect(choice).await?
             }
         };
-        // The target may have said something else while a connection was made.
+        // While the connection was made, the target may have left, entered a
+        // cooldown or changed its limit.
         if let Err(why) = attempt.may_send(Millis::now()) {
-            keep(&choice.endpoint, sender, USUAL_IDLE, Millis::now());
-            return Err(Failure::Withheld(why));
+            pool_connection(
+                &choice.endpoint,
+                sender,
+                DEFAULT_IDLE_TIMEOUT,
+                Millis::now(),
+            );
+            return Err(SendError::Withheld(why));
         }
-        attempt.sent();
+        attempt.note_sent();
         match sender.try_send_request(request).await {
-            Ok(answer) => {
-                let keep = idle_time(answer.headers());
+            Ok(response) => {
+                let idle_timeout = pooled_idle_timeout(response.headers());
                 let endpoint = choice.endpoint.clone();
-                return Ok((answer, Lease { sender, endpoint, keep }));
+                return Ok((
+                    response,
+                    ConnectionLease { sender, endpoint, idle_timeout },
+                ));
             }
             Err(mut error) => match error.take_message() {
-                // The connection had ended before a byte was written.
+                // The connection was closed before a byte was written.
                 Some(unsent) => {
-                    attempt.unsent();
-                    if !was_kept {
-                        return Err(Failure::Unsent("closed at once"));
+                    attempt.note_not_sent();
+                    if !was_pooled {
+                        return Err(SendError::Unsent("closed at once"));
                     }
                     request = unsent;
                 }
-                None => return Err(Failure::Unknown(reason(error.error()))),
+                None => return Err(SendError::Unknown(reason(error.error()))),
             },
         }
     }
 }
 
-/// Sees to it that one more connection is within this entry's share: ends one
-/// that has idled too long for this request, or waits for one to end.
-async fn make_room(attempt: &Attempt, choice: &Choice) -> Result<(), Failure> {
+/// Waits until this entry process may open one more connection to the target,
+/// within its share. Closes an idle connection that is too old for the
+/// request.
+async fn wait_for_connection_slot(
+    attempt: &Attempt,
+    choice: &Choice,
+) -> Result<(), SendError> {
     let freed = choice.endpoint.borrow().freed.clone();
-    let until = Instant::now() + CONNECT_TIMEOUT.duration();
+    let give_up_at = Instant::now() + CONNECT_TIMEOUT.duration();
     loop {
-        let mut changed = std::pin::pin!(freed.notified());
-        changed.as_mut().enable();
-        attempt.may_send(Millis::now()).map_err(Failure::Withheld)?;
+        let mut connection_freed = std::pin::pin!(freed.notified());
+        connection_freed.as_mut().enable();
+        attempt.may_send(Millis::now()).map_err(SendError::Withheld)?;
         {
             let mut endpoint = choice.endpoint.borrow_mut();
             if endpoint.open < choice.connections {
@@ -211,12 +236,13 @@
                 idle.remove(0);
             }
         }
-        if timeout_at(until, changed).await.is_err() {
-            return Err(Failure::Unsent("no connection is free"));
+        if timeout_at(give_up_at, connection_freed).await.is_err() {
+            return Err(SendError::Unsent("no connection is free"));
         }
     }
 }
 
+/// Describes an error of a request that may have run.
 fn reason(error: &hyper::Error) -> &'static str {
     if error.is_parse() {
         "no answer in the protocol"
@@ -227,43 +253,44 @@
     }
 }
 
+/// Opens a connection to the chosen target.
 async fn connect(
     choice: &Choice,
-) -> Result<SendRequest<Full<Bytes>>, Failure> {
-    let open = Open::new(&choice.endpoint);
-    let opening = TcpStream::connect(choice.target.address);
-    let stream = timeout(CONNECT_TIMEOUT.duration(), opening)
+) -> Result<SendRequest<Full<Bytes>>, SendError> {
+    let connection_count = ConnectionCount::new(&choice.endpoint);
+    let connecting = TcpStream::connect(choice.target.address);
+    let stream = timeout(CONNECT_TIMEOUT.duration(), connecting)
         .await
-        .map_err(|_| Failure::Unsent("no connection in time"))?
-        .map_err(|_| Failure::Unsent("no connection"))?;
-    let stream = prepare(&stream)
+        .map_err(|_| SendError::Unsent("no connection in time"))?
+        .map_err(|_| SendError::Unsent("no connection"))?;
+    let stream = configure_socket(&stream)
         .and_then(|()| HookedStream::new(stream, ResetOnDrop))
-        .map_err(|_| Failure::Unsent("no connection"))?;
+        .map_err(|_| SendError::Unsent("no connection"))?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
-        .map_err(|_| Failure::Unsent("no connection"))?;
+        .map_err(|_| SendError::Unsent("no connection"))?;
     tokio::task::spawn_local(async move {
-        // How the connection failed shows in the request that it carried.
+        // The request on the connection reports the error.
         let _ = connection.await;
-        drop(open);
+        drop(connection_count);
     });
     Ok(sender)
 }
 
-/// A connection that counts among those to its target, from before it is
-/// made: many requests at once would each find room for one otherwise.
-struct Open {
+/// Counts one connection to a target until dropped. A connection counts before
+/// it is made: otherwise concurrent requests could exceed the bound together.
+struct ConnectionCount {
     endpoint: Rc<RefCell<Endpoint>>,
 }
 
-impl Open {
-    fn new(endpoint: &Rc<RefCell<Endpoint>>) -> Open {
+impl ConnectionCount {
+    fn new(endpoint: &Rc<RefCell<Endpoint>>) -> ConnectionCount {
         endpoint.borrow_mut().open += 1;
-        Open { endpoint: endpoint.clone() }
+        ConnectionCount { endpoint: endpoint.clone() }
     }
 }
 
-impl Drop for Open {
+impl Drop for ConnectionCount {
     fn drop(&mut self) {
         let mut endpoint = self.endpoint.borrow_mut();
         endpoint.open -= 1;
@@ -271,38 +298,41 @@
     }
 }
 
-/// Sets a connection up so that silence ends it within some seconds.
-pub fn prepare(stream: &TcpStream) -> std::io::Result<()> {
+/// Configures a connection so that it closes within seconds if the peer stops
+/// responding.
+pub fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT.duration()))?;
     let probes = TcpKeepalive::new()
-        .with_time(KEEPALIVE_DELAY.duration())
-        .with_interval(KEEPALIVE_DELAY.duration())
+        .with_time(KEEPALIVE_INTERVAL.duration())
+        .with_interval(KEEPALIVE_INTERVAL.duration())
         .with_retries(2);
     socket.set_tcp_keepalive(&probes)
 }
 
-/// How long the connection of an answer may be kept; 0 for not at all.
-fn idle_time(headers: &HeaderMap) -> Millis {
+/// How long the connection of a response may stay in the pool; 0 if it must
+/// not be reused.
+fn pooled_idle_timeout(headers: &HeaderMap) -> Millis {
     let text = |name| {
         headers.get(name).and_then(|it: &http::HeaderValue| it.to_str().ok())
     };
-    let closes = text(http::header::CONNECTION)
+    let closes_connection = text(http::header::CONNECTION)
         .is_some_and(|it| it.to_ascii_lowercase().contains("close"));
-    if closes {
+    if closes_connection {
         return Millis(0);
     }
-    let stated = text(http::HeaderName::from_static("keep-alive"))
+    let stated_seconds = text(http::HeaderName::from_static("keep-alive"))
         .and_then(|it| {
             it.split(',').find_map(|part| part.trim().strip_prefix("timeout="))
         })
         .and_then(|it| it.trim().parse::<u64>().ok());
-    match stated {
+    match stated_seconds {
         Some(seconds) => {
-            let kept = Millis(seconds.saturating_mul(10 * IDLE_PERCENT));
-            kept.min(LONGEST_IDLE)
+            let idle_timeout =
+                Millis(seconds.saturating_mul(10 * IDLE_TIMEOUT_PERCENT));
+            idle_timeout.min(MAX_IDLE_TIMEOUT)
         }
-        None => USUAL_IDLE,
+        None => DEFAULT_IDLE_TIMEOUT,
     }
 }
