--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -149,8 +149,8 @@
     let hash = blake3::hash(&index.to_le_bytes()).to_hex();
     Object::Organisation(Organisation {
         name: format!("organisation-{index}").as_str().into(),
-        keys: vec![hash.as_str().into()],
-        share: 1,
+        key_hashes: vec![hash.as_str().into()],
+        capacity_weight: 1,
         max_in_flight: 100,
     })
 }
@@ -163,10 +163,10 @@
         let mut state = State::new();
         for (offset, index) in (1..).zip(0..count) {
             let object = organisation(index);
-            let change = Change::Put { base: 0, object };
+            let change = Change::Put { base_revision: 0, object };
             let command = id::Command::random();
-            let record = fold::encode(&Record { command, change });
-            let _ = state.apply(offset, &record);
+            let record = fold::encode_record(&Record { command, change });
+            let _ = state.apply_record(offset, &record);
         }
         let view = View::new(Arc::new(state), &View::default(), |it| {
             Arc::new(Target::new(it))
@@ -227,16 +227,16 @@
         let records: Vec<Vec<u8>> = (0..count)
             .map(|index| {
                 let object = organisation(index);
-                let change = Change::Put { base: 0, object };
+                let change = Change::Put { base_revision: 0, object };
                 let command = id::Command::random();
-                fold::encode(&Record { command, change })
+                fold::encode_record(&Record { command, change })
             })
             .collect();
         record_bytes = records[0].len();
         let mut state = State::new();
         let start = Instant::now();
         for (offset, record) in (1..).zip(&records) {
-            let _ = black_box(state.apply(offset, record));
+            let _ = black_box(state.apply_record(offset, record));
         }
         let taken = start.elapsed().as_micros() as f64;
         fold_us.push((count as f64, taken));
@@ -396,7 +396,7 @@
         let times = 50_000;
         let start = Instant::now();
         for _ in 0..times {
-            let found = choice::choose(count, &mut random, |index| {
+            let found = choice::choose_target(count, &mut random, |index| {
                 Some(targets[index].score(0))
             });
             black_box(found);
@@ -415,7 +415,7 @@
         name: format!("target-{index}").as_str().into(),
         service: "service".into(),
         zone: "zone".into(),
-        agent: crate::plant::ANY,
+        agent_address: crate::plant::ANY,
     })
 }
 
--- a/cowsliproad-direct/src/attempt.rs
+++ b/cowsliproad-direct/src/attempt.rs
@@ -35,7 +35,7 @@
     /// Starts an attempt, which counts as in flight at its target until
     /// dropped.
     pub fn new(entry: &Rc<Entry>, call: &Call, choice: &Choice) -> Attempt {
-        choice.endpoint.borrow_mut().record.start();
+        choice.endpoint.borrow_mut().record.record_send();
         Attempt {
             entry: entry.clone(),
             choice: choice.clone(),
@@ -100,14 +100,14 @@
     pub fn note_success(&self) {
         let now = Millis::now();
         let took = now.since(self.started_at);
-        self.choice.endpoint.borrow_mut().record.success(took, now);
+        self.choice.endpoint.borrow_mut().record.record_success(took, now);
         self.note_target_survived();
         self.entry.note_outlived(self.request.1, now);
     }
 
     /// Records a response with a failure status.
     pub fn note_failure_response(&self) {
-        self.choice.endpoint.borrow_mut().record.failure(Millis::now());
+        self.choice.endpoint.borrow_mut().record.record_failure(Millis::now());
         self.note_target_survived();
     }
 
@@ -161,7 +161,7 @@
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        self.choice.endpoint.borrow_mut().record.end();
+        self.choice.endpoint.borrow_mut().record.record_completion();
         self.suspect_given_up();
     }
 }
--- a/cowsliproad-direct/src/call.rs
+++ b/cowsliproad-direct/src/call.rs
@@ -231,7 +231,7 @@
         attempt: &Attempt,
         last_event_id: Option<u64>,
     ) -> Result<OpenResponse, AttemptError> {
-        let allowed_reuse = if self.route.repeats() {
+        let allowed_reuse = if self.route.allows_resend() {
             ConnectionReuse::Any
         } else {
             ConnectionReuse::Fresh
@@ -331,9 +331,10 @@
     /// behind requests that can still be on time; otherwise, after an outage,
     /// those would all be late too for as long as the backlog lasts.
     fn queue_rank(&self) -> u16 {
-        let time = self.route.timeout.unwrap_or(DEFAULT_CALLER_TIMEOUT);
+        let time =
+            self.route.response_timeout.unwrap_or(DEFAULT_CALLER_TIMEOUT);
         let waited = time.since(self.time_left());
-        let is_late = self.route.aim.is_some_and(|aim| waited > aim);
+        let is_late = self.route.latency_goal.is_some_and(|aim| waited > aim);
         let rank = u16::from(self.priority);
         let rank = if is_late { rank + LATE_RANK_PENALTY } else { rank };
         rank.min(MAX_QUEUE_RANK)
@@ -342,10 +343,10 @@
     /// The timeout of the next attempt.
     pub fn attempt_timeout(&self) -> Millis {
         let time_left = self.time_left();
-        let is_last =
-            self.attempted_targets.len() + 1 >= self.route.attempts as usize;
-        let Some(aim) = self.route.aim else { return time_left };
-        if is_last || !self.route.repeats() {
+        let is_last = self.attempted_targets.len() + 1
+            >= self.route.max_attempts as usize;
+        let Some(aim) = self.route.latency_goal else { return time_left };
+        if is_last || !self.route.allows_resend() {
             return time_left;
         }
         let first_timeout = Millis(aim.0 * FIRST_ATTEMPT_PERCENT / 100);
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -136,7 +136,7 @@
 
     /// Whether the route allows the request to be sent to one more target.
     fn may_attempt_new_target(&self) -> bool {
-        self.attempted_targets.len() < self.route.attempts as usize
+        self.attempted_targets.len() < self.route.max_attempts as usize
     }
 
     /// Whether some usable target has not got this request yet. The caller's
@@ -175,8 +175,8 @@
     }
 
     /// Acquires what an attempt at the chosen target needs: a permit if the
-    /// target states a limit, and a retry. Returns `None` if the target grants
-    /// no permit within `max_permit_wait`.
+    /// target states a limit and, for a retry, a share of the retry budget.
+    /// Returns `None` if the target grants no permit within `max_permit_wait`.
     async fn reserve_target(
         &mut self,
         entry: &Rc<Entry>,
@@ -211,7 +211,7 @@
     /// in time, or the caller should retry later.
     fn admit_stream_start(&self, entry: &Entry, now: Millis) -> Admission {
         let (Some(silence_timeout), Some(first_event_aim)) =
-            (self.route.silence, self.route.aim)
+            (self.route.caller_idle_timeout, self.route.latency_goal)
         else {
             return Admission::Now;
         };
@@ -234,8 +234,10 @@
     /// stream leaves for good after the silence timeout of the route; rejected
     /// just before that, it retries at the stated time.
     fn max_wait(&self, entry: &Entry) -> Millis {
-        let silence =
-            self.route.silence.map(|it| it - RESPONSE_DELIVERY_MARGIN);
+        let silence = self
+            .route
+            .caller_idle_timeout
+            .map(|it| it - RESPONSE_DELIVERY_MARGIN);
         silence.unwrap_or(entry.settings().wait_ms)
     }
 
@@ -254,7 +256,7 @@
     ) -> Result<(Choice, Millis), Option<Shortage>> {
         let choose =
             |after| self.choose_with_stagger(entry, now, lookahead, after);
-        if self.route.attempts > 1 || entry.cooldowns.borrow().is_empty() {
+        if self.route.max_attempts > 1 || entry.cooldowns.borrow().is_empty() {
             return choose(self.cooldown_stagger);
         }
         let chosen = choose(self.cooldown_stagger + COOLDOWN_PROBE_PERIOD);
@@ -309,7 +311,7 @@
             "work" => %self.work,
             "target" => &*choice.target.id, "route" => &*self.route.name,
             "cost" => choice.cost as u64,
-            "at_target" => endpoint.record.occupancy(now),
+            "at_target" => endpoint.record.estimated_occupancy(now),
             "own" => endpoint.record.in_flight(), "report_age" => age,
             "limit" => choice.limit.map(|it| it.per_second()),
             "limit_age" => report.map(|it| it.age.0),
--- a/cowsliproad-direct/src/call/failure.rs
+++ b/cowsliproad-direct/src/call/failure.rs
@@ -115,7 +115,7 @@
             sleep(CONNECTION_LOSS_DELAY.duration()).await;
         }
         let targets_used_up =
-            self.attempted_targets.len() >= self.route.attempts as usize;
+            self.attempted_targets.len() >= self.route.max_attempts as usize;
         let now = Millis::now();
         let is_cooling = entry.cooldown_end(&choice.target, now).is_some();
         if targets_used_up
@@ -135,16 +135,17 @@
         choice: &Choice,
         cause: &'static str,
     ) -> bool {
-        let is_safe =
-            self.execution == ExecutionStatus::NotRun || self.route.repeats();
-        let attempts = self.route.attempts as usize;
+        let is_safe = self.execution == ExecutionStatus::NotRun
+            || self.route.allows_resend();
+        let attempts = self.route.max_attempts as usize;
         let within_bounds = self.possible_runs < attempts
             && self.attempt_count < attempts + MAX_EXTRA_ATTEMPTS;
         let allowed = is_safe && within_bounds && self.time_left().0 > 0;
         self.next_retry_cost = RetryCost::Budget;
         info!(entry.log, "missed"; "request" => &*self.request_id,
             "target" => &*choice.target.id, "why" => cause,
-            "repeats" => self.route.repeats(), "tries" => self.attempt_count,
+            "repeats" => self.route.allows_resend(),
+            "tries" => self.attempt_count,
             "runs" => self.possible_runs, "again" => allowed,
             "left" => self.time_left().0);
         allowed
@@ -205,7 +206,7 @@
     fn retry_after(&self, entry: &Entry) -> Millis {
         // Callers wait for at most a third of their remaining time.
         let max_delay = Millis(self.time_left().0 / 3);
-        if self.route.streams() {
+        if self.route.is_stream() {
             return max_delay;
         }
         let delay =
--- a/cowsliproad-direct/src/callers.rs
+++ b/cowsliproad-direct/src/callers.rs
@@ -17,7 +17,7 @@
     hooked::{HookedStream, Hooks},
     program,
 };
-use cowsliproad_routing::catalog::Limits;
+use cowsliproad_routing::catalog::RequestLimits;
 use http::{HeaderValue, Request, Response, header};
 use hyper::{body::Incoming, server::conn::http1, service::service_fn};
 use hyper_util::rt::TokioIo;
@@ -166,7 +166,7 @@
         }
     };
     let max_head_bytes =
-        current_limits(&entry).header_bytes.max(MIN_HEAD_BUFFER_BYTES);
+        current_limits(&entry).max_header_bytes.max(MIN_HEAD_BUFFER_BYTES);
     let mut serving = std::pin::pin!(
         http1::Builder::new()
             .max_buf_size(max_head_bytes)
@@ -220,22 +220,22 @@
     let limits = current_limits(entry);
     let now = Millis::now();
     let head_started_at = activity.head_started_at.get();
-    let is_late = |since: Millis| now.since(since) > limits.header_time;
+    let is_late = |since: Millis| now.since(since) > limits.header_timeout;
     if !is_answering && head_started_at.is_some_and(is_late) {
         return ConnectionAction::Drop;
     }
     let idle = now.since(activity.idle_since.get());
     let idle_expired = !is_answering
         && head_started_at.is_none()
-        && idle > limits.idle_time + IDLE_GRACE;
+        && idle > limits.idle_timeout + IDLE_GRACE;
     if idle_expired || entry.phase.get() == Phase::Closing {
         return ConnectionAction::ShutDown;
     }
     ConnectionAction::Keep
 }
 
-fn current_limits(entry: &Entry) -> Limits {
-    entry.catalog().map_or_else(Limits::new, |it| it.limits())
+fn current_limits(entry: &Entry) -> RequestLimits {
+    entry.catalog().map_or_else(RequestLimits::new, |it| it.request_limits())
 }
 
 /// Records when the first byte of a request head arrives.
--- a/cowsliproad-direct/src/forward.rs
+++ b/cowsliproad-direct/src/forward.rs
@@ -31,7 +31,7 @@
     let response = match receive_request(entry, head, body, arrived).await {
         Ok(mut call) => {
             entry.count_request(&call.service, arrived);
-            if call.route.streams() {
+            if call.route.is_stream() {
                 stream::respond_with_stream(entry, call, in_flight).await
             } else {
                 forward_buffered(entry, &mut call).await
--- a/cowsliproad-direct/src/receive.rs
+++ b/cowsliproad-direct/src/receive.rs
@@ -5,7 +5,9 @@
 use cowsliproad_admission::{patience::CallerTry, quarantine::WorkDigest};
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_platform::header;
-use cowsliproad_routing::catalog::{Catalog, Found, Organisation, Refusal};
+use cowsliproad_routing::catalog::{
+    Catalog, Organisation, RouteError, RouteMatch,
+};
 use http::{
     HeaderMap, HeaderName, HeaderValue, Response, StatusCode,
     header as standard, request,
@@ -49,8 +51,9 @@
         parse_number(&head.headers, &header::TIME_LEFT).map(Millis);
     let time_left = time_left.unwrap_or(DEFAULT_CALLER_TIMEOUT);
     let catalog = entry.catalog();
-    let max_body_bytes =
-        catalog.as_ref().map_or(usize::MAX, |it| it.limits().body_bytes);
+    let max_body_bytes = catalog
+        .as_ref()
+        .map_or(usize::MAX, |it| it.request_limits().max_body_bytes);
     let body = timeout(
         time_left.duration(),
         Limited::new(body, max_body_bytes).collect(),
@@ -77,15 +80,16 @@
     let Some(catalog) = entry.catalog() else {
         return Err(reply::not_run("starting\n", STARTING_BACKOFF));
     };
-    let found = find_route(&catalog, &head).map_err(refusal_response)?;
-    let Found { route, organisation } = found;
-    let Some(service) = route.draw(entry.draw()).cloned() else {
+    let found = find_route(&catalog, &head).map_err(route_error_response)?;
+    let RouteMatch { route, organisation } = found;
+    let Some(service) = route.choose_service(entry.draw()).cloned() else {
         return Err(reply::not_run(
             "the route has no service\n",
             TARGETS_FULL_BACKOFF,
         ));
     };
-    let timeout_left = route.timeout.map_or(time_left, |it| it.min(time_left));
+    let timeout_left =
+        route.response_timeout.map_or(time_left, |it| it.min(time_left));
     let target_headers =
         headers_for_target(&head.headers, organisation.as_deref());
     let own_priority = organisation.as_ref().and_then(|it| it.priority);
@@ -105,7 +109,7 @@
 fn find_route(
     catalog: &Catalog,
     head: &request::Parts,
-) -> Result<Found, Refusal> {
+) -> Result<RouteMatch, RouteError> {
     let text = |name: HeaderName| {
         head.headers.get(name).and_then(|it| it.to_str().ok())
     };
@@ -114,15 +118,15 @@
         let (scheme, key) = it.split_once(' ')?;
         scheme.eq_ignore_ascii_case("bearer").then_some(key.trim())
     });
-    catalog.find(host, head.uri.path(), key)
+    catalog.find_route(host, head.uri.path(), key)
 }
 
-fn refusal_response(refusal: Refusal) -> Response<Body> {
-    match refusal {
-        Refusal::NoRoute => {
+fn route_error_response(error: RouteError) -> Response<Body> {
+    match error {
+        RouteError::NoRoute => {
             reply::plain_text(StatusCode::NOT_FOUND, "no such route\n")
         }
-        Refusal::BadKey => {
+        RouteError::BadKey => {
             reply::plain_text(StatusCode::UNAUTHORIZED, "no such key\n")
         }
     }
--- a/cowsliproad-direct/src/stated.rs
+++ b/cowsliproad-direct/src/stated.rs
@@ -48,7 +48,8 @@
     pub fn note_left(&self, target: &Target) {
         let (id, start) = (&target.id, target.start);
         let now = Millis::now();
-        let change = self.fleet.borrow_mut().leave(id, start, now);
+        let change =
+            self.fleet.borrow_mut().record_announced_departure(id, start, now);
         self.changed(id, change, Source::Own);
     }
 
@@ -86,7 +87,7 @@
         };
         let now = Millis::now();
         let before = self.cooldown_end(target, now);
-        if !self.cooldowns.borrow_mut().extend(target, wait, now) {
+        if !self.cooldowns.borrow_mut().apply_retry_after(target, wait, now) {
             return;
         }
         let mut endpoint = choice.endpoint.borrow_mut();
@@ -120,7 +121,7 @@
         target: &Target,
         now: Millis,
     ) -> Option<Millis> {
-        self.cooldowns.borrow().end(target, now)
+        self.cooldowns.borrow().cooldown_end(target, now)
     }
 
     /// Waits until a target asks to be left alone.
@@ -143,6 +144,10 @@
         (numbers.next(), numbers.next())
     {
         let requests = running.saturating_add(waiting);
-        choice.endpoint.borrow_mut().record.report(requests, Millis::now());
+        choice
+            .endpoint
+            .borrow_mut()
+            .record
+            .record_load_report(requests, Millis::now());
     }
 }
--- a/cowsliproad-mapswitch/src/lib.rs
+++ b/cowsliproad-mapswitch/src/lib.rs
@@ -1,31 +1,33 @@
-//! How all ranks of a group change to a new expert map in the same step.
+//! Switches all ranks of a group to a new expert map in the same step.
 //!
-//! The coordinator proposes a map with the step from which it is to be used,
-//! the boundary. A [`Member`] votes once for each proposal, and its vote is
-//! for good:
+//! The coordinator proposes a map together with its boundary, the first step
+//! that uses the map. A [`Member`] votes once on each proposal, and the vote
+//! is final:
 //!
-//! * yes only while it has not reached the boundary and has the map's
-//!   weights, and from then on it holds at the boundary until it knows the
-//!   verdict;
-//! * no in every other case, also when it is asked about a proposal that it
-//!   has not heard of.
+//! * yes only while the member has not reached the boundary and has loaded
+//!   the map's weights; from then on it holds (runs no step) at the boundary
+//!   until it knows the decision;
+//! * no in every other case, also when another member asks for a vote on a
+//!   proposal that this one has not received.
 //!
-//! The verdict is "commit" exactly when all members voted yes. It follows
-//! from the votes alone, so any member can establish it by asking the
-//! others, and the coordinator is not needed after it has proposed. No two
-//! members can use different maps in a step: if one uses the new map, all
-//! voted yes, so every other holds at the boundary until it learns the same.
+//! The decision is "commit" exactly when all members voted yes. It follows
+//! from the votes alone, so any member can establish it by asking the other
+//! members, and the coordinator is not needed after it has proposed. No two
+//! members can use different maps in one step: if one member uses the new
+//! map, all voted yes, so every other member holds at the boundary until it
+//! learns the same decision.
 //!
-//! A member that died leaves those that voted yes holding. They are freed by
-//! a new generation, which comes through the platform's log and whose number
-//! is the offset of its record. Steps belong to a generation; a member that
-//! has moved on takes no message of the old one, so a paused member or
-//! coordinator of it can do no harm.
+//! When a member crashes, the members that voted yes keep holding. A new
+//! generation releases them: it is announced through the platform's log, and
+//! its number is the offset of its log record. Steps belong to a generation.
+//! A member that has joined a newer generation ignores messages of the old
+//! one, so a paused member or coordinator of the old generation can do no
+//! harm.
 //!
-//! Weighed and not chosen: a coordinator's word (two maps when it dies
-//! between two members), a lease on coordination (it can lapse while its
-//! holder is paused), and a quorum (a member outside it would go on with the
-//! old map).
+//! Rejected alternatives: a decision by the coordinator (two maps if it
+//! crashes between notifying two members), a coordinator lease (it can expire
+//! while its holder is paused), and a quorum (a member outside the quorum
+//! would continue with the old map).
 
 #![forbid(unsafe_code)]
 
@@ -35,14 +37,15 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The place of a member in its group.
+/// The index of a member within its group.
 pub type Rank = u8;
 
-/// A generation: the offset of the log record that made it.
+/// A generation of a group, numbered by the offset of the log record that
+/// started it.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Generation(pub u64);
 
-/// An expert map, named by whoever planned it.
+/// The version number of an expert map, assigned by its planner.
 #[derive(
     Clone,
     Copy,
@@ -57,69 +60,72 @@
 )]
 pub struct Version(pub u64);
 
-/// A proposal to change maps.
+/// A proposal to switch a group to a new expert map.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Proposal {
-    /// The generation that it is for.
+    /// The generation for which the proposal is valid.
     pub generation: Generation,
-    /// The map that it replaces.
+    /// The version of the map to be replaced.
     pub base: Version,
-    /// The new map.
+    /// The version of the new map.
     pub version: Version,
-    /// The first step of the new map.
+    /// The boundary: the first step that uses the new map.
     pub boundary: u64,
 }
 
-/// A vote.
+/// A member's final vote on a proposal.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Vote {
-    /// The member will use the new map from the boundary if all do.
+    /// The member will use the new map from the proposal's boundary on if all
+    /// members vote yes.
     Yes,
-    /// It never will.
+    /// The member will never use the proposed map.
     No,
 }
 
-/// What members say to one another.
+/// A message between members of a group.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum Message {
-    /// Vote on this.
-    Ask(Proposal),
-    /// A member's vote.
-    Cast(Proposal, Rank, Vote),
+pub enum VoteMessage {
+    /// Asks the receiver to vote on a proposal.
+    VoteRequest(Proposal),
+    /// Tells the receiver how the member of this rank voted on a proposal.
+    VoteCast(Proposal, Rank, Vote),
 }
 
-/// Whether the weights of a proposed map are loaded.
+/// Whether a member has loaded the weights of a proposed map.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Weights {
-    /// Beside the old ones, ready for use.
+pub enum WeightsStatus {
+    /// The new weights are ready for use, beside the old ones.
     Loaded,
-    /// Not, or not in time.
+    /// The new weights are not loaded, or were not loaded in time.
     Missing,
 }
 
-/// Whether the next step can be run.
+/// Whether a member of a group can run its next step.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Step {
-    /// With this map.
+pub enum NextStep {
+    /// The step can run with this map.
     Run(Version),
-    /// Not before the verdict on this proposal is known.
+    /// The step must wait until the decision on this proposal is known.
     Hold(Proposal),
 }
 
-/// One member of a group in one generation.
+/// The voting state of one member of a group in one generation.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Member {
     rank: Rank,
-    ranks: Rank,
+    rank_count: Rank,
     generation: Generation,
     map: Version,
     step: u64,
-    /// Own votes, which are for good.
-    cast: BTreeMap<Proposal, Vote>,
-    /// What is known of all votes on the proposal that it voted yes on.
-    pending: Option<Ballot>,
+    /// The member's own votes, which are final.
+    votes_cast: BTreeMap<Proposal, Vote>,
+    /// The votes received so far on the undecided proposal for which this
+    /// member voted yes.
+    undecided_ballot: Option<Ballot>,
 }
 
+/// The votes received on one proposal, by rank.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 struct Ballot {
     proposal: Proposal,
@@ -127,145 +133,158 @@
 }
 
 impl Member {
-    /// A member at the first step of a generation.
+    /// Creates a member at the first step of a generation.
     pub fn new(
         rank: Rank,
-        ranks: Rank,
+        rank_count: Rank,
         generation: Generation,
         map: Version,
     ) -> Member {
         Member {
             rank,
-            ranks,
+            rank_count,
             generation,
             map,
             step: 0,
-            cast: BTreeMap::new(),
-            pending: None,
+            votes_cast: BTreeMap::new(),
+            undecided_ballot: None,
         }
     }
 
-    /// Its generation.
+    /// The member's current generation.
     pub fn generation(&self) -> Generation {
         self.generation
     }
 
-    /// The number of its next step.
+    /// The number of the member's next step.
     pub fn step(&self) -> u64 {
         self.step
     }
 
-    /// The map in use.
+    /// The version of the expert map that the member uses.
     pub fn map(&self) -> Version {
         self.map
     }
 
-    /// Whether and with which map the next step can be run.
-    pub fn next(&self) -> Step {
-        match &self.pending {
+    /// Returns whether the member's next step can run, and with which map.
+    pub fn next_step(&self) -> NextStep {
+        match &self.undecided_ballot {
             Some(ballot) if self.step >= ballot.proposal.boundary => {
-                Step::Hold(ballot.proposal)
+                NextStep::Hold(ballot.proposal)
             }
-            _ => Step::Run(self.map),
+            _ => NextStep::Run(self.map),
         }
     }
 
-    /// Runs the next step, unless it has to hold.
-    pub fn run(&mut self) -> Option<Version> {
-        match self.next() {
-            Step::Run(map) => {
+    /// Runs the member's next step and returns its map, or `None` if the step
+    /// must wait for the decision on a proposal.
+    pub fn run_step(&mut self) -> Option<Version> {
+        match self.next_step() {
+            NextStep::Run(map) => {
                 self.step += 1;
-                // A verdict that is known already takes effect here.
-                self.settle();
+                // If all members are known to have voted yes, the member
+                // switches maps when it reaches the proposal's boundary.
+                self.apply_decision();
                 Some(map)
             }
-            Step::Hold(_) => None,
+            NextStep::Hold(_) => None,
         }
     }
 
-    /// Votes on a proposal, or repeats the vote.
-    pub fn ask(&mut self, proposal: Proposal, weights: Weights) -> Vote {
-        if let Some(vote) = self.cast.get(&proposal) {
+    /// Votes on a proposal, or repeats the member's earlier vote on the
+    /// proposal.
+    pub fn vote(
+        &mut self,
+        proposal: Proposal,
+        weights: WeightsStatus,
+    ) -> Vote {
+        if let Some(vote) = self.votes_cast.get(&proposal) {
             return *vote;
         }
-        let fits = proposal.generation == self.generation
+        let acceptable = proposal.generation == self.generation
             && proposal.base == self.map
             && self.step < proposal.boundary
-            && self.pending.is_none()
-            && weights == Weights::Loaded;
-        let vote = if fits { Vote::Yes } else { Vote::No };
-        self.forget_lapsed();
-        self.cast.insert(proposal, vote);
+            && self.undecided_ballot.is_none()
+            && weights == WeightsStatus::Loaded;
+        let vote = if acceptable { Vote::Yes } else { Vote::No };
+        self.forget_expired_rejections();
+        self.votes_cast.insert(proposal, vote);
         if vote == Vote::Yes {
             let votes = BTreeMap::from([(self.rank, vote)]);
-            self.pending = Some(Ballot { proposal, votes });
-            self.settle();
+            self.undecided_ballot = Some(Ballot { proposal, votes });
+            self.apply_decision();
         }
         vote
     }
 
-    /// Takes a message in; the answer, if any, goes to all members.
-    pub fn take(
+    /// Handles a message of another member. The returned reply, if any, is to
+    /// be sent to all members.
+    pub fn handle_message(
         &mut self,
-        message: Message,
-        weights: Weights,
-    ) -> Option<Message> {
+        message: VoteMessage,
+        weights: WeightsStatus,
+    ) -> Option<VoteMessage> {
         match message {
-            Message::Ask(proposal) => {
+            VoteMessage::VoteRequest(proposal) => {
                 if proposal.generation != self.generation {
                     return None;
                 }
-                let vote = self.ask(proposal, weights);
-                Some(Message::Cast(proposal, self.rank, vote))
+                let vote = self.vote(proposal, weights);
+                Some(VoteMessage::VoteCast(proposal, self.rank, vote))
             }
-            Message::Cast(proposal, rank, vote) => {
-                if let Some(ballot) = &mut self.pending
+            VoteMessage::VoteCast(proposal, rank, vote) => {
+                if let Some(ballot) = &mut self.undecided_ballot
                     && ballot.proposal == proposal
                 {
                     ballot.votes.insert(rank, vote);
-                    self.settle();
+                    self.apply_decision();
                 }
                 None
             }
         }
     }
 
-    /// What to ask the others while a verdict is open.
-    pub fn question(&self) -> Option<Message> {
-        let ballot = self.pending.as_ref()?;
-        Some(Message::Ask(ballot.proposal))
+    /// Returns the vote request to send to the other members while a proposal
+    /// is undecided.
+    pub fn vote_request(&self) -> Option<VoteMessage> {
+        let ballot = self.undecided_ballot.as_ref()?;
+        Some(VoteMessage::VoteRequest(ballot.proposal))
     }
 
-    /// Moves on to a newer generation, whose first step is 0.
-    pub fn move_on(&mut self, generation: Generation, map: Version) {
+    /// Joins a newer generation at step 0; ignores a generation that is not
+    /// newer.
+    pub fn join_generation(&mut self, generation: Generation, map: Version) {
         if generation > self.generation {
-            *self = Member::new(self.rank, self.ranks, generation, map);
+            *self = Member::new(self.rank, self.rank_count, generation, map);
         }
     }
 
-    /// Applies the verdict once it is known and due.
-    fn settle(&mut self) {
-        let Some(ballot) = &self.pending else { return };
-        let refused = ballot.votes.values().any(|vote| *vote == Vote::No);
-        if refused {
-            self.pending = None;
+    /// Drops the pending proposal once any member voted no, or switches maps
+    /// at the boundary once all voted yes.
+    fn apply_decision(&mut self) {
+        let Some(ballot) = &self.undecided_ballot else { return };
+        let any_no = ballot.votes.values().any(|vote| *vote == Vote::No);
+        if any_no {
+            self.undecided_ballot = None;
             return;
         }
-        let all = ballot.votes.len() == usize::from(self.ranks);
+        let all = ballot.votes.len() == usize::from(self.rank_count);
         if all && self.step >= ballot.proposal.boundary {
             let proposal = ballot.proposal;
             self.map = proposal.version;
-            self.pending = None;
-            // All voted yes on this, so all have settled what came before,
-            // and nobody will ask for it again.
-            self.cast = BTreeMap::from([(proposal, Vote::Yes)]);
+            self.undecided_ballot = None;
+            // All members voted yes on this proposal, so all have decided
+            // every earlier proposal, and no member will ask again for votes
+            // on earlier proposals.
+            self.votes_cast = BTreeMap::from([(proposal, Vote::Yes)]);
         }
     }
 
-    /// Drops noes past their boundary: a new vote would be no again.
-    fn forget_lapsed(&mut self) {
+    /// Forgets rejected proposals whose boundary has passed: the member would
+    /// reject them again.
+    fn forget_expired_rejections(&mut self) {
         let step = self.step;
-        self.cast.retain(|proposal, vote| {
+        self.votes_cast.retain(|proposal, vote| {
             *vote == Vote::Yes || proposal.boundary > step
         });
     }
--- a/cowsliproad-placement/src/live/search.rs
+++ b/cowsliproad-placement/src/live/search.rs
@@ -1,257 +1,336 @@
-//! The change of a layer that relieves its most loaded rank best.
+//! Finds the change of a layer that best relieves its most loaded rank.
 
-use super::Config;
+use super::LivePlanConfig;
 use crate::map::{Expert, Layer, Rank, Shape};
 
-/// The power of the loads that are summed.
-const POWER: i32 = 8;
+/// The exponent of the ranks' times in the sum that the search minimizes.
+const TIME_EXPONENT: i32 = 8;
 
-/// A change of a layer.
+/// A change of the hosts of one or two experts of a layer. A host of an expert
+/// is a rank that holds the expert.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Change {
-    /// The rank that is relieved.
-    from: Rank,
-    /// The expert that another rank gets.
+pub(super) struct HostChange {
+    /// The rank to be relieved.
+    relieved: Rank,
+    /// The expert to be copied, moved, swapped or dropped.
     expert: Expert,
-    /// That rank; for a drop the rank itself.
-    to: Rank,
-    /// The expert whose place it takes there, if none is free.
-    other: Option<Expert>,
-    kind: Kind,
+    /// The rank that receives the expert; for a drop, the rank to be relieved.
+    receiver: Rank,
+    /// The expert whose slot at the receiving rank is reused; `None` if the
+    /// rank has a free slot.
+    replaced: Option<Expert>,
+    /// How the change treats the hosts of its experts.
+    kind: ChangeKind,
 }
 
+/// How a change treats the hosts of its experts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Kind {
-    /// Both ranks hold it afterwards.
+enum ChangeKind {
+    /// The relieved and the receiving rank both hold the expert afterwards.
     Copy,
-    /// Only the other rank does.
+    /// The receiving rank holds the expert afterwards instead of the relieved
+    /// rank.
     Move,
-    /// As a move, and the other expert comes back for it.
+    /// The relieved and the receiving rank exchange one expert each.
     Swap,
-    /// The rank gives up an expert that others hold too.
+    /// The relieved rank gives up an expert that other ranks hold too.
     Drop,
 }
 
-/// The time of each rank. Hosts of an expert share its work evenly, whatever
-/// their speed.
-pub(super) fn times(layer: &Layer, loads: &[f64], speeds: &[f64]) -> Vec<f64> {
-    let mut times = vec![0.0; speeds.len()];
+/// Returns the time of each rank in a layer. The hosts of an expert share its
+/// load evenly, whatever their speed.
+pub(super) fn rank_times(
+    layer: &Layer,
+    loads: &[f64],
+    speeds: &[f64],
+) -> Vec<f64> {
+    let mut rank_times = vec![0.0; speeds.len()];
     for (expert, load) in loads.iter().enumerate() {
         let hosts = layer.hosts(expert as Expert);
         for host in hosts {
             let rank = usize::from(*host);
-            times[rank] += load / hosts.len() as f64 / speeds[rank];
+            rank_times[rank] += load / hosts.len() as f64 / speeds[rank];
         }
     }
-    times
+    rank_times
 }
 
-pub(super) struct Search<'a> {
+/// A layer under local search, with the times of its ranks.
+pub(super) struct CandidateLayer<'a> {
     shape: Shape,
-    spare: usize,
-    burst: usize,
+    max_new_experts_per_layer: usize,
+    max_new_experts_per_rank: usize,
     pub(super) present: &'a Layer,
     loads: &'a [f64],
     speeds: &'a [f64],
     pub(super) layer: Layer,
-    times: Vec<f64>,
+    rank_times: Vec<f64>,
 }
 
-impl<'a> Search<'a> {
+impl<'a> CandidateLayer<'a> {
     pub(super) fn new(
         shape: Shape,
-        config: Config,
+        config: LivePlanConfig,
         present: &'a Layer,
         loads: &'a [f64],
         speeds: &'a [f64],
-    ) -> Search<'a> {
-        let times = times(present, loads, speeds);
+    ) -> CandidateLayer<'a> {
+        let rank_times = rank_times(present, loads, speeds);
         let layer = present.clone();
-        let Config { spare, burst, .. } = config;
-        Search { shape, spare, burst, present, loads, speeds, layer, times }
+        let LivePlanConfig {
+            max_new_experts_per_layer,
+            max_new_experts_per_rank,
+            ..
+        } = config;
+        CandidateLayer {
+            shape,
+            max_new_experts_per_layer,
+            max_new_experts_per_rank,
+            present,
+            loads,
+            speeds,
+            layer,
+            rank_times,
+        }
     }
 
-    pub(super) fn longest(&self) -> f64 {
-        self.times.iter().copied().fold(0.0, f64::max)
+    /// Returns the slowest rank's time in the layer under search.
+    pub(super) fn slowest_rank_time(&self) -> f64 {
+        self.rank_times.iter().copied().fold(0.0, f64::max)
     }
 
-    /// The change that relieves the most loaded rank best.
-    pub(super) fn relief(&self, taken: &[usize]) -> Option<Change> {
+    /// Returns the change that best relieves the slowest rank, by the sum of
+    /// the eighth powers of all ranks' times; `None` if no change lowers it.
+    pub(super) fn best_host_change(
+        &self,
+        new_experts_by_rank: &[usize],
+    ) -> Option<HostChange> {
         let ranks = 0..self.shape.ranks as Rank;
-        let by_time =
-            |a: &Rank, b: &Rank| self.time(*a).total_cmp(&self.time(*b));
-        let from = ranks.clone().max_by(by_time)?;
-        let mut best: Option<(f64, Change)> = None;
-        for &expert in self.layer.held(from) {
+        let by_time = |a: &Rank, b: &Rank| {
+            self.rank_time(*a).total_cmp(&self.rank_time(*b))
+        };
+        let relieved = ranks.clone().max_by(by_time)?;
+        let mut best: Option<(f64, HostChange)> = None;
+        for &expert in self.layer.experts_at(relieved) {
             if self.layer.hosts(expert).len() > 1 {
-                let kind = Kind::Drop;
-                let drop =
-                    Change { from, expert, to: from, other: None, kind };
-                consider(self, drop, &mut best);
+                let kind = ChangeKind::Drop;
+                let drop = HostChange {
+                    relieved,
+                    expert,
+                    receiver: relieved,
+                    replaced: None,
+                    kind,
+                };
+                keep_better_change(self, drop, &mut best);
             }
-            for to in ranks.clone() {
-                if to == from || self.layer.has(to, expert) {
+            for receiver in ranks.clone() {
+                if receiver == relieved || self.layer.holds(receiver, expert) {
                     continue;
                 }
-                if self.room(to, expert, taken) == 0 {
+                if self.remaining_new_experts(
+                    receiver,
+                    expert,
+                    new_experts_by_rank,
+                ) == 0
+                {
                     continue;
                 }
-                self.try_changes(from, expert, to, taken, &mut best);
+                self.consider_changes_to_receiver(
+                    relieved,
+                    expert,
+                    receiver,
+                    new_experts_by_rank,
+                    &mut best,
+                );
             }
         }
         best.map(|it| it.1)
     }
 
-    fn try_changes(
+    /// Compares every change that brings `expert` to rank `receiver` with the
+    /// best change so far.
+    fn consider_changes_to_receiver(
         &self,
-        from: Rank,
+        relieved: Rank,
         expert: Expert,
-        to: Rank,
-        taken: &[usize],
-        best: &mut Option<(f64, Change)>,
+        receiver: Rank,
+        new_experts_by_rank: &[usize],
+        best: &mut Option<(f64, HostChange)>,
     ) {
-        let mut consider = |kind, other| {
-            consider(self, Change { from, expert, to, other, kind }, best);
+        let mut keep_better_change = |kind, replaced| {
+            keep_better_change(
+                self,
+                HostChange { relieved, expert, receiver, replaced, kind },
+                best,
+            );
         };
-        if self.layer.held(to).len() < self.shape.slots {
-            consider(Kind::Copy, None);
-            consider(Kind::Move, None);
+        if self.layer.experts_at(receiver).len() < self.shape.slots_per_rank {
+            keep_better_change(ChangeKind::Copy, None);
+            keep_better_change(ChangeKind::Move, None);
             return;
         }
-        for &other in self.layer.held(to) {
-            if self.layer.hosts(other).len() > 1 {
-                consider(Kind::Copy, Some(other));
+        for &replaced in self.layer.experts_at(receiver) {
+            if self.layer.hosts(replaced).len() > 1 {
+                keep_better_change(ChangeKind::Copy, Some(replaced));
             }
-            let comes_back = !self.layer.has(from, other)
-                && self.room(from, other, taken) > 0;
-            if comes_back {
-                consider(Kind::Swap, Some(other));
+            let can_return = !self.layer.holds(relieved, replaced)
+                && self.remaining_new_experts(
+                    relieved,
+                    replaced,
+                    new_experts_by_rank,
+                ) > 0;
+            if can_return {
+                keep_better_change(ChangeKind::Swap, Some(replaced));
             }
         }
     }
 
-    /// How many more new experts a rank may get, if this one is new to it.
-    fn room(&self, rank: Rank, expert: Expert, taken: &[usize]) -> usize {
-        if self.present.has(rank, expert) {
+    /// Returns how many more new experts a rank may receive. No limit applies
+    /// to an expert that the rank holds in the present map.
+    fn remaining_new_experts(
+        &self,
+        rank: Rank,
+        expert: Expert,
+        new_experts_by_rank: &[usize],
+    ) -> usize {
+        if self.present.holds(rank, expert) {
             return usize::MAX;
         }
-        let here = self.spare.saturating_sub(self.news(rank));
-        here.min(self.burst.saturating_sub(taken[usize::from(rank)]))
+        let in_layer = self
+            .max_new_experts_per_layer
+            .saturating_sub(self.new_expert_count(rank));
+        in_layer.min(
+            self.max_new_experts_per_rank
+                .saturating_sub(new_experts_by_rank[usize::from(rank)]),
+        )
     }
 
-    /// What is new to a rank in this layer.
-    fn news(&self, rank: Rank) -> usize {
-        self.present.missing_at(rank, &self.layer)
+    /// Returns the number of experts that are new to a rank in this layer.
+    fn new_expert_count(&self, rank: Rank) -> usize {
+        self.present.added_copies_at(rank, &self.layer)
     }
 
-    /// By how much a change lowers the sum of powers.
-    fn gain(&self, change: Change) -> f64 {
-        let mut deltas = Deltas::new(self.speeds);
+    /// Returns by how much a change lowers the sum of the eighth powers
+    /// ([`TIME_EXPONENT`]) of all ranks' times.
+    fn balance_gain(&self, change: HostChange) -> f64 {
+        let mut deltas = RankTimeDeltas::new(self.speeds);
         let hosts = self.layer.hosts(change.expert);
         let load = self.loads[usize::from(change.expert)];
         let old = load / hosts.len() as f64;
-        let leaves = change.kind != Kind::Copy;
-        let comes = change.kind != Kind::Drop;
-        let count = hosts.len() + usize::from(comes) - usize::from(leaves);
+        let is_removed = change.kind != ChangeKind::Copy;
+        let is_added = change.kind != ChangeKind::Drop;
+        let count =
+            hosts.len() + usize::from(is_added) - usize::from(is_removed);
         let new = load / count as f64;
         for &host in hosts {
-            let stays = !(leaves && host == change.from);
-            deltas.add(host, if stays { new - old } else { -old });
+            let stays = !(is_removed && host == change.relieved);
+            deltas.add_load(host, if stays { new - old } else { -old });
         }
-        if comes {
-            deltas.add(change.to, new);
+        if is_added {
+            deltas.add_load(change.receiver, new);
         }
-        if let Some(other) = change.other {
-            let hosts = self.layer.hosts(other);
-            let load = self.loads[usize::from(other)];
+        if let Some(replaced) = change.replaced {
+            let hosts = self.layer.hosts(replaced);
+            let load = self.loads[usize::from(replaced)];
             let old = load / hosts.len() as f64;
-            let back = change.kind == Kind::Swap;
-            let count = hosts.len() - usize::from(!back);
+            let is_swap = change.kind == ChangeKind::Swap;
+            let count = hosts.len() - usize::from(!is_swap);
             let new = load / count as f64;
             for &host in hosts {
-                let leaves = host == change.to;
-                deltas.add(host, if leaves { -old } else { new - old });
+                let is_removed = host == change.receiver;
+                deltas
+                    .add_load(host, if is_removed { -old } else { new - old });
             }
-            if back {
-                deltas.add(change.from, new);
+            if is_swap {
+                deltas.add_load(change.relieved, new);
             }
         }
         deltas
             .iter()
             .map(|(rank, delta)| {
-                let time = self.time(rank);
-                time.powi(POWER) - (time + delta).max(0.0).powi(POWER)
+                let time = self.rank_time(rank);
+                time.powi(TIME_EXPONENT)
+                    - (time + delta).max(0.0).powi(TIME_EXPONENT)
             })
             .sum()
     }
 
-    pub(super) fn make(&mut self, change: Change, taken: &mut [usize]) {
-        let Change { from, to, .. } = change;
-        // A drop has one rank on both sides.
-        let ranks = &[from, to][usize::from(from == to)..];
+    /// Applies a change and updates the counts of new experts by rank.
+    pub(super) fn apply_change(
+        &mut self,
+        change: HostChange,
+        new_experts_by_rank: &mut [usize],
+    ) {
+        let HostChange { relieved, receiver, .. } = change;
+        // For a drop, the relieved and the receiving rank are the same.
+        let ranks = &[relieved, receiver][usize::from(relieved == receiver)..];
         for &rank in ranks {
-            taken[usize::from(rank)] -= self.news(rank);
+            new_experts_by_rank[usize::from(rank)] -=
+                self.new_expert_count(rank);
         }
-        self.rearrange(change);
+        self.update_layer(change);
         for &rank in ranks {
-            taken[usize::from(rank)] += self.news(rank);
+            new_experts_by_rank[usize::from(rank)] +=
+                self.new_expert_count(rank);
         }
-        self.times = times(&self.layer, self.loads, self.speeds);
+        self.rank_times = rank_times(&self.layer, self.loads, self.speeds);
     }
 
-    fn rearrange(&mut self, change: Change) {
-        let Change { from, expert, to, other, kind } = change;
-        if let Some(other) = other {
-            self.layer.remove(to, other);
-            if kind == Kind::Swap {
-                self.layer.add(from, other);
+    fn update_layer(&mut self, change: HostChange) {
+        let HostChange { relieved, expert, receiver, replaced, kind } = change;
+        if let Some(replaced) = replaced {
+            self.layer.remove_copy(receiver, replaced);
+            if kind == ChangeKind::Swap {
+                self.layer.add_copy(relieved, replaced);
             }
         }
-        if kind != Kind::Copy {
-            self.layer.remove(from, expert);
+        if kind != ChangeKind::Copy {
+            self.layer.remove_copy(relieved, expert);
         }
-        if kind != Kind::Drop {
-            self.layer.add(to, expert);
+        if kind != ChangeKind::Drop {
+            self.layer.add_copy(receiver, expert);
         }
     }
 
-    fn time(&self, rank: Rank) -> f64 {
-        self.times[usize::from(rank)]
+    fn rank_time(&self, rank: Rank) -> f64 {
+        self.rank_times[usize::from(rank)]
     }
 }
 
-/// Keeps the change with the most gain.
-fn consider(
-    search: &Search,
-    change: Change,
-    best: &mut Option<(f64, Change)>,
+/// Replaces the best change so far by `change` if `change` lowers the sum of
+/// the powers of all ranks' times more.
+fn keep_better_change(
+    candidate: &CandidateLayer,
+    change: HostChange,
+    best: &mut Option<(f64, HostChange)>,
 ) {
-    let gain = search.gain(change);
-    if gain > best.as_ref().map_or(0.0, |it| it.0) {
-        *best = Some((gain, change));
+    let balance_gain = candidate.balance_gain(change);
+    if balance_gain > best.as_ref().map_or(0.0, |it| it.0) {
+        *best = Some((balance_gain, change));
     }
 }
 
-/// What a change does to the times of the few ranks that it touches.
-struct Deltas<'a> {
+/// The differences that a change of a layer makes to the times of the affected
+/// ranks.
+struct RankTimeDeltas<'a> {
     speeds: &'a [f64],
-    ranks: Vec<(Rank, f64)>,
+    deltas_by_rank: Vec<(Rank, f64)>,
 }
 
-impl Deltas<'_> {
-    fn new(speeds: &[f64]) -> Deltas<'_> {
-        Deltas { speeds, ranks: Vec::with_capacity(8) }
+impl RankTimeDeltas<'_> {
+    fn new(speeds: &[f64]) -> RankTimeDeltas<'_> {
+        RankTimeDeltas { speeds, deltas_by_rank: Vec::with_capacity(8) }
     }
 
-    fn add(&mut self, rank: Rank, load: f64) {
+    fn add_load(&mut self, rank: Rank, load: f64) {
         let delta = load / self.speeds[usize::from(rank)];
-        match self.ranks.iter_mut().find(|it| it.0 == rank) {
-            Some(known) => known.1 += delta,
-            None => self.ranks.push((rank, delta)),
+        match self.deltas_by_rank.iter_mut().find(|it| it.0 == rank) {
+            Some(entry) => entry.1 += delta,
+            None => self.deltas_by_rank.push((rank, delta)),
         }
     }
 
     fn iter(&self) -> impl Iterator<Item = (Rank, f64)> {
-        self.ranks.iter().copied()
+        self.deltas_by_rank.iter().copied()
     }
 }
