--- a/cowsliproad-direct/src/call.rs
+++ b/cowsliproad-direct/src/call.rs
@@ -127,7 +127,7 @@
     /// The request was not sent.
     Unsent(&'static str),
     /// The request was not sent, because its target has entered a cooldown,
-    /// lowered its limit or left since it was chosen.
+    /// changed its limit or left since it was chosen.
     Withheld(&'static str),
     /// The request may have run, and the entry process gave up on it.
     MayHaveRun(&'static str),
--- a/cowsliproad-direct/src/call/failure.rs
+++ b/cowsliproad-direct/src/call/failure.rs
@@ -45,8 +45,8 @@
     /// The targets have stated limits or cooldowns that leave no capacity for
     /// this long.
     Busy(Millis),
-    /// A crash-inducing request: targets crashed each time they ran it. It
-    /// stays in quarantine for this long.
+    /// A crash-inducing request: targets crashed each time they ran it. The
+    /// caller may retry after this delay.
     Poison(Millis),
     /// One rank of a group crashed while it ran the request, which is not sent
     /// to another rank for this long.
--- a/cowsliproad-direct/src/upstream.rs
+++ b/cowsliproad-direct/src/upstream.rs
@@ -68,7 +68,7 @@
     /// The request was not sent.
     Unsent(&'static str),
     /// The request was not sent, because its target has entered a cooldown,
-    /// lowered its limit or left since it was chosen.
+    /// changed its limit or left since it was chosen.
     Withheld(&'static str),
     /// The request was sent and may have run.
     Unknown(&'static str),
