--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -33,7 +33,7 @@
 use crate::{
     ends::Suspicion, limits::Limits, measure::EntryMetrics, peers::Peers,
     quarantine::Quarantine, rollback::Rollbacks, settings::Settings,
-    upstream::Pool,
+    upstream::ConnectionPool,
 };
 
 pub mod choose;
@@ -82,7 +82,7 @@
     /// target.
     pub request_stats: TargetStats,
     /// Idle connections to the target.
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     /// Open connections to the target, including busy connections and those
     /// being established.
     pub open_connections: usize,
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -28,7 +28,7 @@
 };
 
 use crate::{
-    call::{MAX_STAGGER, PROBE_PERIOD},
+    call::{COOLDOWN_PROBE_PERIOD, MAX_COOLDOWN_STAGGER},
     entry::{Entry, Source},
     limits::{self, UpdateScope},
     settings::Settings,
@@ -241,7 +241,7 @@
         );
         entry.metrics.set_limited_targets(entry.limited_target_count());
         // Some requests count cooldowns as longer than they are.
-        let over = now - MAX_STAGGER - PROBE_PERIOD;
+        let over = now - MAX_COOLDOWN_STAGGER - COOLDOWN_PROBE_PERIOD;
         entry.cooldowns.borrow_mut().remove_expired(over);
         entry.metrics.set_cooling_targets(
             entry.cooldowns.borrow().active_cooldown_count(now),
