--- a/cowsliproad-direct/src/attempt.rs
+++ b/cowsliproad-direct/src/attempt.rs
@@ -7,8 +7,8 @@
 
 use crate::{
     call::{AttemptError, Call},
-    ends::{self, Suspicion},
-    entry::{Choice, Entry},
+    ends::{self, CrashSuspicion},
+    entry::{ChosenTarget, Entry},
 };
 
 /// One attempt to run a request at a target. However it ends, also if the
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub struct Attempt {
     entry: Rc<Entry>,
-    choice: Choice,
+    choice: ChosenTarget,
     /// The id and the work digest of the request.
     request: (Name, WorkDigest),
     started_at: Millis,
@@ -34,7 +34,11 @@
 impl Attempt {
     /// Starts an attempt, which counts as in flight at its target until
     /// dropped.
-    pub fn new(entry: &Rc<Entry>, call: &Call, choice: &Choice) -> Attempt {
+    pub fn new(
+        entry: &Rc<Entry>,
+        call: &Call,
+        choice: &ChosenTarget,
+    ) -> Attempt {
         choice.endpoint.borrow_mut().request_stats.record_send();
         Attempt {
             entry: entry.clone(),
@@ -65,12 +69,12 @@
 
     /// Records that the request is being written to a connection. Until then,
     /// a crash of the target can't be due to the request.
-    pub fn note_sent(&self) {
+    pub fn note_request_sent(&self) {
         self.sent_at.set(Some(Millis::now()));
     }
 
     /// Records that no byte of the request was written after all.
-    pub fn note_not_sent(&self) {
+    pub fn note_request_unsent(&self) {
         self.sent_at.set(None);
     }
 
@@ -88,11 +92,11 @@
         endpoint.last_seen_alive = endpoint.last_seen_alive.max(Some(sent_at));
         drop(endpoint);
         self.entry.record_zone_contact(&target.zone, sent_at);
-        self.entry.check_answer_after_crash(target, sent_at, Millis::now());
+        self.entry.retract_crash_on_answer(target, sent_at, Millis::now());
     }
 
     /// Records that an event of the response arrived.
-    pub fn note_event(&self) {
+    pub fn note_event_received(&self) {
         self.event_received.set(true);
     }
 
@@ -126,7 +130,7 @@
 
     /// Records that the attempt ended without a response to pass on.
     pub fn note_error(&self, error: &AttemptError) {
-        self.choice.on_attempt_failed(&self.entry, error);
+        self.choice.record_failed_attempt(&self.entry, error);
         self.check_target_after_error(error);
     }
 
@@ -138,23 +142,25 @@
             | AttemptError::Withheld(_) => {
                 self.note_target_survived();
             }
-            AttemptError::ConnectionBroken(_) => {
-                self.record_suspicion(Suspicion::for_broken_connection)
+            AttemptError::ConnectionBroken(_) => self.record_crash_suspicion(
+                CrashSuspicion::new_for_broken_connection,
+            ),
+            AttemptError::MayHaveRun(_) => {
+                self.suspect_crash_of_abandoned_attempt()
             }
-            AttemptError::MayHaveRun(_) => self.suspect_given_up(),
         }
     }
 
-    fn suspect_given_up(&self) {
+    fn suspect_crash_of_abandoned_attempt(&self) {
         let deadline = self.deadline;
-        self.record_suspicion(|request, work| {
-            Suspicion::abandoned(request, work, deadline)
+        self.record_crash_suspicion(|request, work| {
+            CrashSuspicion::new_for_abandoned_request(request, work, deadline)
         });
     }
 
-    fn record_suspicion(
+    fn record_crash_suspicion(
         &self,
-        new_suspicion: impl FnOnce(Name, WorkDigest) -> Suspicion,
+        new_suspicion: impl FnOnce(Name, WorkDigest) -> CrashSuspicion,
     ) {
         if !self.target_check_settled.replace(true)
             && self.sent_at.get().is_some()
@@ -163,7 +169,7 @@
             let suspicion = new_suspicion(request, work);
             let suspicion =
                 suspicion.with_answer_begun(self.event_received.get());
-            ends::add_suspicion(&self.entry, &self.choice, suspicion);
+            ends::add_crash_suspicion(&self.entry, &self.choice, suspicion);
         }
     }
 }
@@ -171,6 +177,6 @@
 impl Drop for Attempt {
     fn drop(&mut self) {
         self.choice.endpoint.borrow_mut().request_stats.record_completion();
-        self.suspect_given_up();
+        self.suspect_crash_of_abandoned_attempt();
     }
 }
--- a/cowsliproad-direct/src/call.rs
+++ b/cowsliproad-direct/src/call.rs
@@ -32,8 +32,10 @@
 
 use crate::{
     attempt::Attempt,
-    entry::{Choice, Entry},
-    receive::{DEFAULT_CALLER_TIMEOUT, digest_work, remove_hop_by_hop},
+    entry::{ChosenTarget, Entry},
+    receive::{
+        DEFAULT_CALLER_TIMEOUT, compute_work_digest, remove_hop_by_hop_headers,
+    },
     reply::Body,
     upstream::{self, ConnectionLease, ConnectionReuse, SendError},
 };
@@ -48,7 +50,7 @@
 
 /// The part of the route's target latency, in percent, that an attempt may
 /// take before the request goes to another target, which needs the rest.
-const FIRST_ATTEMPT_PERCENT: u64 = 50;
+const FIRST_ATTEMPT_LATENCY_GOAL_PERCENT: u64 = 50;
 
 /// The shortest attempt timeout: three times a round trip plus the usual
 /// execution time.
@@ -56,7 +58,7 @@
 
 /// Ranks that a request loses in a target's queue once it misses the target
 /// latency of its route.
-const LATE_RANK_PENALTY: u16 = 2;
+const LATE_REQUEST_RANK_PENALTY: u16 = 2;
 
 /// The lowest priority in a target's queue, where rank 0 is served first.
 const MAX_QUEUE_RANK: u16 = 9;
@@ -96,18 +98,18 @@
     /// Attempts in which a target may have run the request.
     possible_runs: usize,
     /// What the next attempt costs.
-    next_retry_cost: RetryCost,
+    next_attempt_cost: AttemptCost,
     /// Whether any target may have run the request.
     execution: ExecutionStatus,
 }
 
 /// What an attempt costs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum RetryCost {
+enum AttemptCost {
     /// No retry: the request has reached no target yet.
     Free,
     /// One retry from the retry budget.
-    Budget,
+    OneRetry,
 }
 
 /// Whether the attempts of a request so far may have run it.
@@ -148,7 +150,7 @@
 
 /// The route, service and priority of a request.
 #[derive(Clone, Debug)]
-pub struct Destination {
+pub struct RequestDestination {
     /// The route that matched the request.
     pub route: Arc<Route>,
     /// The service that the request goes to.
@@ -173,7 +175,7 @@
     pub fn new(
         head: request::Parts,
         body: Bytes,
-        destination: Destination,
+        destination: RequestDestination,
         times: RequestTimes,
     ) -> Call {
         let request_id = head.headers.get(&header::REQUEST_ID);
@@ -181,7 +183,7 @@
             request_id.and_then(|it| it.to_str().ok()).unwrap_or("-").into();
         Call {
             request_id,
-            work: digest_work(&head, &body),
+            work: compute_work_digest(&head, &body),
             route: destination.route,
             service: destination.service,
             priority: destination.priority,
@@ -196,7 +198,7 @@
             denied_permits: 0,
             cooldown_stagger: Millis(0),
             possible_runs: 0,
-            next_retry_cost: RetryCost::Free,
+            next_attempt_cost: AttemptCost::Free,
             execution: ExecutionStatus::NotRun,
         }
     }
@@ -208,7 +210,7 @@
     }
 
     /// Restarts the time limit for waiting for a target.
-    pub fn restart_wait(&mut self) {
+    pub fn restart_target_wait(&mut self) {
         self.waiting_since = Millis::now();
     }
 
@@ -227,7 +229,7 @@
     pub async fn send_to_target(
         &mut self,
         entry: &Rc<Entry>,
-        choice: &Choice,
+        choice: &ChosenTarget,
         attempt: &Attempt,
         last_event_id: Option<u64>,
     ) -> Result<OpenResponse, AttemptError> {
@@ -254,10 +256,10 @@
         if head.status == StatusCode::MISDIRECTED_REQUEST {
             // Another process of the target responded: the chosen incarnation
             // has ended.
-            entry.mark_left(&choice.target);
+            entry.mark_target_left(&choice.target);
             return Err(AttemptError::Refused("another incarnation"));
         }
-        entry.apply_response_headers(choice, &self.request_id, &head);
+        entry.update_target_from_headers(choice, &self.request_id, &head);
         let echoed_id = head.headers.get(&header::REQUEST_ID);
         let own_id = self.head.headers.get(&header::REQUEST_ID);
         if echoed_id.is_some() && echoed_id != own_id {
@@ -293,7 +295,7 @@
     pub async fn fetch_response(
         &mut self,
         entry: &Rc<Entry>,
-        choice: &Choice,
+        choice: &ChosenTarget,
         attempt: &Attempt,
     ) -> Result<Response<Body>, AttemptError> {
         let opened = self.send_to_target(entry, choice, attempt, None).await?;
@@ -302,7 +304,7 @@
 
     fn build_request(
         &self,
-        choice: &Choice,
+        choice: &ChosenTarget,
         last_event_id: Option<u64>,
     ) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
@@ -336,7 +338,8 @@
         let waited = time.since(self.time_left());
         let is_late = self.route.latency_goal.is_some_and(|aim| waited > aim);
         let rank = u16::from(self.priority);
-        let rank = if is_late { rank + LATE_RANK_PENALTY } else { rank };
+        let rank =
+            if is_late { rank + LATE_REQUEST_RANK_PENALTY } else { rank };
         rank.min(MAX_QUEUE_RANK)
     }
 
@@ -349,7 +352,8 @@
         if is_last || !self.route.allows_resend() {
             return time_left;
         }
-        let first_timeout = Millis(aim.0 * FIRST_ATTEMPT_PERCENT / 100);
+        let first_timeout =
+            Millis(aim.0 * FIRST_ATTEMPT_LATENCY_GOAL_PERCENT / 100);
         first_timeout.max(MIN_ATTEMPT_TIMEOUT).min(time_left)
     }
 }
@@ -376,7 +380,7 @@
             "a refusal that doesn't state that the request was not run",
         ));
     }
-    remove_hop_by_hop(&mut head.headers);
+    remove_hop_by_hop_headers(&mut head.headers);
     head.headers.remove(standard::CONTENT_LENGTH);
     let body = Body::Whole(Full::new(body.to_bytes()));
     Ok(Response::from_parts(head, body))
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -13,12 +13,13 @@
 use tokio::time::sleep;
 
 use super::{
-    Call, ExecutionStatus, MAX_QUEUE_RANK, RetryCost, failure::RejectionReason,
+    AttemptCost, Call, ExecutionStatus, MAX_QUEUE_RANK,
+    failure::RejectionReason,
 };
 use crate::{
     entry::{
-        Choice, Entry,
-        choose::{PermitWait, Shortage},
+        ChosenTarget, Entry,
+        choose::{PermitWaitPolicy, TargetShortage},
     },
     limits,
     reply::Body,
@@ -46,9 +47,10 @@
     pub async fn next_target(
         &mut self,
         entry: &Rc<Entry>,
-    ) -> Result<Choice, Response<Body>> {
-        let wait_until =
-            self.deadline.min(self.waiting_since + self.max_wait(entry));
+    ) -> Result<ChosenTarget, Response<Body>> {
+        let wait_until = self
+            .deadline
+            .min(self.waiting_since + self.max_target_wait(entry));
         loop {
             let (news, connection_freed) = (
                 entry.targets_changed.notified(),
@@ -60,13 +62,14 @@
             match verdict {
                 QuarantineVerdict::Allowed => {}
                 QuarantineVerdict::Refused(after) => {
-                    return Err(
-                        self.rejection(entry, RejectionReason::Poison(after))
-                    );
+                    return Err(self.reject_request(
+                        entry,
+                        RejectionReason::Poison(after),
+                    ));
                 }
                 QuarantineVerdict::Suspended(after) => {
                     let reason = RejectionReason::Suspended(after);
-                    return Err(self.rejection(entry, reason));
+                    return Err(self.reject_request(entry, reason));
                 }
             }
             let lookahead = self.permit_lookahead(wait_until.since(now));
@@ -89,13 +92,13 @@
             {
                 let after = self.time_until_usable(entry, &shortage, now);
                 return Err(
-                    self.rejection(entry, RejectionReason::Busy(after))
+                    self.reject_request(entry, RejectionReason::Busy(after))
                 );
             }
             if wait_left.0 == 0 {
                 let reason =
                     RejectionReason::NoTarget("no target can be used");
-                return Err(self.rejection(entry, reason));
+                return Err(self.reject_request(entry, reason));
             }
             let cooldown_end = shortage.and_then(|it| it.cooldown_end);
             if let Some(end) = cooldown_end {
@@ -103,8 +106,8 @@
             }
             // A limit that ends now can't end the wait: a permit that is free
             // now has already been denied.
-            let limit_end = shortage.and_then(|it| it.limit_end);
-            let ends = limit_end.into_iter().filter(|it| *it > now);
+            let rate_limit_end = shortage.and_then(|it| it.rate_limit_end);
+            let ends = rate_limit_end.into_iter().filter(|it| *it > now);
             let ends = ends.chain(cooldown_end);
             let pause = ends.min().map_or(wait_left, |it| it.since(now));
             tokio::select! {
@@ -120,7 +123,7 @@
     fn is_wait_futile(
         &self,
         entry: &Entry,
-        shortage: &Shortage,
+        shortage: &TargetShortage,
         wait_until: Millis,
         now: Millis,
     ) -> bool {
@@ -149,24 +152,26 @@
         let unattempted =
             |it: &Target| !self.attempted_targets.contains(&it.id);
         let candidates =
-            entry.candidates(&self.service, now, Millis(0), unattempted);
-        candidates.choose(PermitWait::Now, 0.0).is_some()
+            entry.score_candidates(&self.service, now, Millis(0), unattempted);
+        candidates.choose_target(PermitWaitPolicy::Now, 0.0).is_some()
     }
 
     /// The time until some target accepts a retry by the caller.
     fn time_until_usable(
         &self,
         entry: &Entry,
-        shortage: &Shortage,
+        shortage: &TargetShortage,
         now: Millis,
     ) -> Millis {
-        let all = entry.candidates(&self.service, now, Millis(0), |_| true);
-        if all.choose(PermitWait::Now, 0.0).is_some() {
+        let all =
+            entry.score_candidates(&self.service, now, Millis(0), |_| true);
+        if all.choose_target(PermitWaitPolicy::Now, 0.0).is_some() {
             return Millis(0);
         }
-        let all = Shortage::new([&all].into_iter());
-        let end =
-            all.and_then(|it| it.earliest_end()).or(shortage.earliest_end());
+        let all = TargetShortage::new([&all].into_iter());
+        let end = all
+            .and_then(|it| it.earliest_shortage_end())
+            .or(shortage.earliest_shortage_end());
         end.map_or(Millis(0), |it| it.since(now))
     }
 
@@ -186,28 +191,30 @@
     async fn reserve_target(
         &mut self,
         entry: &Rc<Entry>,
-        mut choice: Choice,
+        mut choice: ChosenTarget,
         max_permit_wait: Millis,
-    ) -> Result<Option<Choice>, Response<Body>> {
+    ) -> Result<Option<ChosenTarget>, Response<Body>> {
         if let Admission::RetryAfter(after) =
             self.admit_stream_start(entry, Millis::now())
         {
-            return Err(self.rejection(entry, RejectionReason::TooLate(after)));
+            return Err(
+                self.reject_request(entry, RejectionReason::TooLate(after))
+            );
         }
         if !limits::acquire_permit(entry, &mut choice, max_permit_wait).await {
             self.denied_permits += 1;
             return Ok(None);
         }
         let now = Millis::now();
-        if self.next_retry_cost == RetryCost::Budget
+        if self.next_attempt_cost == AttemptCost::OneRetry
             && !entry.try_spend_retry(&self.service, now)
         {
             choice.return_permit();
             let reason = RejectionReason::NoTarget("no retry is left");
-            return Err(self.rejection(entry, reason));
+            return Err(self.reject_request(entry, reason));
         }
-        self.log_choice(entry, &choice, now);
-        choice.endpoint.borrow_mut().mark_probe(now);
+        self.log_chosen_target(entry, &choice, now);
+        choice.endpoint.borrow_mut().mark_recovery_probe(now);
         self.attempt_count += 1;
         self.denied_permits = 0;
         Ok(Some(choice))
@@ -239,7 +246,7 @@
     /// How long the request may wait for a usable target. The caller of a
     /// stream leaves for good after the silence timeout of the route; rejected
     /// just before that, it retries at the stated time.
-    fn max_wait(&self, entry: &Entry) -> Millis {
+    fn max_target_wait(&self, entry: &Entry) -> Millis {
         let silence = self
             .route
             .caller_idle_timeout
@@ -259,9 +266,10 @@
         entry: &Entry,
         now: Millis,
         lookahead: Millis,
-    ) -> Result<(Choice, Millis), Option<Shortage>> {
-        let choose =
-            |after| self.choose_with_stagger(entry, now, lookahead, after);
+    ) -> Result<(ChosenTarget, Millis), Option<TargetShortage>> {
+        let choose = |after| {
+            self.choose_target_with_stagger(entry, now, lookahead, after)
+        };
         if self.route.max_attempts > 1 || entry.cooldowns.borrow().is_empty() {
             return choose(self.cooldown_stagger);
         }
@@ -271,46 +279,57 @@
 
     /// Chooses a target like [`Call::choose_target`], with every cooldown
     /// extended by `cooldown_stagger`.
-    fn choose_with_stagger(
+    fn choose_target_with_stagger(
         &self,
         entry: &Entry,
         now: Millis,
         lookahead: Millis,
         cooldown_stagger: Millis,
-    ) -> Result<(Choice, Millis), Option<Shortage>> {
+    ) -> Result<(ChosenTarget, Millis), Option<TargetShortage>> {
         let candidates = |unattempted: bool| {
             let fits = |it: &Target| {
                 self.attempted_targets.contains(&it.id) != unattempted
             };
-            entry.candidates(&self.service, now, cooldown_stagger, fits)
+            entry.score_candidates(&self.service, now, cooldown_stagger, fits)
         };
         let may_ask = self.denied_permits < MAX_DENIED_PERMITS;
-        let asks = if may_ask { PermitWait::Now } else { PermitWait::Never };
+        let asks = if may_ask {
+            PermitWaitPolicy::Now
+        } else {
+            PermitWaitPolicy::Never
+        };
         let more_allowed = self.may_attempt_new_target();
         let preferred = candidates(more_allowed);
-        if let Some(choice) = preferred.choose(asks, entry.random_fraction()) {
+        if let Some(choice) =
+            preferred.choose_target(asks, entry.random_fraction())
+        {
             return Ok((choice, Millis(0)));
         }
         let attempted = more_allowed.then(|| candidates(false));
         let attempted = attempted.as_ref();
-        let chosen =
-            attempted.and_then(|it| it.choose(asks, entry.random_fraction()));
+        let chosen = attempted
+            .and_then(|it| it.choose_target(asks, entry.random_fraction()));
         if let Some(choice) = chosen {
             return Ok((choice, Millis(0)));
         }
         let considered =
             || [Some(&preferred), attempted].into_iter().flatten();
         if !may_ask || lookahead == Millis(0) {
-            return Err(Shortage::new(considered()));
+            return Err(TargetShortage::new(considered()));
         }
-        let asks = PermitWait::Within(lookahead);
+        let asks = PermitWaitPolicy::Within(lookahead);
         let chosen = considered()
-            .find_map(|it| it.choose(asks, entry.random_fraction()));
+            .find_map(|it| it.choose_target(asks, entry.random_fraction()));
         let chosen = chosen.map(|it| (it, lookahead));
-        chosen.ok_or_else(|| Shortage::new(considered()))
+        chosen.ok_or_else(|| TargetShortage::new(considered()))
     }
 
-    fn log_choice(&self, entry: &Entry, choice: &Choice, now: Millis) {
+    fn log_chosen_target(
+        &self,
+        entry: &Entry,
+        choice: &ChosenTarget,
+        now: Millis,
+    ) {
         let endpoint = choice.endpoint.borrow();
         let group = endpoint.group.as_ref();
         let age = group.map_or(-1, |it| now.since(it.reported_at).0 as i64);
@@ -318,7 +337,7 @@
         info!(entry.log, "chosen"; "request" => &*self.request_id,
             "work" => %self.work,
             "target" => &*choice.target.id, "route" => &*self.route.name,
-            "cost" => choice.cost as u64, "at_target" => endpoint.request_stats.estimated_occupancy(now),
+            "cost" => choice.cost_ms as u64, "at_target" => endpoint.request_stats.estimated_occupancy(now),
             "own" => endpoint.request_stats.in_flight(), "report_age" => age,
             "limit" => choice.rate_limit.map(|it| it.per_second()),
             "limit_age" => report.map(|it| it.age.0),
--- a/cowsliproad-direct/src/call/failure.rs
+++ b/cowsliproad-direct/src/call/failure.rs
@@ -9,9 +9,9 @@
 use slog::info;
 use tokio::time::sleep;
 
-use super::{AttemptError, Call, ExecutionStatus, RetryCost};
+use super::{AttemptCost, AttemptError, Call, ExecutionStatus};
 use crate::{
-    entry::{Choice, Entry},
+    entry::{ChosenTarget, Entry},
     reply::{self, Body},
 };
 
@@ -67,7 +67,7 @@
     pub async fn note_attempt_error(
         &mut self,
         entry: &Rc<Entry>,
-        choice: &Choice,
+        choice: &ChosenTarget,
         error: AttemptError,
     ) -> Option<Response<Body>> {
         let cause = match error {
@@ -107,7 +107,7 @@
         };
         if !self.may_retry(entry, choice, cause) {
             return Some(
-                self.rejection(entry, RejectionReason::NoTarget(cause)),
+                self.reject_request(entry, RejectionReason::NoTarget(cause)),
             );
         }
         if matches!(error, AttemptError::ConnectionBroken(_)) {
@@ -131,7 +131,7 @@
     pub fn may_retry(
         &mut self,
         entry: &Entry,
-        choice: &Choice,
+        choice: &ChosenTarget,
         cause: &'static str,
     ) -> bool {
         let is_safe = self.execution == ExecutionStatus::NotRun
@@ -140,7 +140,7 @@
         let within_bounds = self.possible_runs < attempts
             && self.attempt_count < attempts + MAX_EXTRA_ATTEMPTS;
         let allowed = is_safe && within_bounds && self.time_left().0 > 0;
-        self.next_retry_cost = RetryCost::Budget;
+        self.next_attempt_cost = AttemptCost::OneRetry;
         info!(entry.log, "missed"; "request" => &*self.request_id,
             "target" => &*choice.target.id, "why" => cause,
             "repeats" => self.route.allows_resend(), "tries" => self.attempt_count,
@@ -152,7 +152,7 @@
     /// Logs the rejection of a request and builds the response. This states
     /// "not run", with a retry delay, only if no target can have run the
     /// request.
-    pub fn rejection(
+    pub fn reject_request(
         &self,
         entry: &Entry,
         reason: RejectionReason,
@@ -160,24 +160,24 @@
         let left = self.time_left();
         let (text, after) = match reason {
             RejectionReason::NoTarget(_) => {
-                ("not run: no target\n", self.retry_after(entry))
+                ("not run: no target\n", self.caller_retry_delay(entry))
             }
             RejectionReason::TooLate(after) => {
                 ("not run: too late for a first event\n", after)
             }
             RejectionReason::Busy(after) => {
-                entry.metrics.record_permit_request("refused");
+                entry.metrics.record_permit_outcome("refused");
                 let after = after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
                 let after =
                     patience::jittered_retry(after, entry.random_fraction());
                 ("not run: targets take no more\n", after)
             }
             RejectionReason::Poison(after) => {
-                entry.metrics.record_quarantine("request");
+                entry.metrics.record_quarantine_event("request");
                 ("targets ended each time they ran this\n", after)
             }
             RejectionReason::Suspended(after) => {
-                entry.metrics.record_quarantine("suspended request");
+                entry.metrics.record_quarantine_event("suspended request");
                 ("a target ended while it ran this\n", after)
             }
         };
@@ -187,22 +187,24 @@
             "waited" => Millis::now().since(self.arrived).0,
             "after" => after.0, "left" => left.0, "work" => %self.work);
         match (self.execution, reason) {
-            (ExecutionStatus::NotRun, _) => reply::not_run(text, after),
+            (ExecutionStatus::NotRun, _) => {
+                reply::not_run_response(text, after)
+            }
             (ExecutionStatus::Unknown, RejectionReason::Poison(_)) => {
-                reply::outcome_unknown(text)
+                reply::outcome_unknown_response(text)
             }
             (ExecutionStatus::Unknown, _) if left.0 == 0 => {
-                reply::deadline_exceeded()
+                reply::deadline_exceeded_response()
             }
             (ExecutionStatus::Unknown, _) => {
-                reply::outcome_unknown("no whole answer\n")
+                reply::outcome_unknown_response("no whole answer\n")
             }
         }
     }
 
     /// The retry delay stated to the caller. For streams it is as long as
     /// callers honour, because the group may have formed again by then.
-    fn retry_after(&self, entry: &Entry) -> Millis {
+    fn caller_retry_delay(&self, entry: &Entry) -> Millis {
         // Callers wait for at most a third of their remaining time.
         let max_delay = Millis(self.time_left().0 / 3);
         if self.route.is_stream() {
--- a/cowsliproad-direct/src/callers.rs
+++ b/cowsliproad-direct/src/callers.rs
@@ -28,7 +28,7 @@
 };
 
 use crate::{
-    entry::{Entry, Phase},
+    entry::{Entry, ProcessPhase},
     forward,
     reply::Body,
     upstream,
@@ -49,11 +49,11 @@
 const STOP_CHECK_INTERVAL: Millis = Millis(50);
 
 /// The time for the last responses to leave the sockets.
-const FLUSH_DELAY: Millis = Millis(100);
+const RESPONSE_FLUSH_DELAY: Millis = Millis(100);
 
 /// How much longer than the idle timeout known to callers a connection stays
 /// open, so that a request sent just before that timeout still arrives.
-const IDLE_GRACE: Millis = Millis(2_000);
+const CALLER_IDLE_GRACE: Millis = Millis(2_000);
 
 /// The smallest buffer for request heads that hyper accepts. Shorter heads are
 /// always read, whatever the configured limit.
@@ -72,7 +72,7 @@
     let grace_end = Instant::now()
         + (entry.settings().shutdown_grace_ms - PROCESS_EXIT_MARGIN)
             .duration();
-    entry.phase.set(Phase::Leaving);
+    entry.process_phase.set(ProcessPhase::Leaving);
     info!(entry.log, "stopping"; "under_way" => entry.unfinished_requests.get());
     let drained_at = Instant::now() + DRAIN_DELAY.duration();
     tokio::select! {
@@ -80,13 +80,13 @@
         () = sleep_until(drained_at) => {}
     }
     drop(listener);
-    entry.phase.set(Phase::Closing);
+    entry.process_phase.set(ProcessPhase::Closing);
     entry.idle_close_requested.notify_waiters();
     while entry.unfinished_requests.get() > 0 && Instant::now() < grace_end {
         sleep(STOP_CHECK_INTERVAL.duration()).await;
     }
     // Lets the last responses leave the sockets.
-    sleep(FLUSH_DELAY.duration()).await;
+    sleep(RESPONSE_FLUSH_DELAY.duration()).await;
     info!(entry.log, "stopping"; "left" => entry.unfinished_requests.get());
     Ok(())
 }
@@ -156,9 +156,13 @@
     activity.idle_since.set(Millis::now());
     let service = service_fn(|request: Request<Incoming>| {
         let (entry, activity) = (entry.clone(), activity.clone());
-        async move { Ok::<_, Infallible>(respond(entry, activity, request).await) }
+        async move {
+            Ok::<_, Infallible>(
+                answer_caller_request(entry, activity, request).await,
+            )
+        }
     });
-    let configured = upstream::configure_socket(&stream).and_then(|()| {
+    let configured = upstream::configure_tcp_socket(&stream).and_then(|()| {
         HookedStream::new(stream, HeadWatcher(activity.clone()))
     });
     let stream = match configured {
@@ -168,8 +172,9 @@
             return;
         }
     };
-    let max_head_bytes =
-        current_limits(&entry).max_header_bytes.max(MIN_HEAD_BUFFER_BYTES);
+    let max_head_bytes = current_request_limits(&entry)
+        .max_header_bytes
+        .max(MIN_HEAD_BUFFER_BYTES);
     let mut serving = std::pin::pin!(
         http1::Builder::new()
             .max_buf_size(max_head_bytes)
@@ -182,7 +187,7 @@
             () = sleep(IDLE_CHECK_INTERVAL.duration()) => {}
             () = entry.idle_close_requested.notified() => {}
         }
-        match next_action(&entry, &activity) {
+        match next_connection_action(&entry, &activity) {
             ConnectionAction::Keep => {}
             // hyper completes an in-flight request first.
             ConnectionAction::ShutDown => serving.as_mut().graceful_shutdown(),
@@ -201,26 +206,27 @@
     Drop,
 }
 
-async fn respond(
+async fn answer_caller_request(
     entry: Rc<Entry>,
     activity: Rc<ConnectionActivity>,
     request: Request<Incoming>,
 ) -> Response<Body> {
     let in_flight = InFlightRequest::new(&entry, &activity);
-    let mut answer = forward::respond(&entry, request, in_flight).await;
-    if entry.phase.get() != Phase::Serving {
+    let mut answer =
+        forward::respond_to_request(&entry, request, in_flight).await;
+    if entry.process_phase.get() != ProcessPhase::Serving {
         let close = HeaderValue::from_static("close");
         answer.headers_mut().insert(header::CONNECTION, close);
     }
     answer
 }
 
-fn next_action(
+fn next_connection_action(
     entry: &Entry,
     activity: &ConnectionActivity,
 ) -> ConnectionAction {
     let is_answering = activity.in_flight.get() > 0;
-    let limits = current_limits(entry);
+    let limits = current_request_limits(entry);
     let now = Millis::now();
     let head_started_at = activity.head_started_at.get();
     let is_late = |since: Millis| now.since(since) > limits.header_timeout;
@@ -230,14 +236,14 @@
     let idle = now.since(activity.idle_since.get());
     let idle_expired = !is_answering
         && head_started_at.is_none()
-        && idle > limits.idle_timeout + IDLE_GRACE;
-    if idle_expired || entry.phase.get() == Phase::Closing {
+        && idle > limits.idle_timeout + CALLER_IDLE_GRACE;
+    if idle_expired || entry.process_phase.get() == ProcessPhase::Closing {
         return ConnectionAction::ShutDown;
     }
     ConnectionAction::Keep
 }
 
-fn current_limits(entry: &Entry) -> RequestLimits {
+fn current_request_limits(entry: &Entry) -> RequestLimits {
     entry.catalog().map_or_else(RequestLimits::new, |it| it.request_limits())
 }
 
--- a/cowsliproad-direct/src/ends.rs
+++ b/cowsliproad-direct/src/ends.rs
@@ -25,28 +25,28 @@
 use tokio::{net::TcpStream, time::sleep};
 
 use crate::{
-    entry::{Choice, Endpoint, Entry},
+    entry::{ChosenTarget, Endpoint, Entry},
     quarantine::CrashExtent,
 };
 
 /// Latency that a report or answer may have had: one that arrives within this
 /// time after a broken connection may have been sent before.
-pub const MAX_LATENCY: Millis = Millis(100);
+pub const MAX_MESSAGE_LATENCY: Millis = Millis(100);
 
 /// Delay before a target without an agent is probed. Requests whose
 /// connections to the target broke together share one probe.
-const PLAIN_PROBE_DELAY: Millis = Millis(150);
+const PROBE_DELAY_WITHOUT_AGENT: Millis = Millis(150);
 
 /// Delay before a target with an agent is probed. The agent reports every 400
 /// ms, so that no connection is made after a whole group was partitioned.
-const AGENT_PROBE_DELAY: Millis = Millis(550);
+const PROBE_DELAY_WITH_AGENT: Millis = Millis(550);
 
 /// An agent that was silent for this long before the break isn't expected to
 /// report.
 const AGENT_REPORT_TIMEOUT: Millis = Millis(1_000);
 
 /// The timeout for the probe's connection to be accepted or refused.
-const CONNECT_TIMEOUT: Millis = Millis(250);
+const PROBE_CONNECT_TIMEOUT: Millis = Millis(250);
 
 /// Probes without a conclusive answer before the target's state counts as
 /// unknown.
@@ -58,11 +58,11 @@
 /// Suspicions kept per target, some 70 bytes each: all requests of one entry
 /// that a target runs and queues. The oldest abandoned request gives way to a
 /// new suspicion.
-const MAX_SUSPICIONS: usize = 64;
+const MAX_SUSPICIONS_PER_TARGET: usize = 64;
 
 /// A request during which its target may have crashed.
 #[derive(Clone, Debug)]
-pub struct Suspicion {
+pub struct CrashSuspicion {
     request_id: Name,
     work: WorkDigest,
     /// When the request's connection broke or was abandoned, or, if later,
@@ -70,63 +70,65 @@
     broken_at: Millis,
     /// How long after `broken_at` the target may have continued with the
     /// request before it is probed.
-    linger_time: Millis,
+    abandoned_probe_delay: Millis,
     /// The latest time at which the target may still run the request.
     may_run_until: Millis,
     /// Whether the target had begun to answer the request.
     answer_begun: bool,
 }
 
-impl Suspicion {
+impl CrashSuspicion {
     /// A suspicion for a request whose connection broke.
-    pub fn for_broken_connection(
+    pub fn new_for_broken_connection(
         request_id: Name,
         work: WorkDigest,
-    ) -> Suspicion {
+    ) -> CrashSuspicion {
         let broken_at = Millis::now();
-        Suspicion {
+        CrashSuspicion {
             request_id,
             work,
             broken_at,
-            linger_time: Millis(0),
+            abandoned_probe_delay: Millis(0),
             may_run_until: broken_at,
             answer_begun: false,
         }
     }
 
     /// Sets whether part of the request's answer had arrived.
-    pub fn with_answer_begun(self, answer_begun: bool) -> Suspicion {
-        Suspicion { answer_begun, ..self }
+    pub fn with_answer_begun(self, answer_begun: bool) -> CrashSuspicion {
+        CrashSuspicion { answer_begun, ..self }
     }
 
     /// A suspicion for a request that was abandoned here, and that the target
     /// may continue until the request's deadline.
-    pub fn abandoned(
+    pub fn new_for_abandoned_request(
         request_id: Name,
         work: WorkDigest,
         may_run_until: Millis,
-    ) -> Suspicion {
-        let broken = Suspicion::for_broken_connection(request_id, work);
-        let linger_time = LINGER_INTERVAL;
-        let may_run_until = may_run_until.min(broken.broken_at + MAX_LINGER);
-        Suspicion { linger_time, may_run_until, ..broken }
+    ) -> CrashSuspicion {
+        let broken =
+            CrashSuspicion::new_for_broken_connection(request_id, work);
+        let abandoned_probe_delay = ABANDONED_REQUEST_PROBE_INTERVAL;
+        let may_run_until =
+            may_run_until.min(broken.broken_at + MAX_REQUEST_DURATION);
+        CrashSuspicion { abandoned_probe_delay, may_run_until, ..broken }
     }
 
     fn is_abandoned(&self) -> bool {
-        self.linger_time > Millis(0)
+        self.abandoned_probe_delay > Millis(0)
     }
 
     /// The suspicion that remains after the target was seen alive; None after
     /// the request's deadline.
-    fn after_sign_of_life(&self, now: Millis) -> Option<Suspicion> {
+    fn renew_after_sign_of_life(&self, now: Millis) -> Option<CrashSuspicion> {
         (self.may_run_until > now)
-            .then(|| Suspicion { broken_at: now, ..self.clone() })
+            .then(|| CrashSuspicion { broken_at: now, ..self.clone() })
     }
 
     /// The earliest sign of life that shows that the target survived the
     /// request.
-    fn survival_proven_from(&self) -> Millis {
-        self.broken_at + self.linger_time + MAX_LATENCY
+    fn earliest_survival_proof(&self) -> Millis {
+        self.broken_at + self.abandoned_probe_delay + MAX_MESSAGE_LATENCY
     }
 }
 
@@ -135,10 +137,10 @@
 /// the request at once; one that reads the reset late has 100 ms to begin the
 /// request and 100 ms to end it. Other targets keep the request queued until
 /// its deadline.
-const LINGER_INTERVAL: Millis = Millis(500);
+const ABANDONED_REQUEST_PROBE_INTERVAL: Millis = Millis(500);
 
 /// The longest that a request may take: the limit for streams plus a quarter.
-const MAX_LINGER: Millis = Millis(10_000);
+const MAX_REQUEST_DURATION: Millis = Millis(10_000);
 
 /// The result of a probe of a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -151,12 +153,16 @@
 
 /// Records a suspicion that a target crashed under a request, and starts a
 /// probe task unless one runs for the target.
-pub fn add_suspicion(entry: &Rc<Entry>, choice: &Choice, suspect: Suspicion) {
+pub fn add_crash_suspicion(
+    entry: &Rc<Entry>,
+    choice: &ChosenTarget,
+    suspect: CrashSuspicion,
+) {
     let mut endpoint = choice.endpoint.borrow_mut();
-    if endpoint.suspicions.len() >= MAX_SUSPICIONS {
+    if endpoint.suspicions.len() >= MAX_SUSPICIONS_PER_TARGET {
         entry.metrics.record_suspicions(1, "untold");
         let oldest =
-            endpoint.suspicions.iter().position(Suspicion::is_abandoned);
+            endpoint.suspicions.iter().position(CrashSuspicion::is_abandoned);
         let Some(oldest) = oldest else { return };
         endpoint.suspicions.remove(oldest);
     }
@@ -167,14 +173,16 @@
 }
 
 /// Probes a target until no suspicion is left.
-async fn probe_target(entry: Rc<Entry>, choice: Choice) {
+async fn probe_target(entry: Rc<Entry>, choice: ChosenTarget) {
     let mut probes = 0;
     loop {
-        let Some(due) = resolve_by_signs(&entry, &choice) else { return };
+        let Some(due) = resolve_by_reports_and_answers(&entry, &choice) else {
+            return;
+        };
         let now = Millis::now();
         let cooldown_end = entry.cooldown_end(&choice.target, now);
-        let due =
-            cooldown_end.map_or(due, |end| due.max(end.min(due + MAX_LINGER)));
+        let due = cooldown_end
+            .map_or(due, |end| due.max(end.min(due + MAX_REQUEST_DURATION)));
         let wait = due.since(now);
         if wait > Millis(0) {
             tokio::select! {
@@ -189,7 +197,7 @@
             // A target in a cooldown gets no new connections, not even a
             // probe's.
             Some(_) => ProbeOutcome::Unknown,
-            None => try_connection(&entry, &choice).await,
+            None => probe_by_connecting(&entry, &choice).await,
         };
         probes += 1;
         if outcome == ProbeOutcome::Unknown && probes < MAX_PROBES {
@@ -197,7 +205,7 @@
             continue;
         }
         resolve_suspicions(&entry, &choice, outcome, |it| {
-            it.broken_at + it.linger_time <= probed_at
+            it.broken_at + it.abandoned_probe_delay <= probed_at
         });
         probes = 0;
     }
@@ -205,22 +213,28 @@
 
 /// Resolves the suspicions that reports and answers decide, and returns when
 /// to probe for the rest.
-fn resolve_by_signs(entry: &Entry, choice: &Choice) -> Option<Millis> {
+fn resolve_by_reports_and_answers(
+    entry: &Entry,
+    choice: &ChosenTarget,
+) -> Option<Millis> {
     let (last_seen_alive, exit_reported_at) = {
         let endpoint = choice.endpoint.borrow();
         (endpoint.last_seen_alive, endpoint.exit_reported_at)
     };
-    let survived = |it: &Suspicion| {
-        last_seen_alive.is_some_and(|at| it.survival_proven_from() <= at)
+    let survived = |it: &CrashSuspicion| {
+        last_seen_alive.is_some_and(|at| it.earliest_survival_proof() <= at)
     };
     resolve_suspicions(entry, choice, ProbeOutcome::Alive, survived);
-    let crashed = |it: &Suspicion| {
-        exit_reported_at.is_some_and(|at| it.broken_at <= at + MAX_LATENCY)
+    let crashed = |it: &CrashSuspicion| {
+        exit_reported_at
+            .is_some_and(|at| it.broken_at <= at + MAX_MESSAGE_LATENCY)
     };
     resolve_suspicions(entry, choice, ProbeOutcome::Crashed, crashed);
     let endpoint = choice.endpoint.borrow();
-    let due = |it: &Suspicion| {
-        it.broken_at + it.linger_time + probe_delay(&endpoint, it.broken_at)
+    let due = |it: &CrashSuspicion| {
+        it.broken_at
+            + it.abandoned_probe_delay
+            + probe_delay(&endpoint, it.broken_at)
     };
     endpoint.suspicions.iter().map(due).min()
 }
@@ -229,17 +243,21 @@
     let report_age =
         endpoint.group.as_ref().map(|it| since.since(it.reported_at));
     match report_age {
-        Some(age) if age < AGENT_REPORT_TIMEOUT => AGENT_PROBE_DELAY,
-        _ => PLAIN_PROBE_DELAY,
+        Some(age) if age < AGENT_REPORT_TIMEOUT => PROBE_DELAY_WITH_AGENT,
+        _ => PROBE_DELAY_WITHOUT_AGENT,
     }
 }
 
-async fn try_connection(entry: &Entry, choice: &Choice) -> ProbeOutcome {
+async fn probe_by_connecting(
+    entry: &Entry,
+    choice: &ChosenTarget,
+) -> ProbeOutcome {
     let newest =
         choice.endpoint.borrow().suspicions.last().map(|it| it.broken_at);
-    let since = newest.unwrap_or_default() + MAX_LATENCY;
+    let since = newest.unwrap_or_default() + MAX_MESSAGE_LATENCY;
     let opening = TcpStream::connect(choice.target.address);
-    match tokio::time::timeout(CONNECT_TIMEOUT.duration(), opening).await {
+    match tokio::time::timeout(PROBE_CONNECT_TIMEOUT.duration(), opening).await
+    {
         Ok(Ok(_)) => ProbeOutcome::Alive,
         Ok(Err(error))
             if error.kind() == io::ErrorKind::ConnectionRefused
@@ -254,9 +272,9 @@
 
 fn resolve_suspicions(
     entry: &Entry,
-    choice: &Choice,
+    choice: &ChosenTarget,
     outcome: ProbeOutcome,
-    is_settled: impl Fn(&Suspicion) -> bool,
+    is_settled: impl Fn(&CrashSuspicion) -> bool,
 ) {
     let now = Millis::now();
     let mut settled = Vec::new();
@@ -265,7 +283,8 @@
             return true;
         }
         let is_alive = outcome == ProbeOutcome::Alive;
-        if let Some(renewed) = it.after_sign_of_life(now).filter(|_| is_alive)
+        if let Some(renewed) =
+            it.renew_after_sign_of_life(now).filter(|_| is_alive)
         {
             *it = renewed;
             return true;
@@ -293,7 +312,11 @@
 }
 
 /// Records that a target crashed under a request.
-fn record_crash(entry: &Entry, choice: &Choice, suspect: &Suspicion) {
+fn record_crash(
+    entry: &Entry,
+    choice: &ChosenTarget,
+    suspect: &CrashSuspicion,
+) {
     let age = Millis::now().since(suspect.broken_at);
     // A rank has begun to answer most requests that it runs, and a
     // crash-inducing request mostly crashes the rank before that.
@@ -307,7 +330,7 @@
     info!(entry.log, "ended_under"; "target" => &*choice.target.id,
         "request" => &*suspect.request_id, "work" => %suspect.work,
         "known_after" => age.0, "extent" => ?extent);
-    entry.record_crash_under(
+    entry.record_crash_during_work(
         &choice.target,
         suspect.work,
         extent,
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -31,9 +31,9 @@
 use tokio::sync::Notify;
 
 use crate::{
-    ends::Suspicion, limits::Limits, measure::EntryMetrics, peers::Peers,
-    quarantine::Quarantine, rollback::Rollbacks, settings::Settings,
-    upstream::ConnectionPool,
+    ends::CrashSuspicion, limits::RateLimits, measure::EntryMetrics,
+    peers::Peers, quarantine::Quarantine, rollback::LogRollbacks,
+    settings::Settings, upstream::ConnectionPool,
 };
 
 pub mod choose;
@@ -52,7 +52,7 @@
 
 /// Where a state change came from, for logs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Source {
+pub enum ChangeSource {
     /// The change was read from the platform's log.
     Log,
     /// The change came in a digest or state snapshot of another entry process.
@@ -63,7 +63,7 @@
 
 /// The phases of an entry process, from serving to the end of its shutdown.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Phase {
+pub enum ProcessPhase {
     /// The process accepts connections and requests.
     Serving,
     /// The process got a stop signal and still accepts connections until the
@@ -82,7 +82,7 @@
     /// target.
     pub request_stats: TargetStats,
     /// Idle connections to the target.
-    pub pool: ConnectionPool,
+    pub connection_pool: ConnectionPool,
     /// Open connections to the target, including busy connections and those
     /// being established.
     pub open_connections: usize,
@@ -90,14 +90,14 @@
     pub connection_freed: Rc<Notify>,
     /// State of the target's group from the latest report of the target's
     /// agent.
-    pub group: Option<Group>,
+    pub group: Option<GroupReport>,
     /// When the target was last known to be alive: its agent read the engine's
     /// report, or the target answered a request.
     pub last_seen_alive: Option<Millis>,
     /// When the target's agent last reported that the engine process is gone.
     pub exit_reported_at: Option<Millis>,
     /// Requests during which the target may have crashed.
-    pub suspicions: Vec<Suspicion>,
+    pub suspicions: Vec<CrashSuspicion>,
     /// The rate limit that the target states in its answers.
     pub rate_limit: CurrentLimit,
     /// Permits for the target that were granted after their requests stopped
@@ -111,14 +111,14 @@
     /// only once.
     pub retry_after_invalid: bool,
     /// Whether the target takes requests again after its latest cooldown.
-    pub recovery: Recovery,
+    pub recovery: CooldownRecovery,
 }
 
 /// State of a target after a cooldown that the target requested with
 /// Retry-After. When the cooldown ends, one probe request shows whether the
 /// target takes more.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Recovery {
+pub enum CooldownRecovery {
     /// The target takes requests.
     #[default]
     Done,
@@ -131,18 +131,18 @@
 /// The group of engine ranks that a target belongs to, as last reported by the
 /// target's agent.
 #[derive(Clone, Debug)]
-pub struct Group {
+pub struct GroupReport {
     /// The group's name.
-    pub name: Name,
+    pub group_name: Name,
     /// Epoch of the group's formation, raised each time that the group forms
     /// again.
-    pub epoch: u64,
+    pub formation_epoch: u64,
     /// Whether the group accepts requests.
     pub accepts_requests: bool,
     /// The number of the last forward pass that the group began.
-    pub last_pass: u64,
+    pub last_forward_pass: u64,
     /// How long the target's work takes, in percent of the usual time.
-    pub pace_percent: u32,
+    pub service_time_percent: u32,
     /// When the agent's report arrived.
     pub reported_at: Millis,
 }
@@ -160,7 +160,7 @@
     /// The known targets.
     pub fleet: RefCell<Fleet>,
     /// The longest remaining deadline seen from callers, per route.
-    longest_patience: RefCell<HashMap<Name, Millis>>,
+    longest_caller_timeouts: RefCell<HashMap<Name, Millis>>,
     /// Keys of malformed records in the targets topic, so that each key is
     /// logged once.
     invalid_target_keys: RefCell<HashSet<String>>,
@@ -176,7 +176,7 @@
     /// When a VM of each availability zone last sent a message.
     zone_last_seen: RefCell<HashMap<Name, Millis>>,
     /// Rate limiters of targets that state a limit, and open permit requests.
-    pub limits: RefCell<Limits>,
+    pub limits: RefCell<RateLimits>,
     /// Cooldowns that targets requested with Retry-After. They are kept apart
     /// from the endpoints, which are removed when a target drops out of the
     /// log.
@@ -196,35 +196,35 @@
     pub digest_wakeup: Notify,
     /// The id of the target list that each engine's agent has, by the engine's
     /// address.
-    pub agent_list_ids: RefCell<HashMap<SocketAddr, u64>>,
+    pub agent_target_list_ids: RefCell<HashMap<SocketAddr, u64>>,
     /// When the targets topic was last read, by this entry or by another, and
     /// up to which position.
-    pub readings: RefCell<LogReadSchedule>,
+    pub log_read_schedule: RefCell<LogReadSchedule>,
     /// Wakes the task that reads the targets topic.
-    pub read_wakeup: Notify,
+    pub targets_read_wakeup: Notify,
     /// Rollbacks of the platform's log to an older copy.
-    pub rollbacks: Rollbacks,
+    pub rollbacks: LogRollbacks,
     /// Wakes the task that waits at startup for digests of other entries.
     pub digest_received: Notify,
     /// Counts targets that joined or restarted, so that agents are asked to
     /// report at once.
-    pub joined_targets: Cell<u64>,
+    pub joined_target_count: Cell<u64>,
     /// Accepted requests whose answers are not complete yet.
     pub unfinished_requests: Cell<usize>,
     /// The phase of the process.
-    pub phase: Cell<Phase>,
+    pub process_phase: Cell<ProcessPhase>,
     rng: RefCell<SmallRng>,
 }
 
 /// A target that was chosen for a request.
 #[derive(Clone, Debug)]
-pub struct Choice {
+pub struct ChosenTarget {
     /// The chosen target.
     pub target: Target,
     /// The state that the entry keeps for the chosen target.
     pub endpoint: Rc<RefCell<Endpoint>>,
     /// The target's cost when it was chosen, in milliseconds.
-    pub cost: f64,
+    pub cost_ms: f64,
     /// Connections to the target that this entry may have.
     pub max_connections: usize,
     /// The rate limit that the target states.
@@ -237,14 +237,14 @@
     /// Creates an entry without configuration, targets or peers.
     pub fn new(settings: Settings, log: Logger) -> Entry {
         let peers = Peers::new(&settings);
-        let readings = LogReadSchedule::new(settings.heartbeat_ms);
+        let log_read_schedule = LogReadSchedule::new(settings.heartbeat_ms);
         Entry {
             settings: RefCell::new(Rc::new(settings)),
             log,
             metrics: EntryMetrics::new(),
             catalog: RefCell::new(None),
             fleet: RefCell::new(Fleet::new(FleetConfig::new())),
-            longest_patience: RefCell::new(HashMap::new()),
+            longest_caller_timeouts: RefCell::new(HashMap::new()),
             invalid_target_keys: RefCell::new(HashSet::new()),
             raw_announcements: RefCell::new(HashMap::new()),
             endpoints: RefCell::new(HashMap::new()),
@@ -252,7 +252,7 @@
             formations: RefCell::new(HashMap::new()),
             quarantine: RefCell::new(Quarantine::default()),
             zone_last_seen: RefCell::new(HashMap::new()),
-            limits: RefCell::new(Limits::default()),
+            limits: RefCell::new(RateLimits::default()),
             cooldowns: RefCell::new(Cooldowns::new()),
             peers: RefCell::new(peers),
             targets_changed: Notify::new(),
@@ -260,14 +260,14 @@
             target_change_count: Cell::new(0),
             idle_close_requested: Notify::new(),
             digest_wakeup: Notify::new(),
-            agent_list_ids: RefCell::new(HashMap::new()),
-            readings: RefCell::new(readings),
-            read_wakeup: Notify::new(),
-            rollbacks: Rollbacks::new(),
+            agent_target_list_ids: RefCell::new(HashMap::new()),
+            log_read_schedule: RefCell::new(log_read_schedule),
+            targets_read_wakeup: Notify::new(),
+            rollbacks: LogRollbacks::new(),
             digest_received: Notify::new(),
-            joined_targets: Cell::new(0),
+            joined_target_count: Cell::new(0),
             unfinished_requests: Cell::new(0),
-            phase: Cell::new(Phase::Serving),
+            process_phase: Cell::new(ProcessPhase::Serving),
             rng: RefCell::new(SmallRng::from_os_rng()),
         }
     }
@@ -280,8 +280,11 @@
     /// Puts reloaded settings in force and logs invalid ones. Names and
     /// addresses of this entry keep their old values: connections and other
     /// entries depend on them.
-    pub fn reload(&self, read: Result<Settings, settings::Error>) {
-        let new = match read {
+    pub fn reload_settings(
+        &self,
+        read_result: Result<Settings, settings::Error>,
+    ) {
+        let new = match read_result {
             Ok(new) => new,
             Err(error) => {
                 warn!(self.log, "settings_refused"; "error" => %error);
@@ -291,7 +294,7 @@
         let old = self.settings();
         info!(self.log, "settings_read";
             "changed" => new != *old,
-            "needs_restart" => !new.has_same_addresses(&old));
+            "needs_restart" => !new.has_same_restart_settings(&old));
         let kept = Settings {
             vm: old.vm.clone(),
             zone: old.zone.clone(),
@@ -324,7 +327,12 @@
 
     /// Puts a configuration in force if its version is newer than the one in
     /// force.
-    pub fn adopt_catalog(&self, catalog: Catalog, raw: Bytes, source: Source) {
+    pub fn adopt_catalog(
+        &self,
+        catalog: Catalog,
+        raw: Bytes,
+        source: ChangeSource,
+    ) {
         let before = self.catalog_version();
         if before >= catalog.version() {
             return;
@@ -355,14 +363,16 @@
         &self,
         id: &str,
         change: TargetChange,
-        source: Source,
+        source: ChangeSource,
     ) {
         match change {
             TargetChange::None => return,
             // The target is known here, but maybe not to other entries.
-            TargetChange::Returned => return self.record_log_change(source),
+            TargetChange::Returned => {
+                return self.record_target_change_in_log(source);
+            }
             TargetChange::Joined | TargetChange::Restarted => {
-                self.record_log_change(source);
+                self.record_target_change_in_log(source);
                 if change == TargetChange::Restarted {
                     info!(self.log, "target_restarted"; "target" => id,
                         "source" => ?source);
@@ -376,13 +386,14 @@
                 info!(self.log, "target_joined"; "target" => id,
                     "service" => &*target.service,
                     "address" => %target.address, "source" => ?source);
-                self.joined_targets.set(self.joined_targets.get() + 1);
+                self.joined_target_count
+                    .set(self.joined_target_count.get() + 1);
                 self.digest_wakeup.notify_one();
                 drop(fleet);
                 self.apply_early_limit(id, Millis::now());
             }
             TargetChange::Left => {
-                self.record_log_change(source);
+                self.record_target_change_in_log(source);
                 info!(self.log, "target_left"; "target" => id,
                     "source" => ?source);
                 self.endpoints.borrow_mut().remove(id);
@@ -393,7 +404,7 @@
                     .ready_targets()
                     .map(|it| it.address)
                     .collect();
-                self.agent_list_ids
+                self.agent_target_list_ids
                     .borrow_mut()
                     .retain(|it, _| addresses.contains(it));
                 self.raw_announcements.borrow_mut().remove(id);
@@ -405,26 +416,36 @@
 
     /// Merges another entry's latest read of the targets topic: when it was
     /// read and the position of the last change.
-    pub fn merge_peer_read(&self, at: Millis, changed: Position, now: Millis) {
-        let found = self.readings.borrow_mut().merge_peer_read(at, changed);
-        self.extend_leases_after_gap(found, now);
-        if self.readings.borrow().has_unread_change() {
-            self.read_wakeup.notify_one();
+    pub fn merge_peer_targets_read(
+        &self,
+        at: Millis,
+        changed: Position,
+        now: Millis,
+    ) {
+        let continuity =
+            self.log_read_schedule.borrow_mut().merge_peer_read(at, changed);
+        self.extend_leases_after_gap(continuity, now);
+        if self.log_read_schedule.borrow().has_unread_change() {
+            self.targets_read_wakeup.notify_one();
         }
     }
 
     /// Records a change of the targets that was read from the log, so that
     /// other entries read the change too.
-    fn record_log_change(&self, source: Source) {
-        if source == Source::Log {
-            self.readings.borrow_mut().record_target_change();
+    fn record_target_change_in_log(&self, source: ChangeSource) {
+        if source == ChangeSource::Log {
+            self.log_read_schedule.borrow_mut().record_target_change();
         }
     }
 
     /// Extends the leases of all targets after a gap in the reads of the
     /// targets topic, since targets may have renewed them unobserved.
-    pub fn extend_leases_after_gap(&self, found: Continuity, now: Millis) {
-        if found == Continuity::Gap {
+    pub fn extend_leases_after_gap(
+        &self,
+        continuity: Continuity,
+        now: Millis,
+    ) {
+        if continuity == Continuity::Gap {
             info!(self.log, "readings_resumed");
             self.fleet.borrow_mut().start_renewal_grace(now);
         }
@@ -445,7 +466,7 @@
     }
 
     /// The state kept for a target, created if there is none.
-    pub fn endpoint(&self, id: &Name) -> Rc<RefCell<Endpoint>> {
+    pub fn endpoint_or_insert(&self, id: &Name) -> Rc<RefCell<Endpoint>> {
         let new = || {
             let connection_freed = self.connection_freed.clone();
             Rc::new(RefCell::new(Endpoint {
@@ -460,7 +481,7 @@
     /// Whether the entry can serve: it isn't stopping, and it has a
     /// configuration and at least one usable target.
     pub fn is_ready(&self) -> bool {
-        self.phase.get() == Phase::Serving
+        self.process_phase.get() == ProcessPhase::Serving
             && self.catalog.borrow().is_some()
             && self.fleet.borrow().ready_targets().next().is_some()
     }
@@ -468,12 +489,12 @@
     /// Records the remaining deadline of a caller's request and returns the
     /// longest one seen on the same route, which is about the deadline of a
     /// first attempt.
-    pub fn update_longest_patience(
+    pub fn update_longest_caller_timeout(
         &self,
         route: &Name,
         left: Millis,
     ) -> Millis {
-        let mut patience = self.longest_patience.borrow_mut();
+        let mut patience = self.longest_caller_timeouts.borrow_mut();
         if patience.len() > MAX_REMEMBERED_ROUTES {
             patience.clear();
         }
@@ -508,7 +529,7 @@
 
     /// Spends a retry of a service's budget; false if the budget is exhausted.
     pub fn try_spend_retry(&self, service: &Name, now: Millis) -> bool {
-        let entries = self.peers.borrow().entry_count();
+        let entries = self.peers.borrow().entry_process_count();
         self.with_retry_budget(service, |it| it.try_spend(entries, now))
     }
 
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -10,11 +10,12 @@
 };
 
 use super::{
-    Choice, Endpoint, Entry, Group, Recovery, groups::AGENT_REPORT_TIMEOUT,
+    ChosenTarget, CooldownRecovery, Endpoint, Entry, GroupReport,
+    groups::AGENT_REPORT_TIMEOUT,
 };
 
 /// Snapshot of the usable targets of a service, scored by cost, at one moment.
-pub struct Candidates {
+pub struct CandidateSnapshot {
     scored: Vec<ScoredTarget>,
     observed_at: Millis,
     usual: ServiceLatency,
@@ -23,7 +24,7 @@
     unreported_requests: f64,
     /// Requests a second that each target would get if all targets got equally
     /// many.
-    equal_share_per_second: f64,
+    equal_share_requests_per_second: f64,
     /// Eligible targets, including those that can't be used now.
     eligible_count: usize,
     /// Eligible, working targets in a cooldown that they requested with
@@ -36,7 +37,7 @@
 
 /// A target that could get the request, if the target's rate limit allows it.
 struct ScoredTarget {
-    choice: Choice,
+    choice: ChosenTarget,
     /// The earliest time to request a permit, if the target's rate limit
     /// demands one.
     permit_at: Option<Millis>,
@@ -45,9 +46,9 @@
 /// When targets that now decline requests by a rate limit or a cooldown take
 /// requests again.
 #[derive(Clone, Copy, Debug)]
-pub struct Shortage {
+pub struct TargetShortage {
     /// When the first rate-limited target may grant a permit.
-    pub limit_end: Option<Millis>,
+    pub rate_limit_end: Option<Millis>,
     /// When the first cooldown of a target ends.
     pub cooldown_end: Option<Millis>,
     /// Whether every eligible target is rate-limited or in a cooldown, so that
@@ -55,38 +56,39 @@
     pub covers_all_targets: bool,
 }
 
-impl Shortage {
+impl TargetShortage {
     /// The shortage in snapshots of targets; None if no target declines
     /// requests by a rate limit or a cooldown.
     pub fn new<'a>(
-        snapshots: impl Iterator<Item = &'a Candidates>,
-    ) -> Option<Shortage> {
-        let mut shortage = Shortage {
-            limit_end: None,
+        snapshots: impl Iterator<Item = &'a CandidateSnapshot>,
+    ) -> Option<TargetShortage> {
+        let mut shortage = TargetShortage {
+            rate_limit_end: None,
             cooldown_end: None,
             covers_all_targets: true,
         };
         for snapshot in snapshots {
             let limited = snapshot.scored.iter().filter_map(|it| it.permit_at);
-            let limit_end = shortage.limit_end.into_iter().chain(limited);
-            shortage.limit_end = limit_end.min();
+            let rate_limit_end =
+                shortage.rate_limit_end.into_iter().chain(limited);
+            shortage.rate_limit_end = rate_limit_end.min();
             let ends = shortage.cooldown_end.into_iter();
             shortage.cooldown_end = ends.chain(snapshot.cooldown_end).min();
             let kept = snapshot.scored.len() + snapshot.cooling_count;
             shortage.covers_all_targets &= kept == snapshot.eligible_count;
         }
-        shortage.earliest_end().map(|_| shortage)
+        shortage.earliest_shortage_end().map(|_| shortage)
     }
 
     /// When the first target may take a request again.
-    pub fn earliest_end(&self) -> Option<Millis> {
-        self.limit_end.into_iter().chain(self.cooldown_end).min()
+    pub fn earliest_shortage_end(&self) -> Option<Millis> {
+        self.rate_limit_end.into_iter().chain(self.cooldown_end).min()
     }
 }
 
 /// Whether a request may wait for permits at rate-limited targets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum PermitWait {
+pub enum PermitWaitPolicy {
     /// Only for a permit that is free now; otherwise the request goes to
     /// another target.
     Now,
@@ -96,21 +98,21 @@
     Never,
 }
 
-impl Candidates {
+impl CandidateSnapshot {
     /// Chooses the target with the least cost or, where agents report, one of
     /// the cheapest at random; see [`pick::choose_by_cost`]. A target whose
     /// rate limit is below its equal share is preferred at the same or lower
     /// cost, so that its limit is used up. `draw` is a random number from 0 to
     /// 1.
-    pub fn choose(
+    pub fn choose_target(
         &self,
-        permit_wait: PermitWait,
+        permit_wait: PermitWaitPolicy,
         draw: f64,
-    ) -> Option<Choice> {
+    ) -> Option<ChosenTarget> {
         let usable =
             self.scored.iter().filter(|it| self.is_usable(it, permit_wait));
-        let usable: Vec<&Choice> = usable.map(|it| &it.choice).collect();
-        let costs: Vec<f64> = usable.iter().map(|it| it.cost).collect();
+        let usable: Vec<&ChosenTarget> = usable.map(|it| &it.choice).collect();
+        let costs: Vec<f64> = usable.iter().map(|it| it.cost_ms).collect();
         let slots = usable.iter().map(|it| it.target.slots).max()?;
         let step = self.usual.lockstep_latency_ms() / f64::from(slots);
         let place = pick::choose_by_cost(
@@ -119,33 +121,33 @@
             self.unreported_requests,
             draw,
         )?;
-        let is_below_share = |it: &Choice| {
+        let is_below_share = |it: &ChosenTarget| {
             it.rate_limit.is_some_and(|it| {
-                it.per_second() < self.equal_share_per_second
+                it.per_second() < self.equal_share_requests_per_second
             })
         };
         let limited = usable
             .iter()
-            .filter(|it| is_below_share(it) && it.cost <= costs[place]);
-        let limited = limited.min_by(|a, b| a.cost.total_cmp(&b.cost));
+            .filter(|it| is_below_share(it) && it.cost_ms <= costs[place]);
+        let limited = limited.min_by(|a, b| a.cost_ms.total_cmp(&b.cost_ms));
         Some((*limited.unwrap_or(&usable[place])).clone())
     }
 
     fn is_usable(
         &self,
         scored: &ScoredTarget,
-        permit_wait: PermitWait,
+        permit_wait: PermitWaitPolicy,
     ) -> bool {
         let Some(permit_at) = scored.permit_at else { return true };
         match permit_wait {
-            PermitWait::Now => {
+            PermitWaitPolicy::Now => {
                 permit_at <= self.observed_at
                     && !scored.choice.endpoint.borrow().permit_requested
             }
-            PermitWait::Within(patience) => {
+            PermitWaitPolicy::Within(patience) => {
                 permit_at <= self.observed_at + patience
             }
-            PermitWait::Never => false,
+            PermitWaitPolicy::Never => false,
         }
     }
 }
@@ -153,19 +155,19 @@
 impl Endpoint {
     /// When the probe of a recovering target times out, while one is in
     /// flight. Until then no other request is sent to the target.
-    fn probe_end(&self, now: Millis) -> Option<Millis> {
+    fn probe_timeout_at(&self, now: Millis) -> Option<Millis> {
         match self.recovery {
-            Recovery::Probed(at) => Some(at + PROBE_TIMEOUT),
-            Recovery::Done | Recovery::Pending => None,
+            CooldownRecovery::Probed(at) => Some(at + RECOVERY_PROBE_TIMEOUT),
+            CooldownRecovery::Done | CooldownRecovery::Pending => None,
         }
         .filter(|end| *end > now)
     }
 
     /// Records that a request is about to be sent, which makes the request a
     /// probe if the target is recovering.
-    pub fn mark_probe(&mut self, now: Millis) {
-        if self.recovery != Recovery::Done {
-            self.recovery = Recovery::Probed(now);
+    pub fn mark_recovery_probe(&mut self, now: Millis) {
+        if self.recovery != CooldownRecovery::Done {
+            self.recovery = CooldownRecovery::Probed(now);
         }
     }
 }
@@ -173,23 +175,24 @@
 impl Entry {
     /// Scores the targets of a service for which `is_eligible` is true.
     /// Cooldowns count as longer by `stagger`.
-    pub fn candidates(
+    pub fn score_candidates(
         &self,
         service: &str,
         now: Millis,
         stagger: Millis,
         is_eligible: impl Fn(&Target) -> bool,
-    ) -> Candidates {
+    ) -> CandidateSnapshot {
         let fleet = self.fleet.borrow();
         let max_connections = self.max_connections(service);
         let zone = &self.settings().zone;
         let of_service =
             fleet.ready_targets().filter(|it| &*it.service == service);
-        let endpoints: Vec<(&Target, Rc<RefCell<Endpoint>>)> =
-            of_service.map(|it| (it, self.endpoint(&it.id))).collect();
+        let endpoints: Vec<(&Target, Rc<RefCell<Endpoint>>)> = of_service
+            .map(|it| (it, self.endpoint_or_insert(&it.id)))
+            .collect();
         // Where most agents report, a target whose agent is silent is not idle
         // but unknown: the VM may be frozen or slow.
-        let has_recent_report = |group: &Option<Group>| {
+        let has_recent_report = |group: &Option<GroupReport>| {
             let report_age =
                 group.as_ref().map(|it| now.since(it.reported_at));
             report_age.is_some_and(|age| age < AGENT_REPORT_TIMEOUT)
@@ -230,12 +233,12 @@
                 cooldown_end = cooldown_end.into_iter().chain([end]).min();
                 continue;
             }
-            if let Some(end) = endpoint_state.probe_end(now) {
+            if let Some(end) = endpoint_state.probe_timeout_at(now) {
                 cooldown_end = cooldown_end.into_iter().chain([end]).min();
                 continue;
             }
             if endpoint_state.open_connections >= max_connections
-                && endpoint_state.pool.is_empty()
+                && endpoint_state.connection_pool.has_no_idle_connection()
             {
                 continue;
             }
@@ -252,20 +255,21 @@
                 stats: &endpoint_state.request_stats,
                 slots: target.slots,
                 locality,
-                service_time_percent: group.map_or(100, |it| it.pace_percent),
+                service_time_percent: group
+                    .map_or(100, |it| it.service_time_percent),
                 latency_ms,
             };
-            let cost = pick::expected_cost_ms(&candidate, now);
+            let cost_ms = pick::expected_cost_ms(&candidate, now);
             let rate_limit = endpoint_state.rate_limit.rate();
             let needs = rate_limit
                 .filter(|it| !endpoint_state.has_spare_permit(*it, now));
             let permit_at =
                 needs.map(|_| endpoint_state.next_permit_request_at);
             drop(endpoint_state);
-            let choice = Choice {
+            let choice = ChosenTarget {
                 target: target.clone(),
                 endpoint,
-                cost,
+                cost_ms,
                 max_connections,
                 rate_limit,
                 permit: None,
@@ -273,17 +277,17 @@
             scored.push(ScoredTarget { choice, permit_at });
         }
         let limited = scored.iter().any(|it| it.choice.rate_limit.is_some());
-        let equal_share_per_second = if limited {
-            self.equal_share_per_second(service, targets, now)
+        let equal_share_requests_per_second = if limited {
+            self.equal_share_requests_per_second(service, targets, now)
         } else {
             0.0
         };
-        Candidates {
+        CandidateSnapshot {
             scored,
             observed_at: now,
             usual,
             unreported_requests,
-            equal_share_per_second,
+            equal_share_requests_per_second,
             eligible_count,
             cooling_count,
             cooldown_end,
@@ -292,16 +296,17 @@
 
     /// Requests a second that each target of a service would get from all
     /// entries if all targets got equally many.
-    fn equal_share_per_second(
+    fn equal_share_requests_per_second(
         &self,
         service: &str,
         targets: usize,
         now: Millis,
     ) -> f64 {
-        let entries = self.peers.borrow().entry_count() as f64;
+        let entries = self.peers.borrow().entry_process_count() as f64;
         let budgets = self.retry_budgets.borrow();
         let usual = budgets.get(service);
-        let usual = usual.map_or(0.0, |it| it.expected_requests(SECOND, now));
+        let usual =
+            usual.map_or(0.0, |it| it.expected_requests(ONE_SECOND, now));
         usual * entries / targets.max(1) as f64
     }
 
@@ -315,13 +320,14 @@
         records: &[TargetStats],
         now: Millis,
     ) -> f64 {
-        let others = (self.peers.borrow().entry_count() - 1) as f64;
+        let others = (self.peers.borrow().entry_process_count() - 1) as f64;
         let sent: u32 =
             records.iter().map(TargetStats::sent_since_report).sum();
         let budgets = self.retry_budgets.borrow();
         let usual = budgets.get(service);
-        let usual = usual
-            .map_or(0.0, |it| it.expected_requests(UNREPORTED_INTERVAL, now));
+        let usual = usual.map_or(0.0, |it| {
+            it.expected_requests(UNREPORTED_REQUEST_INTERVAL, now)
+        });
         usual.max(f64::from(sent)) * others
     }
 
@@ -334,22 +340,22 @@
         else {
             return usize::MAX;
         };
-        let entries = self.peers.borrow().entry_count();
-        (max_connections as usize / entries).max(MIN_CONNECTIONS)
+        let entries = self.peers.borrow().entry_process_count();
+        (max_connections as usize / entries).max(MIN_CONNECTIONS_PER_TARGET)
     }
 }
 
-const SECOND: Millis = Millis(1_000);
+const ONE_SECOND: Millis = Millis(1_000);
 
 /// How long the probe after a cooldown is awaited before another request is
 /// sent.
-const PROBE_TIMEOUT: Millis = Millis(400);
+const RECOVERY_PROBE_TIMEOUT: Millis = Millis(400);
 
 /// The time for which requests of other entries are estimated: two report
 /// intervals of an agent. `cowsliproad-bench routing` compares this interval
 /// with others.
-const UNREPORTED_INTERVAL: Millis = Millis(800);
+const UNREPORTED_REQUEST_INTERVAL: Millis = Millis(800);
 
 /// Connections to one target that every entry may open, however many entries
 /// share the service's limit.
-const MIN_CONNECTIONS: usize = 1;
+const MIN_CONNECTIONS_PER_TARGET: usize = 1;
--- a/cowsliproad-direct/src/entry/groups.rs
+++ b/cowsliproad-direct/src/entry/groups.rs
@@ -4,7 +4,7 @@
 use cowsliproad_routing::formation::Formation;
 use slog::info;
 
-use super::{Choice, Entry, Group};
+use super::{ChosenTarget, Entry, GroupReport};
 
 impl Entry {
     /// Records that a target called its group broken. All ranks of a broken
@@ -12,10 +12,10 @@
     /// to any rank before an agent reports a new formation. Each rank would
     /// refuse a request that can wait here, and each refusal would draw on the
     /// retry budget.
-    pub fn record_broken_group(&self, choice: &Choice) {
+    pub fn record_broken_group(&self, choice: &ChosenTarget) {
         let endpoint = choice.endpoint.borrow();
         let Some(group) = &endpoint.group else { return };
-        self.merge_formation(&group.name, group.epoch, false);
+        self.merge_formation(&group.group_name, group.formation_epoch, false);
     }
 
     /// Merges a rank's report on its group. A group that accepts requests does
@@ -24,60 +24,62 @@
     pub fn merge_formation(
         &self,
         group: &Name,
-        epoch: u64,
+        formation_epoch: u64,
         accepts_requests: bool,
     ) {
         let mut formations = self.formations.borrow_mut();
-        let new = Formation::new(epoch, accepts_requests);
+        let new = Formation::new(formation_epoch, accepts_requests);
         let known = formations.entry(group.clone()).or_insert(new);
-        if known.merge_rank_report(epoch, accepts_requests) {
+        if known.merge_rank_report(formation_epoch, accepts_requests) {
             info!(self.log, "group_stands"; "group" => &**group,
-                "epoch" => epoch, "open" => accepts_requests);
+                "epoch" => formation_epoch, "open" => accepts_requests);
         }
     }
 
     /// Records that a rank's process is gone. A forward pass needs all ranks,
     /// so the other ranks begin nothing, though their engines report it only
     /// after waiting in vain for the lost rank.
-    pub fn record_rank_exit(&self, group: &Group, now: Millis) {
+    pub fn record_rank_exit(&self, group: &GroupReport, now: Millis) {
         let mut formations = self.formations.borrow_mut();
-        let Some(known) = formations.get_mut(&group.name) else { return };
-        if known.halt_for_lost_rank(group.epoch, now) {
-            info!(self.log, "group_halted"; "group" => &*group.name,
-                "epoch" => group.epoch);
+        let Some(known) = formations.get_mut(&group.group_name) else {
+            return;
+        };
+        if known.halt_for_lost_rank(group.formation_epoch, now) {
+            info!(self.log, "group_halted"; "group" => &*group.group_name,
+                "epoch" => group.formation_epoch);
         }
     }
 
     /// Records a forward pass that a rank reports. A group that goes on with
     /// passes has lost no rank.
-    pub fn record_pass(
+    pub fn record_forward_pass(
         &self,
         group: &Name,
-        epoch: u64,
+        formation_epoch: u64,
         pass: u64,
         now: Millis,
     ) {
         let mut formations = self.formations.borrow_mut();
         let Some(known) = formations.get_mut(group) else { return };
-        if known.record_reported_step(epoch, pass, now) {
+        if known.record_reported_step(formation_epoch, pass, now) {
             info!(self.log, "group_goes_on"; "group" => &**group,
-                "epoch" => epoch, "step" => pass);
+                "epoch" => formation_epoch, "step" => pass);
         }
     }
 
     /// Whether a group accepts requests, by the newest known formation.
     pub(super) fn group_accepts_requests(
         &self,
-        group: &Group,
+        group: &GroupReport,
         now: Millis,
     ) -> bool {
         let formations = self.formations.borrow();
-        let newest = formations.get(&group.name);
+        let newest = formations.get(&group.group_name);
         newest.map_or(group.accepts_requests, |it| it.accepts_requests(now))
     }
 
     /// Whether the agent on a target's VM has reported recently.
-    pub fn has_recent_agent_report(&self, choice: &Choice) -> bool {
+    pub fn has_recent_agent_report(&self, choice: &ChosenTarget) -> bool {
         let now = Millis::now();
         let endpoint = choice.endpoint.borrow();
         let group = endpoint.group.as_ref();
@@ -87,10 +89,10 @@
 
     /// The highest forward pass that any group of a service is known to have
     /// begun.
-    pub fn last_pass_of(&self, service: &str) -> u64 {
+    pub fn highest_forward_pass(&self, service: &str) -> u64 {
         let mut last = 0;
         self.for_each_group(service, |group| {
-            last = last.max(group.map_or(0, |it| it.last_pass));
+            last = last.max(group.map_or(0, |it| it.last_forward_pass));
         });
         last
     }
@@ -100,7 +102,7 @@
     pub fn for_each_group(
         &self,
         service: &str,
-        mut visit: impl FnMut(Option<&Group>),
+        mut visit: impl FnMut(Option<&GroupReport>),
     ) {
         let (fleet, endpoints) =
             (self.fleet.borrow(), self.endpoints.borrow());
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -24,44 +24,44 @@
 use tokio::time::sleep;
 
 use crate::{
-    entry::{Entry, Source},
+    entry::{ChangeSource, Entry},
     peers,
 };
 
 /// How long the log may hold a long poll for the configuration. A dead
 /// connection is noticed when this time is over; other entries send new
 /// versions sooner.
-const POLL_TIMEOUT: Millis = Millis(15_000);
+const LONG_POLL_TIMEOUT: Millis = Millis(15_000);
 
 /// The first backoff after a failed call; each further failure doubles the
 /// backoff.
-const MIN_BACKOFF: Millis = Millis(150);
+const MIN_LOG_CALL_BACKOFF: Millis = Millis(150);
 
 /// The longest backoff after failed calls.
-const MAX_BACKOFF: Millis = Millis(1_200);
+const MAX_LOG_CALL_BACKOFF: Millis = Millis(1_200);
 
 /// The least time between two calls for one topic, so that a burst of new
 /// configurations costs no more than 20 calls a second; only the newest
 /// version counts.
-const MIN_READ_INTERVAL: Millis = Millis(50);
+const MIN_CONFIG_READ_INTERVAL: Millis = Millis(50);
 
 /// How often some entry reads the targets, in percent of the time in which a
 /// leaving target must be known. Two reads may be late or lost before a target
 /// gets requests for too long.
-const READ_INTERVAL_PERCENT: u64 = 40;
+const TARGETS_READ_INTERVAL_PERCENT: u64 = 40;
 
 /// Successes and failures of one task's calls to the log.
 #[derive(Debug)]
-pub struct LogContact {
+pub struct LogCallStatus {
     topic: &'static str,
     last_success: Millis,
     failures: u32,
 }
 
-impl LogContact {
+impl LogCallStatus {
     /// Creates the contact of a task that has made no calls yet.
-    pub fn new(topic: &'static str) -> LogContact {
-        LogContact { topic, last_success: Millis::now(), failures: 0 }
+    pub fn new(topic: &'static str) -> LogCallStatus {
+        LogCallStatus { topic, last_success: Millis::now(), failures: 0 }
     }
 
     /// Records a successful call and resets the backoff.
@@ -86,9 +86,9 @@
             warn!(entry.log, "log_lost"; "topic" => self.topic,
                 "error" => %error);
         }
-        let doubled = MIN_BACKOFF.0 << self.failures.min(4);
+        let doubled = MIN_LOG_CALL_BACKOFF.0 << self.failures.min(4);
         self.failures += 1;
-        let pause = doubled.min(MAX_BACKOFF.0);
+        let pause = doubled.min(MAX_LOG_CALL_BACKOFF.0);
         sleep(jittered(Millis(pause)).duration()).await;
     }
 }
@@ -105,7 +105,7 @@
 pub struct TopicReader {
     topic: &'static str,
     client: Client,
-    contact: LogContact,
+    contact: LogCallStatus,
     next_position: Option<Position>,
     has_read: bool,
 }
@@ -138,7 +138,7 @@
         TopicReader {
             topic,
             client: Client::new(entry.settings().log_address),
-            contact: LogContact::new(topic),
+            contact: LogCallStatus::new(topic),
             next_position: None,
             has_read: false,
         }
@@ -146,17 +146,17 @@
 
     /// Reads the next records. The log may hold the call for up to `hold`
     /// until there is a record.
-    pub async fn read_next(
+    pub async fn read_next_records(
         &mut self,
         entry: &Entry,
         max_hold: Millis,
     ) -> Result<TopicRead, Error> {
-        let is_old = |it: Position| it.era < entry.rollbacks.era();
+        let is_old = |it: Position| it.era < entry.rollbacks.newest_era();
         if self.next_position.is_some_and(is_old) {
             self.next_position = None;
-            sleep(entry.reread_delay().duration()).await;
+            sleep(entry.draw_reread_delay().duration()).await;
         }
-        let era = entry.rollbacks.era();
+        let era = entry.rollbacks.newest_era();
         self.client.raise_era(era);
         let call = async {
             match self.next_position {
@@ -170,7 +170,7 @@
             read = call => read,
             () = entry.rollbacks.wait_for_era_after(era) => Err(Error::RolledBack),
         };
-        entry.observe_era(self.client.era(), Source::Log);
+        entry.observe_log_era(self.client.era(), ChangeSource::Log);
         let Page { next_position: next, records } = read?;
         self.contact.record_success(entry);
         let scope = match self.next_position.replace(next) {
@@ -198,21 +198,25 @@
 }
 
 /// Follows the configuration topic; never returns.
-pub async fn follow_catalog(entry: Rc<Entry>) {
+pub async fn follow_config_topic(entry: Rc<Entry>) {
     let mut reader = TopicReader::new(&entry, log::CONFIG_TOPIC);
     let mut called = Millis(0);
     loop {
-        let pause = (called + MIN_READ_INTERVAL).since(Millis::now());
+        let pause = (called + MIN_CONFIG_READ_INTERVAL).since(Millis::now());
         sleep(pause.duration()).await;
         called = Millis::now();
-        match reader.read_next(&entry, POLL_TIMEOUT).await {
+        match reader.read_next_records(&entry, LONG_POLL_TIMEOUT).await {
             Ok(reading) => {
                 let before = entry.catalog_version();
                 adopt_newest_catalog(&entry, &reading.records).await;
                 if reading.scope != ReadScope::New {
                     let new = usize::from(entry.catalog_version() > before);
                     let records = reading.records.len();
-                    entry.record_full_read(log::CONFIG_TOPIC, records, new);
+                    entry.record_full_topic_read(
+                        log::CONFIG_TOPIC,
+                        records,
+                        new,
+                    );
                 }
             }
             Err(error) => reader.prepare_retry(&entry, &error).await,
@@ -227,7 +231,11 @@
         match catalog::decode(raw) {
             Ok(catalog) => {
                 peers::wait_for_newest_catalog(entry, catalog.version()).await;
-                return entry.adopt_catalog(catalog, raw.clone(), Source::Log);
+                return entry.adopt_catalog(
+                    catalog,
+                    raw.clone(),
+                    ChangeSource::Log,
+                );
             }
             Err(error) => {
                 warn!(entry.log, "catalog_refused"; "error" => %error);
@@ -237,16 +245,16 @@
 }
 
 /// Follows the targets topic; never returns.
-pub async fn follow_targets(entry: Rc<Entry>) {
+pub async fn follow_targets_topic(entry: Rc<Entry>) {
     let mut reader = TopicReader::new(&entry, log::TARGETS_TOPIC);
     loop {
         wait_until_read_is_due(&entry).await;
         let begun = Millis::now();
-        match reader.read_next(&entry, Millis(0)).await {
+        match reader.read_next_records(&entry, Millis(0)).await {
             Ok(reading) => {
                 let now = Millis::now();
                 let found = entry
-                    .readings
+                    .log_read_schedule
                     .borrow_mut()
                     .record_own_read(now, reading.end_position);
                 entry.extend_leases_after_gap(found, now);
@@ -262,7 +270,10 @@
             }
             Err(error) => {
                 if !matches!(error, Error::Expired | Error::RolledBack) {
-                    entry.readings.borrow_mut().mark_log_unreachable();
+                    entry
+                        .log_read_schedule
+                        .borrow_mut()
+                        .mark_log_unreachable();
                 }
                 reader.prepare_retry(&entry, &error).await;
             }
@@ -273,12 +284,16 @@
 /// Waits until the latest read of the targets by any entry is too old, or
 /// until a target's lease ends unless it is renewed.
 async fn wait_until_read_is_due(entry: &Rc<Entry>) {
-    let period =
-        Millis(entry.settings().drain_ms.0 * READ_INTERVAL_PERCENT / 100);
+    let period = Millis(
+        entry.settings().drain_ms.0 * TARGETS_READ_INTERVAL_PERCENT / 100,
+    );
     let max_age = jittered(period);
     loop {
         let now = Millis::now();
-        let wait = entry.readings.borrow().time_until_next_read(max_age, now);
+        let wait = entry
+            .log_read_schedule
+            .borrow()
+            .time_until_next_read(max_age, now);
         let lapse = entry.fleet.borrow().next_withdrawal();
         let wait = lapse.map_or(wait, |at| wait.min(at.since(now)));
         if wait == Millis(0) {
@@ -286,7 +301,7 @@
         }
         tokio::select! {
             () = sleep(wait.duration()) => {}
-            () = entry.read_wakeup.notified() => {}
+            () = entry.targets_read_wakeup.notified() => {}
         }
     }
 }
@@ -297,20 +312,20 @@
     let records = &reading.records;
     let changes = records
         .iter()
-        .map(|it| apply_announcement(entry, it, now, Source::Log))
+        .map(|it| apply_announcement(entry, it, now, ChangeSource::Log))
         .filter(|it| *it != TargetChange::None)
         .count();
     if reading.scope == ReadScope::New {
         return;
     }
-    entry.record_full_read(log::TARGETS_TOPIC, records.len(), changes);
+    entry.record_full_topic_read(log::TARGETS_TOPIC, records.len(), changes);
     if reading.scope == ReadScope::First {
         // Other entries announced the targets known so far, and the log may be
         // an older copy that lacks them.
         entry.fleet.borrow_mut().start_renewal_grace(now);
     }
     let listed: HashMap<&str, StartTime> =
-        records.iter().filter_map(announced_start).collect();
+        records.iter().filter_map(announced_start_time).collect();
     let gone = entry
         .fleet
         .borrow_mut()
@@ -320,7 +335,7 @@
 
 /// The start of the target that a record announces. A malformed record may
 /// hide a target, and counts as the target's newest start.
-fn announced_start(record: &Record) -> Option<(&str, StartTime)> {
+fn announced_start_time(record: &Record) -> Option<(&str, StartTime)> {
     let raw = record.value.as_ref()?;
     let start = target::decode(&record.key, raw).map(|it| it.start);
     Some((&record.key, start.unwrap_or(StartTime(u64::MAX))))
@@ -328,7 +343,7 @@
 
 fn record_left_targets(entry: &Entry, gone: &[Name]) {
     for id in gone {
-        entry.apply_target_change(id, TargetChange::Left, Source::Log);
+        entry.apply_target_change(id, TargetChange::Left, ChangeSource::Log);
     }
 }
 
@@ -338,14 +353,14 @@
     entry: &Entry,
     record: &Record,
     now: Millis,
-    source: Source,
+    source: ChangeSource,
 ) -> TargetChange {
     let change = match &record.value {
         None => entry.fleet.borrow_mut().merge_withdrawal(&record.key, now),
         Some(raw) => match target::decode(&record.key, raw) {
             Ok(target) => {
                 let id = target.id.clone();
-                entry.check_renewal_after_crash(&target, now);
+                entry.retract_crash_on_renewal(&target, now);
                 let change =
                     entry.fleet.borrow_mut().merge_announcement(target, now);
                 if entry.fleet.borrow().is_ready(&id) {
--- a/cowsliproad-direct/src/forward.rs
+++ b/cowsliproad-direct/src/forward.rs
@@ -20,7 +20,7 @@
 };
 
 /// Forwards a caller's request to targets and returns the response.
-pub async fn respond(
+pub async fn respond_to_request(
     entry: &Rc<Entry>,
     request: Request<Incoming>,
     in_flight: InFlightRequest,
@@ -39,11 +39,11 @@
         }
         Err(response) => response,
     };
-    finish_response(entry, response, request_id, arrived)
+    log_response_and_set_request_id(entry, response, request_id, arrived)
 }
 
 /// Logs and counts a response, and sets its request id if it has none.
-fn finish_response(
+fn log_response_and_set_request_id(
     entry: &Entry,
     mut response: Response<Body>,
     request_id: Option<HeaderValue>,
--- a/cowsliproad-direct/src/lib.rs
+++ b/cowsliproad-direct/src/lib.rs
@@ -68,11 +68,12 @@
     let caller_listener = TcpListener::bind(settings.caller_address).await?;
     let readiness_listener =
         TcpListener::bind(settings.readiness_address).await?;
-    let peer_listener = TcpListener::bind(settings.peer_address()).await?;
-    let peer_socket = Rc::new(UdpSocket::bind(settings.peer_address()).await?);
+    let peer_listener = TcpListener::bind(settings.own_peer_address()).await?;
+    let peer_socket =
+        Rc::new(UdpSocket::bind(settings.own_peer_address()).await?);
     info!(log, "started"; "callers" => %settings.caller_address);
     let entry = Rc::new(Entry::new(settings, log.clone()));
-    entry.limits.borrow_mut().set_socket(peer_socket.clone());
+    entry.limits.borrow_mut().set_permit_socket(peer_socket.clone());
     let readiness_server = readiness::serve_queries(
         entry.clone(),
         readiness_listener,
@@ -82,7 +83,7 @@
     let state_server = readiness::serve_queries(
         entry.clone(),
         peer_listener,
-        peers::serve_state,
+        peers::serve_entry_state,
     );
     tokio::task::spawn_local(state_server);
     tokio::task::spawn_local(peers::receive_datagrams(
@@ -93,15 +94,17 @@
         entry.clone(),
         peer_socket,
     ));
-    tokio::task::spawn_local(follow::follow_catalog(entry.clone()));
-    tokio::task::spawn_local(follow::follow_targets(entry.clone()));
-    tokio::task::spawn_local(quarantine::follow_quarantine(entry.clone()));
+    tokio::task::spawn_local(follow::follow_config_topic(entry.clone()));
+    tokio::task::spawn_local(follow::follow_targets_topic(entry.clone()));
+    tokio::task::spawn_local(quarantine::follow_quarantine_topic(
+        entry.clone(),
+    ));
     tokio::task::spawn_local(quarantine::write_quarantine_records(
         entry.clone(),
     ));
     let reloading_entry = entry.clone();
     let settings_watch = program::watch_settings(settings_path, move |read| {
-        reloading_entry.reload(read)
+        reloading_entry.reload_settings(read)
     });
     tokio::task::spawn_local(settings_watch);
     callers::serve_callers(&entry, caller_listener).await?;
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -36,21 +36,21 @@
 use crate::{
     attempt::Attempt,
     call::AttemptError,
-    entry::{Choice, Endpoint, Entry, Recovery, Source},
+    entry::{ChangeSource, ChosenTarget, CooldownRecovery, Endpoint, Entry},
 };
 
 /// How often a permit request may be forwarded: to the supposed owner, and
 /// from there to the owner that it knows.
-const MAX_FORWARDS: u8 = 2;
+const MAX_PERMIT_REQUEST_FORWARDS: u8 = 2;
 
 /// The timeout for a reply to a permit request that isn't forwarded.
-const REPLY_TIMEOUT: Millis = Millis(120);
+const PERMIT_REPLY_TIMEOUT: Millis = Millis(120);
 
 /// The timeout for a reply if the caller's request can go to another target.
-const SHORT_REPLY_TIMEOUT: Millis = Millis(40);
+const SHORT_PERMIT_REPLY_TIMEOUT: Millis = Millis(40);
 
 /// How long an entry that didn't reply is passed over as owner.
-const UNRESPONSIVE_TTL: Millis = Millis(2_000);
+const UNRESPONSIVE_OWNER_TTL: Millis = Millis(2_000);
 
 /// Entries that are asked for the same permit. Each may be gone.
 const MAX_OWNERS_ASKED: usize = 2;
@@ -66,18 +66,18 @@
 
 /// How long a limit of an unknown target is kept: the target is announced by
 /// then.
-const UNKNOWN_TARGET_TTL: Millis = Millis(10_000);
+const UNKNOWN_TARGET_LIMIT_TTL: Millis = Millis(10_000);
 
 /// Limits in one digest, some 40 bytes each.
 const MAX_LIMITS_PER_DIGEST: usize = 256;
 
 /// The least time between immediate broadcasts of changed limits, however
 /// often targets change them.
-const MIN_BROADCAST_INTERVAL: Millis = Millis(100);
+const MIN_LIMIT_BROADCAST_INTERVAL: Millis = Millis(100);
 
 /// Which limits and suspended work a digest holds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum UpdateScope {
+pub enum DigestScope {
     /// Only recent changes.
     Changed,
     /// All limits and all suspended work.
@@ -87,7 +87,7 @@
 /// Rate limiters of targets, and permit requests to other entries that await a
 /// reply.
 #[derive(Default)]
-pub struct Limits {
+pub struct RateLimits {
     socket: Option<Rc<UdpSocket>>,
     limiters: HashMap<Name, (StartTime, limit::Limiter)>,
     pending_requests: HashMap<u64, oneshot::Sender<PermitReply>>,
@@ -96,7 +96,7 @@
     last_broadcast: Millis,
 }
 
-impl fmt::Debug for Limits {
+impl fmt::Debug for RateLimits {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter
             .debug_struct("Limits")
@@ -106,9 +106,9 @@
     }
 }
 
-impl Limits {
+impl RateLimits {
     /// Sets the socket for permit requests and replies.
-    pub fn set_socket(&mut self, socket: Rc<UdpSocket>) {
+    pub fn set_permit_socket(&mut self, socket: Rc<UdpSocket>) {
         self.socket = Some(socket);
     }
 
@@ -116,7 +116,7 @@
     fn store_early_limit(&mut self, limit: &RateLimit, now: Millis) {
         if self.early_limits.len() >= MAX_LIMITS_PER_DIGEST {
             self.early_limits
-                .retain(|_, it| now.since(it.1) < UNKNOWN_TARGET_TTL);
+                .retain(|_, it| now.since(it.1) < UNKNOWN_TARGET_LIMIT_TTL);
         }
         if self.early_limits.len() < MAX_LIMITS_PER_DIGEST {
             self.early_limits
@@ -130,7 +130,7 @@
     }
 }
 
-impl Choice {
+impl ChosenTarget {
     /// Whether a request may be sent to the chosen target now: the target has
     /// no limit, or the request holds a valid permit.
     pub fn may_send(&self, now: Millis) -> bool {
@@ -146,13 +146,13 @@
 
     /// Records a failed attempt at the chosen target: returns an unused
     /// permit, restarts an unused probe, and counts the failure.
-    pub fn on_attempt_failed(&self, entry: &Entry, error: &AttemptError) {
+    pub fn record_failed_attempt(&self, entry: &Entry, error: &AttemptError) {
         if matches!(error, AttemptError::Unsent(_) | AttemptError::Withheld(_))
         {
             self.return_permit();
             let mut endpoint = self.endpoint.borrow_mut();
-            if matches!(endpoint.recovery, Recovery::Probed(_)) {
-                endpoint.recovery = Recovery::Pending;
+            if matches!(endpoint.recovery, CooldownRecovery::Probed(_)) {
+                endpoint.recovery = CooldownRecovery::Pending;
             }
         }
         let now = Millis::now();
@@ -198,7 +198,7 @@
 /// valid within `patience`.
 pub async fn acquire_permit(
     entry: &Rc<Entry>,
-    choice: &mut Choice,
+    choice: &mut ChosenTarget,
     patience: Millis,
 ) -> bool {
     let Some(rate) = choice.rate_limit else { return true };
@@ -213,11 +213,14 @@
     let task = request_permit(entry.clone(), choice.clone(), patience, sender);
     tokio::task::spawn_local(task);
     let wait = match patience {
-        Millis(0) => SHORT_REPLY_TIMEOUT,
-        _ => Millis(REPLY_TIMEOUT.0 * u64::from(MAX_FORWARDS + 1)),
+        Millis(0) => SHORT_PERMIT_REPLY_TIMEOUT,
+        _ => Millis(
+            PERMIT_REPLY_TIMEOUT.0
+                * u64::from(MAX_PERMIT_REQUEST_FORWARDS + 1),
+        ),
     };
     let Ok(Ok(Some(permit))) = timeout(wait.duration(), given).await else {
-        entry.metrics.record_permit_request("none");
+        entry.metrics.record_permit_outcome("none");
         return false;
     };
     let mut held = PendingPermit {
@@ -229,7 +232,7 @@
         () = entry.wait_for_cooldown(&choice.target) => return false,
     }
     choice.permit = held.permit.take();
-    entry.metrics.record_permit_request("permit");
+    entry.metrics.record_permit_outcome("permit");
     true
 }
 
@@ -250,12 +253,17 @@
 /// longer waits.
 async fn request_permit(
     entry: Rc<Entry>,
-    choice: Choice,
+    choice: ChosenTarget,
     patience: Millis,
     given: oneshot::Sender<Option<Permit>>,
 ) {
-    let verdict =
-        decide_permit(&entry, &choice.target, patience, MAX_FORWARDS).await;
+    let verdict = decide_permit(
+        &entry,
+        &choice.target,
+        patience,
+        MAX_PERMIT_REQUEST_FORWARDS,
+    )
+    .await;
     let now = Millis::now();
     let mut endpoint = choice.endpoint.borrow_mut();
     endpoint.permit_requested = false;
@@ -298,9 +306,16 @@
         let owner = entry.peers.borrow().limiter_owner(target, &zone, now);
         let other = match owner {
             // The asking entry waits for one forwarded request, not for two.
-            LimitOwner::Remote(_) if asked > 0 && hops < MAX_FORWARDS => break,
+            LimitOwner::Remote(_)
+                if asked > 0 && hops < MAX_PERMIT_REQUEST_FORWARDS =>
+            {
+                break;
+            }
             LimitOwner::Remote(other) if hops > 0 => other,
-            _ => return entry.decide_as_owner(target, owner, patience, now),
+            _ => {
+                return entry
+                    .decide_permit_as_owner(target, owner, patience, now);
+            }
         };
         match request_permit_from(entry, other, target, patience, hops - 1)
             .await
@@ -308,7 +323,7 @@
             Some(it) if it.granted => return PermitDecision::Permit(it.wait),
             Some(it) => return PermitDecision::Later(it.wait),
             None => {
-                let until = Millis::now() + UNRESPONSIVE_TTL;
+                let until = Millis::now() + UNRESPONSIVE_OWNER_TTL;
                 entry.peers.borrow_mut().mark_unresponsive(other, until);
                 info!(entry.log, "keeper_mute"; "peer" => %other,
                     "target" => &*target.id);
@@ -327,7 +342,7 @@
     hops: u8,
 ) -> Option<PermitReply> {
     let id = rand::random();
-    let limit = entry.current_limit(target, Millis::now());
+    let limit = entry.current_rate_limit(target, Millis::now());
     let request = PermitRequest {
         request_id: id,
         limit,
@@ -337,7 +352,7 @@
     let (sender, reply) = oneshot::channel();
     entry.limits.borrow_mut().pending_requests.insert(id, sender);
     entry.send_permit_message(Datagram::PermitRequest(request), other).await;
-    let wait = Millis(REPLY_TIMEOUT.0 * (u64::from(hops) + 1));
+    let wait = Millis(PERMIT_REPLY_TIMEOUT.0 * (u64::from(hops) + 1));
     let reply = timeout(wait.duration(), reply).await;
     entry.limits.borrow_mut().pending_requests.remove(&id);
     reply.ok()?.ok()
@@ -351,7 +366,7 @@
 ) {
     entry.merge_limit(&request.limit, Millis::now());
     let entry = entry.clone();
-    let hops = request.forwards_left.min(MAX_FORWARDS - 1);
+    let hops = request.forwards_left.min(MAX_PERMIT_REQUEST_FORWARDS - 1);
     tokio::task::spawn_local(async move {
         let target = entry.fleet.borrow().get(&request.limit.target).cloned();
         let same = target
@@ -361,7 +376,7 @@
                 let verdict =
                     decide_permit(&entry, &target, request.max_wait, hops)
                         .await;
-                (verdict, entry.current_limit(&target, Millis::now()))
+                (verdict, entry.current_rate_limit(&target, Millis::now()))
             }
             // The target's announcement has not arrived here yet.
             None => {
@@ -386,7 +401,7 @@
     /// Applies the rate limit in the headers of a target's answer.
     pub fn apply_limit_header(
         &self,
-        choice: &Choice,
+        choice: &ChosenTarget,
         attempt: &Attempt,
         headers: &HeaderMap,
     ) {
@@ -401,7 +416,11 @@
             warn!(self.log, "limit_refused"; "target" => &*choice.target.id,
                 "limit" => ?named);
         }
-        self.on_limit_change(&choice.target.id, observed.change, Source::Own);
+        self.on_limit_change(
+            &choice.target.id,
+            observed.change,
+            ChangeSource::Own,
+        );
     }
 
     /// Merges the rate limits in another entry's digest.
@@ -422,10 +441,10 @@
             return;
         }
         let report = LimitReport { rate, age: limit.in_force_for };
-        let endpoint = self.endpoint(&limit.target);
+        let endpoint = self.endpoint_or_insert(&limit.target);
         let change =
             endpoint.borrow_mut().rate_limit.merge_report(report, now);
-        self.on_limit_change(&limit.target, change, Source::Peer);
+        self.on_limit_change(&limit.target, change, ChangeSource::Peer);
     }
 
     /// Applies a limit that arrived before its target was known here.
@@ -441,7 +460,7 @@
         &self,
         target: &Name,
         change: LimitChange,
-        source: Source,
+        source: ChangeSource,
     ) {
         if change == LimitChange::None {
             return;
@@ -463,16 +482,16 @@
         // one digest reaches.
         let now = Millis::now();
         let mut limits = self.limits.borrow_mut();
-        if now.since(limits.last_broadcast) >= MIN_BROADCAST_INTERVAL {
+        if now.since(limits.last_broadcast) >= MIN_LIMIT_BROADCAST_INTERVAL {
             limits.last_broadcast = now;
             self.digest_wakeup.notify_one();
         }
     }
 
     /// The limits to include in a digest.
-    pub fn limit_updates(
+    pub fn limits_for_digest(
         &self,
-        scope: UpdateScope,
+        scope: DigestScope,
         now: Millis,
     ) -> Vec<RateLimit> {
         let fleet = self.fleet.borrow();
@@ -483,8 +502,8 @@
             let is_recent =
                 now.since(limit.changed_at()) < LIMIT_BROADCAST_TTL;
             let is_included = match scope {
-                UpdateScope::Changed => is_recent,
-                UpdateScope::All => is_recent || report.rate.is_some(),
+                DigestScope::Changed => is_recent,
+                DigestScope::All => is_recent || report.rate.is_some(),
             };
             is_included.then(|| encode_limit(target, report))
         };
@@ -506,25 +525,33 @@
     }
 
     /// The known limit of a target, or an unlimited rate of the greatest age.
-    fn current_limit(&self, target: &Target, now: Millis) -> RateLimit {
-        let report = self.endpoint(&target.id).borrow().rate_limit.report(now);
+    fn current_rate_limit(&self, target: &Target, now: Millis) -> RateLimit {
+        let report = self
+            .endpoint_or_insert(&target.id)
+            .borrow()
+            .rate_limit
+            .report(now);
         let never = LimitReport { rate: None, age: Millis(u64::MAX) };
         encode_limit(target, report.unwrap_or(never))
     }
 
     /// Grants or refuses a permit as the owner of the target's limiter.
-    fn decide_as_owner(
+    fn decide_permit_as_owner(
         &self,
         target: &Target,
         owner: LimitOwner<SocketAddr>,
         patience: Millis,
         now: Millis,
     ) -> PermitDecision {
-        let report = self.endpoint(&target.id).borrow().rate_limit.report(now);
+        let report = self
+            .endpoint_or_insert(&target.id)
+            .borrow()
+            .rate_limit
+            .report(now);
         let Some(LimitReport { rate: Some(rate), age }) = report else {
             return PermitDecision::Permit(Millis(0));
         };
-        let share = self.peers.borrow().reachable_share(now);
+        let share = self.peers.borrow().reachable_entry_fraction(now);
         let new = (target.start, limit::Limiter::new(rate, age, now));
         let mut limits = self.limits.borrow_mut();
         let kept = limits.limiters.entry(target.id.clone()).or_insert(new);
--- a/cowsliproad-direct/src/measure.rs
+++ b/cowsliproad-direct/src/measure.rs
@@ -77,12 +77,12 @@
 
     /// Records a quarantine event: work was refused, suspended or freed, or a
     /// request for refused work was rejected.
-    pub fn record_quarantine(&self, outcome: &'static str) {
+    pub fn record_quarantine_event(&self, outcome: &'static str) {
         self.quarantined.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
     /// Records the outcome of a permit request at a rate-limited target.
-    pub fn record_permit_request(&self, outcome: &'static str) {
+    pub fn record_permit_outcome(&self, outcome: &'static str) {
         self.limited.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Renders all metrics as text.
-    pub fn text(&self) -> String {
+    pub fn render_text(&self) -> String {
         self.metrics.text()
     }
 }
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -29,38 +29,38 @@
 
 use crate::{
     call::{COOLDOWN_PROBE_PERIOD, MAX_COOLDOWN_STAGGER},
-    entry::{Entry, Source},
-    limits::{self, UpdateScope},
+    entry::{ChangeSource, Entry},
+    limits::{self, DigestScope},
     settings::Settings,
 };
 
 mod agents;
 mod state;
 
-pub use self::state::serve_state;
+pub use self::state::serve_entry_state;
 
 /// The interval between digests. Two digests may be lost before an entry that
 /// can't read the log misses a change for longer than allowed.
-const BROADCAST_INTERVAL: Millis = Millis(500);
+const DIGEST_INTERVAL: Millis = Millis(500);
 
 /// Digest rounds between requests to the agents to report. When targets
 /// joined, agents are asked at once: after a restart of all processes they
 /// wait for the request.
-const AGENT_REQUEST_ROUNDS: u32 = 2;
+const DIGEST_ROUNDS_PER_AGENT_REQUEST: u32 = 2;
 
 /// Digest rounds between full digests, which hold all limits and all suspended
 /// work; the other digests hold only recent changes.
-const FULL_DIGEST_ROUNDS: u32 = 8;
+const DIGEST_ROUNDS_PER_FULL_DIGEST: u32 = 8;
 
 /// Recipients of one digest. With more entries, changes spread over several
 /// digests.
-const MAX_RECIPIENTS: usize = 16;
+const MAX_DIGEST_RECIPIENTS: usize = 16;
 
 /// An entry that has sent no digest for this time is forgotten.
 const PEER_TTL: Millis = Millis(12_000);
 
 /// How long the departure of a target is broadcast.
-const DEPARTURE_TTL: Millis = Millis(8_000);
+const DEPARTURE_BROADCAST_TTL: Millis = Millis(8_000);
 
 /// How long an entry that starts waits for digests of all seeds.
 const SEED_DIGEST_TIMEOUT: Millis = Millis(400);
@@ -97,10 +97,10 @@
     /// Creates the state before any digest has arrived.
     pub fn new(settings: &Settings) -> Peers {
         let mut peers = Peers {
-            own_address: settings.peer_address(),
+            own_address: settings.own_peer_address(),
             seeds: Vec::new(),
             known_peers: BTreeMap::new(),
-            newest_config: (0, settings.peer_address()),
+            newest_config: (0, settings.own_peer_address()),
             fetching_state: false,
         };
         peers.replace_seeds(settings);
@@ -117,7 +117,7 @@
 
     /// The number of entries, including this one. Entries that can't be
     /// reached count for a while, since they continue to serve.
-    pub fn entry_count(&self) -> usize {
+    pub fn entry_process_count(&self) -> usize {
         self.known_peers.len().max(self.seeds.len()) + 1
     }
 
@@ -145,7 +145,7 @@
         own_zone: &Name,
         now: Millis,
     ) -> LimitOwner<SocketAddr> {
-        let silence = self.silence_timeout();
+        let silence = self.peer_silence_timeout();
         let own = OwnerCandidate {
             address: self.own_address,
             zone: own_zone,
@@ -172,8 +172,8 @@
     /// The part of all entries that sent a digest lately, including this one.
     /// Seeds that a new entry has had no digest from count as entries until
     /// they would have been forgotten.
-    pub fn reachable_share(&self, now: Millis) -> f64 {
-        let silence = self.silence_timeout();
+    pub fn reachable_entry_fraction(&self, now: Millis) -> f64 {
+        let silence = self.peer_silence_timeout();
         let known = self.known_peers.values();
         let reachable =
             known.filter(|it| now.since(it.last_digest_at) < silence);
@@ -192,8 +192,8 @@
         self.seeds.iter().all(|it| self.known_peers.contains_key(it))
     }
 
-    fn silence_timeout(&self) -> Millis {
-        owner::silence_timeout(self.known_peers.len(), MAX_RECIPIENTS)
+    fn peer_silence_timeout(&self) -> Millis {
+        owner::silence_timeout(self.known_peers.len(), MAX_DIGEST_RECIPIENTS)
     }
 
     /// Returns the addresses in another entry's digest that are not known yet.
@@ -204,12 +204,12 @@
         peers.iter().filter(new).copied().collect()
     }
 
-    fn pick_recipients(&mut self, now: Millis) -> Vec<SocketAddr> {
+    fn pick_digest_recipients(&mut self, now: Millis) -> Vec<SocketAddr> {
         self.known_peers
             .retain(|_, it| now.since(it.last_digest_at) < PEER_TTL);
         let known = self.known_peers.keys().copied();
         let mut recipients =
-            known.choose_multiple(&mut rand::rng(), MAX_RECIPIENTS);
+            known.choose_multiple(&mut rand::rng(), MAX_DIGEST_RECIPIENTS);
         let unknown_seeds =
             |it: &&SocketAddr| !self.known_peers.contains_key(*it);
         recipients.extend(self.seeds.iter().filter(unknown_seeds));
@@ -224,10 +224,10 @@
     let mut counted_joins = 0;
     loop {
         let now = Millis::now();
-        entry.quarantine.borrow_mut().evict_expired(now);
-        let recipients = entry.peers.borrow_mut().pick_recipients(now);
-        let all = round % FULL_DIGEST_ROUNDS == 0;
-        let scope = if all { UpdateScope::All } else { UpdateScope::Changed };
+        entry.quarantine.borrow_mut().evict_expired_records(now);
+        let recipients = entry.peers.borrow_mut().pick_digest_recipients(now);
+        let all = round % DIGEST_ROUNDS_PER_FULL_DIGEST == 0;
+        let scope = if all { DigestScope::All } else { DigestScope::Changed };
         let digest = gossip::encode(&Datagram::Digest(build_digest(
             &entry, scope, now,
         )));
@@ -246,14 +246,16 @@
         entry.metrics.set_cooling_targets(
             entry.cooldowns.borrow().active_cooldown_count(now),
         );
-        let joined = entry.joined_targets.get();
-        if round % AGENT_REQUEST_ROUNDS == 0 || joined != counted_joins {
+        let joined = entry.joined_target_count.get();
+        if round % DIGEST_ROUNDS_PER_AGENT_REQUEST == 0
+            || joined != counted_joins
+        {
             counted_joins = joined;
             agents::request_agent_reports(&entry, &socket).await;
         }
         round += 1;
         let _ = timeout(
-            BROADCAST_INTERVAL.duration(),
+            DIGEST_INTERVAL.duration(),
             entry.digest_wakeup.notified(),
         )
         .await;
@@ -262,17 +264,17 @@
 
 fn build_digest(
     entry: &Entry,
-    scope: UpdateScope,
+    scope: DigestScope,
     now: Millis,
 ) -> GossipDigest {
     let since = now
         - entry
             .rollbacks
-            .extended_departure_window(now)
-            .unwrap_or(DEPARTURE_TTL);
+            .departure_window_after_rollback(now)
+            .unwrap_or(DEPARTURE_BROADCAST_TTL);
     let fleet = entry.fleet.borrow();
     let (suspects, retracted) =
-        entry.quarantine.borrow().gossip_updates(scope, now);
+        entry.quarantine.borrow().suspects_for_digest(scope, now);
     let (mut left, mut withdrawn) = (Vec::new(), Vec::new());
     for (id, departure) in fleet.departures_since(since) {
         match departure {
@@ -286,14 +288,14 @@
     }
     GossipDigest {
         vm: entry.settings().vm.clone(),
-        address: entry.settings().peer_address(),
+        address: entry.settings().own_peer_address(),
         config_version: entry.catalog_version(),
-        log_era: entry.rollbacks.era(),
+        log_era: entry.rollbacks.newest_era(),
         targets_read_age_ms: now
-            .since(entry.readings.borrow().last_read_at())
+            .since(entry.log_read_schedule.borrow().last_read_at())
             .0,
         last_change_offset: entry
-            .readings
+            .log_read_schedule
             .borrow()
             .last_change_position()
             .offset,
@@ -303,7 +305,7 @@
         zone: entry.settings().zone.clone(),
         suspects,
         retracted_crashes: retracted,
-        limits: entry.limit_updates(scope, now),
+        limits: entry.limits_for_digest(scope, now),
     }
 }
 
@@ -359,7 +361,7 @@
     received_digest: GossipDigest,
 ) {
     let now = Millis::now();
-    entry.observe_era(received_digest.log_era, Source::Peer);
+    entry.observe_log_era(received_digest.log_era, ChangeSource::Peer);
     let left = received_digest.departed.iter();
     let left =
         left.map(|it| (&it.0, GossipedDeparture::Announced(StartTime(it.1))));
@@ -370,10 +372,10 @@
     for (id, departure) in left.chain(withdrawn) {
         let change =
             entry.fleet.borrow_mut().merge_departure(id, departure, now);
-        entry.apply_target_change(id, change, Source::Peer);
+        entry.apply_target_change(id, change, ChangeSource::Peer);
     }
     entry.record_zone_contact(&received_digest.zone, now);
-    entry.merge_suspects(
+    entry.merge_peer_suspects(
         &received_digest.suspects,
         &received_digest.retracted_crashes,
         now,
@@ -384,7 +386,7 @@
         received_digest.log_era,
         received_digest.last_change_offset,
     );
-    entry.merge_peer_read(at, changed, now);
+    entry.merge_peer_targets_read(at, changed, now);
     let (is_new, others) = {
         let mut peers = entry.peers.borrow_mut();
         (
@@ -403,7 +405,7 @@
     if is_new || starts {
         let own = gossip::encode(&Datagram::Digest(build_digest(
             entry,
-            UpdateScope::All,
+            DigestScope::All,
             now,
         )));
         for other in others.into_iter().chain([received_digest.address]) {
@@ -412,7 +414,7 @@
     }
     let behind = received_digest.config_version > entry.catalog_version()
         || received_digest.config_version > 0 && !entry.is_ready()
-        || entry.readings.borrow().needs_peer_state();
+        || entry.log_read_schedule.borrow().needs_peer_state();
     if behind && !entry.peers.borrow().fetching_state {
         entry.peers.borrow_mut().fetching_state = true;
         let entry = entry.clone();
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -18,16 +18,16 @@
 use tokio::net::UdpSocket;
 
 use super::send_datagram;
-use crate::entry::{Entry, Group, Source};
+use crate::entry::{ChangeSource, Entry, GroupReport};
 
 /// Requests in flight are woken when a target's pace crosses a multiple of
 /// this percentage.
-const PACE_STEP_PERCENT: u32 = 100;
+const SERVICE_TIME_STEP_PERCENT: u32 = 100;
 
 /// Asks all agents to report, and sends the list of targets to agents that
 /// don't have the current one.
 pub(super) async fn request_agent_reports(entry: &Entry, socket: &UdpSocket) {
-    for full in build_subscriptions(entry) {
+    for full in build_agent_subscriptions(entry) {
         let without_targets =
             Subscribe { targets: Vec::new(), ..full.clone() };
         let (list, targets) = (full.list_id, full.targets.clone());
@@ -35,8 +35,8 @@
             (gossip::encode(&full), gossip::encode(&without_targets));
         for target in targets {
             let agent = agent_address(entry, target);
-            let knows =
-                entry.agent_list_ids.borrow().get(&target) == Some(&list);
+            let knows = entry.agent_target_list_ids.borrow().get(&target)
+                == Some(&list);
             let message = if knows { &without_targets } else { &full };
             send_datagram(entry, socket, message, agent).await;
         }
@@ -50,7 +50,7 @@
     socket: &UdpSocket,
     target: SocketAddr,
 ) {
-    let mut subscriptions = build_subscriptions(entry).into_iter();
+    let mut subscriptions = build_agent_subscriptions(entry).into_iter();
     let full = subscriptions.find(|it| it.targets.contains(&target));
     if let Some(full) = full {
         let message = gossip::encode(&full);
@@ -64,7 +64,7 @@
 }
 
 /// The subscriptions to send, one for each service of engines.
-fn build_subscriptions(entry: &Entry) -> Vec<Subscribe> {
+fn build_agent_subscriptions(entry: &Entry) -> Vec<Subscribe> {
     let Some(catalog) = entry.catalog() else { return Vec::new() };
     let fleet = entry.fleet.borrow();
     let subscription = |service: &Service| {
@@ -72,12 +72,16 @@
         let own =
             fleet.ready_targets().filter(|it| it.service == service.name);
         let targets: Vec<SocketAddr> = own.map(|it| it.address).collect();
-        Some(build_subscription(engine, &targets, entry.rollbacks.era()))
+        Some(build_agent_subscription(
+            engine,
+            &targets,
+            entry.rollbacks.newest_era(),
+        ))
     };
     catalog.services().filter_map(subscription).collect()
 }
 
-fn build_subscription(
+fn build_agent_subscription(
     engine: &ExpertLayout,
     targets: &[SocketAddr],
     era: Era,
@@ -96,28 +100,33 @@
 
 /// Applies an agent's report on its engine.
 pub(super) fn apply_engine_load(entry: &Entry, load: &EngineLoad) {
-    entry.agent_list_ids.borrow_mut().insert(load.target, load.list_id);
+    entry.agent_target_list_ids.borrow_mut().insert(load.target, load.list_id);
     let now = Millis::now();
-    let Some(target) = target_at(entry, load.target, load.start_unix_ms)
+    let Some(target) =
+        target_at_address(entry, load.target, load.start_unix_ms)
     else {
         return;
     };
     entry.record_zone_contact(&target.zone, now);
-    entry.check_report_after_crash(
+    entry.retract_crash_on_agent_report(
         &target,
         StartTime(load.start_unix_ms),
         now,
     );
     if load.leaving && target.start == StartTime(load.start_unix_ms) {
         info!(entry.log, "target_leaving"; "target" => &*target.id,
-            "source" => ?Source::Peer);
-        return entry.mark_left(&target);
+            "source" => ?ChangeSource::Peer);
+        return entry.mark_target_left(&target);
     }
     let id = target.id;
-    let endpoint = entry.endpoint(&id);
+    let endpoint = entry.endpoint_or_insert(&id);
     let mut endpoint = endpoint.borrow_mut();
-    let visible_state = |it: &Group| {
-        (it.epoch, it.accepts_requests, it.pace_percent / PACE_STEP_PERCENT)
+    let visible_state = |it: &GroupReport| {
+        (
+            it.formation_epoch,
+            it.accepts_requests,
+            it.service_time_percent / SERVICE_TIME_STEP_PERCENT,
+        )
     };
     let before = endpoint.group.as_ref().map(visible_state);
     endpoint
@@ -125,17 +134,26 @@
         .record_load_report(load.running.saturating_add(load.queued), now);
     endpoint.last_seen_alive = Some(now);
     endpoint.exit_reported_at = None;
-    let group = Group {
-        name: load.group.clone(),
-        epoch: load.group_epoch,
+    let group = GroupReport {
+        group_name: load.group.clone(),
+        formation_epoch: load.group_epoch,
         accepts_requests: load.group_accepts_requests,
-        last_pass: load.forward_pass,
-        pace_percent: load.pace_percent,
+        last_forward_pass: load.forward_pass,
+        service_time_percent: load.pace_percent,
         reported_at: now,
     };
     let after = visible_state(&group);
-    entry.merge_formation(&group.name, group.epoch, group.accepts_requests);
-    entry.record_pass(&group.name, group.epoch, group.last_pass, now);
+    entry.merge_formation(
+        &group.group_name,
+        group.formation_epoch,
+        group.accepts_requests,
+    );
+    entry.record_forward_pass(
+        &group.group_name,
+        group.formation_epoch,
+        group.last_forward_pass,
+        now,
+    );
     endpoint.group = Some(group);
     drop(endpoint);
     if before != Some(after) {
@@ -150,13 +168,15 @@
 /// Applies an agent's message that its engine's process is gone.
 pub(super) fn apply_engine_exit(entry: &Entry, engine_exit: &EngineExit) {
     let now = Millis::now();
-    let Some(target) =
-        target_at(entry, engine_exit.target, engine_exit.start_unix_ms)
-    else {
+    let Some(target) = target_at_address(
+        entry,
+        engine_exit.target,
+        engine_exit.start_unix_ms,
+    ) else {
         return;
     };
     entry.record_zone_contact(&target.zone, now);
-    let endpoint = entry.endpoint(&target.id);
+    let endpoint = entry.endpoint_or_insert(&target.id);
     let before = endpoint.borrow_mut().exit_reported_at.replace(now);
     if before.is_none() {
         info!(entry.log, "target_lost"; "target" => &*target.id);
@@ -170,7 +190,7 @@
 /// The target at an address whose start is the one that the agent reported, or
 /// unknown. A target that replaces another at the address is announced before
 /// the old one's lease ends.
-fn target_at(
+fn target_at_address(
     entry: &Entry,
     address: SocketAddr,
     start: u64,
--- a/cowsliproad-direct/src/peers/state.rs
+++ b/cowsliproad-direct/src/peers/state.rs
@@ -19,16 +19,16 @@
 
 use super::wait_for_seed_digests;
 use crate::{
-    entry::{Entry, Source},
+    entry::{ChangeSource, Entry},
     follow,
 };
 
 /// How long this entry waits for its own read of the log before it asks a
 /// peer.
-const OWN_READ_DELAY: Millis = Millis(120);
+const OWN_LOG_READ_DELAY: Millis = Millis(120);
 
 /// The timeout for fetching a peer's state.
-const FETCH_TIMEOUT: Millis = Millis(1_000);
+const STATE_FETCH_TIMEOUT: Millis = Millis(1_000);
 
 /// The largest state that is accepted from a peer.
 const MAX_STATE_BYTES: usize = 16 << 20;
@@ -42,11 +42,11 @@
 struct EntryState {
     #[serde(with = "serde_bytes")]
     catalog: Vec<u8>,
-    targets: Vec<Announcement>,
+    targets: Vec<TargetAnnouncement>,
 }
 
 #[derive(Debug, Deserialize, Serialize)]
-struct Announcement {
+struct TargetAnnouncement {
     id: String,
     #[serde(with = "serde_bytes")]
     value: Vec<u8>,
@@ -58,10 +58,10 @@
     entry: &Rc<Entry>,
     received_digest: &GossipDigest,
 ) {
-    sleep(OWN_READ_DELAY.duration()).await;
+    sleep(OWN_LOG_READ_DELAY.duration()).await;
     let knows = entry.catalog_version() >= received_digest.config_version
         && entry.is_ready();
-    if knows && !entry.readings.borrow().needs_peer_state() {
+    if knows && !entry.log_read_schedule.borrow().needs_peer_state() {
         return;
     }
     if entry.catalog().is_none() {
@@ -80,7 +80,8 @@
     let uri = format!("http://{peer}{STATE_PATH}");
     let request = Request::get(uri).body(Full::new(Bytes::new())).ok()?;
     let client = Client::new();
-    let call = client.call(request, MAX_STATE_BYTES, FETCH_TIMEOUT.duration());
+    let call =
+        client.call(request, MAX_STATE_BYTES, STATE_FETCH_TIMEOUT.duration());
     let body = match call.await {
         Ok(answer) => answer.into_body(),
         Err(error) => {
@@ -99,25 +100,25 @@
 fn apply_state(entry: &Entry, state: EntryState) {
     let raw = Bytes::from(state.catalog);
     match catalog::decode(&raw) {
-        Ok(catalog) => entry.adopt_catalog(catalog, raw, Source::Peer),
+        Ok(catalog) => entry.adopt_catalog(catalog, raw, ChangeSource::Peer),
         Err(error) => warn!(entry.log, "catalog_refused"; "error" => %error),
     }
     // This entry's own targets are kept while its reads of the log succeed.
     let knows = entry.fleet.borrow().ready_targets().next().is_some();
-    if knows && !entry.readings.borrow().needs_peer_state() {
+    if knows && !entry.log_read_schedule.borrow().needs_peer_state() {
         return;
     }
     let now = Millis::now();
     for announcement in state.targets {
         let value = Some(announcement.value.into());
         let record = Record { key: announcement.id, value };
-        follow::apply_announcement(entry, &record, now, Source::Peer);
+        follow::apply_announcement(entry, &record, now, ChangeSource::Peer);
     }
-    entry.readings.borrow_mut().record_merged_peer_state();
+    entry.log_read_schedule.borrow_mut().record_merged_peer_state();
 }
 
 /// Serves this entry's state to an entry that starts or can't read the log.
-pub fn serve_state(
+pub fn serve_entry_state(
     entry: &Entry,
     request: &Request<Incoming>,
 ) -> Response<Full<Bytes>> {
@@ -128,7 +129,7 @@
         return answer;
     };
     let announced = entry.raw_announcements.borrow();
-    let targets = announced.iter().map(|(id, value)| Announcement {
+    let targets = announced.iter().map(|(id, value)| TargetAnnouncement {
         id: id.to_string(),
         value: value.to_vec(),
     });
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -34,48 +34,48 @@
 use tokio::{sync::Notify, time::timeout};
 
 use crate::{
-    ends::MAX_LATENCY,
-    entry::{Entry, Source},
-    follow::{LogContact, ReadScope, TopicReader},
-    limits::UpdateScope,
+    ends::MAX_MESSAGE_LATENCY,
+    entry::{ChangeSource, Entry},
+    follow::{LogCallStatus, ReadScope, TopicReader},
+    limits::DigestScope,
 };
 
 /// Crashes under a request from which on the request's record is written to
 /// the log. Without an earlier record, a restart of all entries costs one more
 /// crash; if the first crash were written, each killed target would cost a
 /// call for every request that it ran.
-const MIN_WRITTEN_CRASHES: usize = 2;
+const MIN_CRASHES_FOR_LOG_RECORD: usize = 2;
 
 /// How long the log may hold a long poll: the longest that it allows.
-const POLL_TIMEOUT: Millis = Millis(30_000);
+const LONG_POLL_TIMEOUT: Millis = Millis(30_000);
 
 /// The least time between two reads if the first one returned no records.
-const MIN_READ_INTERVAL: Millis = Millis(15_000);
+const MIN_QUARANTINE_READ_INTERVAL: Millis = Millis(15_000);
 
 /// The longest random delay before the entry that wrote a record which the log
 /// lost writes the record again.
-const OWN_REWRITE_DELAY: Millis = Millis(300);
+const MAX_OWN_REWRITE_DELAY: Millis = Millis(300);
 
 /// The additional delay for the other entries, multiplied by their number, so
 /// that mostly one entry writes the record.
-const REWRITE_DELAY_PER_ENTRY: Millis = Millis(50);
+const REWRITE_DELAY_PER_PEER: Millis = Millis(50);
 
 /// The longest additional delay of the other entries.
-const MAX_REWRITE_DELAY: Millis = Millis(10_000);
+const MAX_PEER_REWRITE_DELAY: Millis = Millis(10_000);
 
 /// A target that answers within this time after its supposed crash didn't
 /// crash: no target restarts faster.
-const MIN_RESTART_DELAY: Millis = Millis(1_000);
+const MIN_TARGET_RESTART_TIME: Millis = Millis(1_000);
 
 /// Announcements from before a crash are read within this time.
-const ANNOUNCEMENT_READ_DELAY: Millis = Millis(3_000);
+const MAX_ANNOUNCEMENT_READ_DELAY: Millis = Millis(3_000);
 
 /// The least time between two announcements that surely came from different
 /// reads.
-const MIN_RENEWAL_INTERVAL: Millis = Millis(1_000);
+const MIN_ANNOUNCEMENT_INTERVAL: Millis = Millis(1_000);
 
 /// How often expired records are evicted.
-const SWEEP_INTERVAL: Millis = Millis(10_000);
+const EVICTION_INTERVAL: Millis = Millis(10_000);
 
 /// Crashed targets that are watched for signs of life, 100 bytes each.
 const MAX_WATCHED_CRASHES: usize = 1_024;
@@ -100,7 +100,7 @@
     watched_crashes: HashMap<CrashId, WatchedCrash>,
     /// Wakes the task that writes records to the log.
     write_wakeup: Rc<Notify>,
-    last_sweep: Millis,
+    last_eviction: Millis,
 }
 
 /// A supposed crash of a target.
@@ -124,7 +124,7 @@
 
 /// The log's record of a crash-inducing request.
 #[derive(Debug, Deserialize, Serialize)]
-struct StoredSuspect {
+struct SuspectLogRecord {
     #[serde(rename = "s")]
     suspect: Suspect,
     /// When the record was written, as a Unix time in milliseconds.
@@ -153,32 +153,34 @@
     }
 
     /// Suspects and retracted crashes to send to other entries.
-    pub fn gossip_updates(
+    pub fn suspects_for_digest(
         &self,
-        scope: UpdateScope,
+        scope: DigestScope,
         now: Millis,
     ) -> (Suspects, Vec<u64>) {
         let suspects = match scope {
-            UpdateScope::Changed => self.ledger.updates(now),
-            UpdateScope::All => self.ledger.updates_and_suspensions(now),
+            DigestScope::Changed => self.ledger.updates(now),
+            DigestScope::All => self.ledger.updates_and_suspensions(now),
         };
         (Suspects::pack(suspects), self.ledger.recent_retractions(now))
     }
 
-    fn queue_write_if_observed(&mut self, work: WorkDigest) {
+    fn queue_record_write_if_observed(&mut self, work: WorkDigest) {
         let known = self.ledger.crash_count(work);
-        if self.observed_work.contains(&work) && known >= MIN_WRITTEN_CRASHES {
+        if self.observed_work.contains(&work)
+            && known >= MIN_CRASHES_FOR_LOG_RECORD
+        {
             self.pending_writes.insert(work);
             self.write_wakeup.notify_one();
         }
     }
 
     /// Evicts expired records, and deletes them from the log.
-    pub fn evict_expired(&mut self, now: Millis) {
-        if now.since(self.last_sweep) < SWEEP_INTERVAL {
+    pub fn evict_expired_records(&mut self, now: Millis) {
+        if now.since(self.last_eviction) < EVICTION_INTERVAL {
             return;
         }
-        self.last_sweep = now;
+        self.last_eviction = now;
         for work in self.ledger.evict_expired(now) {
             if self.written_work.remove(&work) {
                 self.pending_writes.insert(work);
@@ -195,7 +197,7 @@
 
     /// The digest of the request whose record is to be written to the log now;
     /// otherwise the time of the next write, if one is scheduled.
-    fn next_write(
+    fn next_record_write(
         &mut self,
         now: Millis,
     ) -> Result<WorkDigest, Option<Millis>> {
@@ -229,7 +231,7 @@
     }
 
     /// The watched crash of this start of a target, if there is one.
-    fn crash_of(
+    fn watched_crash_of(
         &mut self,
         target: &Target,
     ) -> Option<(CrashId, &mut WatchedCrash)> {
@@ -244,7 +246,7 @@
 impl Entry {
     /// Records that a target, alone or with its whole group, crashed under a
     /// request with this work digest.
-    pub fn record_crash_under(
+    pub fn record_crash_during_work(
         &self,
         target: &Target,
         work: WorkDigest,
@@ -261,8 +263,8 @@
             CrashExtent::Target => QuarantineChange::None,
         };
         drop(quarantine);
-        self.on_quarantine_change(work, change, Source::Own);
-        self.on_quarantine_change(work, suspended, Source::Own);
+        self.on_quarantine_change(work, change, ChangeSource::Own);
+        self.on_quarantine_change(work, suspended, ChangeSource::Own);
     }
 
     /// Records that a target survived a request with this work digest.
@@ -274,31 +276,33 @@
             quarantine.observed_work.insert(work);
         }
         drop(quarantine);
-        self.on_quarantine_change(work, change, Source::Own);
+        self.on_quarantine_change(work, change, ChangeSource::Own);
     }
 
     /// Retracts a target's crash if the target answers a request that was sent
     /// after the crash was reported. An answer that arrives later may come
     /// from a new start under the same name.
-    pub fn check_answer_after_crash(
+    pub fn retract_crash_on_answer(
         &self,
         target: &Target,
         sent: Millis,
         now: Millis,
     ) {
         let mut quarantine = self.quarantine.borrow_mut();
-        let Some((id, watched)) = quarantine.crash_of(target) else { return };
+        let Some((id, watched)) = quarantine.watched_crash_of(target) else {
+            return;
+        };
         let is_later = sent > watched.reported_at;
-        let is_soon = now.since(watched.reported_at) < MIN_RESTART_DELAY;
+        let is_soon = now.since(watched.reported_at) < MIN_TARGET_RESTART_TIME;
         drop(quarantine);
         if is_later && is_soon {
-            self.retract_crash(id, now, Source::Own);
+            self.retract_crash(id, now, ChangeSource::Own);
         }
     }
 
     /// Retracts a target's crash if the target's agent still reads reports of
     /// the same start. An unstated start may be a later one.
-    pub fn check_report_after_crash(
+    pub fn retract_crash_on_agent_report(
         &self,
         target: &Target,
         start: StartTime,
@@ -308,20 +312,24 @@
             return;
         }
         let mut quarantine = self.quarantine.borrow_mut();
-        let Some((id, watched)) = quarantine.crash_of(target) else { return };
-        let is_later = now.since(watched.reported_at) >= MAX_LATENCY;
+        let Some((id, watched)) = quarantine.watched_crash_of(target) else {
+            return;
+        };
+        let is_later = now.since(watched.reported_at) >= MAX_MESSAGE_LATENCY;
         drop(quarantine);
         if is_later {
-            self.retract_crash(id, now, Source::Own);
+            self.retract_crash(id, now, ChangeSource::Own);
         }
     }
 
     /// Retracts a target's crash if the target renews its announcement in a
     /// later read.
-    pub fn check_renewal_after_crash(&self, target: &Target, now: Millis) {
+    pub fn retract_crash_on_renewal(&self, target: &Target, now: Millis) {
         let mut quarantine = self.quarantine.borrow_mut();
-        let Some((id, watched)) = quarantine.crash_of(target) else { return };
-        if now.since(watched.reported_at) < ANNOUNCEMENT_READ_DELAY {
+        let Some((id, watched)) = quarantine.watched_crash_of(target) else {
+            return;
+        };
+        if now.since(watched.reported_at) < MAX_ANNOUNCEMENT_READ_DELAY {
             return;
         }
         let (first, at) = *watched
@@ -329,14 +337,19 @@
             .get_or_insert((target.announcement_sequence, now));
         drop(quarantine);
         if target.announcement_sequence > first
-            && now.since(at) >= MIN_RENEWAL_INTERVAL
+            && now.since(at) >= MIN_ANNOUNCEMENT_INTERVAL
         {
-            self.retract_crash(id, now, Source::Log);
+            self.retract_crash(id, now, ChangeSource::Log);
         }
     }
 
     /// Retracts a supposed crash whose target is alive.
-    fn retract_crash(&self, crash_id: CrashId, now: Millis, source: Source) {
+    fn retract_crash(
+        &self,
+        crash_id: CrashId,
+        now: Millis,
+        source: ChangeSource,
+    ) {
         let mut quarantine = self.quarantine.borrow_mut();
         if quarantine.ledger.is_retracted(crash_id) {
             return;
@@ -352,23 +365,23 @@
         for work in freed {
             self.on_quarantine_change(work, QuarantineChange::Freed, source);
         }
-        if source != Source::Peer {
+        if source != ChangeSource::Peer {
             self.digest_wakeup.notify_one();
         }
     }
 
     /// Merges suspects and retracted crashes of another entry's digest.
-    pub fn merge_suspects(
+    pub fn merge_peer_suspects(
         &self,
         suspects: &Suspects,
         retracted_crashes: &[u64],
         now: Millis,
     ) {
         for crash_id in retracted_crashes.iter().map(|it| CrashId(*it)) {
-            self.retract_crash(crash_id, now, Source::Peer);
+            self.retract_crash(crash_id, now, ChangeSource::Peer);
         }
         for suspect in suspects.unpack() {
-            self.merge_suspect(&suspect, now, Source::Peer);
+            self.merge_suspect(&suspect, now, ChangeSource::Peer);
         }
     }
 
@@ -376,7 +389,7 @@
         &self,
         suspect: &Suspect,
         now: Millis,
-        source: Source,
+        source: ChangeSource,
     ) -> QuarantineChange {
         let mut quarantine = self.quarantine.borrow_mut();
         let change = quarantine.ledger.merge(suspect, now);
@@ -402,7 +415,7 @@
         &self,
         work: WorkDigest,
         change: QuarantineChange,
-        source: Source,
+        source: ChangeSource,
     ) {
         if change == QuarantineChange::None {
             return;
@@ -414,7 +427,7 @@
             QuarantineChange::Refused => {
                 info!(self.log, "work_refused"; "work" => %work,
                     "ends" => crashes, "source" => ?source);
-                self.metrics.record_quarantine("refused");
+                self.metrics.record_quarantine_event("refused");
                 // Waiting requests with this work digest are rejected now.
                 self.notify_target_change();
             }
@@ -424,47 +437,51 @@
                 info!(self.log, "work_suspended"; "work" => %work,
                     "ends" => crashes, "verdict" => ?verdict,
                     "source" => ?source);
-                self.metrics.record_quarantine("suspended");
+                self.metrics.record_quarantine_event("suspended");
                 self.notify_target_change();
             }
             QuarantineChange::Freed => {
                 info!(self.log, "work_freed"; "work" => %work,
                     "ends" => crashes, "source" => ?source);
-                self.metrics.record_quarantine("freed");
+                self.metrics.record_quarantine_event("freed");
             }
         }
-        self.quarantine.borrow_mut().queue_write_if_observed(work);
-        if source == Source::Own {
+        self.quarantine.borrow_mut().queue_record_write_if_observed(work);
+        if source == ChangeSource::Own {
             self.digest_wakeup.notify_one();
         }
     }
 }
 
 /// Follows the quarantine topic of the log; never returns.
-pub async fn follow_quarantine(entry: Rc<Entry>) {
+pub async fn follow_quarantine_topic(entry: Rc<Entry>) {
     let mut reader = TopicReader::new(&entry, log::QUARANTINE_TOPIC);
     loop {
         let called = Millis::now();
-        let reading = match reader.read_next(&entry, POLL_TIMEOUT).await {
-            Ok(reading) => reading,
-            Err(error) => {
-                reader.prepare_retry(&entry, &error).await;
-                continue;
-            }
-        };
+        let reading =
+            match reader.read_next_records(&entry, LONG_POLL_TIMEOUT).await {
+                Ok(reading) => reading,
+                Err(error) => {
+                    reader.prepare_retry(&entry, &error).await;
+                    continue;
+                }
+            };
         let records = reading.records.iter();
-        let kept: Vec<StoredSuspect> =
-            records.filter_map(|it| decode_record(&entry, it)).collect();
-        let new = kept.iter().filter(|it| merge_record(&entry, it)).count();
+        let kept: Vec<SuspectLogRecord> = records
+            .filter_map(|it| decode_suspect_record(&entry, it))
+            .collect();
+        let new =
+            kept.iter().filter(|it| merge_log_record(&entry, it)).count();
         if reading.scope != ReadScope::New {
             let records = reading.records.len();
-            entry.record_full_read(log::QUARANTINE_TOPIC, records, new);
-            schedule_rewrites(&entry, &kept);
+            entry.record_full_topic_read(log::QUARANTINE_TOPIC, records, new);
+            schedule_record_rewrites(&entry, &kept);
         } else if reading.records.is_empty() {
             // A log that returns from long polls at once is not read
             // continuously.
-            let rest = (called + MIN_READ_INTERVAL).since(Millis::now());
-            let era = entry.rollbacks.era();
+            let rest =
+                (called + MIN_QUARANTINE_READ_INTERVAL).since(Millis::now());
+            let era = entry.rollbacks.newest_era();
             let over = entry.rollbacks.wait_for_era_after(era);
             let _ = timeout(rest.duration(), over).await;
         }
@@ -473,8 +490,11 @@
 
 /// Decodes a record of the quarantine topic; None for a deleted or malformed
 /// one. Records deleted by another entry expire here in their own time.
-fn decode_record(entry: &Entry, record: &Record) -> Option<StoredSuspect> {
-    let kept = gossip::decode::<StoredSuspect>(record.value.as_ref()?);
+fn decode_suspect_record(
+    entry: &Entry,
+    record: &Record,
+) -> Option<SuspectLogRecord> {
+    let kept = gossip::decode::<SuspectLogRecord>(record.value.as_ref()?);
     if kept.is_none() {
         warn!(entry.log, "strange_record"; "topic" => log::QUARANTINE_TOPIC,
             "key" => &record.key);
@@ -483,7 +503,7 @@
 }
 
 /// Merges a record of the log, and returns whether it changed the ledger.
-fn merge_record(entry: &Entry, kept: &StoredSuspect) -> bool {
+fn merge_log_record(entry: &Entry, kept: &SuspectLogRecord) -> bool {
     let now = Millis::now();
     let age = Millis(unix_now_ms()).since(Millis(kept.written_at));
     let mut suspect = kept.suspect.clone();
@@ -496,7 +516,7 @@
         }
         None => suspect.since_last_seen = suspect.since_last_seen + age,
     }
-    let change = entry.merge_suspect(&suspect, now, Source::Log);
+    let change = entry.merge_suspect(&suspect, now, ChangeSource::Log);
     let work = WorkDigest(suspect.work_digest);
     let mut quarantine = entry.quarantine.borrow_mut();
     quarantine.cancel_rewrite_if_stored(&suspect, now);
@@ -509,16 +529,17 @@
 }
 
 /// Schedules the rewrite of records that the log should hold and lost.
-fn schedule_rewrites(entry: &Entry, kept: &[StoredSuspect]) {
+fn schedule_record_rewrites(entry: &Entry, kept: &[SuspectLogRecord]) {
     let now = Millis::now();
     let kept = kept.iter().map(|it| (it.suspect.work_digest, &it.suspect));
     let kept: HashMap<u64, &Suspect> = kept.collect();
-    let entries = entry.peers.borrow().entry_count() as u64;
-    let others = Millis(REWRITE_DELAY_PER_ENTRY.0 * entries);
-    let others = others.min(MAX_REWRITE_DELAY);
+    let entries = entry.peers.borrow().entry_process_count() as u64;
+    let others = Millis(REWRITE_DELAY_PER_PEER.0 * entries);
+    let others = others.min(MAX_PEER_REWRITE_DELAY);
     let known = entry.quarantine.borrow().ledger.snapshot(now);
-    let known =
-        known.into_iter().filter(|it| it.crashes.len() >= MIN_WRITTEN_CRASHES);
+    let known = known
+        .into_iter()
+        .filter(|it| it.crashes.len() >= MIN_CRASHES_FOR_LOG_RECORD);
     for suspect in known {
         let work = WorkDigest(suspect.work_digest);
         if kept
@@ -530,8 +551,8 @@
         let drawn = entry.random_fraction();
         let mut quarantine = entry.quarantine.borrow_mut();
         let wait = match quarantine.written_work.contains(&work) {
-            true => drawn * OWN_REWRITE_DELAY.0 as f64,
-            false => OWN_REWRITE_DELAY.0 as f64 + drawn * others.0 as f64,
+            true => drawn * MAX_OWN_REWRITE_DELAY.0 as f64,
+            false => MAX_OWN_REWRITE_DELAY.0 as f64 + drawn * others.0 as f64,
         };
         let at = now + Millis(wait as u64);
         quarantine.lost_records.insert(work, at);
@@ -558,11 +579,11 @@
 /// Writes and deletes records of the quarantine topic; never returns.
 pub async fn write_quarantine_records(entry: Rc<Entry>) {
     let mut client = Client::new(entry.settings().log_address);
-    let mut contact = LogContact::new(log::QUARANTINE_TOPIC);
+    let mut contact = LogCallStatus::new(log::QUARANTINE_TOPIC);
     let write_wakeup = entry.quarantine.borrow().write_wakeup.clone();
     loop {
         let now = Millis::now();
-        let next = entry.quarantine.borrow_mut().next_write(now);
+        let next = entry.quarantine.borrow_mut().next_record_write(now);
         let work = match next {
             Ok(work) => work,
             Err(None) => {
@@ -575,11 +596,11 @@
                 continue;
             }
         };
-        let value = encode_record(&entry, work);
+        let value = encode_suspect_record(&entry, work);
         let key = work.to_string();
-        client.raise_era(entry.rollbacks.era());
+        client.raise_era(entry.rollbacks.newest_era());
         let written = client.put(log::QUARANTINE_TOPIC, &key, &value).await;
-        entry.observe_era(client.era(), Source::Log);
+        entry.observe_log_era(client.era(), ChangeSource::Log);
         if let Err(error) = written {
             contact.back_off_after_failure(&entry, &error).await;
             continue;
@@ -599,13 +620,15 @@
 }
 
 /// The encoded record of a request for the log; empty to delete the record.
-fn encode_record(entry: &Entry, work: WorkDigest) -> Vec<u8> {
+fn encode_suspect_record(entry: &Entry, work: WorkDigest) -> Vec<u8> {
     let suspect =
         entry.quarantine.borrow().ledger.suspect(work, Millis::now());
     // A suspension ends before other entries read the record.
     let suspect = suspect.map(|it| Suspect { suspended_for: None, ..it });
-    let kept = suspect
-        .map(|suspect| StoredSuspect { suspect, written_at: unix_now_ms() });
+    let kept = suspect.map(|suspect| SuspectLogRecord {
+        suspect,
+        written_at: unix_now_ms(),
+    });
     kept.map(|it| gossip::encode(&it)).unwrap_or_default()
 }
 
--- a/cowsliproad-direct/src/readiness.rs
+++ b/cowsliproad-direct/src/readiness.rs
@@ -22,7 +22,7 @@
 
 /// The longest lifetime of a query connection. The load balancer sends a query
 /// every second.
-const CONNECTION_TTL: Millis = Millis(20_000);
+const MAX_QUERY_CONNECTION_LIFETIME: Millis = Millis(20_000);
 
 /// The delay after a failed accept, for example for lack of a free file
 /// descriptor.
@@ -49,7 +49,8 @@
             let serving = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service);
             // A client whose connection fails or is closed here reconnects.
-            let _ = timeout(CONNECTION_TTL.duration(), serving).await;
+            let _ = timeout(MAX_QUERY_CONNECTION_LIFETIME.duration(), serving)
+                .await;
         });
     }
 }
@@ -66,7 +67,7 @@
         READINESS_PATH => {
             (StatusCode::SERVICE_UNAVAILABLE, "not ready\n".into())
         }
-        METRICS_PATH => (StatusCode::OK, entry.metrics.text()),
+        METRICS_PATH => (StatusCode::OK, entry.metrics.render_text()),
         _ => (StatusCode::NOT_FOUND, String::new()),
     };
     let mut answer = Response::new(Full::new(Bytes::from(text)));
--- a/cowsliproad-direct/src/receive.rs
+++ b/cowsliproad-direct/src/receive.rs
@@ -17,7 +17,9 @@
 use tokio::time::timeout;
 
 use crate::{
-    call::{Call, Destination, RequestTimes, failure::TARGETS_FULL_BACKOFF},
+    call::{
+        Call, RequestDestination, RequestTimes, failure::TARGETS_FULL_BACKOFF,
+    },
     entry::Entry,
     reply::{self, Body},
 };
@@ -26,10 +28,10 @@
 pub const DEFAULT_CALLER_TIMEOUT: Millis = Millis(30_000);
 
 /// The retry delay for callers while the entry process has no configuration.
-const STARTING_BACKOFF: Millis = Millis(400);
+const NO_CONFIG_RETRY_DELAY: Millis = Millis(400);
 
 /// Hop-by-hop headers, which apply to a single connection.
-const HOP_BY_HOP: [HeaderName; 7] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 7] = [
     standard::CONNECTION,
     standard::TRANSFER_ENCODING,
     standard::TE,
@@ -48,7 +50,7 @@
     arrived: Millis,
 ) -> Result<Call, Response<Body>> {
     let time_left =
-        parse_number(&head.headers, &header::TIME_LEFT).map(Millis);
+        parse_header_number(&head.headers, &header::TIME_LEFT).map(Millis);
     let time_left = time_left.unwrap_or(DEFAULT_CALLER_TIMEOUT);
     let catalog = entry.catalog();
     let max_body_bytes = catalog
@@ -62,15 +64,21 @@
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
-            return Err(reply::plain_text(status, "the body is too large\n"));
+            return Err(reply::plain_text_response(
+                status,
+                "the body is too large\n",
+            ));
         }
         Ok(Err(_)) => {
             let status = StatusCode::BAD_REQUEST;
-            return Err(reply::plain_text(status, "the body ends early\n"));
+            return Err(reply::plain_text_response(
+                status,
+                "the body ends early\n",
+            ));
         }
         Err(_) => {
             let status = StatusCode::REQUEST_TIMEOUT;
-            return Err(reply::plain_text(
+            return Err(reply::plain_text_response(
                 status,
                 "the body takes too long\n",
             ));
@@ -78,13 +86,16 @@
     };
     // The configuration may have changed while the body was read.
     let Some(catalog) = entry.catalog() else {
-        return Err(reply::not_run("starting\n", STARTING_BACKOFF));
+        return Err(reply::not_run_response(
+            "starting\n",
+            NO_CONFIG_RETRY_DELAY,
+        ));
     };
     let found = find_route(&catalog, &head).map_err(route_error_response)?;
     let RouteMatch { route, organisation } = found;
     let Some(service) = route.choose_service(entry.random_fraction()).cloned()
     else {
-        return Err(reply::not_run(
+        return Err(reply::not_run_response(
             "the route has no service\n",
             TARGETS_FULL_BACKOFF,
         ));
@@ -94,14 +105,14 @@
     let target_headers =
         headers_for_target(&head.headers, organisation.as_deref());
     let own_priority = organisation.as_ref().and_then(|it| it.priority);
-    let destination = Destination {
+    let destination = RequestDestination {
         priority: own_priority.unwrap_or(route.priority),
         route,
         service,
     };
-    let usual_patience =
-        entry.update_longest_patience(&destination.route.name, time_left);
-    let caller_try = CallerTry::new(time_left, usual_patience);
+    let usual_caller_timeout = entry
+        .update_longest_caller_timeout(&destination.route.name, time_left);
+    let caller_try = CallerTry::new(time_left, usual_caller_timeout);
     let times =
         RequestTimes { arrived, deadline: arrived + timeout_left, caller_try };
     head.headers = target_headers;
@@ -125,12 +136,14 @@
 
 fn route_error_response(error: RouteError) -> Response<Body> {
     match error {
-        RouteError::NoRoute => {
-            reply::plain_text(StatusCode::NOT_FOUND, "no such route\n")
-        }
-        RouteError::BadKey => {
-            reply::plain_text(StatusCode::UNAUTHORIZED, "no such key\n")
-        }
+        RouteError::NoRoute => reply::plain_text_response(
+            StatusCode::NOT_FOUND,
+            "no such route\n",
+        ),
+        RouteError::BadKey => reply::plain_text_response(
+            StatusCode::UNAUTHORIZED,
+            "no such key\n",
+        ),
     }
 }
 
@@ -141,7 +154,7 @@
     organisation: Option<&Organisation>,
 ) -> HeaderMap {
     let mut target_headers = headers.clone();
-    remove_hop_by_hop(&mut target_headers);
+    remove_hop_by_hop_headers(&mut target_headers);
     for name in [
         standard::CONTENT_LENGTH,
         standard::AUTHORIZATION,
@@ -161,7 +174,7 @@
 
 /// Removes hop-by-hop headers, including those that the `Connection` header
 /// lists.
-pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
+pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let listed_headers: Vec<HeaderName> = headers
         .get_all(standard::CONNECTION)
         .iter()
@@ -169,18 +182,18 @@
         .flat_map(|it| it.split(','))
         .filter_map(|it| HeaderName::from_bytes(it.trim().as_bytes()).ok())
         .collect();
-    for name in listed_headers.iter().chain(&HOP_BY_HOP) {
+    for name in listed_headers.iter().chain(&HOP_BY_HOP_HEADERS) {
         headers.remove(name);
     }
 }
 
-fn parse_number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
+fn parse_header_number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
 /// A digest of all parts of a request that affect how a target runs it. The
 /// organisation stands for the caller, of whom targets see nothing else.
-pub fn digest_work(head: &request::Parts, body: &[u8]) -> WorkDigest {
+pub fn compute_work_digest(head: &request::Parts, body: &[u8]) -> WorkDigest {
     let text =
         |name| head.headers.get(name).map_or(&[][..], |it| it.as_bytes());
     let path = head.uri.path_and_query().map_or("/", |it| it.as_str());
--- a/cowsliproad-direct/src/reply.rs
+++ b/cowsliproad-direct/src/reply.rs
@@ -1,7 +1,7 @@
 //! Responses that the entry process creates itself, and the body type of all
 //! responses.
 //!
-//! Only [`not_run`] builds a response that states "not run", so that each use
+//! Only [`not_run_response`] builds a response that states "not run", so that each use
 //! can be found and checked.
 
 use std::{
@@ -39,16 +39,16 @@
 
 /// The error that aborts the body of an incomplete stream.
 #[derive(Debug)]
-pub struct StreamCut;
+pub struct IncompleteStreamError;
 
 impl http_body::Body for Body {
     type Data = Bytes;
-    type Error = StreamCut;
+    type Error = IncompleteStreamError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, StreamCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteStreamError>>> {
         match self.get_mut() {
             Body::Whole(whole) => Pin::new(whole)
                 .poll_frame(context)
@@ -59,7 +59,7 @@
                         Some(Ok(Frame::data(bytes)))
                     }
                     Some(StreamPiece::End) => None,
-                    None => Some(Err(StreamCut)),
+                    None => Some(Err(IncompleteStreamError)),
                 })
             }
         }
@@ -81,7 +81,10 @@
 }
 
 /// A response with a line of plain text.
-pub fn plain_text(status: StatusCode, text: &'static str) -> Response<Body> {
+pub fn plain_text_response(
+    status: StatusCode,
+    text: &'static str,
+) -> Response<Body> {
     let body = Full::new(Bytes::from_static(text.as_bytes()));
     let mut response = Response::new(Body::Whole(body));
     *response.status_mut() = status;
@@ -94,8 +97,12 @@
 
 /// A response stating that the request has not run and never will, with the
 /// delay after which the caller may retry.
-pub fn not_run(text: &'static str, retry_after: Millis) -> Response<Body> {
-    let mut response = plain_text(StatusCode::SERVICE_UNAVAILABLE, text);
+pub fn not_run_response(
+    text: &'static str,
+    retry_after: Millis,
+) -> Response<Body> {
+    let mut response =
+        plain_text_response(StatusCode::SERVICE_UNAVAILABLE, text);
     let seconds =
         format!("{}.{:03}", retry_after.0 / 1_000, retry_after.0 % 1_000);
     if let Ok(value) = HeaderValue::from_str(&seconds) {
@@ -105,13 +112,13 @@
 }
 
 /// A response to a request that may or may not have run.
-pub fn outcome_unknown(text: &'static str) -> Response<Body> {
-    plain_text(StatusCode::BAD_GATEWAY, text)
+pub fn outcome_unknown_response(text: &'static str) -> Response<Body> {
+    plain_text_response(StatusCode::BAD_GATEWAY, text)
 }
 
 /// A response to a request that may or may not have run by its deadline.
-pub fn deadline_exceeded() -> Response<Body> {
-    plain_text(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n")
+pub fn deadline_exceeded_response() -> Response<Body> {
+    plain_text_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n")
 }
 
 /// Sets the header that names the request of a response.
@@ -119,10 +126,10 @@
     response.headers_mut().insert(header::REQUEST_ID, id.clone());
 }
 
-impl std::fmt::Display for StreamCut {
+impl std::fmt::Display for IncompleteStreamError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the event stream ended before it was complete")
     }
 }
 
-impl std::error::Error for StreamCut {}
+impl std::error::Error for IncompleteStreamError {}
--- a/cowsliproad-direct/src/rollback.rs
+++ b/cowsliproad-direct/src/rollback.rs
@@ -31,7 +31,7 @@
 use slog::info;
 use tokio::sync::watch;
 
-use crate::entry::{Entry, Source};
+use crate::entry::{ChangeSource, Entry};
 
 /// The time, per entry, over which all entries spread their reads of a topic
 /// after a rollback.
@@ -43,7 +43,7 @@
 
 /// How long after a rollback the earlier departures of targets are broadcast
 /// again.
-const DEPARTURE_BROADCAST_TTL: Millis = Millis(8_000);
+const REPEATED_DEPARTURE_BROADCAST_TTL: Millis = Millis(8_000);
 
 /// The greatest age of the copy: targets that left since then may be listed in
 /// it.
@@ -51,27 +51,27 @@
 
 /// The log's newest known era and the latest rollback.
 #[derive(Debug)]
-pub struct Rollbacks {
+pub struct LogRollbacks {
     /// The newest known era of the log.
     era: watch::Sender<Era>,
     /// Whether anything was read from the log, so that a later era means a
     /// rollback.
     has_read_log: Cell<bool>,
-    last_rollback: RefCell<Option<Rollback>>,
+    last_rollback: RefCell<Option<LogRollback>>,
 }
 
 #[derive(Debug)]
-struct Rollback {
+struct LogRollback {
     /// When the rollback was noticed.
     noticed_at: Millis,
     /// The topics that have not been read again since the rollback.
     unread_topics: BTreeSet<&'static str>,
 }
 
-impl Rollbacks {
+impl LogRollbacks {
     /// Creates the state before any rollback.
-    pub fn new() -> Rollbacks {
-        Rollbacks {
+    pub fn new() -> LogRollbacks {
+        LogRollbacks {
             era: watch::Sender::new(Era::default()),
             has_read_log: Cell::new(false),
             last_rollback: RefCell::new(None),
@@ -79,7 +79,7 @@
     }
 
     /// The newest known era of the log.
-    pub fn era(&self) -> Era {
+    pub fn newest_era(&self) -> Era {
         *self.era.borrow()
     }
 
@@ -92,31 +92,34 @@
 
     /// How far back departures of targets are broadcast, if a recent rollback
     /// extends the usual time.
-    pub fn extended_departure_window(&self, now: Millis) -> Option<Millis> {
+    pub fn departure_window_after_rollback(
+        &self,
+        now: Millis,
+    ) -> Option<Millis> {
         let last = self.last_rollback.borrow();
-        let last = last
-            .as_ref()
-            .filter(|it| now.since(it.noticed_at) < DEPARTURE_BROADCAST_TTL);
+        let last = last.as_ref().filter(|it| {
+            now.since(it.noticed_at) < REPEATED_DEPARTURE_BROADCAST_TTL
+        });
         last.map(|_| MAX_LOG_COPY_AGE)
     }
 }
 
-impl Default for Rollbacks {
-    fn default() -> Rollbacks {
-        Rollbacks::new()
+impl Default for LogRollbacks {
+    fn default() -> LogRollbacks {
+        LogRollbacks::new()
     }
 }
 
 impl Entry {
     /// Records the log's era; a newer era than before means a rollback once
     /// anything was read.
-    pub fn observe_era(&self, era: Era, source: Source) {
-        let before = self.rollbacks.era();
+    pub fn observe_log_era(&self, era: Era, source: ChangeSource) {
+        let before = self.rollbacks.newest_era();
         if era <= before {
             return;
         }
         self.rollbacks.era.send_replace(era);
-        self.readings.borrow_mut().enter_era(era);
+        self.log_read_schedule.borrow_mut().enter_era(era);
         if !self.rollbacks.has_read_log.get() {
             return;
         }
@@ -128,14 +131,14 @@
         let unread_topics =
             BTreeSet::from([CONFIG_TOPIC, TARGETS_TOPIC, QUARANTINE_TOPIC]);
         *self.rollbacks.last_rollback.borrow_mut() =
-            Some(Rollback { noticed_at: now, unread_topics });
-        self.read_wakeup.notify_one();
+            Some(LogRollback { noticed_at: now, unread_topics });
+        self.targets_read_wakeup.notify_one();
         self.digest_wakeup.notify_one();
     }
 
     /// A random delay before this entry reads a topic again after a rollback.
-    pub fn reread_delay(&self) -> Millis {
-        let entries = self.peers.borrow().entry_count() as u64;
+    pub fn draw_reread_delay(&self) -> Millis {
+        let entries = self.peers.borrow().entry_process_count() as u64;
         let spread =
             Millis(REREAD_SPREAD_PER_ENTRY.0 * entries).min(MAX_REREAD_SPREAD);
         Millis((spread.0 as f64 * self.random_fraction()) as u64)
@@ -143,7 +146,7 @@
 
     /// Records that a topic was read in full after a rollback, and how many of
     /// its records changed the state.
-    pub fn record_full_read(
+    pub fn record_full_topic_read(
         &self,
         topic: &'static str,
         records: usize,
@@ -157,7 +160,7 @@
         }
         let took = Millis::now().since(rollback.noticed_at);
         info!(self.log, "topic_read_again"; "topic" => topic,
-            "era" => self.rollbacks.era().0, "records" => records,
+            "era" => self.rollbacks.newest_era().0, "records" => records,
             "new" => new, "took" => took.0);
         if rollback.unread_topics.is_empty() {
             info!(self.log, "log_caught_up"; "took" => took.0);
--- a/cowsliproad-direct/src/settings.rs
+++ b/cowsliproad-direct/src/settings.rs
@@ -42,7 +42,7 @@
     #[serde(rename = "wait_ms")]
     pub target_wait_ms: Millis,
     /// The retry budget that all entries share.
-    pub retries: Retries,
+    pub retries: RetryBudgetSettings,
     /// The minimum level of log messages.
     #[serde(default)]
     pub log_level: Level,
@@ -51,7 +51,7 @@
 /// The retry budget of a service, shared by all entries.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Retries {
+pub struct RetryBudgetSettings {
     /// Retries allowed per request.
     #[serde(rename = "ratio")]
     pub retries_per_request: f64,
@@ -79,7 +79,7 @@
             drain_ms: Millis(2_000),
             shutdown_grace_ms: Millis(8_000),
             target_wait_ms: Millis(1_500),
-            retries: Retries {
+            retries: RetryBudgetSettings {
                 retries_per_request: 0.2,
                 extra_retries: 90.0,
                 window_ms: Millis(10_000),
@@ -90,7 +90,7 @@
 
     /// Whether two settings agree in everything that needs a restart to
     /// change.
-    pub fn has_same_addresses(&self, other: &Settings) -> bool {
+    pub fn has_same_restart_settings(&self, other: &Settings) -> bool {
         self.vm == other.vm
             && self.zone == other.zone
             && self.caller_address == other.caller_address
@@ -100,7 +100,7 @@
 
     /// The address where this entry receives datagrams and calls of other
     /// entries.
-    pub fn peer_address(&self) -> SocketAddr {
+    pub fn own_peer_address(&self) -> SocketAddr {
         SocketAddr::new(self.caller_address.ip(), self.peer_port)
     }
 }
--- a/cowsliproad-direct/src/stated.rs
+++ b/cowsliproad-direct/src/stated.rs
@@ -13,24 +13,24 @@
 use http::{HeaderMap, header::RETRY_AFTER, response};
 use slog::{info, warn};
 
-use crate::entry::{Choice, Entry, Recovery, Source};
+use crate::entry::{ChangeSource, ChosenTarget, CooldownRecovery, Entry};
 
 impl Entry {
     /// Applies the load, Retry-After and leaving headers of a target's answer.
-    pub fn apply_response_headers(
+    pub fn update_target_from_headers(
         &self,
-        choice: &Choice,
+        choice: &ChosenTarget,
         request: &str,
         head: &response::Parts,
     ) {
         record_load_header(choice, &head.headers);
-        self.apply_retry_after(choice, request, head);
+        self.start_cooldown_from_retry_after(choice, request, head);
         self.apply_leaving_header(choice, request, head);
     }
 
     fn apply_leaving_header(
         &self,
-        choice: &Choice,
+        choice: &ChosenTarget,
         request: &str,
         head: &response::Parts,
     ) {
@@ -40,18 +40,18 @@
             info!(self.log, "target_leaving"; "request" => request,
                 "target" => &*choice.target.id,
                 "status" => head.status.as_u16());
-            self.mark_left(&choice.target);
+            self.mark_target_left(&choice.target);
         }
     }
 
     /// Marks a target as taking no new requests, and broadcasts that to other
     /// entries.
-    pub fn mark_left(&self, target: &Target) {
+    pub fn mark_target_left(&self, target: &Target) {
         let (id, start) = (&target.id, target.start);
         let now = Millis::now();
         let change =
             self.fleet.borrow_mut().record_announced_departure(id, start, now);
-        self.apply_target_change(id, change, Source::Own);
+        self.apply_target_change(id, change, ChangeSource::Own);
     }
 
     /// Whether this start of a target accepts new requests.
@@ -60,9 +60,9 @@
         fleet.get(&target.id).is_some_and(|it| it.start == target.start)
     }
 
-    fn apply_retry_after(
+    fn start_cooldown_from_retry_after(
         &self,
-        choice: &Choice,
+        choice: &ChosenTarget,
         request: &str,
         head: &response::Parts,
     ) {
@@ -73,7 +73,7 @@
         let wait = match read {
             RetryAfter::Wait(wait) if wait.0 > 0 => wait,
             RetryAfter::None | RetryAfter::Wait(_) => {
-                return self.record_recovery(choice);
+                return self.record_target_recovery(choice);
             }
             RetryAfter::Unreadable => {
                 let mut endpoint = choice.endpoint.borrow_mut();
@@ -84,7 +84,7 @@
                         "stated" => ?stated);
                 }
                 drop(endpoint);
-                return self.record_recovery(choice);
+                return self.record_target_recovery(choice);
             }
         };
         let now = Millis::now();
@@ -94,7 +94,7 @@
         }
         let mut endpoint = choice.endpoint.borrow_mut();
         endpoint.retry_after_invalid = false;
-        endpoint.recovery = Recovery::Pending;
+        endpoint.recovery = CooldownRecovery::Pending;
         drop(endpoint);
         info!(self.log, "cooldown"; "request" => request,
             "target" => &*target.id, "status" => head.status.as_u16(),
@@ -108,12 +108,12 @@
 
     /// Marks a target as recovered when an answer without Retry-After arrives
     /// after the cooldown.
-    fn record_recovery(&self, choice: &Choice) {
-        if choice.endpoint.borrow().recovery == Recovery::Done {
+    fn record_target_recovery(&self, choice: &ChosenTarget) {
+        if choice.endpoint.borrow().recovery == CooldownRecovery::Done {
             return;
         }
         if self.cooldown_end(&choice.target, Millis::now()).is_none() {
-            choice.endpoint.borrow_mut().recovery = Recovery::Done;
+            choice.endpoint.borrow_mut().recovery = CooldownRecovery::Done;
             self.connection_freed.notify_waiters();
         }
     }
@@ -140,7 +140,7 @@
     }
 }
 
-fn record_load_header(choice: &Choice, headers: &HeaderMap) {
+fn record_load_header(choice: &ChosenTarget, headers: &HeaderMap) {
     let text = headers.get(&header::LOAD).and_then(|it| it.to_str().ok());
     let Some(text) = text else { return };
     let mut numbers = text.split(',').map(|it| it.trim().parse::<u32>());
--- a/cowsliproad-direct/src/stream.rs
+++ b/cowsliproad-direct/src/stream.rs
@@ -23,8 +23,8 @@
     attempt::Attempt,
     call::{AttemptError, Call, OpenResponse, read_whole_response},
     callers::InFlightRequest,
-    entry::{Choice, Entry, Group},
-    receive::remove_hop_by_hop,
+    entry::{ChosenTarget, Entry, GroupReport},
+    receive::remove_hop_by_hop_headers,
     reply::{Body, StreamPiece},
     upstream::ConnectionLease,
 };
@@ -34,7 +34,7 @@
 
 /// How long a target may send nothing while its group makes progress: ten
 /// steps of the group.
-const SILENCE_TIMEOUT: Millis = Millis(800);
+const TARGET_SILENCE_TIMEOUT: Millis = Millis(800);
 
 /// How often a stream without data is checked.
 const SILENCE_CHECK_INTERVAL: Millis = Millis(400);
@@ -42,21 +42,21 @@
 /// Streams leave a target whose steps take this much of the usual time, in
 /// percent. A move is costly, because the new target must process the prompt
 /// again.
-const SLOW_PACE_PERCENT: u32 = 300;
+const SLOW_SERVICE_TIME_PERCENT: u32 = 300;
 
 /// Steps that a group must have begun to count as making progress.
-const MIN_GROUP_STEPS: u64 = 6;
+const MIN_GROUP_PROGRESS_STEPS: u64 = 6;
 
 /// The part of a caller's stream that one target sends.
 struct TargetStream {
-    choice: Choice,
+    choice: ChosenTarget,
     attempt: Attempt,
     body: Incoming,
     lease: Option<ConnectionLease>,
     splitter: EventSplitter,
-    last_data_at: StepSnapshot,
+    last_data_at: GroupStepSnapshot,
     /// The value of [`Entry::target_change_count`] at the last check.
-    seen_news: u64,
+    seen_target_change_count: u64,
 }
 
 /// The next item that a target's stream yields.
@@ -73,16 +73,18 @@
     mut call: Call,
     in_flight: InFlightRequest,
 ) -> Response<Body> {
-    let (head, run, first) = loop {
+    let (head, target_stream, first) = loop {
         let choice = match call.next_target(entry).await {
             Ok(choice) => choice,
             Err(answer) => return answer,
         };
         match wait_for_first_event(entry, &mut call, &choice).await {
-            Ok(Reply::Stream(head, run, first)) => break (head, run, first),
-            Ok(Reply::Whole(answer)) => return answer,
+            Ok(FirstReply::Stream(head, target_stream, first)) => {
+                break (head, target_stream, first);
+            }
+            Ok(FirstReply::Whole(answer)) => return answer,
             Err(error) => {
-                choice.on_attempt_failed(entry, &error);
+                choice.record_failed_attempt(entry, &error);
                 if let Some(answer) =
                     call.note_attempt_error(entry, &choice, error).await
                 {
@@ -101,12 +103,16 @@
         last_event_at: None,
         longest_gap: Millis(0),
     };
-    tokio::task::spawn_local(caller_stream.run(*run, first, in_flight));
+    tokio::task::spawn_local(caller_stream.relay_stream(
+        *target_stream,
+        first,
+        in_flight,
+    ));
     Response::from_parts(head, Body::Events(body))
 }
 
 /// The first reply of a target that is passed on to the caller.
-enum Reply {
+enum FirstReply {
     /// A stream with its first event, if it has any.
     Stream(response::Parts, Box<TargetStream>, Option<Event>),
     /// A response with a failure status, passed on unchanged.
@@ -117,15 +123,16 @@
 async fn wait_for_first_event(
     entry: &Rc<Entry>,
     call: &mut Call,
-    choice: &Choice,
-) -> Result<Reply, AttemptError> {
-    let mut opened =
-        match open_target_stream(entry, call, choice, None).await? {
-            Ok(opened) => opened,
-            Err(opened) => {
-                return read_whole_response(opened).await.map(Reply::Whole);
-            }
-        };
+    choice: &ChosenTarget,
+) -> Result<FirstReply, AttemptError> {
+    let mut opened = match open_target_stream(entry, call, choice, None)
+        .await?
+    {
+        Ok(opened) => opened,
+        Err(opened) => {
+            return read_whole_response(opened).await.map(FirstReply::Whole);
+        }
+    };
     let deadline = call.deadline_instant();
     let (mut head, target_stream) = (opened.0, &mut opened.1);
     let first_event = match target_stream.next_event(entry, deadline).await {
@@ -136,9 +143,9 @@
             return Err(error);
         }
     };
-    remove_hop_by_hop(&mut head.headers);
+    remove_hop_by_hop_headers(&mut head.headers);
     head.headers.remove(standard::CONTENT_LENGTH);
-    Ok(Reply::Stream(head, Box::new(opened.1), first_event))
+    Ok(FirstReply::Stream(head, Box::new(opened.1), first_event))
 }
 
 /// Opens a stream at a target. A response with a failure status is returned as
@@ -146,7 +153,7 @@
 async fn open_target_stream(
     entry: &Rc<Entry>,
     call: &mut Call,
-    choice: &Choice,
+    choice: &ChosenTarget,
     last_event_id: Option<u64>,
 ) -> Result<Result<(response::Parts, TargetStream), OpenResponse>, AttemptError>
 {
@@ -163,8 +170,8 @@
         body: opened.body,
         lease: Some(opened.lease),
         splitter: EventSplitter::new(),
-        last_data_at: StepSnapshot::new(entry, choice),
-        seen_news: 0,
+        last_data_at: GroupStepSnapshot::new(entry, choice),
+        seen_target_change_count: 0,
     };
     Ok(Ok((opened.head, target_stream)))
 }
@@ -174,12 +181,12 @@
 async fn wait_for_head(
     entry: &Rc<Entry>,
     call: &mut Call,
-    choice: &Choice,
+    choice: &ChosenTarget,
     attempt: &Attempt,
     last_event_id: Option<u64>,
 ) -> Result<OpenResponse, AttemptError> {
     let (deadline, work) = (call.deadline_instant(), call.work);
-    let since = StepSnapshot::new(entry, choice);
+    let since = GroupStepSnapshot::new(entry, choice);
     let mut opening = std::pin::pin!(call.send_to_target(
         entry,
         choice,
@@ -226,7 +233,7 @@
     ) -> NextEvent {
         loop {
             if let Some(event) = self.splitter.pop() {
-                self.attempt.note_event();
+                self.attempt.note_event_received();
                 return NextEvent::Event(event);
             }
             if self.splitter.exceeds_max_size() {
@@ -236,9 +243,9 @@
             }
             // A change may have been announced while an event was passed on,
             // when nothing waited for the notification.
-            let news_count = entry.target_change_count.get();
-            if self.seen_news != news_count {
-                self.seen_news = news_count;
+            let target_change_count = entry.target_change_count.get();
+            if self.seen_target_change_count != target_change_count {
+                self.seen_target_change_count = target_change_count;
                 if slows_its_group(entry, &self.choice) {
                     return NextEvent::Failed(AttemptError::MayHaveRun(
                         "slow",
@@ -266,7 +273,8 @@
                 Some(Ok(frame)) => {
                     let Ok(bytes) = frame.into_data() else { continue };
                     self.splitter.push(&bytes);
-                    self.last_data_at = StepSnapshot::new(entry, &self.choice);
+                    self.last_data_at =
+                        GroupStepSnapshot::new(entry, &self.choice);
                 }
                 Some(Err(_)) => {
                     return NextEvent::Failed(AttemptError::ConnectionBroken(
@@ -286,15 +294,15 @@
 
 /// A time and the step that a target's group had reached by then.
 #[derive(Clone, Copy, Debug)]
-struct StepSnapshot {
+struct GroupStepSnapshot {
     taken_at: Millis,
     step: u64,
 }
 
-impl StepSnapshot {
-    fn new(entry: &Entry, choice: &Choice) -> StepSnapshot {
-        let step = entry.last_pass_of(&choice.target.service);
-        StepSnapshot { taken_at: Millis::now(), step }
+impl GroupStepSnapshot {
+    fn new(entry: &Entry, choice: &ChosenTarget) -> GroupStepSnapshot {
+        let step = entry.highest_forward_pass(&choice.target.service);
+        GroupStepSnapshot { taken_at: Millis::now(), step }
     }
 }
 
@@ -302,15 +310,15 @@
 /// silence timeout, while its group made progress.
 fn lags_behind_group(
     entry: &Entry,
-    choice: &Choice,
-    since: StepSnapshot,
+    choice: &ChosenTarget,
+    since: GroupStepSnapshot,
 ) -> bool {
     let now = Millis::now();
     let endpoint = choice.endpoint.borrow();
     let Some(group) = &endpoint.group else { return false };
-    let group_advanced = entry.last_pass_of(&choice.target.service)
-        >= since.step + MIN_GROUP_STEPS;
-    now.since(since.taken_at) > SILENCE_TIMEOUT
+    let group_advanced = entry.highest_forward_pass(&choice.target.service)
+        >= since.step + MIN_GROUP_PROGRESS_STEPS;
+    now.since(since.taken_at) > TARGET_SILENCE_TIMEOUT
         && group.accepts_requests
         && group_advanced
 }
@@ -318,19 +326,23 @@
 /// Whether a target slows down its whole group while other targets of the
 /// service are not slow. A rank without requests adds no time to a step, so
 /// moving a dozen streams off the slow rank restores the speed of the others.
-fn slows_its_group(entry: &Entry, choice: &Choice) -> bool {
-    let pace = |group: Option<&Group>| group.map_or(100, |it| it.pace_percent);
-    let own_pace = pace(choice.endpoint.borrow().group.as_ref());
-    if own_pace < SLOW_PACE_PERCENT {
+fn slows_its_group(entry: &Entry, choice: &ChosenTarget) -> bool {
+    let service_time = |group: Option<&GroupReport>| {
+        group.map_or(100, |it| it.service_time_percent)
+    };
+    let own_service_time =
+        service_time(choice.endpoint.borrow().group.as_ref());
+    if own_service_time < SLOW_SERVICE_TIME_PERCENT {
         return false;
     }
-    let mut fastest_pace = u32::MAX;
+    let mut shortest_service_time = u32::MAX;
     let service = &choice.target.service;
     entry.for_each_group(service, |group| {
-        fastest_pace = fastest_pace.min(pace(group))
+        shortest_service_time = shortest_service_time.min(service_time(group))
     });
-    u64::from(fastest_pace) * u64::from(SLOW_PACE_PERCENT) / 100
-        <= u64::from(own_pace)
+    u64::from(shortest_service_time) * u64::from(SLOW_SERVICE_TIME_PERCENT)
+        / 100
+        <= u64::from(own_service_time)
 }
 
 /// The stream to one caller, relayed from one target after another.
@@ -348,7 +360,7 @@
 }
 
 impl CallerStream {
-    async fn run(
+    async fn relay_stream(
         mut self,
         mut target_stream: TargetStream,
         first_event: Option<Event>,
@@ -371,7 +383,7 @@
         first_event: Option<Event>,
     ) -> &'static str {
         if let Some(event) = first_event
-            && !self.send_event(event).await
+            && !self.send_event_to_caller(event).await
         {
             return "caller left";
         }
@@ -384,7 +396,7 @@
             };
             match next {
                 NextEvent::Event(event) => {
-                    if !self.send_event(event).await {
+                    if !self.send_event_to_caller(event).await {
                         return "caller left";
                     }
                 }
@@ -400,7 +412,7 @@
                 NextEvent::Failed(error) => {
                     target_stream.attempt.note_error(&error);
                     let resumed = tokio::select! {
-                        next = self.resume_elsewhere(target_stream, error) => next,
+                        next = self.resume_at_another_target(target_stream, error) => next,
                         () = pieces.closed() => return "caller left",
                     };
                     match resumed {
@@ -416,14 +428,14 @@
 
     /// Resumes the stream at another target, if a retry is allowed and a
     /// target is usable.
-    async fn resume_elsewhere(
+    async fn resume_at_another_target(
         &mut self,
         target_stream: &TargetStream,
         error: AttemptError,
     ) -> Option<TargetStream> {
         let mut error = error;
         let mut choice = target_stream.choice.clone();
-        self.call.restart_wait();
+        self.call.restart_target_wait();
         loop {
             self.call
                 .note_attempt_error(&self.entry, &choice, error)
@@ -448,7 +460,7 @@
 
     /// Sends an event to the caller unless it was sent before. Returns false
     /// if the caller left or the deadline passed.
-    async fn send_event(&mut self, event: Event) -> bool {
+    async fn send_event_to_caller(&mut self, event: Event) -> bool {
         if event.id.is_some() && event.id <= self.last_event_id {
             return true;
         }
--- a/cowsliproad-direct/src/upstream.rs
+++ b/cowsliproad-direct/src/upstream.rs
@@ -30,25 +30,25 @@
 
 use crate::{
     attempt::Attempt,
-    entry::{Choice, Endpoint},
+    entry::{ChosenTarget, Endpoint},
 };
 
 /// The timeout of a TCP connect. A lost SYN is retransmitted after a second or
 /// more; trying another target is a better use of that time.
-const CONNECT_TIMEOUT: Millis = Millis(250);
+const TARGET_CONNECT_TIMEOUT: Millis = Millis(250);
 
 /// Unacknowledged bytes for this long show that the peer is gone.
-const UNACKED_TIMEOUT: Millis = Millis(1_500);
+const TCP_UNACKED_TIMEOUT: Millis = Millis(1_500);
 
 /// The idle time before the first TCP keepalive probe, and between probes.
-const KEEPALIVE_INTERVAL: Millis = Millis(1_000);
+const TCP_KEEPALIVE_INTERVAL: Millis = Millis(1_000);
 
 /// How long an idle connection is pooled if the target states no timeout.
 const DEFAULT_IDLE_TIMEOUT: Millis = Millis(4_000);
 
 /// How long an idle connection is pooled, in percent of the idle timeout that
 /// the target states. The target may close connections a little early.
-const IDLE_TIMEOUT_PERCENT: u64 = 60;
+const POOLED_IDLE_TIMEOUT_PERCENT: u64 = 60;
 
 /// The longest time that an idle connection is pooled, whatever the target
 /// states.
@@ -57,7 +57,7 @@
 /// The longest idle time of a connection that is reused for a request that
 /// must not be repeated. Targets close idle connections after a second or
 /// more.
-const MAX_FRESH_IDLE: Millis = Millis(300);
+const MAX_FRESH_CONNECTION_IDLE_TIME: Millis = Millis(300);
 
 /// Idle connections pooled for one target.
 const MAX_IDLE_CONNECTIONS: usize = 16;
@@ -107,7 +107,7 @@
 
 impl ConnectionPool {
     /// Whether no connection is idle.
-    pub fn is_empty(&self) -> bool {
+    pub fn has_no_idle_connection(&self) -> bool {
         self.idle.is_empty()
     }
 
@@ -121,7 +121,7 @@
             ConnectionReuse::Any => it.sender.is_ready(),
             ConnectionReuse::Fresh => {
                 it.sender.is_ready()
-                    && now.since(it.last_used) < MAX_FRESH_IDLE
+                    && now.since(it.last_used) < MAX_FRESH_CONNECTION_IDLE_TIME
             }
         };
         let index = self.idle.iter().rposition(is_usable)?;
@@ -146,7 +146,7 @@
         return;
     }
     let mut endpoint = endpoint.borrow_mut();
-    let idle = &mut endpoint.pool.idle;
+    let idle = &mut endpoint.connection_pool.idle;
     if idle.len() < MAX_IDLE_CONNECTIONS {
         idle.push(IdleConnection {
             sender,
@@ -160,21 +160,21 @@
 /// Sends a request to a target and waits for the head of the response.
 pub async fn send_request(
     attempt: &Attempt,
-    choice: &Choice,
+    choice: &ChosenTarget,
     mut request: Request<Full<Bytes>>,
     reuse: ConnectionReuse,
 ) -> Result<(Response<Incoming>, ConnectionLease), SendError> {
     loop {
         let pooled = {
             let mut endpoint = choice.endpoint.borrow_mut();
-            endpoint.pool.take_connection(reuse, Millis::now())
+            endpoint.connection_pool.take_connection(reuse, Millis::now())
         };
         let was_pooled = pooled.is_some();
         let mut sender = match pooled {
             Some(sender) => sender,
             None => {
                 wait_for_connection_slot(attempt, choice).await?;
-                connect(choice).await?
+                connect_to_target(choice).await?
             }
         };
         // While the connection was made, the target may have left, entered a
@@ -188,7 +188,7 @@
             );
             return Err(SendError::Withheld(why));
         }
-        attempt.note_sent();
+        attempt.note_request_sent();
         match sender.try_send_request(request).await {
             Ok(response) => {
                 let idle_timeout = pooled_idle_timeout(response.headers());
@@ -201,13 +201,17 @@
             Err(mut error) => match error.take_message() {
                 // The connection was closed before a byte was written.
                 Some(unsent) => {
-                    attempt.note_not_sent();
+                    attempt.note_request_unsent();
                     if !was_pooled {
                         return Err(SendError::Unsent("closed at once"));
                     }
                     request = unsent;
                 }
-                None => return Err(SendError::Unknown(reason(error.error()))),
+                None => {
+                    return Err(SendError::Unknown(send_error_reason(
+                        error.error(),
+                    )));
+                }
             },
         }
     }
@@ -218,10 +222,10 @@
 /// request.
 async fn wait_for_connection_slot(
     attempt: &Attempt,
-    choice: &Choice,
+    choice: &ChosenTarget,
 ) -> Result<(), SendError> {
     let connection_freed = choice.endpoint.borrow().connection_freed.clone();
-    let give_up_at = Instant::now() + CONNECT_TIMEOUT.duration();
+    let give_up_at = Instant::now() + TARGET_CONNECT_TIMEOUT.duration();
     loop {
         let mut freed = std::pin::pin!(connection_freed.notified());
         freed.as_mut().enable();
@@ -231,7 +235,7 @@
             if endpoint.open_connections < choice.max_connections {
                 return Ok(());
             }
-            let idle = &mut endpoint.pool.idle;
+            let idle = &mut endpoint.connection_pool.idle;
             if !idle.is_empty() {
                 idle.remove(0);
             }
@@ -243,7 +247,7 @@
 }
 
 /// Describes an error of a request that may have run.
-fn reason(error: &hyper::Error) -> &'static str {
+fn send_error_reason(error: &hyper::Error) -> &'static str {
     if error.is_parse() {
         "no answer in the protocol"
     } else if error.is_incomplete_message() {
@@ -254,16 +258,16 @@
 }
 
 /// Opens a connection to the chosen target.
-async fn connect(
-    choice: &Choice,
+async fn connect_to_target(
+    choice: &ChosenTarget,
 ) -> Result<SendRequest<Full<Bytes>>, SendError> {
-    let connection_count = ConnectionCount::new(&choice.endpoint);
+    let connection_guard = OpenConnectionGuard::new(&choice.endpoint);
     let connecting = TcpStream::connect(choice.target.address);
-    let stream = timeout(CONNECT_TIMEOUT.duration(), connecting)
+    let stream = timeout(TARGET_CONNECT_TIMEOUT.duration(), connecting)
         .await
         .map_err(|_| SendError::Unsent("no connection in time"))?
         .map_err(|_| SendError::Unsent("no connection"))?;
-    let stream = configure_socket(&stream)
+    let stream = configure_tcp_socket(&stream)
         .and_then(|()| HookedStream::new(stream, ResetOnDrop))
         .map_err(|_| SendError::Unsent("no connection"))?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream))
@@ -272,25 +276,25 @@
     tokio::task::spawn_local(async move {
         // The request on the connection reports the error.
         let _ = connection.await;
-        drop(connection_count);
+        drop(connection_guard);
     });
     Ok(sender)
 }
 
 /// Counts one connection to a target until dropped. A connection counts before
 /// it is made: otherwise concurrent requests could exceed the bound together.
-struct ConnectionCount {
+struct OpenConnectionGuard {
     endpoint: Rc<RefCell<Endpoint>>,
 }
 
-impl ConnectionCount {
-    fn new(endpoint: &Rc<RefCell<Endpoint>>) -> ConnectionCount {
+impl OpenConnectionGuard {
+    fn new(endpoint: &Rc<RefCell<Endpoint>>) -> OpenConnectionGuard {
         endpoint.borrow_mut().open_connections += 1;
-        ConnectionCount { endpoint: endpoint.clone() }
+        OpenConnectionGuard { endpoint: endpoint.clone() }
     }
 }
 
-impl Drop for ConnectionCount {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         let mut endpoint = self.endpoint.borrow_mut();
         endpoint.open_connections -= 1;
@@ -300,13 +304,13 @@
 
 /// Configures a connection so that it closes within seconds if the peer stops
 /// responding.
-pub fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
+pub fn configure_tcp_socket(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT.duration()))?;
+    socket.set_tcp_user_timeout(Some(TCP_UNACKED_TIMEOUT.duration()))?;
     let probes = TcpKeepalive::new()
-        .with_time(KEEPALIVE_INTERVAL.duration())
-        .with_interval(KEEPALIVE_INTERVAL.duration())
+        .with_time(TCP_KEEPALIVE_INTERVAL.duration())
+        .with_interval(TCP_KEEPALIVE_INTERVAL.duration())
         .with_retries(2);
     socket.set_tcp_keepalive(&probes)
 }
@@ -329,8 +333,9 @@
         .and_then(|it| it.trim().parse::<u64>().ok());
     match stated_seconds {
         Some(seconds) => {
-            let idle_timeout =
-                Millis(seconds.saturating_mul(10 * IDLE_TIMEOUT_PERCENT));
+            let idle_timeout = Millis(
+                seconds.saturating_mul(10 * POOLED_IDLE_TIMEOUT_PERCENT),
+            );
             idle_timeout.min(MAX_IDLE_TIMEOUT)
         }
         None => DEFAULT_IDLE_TIMEOUT,
--- a/cowsliproad-direct/tests/entry/group_crashes.rs
+++ b/cowsliproad-direct/tests/entry/group_crashes.rs
@@ -78,7 +78,7 @@
             agents.change(|loads| loads.retain(|it| it.target != address));
         }
         for entry in &self.entries {
-            tell_lost(address, entry.settings.peer_address()).await;
+            tell_lost(address, entry.settings.own_peer_address()).await;
         }
     }
 
@@ -221,7 +221,7 @@
     let scene = Scene::start(4).await;
     for entry in &scene.entries {
         let address = scene.ranks[0].listen_address().expect("it listens");
-        tell_lost(address, entry.settings.peer_address()).await;
+        tell_lost(address, entry.settings.own_peer_address()).await;
     }
     let told = Instant::now();
     sleep(BOUND).await;
--- a/cowsliproad-direct/tests/entry/leaving.rs
+++ b/cowsliproad-direct/tests/entry/leaving.rs
@@ -134,7 +134,7 @@
             ..report(&targets[0])
         };
         let bytes = gossip::encode(&Datagram::Load(load));
-        let to = entry.settings.peer_address();
+        let to = entry.settings.own_peer_address();
         socket.send_to(&bytes, to).await.expect("it is sent");
         sleep(Duration::from_millis(100)).await;
     };
--- a/cowsliproad-direct/tests/entry/limits.rs
+++ b/cowsliproad-direct/tests/entry/limits.rs
@@ -323,7 +323,7 @@
         ranks.push(plant.target_with(config).await);
     }
     let entries = plant.entries(3).await;
-    let agents = entries.iter().map(|it| it.settings.peer_address());
+    let agents = entries.iter().map(|it| it.settings.own_peer_address());
     let reports = tokio::spawn(report_all(ranks.clone(), agents.collect()));
     ranks[0].set_rate_limit(Some("2"));
     let told = told();
--- a/cowsliproad-direct/tests/entry/quarantine.rs
+++ b/cowsliproad-direct/tests/entry/quarantine.rs
@@ -368,7 +368,7 @@
 async fn whoever_waits_with_it_is_answered_at_once() {
     let scene = Scene::start(RouteKind::Streams).await;
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
-    let to = scene.entries[0].settings.peer_address();
+    let to = scene.entries[0].settings.own_peer_address();
     let targets = scene.targets.clone();
     tokio::spawn(async move {
         loop {
@@ -421,7 +421,7 @@
         full.push(Full::start(&mut plant, &format!("i-{number}")).await);
     }
     let entry = plant.entry().await;
-    let to = entry.settings.peer_address();
+    let to = entry.settings.own_peer_address();
     for _ in 0..12 {
         let asked = entry.ask_with("/once/a", KEY, "innocent");
         let left = timeout(Duration::from_millis(100), asked).await;
@@ -477,7 +477,7 @@
 async fn targets_that_were_taken_for_ended_may_end_after_all() {
     let scene = Scene::start_with(RouteKind::Calls, 4).await;
     let entry = &scene.entries[0];
-    let to = entry.settings.peer_address();
+    let to = entry.settings.own_peer_address();
     let lose = Duration::from_millis(100);
     let all_lost = async || {
         for target in scene.targets.iter().filter_map(|it| it.listen_address())
@@ -527,7 +527,7 @@
 async fn an_answer_that_was_on_its_way_takes_no_end_back() {
     let scene = Scene::start_with(RouteKind::Calls, 3).await;
     let entry = &scene.entries[0];
-    let to = entry.settings.peer_address();
+    let to = entry.settings.own_peer_address();
     let slow = target::Fault::Slow(Duration::from_millis(900));
     scene.targets.iter().for_each(|it| it.set_fault(slow));
     let have_run = |body| scene.targets.iter().all(|it| has_run(it, body));
@@ -580,7 +580,7 @@
         targets.push(plant.target_with(config).await);
     }
     let entry = plant.entry().await;
-    let to = entry.settings.peer_address();
+    let to = entry.settings.own_peer_address();
     let agents = targets.clone();
     tokio::spawn(async move {
         loop {
--- a/cowsliproad-direct/tests/entry/siege.rs
+++ b/cowsliproad-direct/tests/entry/siege.rs
@@ -267,8 +267,10 @@
         sleep(Duration::from_millis(50)).await;
         let Some(target) = target.listen_address() else { return };
         for entry in &self.entries {
-            let to =
-                entry.borrow().as_ref().map(|it| it.settings.peer_address());
+            let to = entry
+                .borrow()
+                .as_ref()
+                .map(|it| it.settings.own_peer_address());
             let Some(to) = to else { continue };
             tell_lost(target, to).await;
         }
--- a/cowsliproad-direct/tests/entry/streams.rs
+++ b/cowsliproad-direct/tests/entry/streams.rs
@@ -109,7 +109,7 @@
             loads: Mutex::new(targets.iter().map(load).collect()),
             going: AtomicBool::new(true),
         });
-        let to = entry.settings.peer_address();
+        let to = entry.settings.own_peer_address();
         let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
         let telling = agents.clone();
         tokio::spawn(async move {
