--- a/cowsliproad-direct/src/attempt.rs
+++ b/cowsliproad-direct/src/attempt.rs
@@ -27,7 +27,8 @@
     sent_at: Cell<Option<Millis>>,
     /// Whether an event of the response arrived.
     event_received: Cell<bool>,
-    /// Whether the target is known to have survived, or the check has begun.
+    /// Whether the target is known to have survived the attempt, or the check
+    /// for a crash has begun.
     target_check_settled: Cell<bool>,
 }
 
--- a/cowsliproad-direct/src/call.rs
+++ b/cowsliproad-direct/src/call.rs
@@ -48,16 +48,16 @@
 /// The largest response body that is buffered before it is passed on.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// The part of the route's target latency, in percent, that an attempt may
-/// take before the request goes to another target, which needs the rest.
+/// The timeout of an attempt before a request goes to another target, in
+/// percent of the route's latency goal. The next attempt needs the rest.
 const FIRST_ATTEMPT_LATENCY_GOAL_PERCENT: u64 = 50;
 
 /// The shortest attempt timeout: three times a round trip plus the usual
 /// execution time.
 const MIN_ATTEMPT_TIMEOUT: Millis = Millis(40);
 
-/// Ranks that a request loses in a target's queue once it misses the target
-/// latency of its route.
+/// Ranks that a request falls back in a target's queue once the request misses
+/// the latency goal of its route.
 const LATE_REQUEST_RANK_PENALTY: u16 = 2;
 
 /// The lowest priority in a target's queue, where rank 0 is served first.
@@ -97,27 +97,28 @@
     cooldown_stagger: Millis,
     /// Attempts in which a target may have run the request.
     possible_runs: usize,
-    /// What the next attempt costs.
+    /// Whether the next attempt spends a retry from the retry budget.
     next_attempt_cost: AttemptCost,
     /// Whether any target may have run the request.
     execution: ExecutionStatus,
 }
 
-/// What an attempt costs.
+/// Whether an attempt at a target spends a retry from the service's retry
+/// budget.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum AttemptCost {
-    /// No retry: the request has reached no target yet.
+    /// The attempt spends nothing: the request has reached no target yet.
     Free,
-    /// One retry from the retry budget.
+    /// The attempt spends one retry from the retry budget.
     OneRetry,
 }
 
 /// Whether the attempts of a request so far may have run it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum ExecutionStatus {
-    /// No attempt ran.
+    /// No attempt ran the request.
     NotRun,
-    /// Some attempt may have run.
+    /// Some attempt may have run the request.
     Unknown,
 }
 
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Records that an attempt may have run the request.
+    /// Records that a failed attempt may have run the request.
     pub fn note_possible_run(&mut self) {
         self.execution = ExecutionStatus::Unknown;
         self.possible_runs += 1;
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -25,8 +25,8 @@
     reply::Body,
 };
 
-/// After so many denied permits a request goes to a target without a limit, or
-/// is rejected.
+/// Permits that may be denied to a request before the request goes to a target
+/// without a rate limit, or is rejected.
 const MAX_DENIED_PERMITS: usize = 3;
 
 /// Time reserved before a caller's deadline for delivering the response, also
@@ -254,13 +254,14 @@
         silence.unwrap_or(entry.settings().target_wait_ms)
     }
 
-    /// The best target for the request, and how long the request may wait for
-    /// a permit there. Targets that have not got the request come first while
-    /// the route allows one more; targets that accept it now come before
-    /// targets that accept it within `lookahead`. If there is none, returns
-    /// the shortage that limits and cooldowns stated by targets cause, if any.
-    /// A request that may go to only one target avoids targets whose cooldown
-    /// has just ended, if it can.
+    /// Chooses the target for the next attempt, and returns how long the
+    /// request may wait for a permit of that target. Targets that have not got
+    /// the request are preferred while the route allows one more target;
+    /// targets that accept the request now are preferred to targets that
+    /// accept it within `lookahead`. Without a usable target, returns the
+    /// shortage that rate limits and cooldowns cause, if any. A request that
+    /// may go to only one target avoids targets whose cooldown has just ended,
+    /// if another target is usable.
     fn choose_target(
         &self,
         entry: &Entry,
--- a/cowsliproad-direct/src/call/failure.rs
+++ b/cowsliproad-direct/src/call/failure.rs
@@ -30,8 +30,8 @@
 /// targets that have stated that they did not run the request.
 const MAX_EXTRA_ATTEMPTS: usize = 4;
 
-/// Attempts of one request, including those that could not connect, each of
-/// which ends at once or after 250 ms.
+/// Attempts of one request, including failed connects. A failed connect ends
+/// at once or after 250 ms.
 const MAX_ATTEMPTS: usize = 12;
 
 /// Why a request is rejected without a target's response.
--- a/cowsliproad-direct/src/ends.rs
+++ b/cowsliproad-direct/src/ends.rs
@@ -29,20 +29,22 @@
     quarantine::CrashExtent,
 };
 
-/// Latency that a report or answer may have had: one that arrives within this
-/// time after a broken connection may have been sent before.
+/// The longest latency of an agent's report or a target's answer: a message
+/// that arrives within this time after a connection broke may have been sent
+/// before.
 pub const MAX_MESSAGE_LATENCY: Millis = Millis(100);
 
 /// Delay before a target without an agent is probed. Requests whose
 /// connections to the target broke together share one probe.
 const PROBE_DELAY_WITHOUT_AGENT: Millis = Millis(150);
 
-/// Delay before a target with an agent is probed. The agent reports every 400
-/// ms, so that no connection is made after a whole group was partitioned.
+/// Delay before a target with an agent is probed. An agent reports every 400
+/// ms, so its report mostly makes the probe unnecessary: a partition of a
+/// whole group causes no probe connections.
 const PROBE_DELAY_WITH_AGENT: Millis = Millis(550);
 
-/// An agent that was silent for this long before the break isn't expected to
-/// report.
+/// An agent that sent no report for this long before a connection broke isn't
+/// expected to report on the target, which is probed as if it had no agent.
 const AGENT_REPORT_TIMEOUT: Millis = Millis(1_000);
 
 /// The timeout for the probe's connection to be accepted or refused.
@@ -56,8 +58,8 @@
 const PROBE_RETRY_BACKOFF: Millis = Millis(300);
 
 /// Suspicions kept per target, some 70 bytes each: all requests of one entry
-/// that a target runs and queues. The oldest abandoned request gives way to a
-/// new suspicion.
+/// process that a target runs and queues. The oldest abandoned request gives
+/// way to a new suspicion.
 const MAX_SUSPICIONS_PER_TARGET: usize = 64;
 
 /// A request during which its target may have crashed.
@@ -68,8 +70,9 @@
     /// When the request's connection broke or was abandoned, or, if later,
     /// when the target was last known to be alive.
     broken_at: Millis,
-    /// How long after `broken_at` the target may have continued with the
-    /// request before it is probed.
+    /// The delay after `broken_at` before the target of an abandoned request
+    /// is probed, since the target may continue with the request; 0 if the
+    /// connection broke.
     abandoned_probe_delay: Millis,
     /// The latest time at which the target may still run the request.
     may_run_until: Millis,
@@ -78,7 +81,8 @@
 }
 
 impl CrashSuspicion {
-    /// A suspicion for a request whose connection broke.
+    /// Creates the suspicion that a target crashed under a request whose
+    /// connection broke.
     pub fn new_for_broken_connection(
         request_id: Name,
         work: WorkDigest,
@@ -99,8 +103,8 @@
         CrashSuspicion { answer_begun, ..self }
     }
 
-    /// A suspicion for a request that was abandoned here, and that the target
-    /// may continue until the request's deadline.
+    /// Creates the suspicion that a target crashed under an abandoned request.
+    /// The target may continue with the request until its deadline.
     pub fn new_for_abandoned_request(
         request_id: Name,
         work: WorkDigest,
@@ -125,8 +129,8 @@
             .then(|| CrashSuspicion { broken_at: now, ..self.clone() })
     }
 
-    /// The earliest sign of life that shows that the target survived the
-    /// request.
+    /// The earliest time of a sign of life that shows that the target survived
+    /// the request.
     fn earliest_survival_proof(&self) -> Millis {
         self.broken_at + self.abandoned_probe_delay + MAX_MESSAGE_LATENCY
     }
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -39,8 +39,8 @@
 pub mod choose;
 mod groups;
 
-/// Routes whose callers' longest deadline is remembered, some 60 bytes each:
-/// more than operators have had.
+/// Routes whose longest caller timeout is kept, some 60 bytes each. No
+/// operator has had so many routes.
 const MAX_REMEMBERED_ROUTES: usize = 10_000;
 
 /// Availability zones that are tracked, twice those of the largest fleet to
@@ -57,7 +57,7 @@
     Log,
     /// The change came in a digest or state snapshot of another entry process.
     Peer,
-    /// The change was observed on this entry's own requests.
+    /// The change was observed on this entry process's own requests.
     Own,
 }
 
@@ -159,7 +159,7 @@
     catalog: RefCell<Option<(Arc<Catalog>, Bytes)>>,
     /// The known targets.
     pub fleet: RefCell<Fleet>,
-    /// The longest remaining deadline seen from callers, per route.
+    /// The longest timeout that a caller's request has stated on each route.
     longest_caller_timeouts: RefCell<HashMap<Name, Millis>>,
     /// Keys of malformed records in the targets topic, so that each key is
     /// logged once.
@@ -192,26 +192,28 @@
     pub target_change_count: Cell<u64>,
     /// Wakes idle caller connections that have to be closed at shutdown.
     pub idle_close_requested: Notify,
-    /// Wakes the task that broadcasts digests to other entries.
+    /// Wakes the task that broadcasts digests to other entry processes.
     pub digest_wakeup: Notify,
     /// The id of the target list that each engine's agent has, by the engine's
     /// address.
     pub agent_target_list_ids: RefCell<HashMap<SocketAddr, u64>>,
-    /// When the targets topic was last read, by this entry or by another, and
-    /// up to which position.
+    /// When the targets topic was last read, by this entry process or by
+    /// another, and up to which position.
     pub log_read_schedule: RefCell<LogReadSchedule>,
     /// Wakes the task that reads the targets topic.
     pub targets_read_wakeup: Notify,
     /// Rollbacks of the platform's log to an older copy.
     pub rollbacks: LogRollbacks,
-    /// Wakes the task that waits at startup for digests of other entries.
+    /// Wakes the task that waits at startup for digests of other entry
+    /// processes.
     pub digest_received: Notify,
     /// Counts targets that joined or restarted, so that agents are asked to
     /// report at once.
     pub joined_target_count: Cell<u64>,
     /// Accepted requests whose answers are not complete yet.
     pub unfinished_requests: Cell<usize>,
-    /// The phase of the process.
+    /// The current phase of this entry process, from serving to the end of its
+    /// shutdown.
     pub process_phase: Cell<ProcessPhase>,
     rng: RefCell<SmallRng>,
 }
@@ -221,20 +223,22 @@
 pub struct ChosenTarget {
     /// The chosen target.
     pub target: Target,
-    /// The state that the entry keeps for the chosen target.
+    /// The state that the entry process keeps for the chosen target.
     pub endpoint: Rc<RefCell<Endpoint>>,
     /// The target's cost when it was chosen, in milliseconds.
     pub cost_ms: f64,
-    /// Connections to the target that this entry may have.
+    /// The largest number of connections that this entry process may have to
+    /// the target.
     pub max_connections: usize,
     /// The rate limit that the target states.
     pub rate_limit: Option<Rate>,
-    /// The permit to send that the request holds at the target.
+    /// The permit that the request holds, granted by the target's rate
+    /// limiter.
     pub permit: Option<Permit>,
 }
 
 impl Entry {
-    /// Creates an entry without configuration, targets or peers.
+    /// Creates an entry process without configuration, targets or peers.
     pub fn new(settings: Settings, log: Logger) -> Entry {
         let peers = Peers::new(&settings);
         let log_read_schedule = LogReadSchedule::new(settings.heartbeat_ms);
@@ -278,8 +282,8 @@
     }
 
     /// Puts reloaded settings in force and logs invalid ones. Names and
-    /// addresses of this entry keep their old values: connections and other
-    /// entries depend on them.
+    /// addresses of this entry process keep their old values: connections and
+    /// other entry processes depend on them.
     pub fn reload_settings(
         &self,
         read_result: Result<Settings, settings::Error>,
@@ -367,7 +371,8 @@
     ) {
         match change {
             TargetChange::None => return,
-            // The target is known here, but maybe not to other entries.
+            // The target is known here, but maybe not to other entry
+            // processes.
             TargetChange::Returned => {
                 return self.record_target_change_in_log(source);
             }
@@ -414,8 +419,8 @@
         self.notify_target_change();
     }
 
-    /// Merges another entry's latest read of the targets topic: when it was
-    /// read and the position of the last change.
+    /// Merges another entry process's latest read of the targets topic: when
+    /// it was read and the position of the last change.
     pub fn merge_peer_targets_read(
         &self,
         at: Millis,
@@ -431,7 +436,7 @@
     }
 
     /// Records a change of the targets that was read from the log, so that
-    /// other entries read the change too.
+    /// other entry processes read the change too.
     fn record_target_change_in_log(&self, source: ChangeSource) {
         if source == ChangeSource::Log {
             self.log_read_schedule.borrow_mut().record_target_change();
@@ -478,7 +483,7 @@
         endpoints.entry(id.clone()).or_insert_with(new).clone()
     }
 
-    /// Whether the entry can serve: it isn't stopping, and it has a
+    /// Whether the entry process can serve: it isn't stopping, and it has a
     /// configuration and at least one usable target.
     pub fn is_ready(&self) -> bool {
         self.process_phase.get() == ProcessPhase::Serving
@@ -486,9 +491,9 @@
             && self.fleet.borrow().ready_targets().next().is_some()
     }
 
-    /// Records the remaining deadline of a caller's request and returns the
-    /// longest one seen on the same route, which is about the deadline of a
-    /// first attempt.
+    /// Records the timeout that a caller's request states and returns the
+    /// longest timeout stated on the same route, which is about that of a
+    /// caller's first try.
     pub fn update_longest_caller_timeout(
         &self,
         route: &Name,
@@ -514,7 +519,8 @@
     }
 
     /// Whether an availability zone was reachable since a moment: a VM of the
-    /// zone sent a message or, for this entry's own zone, any other VM did.
+    /// zone sent a message or, for this entry process's own zone, any other VM
+    /// did.
     pub fn has_zone_contact_since(&self, zone: &Name, since: Millis) -> bool {
         let own = self.settings().zone == *zone;
         let zones = self.zone_last_seen.borrow();
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -1,5 +1,5 @@
-//! Choice of the target for a request, by cost, from this entry's state of all
-//! targets.
+//! Choice of the target for a request, by cost, from this entry process's
+//! state of all targets.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -19,8 +19,8 @@
     scored: Vec<ScoredTarget>,
     observed_at: Millis,
     usual: ServiceLatency,
-    /// Estimated requests of other entries that no agent's report includes
-    /// yet.
+    /// Estimated requests of other entry processes that no agent's report
+    /// includes yet.
     unreported_requests: f64,
     /// Requests a second that each target would get if all targets got equally
     /// many.
@@ -52,7 +52,7 @@
     /// When the first cooldown of a target ends.
     pub cooldown_end: Option<Millis>,
     /// Whether every eligible target is rate-limited or in a cooldown, so that
-    /// no other target may become usable before.
+    /// no target becomes usable before a limit or cooldown ends.
     pub covers_all_targets: bool,
 }
 
@@ -89,10 +89,10 @@
 /// Whether a request may wait for permits at rate-limited targets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PermitWaitPolicy {
-    /// Only for a permit that is free now; otherwise the request goes to
+    /// The request uses only a permit that is free now, and otherwise goes to
     /// another target.
     Now,
-    /// For a permit that becomes free within this time.
+    /// The request waits for a permit that becomes free within this time.
     Within(Millis),
     /// The request doesn't ask for permits.
     Never,
@@ -295,7 +295,7 @@
     }
 
     /// Requests a second that each target of a service would get from all
-    /// entries if all targets got equally many.
+    /// entry processes if all targets got equally many.
     fn equal_share_requests_per_second(
         &self,
         service: &str,
@@ -310,10 +310,10 @@
         usual * entries / targets.max(1) as f64
     }
 
-    /// Estimates the requests that other entries sent to a service and that no
-    /// report includes yet. Entries see much the same state, so they are taken
-    /// to send what this entry does: its usual rate, or its latest burst if
-    /// that is more.
+    /// Estimates the requests that other entry processes sent to a service and
+    /// that no report includes yet. Entry processes see much the same state,
+    /// so they are taken to send what this entry process does: its usual rate,
+    /// or its latest burst if that is more.
     fn unreported_requests(
         &self,
         service: &str,
@@ -331,8 +331,8 @@
         usual.max(f64::from(sent)) * others
     }
 
-    /// Connections that this entry may open to one target of a service: its
-    /// part of the service's limit.
+    /// Connections that this entry process may open to one target of a
+    /// service: its part of the service's limit.
     fn max_connections(&self, service: &str) -> usize {
         let catalog = self.catalog.borrow();
         let service = catalog.as_ref().and_then(|it| it.0.service(service));
@@ -347,15 +347,15 @@
 
 const ONE_SECOND: Millis = Millis(1_000);
 
-/// How long the probe after a cooldown is awaited before another request is
-/// sent.
+/// How long the answer to a target's recovery probe is awaited before another
+/// request is sent to the target.
 const RECOVERY_PROBE_TIMEOUT: Millis = Millis(400);
 
-/// The time for which requests of other entries are estimated: two report
-/// intervals of an agent. `cowsliproad-bench routing` compares this interval
-/// with others.
+/// The time for which requests of other entry processes are estimated: two
+/// report intervals of an agent. `cowsliproad-bench routing` compares this
+/// interval with others.
 const UNREPORTED_REQUEST_INTERVAL: Millis = Millis(800);
 
-/// Connections to one target that every entry may open, however many entries
-/// share the service's limit.
+/// Connections to one target that every entry process may open, however many
+/// entry processes share the service's limit.
 const MIN_CONNECTIONS_PER_TARGET: usize = 1;
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -6,9 +6,9 @@
 //! topic is read on a timer, well within the time in which a leaving target
 //! has to be known, and by one entry process on behalf of all.
 //!
-//! While this entry can't read the log, other entries send the state that they
-//! read; see [`crate::peers`]. Rollbacks of the log to an older copy are
-//! handled in [`crate::rollback`].
+//! While the log refuses this entry process's calls or doesn't answer, other
+//! entry processes send the state that they read; see [`crate::peers`].
+//! Rollbacks of the log to an older copy are handled in [`crate::rollback`].
 
 use std::{collections::HashMap, rc::Rc};
 
@@ -29,15 +29,15 @@
 };
 
 /// How long the log may hold a long poll for the configuration. A dead
-/// connection is noticed when this time is over; other entries send new
-/// versions sooner.
+/// connection is noticed when this time is over; other entry processes send
+/// new versions sooner.
 const LONG_POLL_TIMEOUT: Millis = Millis(15_000);
 
-/// The first backoff after a failed call; each further failure doubles the
-/// backoff.
+/// The first backoff after a failed call to the log; each further failure
+/// doubles the backoff.
 const MIN_LOG_CALL_BACKOFF: Millis = Millis(150);
 
-/// The longest backoff after failed calls.
+/// The longest backoff after failed calls to the log.
 const MAX_LOG_CALL_BACKOFF: Millis = Millis(1_200);
 
 /// The least time between two calls for one topic, so that a burst of new
@@ -45,9 +45,9 @@
 /// version counts.
 const MIN_CONFIG_READ_INTERVAL: Millis = Millis(50);
 
-/// How often some entry reads the targets, in percent of the time in which a
-/// leaving target must be known. Two reads may be late or lost before a target
-/// gets requests for too long.
+/// How often some entry process reads the targets, in percent of the time in
+/// which a leaving target must be known. Two reads may be late or lost before
+/// a target gets requests for too long.
 const TARGETS_READ_INTERVAL_PERCENT: u64 = 40;
 
 /// Successes and failures of one task's calls to the log.
@@ -59,7 +59,7 @@
 }
 
 impl LogCallStatus {
-    /// Creates the contact of a task that has made no calls yet.
+    /// Creates the status of a task that has made no calls to the log yet.
     pub fn new(topic: &'static str) -> LogCallStatus {
         LogCallStatus { topic, last_success: Millis::now(), failures: 0 }
     }
@@ -94,7 +94,7 @@
 }
 
 /// Returns a random time from three quarters of `time` to all of it, so that
-/// the calls of entries spread out.
+/// the calls of entry processes spread out.
 fn jittered(time: Millis) -> Millis {
     Millis(rand::rng().random_range(time.0 * 3 / 4..=time.0))
 }
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Reads the next records. The log may hold the call for up to `hold`
+    /// Reads the next records. The log may hold the call for up to `max_hold`
     /// until there is a record.
     pub async fn read_next_records(
         &mut self,
@@ -186,7 +186,8 @@
     /// expired or the log was rolled back.
     pub async fn prepare_retry(&mut self, entry: &Entry, error: &Error) {
         match error {
-            // The next read detects the new era and starts again.
+            // The next read detects the log's new era and reads the newest
+            // record of every key again.
             Error::RolledBack => {}
             Error::Expired => {
                 info!(entry.log, "records_expired"; "topic" => self.topic);
@@ -264,8 +265,8 @@
                 let gone =
                     entry.fleet.borrow_mut().apply_due_withdrawals(begun);
                 record_left_targets(&entry, &gone);
-                // The digest shows that this entry has just read the topic, so
-                // that other entries don't.
+                // The digest shows that this entry process has just read the
+                // topic, so that other entry processes don't.
                 entry.digest_wakeup.notify_one();
             }
             Err(error) => {
@@ -281,8 +282,8 @@
     }
 }
 
-/// Waits until the latest read of the targets by any entry is too old, or
-/// until a target's lease ends unless it is renewed.
+/// Waits until the latest read of the targets by any entry process is too old,
+/// or until a target's lease ends unless it is renewed.
 async fn wait_until_read_is_due(entry: &Rc<Entry>) {
     let period = Millis(
         entry.settings().drain_ms.0 * TARGETS_READ_INTERVAL_PERCENT / 100,
@@ -320,8 +321,8 @@
     }
     entry.record_full_topic_read(log::TARGETS_TOPIC, records.len(), changes);
     if reading.scope == ReadScope::First {
-        // Other entries announced the targets known so far, and the log may be
-        // an older copy that lacks them.
+        // Other entry processes announced the targets known so far, and the
+        // log may be an older copy that lacks them.
         entry.fleet.borrow_mut().start_renewal_grace(now);
     }
     let listed: HashMap<&str, StartTime> =
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -1,14 +1,14 @@
-//! Enforces rate limits that targets set for the sum of all entries.
+//! Enforces rate limits that targets set for the sum of all entry processes.
 //!
 //! The limiter itself is in [`cowsliproad_admission::limit`]; this module
-//! exchanges limits and permits between entries. A limit that a target states
-//! is broadcast to the other entries at once and then in digests. A request to
-//! such a target first acquires a permit: from this entry, if it owns the
-//! target's limiter, otherwise by one datagram to the owner and one back. An
-//! entry that gets a permit request but knows a better owner forwards the
-//! request, so that entries with different views of the peers share one
-//! limiter. An entry that gets no answer from the owner substitutes for the
-//! owner, with a new limiter.
+//! exchanges limits and permits between entry processes. A limit that a target
+//! states is broadcast to the other entry processes at once and then in
+//! digests. A request to such a target first acquires a permit: from this
+//! entry process, if it owns the target's limiter, otherwise by one datagram
+//! to the owner and one back. An entry process that gets a permit request but
+//! knows a better owner forwards the request, so that entry processes with
+//! different views of the peers share one limiter. An entry process that gets
+//! no answer from the owner substitutes for the owner, with a new limiter.
 
 use std::{cell::RefCell, collections::HashMap, fmt, net::SocketAddr, rc::Rc};
 
@@ -39,23 +39,27 @@
     entry::{ChangeSource, ChosenTarget, CooldownRecovery, Endpoint, Entry},
 };
 
-/// How often a permit request may be forwarded: to the supposed owner, and
-/// from there to the owner that it knows.
+/// How often a permit request may be forwarded: to the supposed owner of the
+/// limiter, and from there to the owner that the supposed owner knows.
 const MAX_PERMIT_REQUEST_FORWARDS: u8 = 2;
 
 /// The timeout for a reply to a permit request that isn't forwarded.
 const PERMIT_REPLY_TIMEOUT: Millis = Millis(120);
 
-/// The timeout for a reply if the caller's request can go to another target.
+/// The timeout for a reply to a permit request if the caller's request can go
+/// to another target.
 const SHORT_PERMIT_REPLY_TIMEOUT: Millis = Millis(40);
 
-/// How long an entry that didn't reply is passed over as owner.
+/// How long an entry process that didn't reply to a permit request is passed
+/// over as owner of limiters.
 const UNRESPONSIVE_OWNER_TTL: Millis = Millis(2_000);
 
-/// Entries that are asked for the same permit. Each may be gone.
+/// Supposed owners of a limiter that are asked for the same permit. Each may
+/// be gone.
 const MAX_OWNERS_ASKED: usize = 2;
 
-/// When a permit is requested again if no entry knows when one is free.
+/// The delay before a permit is requested again if no entry process knows when
+/// one becomes free.
 const PERMIT_RETRY_BACKOFF: Millis = Millis(250);
 
 /// How long a permit stays valid while its request gets a connection.
@@ -75,17 +79,18 @@
 /// often targets change them.
 const MIN_LIMIT_BROADCAST_INTERVAL: Millis = Millis(100);
 
-/// Which limits and suspended work a digest holds.
+/// Which rate limits and suspended requests a digest includes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DigestScope {
-    /// Only recent changes.
+    /// Only rate limits and suspected requests that changed recently.
     Changed,
-    /// All limits and all suspended work.
+    /// All rate limits and all suspended requests, in addition to recent
+    /// changes.
     All,
 }
 
-/// Rate limiters of targets, and permit requests to other entries that await a
-/// reply.
+/// Rate limiters of targets, and permit requests to other entry processes that
+/// await a reply.
 #[derive(Default)]
 pub struct RateLimits {
     socket: Option<Rc<UdpSocket>>,
@@ -139,7 +144,8 @@
         self.permit.is_some_and(|it| it.is_valid(rate, now))
     }
 
-    /// Returns the permit of a request that wasn't sent.
+    /// Returns the permit of a request that wasn't sent, for use by another
+    /// request.
     pub fn return_permit(&self) {
         self.endpoint.borrow_mut().spare_permits.extend(self.permit);
     }
@@ -292,8 +298,8 @@
         "verdict" => ?verdict, "patience" => patience.0);
 }
 
-/// Grants or refuses a permit, here or at the entry that owns the target's
-/// limiter.
+/// Grants or refuses a permit, here or at the entry process that owns the
+/// target's limiter.
 async fn decide_permit(
     entry: &Rc<Entry>,
     target: &Target,
@@ -305,7 +311,8 @@
         let zone = entry.settings().zone.clone();
         let owner = entry.peers.borrow().limiter_owner(target, &zone, now);
         let other = match owner {
-            // The asking entry waits for one forwarded request, not for two.
+            // The asking entry process's reply timeout allows for one
+            // forwarded request, not for two.
             LimitOwner::Remote(_)
                 if asked > 0 && hops < MAX_PERMIT_REQUEST_FORWARDS =>
             {
@@ -333,7 +340,7 @@
     PermitDecision::Later(PERMIT_RETRY_BACKOFF)
 }
 
-/// Requests a permit from another entry; None without a reply in time.
+/// Requests a permit from another entry process; None without a reply in time.
 async fn request_permit_from(
     entry: &Entry,
     other: SocketAddr,
@@ -358,7 +365,7 @@
     reply.ok()?.ok()
 }
 
-/// Answers another entry's permit request.
+/// Answers another entry process's permit request.
 pub fn answer_permit_request(
     entry: &Rc<Entry>,
     request: PermitRequest,
@@ -423,7 +430,7 @@
         );
     }
 
-    /// Merges the rate limits in another entry's digest.
+    /// Merges the rate limits in another entry process's digest.
     pub fn merge_limits(&self, limits: &[RateLimit], now: Millis) {
         for limit in limits {
             self.merge_limit(limit, now);
@@ -478,8 +485,8 @@
         if change == LimitChange::Loosened {
             self.notify_target_change();
         }
-        // Every entry broadcasts the change: there may be more entries than
-        // one digest reaches.
+        // Every entry process broadcasts the change: there may be more entry
+        // processes than one digest reaches.
         let now = Millis::now();
         let mut limits = self.limits.borrow_mut();
         if now.since(limits.last_broadcast) >= MIN_LIMIT_BROADCAST_INTERVAL {
--- a/cowsliproad-direct/src/measure.rs
+++ b/cowsliproad-direct/src/measure.rs
@@ -112,7 +112,7 @@
         self.caught_up.record(took.0, &[]);
     }
 
-    /// Sets the numbers of known other entries and of usable targets.
+    /// Sets the numbers of known other entry processes and of usable targets.
     pub fn set_known_peers_and_targets(&self, peers: usize, targets: usize) {
         self.peers.record(peers as u64, &[]);
         self.targets.record(targets as u64, &[]);
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -1,12 +1,12 @@
 //! Gossip between entry processes.
 //!
-//! Each entry sends a short digest to other entries twice a second, and at
-//! once after a change: the version of its configuration, the targets that it
-//! saw leave, rate limits and crash-inducing requests. An entry that can't
-//! read the platform's log thus learns of a new configuration, fetches it from
-//! the entry that has it, and stops using a target in time. Entries find one
-//! another through the seeds in their settings, then through the addresses in
-//! digests.
+//! Each entry process sends a short digest to other entry processes twice a
+//! second, and at once after a change: the version of its configuration, the
+//! targets that it saw leave, rate limits and crash-inducing requests. An
+//! entry process whose calls the platform's log refuses or doesn't answer thus
+//! learns of a new configuration, fetches it from the entry process that has
+//! it, and stops using a target in time. Entry processes find one another
+//! through the seeds in their settings, then through the addresses in digests.
 
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc};
 
@@ -39,8 +39,9 @@
 
 pub use self::state::serve_entry_state;
 
-/// The interval between digests. Two digests may be lost before an entry that
-/// can't read the log misses a change for longer than allowed.
+/// The interval between digests. Two digests may be lost before an entry
+/// process whose calls the log refuses or doesn't answer misses a change for
+/// longer than allowed.
 const DIGEST_INTERVAL: Millis = Millis(500);
 
 /// Digest rounds between requests to the agents to report. When targets
@@ -52,21 +53,21 @@
 /// work; the other digests hold only recent changes.
 const DIGEST_ROUNDS_PER_FULL_DIGEST: u32 = 8;
 
-/// Recipients of one digest. With more entries, changes spread over several
-/// digests.
+/// Recipients of one digest. With more entry processes, changes spread over
+/// several digests.
 const MAX_DIGEST_RECIPIENTS: usize = 16;
 
-/// An entry that has sent no digest for this time is forgotten.
+/// An entry process that has sent no digest for this time is forgotten.
 const PEER_TTL: Millis = Millis(12_000);
 
-/// How long the departure of a target is broadcast.
+/// How long the departure of a target is included in each digest.
 const DEPARTURE_BROADCAST_TTL: Millis = Millis(8_000);
 
-/// How long an entry that starts waits for digests of all seeds.
+/// How long an entry process that starts waits for digests of all seeds.
 const SEED_DIGEST_TIMEOUT: Millis = Millis(400);
 
-/// How long an entry that starts waits for a newer configuration that another
-/// entry announced.
+/// How long an entry process that starts waits for a newer configuration that
+/// another entry process announced.
 const NEWER_CONFIG_TIMEOUT: Millis = Millis(2_000);
 
 /// The pause after a failed receive.
@@ -78,8 +79,8 @@
     own_address: SocketAddr,
     seeds: Vec<SocketAddr>,
     known_peers: BTreeMap<SocketAddr, Peer>,
-    /// The newest configuration version in any digest, and the entry that sent
-    /// it.
+    /// The newest configuration version in any digest, and the entry process
+    /// that sent it.
     newest_config: (u64, SocketAddr),
     fetching_state: bool,
 }
@@ -89,7 +90,7 @@
     vm: Name,
     zone: Name,
     last_digest_at: Millis,
-    /// Until when the entry counts as unresponsive to permit requests.
+    /// Until when the entry process counts as unresponsive to permit requests.
     unresponsive_until: Millis,
 }
 
@@ -107,7 +108,7 @@
         peers
     }
 
-    /// Replaces the seeds; this entry's own address is left out.
+    /// Replaces the seeds; this entry process's own address is left out.
     pub fn replace_seeds(&mut self, settings: &Settings) {
         let own = self.own_address;
         let seeds = settings.seed_addresses.iter();
@@ -115,8 +116,8 @@
         self.seeds = seeds.filter(|it| *it != own).collect();
     }
 
-    /// The number of entries, including this one. Entries that can't be
-    /// reached count for a while, since they continue to serve.
+    /// The number of entry processes, including this one. Entry processes that
+    /// can't be reached count for a while, since they continue to serve.
     pub fn entry_process_count(&self) -> usize {
         self.known_peers.len().max(self.seeds.len()) + 1
     }
@@ -138,7 +139,8 @@
         self.known_peers.insert(digest.address, peer).is_none()
     }
 
-    /// The entry that owns the rate limiter of a target; it may be this entry.
+    /// The entry process that owns the rate limiter of a target; it may be
+    /// this entry process.
     pub fn limiter_owner(
         &self,
         target: &Target,
@@ -162,16 +164,17 @@
         owner::choose_limiter_owner(target, own, others)
     }
 
-    /// Records that an entry doesn't answer permit requests.
+    /// Records that an entry process doesn't answer permit requests.
     pub fn mark_unresponsive(&mut self, address: SocketAddr, until: Millis) {
         if let Some(peer) = self.known_peers.get_mut(&address) {
             peer.unresponsive_until = until;
         }
     }
 
-    /// The part of all entries that sent a digest lately, including this one.
-    /// Seeds that a new entry has had no digest from count as entries until
-    /// they would have been forgotten.
+    /// The fraction of all entry processes, including this one, that sent a
+    /// digest lately. Seeds without a digest count as unreachable entry
+    /// processes until this entry process has run for as long as a silent peer
+    /// is kept.
     pub fn reachable_entry_fraction(&self, now: Millis) -> f64 {
         let silence = self.peer_silence_timeout();
         let known = self.known_peers.values();
@@ -196,7 +199,8 @@
         owner::silence_timeout(self.known_peers.len(), MAX_DIGEST_RECIPIENTS)
     }
 
-    /// Returns the addresses in another entry's digest that are not known yet.
+    /// Returns the addresses in another entry process's digest that are not
+    /// known yet.
     fn unknown_addresses(&mut self, peers: &[SocketAddr]) -> Vec<SocketAddr> {
         let new = |it: &&SocketAddr| {
             **it != self.own_address && !self.known_peers.contains_key(*it)
@@ -217,8 +221,8 @@
     }
 }
 
-/// Broadcasts digests to other entries and asks agents to report; never
-/// returns.
+/// Broadcasts digests to other entry processes and asks agents to report;
+/// never returns.
 pub async fn broadcast_digests(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
     let mut round = 0;
     let mut counted_joins = 0;
@@ -240,7 +244,8 @@
             entry.fleet.borrow().ready_targets().count(),
         );
         entry.metrics.set_limited_targets(entry.limited_target_count());
-        // Some requests count cooldowns as longer than they are.
+        // Expired cooldowns are kept a while, since some requests avoid a
+        // target beyond the end of its cooldown.
         let over = now - MAX_COOLDOWN_STAGGER - COOLDOWN_PROBE_PERIOD;
         entry.cooldowns.borrow_mut().remove_expired(over);
         entry.metrics.set_cooling_targets(
@@ -399,7 +404,7 @@
         info!(entry.log, "peer_met"; "peer" => &*received_digest.vm,
             "address" => %received_digest.address);
     }
-    // An entry that starts waits for this digest.
+    // An entry process that starts waits for a digest of every seed.
     let starts =
         received_digest.config_version == 0 && entry.catalog_version() > 0;
     if is_new || starts {
@@ -427,8 +432,8 @@
 
 /// Waits, at startup, for digests of all seeds and then for the newest
 /// configuration that any digest announces; each wait has a timeout. The log
-/// may have been rolled back to an older copy, and some other entries may be
-/// as far behind.
+/// may have been rolled back to an older copy, and some other entry processes
+/// may be as far behind.
 pub async fn wait_for_newest_catalog(entry: &Entry, version: u64) {
     let has_heard_all = wait_for_seed_digests(entry).await;
     let has_newest = |it: &Peers| {
@@ -443,7 +448,7 @@
 }
 
 /// Waits until a digest from each seed has arrived, or for the time that a
-/// running entry needs to send one. Returns whether all arrived.
+/// running entry process needs to send one. Returns whether all arrived.
 async fn wait_for_seed_digests(entry: &Entry) -> bool {
     wait_for_digests_until(
         entry,
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -1,7 +1,9 @@
-//! Messages between entries and the agents on the VMs of model engines.
+//! Messages between entry processes and the agents on the VMs of model
+//! engines.
 //!
-//! Agents report to every entry that subscribes, so a new entry gets reports
-//! of all agents within a second, and no process keeps a list of entries.
+//! Agents report to every entry process that subscribes, so a new entry
+//! process gets reports of all agents within a second, and no process keeps a
+//! list of entry processes.
 
 use std::net::SocketAddr;
 
@@ -20,8 +22,8 @@
 use super::send_datagram;
 use crate::entry::{ChangeSource, Entry, GroupReport};
 
-/// Requests in flight are woken when a target's pace crosses a multiple of
-/// this percentage.
+/// In-flight requests are woken when a target's service time, in percent of
+/// the usual time, crosses a multiple of this number.
 const SERVICE_TIME_STEP_PERCENT: u32 = 100;
 
 /// Asks all agents to report, and sends the list of targets to agents that
@@ -63,7 +65,8 @@
     SocketAddr::new(target.ip(), entry.settings().peer_port)
 }
 
-/// The subscriptions to send, one for each service of engines.
+/// Builds the subscriptions that ask agents to report, one for each service
+/// that runs model engines.
 fn build_agent_subscriptions(entry: &Entry) -> Vec<Subscribe> {
     let Some(catalog) = entry.catalog() else { return Vec::new() };
     let fleet = entry.fleet.borrow();
@@ -98,7 +101,7 @@
     }
 }
 
-/// Applies an agent's report on its engine.
+/// Applies an agent's report on the load and the group of its model engine.
 pub(super) fn apply_engine_load(entry: &Entry, load: &EngineLoad) {
     entry.agent_target_list_ids.borrow_mut().insert(load.target, load.list_id);
     let now = Millis::now();
--- a/cowsliproad-direct/src/peers/state.rs
+++ b/cowsliproad-direct/src/peers/state.rs
@@ -1,5 +1,5 @@
-//! Transfer of the configuration and the targets from another entry, where the
-//! log doesn't bring them in time.
+//! Transfer of the configuration and the targets from another entry process,
+//! where the log doesn't bring them in time.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -23,21 +23,21 @@
     follow,
 };
 
-/// How long this entry waits for its own read of the log before it asks a
-/// peer.
+/// How long this entry process waits for its own read of the log before it
+/// fetches a peer's state.
 const OWN_LOG_READ_DELAY: Millis = Millis(120);
 
 /// The timeout for fetching a peer's state.
 const STATE_FETCH_TIMEOUT: Millis = Millis(1_000);
 
-/// The largest state that is accepted from a peer.
+/// The largest encoded state that is accepted from a peer.
 const MAX_STATE_BYTES: usize = 16 << 20;
 
-/// The HTTP path that serves an entry's state.
+/// The HTTP path that serves an entry process's state.
 const STATE_PATH: &str = "/state";
 
-/// The configuration and the target announcements, as sent to an entry that
-/// can't read the log.
+/// The configuration and the target announcements, as sent to an entry process
+/// that starts, or whose calls the log refuses or doesn't answer.
 #[derive(Debug, Deserialize, Serialize)]
 struct EntryState {
     #[serde(with = "serde_bytes")]
@@ -52,8 +52,8 @@
     value: Vec<u8>,
 }
 
-/// Fetches a peer's state unless this entry's own read of the log brings it in
-/// time.
+/// Fetches a peer's state unless this entry process's own read of the log
+/// brings it in time.
 pub(super) async fn catch_up_from_peers(
     entry: &Rc<Entry>,
     received_digest: &GossipDigest,
@@ -103,7 +103,8 @@
         Ok(catalog) => entry.adopt_catalog(catalog, raw, ChangeSource::Peer),
         Err(error) => warn!(entry.log, "catalog_refused"; "error" => %error),
     }
-    // This entry's own targets are kept while its reads of the log succeed.
+    // This entry process's own targets are kept while its reads of the log
+    // succeed.
     let knows = entry.fleet.borrow().ready_targets().next().is_some();
     if knows && !entry.log_read_schedule.borrow().needs_peer_state() {
         return;
@@ -117,7 +118,8 @@
     entry.log_read_schedule.borrow_mut().record_merged_peer_state();
 }
 
-/// Serves this entry's state to an entry that starts or can't read the log.
+/// Serves this entry process's state to an entry process that starts, or whose
+/// calls the log refuses or doesn't answer.
 pub fn serve_entry_state(
     entry: &Entry,
     request: &Request<Incoming>,
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -1,18 +1,18 @@
-//! Quarantine of crash-inducing requests, shared between entries.
+//! Quarantine of crash-inducing requests, shared between entry processes.
 //!
 //! The rules for suspicion and refusal are in
 //! [`cowsliproad_admission::quarantine`]. This module spreads the crash
-//! records. Other entries get them at once and then in digests, so that the
-//! quarantine works while the platform's log is down and within a partitioned
-//! zone. From the second crash on, records are also written to the log, so
-//! that they survive a restart of all entries and reach an entry that the
-//! others can't reach. The log is read by long polling, which costs two calls
-//! a minute.
+//! records. Other entry processes get them at once and then in digests, so
+//! that the quarantine works while the platform's log is down and within a
+//! partitioned zone. From the second crash on, records are also written to the
+//! log, so that they survive a restart of all entry processes and reach an
+//! entry process that the others can't reach. The log is read by long polling,
+//! which costs two calls a minute.
 //!
-//! A log that is rolled back to an older copy loses some records. Entries that
-//! have a lost record write it again after a random delay, first the entries
-//! that wrote it before. All entries read the rewritten record, so mostly one
-//! entry writes it.
+//! A log that is rolled back to an older copy loses some records. Entry
+//! processes that have a lost record write it again after a random delay,
+//! first the entry processes that wrote it before. All entry processes read
+//! the rewritten record, so mostly one entry process writes it.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, HashSet},
@@ -40,57 +40,63 @@
     limits::DigestScope,
 };
 
-/// Crashes under a request from which on the request's record is written to
-/// the log. Without an earlier record, a restart of all entries costs one more
-/// crash; if the first crash were written, each killed target would cost a
-/// call for every request that it ran.
+/// The number of crashes under a request from which on the request's record is
+/// written to the platform's log. Without an earlier record, a restart of all
+/// entry processes costs one more crash; if the first crash were written, each
+/// killed target would cost a call for every request that it ran.
 const MIN_CRASHES_FOR_LOG_RECORD: usize = 2;
 
-/// How long the log may hold a long poll: the longest that it allows.
+/// How long the log may hold a long poll for quarantine records: the longest
+/// hold that the log allows.
 const LONG_POLL_TIMEOUT: Millis = Millis(30_000);
 
-/// The least time between two reads if the first one returned no records.
+/// The least time between two reads of the quarantine topic if the first read
+/// returned no records.
 const MIN_QUARANTINE_READ_INTERVAL: Millis = Millis(15_000);
 
-/// The longest random delay before the entry that wrote a record which the log
-/// lost writes the record again.
+/// The longest random delay before an entry process rewrites a lost record
+/// that it wrote itself.
 const MAX_OWN_REWRITE_DELAY: Millis = Millis(300);
 
-/// The additional delay for the other entries, multiplied by their number, so
-/// that mostly one entry writes the record.
+/// An entry process that didn't write a lost record itself rewrites it later
+/// by a random time of up to this delay for each entry process, so that mostly
+/// one entry process rewrites the record.
 const REWRITE_DELAY_PER_PEER: Millis = Millis(50);
 
-/// The longest additional delay of the other entries.
+/// The longest additional delay before an entry process rewrites a lost record
+/// that it didn't write itself.
 const MAX_PEER_REWRITE_DELAY: Millis = Millis(10_000);
 
 /// A target that answers within this time after its supposed crash didn't
 /// crash: no target restarts faster.
 const MIN_TARGET_RESTART_TIME: Millis = Millis(1_000);
 
-/// Announcements from before a crash are read within this time.
+/// An announcement that a target wrote before it crashed is read from the log
+/// within this time.
 const MAX_ANNOUNCEMENT_READ_DELAY: Millis = Millis(3_000);
 
-/// The least time between two announcements that surely came from different
-/// reads.
+/// Two announcements of a target that arrive at least this far apart come from
+/// different reads of the log.
 const MIN_ANNOUNCEMENT_INTERVAL: Millis = Millis(1_000);
 
-/// How often expired records are evicted.
+/// How often expired crash records are evicted.
 const EVICTION_INTERVAL: Millis = Millis(10_000);
 
 /// Crashed targets that are watched for signs of life, 100 bytes each.
 const MAX_WATCHED_CRASHES: usize = 1_024;
 
-/// This entry's crash ledger, and the records to write to the log.
+/// The crash ledger of this entry process, and the crash records that it has
+/// yet to write to the platform's log.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     ledger: CrashLedger,
-    /// Digests of requests under which this entry itself observed a crash or a
-    /// survival of a target.
+    /// Digests of requests under which this entry process itself observed a
+    /// crash or a survival of a target.
     observed_work: HashSet<WorkDigest>,
     /// Digests of requests whose records have to be written to the log or
     /// deleted from the log.
     pending_writes: BTreeSet<WorkDigest>,
-    /// Digests of requests whose records in the log this entry wrote.
+    /// Digests of requests whose records in the log this entry process wrote.
     written_work: HashSet<WorkDigest>,
     /// Digests of requests whose records the log lost, and when to write each
     /// record again.
@@ -116,9 +122,10 @@
 /// How much of a group stops working when a target crashes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CrashExtent {
-    /// Only the target stops.
+    /// Only the crashed target stops running requests.
     Target,
-    /// The whole group stops, since its ranks run in lock-step.
+    /// All ranks of the crashed target's group stop running requests, because
+    /// they run in lock-step.
     Group,
 }
 
@@ -133,8 +140,8 @@
 }
 
 impl Quarantine {
-    /// Returns whether requests with a work digest may run now, and records
-    /// the arrival of a refused one.
+    /// Returns whether a request with this work digest may run now, and
+    /// records the arrival of a refused request.
     pub fn admit_work(
         &mut self,
         work: WorkDigest,
@@ -152,7 +159,8 @@
         self.ledger.verdict(work, now) != QuarantineVerdict::Allowed
     }
 
-    /// Suspects and retracted crashes to send to other entries.
+    /// The suspected requests and the retracted crashes to include in a digest
+    /// for other entry processes.
     pub fn suspects_for_digest(
         &self,
         scope: DigestScope,
@@ -230,7 +238,8 @@
         }
     }
 
-    /// The watched crash of this start of a target, if there is one.
+    /// The watched crash of a target since the target's latest start, if there
+    /// is one.
     fn watched_crash_of(
         &mut self,
         target: &Target,
@@ -370,7 +379,8 @@
         }
     }
 
-    /// Merges suspects and retracted crashes of another entry's digest.
+    /// Merges suspects and retracted crashes of another entry process's
+    /// digest.
     pub fn merge_peer_suspects(
         &self,
         suspects: &Suspects,
@@ -477,8 +487,8 @@
             entry.record_full_topic_read(log::QUARANTINE_TOPIC, records, new);
             schedule_record_rewrites(&entry, &kept);
         } else if reading.records.is_empty() {
-            // A log that returns from long polls at once is not read
-            // continuously.
+            // Pauses between reads, in case the log answers every long poll at
+            // once.
             let rest =
                 (called + MIN_QUARANTINE_READ_INTERVAL).since(Millis::now());
             let era = entry.rollbacks.newest_era();
@@ -489,7 +499,8 @@
 }
 
 /// Decodes a record of the quarantine topic; None for a deleted or malformed
-/// one. Records deleted by another entry expire here in their own time.
+/// one. Records deleted by another entry process expire here in their own
+/// time.
 fn decode_suspect_record(
     entry: &Entry,
     record: &Record,
@@ -508,8 +519,8 @@
     let age = Millis(unix_now_ms()).since(Millis(kept.written_at));
     let mut suspect = kept.suspect.clone();
     match &mut suspect.rejected_for {
-        // The request may have arrived since; arrivals are not written to the
-        // log each time.
+        // The refused request may have arrived again since the record was
+        // written: not every arrival is written to the log.
         Some(refused) => {
             *refused = *refused + age;
             suspect.since_last_seen = Millis(0);
@@ -521,7 +532,8 @@
     let mut quarantine = entry.quarantine.borrow_mut();
     quarantine.cancel_rewrite_if_stored(&suspect, now);
     if quarantine.ledger.suspect(work, now).is_none() {
-        // The record has expired, and the entry that wrote it may be gone.
+        // The record has expired, and the entry process that wrote it may be
+        // gone.
         quarantine.pending_writes.insert(work);
         quarantine.write_wakeup.notify_one();
     }
@@ -561,8 +573,8 @@
     }
 }
 
-/// Whether the log's record of a request includes everything in this entry's
-/// ledger.
+/// Whether the log's record of a request includes everything in this entry
+/// process's ledger.
 fn record_covers_ledger(kept: &Suspect, own: &Suspect) -> bool {
     let tells = |it: &u64| {
         kept.crashes.contains(it) || kept.excused_crashes.contains(it)
@@ -623,7 +635,8 @@
 fn encode_suspect_record(entry: &Entry, work: WorkDigest) -> Vec<u8> {
     let suspect =
         entry.quarantine.borrow().ledger.suspect(work, Millis::now());
-    // A suspension ends before other entries read the record.
+    // The record states no suspension, which ends before other entry processes
+    // read the record.
     let suspect = suspect.map(|it| Suspect { suspended_for: None, ..it });
     let kept = suspect.map(|suspect| SuspectLogRecord {
         suspect,
--- a/cowsliproad-direct/src/reply.rs
+++ b/cowsliproad-direct/src/reply.rs
@@ -1,8 +1,8 @@
 //! Responses that the entry process creates itself, and the body type of all
 //! responses.
 //!
-//! Only [`not_run_response`] builds a response that states "not run", so that each use
-//! can be found and checked.
+//! Only [`not_run_response`] builds a response that states "not run", so that
+//! each use can be found and checked.
 
 use std::{
     convert::Infallible,
--- a/cowsliproad-direct/src/rollback.rs
+++ b/cowsliproad-direct/src/rollback.rs
@@ -2,22 +2,22 @@
 //!
 //! After a rollback the newest records are gone, and offsets that were read
 //! are assigned again. The log raises its era, which each answer states, so
-//! every client notices, and entries pass the era on in their digests.
+//! every client notices, and entry processes pass the era on in their digests.
 //!
 //! * No state is dropped, and no older record replaces a newer one: a
 //!   configuration counts by its version, an announcement of a target by its
 //!   start and its sequence, and quarantined work by all that is known about
 //!   it, never by the time of the read.
 //! * The newest record of every key is read again, since records written after
-//!   the rollback may lie at offsets that this entry has read before.
+//!   the rollback may lie at offsets that this entry process has read before.
 //! * Targets that the copy lacks stay in use for as long as a living target
 //!   may take to write its record again. The copy may list targets that left,
-//!   so their departures are broadcast to other entries once more.
+//!   so their departures are broadcast to other entry processes once more.
 //! * Quarantined work that the copy lacks is written again; see
 //!   [`crate::quarantine`].
 //!
-//! All entries notice a rollback at once, so each waits for a random time
-//! before it reads.
+//! All entry processes notice a rollback at once, so each waits for a random
+//! time before it reads.
 
 use std::{
     cell::{Cell, RefCell},
@@ -33,8 +33,8 @@
 
 use crate::entry::{ChangeSource, Entry};
 
-/// The time, per entry, over which all entries spread their reads of a topic
-/// after a rollback.
+/// The time, per entry process, over which all entry processes spread their
+/// reads of a topic after a rollback.
 const REREAD_SPREAD_PER_ENTRY: Millis = Millis(10);
 
 /// The longest time over which reads after a rollback are spread: a new
@@ -45,14 +45,14 @@
 /// again.
 const REPEATED_DEPARTURE_BROADCAST_TTL: Millis = Millis(8_000);
 
-/// The greatest age of the copy: targets that left since then may be listed in
-/// it.
+/// The greatest age of the copy to which the log is rolled back. The copy may
+/// list targets that have left since.
 const MAX_LOG_COPY_AGE: Millis = Millis(60_000);
 
 /// The log's newest known era and the latest rollback.
 #[derive(Debug)]
 pub struct LogRollbacks {
-    /// The newest known era of the log.
+    /// The newest known era of the log, which raises its era at each rollback.
     era: watch::Sender<Era>,
     /// Whether anything was read from the log, so that a later era means a
     /// rollback.
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The newest known era of the log.
+    /// The newest known era of the log, which raises its era at each rollback.
     pub fn newest_era(&self) -> Era {
         *self.era.borrow()
     }
@@ -86,12 +86,12 @@
     /// Waits until the log is in a newer era than `era`.
     pub async fn wait_for_era_after(&self, era: Era) {
         let mut newest = self.era.subscribe();
-        // The sender exists as long as the entry.
+        // The sender exists as long as the entry process.
         let _ = newest.wait_for(|it| *it > era).await;
     }
 
-    /// How far back departures of targets are broadcast, if a recent rollback
-    /// extends the usual time.
+    /// The time before now whose departures of targets are broadcast again
+    /// after a recent rollback; `None` without a recent rollback.
     pub fn departure_window_after_rollback(
         &self,
         now: Millis,
@@ -111,8 +111,8 @@
 }
 
 impl Entry {
-    /// Records the log's era; a newer era than before means a rollback once
-    /// anything was read.
+    /// Records the log's era. Once anything was read from the log, a newer era
+    /// means that the log was rolled back.
     pub fn observe_log_era(&self, era: Era, source: ChangeSource) {
         let before = self.rollbacks.newest_era();
         if era <= before {
@@ -136,7 +136,8 @@
         self.digest_wakeup.notify_one();
     }
 
-    /// A random delay before this entry reads a topic again after a rollback.
+    /// A random delay before this entry process reads a topic again after a
+    /// rollback.
     pub fn draw_reread_delay(&self) -> Millis {
         let entries = self.peers.borrow().entry_process_count() as u64;
         let spread =
--- a/cowsliproad-direct/src/settings.rs
+++ b/cowsliproad-direct/src/settings.rs
@@ -11,9 +11,9 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The VM's name, used in logs and sent to other entries.
+    /// The VM's name, used in logs and sent to other entry processes.
     pub vm: Name,
-    /// The availability zone of this entry's VM.
+    /// The availability zone of this entry process's VM.
     pub zone: Name,
     /// The address where callers connect.
     #[serde(rename = "callers")]
@@ -21,18 +21,20 @@
     /// The address that serves readiness and metrics.
     #[serde(rename = "readiness")]
     pub readiness_address: SocketAddr,
-    /// Addresses of other entries to contact at startup. Some may be gone.
+    /// Addresses of other entry processes to contact at startup. Some may be
+    /// gone.
     #[serde(rename = "seeds")]
     pub seed_addresses: Vec<SocketAddr>,
-    /// The port for messages between entries and agents, the same on all VMs.
+    /// The port for messages between entry processes and agents, the same on
+    /// all VMs.
     pub peer_port: u16,
     /// The address of the platform's log.
     #[serde(rename = "log")]
     pub log_address: SocketAddr,
     /// How often a target renews its record in the log.
     pub heartbeat_ms: Millis,
-    /// The time after a target leaves by which new requests must have ceased
-    /// to reach it.
+    /// How long new requests may still reach a target after it has announced
+    /// its departure.
     pub drain_ms: Millis,
     /// The time from SIGTERM until the process is killed.
     #[serde(rename = "grace_ms")]
@@ -41,21 +43,22 @@
     /// set how long callers wait without an event.
     #[serde(rename = "wait_ms")]
     pub target_wait_ms: Millis,
-    /// The retry budget that all entries share.
+    /// The retry budget that all entry processes share.
     pub retries: RetryBudgetSettings,
     /// The minimum level of log messages.
     #[serde(default)]
     pub log_level: Level,
 }
 
-/// The retry budget of a service, shared by all entries.
+/// The retry budget of a service, shared by all entry processes.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetryBudgetSettings {
     /// Retries allowed per request.
     #[serde(rename = "ratio")]
     pub retries_per_request: f64,
-    /// Retries allowed in addition, independent of the number of requests.
+    /// Retries allowed per window in addition to the retries per request,
+    /// independent of the number of requests.
     #[serde(rename = "slack")]
     pub extra_retries: f64,
     /// The sliding window over which requests and retries are counted.
@@ -98,8 +101,8 @@
             && self.peer_port == other.peer_port
     }
 
-    /// The address where this entry receives datagrams and calls of other
-    /// entries.
+    /// The address where this entry process receives datagrams and calls of
+    /// other entry processes.
     pub fn own_peer_address(&self) -> SocketAddr {
         SocketAddr::new(self.caller_address.ip(), self.peer_port)
     }
@@ -138,12 +141,14 @@
     }
 }
 
-/// Within this time the targets are read twice, and one read may be lost.
+/// The least `drain_ms`: within this time the targets topic is read twice, and
+/// one read may be lost.
 const MIN_DRAIN: Millis = Millis(200);
 
-/// The load balancer needs up to three seconds to notice that this entry isn't
-/// ready.
+/// The least `grace_ms`: the load balancer needs up to three seconds to notice
+/// that this entry process isn't ready.
 const MIN_GRACE: Millis = Millis(4_000);
 
-/// Two steps of the retry budget's sliding window.
+/// The least span of the retry budget's sliding window: two steps of that
+/// window.
 const MIN_SPAN: Millis = Millis(1_000);
--- a/cowsliproad-direct/src/stated.rs
+++ b/cowsliproad-direct/src/stated.rs
@@ -45,7 +45,7 @@
     }
 
     /// Marks a target as taking no new requests, and broadcasts that to other
-    /// entries.
+    /// entry processes.
     pub fn mark_target_left(&self, target: &Target) {
         let (id, start) = (&target.id, target.start);
         let now = Millis::now();
@@ -54,7 +54,8 @@
         self.apply_target_change(id, change, ChangeSource::Own);
     }
 
-    /// Whether this start of a target accepts new requests.
+    /// Whether a target still accepts new requests and hasn't restarted since
+    /// it was looked up.
     pub fn is_ready_target(&self, target: &Target) -> bool {
         let fleet = self.fleet.borrow();
         fleet.get(&target.id).is_some_and(|it| it.start == target.start)
--- a/cowsliproad-direct/src/stream.rs
+++ b/cowsliproad-direct/src/stream.rs
@@ -33,18 +33,19 @@
 const PIECE_CHANNEL_CAPACITY: usize = 16;
 
 /// How long a target may send nothing while its group makes progress: ten
-/// steps of the group.
+/// forward passes of the group.
 const TARGET_SILENCE_TIMEOUT: Millis = Millis(800);
 
 /// How often a stream without data is checked.
 const SILENCE_CHECK_INTERVAL: Millis = Millis(400);
 
-/// Streams leave a target whose steps take this much of the usual time, in
-/// percent. A move is costly, because the new target must process the prompt
-/// again.
+/// Streams leave a target whose service time reaches this percentage of the
+/// usual time. A move is costly, because the new target must process the
+/// prompt again.
 const SLOW_SERVICE_TIME_PERCENT: u32 = 300;
 
-/// Steps that a group must have begun to count as making progress.
+/// Forward passes that a service's groups must begin after a target last sent
+/// data before the target's group counts as making progress.
 const MIN_GROUP_PROGRESS_STEPS: u64 = 6;
 
 /// The part of a caller's stream that one target sends.
@@ -208,8 +209,8 @@
         if slows_its_group(entry, choice) {
             return Err(AttemptError::MayHaveRun("slow"));
         }
-        // The request may still be queued at the target and would crash that
-        // target too.
+        // A quarantined request may still be queued at the target, and would
+        // crash the target too.
         if entry.quarantine.borrow().refuses_work(work, Millis::now()) {
             return Err(AttemptError::MayHaveRun(
                 "the request crashes its targets",
@@ -292,7 +293,8 @@
     }
 }
 
-/// A time and the step that a target's group had reached by then.
+/// A time and the highest forward pass that any group of a target's service
+/// had begun by then.
 #[derive(Clone, Copy, Debug)]
 struct GroupStepSnapshot {
     taken_at: Millis,
--- a/cowsliproad-direct/src/upstream.rs
+++ b/cowsliproad-direct/src/upstream.rs
@@ -106,7 +106,7 @@
 }
 
 impl ConnectionPool {
-    /// Whether no connection is idle.
+    /// Whether the pool holds no idle connection.
     pub fn has_no_idle_connection(&self) -> bool {
         self.idle.is_empty()
     }
