--- a/cowsliproad-direct/src/attempt.rs
+++ b/cowsliproad-direct/src/attempt.rs
@@ -102,7 +102,7 @@
     }
 
     /// Records a successful response.
-    pub fn note_success(&self) {
+    pub fn note_successful_response(&self) {
         let now = Millis::now();
         let took = now.since(self.started_at);
         self.choice
@@ -111,7 +111,7 @@
             .request_stats
             .record_success(took, now);
         self.note_target_survived();
-        self.entry.record_survival(self.request.1, now);
+        self.entry.record_survived_work(self.request.1, now);
     }
 
     /// Records a response with a failure status.
--- a/cowsliproad-direct/src/call.rs
+++ b/cowsliproad-direct/src/call.rs
@@ -46,7 +46,7 @@
 pub use self::choose::{COOLDOWN_PROBE_PERIOD, MAX_COOLDOWN_STAGGER};
 
 /// The largest response body that is buffered before it is passed on.
-const MAX_RESPONSE_BYTES: usize = 8 << 20;
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 8 << 20;
 
 /// The timeout of an attempt before a request goes to another target, in
 /// percent of the route's latency goal. The next attempt needs the rest.
@@ -89,13 +89,15 @@
     waiting_since: Millis,
     /// Targets that the request was sent to.
     attempted_targets: Vec<Name>,
-    /// Attempts made so far, including attempts that sent nothing.
+    /// The number of attempts for the request so far, including attempts that
+    /// sent nothing.
     attempt_count: usize,
-    /// Permits that were denied to the request since its last attempt.
+    /// How many permits were denied to the request since its last attempt.
     denied_permits: usize,
-    /// Delay of the request after the end of a cooldown that it waited for.
+    /// The random delay that the request adds to each cooldown of a target, so
+    /// that waiting requests don't all start at once.
     cooldown_stagger: Millis,
-    /// Attempts in which a target may have run the request.
+    /// The number of attempts in which a target may have run the request.
     possible_runs: usize,
     /// Whether the next attempt spends a retry from the retry budget.
     next_attempt_cost: AttemptCost,
@@ -113,7 +115,7 @@
     OneRetry,
 }
 
-/// Whether the attempts of a request so far may have run it.
+/// Whether a request may have run in its attempts so far.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum ExecutionStatus {
     /// No attempt ran the request.
@@ -344,7 +346,7 @@
         rank.min(MAX_QUEUE_RANK)
     }
 
-    /// The timeout of the next attempt.
+    /// The timeout of the next attempt at a target.
     pub fn attempt_timeout(&self) -> Millis {
         let time_left = self.time_left();
         let is_last = self.attempted_targets.len() + 1
@@ -364,7 +366,7 @@
     opened: OpenResponse,
 ) -> Result<Response<Body>, AttemptError> {
     let OpenResponse { mut head, body, lease } = opened;
-    let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
+    let body = Limited::new(body, MAX_BUFFERED_RESPONSE_BYTES).collect().await;
     let body = body
         .map_err(|_| AttemptError::ConnectionBroken("the answer was cut"))?;
     lease.release_to_pool(Millis::now());
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -44,7 +44,7 @@
 
 impl Call {
     /// Chooses the next target, and waits while no target is usable.
-    pub async fn next_target(
+    pub async fn wait_for_next_target(
         &mut self,
         entry: &Rc<Entry>,
     ) -> Result<ChosenTarget, Response<Body>> {
@@ -88,9 +88,12 @@
             let wait_left = wait_until.since(now);
             if let Some(shortage) = shortage
                 && (wait_left.0 == 0
-                    || self.is_wait_futile(entry, &shortage, wait_until, now))
+                    || self.is_target_wait_futile(
+                        entry, &shortage, wait_until, now,
+                    ))
             {
-                let after = self.time_until_usable(entry, &shortage, now);
+                let after =
+                    self.time_until_target_usable(entry, &shortage, now);
                 return Err(
                     self.reject_request(entry, RejectionReason::Busy(after))
                 );
@@ -120,7 +123,7 @@
 
     /// Whether no target can become usable for the request by `wait_until`, or
     /// a retry by the caller would reach another target sooner.
-    fn is_wait_futile(
+    fn is_target_wait_futile(
         &self,
         entry: &Entry,
         shortage: &TargetShortage,
@@ -146,8 +149,8 @@
         self.attempted_targets.len() < self.route.max_attempts as usize
     }
 
-    /// Whether some usable target has not got this request yet. The caller's
-    /// retry could go there even if this request may not.
+    /// Whether some usable target has not got this request yet. A retry by the
+    /// caller could go to that target even if this request may not.
     fn has_unattempted_target(&self, entry: &Entry, now: Millis) -> bool {
         let unattempted =
             |it: &Target| !self.attempted_targets.contains(&it.id);
@@ -157,7 +160,7 @@
     }
 
     /// The time until some target accepts a retry by the caller.
-    fn time_until_usable(
+    fn time_until_target_usable(
         &self,
         entry: &Entry,
         shortage: &TargetShortage,
@@ -346,8 +349,8 @@
             "left" => self.time_left().0, "try" => self.attempt_count + 1);
     }
 
-    /// How far in the future a permit for the request may start. Less urgent
-    /// requests leave later permits to more urgent ones.
+    /// How far in the future a permit for the request may become valid. Less
+    /// urgent requests leave later permits to more urgent ones.
     fn permit_lookahead(&self, wait_left: Millis) -> Millis {
         let ranks = u64::from(MAX_QUEUE_RANK) + 1;
         let rank = u64::from(self.queue_rank());
--- a/cowsliproad-direct/src/call/failure.rs
+++ b/cowsliproad-direct/src/call/failure.rs
@@ -56,9 +56,10 @@
 /// The delay of a retry after a connection broke. Connections to other targets
 /// that crashed at the same moment break meanwhile, so that the retry avoids
 /// those targets.
-const CONNECTION_LOSS_DELAY: Millis = Millis(8);
+const CONNECTION_LOSS_RETRY_DELAY: Millis = Millis(8);
 
-/// The delay before a request is retried at a target that refused it.
+/// The delay before a request is retried at a target that has refused the
+/// request.
 const REFUSAL_BACKOFF: Millis = Millis(60);
 
 impl Call {
@@ -111,7 +112,7 @@
             );
         }
         if matches!(error, AttemptError::ConnectionBroken(_)) {
-            sleep(CONNECTION_LOSS_DELAY.duration()).await;
+            sleep(CONNECTION_LOSS_RETRY_DELAY.duration()).await;
         }
         let targets_used_up =
             self.attempted_targets.len() >= self.route.max_attempts as usize;
--- a/cowsliproad-direct/src/callers.rs
+++ b/cowsliproad-direct/src/callers.rs
@@ -36,7 +36,7 @@
 
 /// How long connections are accepted after SIGTERM. The load balancer checks
 /// readiness every second and stops sending after two failed checks.
-const DRAIN_DELAY: Millis = Millis(3_200);
+const LISTENER_CLOSE_DELAY: Millis = Millis(3_200);
 
 /// The part of the grace period reserved for the exit of the process.
 const PROCESS_EXIT_MARGIN: Millis = Millis(400);
@@ -73,8 +73,8 @@
         + (entry.settings().shutdown_grace_ms - PROCESS_EXIT_MARGIN)
             .duration();
     entry.process_phase.set(ProcessPhase::Leaving);
-    info!(entry.log, "stopping"; "under_way" => entry.unfinished_requests.get());
-    let drained_at = Instant::now() + DRAIN_DELAY.duration();
+    info!(entry.log, "stopping"; "under_way" => entry.unfinished_request_count.get());
+    let drained_at = Instant::now() + LISTENER_CLOSE_DELAY.duration();
     tokio::select! {
         never = accept_connections(entry, &listener) => match never {},
         () = sleep_until(drained_at) => {}
@@ -82,12 +82,14 @@
     drop(listener);
     entry.process_phase.set(ProcessPhase::Closing);
     entry.idle_close_requested.notify_waiters();
-    while entry.unfinished_requests.get() > 0 && Instant::now() < grace_end {
+    while entry.unfinished_request_count.get() > 0
+        && Instant::now() < grace_end
+    {
         sleep(STOP_CHECK_INTERVAL.duration()).await;
     }
     // Lets the last responses leave the sockets.
     sleep(RESPONSE_FLUSH_DELAY.duration()).await;
-    info!(entry.log, "stopping"; "left" => entry.unfinished_requests.get());
+    info!(entry.log, "stopping"; "left" => entry.unfinished_request_count.get());
     Ok(())
 }
 
@@ -124,27 +126,32 @@
 
 /// Counts one in-flight request of a caller until dropped.
 #[derive(Debug)]
-pub struct InFlightRequest {
+pub struct InFlightRequestGuard {
     entry: Rc<Entry>,
     activity: Rc<ConnectionActivity>,
 }
 
-impl InFlightRequest {
+impl InFlightRequestGuard {
     fn new(
         entry: &Rc<Entry>,
         activity: &Rc<ConnectionActivity>,
-    ) -> InFlightRequest {
-        entry.unfinished_requests.set(entry.unfinished_requests.get() + 1);
+    ) -> InFlightRequestGuard {
+        entry
+            .unfinished_request_count
+            .set(entry.unfinished_request_count.get() + 1);
         activity.in_flight.set(activity.in_flight.get() + 1);
-        InFlightRequest { entry: entry.clone(), activity: activity.clone() }
+        InFlightRequestGuard {
+            entry: entry.clone(),
+            activity: activity.clone(),
+        }
     }
 }
 
-impl Drop for InFlightRequest {
+impl Drop for InFlightRequestGuard {
     fn drop(&mut self) {
         self.entry
-            .unfinished_requests
-            .set(self.entry.unfinished_requests.get() - 1);
+            .unfinished_request_count
+            .set(self.entry.unfinished_request_count.get() - 1);
         self.activity.in_flight.set(self.activity.in_flight.get() - 1);
         self.activity.idle_since.set(Millis::now());
         self.activity.head_started_at.set(None);
@@ -163,7 +170,7 @@
         }
     });
     let configured = upstream::configure_tcp_socket(&stream).and_then(|()| {
-        HookedStream::new(stream, HeadWatcher(activity.clone()))
+        HookedStream::new(stream, RequestHeadWatcher(activity.clone()))
     });
     let stream = match configured {
         Ok(stream) => stream,
@@ -211,7 +218,7 @@
     activity: Rc<ConnectionActivity>,
     request: Request<Incoming>,
 ) -> Response<Body> {
-    let in_flight = InFlightRequest::new(&entry, &activity);
+    let in_flight = InFlightRequestGuard::new(&entry, &activity);
     let mut answer =
         forward::respond_to_request(&entry, request, in_flight).await;
     if entry.process_phase.get() != ProcessPhase::Serving {
@@ -248,9 +255,9 @@
 }
 
 /// Records when the first byte of a request head arrives.
-struct HeadWatcher(Rc<ConnectionActivity>);
+struct RequestHeadWatcher(Rc<ConnectionActivity>);
 
-impl Hooks for HeadWatcher {
+impl Hooks for RequestHeadWatcher {
     fn on_read(&mut self) {
         let activity = &self.0;
         if activity.in_flight.get() == 0
--- a/cowsliproad-direct/src/ends.rs
+++ b/cowsliproad-direct/src/ends.rs
@@ -52,7 +52,7 @@
 
 /// Probes without a conclusive answer before the target's state counts as
 /// unknown.
-const MAX_PROBES: u32 = 3;
+const MAX_INCONCLUSIVE_PROBES: u32 = 3;
 
 /// The pause between probes without a conclusive answer.
 const PROBE_RETRY_BACKOFF: Millis = Millis(300);
@@ -163,15 +163,17 @@
     suspect: CrashSuspicion,
 ) {
     let mut endpoint = choice.endpoint.borrow_mut();
-    if endpoint.suspicions.len() >= MAX_SUSPICIONS_PER_TARGET {
+    if endpoint.crash_suspicions.len() >= MAX_SUSPICIONS_PER_TARGET {
         entry.metrics.record_suspicions(1, "untold");
-        let oldest =
-            endpoint.suspicions.iter().position(CrashSuspicion::is_abandoned);
+        let oldest = endpoint
+            .crash_suspicions
+            .iter()
+            .position(CrashSuspicion::is_abandoned);
         let Some(oldest) = oldest else { return };
-        endpoint.suspicions.remove(oldest);
+        endpoint.crash_suspicions.remove(oldest);
     }
-    endpoint.suspicions.push(suspect);
-    if endpoint.suspicions.len() == 1 {
+    endpoint.crash_suspicions.push(suspect);
+    if endpoint.crash_suspicions.len() == 1 {
         tokio::task::spawn_local(probe_target(entry.clone(), choice.clone()));
     }
 }
@@ -204,7 +206,8 @@
             None => probe_by_connecting(&entry, &choice).await,
         };
         probes += 1;
-        if outcome == ProbeOutcome::Unknown && probes < MAX_PROBES {
+        if outcome == ProbeOutcome::Unknown && probes < MAX_INCONCLUSIVE_PROBES
+        {
             sleep(PROBE_RETRY_BACKOFF.duration()).await;
             continue;
         }
@@ -240,7 +243,7 @@
             + it.abandoned_probe_delay
             + probe_delay(&endpoint, it.broken_at)
     };
-    endpoint.suspicions.iter().map(due).min()
+    endpoint.crash_suspicions.iter().map(due).min()
 }
 
 fn probe_delay(endpoint: &Endpoint, since: Millis) -> Millis {
@@ -256,8 +259,12 @@
     entry: &Entry,
     choice: &ChosenTarget,
 ) -> ProbeOutcome {
-    let newest =
-        choice.endpoint.borrow().suspicions.last().map(|it| it.broken_at);
+    let newest = choice
+        .endpoint
+        .borrow()
+        .crash_suspicions
+        .last()
+        .map(|it| it.broken_at);
     let since = newest.unwrap_or_default() + MAX_MESSAGE_LATENCY;
     let opening = TcpStream::connect(choice.target.address);
     match tokio::time::timeout(PROBE_CONNECT_TIMEOUT.duration(), opening).await
@@ -282,7 +289,7 @@
 ) {
     let now = Millis::now();
     let mut settled = Vec::new();
-    choice.endpoint.borrow_mut().suspicions.retain_mut(|it| {
+    choice.endpoint.borrow_mut().crash_suspicions.retain_mut(|it| {
         if !is_settled(it) {
             return true;
         }
@@ -309,14 +316,14 @@
         ProbeOutcome::Crashed => {
             entry.metrics.record_suspicions(settled.len(), "ended");
             for suspect in settled {
-                record_crash(entry, choice, &suspect);
+                record_suspected_crash(entry, choice, &suspect);
             }
         }
     }
 }
 
-/// Records that a target crashed under a request.
-fn record_crash(
+/// Records in the quarantine that a target crashed under a suspected request.
+fn record_suspected_crash(
     entry: &Entry,
     choice: &ChosenTarget,
     suspect: &CrashSuspicion,
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -85,7 +85,7 @@
     pub connection_pool: ConnectionPool,
     /// Open connections to the target, including busy connections and those
     /// being established.
-    pub open_connections: usize,
+    pub open_connection_count: usize,
     /// Wakes requests that wait for a connection to the target.
     pub connection_freed: Rc<Notify>,
     /// State of the target's group from the latest report of the target's
@@ -97,7 +97,7 @@
     /// When the target's agent last reported that the engine process is gone.
     pub exit_reported_at: Option<Millis>,
     /// Requests during which the target may have crashed.
-    pub suspicions: Vec<CrashSuspicion>,
+    pub crash_suspicions: Vec<CrashSuspicion>,
     /// The rate limit that the target states in its answers.
     pub rate_limit: CurrentLimit,
     /// Permits for the target that were granted after their requests stopped
@@ -106,12 +106,12 @@
     /// The earliest time at which to request the next permit for the target.
     pub next_permit_request_at: Millis,
     /// Whether a permit request for the target is in flight.
-    pub permit_requested: bool,
+    pub permit_request_in_flight: bool,
     /// Whether the target's latest Retry-After header was unreadable; logged
     /// only once.
-    pub retry_after_invalid: bool,
+    pub last_retry_after_invalid: bool,
     /// Whether the target takes requests again after its latest cooldown.
-    pub recovery: CooldownRecovery,
+    pub cooldown_recovery: CooldownRecovery,
 }
 
 /// State of a target after a cooldown that the target requested with
@@ -119,12 +119,12 @@
 /// target takes more.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum CooldownRecovery {
-    /// The target takes requests.
+    /// The target accepts requests as usual.
     #[default]
     Done,
     /// No request was sent to the target since the cooldown.
     Pending,
-    /// The probe request was sent at this time.
+    /// The probe request was sent to the target at this time.
     Probed(Millis),
 }
 
@@ -143,7 +143,7 @@
     pub last_forward_pass: u64,
     /// How long the target's work takes, in percent of the usual time.
     pub service_time_percent: u32,
-    /// When the agent's report arrived.
+    /// When the agent's report on the group arrived.
     pub reported_at: Millis,
 }
 
@@ -211,7 +211,7 @@
     /// report at once.
     pub joined_target_count: Cell<u64>,
     /// Accepted requests whose answers are not complete yet.
-    pub unfinished_requests: Cell<usize>,
+    pub unfinished_request_count: Cell<usize>,
     /// The current phase of this entry process, from serving to the end of its
     /// shutdown.
     pub process_phase: Cell<ProcessPhase>,
@@ -270,7 +270,7 @@
             rollbacks: LogRollbacks::new(),
             digest_received: Notify::new(),
             joined_target_count: Cell::new(0),
-            unfinished_requests: Cell::new(0),
+            unfinished_request_count: Cell::new(0),
             process_phase: Cell::new(ProcessPhase::Serving),
             rng: RefCell::new(SmallRng::from_os_rng()),
         }
@@ -533,7 +533,8 @@
         self.with_retry_budget(service, |it| it.record_request(now));
     }
 
-    /// Spends a retry of a service's budget; false if the budget is exhausted.
+    /// Spends a retry of a service's retry budget; false if the budget is
+    /// exhausted.
     pub fn try_spend_retry(&self, service: &Name, now: Millis) -> bool {
         let entries = self.peers.borrow().entry_process_count();
         self.with_retry_budget(service, |it| it.try_spend(entries, now))
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -30,8 +30,8 @@
     /// Eligible, working targets in a cooldown that they requested with
     /// Retry-After.
     cooling_count: usize,
-    /// When the first cooldown ends, or the first probe of a recovering target
-    /// times out.
+    /// When the first cooldown of a target ends, or the first probe of a
+    /// recovering target times out.
     cooldown_end: Option<Millis>,
 }
 
@@ -109,8 +109,10 @@
         permit_wait: PermitWaitPolicy,
         draw: f64,
     ) -> Option<ChosenTarget> {
-        let usable =
-            self.scored.iter().filter(|it| self.is_usable(it, permit_wait));
+        let usable = self
+            .scored
+            .iter()
+            .filter(|it| self.is_target_usable(it, permit_wait));
         let usable: Vec<&ChosenTarget> = usable.map(|it| &it.choice).collect();
         let costs: Vec<f64> = usable.iter().map(|it| it.cost_ms).collect();
         let slots = usable.iter().map(|it| it.target.slots).max()?;
@@ -133,7 +135,7 @@
         Some((*limited.unwrap_or(&usable[place])).clone())
     }
 
-    fn is_usable(
+    fn is_target_usable(
         &self,
         scored: &ScoredTarget,
         permit_wait: PermitWaitPolicy,
@@ -142,7 +144,11 @@
         match permit_wait {
             PermitWaitPolicy::Now => {
                 permit_at <= self.observed_at
-                    && !scored.choice.endpoint.borrow().permit_requested
+                    && !scored
+                        .choice
+                        .endpoint
+                        .borrow()
+                        .permit_request_in_flight
             }
             PermitWaitPolicy::Within(patience) => {
                 permit_at <= self.observed_at + patience
@@ -156,7 +162,7 @@
     /// When the probe of a recovering target times out, while one is in
     /// flight. Until then no other request is sent to the target.
     fn probe_timeout_at(&self, now: Millis) -> Option<Millis> {
-        match self.recovery {
+        match self.cooldown_recovery {
             CooldownRecovery::Probed(at) => Some(at + RECOVERY_PROBE_TIMEOUT),
             CooldownRecovery::Done | CooldownRecovery::Pending => None,
         }
@@ -166,8 +172,8 @@
     /// Records that a request is about to be sent, which makes the request a
     /// probe if the target is recovering.
     pub fn mark_recovery_probe(&mut self, now: Millis) {
-        if self.recovery != CooldownRecovery::Done {
-            self.recovery = CooldownRecovery::Probed(now);
+        if self.cooldown_recovery != CooldownRecovery::Done {
+            self.cooldown_recovery = CooldownRecovery::Probed(now);
         }
     }
 }
@@ -183,7 +189,7 @@
         is_eligible: impl Fn(&Target) -> bool,
     ) -> CandidateSnapshot {
         let fleet = self.fleet.borrow();
-        let max_connections = self.max_connections(service);
+        let max_connections = self.max_connections_per_target(service);
         let zone = &self.settings().zone;
         let of_service =
             fleet.ready_targets().filter(|it| &*it.service == service);
@@ -205,7 +211,7 @@
             endpoints.iter().map(|it| it.1.borrow().request_stats).collect();
         let usual = ServiceLatency::new(records.iter());
         let unreported_requests = if most_report {
-            self.unreported_requests(service, &records, now)
+            self.estimate_unreported_requests(service, &records, now)
         } else {
             0.0
         };
@@ -237,7 +243,7 @@
                 cooldown_end = cooldown_end.into_iter().chain([end]).min();
                 continue;
             }
-            if endpoint_state.open_connections >= max_connections
+            if endpoint_state.open_connection_count >= max_connections
                 && endpoint_state.connection_pool.has_no_idle_connection()
             {
                 continue;
@@ -314,7 +320,7 @@
     /// that no report includes yet. Entry processes see much the same state,
     /// so they are taken to send what this entry process does: its usual rate,
     /// or its latest burst if that is more.
-    fn unreported_requests(
+    fn estimate_unreported_requests(
         &self,
         service: &str,
         records: &[TargetStats],
@@ -333,7 +339,7 @@
 
     /// Connections that this entry process may open to one target of a
     /// service: its part of the service's limit.
-    fn max_connections(&self, service: &str) -> usize {
+    fn max_connections_per_target(&self, service: &str) -> usize {
         let catalog = self.catalog.borrow();
         let service = catalog.as_ref().and_then(|it| it.0.service(service));
         let Some(max_connections) = service.and_then(|it| it.max_connections)
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -64,7 +64,7 @@
         LogCallStatus { topic, last_success: Millis::now(), failures: 0 }
     }
 
-    /// Records a successful call and resets the backoff.
+    /// Records a successful call to the log and resets the backoff.
     pub fn record_success(&mut self, entry: &Entry) {
         let now = Millis::now();
         let away = now.since(self.last_success);
@@ -76,7 +76,7 @@
         self.last_success = now;
     }
 
-    /// Records a failed call and waits for the backoff.
+    /// Records a failed call to the log and waits for the backoff.
     pub async fn back_off_after_failure(
         &mut self,
         entry: &Entry,
@@ -89,13 +89,13 @@
         let doubled = MIN_LOG_CALL_BACKOFF.0 << self.failures.min(4);
         self.failures += 1;
         let pause = doubled.min(MAX_LOG_CALL_BACKOFF.0);
-        sleep(jittered(Millis(pause)).duration()).await;
+        sleep(jittered_interval(Millis(pause)).duration()).await;
     }
 }
 
-/// Returns a random time from three quarters of `time` to all of it, so that
-/// the calls of entry processes spread out.
-fn jittered(time: Millis) -> Millis {
+/// Returns a random time from three quarters of `time` to the whole of `time`,
+/// so that the calls of entry processes spread out.
+fn jittered_interval(time: Millis) -> Millis {
     Millis(rand::rng().random_range(time.0 * 3 / 4..=time.0))
 }
 
@@ -112,10 +112,10 @@
 
 /// The result of reading a topic.
 #[derive(Debug)]
-pub struct TopicRead {
+pub struct TopicReadResult {
     /// The records that were read.
     pub records: Vec<Record>,
-    /// The position after the last record.
+    /// The position in the topic after the last record that was read.
     pub end_position: Position,
     /// Which records of the topic were read.
     pub scope: ReadScope,
@@ -124,11 +124,12 @@
 /// Which records of a topic a read returned.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReadScope {
-    /// The newest record of every key, read for the first time.
+    /// The read returned the newest record of every key for the first time.
     First,
-    /// The newest record of every key, read again.
+    /// The read returned the newest record of every key, as an earlier read
+    /// did.
     All,
-    /// The records since the previous read.
+    /// The read returned the records since the previous read.
     New,
 }
 
@@ -150,7 +151,7 @@
         &mut self,
         entry: &Entry,
         max_hold: Millis,
-    ) -> Result<TopicRead, Error> {
+    ) -> Result<TopicReadResult, Error> {
         let is_old = |it: Position| it.era < entry.rollbacks.newest_era();
         if self.next_position.is_some_and(is_old) {
             self.next_position = None;
@@ -179,7 +180,7 @@
             Some(_) => ReadScope::New,
         };
         self.has_read = true;
-        Ok(TopicRead { records, end_position: next, scope })
+        Ok(TopicReadResult { records, end_position: next, scope })
     }
 
     /// Prepares the next read after a failed one; backs off unless records
@@ -288,7 +289,7 @@
     let period = Millis(
         entry.settings().drain_ms.0 * TARGETS_READ_INTERVAL_PERCENT / 100,
     );
-    let max_age = jittered(period);
+    let max_age = jittered_interval(period);
     loop {
         let now = Millis::now();
         let wait = entry
@@ -309,7 +310,11 @@
 
 /// Applies target records that were read from the log. Targets that are
 /// missing from a full read count as withdrawn.
-fn apply_target_records(entry: &Entry, reading: &TopicRead, now: Millis) {
+fn apply_target_records(
+    entry: &Entry,
+    reading: &TopicReadResult,
+    now: Millis,
+) {
     let records = &reading.records;
     let changes = records
         .iter()
--- a/cowsliproad-direct/src/forward.rs
+++ b/cowsliproad-direct/src/forward.rs
@@ -12,7 +12,7 @@
 use crate::{
     attempt::Attempt,
     call::{AttemptError, Call},
-    callers::InFlightRequest,
+    callers::InFlightRequestGuard,
     entry::Entry,
     receive::receive_request,
     reply::{self, Body},
@@ -23,7 +23,7 @@
 pub async fn respond_to_request(
     entry: &Rc<Entry>,
     request: Request<Incoming>,
-    in_flight: InFlightRequest,
+    in_flight: InFlightRequestGuard,
 ) -> Response<Body> {
     let arrived = Millis::now();
     let (head, body) = request.into_parts();
@@ -72,7 +72,7 @@
 ) -> Response<Body> {
     let mut failure_response = None;
     loop {
-        let choice = match call.next_target(entry).await {
+        let choice = match call.wait_for_next_target(entry).await {
             Ok(choice) => choice,
             Err(response) => return failure_response.unwrap_or(response),
         };
@@ -94,7 +94,7 @@
                 continue;
             }
             Ok(Ok(response)) => {
-                attempt.note_success();
+                attempt.note_successful_response();
                 entry.metrics.record_attempt("answered");
                 return response;
             }
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -96,7 +96,8 @@
     socket: Option<Rc<UdpSocket>>,
     limiters: HashMap<Name, (StartTime, limit::Limiter)>,
     pending_requests: HashMap<u64, oneshot::Sender<PermitReply>>,
-    /// Limits of targets that are not known yet, and when they arrived.
+    /// Rate limits of targets that this entry process doesn't know yet, and
+    /// when each limit arrived.
     early_limits: HashMap<Name, (RateLimit, Millis)>,
     last_broadcast: Millis,
 }
@@ -117,7 +118,7 @@
         self.socket = Some(socket);
     }
 
-    /// Keeps the limit of a target that isn't known yet.
+    /// Keeps the rate limit of a target that isn't known yet.
     fn store_early_limit(&mut self, limit: &RateLimit, now: Millis) {
         if self.early_limits.len() >= MAX_LIMITS_PER_DIGEST {
             self.early_limits
@@ -157,8 +158,11 @@
         {
             self.return_permit();
             let mut endpoint = self.endpoint.borrow_mut();
-            if matches!(endpoint.recovery, CooldownRecovery::Probed(_)) {
-                endpoint.recovery = CooldownRecovery::Pending;
+            if matches!(
+                endpoint.cooldown_recovery,
+                CooldownRecovery::Probed(_)
+            ) {
+                endpoint.cooldown_recovery = CooldownRecovery::Pending;
             }
         }
         let now = Millis::now();
@@ -214,7 +218,7 @@
         choice.permit = kept;
         return true;
     }
-    choice.endpoint.borrow_mut().permit_requested = true;
+    choice.endpoint.borrow_mut().permit_request_in_flight = true;
     let (sender, given) = oneshot::channel();
     let task = request_permit(entry.clone(), choice.clone(), patience, sender);
     tokio::task::spawn_local(task);
@@ -255,8 +259,8 @@
     }
 }
 
-/// Requests a permit, and keeps it for the next request if the asking one no
-/// longer waits.
+/// Requests a permit for a request. If the request no longer waits, the permit
+/// is kept for the next request.
 async fn request_permit(
     entry: Rc<Entry>,
     choice: ChosenTarget,
@@ -272,7 +276,7 @@
     .await;
     let now = Millis::now();
     let mut endpoint = choice.endpoint.borrow_mut();
-    endpoint.permit_requested = false;
+    endpoint.permit_request_in_flight = false;
     match verdict {
         PermitDecision::Permit(after) => {
             let valid_from = now + after;
@@ -289,7 +293,8 @@
         }
         PermitDecision::Later(after) => {
             endpoint.next_permit_request_at = now + after;
-            // The asking request may have gone to another target.
+            // The request that needed the permit may have gone to another
+            // target.
             let _ = given.send(None);
         }
     }
@@ -331,7 +336,7 @@
             Some(it) => return PermitDecision::Later(it.wait),
             None => {
                 let until = Millis::now() + UNRESPONSIVE_OWNER_TTL;
-                entry.peers.borrow_mut().mark_unresponsive(other, until);
+                entry.peers.borrow_mut().mark_owner_unresponsive(other, until);
                 info!(entry.log, "keeper_mute"; "peer" => %other,
                     "target" => &*target.id);
             }
@@ -423,7 +428,7 @@
             warn!(self.log, "limit_refused"; "target" => &*choice.target.id,
                 "limit" => ?named);
         }
-        self.on_limit_change(
+        self.handle_limit_change(
             &choice.target.id,
             observed.change,
             ChangeSource::Own,
@@ -431,7 +436,7 @@
     }
 
     /// Merges the rate limits in another entry process's digest.
-    pub fn merge_limits(&self, limits: &[RateLimit], now: Millis) {
+    pub fn merge_peer_limits(&self, limits: &[RateLimit], now: Millis) {
         for limit in limits {
             self.merge_limit(limit, now);
         }
@@ -451,10 +456,11 @@
         let endpoint = self.endpoint_or_insert(&limit.target);
         let change =
             endpoint.borrow_mut().rate_limit.merge_report(report, now);
-        self.on_limit_change(&limit.target, change, ChangeSource::Peer);
+        self.handle_limit_change(&limit.target, change, ChangeSource::Peer);
     }
 
-    /// Applies a limit that arrived before its target was known here.
+    /// Applies a rate limit that another entry process sent before the target
+    /// was known here.
     pub fn apply_early_limit(&self, target: &str, now: Millis) {
         let early = self.limits.borrow_mut().early_limits.remove(target);
         if let Some((limit, heard)) = early {
@@ -463,7 +469,7 @@
         }
     }
 
-    fn on_limit_change(
+    fn handle_limit_change(
         &self,
         target: &Name,
         change: LimitChange,
@@ -495,7 +501,7 @@
         }
     }
 
-    /// The limits to include in a digest.
+    /// The rate limits of targets to include in a digest.
     pub fn limits_for_digest(
         &self,
         scope: DigestScope,
@@ -531,7 +537,8 @@
         fleet.ready_targets().filter(limited).count()
     }
 
-    /// The known limit of a target, or an unlimited rate of the greatest age.
+    /// The known rate limit of a target; if none is known, an unlimited rate
+    /// of the greatest age.
     fn current_rate_limit(&self, target: &Target, now: Millis) -> RateLimit {
         let report = self
             .endpoint_or_insert(&target.id)
@@ -579,7 +586,8 @@
             .pending_requests
             .remove(&reply.request_id);
         if let Some(pending_request) = pending_request {
-            // The asking task may have stopped waiting just now.
+            // The task that awaited the permit reply may have stopped waiting
+            // just now.
             let _ = pending_request.send(reply);
         }
     }
--- a/cowsliproad-direct/src/measure.rs
+++ b/cowsliproad-direct/src/measure.rs
@@ -16,7 +16,7 @@
     tries: Counter<u64>,
     first_byte: Histogram<u64>,
     whole: Histogram<u64>,
-    suspicions: Counter<u64>,
+    crash_suspicions: Counter<u64>,
     quarantined: Counter<u64>,
     limited: Counter<u64>,
     limits: Gauge<u64>,
@@ -45,21 +45,22 @@
             cooling: meter.u64_gauge("cooling_targets").build(),
             rollbacks: meter.u64_counter("log_rollbacks").build(),
             caught_up: meter.u64_histogram("log_caught_up_ms").build(),
-            suspicions: meter.u64_counter("doubts").build(),
+            crash_suspicions: meter.u64_counter("doubts").build(),
             peers: meter.u64_gauge("peers").build(),
             targets: meter.u64_gauge("targets").build(),
             metrics,
         }
     }
 
-    /// Records an answer's status and the time to its first byte.
+    /// Records the status of an answer to a caller and the time to its first
+    /// byte.
     pub fn record_answer(&self, status: u16, took: Millis) {
         let status = KeyValue::new("status", i64::from(status));
         self.answers.add(1, std::slice::from_ref(&status));
         self.first_byte.record(took.0, &[status]);
     }
 
-    /// Records the time until an answer was complete.
+    /// Records the time until an answer to a caller was complete.
     pub fn record_answer_end(&self, took: Millis) {
         self.whole.record(took.0, &[]);
     }
@@ -72,7 +73,7 @@
     /// Records the outcome of suspicions that a target crashed under requests.
     pub fn record_suspicions(&self, requests: usize, outcome: &'static str) {
         let outcome = KeyValue::new("outcome", outcome);
-        self.suspicions.add(requests as u64, &[outcome]);
+        self.crash_suspicions.add(requests as u64, &[outcome]);
     }
 
     /// Records a quarantine event: work was refused, suspended or freed, or a
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -165,7 +165,11 @@
     }
 
     /// Records that an entry process doesn't answer permit requests.
-    pub fn mark_unresponsive(&mut self, address: SocketAddr, until: Millis) {
+    pub fn mark_owner_unresponsive(
+        &mut self,
+        address: SocketAddr,
+        until: Millis,
+    ) {
         if let Some(peer) = self.known_peers.get_mut(&address) {
             peer.unresponsive_until = until;
         }
@@ -199,9 +203,12 @@
         owner::silence_timeout(self.known_peers.len(), MAX_DIGEST_RECIPIENTS)
     }
 
-    /// Returns the addresses in another entry process's digest that are not
-    /// known yet.
-    fn unknown_addresses(&mut self, peers: &[SocketAddr]) -> Vec<SocketAddr> {
+    /// Returns the addresses of entry processes in another one's digest that
+    /// are not known yet.
+    fn unknown_peer_addresses(
+        &mut self,
+        peers: &[SocketAddr],
+    ) -> Vec<SocketAddr> {
         let new = |it: &&SocketAddr| {
             **it != self.own_address && !self.known_peers.contains_key(*it)
         };
@@ -385,7 +392,7 @@
         &received_digest.retracted_crashes,
         now,
     );
-    entry.merge_limits(&received_digest.limits, now);
+    entry.merge_peer_limits(&received_digest.limits, now);
     let at = now - Millis(received_digest.targets_read_age_ms);
     let changed = Position::new(
         received_digest.log_era,
@@ -396,7 +403,7 @@
         let mut peers = entry.peers.borrow_mut();
         (
             peers.merge_digest(&received_digest, now),
-            peers.unknown_addresses(&received_digest.peers),
+            peers.unknown_peer_addresses(&received_digest.peers),
         )
     };
     entry.digest_received.notify_waiters();
--- a/cowsliproad-direct/src/peers/state.rs
+++ b/cowsliproad-direct/src/peers/state.rs
@@ -31,7 +31,7 @@
 const STATE_FETCH_TIMEOUT: Millis = Millis(1_000);
 
 /// The largest encoded state that is accepted from a peer.
-const MAX_STATE_BYTES: usize = 16 << 20;
+const MAX_PEER_STATE_BYTES: usize = 16 << 20;
 
 /// The HTTP path that serves an entry process's state.
 const STATE_PATH: &str = "/state";
@@ -70,18 +70,24 @@
     let (newest, ahead) = entry.peers.borrow().newest_config;
     let ahead = (newest > received_digest.config_version).then_some(ahead);
     for address in ahead.into_iter().chain([received_digest.address]) {
-        if let Some(state) = fetch_state(entry, address).await {
-            return apply_state(entry, state);
+        if let Some(state) = fetch_peer_state(entry, address).await {
+            return apply_peer_state(entry, state);
         }
     }
 }
 
-async fn fetch_state(entry: &Entry, peer: SocketAddr) -> Option<EntryState> {
+async fn fetch_peer_state(
+    entry: &Entry,
+    peer: SocketAddr,
+) -> Option<EntryState> {
     let uri = format!("http://{peer}{STATE_PATH}");
     let request = Request::get(uri).body(Full::new(Bytes::new())).ok()?;
     let client = Client::new();
-    let call =
-        client.call(request, MAX_STATE_BYTES, STATE_FETCH_TIMEOUT.duration());
+    let call = client.call(
+        request,
+        MAX_PEER_STATE_BYTES,
+        STATE_FETCH_TIMEOUT.duration(),
+    );
     let body = match call.await {
         Ok(answer) => answer.into_body(),
         Err(error) => {
@@ -97,14 +103,14 @@
     state
 }
 
-fn apply_state(entry: &Entry, state: EntryState) {
+fn apply_peer_state(entry: &Entry, state: EntryState) {
     let raw = Bytes::from(state.catalog);
     match catalog::decode(&raw) {
         Ok(catalog) => entry.adopt_catalog(catalog, raw, ChangeSource::Peer),
         Err(error) => warn!(entry.log, "catalog_refused"; "error" => %error),
     }
-    // This entry process's own targets are kept while its reads of the log
-    // succeed.
+    // The targets that this entry process knows are kept while its reads of
+    // the log succeed.
     let knows = entry.fleet.borrow().ready_targets().next().is_some();
     if knows && !entry.log_read_schedule.borrow().needs_peer_state() {
         return;
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -272,12 +272,12 @@
             CrashExtent::Target => QuarantineChange::None,
         };
         drop(quarantine);
-        self.on_quarantine_change(work, change, ChangeSource::Own);
-        self.on_quarantine_change(work, suspended, ChangeSource::Own);
+        self.handle_quarantine_change(work, change, ChangeSource::Own);
+        self.handle_quarantine_change(work, suspended, ChangeSource::Own);
     }
 
     /// Records that a target survived a request with this work digest.
-    pub fn record_survival(&self, work: WorkDigest, now: Millis) {
+    pub fn record_survived_work(&self, work: WorkDigest, now: Millis) {
         let mut quarantine = self.quarantine.borrow_mut();
         let change = quarantine.ledger.record_survival(work, now);
         if change != QuarantineChange::None {
@@ -285,7 +285,7 @@
             quarantine.observed_work.insert(work);
         }
         drop(quarantine);
-        self.on_quarantine_change(work, change, ChangeSource::Own);
+        self.handle_quarantine_change(work, change, ChangeSource::Own);
     }
 
     /// Retracts a target's crash if the target answers a request that was sent
@@ -310,7 +310,8 @@
     }
 
     /// Retracts a target's crash if the target's agent still reads reports of
-    /// the same start. An unstated start may be a later one.
+    /// the same start. If the agent states no start, its report may be about a
+    /// later start.
     pub fn retract_crash_on_agent_report(
         &self,
         target: &Target,
@@ -372,7 +373,11 @@
         }
         info!(self.log, "end_taken_back"; "end" => ?crash_id, "source" => ?source);
         for work in freed {
-            self.on_quarantine_change(work, QuarantineChange::Freed, source);
+            self.handle_quarantine_change(
+                work,
+                QuarantineChange::Freed,
+                source,
+            );
         }
         if source != ChangeSource::Peer {
             self.digest_wakeup.notify_one();
@@ -411,7 +416,7 @@
             }
         }
         drop(quarantine);
-        self.on_quarantine_change(
+        self.handle_quarantine_change(
             WorkDigest(suspect.work_digest),
             change,
             source,
@@ -421,7 +426,7 @@
 
     /// Logs, counts and broadcasts a change of the quarantine's verdict on a
     /// request, and wakes waiting requests.
-    fn on_quarantine_change(
+    fn handle_quarantine_change(
         &self,
         work: WorkDigest,
         change: QuarantineChange,
@@ -513,7 +518,8 @@
     kept
 }
 
-/// Merges a record of the log, and returns whether it changed the ledger.
+/// Merges a quarantine record of the log into the crash ledger, and returns
+/// whether the ledger changed.
 fn merge_log_record(entry: &Entry, kept: &SuspectLogRecord) -> bool {
     let now = Millis::now();
     let age = Millis(unix_now_ms()).since(Millis(kept.written_at));
@@ -540,7 +546,7 @@
     change != QuarantineChange::None
 }
 
-/// Schedules the rewrite of records that the log should hold and lost.
+/// Schedules rewrites of quarantine records that the log has lost.
 fn schedule_record_rewrites(entry: &Entry, kept: &[SuspectLogRecord]) {
     let now = Millis::now();
     let kept = kept.iter().map(|it| (it.suspect.work_digest, &it.suspect));
@@ -631,7 +637,8 @@
     }
 }
 
-/// The encoded record of a request for the log; empty to delete the record.
+/// Encodes the quarantine record of a request for the log; empty if the record
+/// is to be deleted.
 fn encode_suspect_record(entry: &Entry, work: WorkDigest) -> Vec<u8> {
     let suspect =
         entry.quarantine.borrow().ledger.suspect(work, Millis::now());
--- a/cowsliproad-direct/src/rollback.rs
+++ b/cowsliproad-direct/src/rollback.rs
@@ -35,7 +35,7 @@
 
 /// The time, per entry process, over which all entry processes spread their
 /// reads of a topic after a rollback.
-const REREAD_SPREAD_PER_ENTRY: Millis = Millis(10);
+const REREAD_SPREAD_PER_ENTRY_PROCESS: Millis = Millis(10);
 
 /// The longest time over which reads after a rollback are spread: a new
 /// configuration must be in force within two seconds.
@@ -62,7 +62,7 @@
 
 #[derive(Debug)]
 struct LogRollback {
-    /// When the rollback was noticed.
+    /// When this entry process noticed the rollback of the log.
     noticed_at: Millis,
     /// The topics that have not been read again since the rollback.
     unread_topics: BTreeSet<&'static str>,
@@ -140,8 +140,8 @@
     /// rollback.
     pub fn draw_reread_delay(&self) -> Millis {
         let entries = self.peers.borrow().entry_process_count() as u64;
-        let spread =
-            Millis(REREAD_SPREAD_PER_ENTRY.0 * entries).min(MAX_REREAD_SPREAD);
+        let spread = Millis(REREAD_SPREAD_PER_ENTRY_PROCESS.0 * entries)
+            .min(MAX_REREAD_SPREAD);
         Millis((spread.0 as f64 * self.random_fraction()) as u64)
     }
 
--- a/cowsliproad-direct/src/stated.rs
+++ b/cowsliproad-direct/src/stated.rs
@@ -78,8 +78,10 @@
             }
             RetryAfter::Unreadable => {
                 let mut endpoint = choice.endpoint.borrow_mut();
-                if !std::mem::replace(&mut endpoint.retry_after_invalid, true)
-                {
+                if !std::mem::replace(
+                    &mut endpoint.last_retry_after_invalid,
+                    true,
+                ) {
                     warn!(self.log, "retry_after_refused";
                         "request" => request, "target" => &*target.id,
                         "stated" => ?stated);
@@ -94,8 +96,8 @@
             return;
         }
         let mut endpoint = choice.endpoint.borrow_mut();
-        endpoint.retry_after_invalid = false;
-        endpoint.recovery = CooldownRecovery::Pending;
+        endpoint.last_retry_after_invalid = false;
+        endpoint.cooldown_recovery = CooldownRecovery::Pending;
         drop(endpoint);
         info!(self.log, "cooldown"; "request" => request,
             "target" => &*target.id, "status" => head.status.as_u16(),
@@ -110,11 +112,13 @@
     /// Marks a target as recovered when an answer without Retry-After arrives
     /// after the cooldown.
     fn record_target_recovery(&self, choice: &ChosenTarget) {
-        if choice.endpoint.borrow().recovery == CooldownRecovery::Done {
+        if choice.endpoint.borrow().cooldown_recovery == CooldownRecovery::Done
+        {
             return;
         }
         if self.cooldown_end(&choice.target, Millis::now()).is_none() {
-            choice.endpoint.borrow_mut().recovery = CooldownRecovery::Done;
+            choice.endpoint.borrow_mut().cooldown_recovery =
+                CooldownRecovery::Done;
             self.connection_freed.notify_waiters();
         }
     }
--- a/cowsliproad-direct/src/stream.rs
+++ b/cowsliproad-direct/src/stream.rs
@@ -22,7 +22,7 @@
 use crate::{
     attempt::Attempt,
     call::{AttemptError, Call, OpenResponse, read_whole_response},
-    callers::InFlightRequest,
+    callers::InFlightRequestGuard,
     entry::{ChosenTarget, Entry, GroupReport},
     receive::remove_hop_by_hop_headers,
     reply::{Body, StreamPiece},
@@ -36,7 +36,7 @@
 /// forward passes of the group.
 const TARGET_SILENCE_TIMEOUT: Millis = Millis(800);
 
-/// How often a stream without data is checked.
+/// How often a stream that receives no data is checked for a silent target.
 const SILENCE_CHECK_INTERVAL: Millis = Millis(400);
 
 /// Streams leave a target whose service time reaches this percentage of the
@@ -72,10 +72,10 @@
 pub async fn respond_with_stream(
     entry: &Rc<Entry>,
     mut call: Call,
-    in_flight: InFlightRequest,
+    in_flight: InFlightRequestGuard,
 ) -> Response<Body> {
     let (head, target_stream, first) = loop {
-        let choice = match call.next_target(entry).await {
+        let choice = match call.wait_for_next_target(entry).await {
             Ok(choice) => choice,
             Err(answer) => return answer,
         };
@@ -216,8 +216,8 @@
                 "the request crashes its targets",
             ));
         }
-        // A request may be queued at a healthy target, whose agent still
-        // reports.
+        // A silent target whose agent still reports may be healthy and have
+        // the request in its queue.
         let lags = lags_behind_group(entry, choice, since);
         if lags && !entry.has_recent_agent_report(choice) {
             return Err(AttemptError::MayHaveRun("silent"));
@@ -352,12 +352,12 @@
     entry: Rc<Entry>,
     call: Call,
     pieces: mpsc::Sender<StreamPiece>,
-    /// The id of the last event that was passed on.
+    /// The id of the last event that was passed on to the caller.
     last_event_id: Option<u64>,
     event_count: u64,
-    /// When the last event was passed on.
+    /// When the last event was passed on to the caller.
     last_event_at: Option<Millis>,
-    /// The longest time between two events.
+    /// The longest time between two events passed on to the caller.
     longest_gap: Millis,
 }
 
@@ -366,7 +366,7 @@
         mut self,
         mut target_stream: TargetStream,
         first_event: Option<Event>,
-        in_flight: InFlightRequest,
+        in_flight: InFlightRequestGuard,
     ) {
         let outcome = self.relay_events(&mut target_stream, first_event).await;
         drop(target_stream);
@@ -403,7 +403,7 @@
                     }
                 }
                 NextEvent::Complete => {
-                    target_stream.attempt.note_success();
+                    target_stream.attempt.note_successful_response();
                     if let Some(lease) = target_stream.lease.take() {
                         lease.release_to_pool(Millis::now());
                     }
@@ -444,7 +444,7 @@
                 .await
                 .is_none()
                 .then_some(())?;
-            choice = self.call.next_target(&self.entry).await.ok()?;
+            choice = self.call.wait_for_next_target(&self.entry).await.ok()?;
             match open_target_stream(
                 &self.entry,
                 &mut self.call,
--- a/cowsliproad-direct/src/upstream.rs
+++ b/cowsliproad-direct/src/upstream.rs
@@ -44,7 +44,7 @@
 const TCP_KEEPALIVE_INTERVAL: Millis = Millis(1_000);
 
 /// How long an idle connection is pooled if the target states no timeout.
-const DEFAULT_IDLE_TIMEOUT: Millis = Millis(4_000);
+const DEFAULT_POOLED_IDLE_TIMEOUT: Millis = Millis(4_000);
 
 /// How long an idle connection is pooled, in percent of the idle timeout that
 /// the target states. The target may close connections a little early.
@@ -52,7 +52,7 @@
 
 /// The longest time that an idle connection is pooled, whatever the target
 /// states.
-const MAX_IDLE_TIMEOUT: Millis = Millis(60_000);
+const MAX_POOLED_IDLE_TIMEOUT: Millis = Millis(60_000);
 
 /// The longest idle time of a connection that is reused for a request that
 /// must not be repeated. Targets close idle connections after a second or
@@ -60,7 +60,7 @@
 const MAX_FRESH_CONNECTION_IDLE_TIME: Millis = Millis(300);
 
 /// Idle connections pooled for one target.
-const MAX_IDLE_CONNECTIONS: usize = 16;
+const MAX_IDLE_CONNECTIONS_PER_TARGET: usize = 16;
 
 /// Why a request got no response, which decides whether it may be retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -70,7 +70,7 @@
     /// The request was not sent, because its target has entered a cooldown,
     /// changed its limit or left since it was chosen.
     Withheld(&'static str),
-    /// The request was sent and may have run.
+    /// The request was sent to the target and may have run.
     Unknown(&'static str),
 }
 
@@ -91,9 +91,9 @@
 /// Which connections a request may use.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ConnectionReuse {
-    /// Any open connection.
+    /// The request may use any open connection.
     Any,
-    /// Only a connection that was used a moment ago.
+    /// The request may only reuse a connection that was used a moment ago.
     Fresh,
 }
 
@@ -147,7 +147,7 @@
     }
     let mut endpoint = endpoint.borrow_mut();
     let idle = &mut endpoint.connection_pool.idle;
-    if idle.len() < MAX_IDLE_CONNECTIONS {
+    if idle.len() < MAX_IDLE_CONNECTIONS_PER_TARGET {
         idle.push(IdleConnection {
             sender,
             expires_at: now + idle_timeout,
@@ -183,7 +183,7 @@
             pool_connection(
                 &choice.endpoint,
                 sender,
-                DEFAULT_IDLE_TIMEOUT,
+                DEFAULT_POOLED_IDLE_TIMEOUT,
                 Millis::now(),
             );
             return Err(SendError::Withheld(why));
@@ -232,7 +232,7 @@
         attempt.may_send(Millis::now()).map_err(SendError::Withheld)?;
         {
             let mut endpoint = choice.endpoint.borrow_mut();
-            if endpoint.open_connections < choice.max_connections {
+            if endpoint.open_connection_count < choice.max_connections {
                 return Ok(());
             }
             let idle = &mut endpoint.connection_pool.idle;
@@ -274,7 +274,7 @@
         .await
         .map_err(|_| SendError::Unsent("no connection"))?;
     tokio::task::spawn_local(async move {
-        // The request on the connection reports the error.
+        // The request on the connection reports an error of the connection.
         let _ = connection.await;
         drop(connection_guard);
     });
@@ -289,7 +289,7 @@
 
 impl OpenConnectionGuard {
     fn new(endpoint: &Rc<RefCell<Endpoint>>) -> OpenConnectionGuard {
-        endpoint.borrow_mut().open_connections += 1;
+        endpoint.borrow_mut().open_connection_count += 1;
         OpenConnectionGuard { endpoint: endpoint.clone() }
     }
 }
@@ -297,7 +297,7 @@
 impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         let mut endpoint = self.endpoint.borrow_mut();
-        endpoint.open_connections -= 1;
+        endpoint.open_connection_count -= 1;
         endpoint.connection_freed.notify_waiters();
     }
 }
@@ -336,8 +336,8 @@
             let idle_timeout = Millis(
                 seconds.saturating_mul(10 * POOLED_IDLE_TIMEOUT_PERCENT),
             );
-            idle_timeout.min(MAX_IDLE_TIMEOUT)
+            idle_timeout.min(MAX_POOLED_IDLE_TIMEOUT)
         }
-        None => DEFAULT_IDLE_TIMEOUT,
+        None => DEFAULT_POOLED_IDLE_TIMEOUT,
     }
 }
