--- a/cowsliproad-direct/src/attempt.rs
+++ b/cowsliproad-direct/src/attempt.rs
@@ -129,7 +129,8 @@
         self.target_check_settled.set(true);
     }
 
-    /// Records that the attempt ended without a response to pass on.
+    /// Records that the attempt ended without a response to pass on to the
+    /// caller.
     pub fn note_error(&self, error: &AttemptError) {
         self.choice.record_failed_attempt(&self.entry, error);
         self.check_target_after_error(error);
--- a/cowsliproad-direct/src/call.rs
+++ b/cowsliproad-direct/src/call.rs
@@ -124,7 +124,8 @@
     Unknown,
 }
 
-/// Why an attempt ended without a response to pass on.
+/// Why an attempt at a target ended without a response to pass on to the
+/// caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum AttemptError {
     /// The target did not run the request and never will.
@@ -217,7 +218,7 @@
         self.waiting_since = Millis::now();
     }
 
-    /// The time until the deadline of the request.
+    /// The time left until the deadline of the request.
     pub fn time_left(&self) -> Millis {
         self.deadline.since(Millis::now())
     }
@@ -269,7 +270,7 @@
             return Err(AttemptError::MayHaveRun("another request's answer"));
         }
         if echoed_id.is_some() || head.headers.contains_key(&header::NOT_RUN) {
-            entry.apply_limit_header(choice, attempt, &head.headers);
+            entry.apply_rate_limit_header(choice, attempt, &head.headers);
         }
         attempt.note_response();
         if head.headers.contains_key(&header::NOT_RUN) {
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -72,7 +72,7 @@
                     return Err(self.reject_request(entry, reason));
                 }
             }
-            let lookahead = self.permit_lookahead(wait_until.since(now));
+            let lookahead = self.max_permit_lookahead(wait_until.since(now));
             let shortage = match self.choose_target(entry, now, lookahead) {
                 Ok((choice, max_permit_wait)) => {
                     match self
@@ -351,7 +351,7 @@
 
     /// How far in the future a permit for the request may become valid. Less
     /// urgent requests leave later permits to more urgent ones.
-    fn permit_lookahead(&self, wait_left: Millis) -> Millis {
+    fn max_permit_lookahead(&self, wait_left: Millis) -> Millis {
         let ranks = u64::from(MAX_QUEUE_RANK) + 1;
         let rank = u64::from(self.queue_rank());
         Millis(wait_left.0 * (ranks - rank) / ranks)
--- a/cowsliproad-direct/src/call/failure.rs
+++ b/cowsliproad-direct/src/call/failure.rs
@@ -73,11 +73,11 @@
     ) -> Option<Response<Body>> {
         let cause = match error {
             AttemptError::Refused(cause) => {
-                entry.metrics.record_attempt("refused");
+                entry.metrics.record_attempt_outcome("refused");
                 cause
             }
             AttemptError::Unsent(cause) => {
-                entry.metrics.record_attempt("unsent");
+                entry.metrics.record_attempt_outcome("unsent");
                 self.attempted_targets.retain(|it| *it != choice.target.id);
                 // Sending a request that never arrived is no retry.
                 if self.time_left().0 > 0 && self.attempt_count < MAX_ATTEMPTS
@@ -89,7 +89,7 @@
                 cause
             }
             AttemptError::Withheld(cause) => {
-                entry.metrics.record_attempt("withheld");
+                entry.metrics.record_attempt_outcome("withheld");
                 self.attempted_targets.retain(|it| *it != choice.target.id);
                 if self.time_left().0 > 0 && self.attempt_count < MAX_ATTEMPTS
                 {
@@ -101,7 +101,7 @@
             }
             AttemptError::MayHaveRun(cause)
             | AttemptError::ConnectionBroken(cause) => {
-                entry.metrics.record_attempt("unknown");
+                entry.metrics.record_attempt_outcome("unknown");
                 self.note_possible_run();
                 cause
             }
--- a/cowsliproad-direct/src/ends.rs
+++ b/cowsliproad-direct/src/ends.rs
@@ -151,7 +151,7 @@
 enum ProbeOutcome {
     Alive,
     Crashed,
-    /// The probe got no conclusive answer.
+    /// The probe didn't show whether the target is alive.
     Unknown,
 }
 
@@ -164,7 +164,7 @@
 ) {
     let mut endpoint = choice.endpoint.borrow_mut();
     if endpoint.crash_suspicions.len() >= MAX_SUSPICIONS_PER_TARGET {
-        entry.metrics.record_suspicions(1, "untold");
+        entry.metrics.record_suspicion_outcomes(1, "untold");
         let oldest = endpoint
             .crash_suspicions
             .iter()
@@ -308,13 +308,13 @@
     }
     match outcome {
         ProbeOutcome::Alive => {
-            entry.metrics.record_suspicions(settled.len(), "lives")
+            entry.metrics.record_suspicion_outcomes(settled.len(), "lives")
         }
         ProbeOutcome::Unknown => {
-            entry.metrics.record_suspicions(settled.len(), "unknown")
+            entry.metrics.record_suspicion_outcomes(settled.len(), "unknown")
         }
         ProbeOutcome::Crashed => {
-            entry.metrics.record_suspicions(settled.len(), "ended");
+            entry.metrics.record_suspicion_outcomes(settled.len(), "ended");
             for suspect in settled {
                 record_suspected_crash(entry, choice, &suspect);
             }
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -384,7 +384,7 @@
                     // In-flight requests, connections and agent reports belong
                     // to the previous start of the target.
                     self.endpoints.borrow_mut().remove(id);
-                    self.limits.borrow_mut().remove_limiter(id);
+                    self.limits.borrow_mut().remove_target_limiter(id);
                 }
                 let fleet = self.fleet.borrow();
                 let Some(target) = fleet.get(id) else { return };
@@ -402,7 +402,7 @@
                 info!(self.log, "target_left"; "target" => id,
                     "source" => ?source);
                 self.endpoints.borrow_mut().remove(id);
-                self.limits.borrow_mut().remove_limiter(id);
+                self.limits.borrow_mut().remove_target_limiter(id);
                 let addresses: HashSet<SocketAddr> = self
                     .fleet
                     .borrow()
@@ -497,14 +497,14 @@
     pub fn update_longest_caller_timeout(
         &self,
         route: &Name,
-        left: Millis,
+        stated_timeout: Millis,
     ) -> Millis {
-        let mut patience = self.longest_caller_timeouts.borrow_mut();
-        if patience.len() > MAX_REMEMBERED_ROUTES {
-            patience.clear();
+        let mut timeouts = self.longest_caller_timeouts.borrow_mut();
+        if timeouts.len() > MAX_REMEMBERED_ROUTES {
+            timeouts.clear();
         }
-        let longest = patience.entry(route.clone()).or_default();
-        *longest = left.max(*longest);
+        let longest = timeouts.entry(route.clone()).or_default();
+        *longest = stated_timeout.max(*longest);
         *longest
     }
 
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -25,10 +25,11 @@
     /// Requests a second that each target would get if all targets got equally
     /// many.
     equal_share_requests_per_second: f64,
-    /// Eligible targets, including those that can't be used now.
+    /// The number of eligible targets, including targets that can't be used
+    /// now.
     eligible_count: usize,
-    /// Eligible, working targets in a cooldown that they requested with
-    /// Retry-After.
+    /// The number of eligible, working targets in a cooldown that they
+    /// requested with Retry-After.
     cooling_count: usize,
     /// When the first cooldown of a target ends, or the first probe of a
     /// recovering target times out.
@@ -150,8 +151,8 @@
                         .borrow()
                         .permit_request_in_flight
             }
-            PermitWaitPolicy::Within(patience) => {
-                permit_at <= self.observed_at + patience
+            PermitWaitPolicy::Within(max_permit_wait) => {
+                permit_at <= self.observed_at + max_permit_wait
             }
             PermitWaitPolicy::Never => false,
         }
--- a/cowsliproad-direct/src/entry/groups.rs
+++ b/cowsliproad-direct/src/entry/groups.rs
@@ -18,9 +18,9 @@
         self.merge_formation(&group.group_name, group.formation_epoch, false);
     }
 
-    /// Merges a rank's report on its group. A group that accepts requests does
-    /// so at all ranks: if each rank's report were awaited, the first rank to
-    /// report would get all waiting requests.
+    /// Merges a rank's report on the formation of its group. A group that
+    /// accepts requests does so at all ranks: if each rank's report were
+    /// awaited, the first rank to report would get all waiting requests.
     pub fn merge_formation(
         &self,
         group: &Name,
@@ -97,7 +97,7 @@
         last
     }
 
-    /// Calls `visit` with the known group, if any, of each target of a
+    /// Calls `visit` with the last group report, if any, of each target of a
     /// service. Streams call this for each event, so nothing is copied.
     pub fn for_each_group(
         &self,
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -318,7 +318,7 @@
     let records = &reading.records;
     let changes = records
         .iter()
-        .map(|it| apply_announcement(entry, it, now, ChangeSource::Log))
+        .map(|it| apply_target_announcement(entry, it, now, ChangeSource::Log))
         .filter(|it| *it != TargetChange::None)
         .count();
     if reading.scope == ReadScope::New {
@@ -355,7 +355,7 @@
 
 /// Applies one announcement or withdrawal of a target and returns the
 /// resulting change.
-pub fn apply_announcement(
+pub fn apply_target_announcement(
     entry: &Entry,
     record: &Record,
     now: Millis,
--- a/cowsliproad-direct/src/forward.rs
+++ b/cowsliproad-direct/src/forward.rs
@@ -51,7 +51,7 @@
 ) -> Response<Body> {
     let duration = Millis::now().since(arrived);
     let status = response.status().as_u16();
-    entry.metrics.record_answer(status, duration);
+    entry.metrics.record_caller_answer(status, duration);
     let id_text =
         request_id.as_ref().and_then(|it| it.to_str().ok()).unwrap_or("-");
     info!(entry.log, "answered"; "request" => id_text, "status" => status,
@@ -85,7 +85,7 @@
         let error = match attempt_result.await {
             Ok(Ok(response)) if response.status().is_server_error() => {
                 attempt.note_failure_response();
-                entry.metrics.record_attempt("failed");
+                entry.metrics.record_attempt_outcome("failed");
                 call.note_possible_run();
                 if !call.may_retry(entry, &choice, "failed") {
                     return response;
@@ -95,7 +95,7 @@
             }
             Ok(Ok(response)) => {
                 attempt.note_successful_response();
-                entry.metrics.record_attempt("answered");
+                entry.metrics.record_attempt_outcome("answered");
                 return response;
             }
             Ok(Err(error)) => error,
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -131,7 +131,7 @@
     }
 
     /// Removes the limiter of a target that left.
-    pub fn remove_limiter(&mut self, target: &str) {
+    pub fn remove_target_limiter(&mut self, target: &str) {
         self.limiters.remove(target);
     }
 }
@@ -205,11 +205,11 @@
 
 /// Acquires a permit for the chosen target, if the target has a rate limit;
 /// returns whether the request may be sent. Waits for a permit that becomes
-/// valid within `patience`.
+/// valid within `max_permit_wait`.
 pub async fn acquire_permit(
     entry: &Rc<Entry>,
     choice: &mut ChosenTarget,
-    patience: Millis,
+    max_permit_wait: Millis,
 ) -> bool {
     let Some(rate) = choice.rate_limit else { return true };
     let now = Millis::now();
@@ -220,9 +220,10 @@
     }
     choice.endpoint.borrow_mut().permit_request_in_flight = true;
     let (sender, given) = oneshot::channel();
-    let task = request_permit(entry.clone(), choice.clone(), patience, sender);
+    let task =
+        request_permit(entry.clone(), choice.clone(), max_permit_wait, sender);
     tokio::task::spawn_local(task);
-    let wait = match patience {
+    let wait = match max_permit_wait {
         Millis(0) => SHORT_PERMIT_REPLY_TIMEOUT,
         _ => Millis(
             PERMIT_REPLY_TIMEOUT.0
@@ -239,7 +240,7 @@
     };
     tokio::select! {
         () = sleep(permit.valid_from.since(Millis::now()).duration()) => {}
-        () = entry.wait_for_cooldown(&choice.target) => return false,
+        () = entry.wait_until_in_cooldown(&choice.target) => return false,
     }
     choice.permit = held.permit.take();
     entry.metrics.record_permit_outcome("permit");
@@ -264,13 +265,13 @@
 async fn request_permit(
     entry: Rc<Entry>,
     choice: ChosenTarget,
-    patience: Millis,
+    max_permit_wait: Millis,
     given: oneshot::Sender<Option<Permit>>,
 ) {
     let verdict = decide_permit(
         &entry,
         &choice.target,
-        patience,
+        max_permit_wait,
         MAX_PERMIT_REQUEST_FORWARDS,
     )
     .await;
@@ -300,7 +301,7 @@
     }
     drop(endpoint);
     debug!(entry.log, "permit"; "target" => &*choice.target.id,
-        "verdict" => ?verdict, "patience" => patience.0);
+        "verdict" => ?verdict, "patience" => max_permit_wait.0);
 }
 
 /// Grants or refuses a permit, here or at the entry process that owns the
@@ -308,7 +309,7 @@
 async fn decide_permit(
     entry: &Rc<Entry>,
     target: &Target,
-    patience: Millis,
+    max_permit_wait: Millis,
     hops: u8,
 ) -> PermitDecision {
     for asked in 0..MAX_OWNERS_ASKED {
@@ -325,12 +326,22 @@
             }
             LimitOwner::Remote(other) if hops > 0 => other,
             _ => {
-                return entry
-                    .decide_permit_as_owner(target, owner, patience, now);
+                return entry.decide_permit_as_owner(
+                    target,
+                    owner,
+                    max_permit_wait,
+                    now,
+                );
             }
         };
-        match request_permit_from(entry, other, target, patience, hops - 1)
-            .await
+        match request_permit_from(
+            entry,
+            other,
+            target,
+            max_permit_wait,
+            hops - 1,
+        )
+        .await
         {
             Some(it) if it.granted => return PermitDecision::Permit(it.wait),
             Some(it) => return PermitDecision::Later(it.wait),
@@ -350,7 +361,7 @@
     entry: &Entry,
     other: SocketAddr,
     target: &Target,
-    patience: Millis,
+    max_permit_wait: Millis,
     hops: u8,
 ) -> Option<PermitReply> {
     let id = rand::random();
@@ -358,7 +369,7 @@
     let request = PermitRequest {
         request_id: id,
         limit,
-        max_wait: patience,
+        max_wait: max_permit_wait,
         forwards_left: hops,
     };
     let (sender, reply) = oneshot::channel();
@@ -376,7 +387,7 @@
     request: PermitRequest,
     from: SocketAddr,
 ) {
-    entry.merge_limit(&request.limit, Millis::now());
+    entry.merge_rate_limit(&request.limit, Millis::now());
     let entry = entry.clone();
     let hops = request.forwards_left.min(MAX_PERMIT_REQUEST_FORWARDS - 1);
     tokio::task::spawn_local(async move {
@@ -411,7 +422,7 @@
 
 impl Entry {
     /// Applies the rate limit in the headers of a target's answer.
-    pub fn apply_limit_header(
+    pub fn apply_rate_limit_header(
         &self,
         choice: &ChosenTarget,
         attempt: &Attempt,
@@ -438,11 +449,11 @@
     /// Merges the rate limits in another entry process's digest.
     pub fn merge_peer_limits(&self, limits: &[RateLimit], now: Millis) {
         for limit in limits {
-            self.merge_limit(limit, now);
+            self.merge_rate_limit(limit, now);
         }
     }
 
-    fn merge_limit(&self, limit: &RateLimit, now: Millis) {
+    fn merge_rate_limit(&self, limit: &RateLimit, now: Millis) {
         let start = self.fleet.borrow().get(&limit.target).map(|it| it.start);
         if start != Some(StartTime(limit.target_start_unix_ms)) {
             self.limits.borrow_mut().store_early_limit(limit, now);
@@ -465,7 +476,10 @@
         let early = self.limits.borrow_mut().early_limits.remove(target);
         if let Some((limit, heard)) = early {
             let age = limit.in_force_for + now.since(heard);
-            self.merge_limit(&RateLimit { in_force_for: age, ..limit }, now);
+            self.merge_rate_limit(
+                &RateLimit { in_force_for: age, ..limit },
+                now,
+            );
         }
     }
 
@@ -554,7 +568,7 @@
         &self,
         target: &Target,
         owner: LimitOwner<SocketAddr>,
-        patience: Millis,
+        max_permit_wait: Millis,
         now: Millis,
     ) -> PermitDecision {
         let report = self
@@ -574,12 +588,12 @@
         if kept.0 != target.start || stale {
             *kept = new;
         }
-        kept.1.acquire(rate, share, patience, now)
+        kept.1.acquire(rate, share, max_permit_wait, now)
     }
 
     /// Passes a permit reply to the task that awaits it.
     pub fn deliver_permit_reply(&self, reply: PermitReply) {
-        self.merge_limit(&reply.limit, Millis::now());
+        self.merge_rate_limit(&reply.limit, Millis::now());
         let pending_request = self
             .limits
             .borrow_mut()
--- a/cowsliproad-direct/src/measure.rs
+++ b/cowsliproad-direct/src/measure.rs
@@ -54,24 +54,28 @@
 
     /// Records the status of an answer to a caller and the time to its first
     /// byte.
-    pub fn record_answer(&self, status: u16, took: Millis) {
+    pub fn record_caller_answer(&self, status: u16, took: Millis) {
         let status = KeyValue::new("status", i64::from(status));
         self.answers.add(1, std::slice::from_ref(&status));
         self.first_byte.record(took.0, &[status]);
     }
 
     /// Records the time until an answer to a caller was complete.
-    pub fn record_answer_end(&self, took: Millis) {
+    pub fn record_answer_completion(&self, took: Millis) {
         self.whole.record(took.0, &[]);
     }
 
     /// Records the outcome of an attempt at a target.
-    pub fn record_attempt(&self, outcome: &'static str) {
+    pub fn record_attempt_outcome(&self, outcome: &'static str) {
         self.tries.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
     /// Records the outcome of suspicions that a target crashed under requests.
-    pub fn record_suspicions(&self, requests: usize, outcome: &'static str) {
+    pub fn record_suspicion_outcomes(
+        &self,
+        requests: usize,
+        outcome: &'static str,
+    ) {
         let outcome = KeyValue::new("outcome", outcome);
         self.crash_suspicions.add(requests as u64, &[outcome]);
     }
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -122,7 +122,11 @@
         self.known_peers.len().max(self.seeds.len()) + 1
     }
 
-    fn merge_digest(&mut self, digest: &GossipDigest, now: Millis) -> bool {
+    fn merge_peer_digest(
+        &mut self,
+        digest: &GossipDigest,
+        now: Millis,
+    ) -> bool {
         self.newest_config =
             self.newest_config.max((digest.config_version, digest.address));
         let known = self.known_peers.get(&digest.address);
@@ -402,7 +406,7 @@
     let (is_new, others) = {
         let mut peers = entry.peers.borrow_mut();
         (
-            peers.merge_digest(&received_digest, now),
+            peers.merge_peer_digest(&received_digest, now),
             peers.unknown_peer_addresses(&received_digest.peers),
         )
     };
--- a/cowsliproad-direct/src/peers/state.rs
+++ b/cowsliproad-direct/src/peers/state.rs
@@ -119,7 +119,12 @@
     for announcement in state.targets {
         let value = Some(announcement.value.into());
         let record = Record { key: announcement.id, value };
-        follow::apply_announcement(entry, &record, now, ChangeSource::Peer);
+        follow::apply_target_announcement(
+            entry,
+            &record,
+            now,
+            ChangeSource::Peer,
+        );
     }
     entry.log_read_schedule.borrow_mut().record_merged_peer_state();
 }
--- a/cowsliproad-direct/src/stated.rs
+++ b/cowsliproad-direct/src/stated.rs
@@ -134,7 +134,7 @@
     }
 
     /// Waits until a target is in a cooldown.
-    pub async fn wait_for_cooldown(&self, target: &Target) {
+    pub async fn wait_until_in_cooldown(&self, target: &Target) {
         loop {
             let changed = self.targets_changed.notified();
             if self.cooldown_end(target, Millis::now()).is_some() {
--- a/cowsliproad-direct/src/stream.rs
+++ b/cowsliproad-direct/src/stream.rs
@@ -46,7 +46,7 @@
 
 /// Forward passes that a service's groups must begin after a target last sent
 /// data before the target's group counts as making progress.
-const MIN_GROUP_PROGRESS_STEPS: u64 = 6;
+const MIN_GROUP_PROGRESS_PASSES: u64 = 6;
 
 /// The part of a caller's stream that one target sends.
 struct TargetStream {
@@ -55,7 +55,7 @@
     body: Incoming,
     lease: Option<ConnectionLease>,
     splitter: EventSplitter,
-    last_data_at: GroupStepSnapshot,
+    last_data_at: ForwardPassSnapshot,
     /// The value of [`Entry::target_change_count`] at the last check.
     seen_target_change_count: u64,
 }
@@ -160,7 +160,8 @@
 {
     let attempt = Attempt::new(entry, call, choice);
     let opened =
-        wait_for_head(entry, call, choice, &attempt, last_event_id).await?;
+        wait_for_response_head(entry, call, choice, &attempt, last_event_id)
+            .await?;
     if !opened.head.status.is_success() {
         attempt.note_target_survived();
         return Ok(Err(opened));
@@ -171,7 +172,7 @@
         body: opened.body,
         lease: Some(opened.lease),
         splitter: EventSplitter::new(),
-        last_data_at: GroupStepSnapshot::new(entry, choice),
+        last_data_at: ForwardPassSnapshot::new(entry, choice),
         seen_target_change_count: 0,
     };
     Ok(Ok((opened.head, target_stream)))
@@ -179,7 +180,7 @@
 
 /// Waits for the head of a target's response, and gives up early if the target
 /// is slow, silent, or the request is in quarantine.
-async fn wait_for_head(
+async fn wait_for_response_head(
     entry: &Rc<Entry>,
     call: &mut Call,
     choice: &ChosenTarget,
@@ -187,7 +188,7 @@
     last_event_id: Option<u64>,
 ) -> Result<OpenResponse, AttemptError> {
     let (deadline, work) = (call.deadline_instant(), call.work);
-    let since = GroupStepSnapshot::new(entry, choice);
+    let since = ForwardPassSnapshot::new(entry, choice);
     let mut opening = std::pin::pin!(call.send_to_target(
         entry,
         choice,
@@ -206,7 +207,7 @@
         if Instant::now() >= deadline {
             return Err(AttemptError::MayHaveRun("no answer in time"));
         }
-        if slows_its_group(entry, choice) {
+        if target_slows_its_group(entry, choice) {
             return Err(AttemptError::MayHaveRun("slow"));
         }
         // A quarantined request may still be queued at the target, and would
@@ -218,7 +219,7 @@
         }
         // A silent target whose agent still reports may be healthy and have
         // the request in its queue.
-        let lags = lags_behind_group(entry, choice, since);
+        let lags = target_lags_behind_group(entry, choice, since);
         if lags && !entry.has_recent_agent_report(choice) {
             return Err(AttemptError::MayHaveRun("silent"));
         }
@@ -247,7 +248,7 @@
             let target_change_count = entry.target_change_count.get();
             if self.seen_target_change_count != target_change_count {
                 self.seen_target_change_count = target_change_count;
-                if slows_its_group(entry, &self.choice) {
+                if target_slows_its_group(entry, &self.choice) {
                     return NextEvent::Failed(AttemptError::MayHaveRun(
                         "slow",
                     ));
@@ -262,7 +263,7 @@
                     if Instant::now() >= deadline {
                         return NextEvent::Failed(AttemptError::MayHaveRun("no time left"));
                     }
-                    if lags_behind_group(entry, &self.choice, self.last_data_at) {
+                    if target_lags_behind_group(entry, &self.choice, self.last_data_at) {
                         info!(entry.log, "silent";
                             "target" => &*self.choice.target.id);
                         return NextEvent::Failed(AttemptError::MayHaveRun("silent"));
@@ -275,7 +276,7 @@
                     let Ok(bytes) = frame.into_data() else { continue };
                     self.splitter.push(&bytes);
                     self.last_data_at =
-                        GroupStepSnapshot::new(entry, &self.choice);
+                        ForwardPassSnapshot::new(entry, &self.choice);
                 }
                 Some(Err(_)) => {
                     return NextEvent::Failed(AttemptError::ConnectionBroken(
@@ -296,30 +297,30 @@
 /// A time and the highest forward pass that any group of a target's service
 /// had begun by then.
 #[derive(Clone, Copy, Debug)]
-struct GroupStepSnapshot {
+struct ForwardPassSnapshot {
     taken_at: Millis,
-    step: u64,
+    highest_pass: u64,
 }
 
-impl GroupStepSnapshot {
-    fn new(entry: &Entry, choice: &ChosenTarget) -> GroupStepSnapshot {
-        let step = entry.highest_forward_pass(&choice.target.service);
-        GroupStepSnapshot { taken_at: Millis::now(), step }
+impl ForwardPassSnapshot {
+    fn new(entry: &Entry, choice: &ChosenTarget) -> ForwardPassSnapshot {
+        let highest_pass = entry.highest_forward_pass(&choice.target.service);
+        ForwardPassSnapshot { taken_at: Millis::now(), highest_pass }
     }
 }
 
-/// Whether a target has sent nothing since `since`, for longer than the
-/// silence timeout, while its group made progress.
-fn lags_behind_group(
+/// Whether a target has sent nothing since the snapshot `since`, for longer
+/// than the silence timeout, while its group made progress.
+fn target_lags_behind_group(
     entry: &Entry,
     choice: &ChosenTarget,
-    since: GroupStepSnapshot,
+    since: ForwardPassSnapshot,
 ) -> bool {
     let now = Millis::now();
     let endpoint = choice.endpoint.borrow();
     let Some(group) = &endpoint.group else { return false };
     let group_advanced = entry.highest_forward_pass(&choice.target.service)
-        >= since.step + MIN_GROUP_PROGRESS_STEPS;
+        >= since.highest_pass + MIN_GROUP_PROGRESS_PASSES;
     now.since(since.taken_at) > TARGET_SILENCE_TIMEOUT
         && group.accepts_requests
         && group_advanced
@@ -328,7 +329,7 @@
 /// Whether a target slows down its whole group while other targets of the
 /// service are not slow. A rank without requests adds no time to a step, so
 /// moving a dozen streams off the slow rank restores the speed of the others.
-fn slows_its_group(entry: &Entry, choice: &ChosenTarget) -> bool {
+fn target_slows_its_group(entry: &Entry, choice: &ChosenTarget) -> bool {
     let service_time = |group: Option<&GroupReport>| {
         group.map_or(100, |it| it.service_time_percent)
     };
@@ -371,7 +372,7 @@
         let outcome = self.relay_events(&mut target_stream, first_event).await;
         drop(target_stream);
         let duration = Millis::now().since(self.call.arrived);
-        self.entry.metrics.record_answer_end(duration);
+        self.entry.metrics.record_answer_completion(duration);
         info!(self.entry.log, "stream_ended"; "request" => &*self.call.request_id,
             "outcome" => outcome, "events" => self.event_count,
             "pause" => self.longest_gap.0, "took" => duration.0);
--- a/cowsliproad-direct/src/upstream.rs
+++ b/cowsliproad-direct/src/upstream.rs
@@ -111,7 +111,7 @@
         self.idle.is_empty()
     }
 
-    fn take_connection(
+    fn take_idle_connection(
         &mut self,
         reuse: ConnectionReuse,
         now: Millis,
@@ -167,7 +167,7 @@
     loop {
         let pooled = {
             let mut endpoint = choice.endpoint.borrow_mut();
-            endpoint.connection_pool.take_connection(reuse, Millis::now())
+            endpoint.connection_pool.take_idle_connection(reuse, Millis::now())
         };
         let was_pooled = pooled.is_some();
         let mut sender = match pooled {
