--- a/cowsliproad-direct/src/attempt.rs
+++ b/cowsliproad-direct/src/attempt.rs
@@ -11,9 +11,9 @@
     entry::{ChosenTarget, Entry},
 };
 
-/// One attempt to run a request at a target. However it ends, also if the
-/// caller leaves, the entry process checks whether the target crashed during
-/// it, unless the target is known to have survived.
+/// One attempt to run a request at a target. However the attempt ends, also if
+/// the caller disconnects, the entry process checks whether the target crashed
+/// meanwhile, unless the target is known to have survived.
 #[derive(Debug)]
 pub struct Attempt {
     entry: Rc<Entry>,
--- a/cowsliproad-direct/src/call.rs
+++ b/cowsliproad-direct/src/call.rs
@@ -8,11 +8,12 @@
 //! * The target stated that it did not run the request, or the request was
 //!   never sent. A retry is safe.
 //! * Anything else: the request may have run. Only a repeatable request is
-//!   retried; for any other, the caller is told that the outcome is unknown.
+//!   retried; for any other request, the response states that the outcome is
+//!   unknown.
 //!
-//! The caller gets "not run" only if every attempt ended in the second way.
-//! The number of targets that a request is sent to stays within the bound of
-//! its route, and every attempt after the first spends a retry from the retry
+//! The caller gets "not run" only if no attempt may have run the request. The
+//! number of targets that a request is sent to stays within the bound of its
+//! route, and every attempt after the first spends a retry from the retry
 //! budget.
 
 use std::{rc::Rc, sync::Arc};
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -247,8 +247,8 @@
     }
 
     /// How long the request may wait for a usable target. The caller of a
-    /// stream leaves for good after the silence timeout of the route; rejected
-    /// just before that, it retries at the stated time.
+    /// stream gives up after the silence timeout of the route. If the request
+    /// is rejected just before that, the caller retries at the stated time.
     fn max_target_wait(&self, entry: &Entry) -> Millis {
         let silence = self
             .route
--- a/cowsliproad-direct/src/call/failure.rs
+++ b/cowsliproad-direct/src/call/failure.rs
@@ -48,8 +48,8 @@
     /// A crash-inducing request: targets crashed each time they ran it. The
     /// caller may retry after this delay.
     Poison(Millis),
-    /// One rank of a group crashed while it ran the request, which is not sent
-    /// to another rank for this long.
+    /// One rank of a group crashed while it ran the request. For this long,
+    /// the request is not sent to another rank.
     Suspended(Millis),
 }
 
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -178,8 +178,8 @@
     /// Rate limiters of targets that state a limit, and open permit requests.
     pub limits: RefCell<RateLimits>,
     /// Cooldowns that targets requested with Retry-After. They are kept apart
-    /// from the endpoints, which are removed when a target drops out of the
-    /// log.
+    /// from the endpoints, which are removed when a target is no longer listed
+    /// in the log.
     pub cooldowns: RefCell<Cooldowns>,
     /// The other entry processes.
     pub peers: RefCell<Peers>,
--- a/cowsliproad-direct/src/entry/groups.rs
+++ b/cowsliproad-direct/src/entry/groups.rs
@@ -37,8 +37,8 @@
     }
 
     /// Records that a rank's process is gone. A forward pass needs all ranks,
-    /// so the other ranks begin nothing, though their engines report it only
-    /// after waiting in vain for the lost rank.
+    /// so the other ranks begin nothing, though their engines report the loss
+    /// only after waiting for the lost rank.
     pub fn record_rank_exit(&self, group: &GroupReport, now: Millis) {
         let mut formations = self.formations.borrow_mut();
         let Some(known) = formations.get_mut(&group.group_name) else {
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -79,13 +79,14 @@
 /// often targets change them.
 const MIN_LIMIT_BROADCAST_INTERVAL: Millis = Millis(100);
 
-/// Which rate limits and suspended requests a digest includes.
+/// Which rate limits and quarantined requests a digest includes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DigestScope {
-    /// Only rate limits and suspected requests that changed recently.
+    /// Rate limits and crash records that changed recently, and refused
+    /// requests.
     Changed,
     /// All rate limits and all suspended requests, in addition to recent
-    /// changes.
+    /// changes and refused requests.
     All,
 }
 
