--- a/cowsliproad-direct/src/attempt.rs
+++ b/cowsliproad-direct/src/attempt.rs
@@ -55,14 +55,14 @@
 
     /// Whether the request may be sent now, or why not. The target may have
     /// left, entered a cooldown or changed its limit since it was chosen.
-    pub fn may_send(&self, now: Millis) -> Result<(), &'static str> {
+    pub fn may_send_request(&self, now: Millis) -> Result<(), &'static str> {
         if !self.entry.is_ready_target(&self.choice.target) {
             return Err("its target left");
         }
         if self.entry.cooldown_end(&self.choice.target, now).is_some() {
             return Err("its target is in a cooldown");
         }
-        if !self.choice.may_send(now) {
+        if !self.choice.may_send_request(now) {
             return Err("its target stated a limit");
         }
         Ok(())
--- a/cowsliproad-direct/src/ends.rs
+++ b/cowsliproad-direct/src/ends.rs
@@ -131,7 +131,7 @@
 
     /// The earliest time of a sign of life that shows that the target survived
     /// the request.
-    fn earliest_survival_proof(&self) -> Millis {
+    fn earliest_survival_proof_at(&self) -> Millis {
         self.broken_at + self.abandoned_probe_delay + MAX_MESSAGE_LATENCY
     }
 }
@@ -229,7 +229,7 @@
         (endpoint.last_seen_alive, endpoint.exit_reported_at)
     };
     let survived = |it: &CrashSuspicion| {
-        last_seen_alive.is_some_and(|at| it.earliest_survival_proof() <= at)
+        last_seen_alive.is_some_and(|at| it.earliest_survival_proof_at() <= at)
     };
     resolve_suspicions(entry, choice, ProbeOutcome::Alive, survived);
     let crashed = |it: &CrashSuspicion| {
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -485,7 +485,7 @@
 
     /// Whether the entry process can serve: it isn't stopping, and it has a
     /// configuration and at least one usable target.
-    pub fn is_ready(&self) -> bool {
+    pub fn is_ready_to_serve(&self) -> bool {
         self.process_phase.get() == ProcessPhase::Serving
             && self.catalog.borrow().is_some()
             && self.fleet.borrow().ready_targets().next().is_some()
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -140,7 +140,7 @@
 impl ChosenTarget {
     /// Whether a request may be sent to the chosen target now: the target has
     /// no limit, or the request holds a valid permit.
-    pub fn may_send(&self, now: Millis) -> bool {
+    pub fn may_send_request(&self, now: Millis) -> bool {
         let rate = self.endpoint.borrow().rate_limit.rate();
         let Some(rate) = rate else { return true };
         self.permit.is_some_and(|it| it.is_valid(rate, now))
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -429,7 +429,7 @@
         }
     }
     let behind = received_digest.config_version > entry.catalog_version()
-        || received_digest.config_version > 0 && !entry.is_ready()
+        || received_digest.config_version > 0 && !entry.is_ready_to_serve()
         || entry.log_read_schedule.borrow().needs_peer_state();
     if behind && !entry.peers.borrow().fetching_state {
         entry.peers.borrow_mut().fetching_state = true;
--- a/cowsliproad-direct/src/peers/state.rs
+++ b/cowsliproad-direct/src/peers/state.rs
@@ -60,7 +60,7 @@
 ) {
     sleep(OWN_LOG_READ_DELAY.duration()).await;
     let knows = entry.catalog_version() >= received_digest.config_version
-        && entry.is_ready();
+        && entry.is_ready_to_serve();
     if knows && !entry.log_read_schedule.borrow().needs_peer_state() {
         return;
     }
--- a/cowsliproad-direct/src/readiness.rs
+++ b/cowsliproad-direct/src/readiness.rs
@@ -61,7 +61,7 @@
     request: &Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     let (status, text) = match request.uri().path() {
-        READINESS_PATH if entry.is_ready() => {
+        READINESS_PATH if entry.is_ready_to_serve() => {
             (StatusCode::OK, "ready\n".into())
         }
         READINESS_PATH => {
--- a/cowsliproad-direct/src/upstream.rs
+++ b/cowsliproad-direct/src/upstream.rs
@@ -179,7 +179,7 @@
         };
         // While the connection was made, the target may have left, entered a
         // cooldown or changed its limit.
-        if let Err(why) = attempt.may_send(Millis::now()) {
+        if let Err(why) = attempt.may_send_request(Millis::now()) {
             pool_connection(
                 &choice.endpoint,
                 sender,
@@ -229,7 +229,9 @@
     loop {
         let mut freed = std::pin::pin!(connection_freed.notified());
         freed.as_mut().enable();
-        attempt.may_send(Millis::now()).map_err(SendError::Withheld)?;
+        attempt
+            .may_send_request(Millis::now())
+            .map_err(SendError::Withheld)?;
         {
             let mut endpoint = choice.endpoint.borrow_mut();
             if endpoint.open_connection_count < choice.max_connections {
