--- a/cowsliproad-admin/src/convert.rs
+++ b/cowsliproad-admin/src/convert.rs
@@ -1,8 +1,8 @@
 //! Conversions between the schema's messages and configuration objects.
 
 use cowsliproad_config::object::{
-    Backend, Drain, Group, Object, Organisation, Repeat, RequestType, Service,
-    Target,
+    Backend, DrainOrder, Object, Organisation, RankGroup,
+    RequestRepeatability, RequestType, Service, Target,
 };
 use cowsliproad_kernel::{Name, clock::Millis, wire::Urgency};
 use pilota::FastStr;
@@ -37,8 +37,10 @@
             },
             deadline_ms: it.deadline_ms.0,
             repeat: match it.repeat {
-                Repeat::Repeatable => message::Repeat::REPEATABLE,
-                Repeat::Never => message::Repeat::NEVER,
+                RequestRepeatability::Repeatable => {
+                    message::Repeat::REPEATABLE
+                }
+                RequestRepeatability::Never => message::Repeat::NEVER,
             },
             senders: texts(&it.allowed_organisations),
             max_body: it.max_body_bytes,
@@ -94,14 +96,16 @@
                 format!("agent {:?}: an IP address and a port", it.agent)
             })?,
         }),
-        Kind::Group(it) => Object::Group(Group {
+        Kind::Group(it) => Object::Group(RankGroup {
             name: name(&it.name),
             service: name(&it.service),
             ranks: names(&it.ranks),
             step_skew_weight: it.skew_weight,
             expert_move_weight: it.move_weight,
         }),
-        Kind::Drain(it) => Object::Drain(Drain { target: name(&it.target) }),
+        Kind::Drain(it) => {
+            Object::Drain(DrainOrder { target: name(&it.target) })
+        }
     })
 }
 
@@ -122,10 +126,10 @@
     }
 }
 
-fn repeat(value: message::Repeat) -> Result<Repeat, String> {
+fn repeat(value: message::Repeat) -> Result<RequestRepeatability, String> {
     match value {
-        message::Repeat::REPEATABLE => Ok(Repeat::Repeatable),
-        message::Repeat::NEVER => Ok(Repeat::Never),
+        message::Repeat::REPEATABLE => Ok(RequestRepeatability::Repeatable),
+        message::Repeat::NEVER => Ok(RequestRepeatability::Never),
         other => Err(format!("repeat {}: no such number", other.inner())),
     }
 }
--- a/cowsliproad-admission/src/quarantine/work.rs
+++ b/cowsliproad-admission/src/quarantine/work.rs
@@ -1,11 +1,12 @@
-//! Digests of requests and of target crashes that are equal at all entries.
+//! Digests of requests and ids of target crashes, which all entry processes
+//! compute alike.
 
 use std::fmt;
 
 /// The digest of a request's content, which doesn't depend on the request id
-/// and is the same at all entries. Among a million different requests, some
-/// 10^11 pairs, the probability that two have the same 64-bit digest is below
-/// 10^-7.
+/// and is the same at all entry processes. Among a million different requests,
+/// about 5 * 10^11 pairs, the probability that two requests have the same
+/// 64-bit digest is below 10^-7.
 #[derive(Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct WorkDigest(pub u64);
 
@@ -14,11 +15,12 @@
     /// a target runs: its parts in a fixed order, such as the caller, the
     /// method, the path and the body.
     pub fn new(parts: &[&[u8]]) -> WorkDigest {
-        WorkDigest(digest(parts))
+        WorkDigest(hash_parts(parts))
     }
 
-    /// Computes the digest of a submission, alike at agents and entries.
-    pub fn of_submission(
+    /// Computes the digest of a submitted request, which is the same at agents
+    /// and at entry processes.
+    pub fn digest_submission(
         organisation: &str,
         request_type: &str,
         body: &[u8],
@@ -27,31 +29,35 @@
         WorkDigest::new(&parts)
     }
 
-    /// Combines the digest with a service name, because the digests that
-    /// agents report don't include the service.
-    pub fn for_service(self, service: &str) -> WorkDigest {
-        WorkDigest(digest(&[service.as_bytes(), &self.0.to_be_bytes()]))
+    /// Combines the digest of a request with a service name, because the
+    /// digests that agents report don't include the service.
+    pub fn combine_with_service(self, service: &str) -> WorkDigest {
+        WorkDigest(hash_parts(&[service.as_bytes(), &self.0.to_be_bytes()]))
     }
 }
 
-/// Identifies one crash of a target, the same at all entries.
+/// Identifies one crash of a target; all entry processes compute the same id.
 #[derive(Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct CrashId(pub u64);
 
 impl CrashId {
-    /// Computes the id of the first crash of a target that started at `start`.
-    pub fn new(target: &str, start: u64) -> CrashId {
-        CrashId(digest(&[target.as_bytes(), &start.to_be_bytes()]))
+    /// Computes the id of the first crash of a target that started at
+    /// `target_start_time`.
+    pub fn new(target: &str, target_start_time: u64) -> CrashId {
+        CrashId(hash_parts(&[
+            target.as_bytes(),
+            &target_start_time.to_be_bytes(),
+        ]))
     }
 
     /// Computes the id of the next crash of the same target start, once the
     /// crash with this id was retracted.
-    pub(super) fn next(self) -> CrashId {
-        CrashId(digest(&[&self.0.to_be_bytes()]))
+    pub(super) fn crash_id_after_retraction(self) -> CrashId {
+        CrashId(hash_parts(&[&self.0.to_be_bytes()]))
     }
 }
 
-fn digest(parts: &[&[u8]]) -> u64 {
+fn hash_parts(parts: &[&[u8]]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
         // Each part is hashed with its length, so that moving bytes from one
--- a/cowsliproad-admission/src/ticket.rs
+++ b/cowsliproad-admission/src/ticket.rs
@@ -2,14 +2,14 @@
 //!
 //! A ticket binds a piece of non-repeatable work to one process start of one
 //! agent, the only process that can say reliably whether the work ran. Any
-//! entry issues tickets without contacting an agent, because a ticket is
-//! authenticated with a key that entries and agents share. The expiry is a
-//! time on the agent's own monotonic clock, which entries know from its
-//! heartbeats.
+//! entry process issues tickets without contacting an agent, because a ticket
+//! is authenticated with a key that entry processes and agents share. The
+//! expiry is a time on the agent's own monotonic clock, which entry processes
+//! know from its heartbeats.
 //!
-//! A resume token has the same format and identifies a request whose answer
-//! an agent keeps. [`Purpose`] distinguishes tickets from resume tokens and is
-//! covered by the authentication code.
+//! A resume token has the same format and identifies a request whose answer an
+//! agent keeps. [`TokenPurpose`] distinguishes tickets from resume tokens and
+//! is covered by the authentication code.
 
 use std::fmt;
 
@@ -17,18 +17,18 @@
 use cowsliproad_kernel::{Name, clock::Millis, id, secret};
 use serde::{Deserialize, Serialize};
 
-/// The length of the key that entries and agents share, in bytes.
-pub const KEY_BYTES: usize = 32;
+/// The length of the key that entry processes and agents share, in bytes.
+pub const TICKET_KEY_BYTES: usize = 32;
 
 /// The length of a token's authentication code, in bytes.
 const MAC_BYTES: usize = 16;
 
 /// The longest token that is decoded, in bytes of its text.
-const MAX_TOKEN_LEN: usize = 1024;
+const MAX_TOKEN_BYTES: usize = 1024;
 
 /// What a token authorises its holder to do.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Purpose {
+pub enum TokenPurpose {
     /// The token authorises running its work at most once.
     Ticket,
     /// The token authorises fetching the kept answer of a request.
@@ -40,7 +40,7 @@
 pub struct Ticket {
     /// Whether the token is a ticket or a resume token.
     #[serde(rename = "p")]
-    pub purpose: Purpose,
+    pub purpose: TokenPurpose,
     /// The organisation that may use the token.
     #[serde(rename = "o")]
     pub organisation: Name,
@@ -70,7 +70,7 @@
 
 /// Encodes a ticket as text, with an authentication code that only holders of
 /// the key can compute.
-pub fn sign(ticket: &Ticket, key: &[u8; KEY_BYTES]) -> String {
+pub fn sign(ticket: &Ticket, key: &[u8; TICKET_KEY_BYTES]) -> String {
     let mut bytes = Vec::with_capacity(128);
     ciborium::into_writer(ticket, &mut bytes)
         .expect("every ticket can be encoded as CBOR");
@@ -82,9 +82,9 @@
 /// Decodes a token after checking that it was signed with the key.
 pub fn verify(
     text: &str,
-    key: &[u8; KEY_BYTES],
+    key: &[u8; TICKET_KEY_BYTES],
 ) -> Result<Ticket, InvalidToken> {
-    if text.len() > MAX_TOKEN_LEN {
+    if text.len() > MAX_TOKEN_BYTES {
         return Err(InvalidToken);
     }
     let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| InvalidToken)?;
--- a/cowsliproad-agent/src/ends.rs
+++ b/cowsliproad-agent/src/ends.rs
@@ -24,10 +24,10 @@
 use cowsliproad_kernel::{
     clock::Millis,
     code::{Code, Execution},
-    gossip::Suspect,
+    gossip::SuspectedRequest,
     id,
     sync::lock,
-    wire::{Failure, Presence},
+    wire::{RequestFailure, TargetPresence},
 };
 use slog::info;
 use tokio::{
@@ -81,7 +81,7 @@
     last: Option<(CrashId, Millis)>,
     /// Work that entries are to be told of.
     news: Vec<quarantine::WorkDigest>,
-    presence: Presence,
+    presence: TargetPresence,
     /// Whether entries are to be told of that.
     changed: bool,
     /// Work that was given up, and until when the target may go on with it.
@@ -108,7 +108,7 @@
     }
 
     /// Whether the target's process is there.
-    pub fn presence(&self) -> Presence {
+    pub fn presence(&self) -> TargetPresence {
         lock(&self.inner).presence
     }
 
@@ -119,28 +119,29 @@
     }
 
     /// What entries haven't been told yet.
-    pub fn take_news(&self) -> Vec<Suspect> {
+    pub fn take_news(&self) -> Vec<SuspectedRequest> {
         let mut inner = lock(&self.inner);
         inner.changed = false;
         let news = std::mem::take(&mut inner.news);
         let now = Millis::now();
-        let known =
-            |it: &quarantine::WorkDigest| inner.ledger.suspect(*it, now);
+        let known = |it: &quarantine::WorkDigest| {
+            inner.ledger.export_suspect(*it, now)
+        };
         news.iter().filter_map(known).collect()
     }
 
     /// All that an entry is told that has just linked.
-    pub fn known(&self) -> Vec<Suspect> {
+    pub fn known(&self) -> Vec<SuspectedRequest> {
         let mut inner = lock(&self.inner);
         let now = Millis::now();
-        inner.ledger.evict_expired(now);
-        inner.ledger.snapshot(now)
+        inner.ledger.evict_expired_cases(now);
+        inner.ledger.snapshot_suspects(now)
     }
 
     /// Notes that the target outlived work.
     pub fn outlived(&self, work: quarantine::WorkDigest) {
         let mut inner = lock(&self.inner);
-        if inner.ledger.record_survival(work, Millis::now())
+        if inner.ledger.record_survived_request(work, Millis::now())
             != QuarantineChange::None
         {
             inner.news.push(work);
@@ -161,13 +162,13 @@
 
     /// Notes whether the target's process is there. Returns whether that is
     /// new.
-    fn note(&self, presence: Presence) -> bool {
+    fn note(&self, presence: TargetPresence) -> bool {
         let mut inner = lock(&self.inner);
         let is_new = inner.presence != presence;
         inner.presence = presence;
         inner.changed |= is_new;
         drop(inner);
-        if presence == Presence::Gone {
+        if presence == TargetPresence::Gone {
             self.watch.notify_one();
         }
         is_new
@@ -187,7 +188,7 @@
     /// Whether the target is to be looked after.
     fn is_watched(&self) -> bool {
         let inner = lock(&self.inner);
-        inner.presence == Presence::Gone || !inner.left.is_empty()
+        inner.presence == TargetPresence::Gone || !inner.left.is_empty()
     }
 
     /// Notes that the target lived at a moment: what it had time for until
@@ -204,7 +205,7 @@
 }
 
 /// Asks whether the target ended under work that failed.
-pub async fn look(gate: &Gate, work: &Work, failure: Failure) -> Seen {
+pub async fn look(gate: &Gate, work: &Work, failure: RequestFailure) -> Seen {
     if failure.code != Code::TargetFailed {
         if failure.ran == Execution::OutcomeUnknown {
             let until = Millis::now() + LINGER_TIME;
@@ -221,7 +222,7 @@
         (Execution::OutcomeUnknown, false) => Seen::Listens,
         // It was gone before this work came.
         (_, true) => {
-            note_presence(gate, Presence::Gone);
+            note_presence(gate, TargetPresence::Gone);
             Seen::Enough
         }
         (_, false) => Seen::Enough,
@@ -246,10 +247,10 @@
             let asked = Millis::now();
             if nobody_listens(&gate).await {
                 note_left(&gate);
-                note_presence(&gate, Presence::Gone);
+                note_presence(&gate, TargetPresence::Gone);
             } else {
                 gate.ends.lived(asked);
-                note_presence(&gate, Presence::Here);
+                note_presence(&gate, TargetPresence::Here);
             }
             links.tell_news();
             sleep(LOOK_TIME).await;
@@ -271,7 +272,7 @@
             () = changed => {}
             () = sleep(left.duration()) => {}
             () = until_ended(&gate) => {
-                note_presence(&gate, Presence::Gone);
+                note_presence(&gate, TargetPresence::Gone);
                 links.tell_news();
             }
         }
@@ -314,11 +315,11 @@
         "request" => %work.request, "work" => %kind,
         "target" => %gate.settings.target);
     gate.ends.ended(kind);
-    note_presence(gate, Presence::Gone);
+    note_presence(gate, TargetPresence::Gone);
 }
 
-fn note_presence(gate: &Gate, presence: Presence) {
-    if presence == Presence::Gone {
+fn note_presence(gate: &Gate, presence: TargetPresence) {
+    if presence == TargetPresence::Gone {
         gate.pace.forget();
     }
     if gate.ends.note(presence) {
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -16,7 +16,7 @@
 };
 
 use cowsliproad_admission::{
-    limit::Rate,
+    limit::RequestRate,
     queue::{Queue, QueueConfig, ServiceRate},
     register::TicketRegister,
     ticket,
@@ -28,8 +28,8 @@
     id,
     sync::lock,
     wire::{
-        AgentLoad, Answer, Cancel, Failure, Handover, Heartbeat, Phase,
-        Reclaim,
+        AgentLoad, CancelRequest, Handover, Heartbeat, ProcessPhase,
+        ReclaimAnswer, RequestFailure, StoredAnswer,
     },
 };
 use opentelemetry::{
@@ -53,7 +53,7 @@
 pub struct Gate {
     /// The agent's settings.
     pub settings: Arc<Settings>,
-    ticket_key: [u8; ticket::KEY_BYTES],
+    ticket_key: [u8; ticket::TICKET_KEY_BYTES],
     incarnation: id::Incarnation,
     /// Work under which the target's process ended.
     pub ends: Ends,
@@ -68,7 +68,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    phase: Phase,
+    phase: ProcessPhase,
     register: TicketRegister,
     inherited: HashMap<id::Incarnation, Inherited>,
     queue: Queue<Arc<Work>>,
@@ -120,7 +120,7 @@
     pub fn new(settings: Arc<Settings>, log: Logger, meter: &Meter) -> Gate {
         let queue = QueueConfig::new().with_capacity(settings.queue as usize);
         let inner = Inner {
-            phase: Phase::Serving,
+            phase: ProcessPhase::Serving,
             register: TicketRegister::new(settings.tickets as usize),
             inherited: HashMap::new(),
             queue: Queue::new(queue),
@@ -158,39 +158,45 @@
     }
 
     /// Finds kept or running work for its organisation.
-    pub fn reclaim(&self, reclaim: &Reclaim) -> Result<Arc<Work>, Failure> {
+    pub fn reclaim(
+        &self,
+        reclaim: &ReclaimAnswer,
+    ) -> Result<Arc<Work>, RequestFailure> {
         self.find(reclaim.request, &reclaim.organisation)
     }
 
     /// Cancels work at its caller's wish.
-    pub fn cancel(&self, cancel: &Cancel) -> Failure {
+    pub fn cancel(&self, cancel: &CancelRequest) -> RequestFailure {
         let work = match self.find(cancel.request, &cancel.organisation) {
             Ok(work) => work,
             Err(failure) => return failure,
         };
         let mut inner = self.lock();
-        let queued =
-            inner.queue.remove_first(|it| it.request == cancel.request);
+        let queued = inner
+            .queue
+            .remove_first_matching(|it| it.request == cancel.request);
         if queued.is_some() {
-            let failure = Failure::new(Code::Cancelled, Execution::NotRun);
+            let failure =
+                RequestFailure::new(Code::Cancelled, Execution::NotRun);
             inner.give_up(&work, failure);
             return failure;
         }
         drop(inner);
         match (work.ending(), work.repeat) {
             (Some(Ending::Whole { .. }), _) => {
-                Failure::new(Code::Cancelled, Execution::Ran)
+                RequestFailure::new(Code::Cancelled, Execution::Ran)
             }
             (Some(Ending::Failed(failure)), _) => failure,
             (None, Repeat::Allowed) => {
                 work.cancel();
-                Failure::new(Code::Cancelled, Execution::OutcomeUnknown)
+                RequestFailure::new(Code::Cancelled, Execution::OutcomeUnknown)
             }
             // Work that must not be repeated is never broken off in its
             // middle, since nobody could say what the target did of it.
-            (None, Repeat::Never) => {
-                Failure::new(Code::InProgress, Execution::OutcomeUnknown)
-            }
+            (None, Repeat::Never) => RequestFailure::new(
+                Code::InProgress,
+                Execution::OutcomeUnknown,
+            ),
         }
     }
 
@@ -200,9 +206,11 @@
             return;
         }
         let mut inner = self.lock();
-        let queued = inner.queue.remove_first(|it| it.request == work.request);
+        let queued =
+            inner.queue.remove_first_matching(|it| it.request == work.request);
         if let Some(item) = queued {
-            let failure = Failure::new(Code::Cancelled, Execution::NotRun);
+            let failure =
+                RequestFailure::new(Code::Cancelled, Execution::NotRun);
             inner.give_up(&item.work, failure);
         } else {
             work.cancel();
@@ -230,7 +238,7 @@
     pub fn finish(
         &self,
         work: &Arc<Work>,
-        result: Result<cowsliproad_kernel::wire::AnswerFormat, Failure>,
+        result: Result<cowsliproad_kernel::wire::AnswerFormat, RequestFailure>,
         held: Duration,
     ) {
         let code = result.err().map_or(Code::Ok, |failure| failure.code);
@@ -250,14 +258,14 @@
     pub fn beat(&self, offset: u64) -> Heartbeat {
         let inner = self.lock();
         Heartbeat {
-            name: self.settings.name.clone(),
+            sender_name: self.settings.name.clone(),
             incarnation: self.incarnation,
             sender_clock: Millis::now(),
             phase: inner.phase,
             load: inner.load(self.speed(&inner)),
             presence: self.ends.presence(),
-            cooldown: self.pace.cooldown(Millis::now()),
-            inherited_incarnations: inner.inherited.keys().copied().collect(),
+            target_cooldown: self.pace.cooldown(Millis::now()),
+            taken_over_incarnations: inner.inherited.keys().copied().collect(),
             next_config_offset: offset,
         }
     }
@@ -265,13 +273,13 @@
     /// Takes in nothing new from now on.
     pub fn leave(&self) {
         let mut inner = self.lock();
-        inner.phase = Phase::Leaving;
+        inner.phase = ProcessPhase::Leaving;
         info!(self.log, "leave";
             "queued" => inner.queue.len(), "running" => inner.running);
     }
 
     /// Whether it takes new work.
-    pub fn phase(&self) -> Phase {
+    pub fn phase(&self) -> ProcessPhase {
         self.lock().phase
     }
 
@@ -314,7 +322,7 @@
     ) {
         let now = Millis::now();
         let mut inner = self.lock();
-        for answer in handover.answers {
+        for answer in handover.stored_answers {
             let work = Arc::new(Work::finished(answer));
             inner.keep(&work, now);
             inner.works.insert(work.request, work);
@@ -337,16 +345,17 @@
         &self,
         request: id::Request,
         organisation: &str,
-    ) -> Result<Arc<Work>, Failure> {
+    ) -> Result<Arc<Work>, RequestFailure> {
         let inner = self.lock();
         match inner.works.get(&request) {
             Some(work) if &*work.organisation == organisation => {
                 Ok(work.clone())
             }
-            Some(_) => {
-                Err(Failure::new(Code::ForeignToken, Execution::NotForwarded))
-            }
-            None => Err(Failure::new(
+            Some(_) => Err(RequestFailure::new(
+                Code::ForeignToken,
+                Execution::NotForwarded,
+            )),
+            None => Err(RequestFailure::new(
                 Code::UnknownToken,
                 Execution::OutcomeUnknown,
             )),
@@ -371,13 +380,19 @@
 
     /// How fast the queue empties.
     fn speed(&self, inner: &Inner) -> ServiceRate {
-        let (slots, service_us) =
+        let (slots, mean_service_us) =
             (self.settings.slots, inner.service_us as u32);
         let (rate, next) = self.pace.limit(Millis::now());
-        let start_interval_us = rate.map_or(0, Rate::interval_us);
-        let next_start_us = u32::try_from(next.0.saturating_mul(1_000));
-        let next_start_us = next_start_us.unwrap_or(u32::MAX);
-        ServiceRate { slots, service_us, start_interval_us, next_start_us }
+        let min_start_interval_us =
+            rate.map_or(0, RequestRate::request_interval_us);
+        let next_start_delay_us = u32::try_from(next.0.saturating_mul(1_000));
+        let next_start_delay_us = next_start_delay_us.unwrap_or(u32::MAX);
+        ServiceRate {
+            slots,
+            mean_service_us,
+            min_start_interval_us,
+            next_start_delay_us,
+        }
     }
 
     fn count(&self, code: Code) {
@@ -403,7 +418,7 @@
     /// The records, its own and inherited ones.
     pub registers: Vec<Sealed>,
     /// The kept answers.
-    pub answers: Vec<Answer>,
+    pub answers: Vec<StoredAnswer>,
 }
 
 /// The sealed records of one agent process.
@@ -435,12 +450,12 @@
 impl Inner {
     fn load(&self, speed: ServiceRate) -> AgentLoad {
         AgentLoad {
-            queued: self.queue.len() as u32,
-            running: self.running,
-            slots: speed.slots,
+            queued_requests: self.queue.len() as u32,
+            running_requests: self.running,
+            target_slots: speed.slots,
             // Entries go by how fast the queue empties.
-            mean_service_us: speed.effective_service_us(),
-            accepted_total: self.count,
+            mean_service_time_us: speed.effective_service_us(),
+            accepted_requests_total: self.count,
         }
     }
 
@@ -451,25 +466,26 @@
     }
 
     fn lapse(&mut self, pace: ServiceRate, now: Millis) {
-        while let Some(item) = self.queue.remove_expired(pace, now) {
+        while let Some(item) = self.queue.remove_expired_item(pace, now) {
             let failure =
-                Failure::new(Code::DeadlinePassed, Execution::NotRun);
+                RequestFailure::new(Code::DeadlinePassed, Execution::NotRun);
             self.give_up(&item.work, failure);
         }
     }
 
     /// Gives back what a lower limit leaves no time for.
     fn shed(&mut self, pace: ServiceRate, now: Millis) {
-        for item in self.queue.remove_late(pace, now) {
-            let failure = Failure::new(Code::Overloaded, Execution::NotRun);
-            let wait = self.queue.retry_after(pace);
+        for item in self.queue.remove_items_missing_deadline(pace, now) {
+            let failure =
+                RequestFailure::new(Code::Overloaded, Execution::NotRun);
+            let wait = self.queue.estimate_retry_after(pace);
             self.give_up(&item.work, failure.with_retry_after(wait));
         }
     }
 
     /// Ends work that never reached the target.
-    fn give_up(&mut self, work: &Arc<Work>, failure: Failure) {
-        self.register.refuse_unsent(work.request);
+    fn give_up(&mut self, work: &Arc<Work>, failure: RequestFailure) {
+        self.register.refuse_unsent_ticket(work.request);
         work.finish(Err(failure));
         self.keep(work, Millis::now());
     }
--- a/cowsliproad-bench/src/bin/cowsliproad-naive.rs
+++ b/cowsliproad-bench/src/bin/cowsliproad-naive.rs
@@ -23,7 +23,7 @@
     target,
 };
 use cowsliproad_routing::{
-    catalog::Catalog,
+    catalog::RoutingCatalog,
     fleet::{Target, TargetState},
 };
 use http::{HeaderValue, Request, Response, StatusCode};
@@ -47,7 +47,7 @@
 /// What it knows.
 #[derive(Default)]
 struct Front {
-    catalog: Option<Arc<Catalog>>,
+    catalog: Option<Arc<RoutingCatalog>>,
     targets: BTreeMap<Name, Target>,
 }
 
@@ -78,7 +78,7 @@
     let callers = TcpListener::bind(settings.caller_address).await?;
     tokio::select! {
         () = serve(front, callers) => {}
-        () = program::stop_signal() => {}
+        () = program::wait_for_stop_signal() => {}
     }
     Ok(())
 }
--- a/cowsliproad-bench/src/experiment/limits.rs
+++ b/cowsliproad-bench/src/experiment/limits.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use cowsliproad_admission::limit::{
-    self, CurrentLimit, LimitReport, PermitDecision, Rate,
+    self, CurrentLimit, LimitReport, PermitDecision, RequestRate,
 };
 use cowsliproad_kernel::{
     Name,
@@ -22,8 +22,11 @@
     plugin::inventory,
 };
 use cowsliproad_routing::{
-    fleet::{StartTime, Target, TargetState},
-    owner::{self, LimitOwner, Liveness, OwnerCandidate},
+    fleet::{ProcessStartUnixMs, Target, TargetState},
+    owner::{
+        self, EntryProcessLiveness, RateLimiterOwner,
+        RateLimiterOwnerCandidate,
+    },
 };
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IteratorRandom};
 use serde_json::{Value, json};
@@ -130,7 +133,7 @@
     limit: CurrentLimit,
     pace: Option<limit::Limiter>,
     full_until: u64,
-    told: Option<Rate>,
+    told: Option<RequestRate>,
 }
 
 struct Fleet {
@@ -143,7 +146,7 @@
     entries: Vec<Entry>,
     /// Answers that are on their way, by when they come: who asked, when, and
     /// what they name.
-    answers: BTreeMap<u64, Vec<(usize, u64, Option<Rate>)>>,
+    answers: BTreeMap<u64, Vec<(usize, u64, Option<RequestRate>)>>,
     arrived: Vec<u64>,
     asked: u64,
     bytes: u64,
@@ -156,7 +159,7 @@
         (0..ZONES).map(|it| format!("zone-{it}").into()).collect();
     let target = Target {
         id: "i-1".into(),
-        start: StartTime(0),
+        start: ProcessStartUnixMs(0),
         service: "model".into(),
         address: ([127, 0, 0, 1], 1).into(),
         zone: zones[1].clone(),
@@ -206,11 +209,11 @@
         }
     }
 
-    fn rate(&self) -> Option<Rate> {
+    fn rate(&self) -> Option<RequestRate> {
         let whole = self.size.rate;
         let low = LOW_MS.contains(&self.now);
         let rate = if low { whole / 2.0 } else { whole };
-        (self.now >= NAMED_MS).then(|| Rate::new(rate)).flatten()
+        (self.now >= NAMED_MS).then(|| RequestRate::new(rate)).flatten()
     }
 
     fn caller(&mut self) -> usize {
@@ -259,8 +262,8 @@
         let known = self.entries[entry].known.keys().copied();
         let others = known.chain((0..3).filter(|it| *it != entry));
         let told = others.choose_multiple(&mut self.random, MAX_TOLD);
-        let word = self.entries[entry].limit.report(Millis(now));
-        let changed = self.entries[entry].limit.changed_at();
+        let word = self.entries[entry].limit.limit_report(Millis(now));
+        let changed = self.entries[entry].limit.limit_changed_at();
         let is_news = Millis(now).since(changed) < Millis(NEWS_MS);
         let is_due = (now / TELL_MS).is_multiple_of(LIMITS_EVERY);
         let word = word.filter(|_| self.policy != Policy::Unread);
@@ -293,14 +296,14 @@
                 self.entries[other].known.entry(third).or_insert((now, 0));
             }
         }
-        if let Some(word) = self.entries[one].limit.report(Millis(now)) {
+        if let Some(word) = self.entries[one].limit.limit_report(Millis(now)) {
             self.hear(other, word);
         }
     }
 
     fn hear(&mut self, entry: usize, word: LimitReport) {
         let now = Millis(self.now);
-        self.entries[entry].limit.merge_report(word, now);
+        self.entries[entry].limit.merge_limit_report(word, now);
         self.news(entry);
     }
 
@@ -314,12 +317,21 @@
         }
     }
 
-    fn answered(&mut self, entry: usize, sent: u64, rate: Option<Rate>) {
+    fn answered(
+        &mut self,
+        entry: usize,
+        sent: u64,
+        rate: Option<RequestRate>,
+    ) {
         if !self.is_up(entry) || self.policy == Policy::Unread {
             return;
         }
         let now = Millis(self.now);
-        self.entries[entry].limit.observe_response(rate, Millis(sent), now);
+        self.entries[entry].limit.observe_response_limit(
+            rate,
+            Millis(sent),
+            now,
+        );
         self.news(entry);
     }
 
@@ -357,21 +369,25 @@
         }
     }
 
-    fn own(&mut self, entry: usize, rate: Rate, share: f64) -> bool {
+    fn own(&mut self, entry: usize, rate: RequestRate, share: f64) -> bool {
         let now = Millis(self.now);
         let new = limit::Limiter::new(rate, Millis(0), now);
         let pace = self.entries[entry].pace.get_or_insert(new);
-        pace.acquire(rate, share, Millis(0), now)
+        pace.grant_permit(rate, share, Millis(0), now)
             == PermitDecision::Permit(Millis(0))
     }
 
     fn decide(&mut self, entry: usize, relays: u8) -> PermitDecision {
         for asked in 0..MAX_ASKED {
             let other = match self.owner(entry) {
-                LimitOwner::Remote(_) if asked > 0 && relays < RELAYS => break,
-                LimitOwner::Remote(other) if relays > 0 => other,
+                RateLimiterOwner::Remote(_)
+                    if asked > 0 && relays < RELAYS =>
+                {
+                    break;
+                }
+                RateLimiterOwner::Remote(other) if relays > 0 => other,
                 owner => {
-                    let substitute = owner == LimitOwner::Substitute;
+                    let substitute = owner == RateLimiterOwner::Substitute;
                     return self.give(entry, substitute);
                 }
             };
@@ -379,7 +395,7 @@
             self.bytes += (self.sizes.question + self.sizes.reply) as u64;
             if self.reaches(entry, other) {
                 let now = Millis(self.now);
-                let word = self.entries[entry].limit.report(now);
+                let word = self.entries[entry].limit.limit_report(now);
                 if let Some(word) = word {
                     self.hear(other, word);
                 }
@@ -393,26 +409,26 @@
         PermitDecision::Later(Millis(AGAIN_MS))
     }
 
-    fn owner(&self, entry: usize) -> LimitOwner<usize> {
-        let member = |address: usize, liveness| OwnerCandidate {
+    fn owner(&self, entry: usize) -> RateLimiterOwner<usize> {
+        let member = |address: usize, liveness| RateLimiterOwnerCandidate {
             address,
             zone: &self.zones[address % ZONES],
             liveness,
         };
         let known = &self.entries[entry].known;
-        let silence = owner::silence_timeout(known.len(), MAX_TOLD).0;
+        let silence = owner::digest_silence_timeout(known.len(), MAX_TOLD).0;
         let others = known.iter().map(|(other, (heard, mute))| {
             let silent = self.now - heard >= silence || *mute > self.now;
             let liveness = if silent {
-                Liveness::Unresponsive
+                EntryProcessLiveness::Unresponsive
             } else {
-                Liveness::Responsive
+                EntryProcessLiveness::Responsive
             };
             member(*other, liveness)
         });
         owner::choose_limiter_owner(
             &self.target,
-            member(entry, Liveness::Responsive),
+            member(entry, EntryProcessLiveness::Responsive),
             others,
         )
     }
@@ -420,21 +436,21 @@
     fn give(&mut self, entry: usize, substitute: bool) -> PermitDecision {
         let now = Millis(self.now);
         let known = &self.entries[entry].known;
-        let silence = owner::silence_timeout(known.len(), MAX_TOLD).0;
+        let silence = owner::digest_silence_timeout(known.len(), MAX_TOLD).0;
         let heard = known.values().filter(|it| self.now - it.0 < silence);
         let share = (heard.count() + 1) as f64 / (known.len() + 1) as f64;
         let entry = &mut self.entries[entry];
-        let Some(LimitReport { rate: Some(rate), age }) =
-            entry.limit.report(now)
+        let Some(LimitReport { rate: Some(rate), rate_limit_age }) =
+            entry.limit.limit_report(now)
         else {
             return PermitDecision::Permit(Millis(0));
         };
-        let new = limit::Limiter::new(rate, age, now);
+        let new = limit::Limiter::new(rate, rate_limit_age, now);
         let pace = entry.pace.get_or_insert(new);
         if substitute && pace.is_stale(share, now) {
             *pace = new;
         }
-        pace.acquire(rate, share, Millis(0), now)
+        pace.grant_permit(rate, share, Millis(0), now)
     }
 
     fn score(&self) -> Score {
@@ -492,21 +508,21 @@
             target: "i-abaeb6c096".into(),
             target_start_unix_ms: 0,
             requests_per_second: Some(1.2),
-            in_force_for: Millis(1_234),
+            rate_limit_age: Millis(1_234),
         };
         let number = u64::MAX;
         let none = Millis(0);
         let ask = PermitRequest {
             request_id: number,
-            limit: limit.clone(),
-            max_wait: none,
+            rate_limit: limit.clone(),
+            max_permit_wait: none,
             forwards_left: RELAYS,
         };
         let reply = PermitReply {
             request_id: number,
-            limit: limit.clone(),
-            granted: true,
-            wait: none,
+            rate_limit: limit.clone(),
+            permit_granted: true,
+            permit_wait: none,
         };
         Sizes {
             question: gossip::encode(&Datagram::PermitRequest(ask)).len(),
--- a/cowsliproad-bench/src/node.rs
+++ b/cowsliproad-bench/src/node.rs
@@ -5,7 +5,7 @@
 
 use std::{io, thread, time::Duration};
 
-use cowsliproad_net::threads::{self, Threads};
+use cowsliproad_net::threads::{self, Runtimes};
 use tokio::{
     runtime::Builder,
     sync::{mpsc, oneshot},
@@ -32,9 +32,9 @@
     fn stop(&self) -> impl Future<Output = ()>;
 }
 
-impl Program for cowsliproad_entry::Entry {
+impl Program for cowsliproad_entry::EntryProcess {
     async fn stop(&self) {
-        cowsliproad_entry::Entry::stop(self).await;
+        cowsliproad_entry::EntryProcess::stop_gracefully(self).await;
     }
 }
 
@@ -71,14 +71,14 @@
         make: F,
     ) -> io::Result<Node<T>>
     where
-        F: AsyncFnOnce(Threads) -> io::Result<T> + Send + 'static,
+        F: AsyncFnOnce(Runtimes) -> io::Result<T> + Send + 'static,
     {
         let (orders, queue) = mpsc::unbounded_channel();
         let (started, handle) = oneshot::channel();
         let (done, ended) = oneshot::channel();
         thread::Builder::new().name(name.into()).spawn(move || {
             // An error shows as a handle that never comes.
-            let _ = threads::run(workers, async |threads| {
+            let _ = threads::run_on_runtimes(workers, async |threads| {
                 serve(make(threads).await, started, queue).await;
             });
             let _ = done.send(());
--- a/cowsliproad-direct/src/attempt.rs
+++ b/cowsliproad-direct/src/attempt.rs
@@ -40,7 +40,7 @@
         call: &Call,
         choice: &ChosenTarget,
     ) -> Attempt {
-        choice.endpoint.borrow_mut().request_stats.record_send();
+        choice.endpoint.borrow_mut().request_stats.record_sent_request();
         Attempt {
             entry: entry.clone(),
             choice: choice.clone(),
@@ -178,7 +178,11 @@
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        self.choice.endpoint.borrow_mut().request_stats.record_completion();
+        self.choice
+            .endpoint
+            .borrow_mut()
+            .request_stats
+            .record_completed_request();
         self.suspect_crash_of_abandoned_attempt();
     }
 }
--- a/cowsliproad-direct/src/call.rs
+++ b/cowsliproad-direct/src/call.rs
@@ -19,7 +19,7 @@
 use std::{rc::Rc, sync::Arc};
 
 use bytes::Bytes;
-use cowsliproad_admission::{patience::CallerTry, quarantine::WorkDigest};
+use cowsliproad_admission::{patience::CallerAttempt, quarantine::WorkDigest};
 use cowsliproad_kernel::{Name, clock::Millis};
 use cowsliproad_platform::header;
 use cowsliproad_routing::catalog::Route;
@@ -80,7 +80,7 @@
     /// When the caller gives up or the timeout of the route expires.
     pub deadline: Millis,
     /// Whether the request is the caller's first try or a retry.
-    caller_try: CallerTry,
+    caller_try: CallerAttempt,
     /// The priority of the request; 0 is the most urgent.
     priority: u8,
     /// The method, URI and headers sent to targets.
@@ -172,7 +172,7 @@
     /// When the caller gives up or the timeout of the route expires.
     pub deadline: Millis,
     /// Whether the request is the caller's first try or a retry.
-    pub caller_try: CallerTry,
+    pub caller_try: CallerAttempt,
 }
 
 impl Call {
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use cowsliproad_admission::{
-    patience::{Admission, CallerTry, PendingStream},
+    patience::{CallerAttempt, PendingStream, StreamAdmission},
     quarantine::QuarantineVerdict,
 };
 use cowsliproad_kernel::clock::Millis;
@@ -136,7 +136,7 @@
         };
         let ends_in_time = shortage.cooldown_end.is_some_and(in_time);
         // A caller's retry may go to a target that this request may not.
-        let caller_retry_is_sooner = self.caller_try == CallerTry::First
+        let caller_retry_is_sooner = self.caller_try == CallerAttempt::First
             && self.execution == ExecutionStatus::NotRun
             && !self.may_attempt_new_target()
             && self.has_unattempted_target(entry, now);
@@ -197,7 +197,7 @@
         mut choice: ChosenTarget,
         max_permit_wait: Millis,
     ) -> Result<Option<ChosenTarget>, Response<Body>> {
-        if let Admission::RetryAfter(after) =
+        if let StreamAdmission::RetryAfter(after) =
             self.admit_stream_start(entry, Millis::now())
         {
             return Err(
@@ -225,25 +225,29 @@
 
     /// Whether a stream that no target has run can still send its first event
     /// in time, or the caller should retry later.
-    fn admit_stream_start(&self, entry: &Entry, now: Millis) -> Admission {
-        let (Some(silence_timeout), Some(first_event_aim)) =
+    fn admit_stream_start(
+        &self,
+        entry: &Entry,
+        now: Millis,
+    ) -> StreamAdmission {
+        let (Some(silence_timeout), Some(expected_first_event_delay)) =
             (self.route.caller_idle_timeout, self.route.latency_goal)
         else {
-            return Admission::Now;
+            return StreamAdmission::Now;
         };
         if self.execution == ExecutionStatus::Unknown {
-            return Admission::Now;
+            return StreamAdmission::Now;
         }
         let Call { arrived, caller_try, .. } = *self;
-        let time_left = self.time_left();
+        let time_to_deadline = self.time_left();
         let stream = PendingStream {
-            arrived,
+            arrived_at: arrived,
             silence_timeout,
-            first_event_aim,
-            time_left,
+            expected_first_event_delay,
+            time_to_deadline,
             caller_try,
         };
-        stream.decide(now, entry.random_fraction())
+        stream.decide_admission(now, entry.random_fraction())
     }
 
     /// How long the request may wait for a usable target. The caller of a
@@ -337,14 +341,14 @@
         let endpoint = choice.endpoint.borrow();
         let group = endpoint.group.as_ref();
         let age = group.map_or(-1, |it| now.since(it.reported_at).0 as i64);
-        let report = endpoint.rate_limit.report(now);
+        let report = endpoint.rate_limit.limit_report(now);
         info!(entry.log, "chosen"; "request" => &*self.request_id,
             "work" => %self.work,
             "target" => &*choice.target.id, "route" => &*self.route.name,
             "cost" => choice.cost_ms as u64, "at_target" => endpoint.request_stats.estimated_occupancy(now),
             "own" => endpoint.request_stats.in_flight(), "report_age" => age,
-            "limit" => choice.rate_limit.map(|it| it.per_second()),
-            "limit_age" => report.map(|it| it.age.0),
+            "limit" => choice.rate_limit.map(|it| it.requests_per_second()),
+            "limit_age" => report.map(|it| it.rate_limit_age.0),
             "denied" => self.denied_permits,
             "left" => self.time_left().0, "try" => self.attempt_count + 1);
     }
--- a/cowsliproad-direct/src/call/failure.rs
+++ b/cowsliproad-direct/src/call/failure.rs
@@ -170,7 +170,7 @@
                 entry.metrics.record_permit_outcome("refused");
                 let after = after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
                 let after =
-                    patience::jittered_retry(after, entry.random_fraction());
+                    patience::add_retry_jitter(after, entry.random_fraction());
                 ("not run: targets take no more\n", after)
             }
             RejectionReason::Poison(after) => {
@@ -208,10 +208,10 @@
     fn caller_retry_delay(&self, entry: &Entry) -> Millis {
         // Callers wait for at most a third of their remaining time.
         let max_delay = Millis(self.time_left().0 / 3);
-        if self.route.is_stream() {
+        if self.route.has_stream_responses() {
             return max_delay;
         }
-        let delay = patience::jittered_retry(
+        let delay = patience::add_retry_jitter(
             TARGETS_FULL_BACKOFF,
             entry.random_fraction(),
         );
--- a/cowsliproad-direct/src/callers.rs
+++ b/cowsliproad-direct/src/callers.rs
@@ -14,7 +14,7 @@
 
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_net::{
-    hooked::{HookedStream, Hooks},
+    hooked::{ConnectionHooks, HookedStream},
     program,
 };
 use cowsliproad_routing::catalog::RequestLimits;
@@ -67,7 +67,7 @@
 ) -> io::Result<()> {
     tokio::select! {
         never = accept_connections(entry, &listener) => match never {},
-        () = program::stop_signal() => {}
+        () = program::wait_for_stop_signal() => {}
     }
     let grace_end = Instant::now()
         + (entry.settings().shutdown_grace_ms - PROCESS_EXIT_MARGIN)
@@ -257,7 +257,7 @@
 /// Records when the first byte of a request head arrives.
 struct RequestHeadWatcher(Rc<ConnectionActivity>);
 
-impl Hooks for RequestHeadWatcher {
+impl ConnectionHooks for RequestHeadWatcher {
     fn on_read(&mut self) {
         let activity = &self.0;
         if activity.in_flight.get() == 0
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -14,17 +14,19 @@
 
 use bytes::Bytes;
 use cowsliproad_admission::{
-    limit::{CurrentLimit, Permit, Rate},
+    limit::{CurrentLimit, Permit, RequestRate},
     window::{RetryWindow, RetryWindowConfig},
 };
-use cowsliproad_kernel::{Name, clock::Millis, position::Position, settings};
+use cowsliproad_kernel::{
+    Name, clock::Millis, position::LogPosition, settings,
+};
 use cowsliproad_routing::{
-    catalog::Catalog,
+    catalog::RoutingCatalog,
     cooldown::Cooldowns,
-    fleet::{Fleet, FleetConfig, Target, TargetChange},
-    formation::Formation,
+    fleet::{Target, TargetChange, TargetFleet, TargetFleetConfig},
+    formation::GroupFormation,
     pick::TargetStats,
-    readings::{Continuity, LogReadSchedule},
+    readings::{LogReadContinuity, LogReadSchedule},
 };
 use rand::{SeedableRng, rngs::SmallRng};
 use slog::{Logger, info, warn};
@@ -156,9 +158,9 @@
     /// Counters and histograms of this entry process.
     pub metrics: EntryMetrics,
     /// The configuration in force, decoded and as raw bytes.
-    catalog: RefCell<Option<(Arc<Catalog>, Bytes)>>,
+    catalog: RefCell<Option<(Arc<RoutingCatalog>, Bytes)>>,
     /// The known targets.
-    pub fleet: RefCell<Fleet>,
+    pub fleet: RefCell<TargetFleet>,
     /// The longest timeout that a caller's request has stated on each route.
     longest_caller_timeouts: RefCell<HashMap<Name, Millis>>,
     /// Keys of malformed records in the targets topic, so that each key is
@@ -170,7 +172,7 @@
     endpoints: RefCell<HashMap<Name, Rc<RefCell<Endpoint>>>>,
     retry_budgets: RefCell<HashMap<Name, RetryWindow>>,
     /// The newest known formation of each group, reported by any of its ranks.
-    formations: RefCell<HashMap<Name, Formation>>,
+    formations: RefCell<HashMap<Name, GroupFormation>>,
     /// Quarantine of crash-inducing requests.
     pub quarantine: RefCell<Quarantine>,
     /// When a VM of each availability zone last sent a message.
@@ -231,7 +233,7 @@
     /// the target.
     pub max_connections: usize,
     /// The rate limit that the target states.
-    pub rate_limit: Option<Rate>,
+    pub rate_limit: Option<RequestRate>,
     /// The permit that the request holds, granted by the target's rate
     /// limiter.
     pub permit: Option<Permit>,
@@ -247,7 +249,7 @@
             log,
             metrics: EntryMetrics::new(),
             catalog: RefCell::new(None),
-            fleet: RefCell::new(Fleet::new(FleetConfig::new())),
+            fleet: RefCell::new(TargetFleet::new(TargetFleetConfig::new())),
             longest_caller_timeouts: RefCell::new(HashMap::new()),
             invalid_target_keys: RefCell::new(HashSet::new()),
             raw_announcements: RefCell::new(HashMap::new()),
@@ -315,7 +317,7 @@
     }
 
     /// The configuration in force, if there is one.
-    pub fn catalog(&self) -> Option<Arc<Catalog>> {
+    pub fn catalog(&self) -> Option<Arc<RoutingCatalog>> {
         self.catalog.borrow().as_ref().map(|it| it.0.clone())
     }
 
@@ -326,22 +328,22 @@
 
     /// The version of the configuration in force; 0 without a configuration.
     pub fn catalog_version(&self) -> u64 {
-        self.catalog.borrow().as_ref().map_or(0, |it| it.0.version())
+        self.catalog.borrow().as_ref().map_or(0, |it| it.0.config_version())
     }
 
     /// Puts a configuration in force if its version is newer than the one in
     /// force.
     pub fn adopt_catalog(
         &self,
-        catalog: Catalog,
+        catalog: RoutingCatalog,
         raw: Bytes,
         source: ChangeSource,
     ) {
         let before = self.catalog_version();
-        if before >= catalog.version() {
+        if before >= catalog.config_version() {
             return;
         }
-        info!(self.log, "catalog_in_force"; "version" => catalog.version(),
+        info!(self.log, "catalog_in_force"; "version" => catalog.config_version(),
             "before" => before, "routes" => catalog.route_count(),
             "source" => ?source);
         *self.catalog.borrow_mut() = Some((Arc::new(catalog), raw));
@@ -424,13 +426,15 @@
     pub fn merge_peer_targets_read(
         &self,
         at: Millis,
-        changed: Position,
+        changed: LogPosition,
         now: Millis,
     ) {
-        let continuity =
-            self.log_read_schedule.borrow_mut().merge_peer_read(at, changed);
+        let continuity = self
+            .log_read_schedule
+            .borrow_mut()
+            .merge_peer_log_read(at, changed);
         self.extend_leases_after_gap(continuity, now);
-        if self.log_read_schedule.borrow().has_unread_change() {
+        if self.log_read_schedule.borrow().has_unread_target_change() {
             self.targets_read_wakeup.notify_one();
         }
     }
@@ -447,12 +451,12 @@
     /// targets topic, since targets may have renewed them unobserved.
     pub fn extend_leases_after_gap(
         &self,
-        continuity: Continuity,
+        continuity: LogReadContinuity,
         now: Millis,
     ) {
-        if continuity == Continuity::Gap {
+        if continuity == LogReadContinuity::Gap {
             info!(self.log, "readings_resumed");
-            self.fleet.borrow_mut().start_renewal_grace(now);
+            self.fleet.borrow_mut().start_record_renewal_grace(now);
         }
     }
 
@@ -537,7 +541,7 @@
     /// exhausted.
     pub fn try_spend_retry(&self, service: &Name, now: Millis) -> bool {
         let entries = self.peers.borrow().entry_process_count();
-        self.with_retry_budget(service, |it| it.try_spend(entries, now))
+        self.with_retry_budget(service, |it| it.try_spend_retry(entries, now))
     }
 
     /// A random number from 0 to 1.
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -6,7 +6,9 @@
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_routing::{
     fleet::Target,
-    pick::{self, Locality, ServiceLatency, TargetCandidate, TargetStats},
+    pick::{
+        self, ServiceLatency, TargetCandidate, TargetLocality, TargetStats,
+    },
 };
 
 use super::{
@@ -101,7 +103,7 @@
 
 impl CandidateSnapshot {
     /// Chooses the target with the least cost or, where agents report, one of
-    /// the cheapest at random; see [`pick::choose_by_cost`]. A target whose
+    /// the cheapest at random; see [`pick::choose_target_by_cost`]. A target whose
     /// rate limit is below its equal share is preferred at the same or lower
     /// cost, so that its limit is used up. `draw` is a random number from 0 to
     /// 1.
@@ -117,8 +119,8 @@
         let usable: Vec<&ChosenTarget> = usable.map(|it| &it.choice).collect();
         let costs: Vec<f64> = usable.iter().map(|it| it.cost_ms).collect();
         let slots = usable.iter().map(|it| it.target.slots).max()?;
-        let step = self.usual.lockstep_latency_ms() / f64::from(slots);
-        let place = pick::choose_by_cost(
+        let step = self.usual.lockstep_rank_latency_ms() / f64::from(slots);
+        let place = pick::choose_target_by_cost(
             &costs,
             step,
             self.unreported_requests,
@@ -126,7 +128,7 @@
         )?;
         let is_below_share = |it: &ChosenTarget| {
             it.rate_limit.is_some_and(|it| {
-                it.per_second() < self.equal_share_requests_per_second
+                it.requests_per_second() < self.equal_share_requests_per_second
             })
         };
         let limited = usable
@@ -250,10 +252,13 @@
                 continue;
             }
             let near = target.zone == *zone;
-            let locality =
-                if near { Locality::SameZone } else { Locality::OtherZone };
+            let locality = if near {
+                TargetLocality::SameZone
+            } else {
+                TargetLocality::OtherZone
+            };
             let latency_ms = match group {
-                Some(_) => usual.lockstep_latency_ms(),
+                Some(_) => usual.lockstep_rank_latency_ms(),
                 None => {
                     usual.target_latency_ms(&endpoint_state.request_stats, now)
                 }
@@ -262,11 +267,11 @@
                 stats: &endpoint_state.request_stats,
                 slots: target.slots,
                 locality,
-                service_time_percent: group
+                service_time_percent_of_normal: group
                     .map_or(100, |it| it.service_time_percent),
                 latency_ms,
             };
-            let cost_ms = pick::expected_cost_ms(&candidate, now);
+            let cost_ms = pick::expected_request_cost_ms(&candidate, now);
             let rate_limit = endpoint_state.rate_limit.rate();
             let needs = rate_limit
                 .filter(|it| !endpoint_state.has_spare_permit(*it, now));
@@ -313,7 +318,7 @@
         let budgets = self.retry_budgets.borrow();
         let usual = budgets.get(service);
         let usual =
-            usual.map_or(0.0, |it| it.expected_requests(ONE_SECOND, now));
+            usual.map_or(0.0, |it| it.estimate_requests(ONE_SECOND, now));
         usual * entries / targets.max(1) as f64
     }
 
@@ -329,11 +334,11 @@
     ) -> f64 {
         let others = (self.peers.borrow().entry_process_count() - 1) as f64;
         let sent: u32 =
-            records.iter().map(TargetStats::sent_since_report).sum();
+            records.iter().map(TargetStats::requests_sent_since_report).sum();
         let budgets = self.retry_budgets.borrow();
         let usual = budgets.get(service);
         let usual = usual.map_or(0.0, |it| {
-            it.expected_requests(UNREPORTED_REQUEST_INTERVAL, now)
+            it.estimate_requests(UNREPORTED_REQUEST_INTERVAL, now)
         });
         usual.max(f64::from(sent)) * others
     }
@@ -343,7 +348,8 @@
     fn max_connections_per_target(&self, service: &str) -> usize {
         let catalog = self.catalog.borrow();
         let service = catalog.as_ref().and_then(|it| it.0.service(service));
-        let Some(max_connections) = service.and_then(|it| it.max_connections)
+        let Some(max_connections) =
+            service.and_then(|it| it.max_connections_per_target)
         else {
             return usize::MAX;
         };
--- a/cowsliproad-direct/src/entry/groups.rs
+++ b/cowsliproad-direct/src/entry/groups.rs
@@ -1,7 +1,7 @@
 //! State of the groups whose ranks the targets are.
 
 use cowsliproad_kernel::{Name, clock::Millis};
-use cowsliproad_routing::formation::Formation;
+use cowsliproad_routing::formation::GroupFormation;
 use slog::info;
 
 use super::{ChosenTarget, Entry, GroupReport};
@@ -28,7 +28,7 @@
         accepts_requests: bool,
     ) {
         let mut formations = self.formations.borrow_mut();
-        let new = Formation::new(formation_epoch, accepts_requests);
+        let new = GroupFormation::new(formation_epoch, accepts_requests);
         let known = formations.entry(group.clone()).or_insert(new);
         if known.merge_rank_report(formation_epoch, accepts_requests) {
             info!(self.log, "group_stands"; "group" => &**group,
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -12,13 +12,13 @@
 
 use std::{collections::HashMap, rc::Rc};
 
-use cowsliproad_kernel::{Name, clock::Millis, position::Position};
+use cowsliproad_kernel::{Name, clock::Millis, position::LogPosition};
 use cowsliproad_platform::{
     catalog, log,
     log::{Client, Error, Page, Record},
     target,
 };
-use cowsliproad_routing::fleet::{StartTime, TargetChange};
+use cowsliproad_routing::fleet::{ProcessStartUnixMs, TargetChange};
 use rand::Rng;
 use slog::{info, warn};
 use tokio::time::sleep;
@@ -106,7 +106,7 @@
     topic: &'static str,
     client: Client,
     contact: LogCallStatus,
-    next_position: Option<Position>,
+    next_position: Option<LogPosition>,
     has_read: bool,
 }
 
@@ -116,7 +116,7 @@
     /// The records that were read.
     pub records: Vec<Record>,
     /// The position in the topic after the last record that was read.
-    pub end_position: Position,
+    pub end_position: LogPosition,
     /// Which records of the topic were read.
     pub scope: ReadScope,
 }
@@ -152,7 +152,7 @@
         entry: &Entry,
         max_hold: Millis,
     ) -> Result<TopicReadResult, Error> {
-        let is_old = |it: Position| it.era < entry.rollbacks.newest_era();
+        let is_old = |it: LogPosition| it.era < entry.rollbacks.newest_era();
         if self.next_position.is_some_and(is_old) {
             self.next_position = None;
             sleep(entry.draw_reread_delay().duration()).await;
@@ -232,7 +232,11 @@
         let Some(raw) = &record.value else { continue };
         match catalog::decode(raw) {
             Ok(catalog) => {
-                peers::wait_for_newest_catalog(entry, catalog.version()).await;
+                peers::wait_for_newest_catalog(
+                    entry,
+                    catalog.config_version(),
+                )
+                .await;
                 return entry.adopt_catalog(
                     catalog,
                     raw.clone(),
@@ -258,7 +262,7 @@
                 let found = entry
                     .log_read_schedule
                     .borrow_mut()
-                    .record_own_read(now, reading.end_position);
+                    .record_own_log_read(now, reading.end_position);
                 entry.extend_leases_after_gap(found, now);
                 apply_target_records(&entry, &reading, now);
                 // Targets that renewed their records before the read began are
@@ -295,8 +299,8 @@
         let wait = entry
             .log_read_schedule
             .borrow()
-            .time_until_next_read(max_age, now);
-        let lapse = entry.fleet.borrow().next_withdrawal();
+            .time_until_next_log_read(max_age, now);
+        let lapse = entry.fleet.borrow().next_withdrawal_due_at();
         let wait = lapse.map_or(wait, |at| wait.min(at.since(now)));
         if wait == Millis(0) {
             return;
@@ -328,23 +332,25 @@
     if reading.scope == ReadScope::First {
         // Other entry processes announced the targets known so far, and the
         // log may be an older copy that lacks them.
-        entry.fleet.borrow_mut().start_renewal_grace(now);
+        entry.fleet.borrow_mut().start_record_renewal_grace(now);
     }
-    let listed: HashMap<&str, StartTime> =
+    let listed: HashMap<&str, ProcessStartUnixMs> =
         records.iter().filter_map(announced_start_time).collect();
     let gone = entry
         .fleet
         .borrow_mut()
-        .withdraw_unlisted(|id| listed.get(id).copied(), now);
+        .withdraw_unlisted_targets(|id| listed.get(id).copied(), now);
     record_left_targets(entry, &gone);
 }
 
 /// The start of the target that a record announces. A malformed record may
 /// hide a target, and counts as the target's newest start.
-fn announced_start_time(record: &Record) -> Option<(&str, StartTime)> {
+fn announced_start_time(
+    record: &Record,
+) -> Option<(&str, ProcessStartUnixMs)> {
     let raw = record.value.as_ref()?;
     let start = target::decode(&record.key, raw).map(|it| it.start);
-    Some((&record.key, start.unwrap_or(StartTime(u64::MAX))))
+    Some((&record.key, start.unwrap_or(ProcessStartUnixMs(u64::MAX))))
 }
 
 fn record_left_targets(entry: &Entry, gone: &[Name]) {
@@ -362,13 +368,17 @@
     source: ChangeSource,
 ) -> TargetChange {
     let change = match &record.value {
-        None => entry.fleet.borrow_mut().merge_withdrawal(&record.key, now),
+        None => {
+            entry.fleet.borrow_mut().merge_target_withdrawal(&record.key, now)
+        }
         Some(raw) => match target::decode(&record.key, raw) {
             Ok(target) => {
                 let id = target.id.clone();
                 entry.retract_crash_on_renewal(&target, now);
-                let change =
-                    entry.fleet.borrow_mut().merge_announcement(target, now);
+                let change = entry
+                    .fleet
+                    .borrow_mut()
+                    .merge_target_announcement(target, now);
                 if entry.fleet.borrow().is_ready(&id) {
                     entry
                         .raw_announcements
--- a/cowsliproad-direct/src/forward.rs
+++ b/cowsliproad-direct/src/forward.rs
@@ -31,7 +31,7 @@
     let response = match receive_request(entry, head, body, arrived).await {
         Ok(mut call) => {
             entry.record_request_in_budget(&call.service, arrived);
-            if call.route.is_stream() {
+            if call.route.has_stream_responses() {
                 stream::respond_with_stream(entry, call, in_flight).await
             } else {
                 forward_buffered(entry, &mut call).await
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -13,7 +13,7 @@
 use std::{cell::RefCell, collections::HashMap, fmt, net::SocketAddr, rc::Rc};
 
 use cowsliproad_admission::limit::{
-    self, LimitChange, LimitReport, Permit, PermitDecision, Rate,
+    self, LimitChange, LimitReport, Permit, PermitDecision, RequestRate,
 };
 use cowsliproad_kernel::{
     Name,
@@ -22,8 +22,8 @@
 };
 use cowsliproad_platform::header;
 use cowsliproad_routing::{
-    fleet::{StartTime, Target},
-    owner::LimitOwner,
+    fleet::{ProcessStartUnixMs, Target},
+    owner::RateLimiterOwner,
 };
 use http::{HeaderMap, HeaderValue};
 use slog::{debug, info, warn};
@@ -95,7 +95,7 @@
 #[derive(Default)]
 pub struct RateLimits {
     socket: Option<Rc<UdpSocket>>,
-    limiters: HashMap<Name, (StartTime, limit::Limiter)>,
+    limiters: HashMap<Name, (ProcessStartUnixMs, limit::Limiter)>,
     pending_requests: HashMap<u64, oneshot::Sender<PermitReply>>,
     /// Rate limits of targets that this entry process doesn't know yet, and
     /// when each limit arrived.
@@ -187,13 +187,13 @@
 impl Endpoint {
     /// Whether there is a spare permit, granted too late for the request that
     /// asked for it.
-    pub fn has_spare_permit(&self, rate: Rate, now: Millis) -> bool {
+    pub fn has_spare_permit(&self, rate: RequestRate, now: Millis) -> bool {
         self.spare_permits.iter().any(|it| it.is_valid(rate, now))
     }
 
     fn take_spare_permit(
         &mut self,
-        rate: Rate,
+        rate: RequestRate,
         now: Millis,
     ) -> Option<Permit> {
         self.spare_permits
@@ -320,12 +320,12 @@
         let other = match owner {
             // The asking entry process's reply timeout allows for one
             // forwarded request, not for two.
-            LimitOwner::Remote(_)
+            RateLimiterOwner::Remote(_)
                 if asked > 0 && hops < MAX_PERMIT_REQUEST_FORWARDS =>
             {
                 break;
             }
-            LimitOwner::Remote(other) if hops > 0 => other,
+            RateLimiterOwner::Remote(other) if hops > 0 => other,
             _ => {
                 return entry.decide_permit_as_owner(
                     target,
@@ -344,8 +344,10 @@
         )
         .await
         {
-            Some(it) if it.granted => return PermitDecision::Permit(it.wait),
-            Some(it) => return PermitDecision::Later(it.wait),
+            Some(it) if it.permit_granted => {
+                return PermitDecision::Permit(it.permit_wait);
+            }
+            Some(it) => return PermitDecision::Later(it.permit_wait),
             None => {
                 let until = Millis::now() + UNRESPONSIVE_OWNER_TTL;
                 entry.peers.borrow_mut().mark_owner_unresponsive(other, until);
@@ -366,11 +368,11 @@
     hops: u8,
 ) -> Option<PermitReply> {
     let id = rand::random();
-    let limit = entry.current_rate_limit(target, Millis::now());
+    let rate_limit = entry.current_rate_limit(target, Millis::now());
     let request = PermitRequest {
         request_id: id,
-        limit,
-        max_wait: max_permit_wait,
+        rate_limit,
+        max_permit_wait: max_permit_wait,
         forwards_left: hops,
     };
     let (sender, reply) = oneshot::channel();
@@ -388,24 +390,31 @@
     request: PermitRequest,
     from: SocketAddr,
 ) {
-    entry.merge_rate_limit(&request.limit, Millis::now());
+    entry.merge_rate_limit(&request.rate_limit, Millis::now());
     let entry = entry.clone();
     let hops = request.forwards_left.min(MAX_PERMIT_REQUEST_FORWARDS - 1);
     tokio::task::spawn_local(async move {
-        let target = entry.fleet.borrow().get(&request.limit.target).cloned();
-        let same = target
-            .filter(|it| it.start.0 == request.limit.target_start_unix_ms);
-        let (verdict, limit) = match same {
+        let target =
+            entry.fleet.borrow().get(&request.rate_limit.target).cloned();
+        let same = target.filter(|it| {
+            it.start.0 == request.rate_limit.target_start_unix_ms
+        });
+        let (verdict, rate_limit) = match same {
             Some(target) => {
-                let verdict =
-                    decide_permit(&entry, &target, request.max_wait, hops)
-                        .await;
+                let verdict = decide_permit(
+                    &entry,
+                    &target,
+                    request.max_permit_wait,
+                    hops,
+                )
+                .await;
                 (verdict, entry.current_rate_limit(&target, Millis::now()))
             }
             // The target's announcement has not arrived here yet.
-            None => {
-                (PermitDecision::Later(PERMIT_RETRY_BACKOFF), request.limit)
-            }
+            None => (
+                PermitDecision::Later(PERMIT_RETRY_BACKOFF),
+                request.rate_limit,
+            ),
         };
         let (given, after) = match verdict {
             PermitDecision::Permit(after) => (true, after),
@@ -413,9 +422,9 @@
         };
         let reply = PermitReply {
             request_id: request.request_id,
-            limit,
-            granted: given,
-            wait: after,
+            rate_limit,
+            permit_granted: given,
+            permit_wait: after,
         };
         entry.send_permit_message(Datagram::PermitReply(reply), from).await;
     });
@@ -434,9 +443,10 @@
         let sent = attempt.sent_at().unwrap_or(now);
         let bytes = named.map(HeaderValue::as_bytes);
         let mut endpoint = choice.endpoint.borrow_mut();
-        let observed = endpoint.rate_limit.observe_header(bytes, sent, now);
+        let observed =
+            endpoint.rate_limit.observe_limit_header(bytes, sent, now);
         drop(endpoint);
-        if observed.newly_invalid {
+        if observed.limit_became_invalid {
             warn!(self.log, "limit_refused"; "target" => &*choice.target.id,
                 "limit" => ?named);
         }
@@ -456,18 +466,19 @@
 
     fn merge_rate_limit(&self, limit: &RateLimit, now: Millis) {
         let start = self.fleet.borrow().get(&limit.target).map(|it| it.start);
-        if start != Some(StartTime(limit.target_start_unix_ms)) {
+        if start != Some(ProcessStartUnixMs(limit.target_start_unix_ms)) {
             self.limits.borrow_mut().store_early_limit(limit, now);
             return;
         }
-        let rate = limit.requests_per_second.and_then(Rate::new);
+        let rate = limit.requests_per_second.and_then(RequestRate::new);
         if rate.is_none() != limit.requests_per_second.is_none() {
             return;
         }
-        let report = LimitReport { rate, age: limit.in_force_for };
+        let report =
+            LimitReport { rate, rate_limit_age: limit.rate_limit_age };
         let endpoint = self.endpoint_or_insert(&limit.target);
         let change =
-            endpoint.borrow_mut().rate_limit.merge_report(report, now);
+            endpoint.borrow_mut().rate_limit.merge_limit_report(report, now);
         self.handle_limit_change(&limit.target, change, ChangeSource::Peer);
     }
 
@@ -476,9 +487,9 @@
     pub fn apply_early_limit(&self, target: &str, now: Millis) {
         let early = self.limits.borrow_mut().early_limits.remove(target);
         if let Some((limit, heard)) = early {
-            let age = limit.in_force_for + now.since(heard);
+            let age = limit.rate_limit_age + now.since(heard);
             self.merge_rate_limit(
-                &RateLimit { in_force_for: age, ..limit },
+                &RateLimit { rate_limit_age: age, ..limit },
                 now,
             );
         }
@@ -501,7 +512,7 @@
         }
         drop(endpoint);
         info!(self.log, "limit"; "target" => &**target,
-            "a_second" => rate.map(Rate::per_second), "change" => ?change,
+            "a_second" => rate.map(RequestRate::requests_per_second), "change" => ?change,
             "source" => ?source);
         if change == LimitChange::Loosened {
             self.notify_target_change();
@@ -526,9 +537,9 @@
         let to_update = |target: &Target| {
             let endpoint = self.existing_endpoint(&target.id)?;
             let limit = endpoint.borrow().rate_limit;
-            let report = limit.report(now)?;
+            let report = limit.limit_report(now)?;
             let is_recent =
-                now.since(limit.changed_at()) < LIMIT_BROADCAST_TTL;
+                now.since(limit.limit_changed_at()) < LIMIT_BROADCAST_TTL;
             let is_included = match scope {
                 DigestScope::Changed => is_recent,
                 DigestScope::All => is_recent || report.rate.is_some(),
@@ -559,8 +570,9 @@
             .endpoint_or_insert(&target.id)
             .borrow()
             .rate_limit
-            .report(now);
-        let never = LimitReport { rate: None, age: Millis(u64::MAX) };
+            .limit_report(now);
+        let never =
+            LimitReport { rate: None, rate_limit_age: Millis(u64::MAX) };
         encode_limit(target, report.unwrap_or(never))
     }
 
@@ -568,7 +580,7 @@
     fn decide_permit_as_owner(
         &self,
         target: &Target,
-        owner: LimitOwner<SocketAddr>,
+        owner: RateLimiterOwner<SocketAddr>,
         max_permit_wait: Millis,
         now: Millis,
     ) -> PermitDecision {
@@ -576,25 +588,27 @@
             .endpoint_or_insert(&target.id)
             .borrow()
             .rate_limit
-            .report(now);
-        let Some(LimitReport { rate: Some(rate), age }) = report else {
+            .limit_report(now);
+        let Some(LimitReport { rate: Some(rate), rate_limit_age }) = report
+        else {
             return PermitDecision::Permit(Millis(0));
         };
         let share = self.peers.borrow().reachable_entry_fraction(now);
-        let new = (target.start, limit::Limiter::new(rate, age, now));
+        let new =
+            (target.start, limit::Limiter::new(rate, rate_limit_age, now));
         let mut limits = self.limits.borrow_mut();
         let kept = limits.limiters.entry(target.id.clone()).or_insert(new);
-        let stands_in = owner == LimitOwner::Substitute;
+        let stands_in = owner == RateLimiterOwner::Substitute;
         let stale = stands_in && kept.1.is_stale(share, now);
         if kept.0 != target.start || stale {
             *kept = new;
         }
-        kept.1.acquire(rate, share, max_permit_wait, now)
+        kept.1.grant_permit(rate, share, max_permit_wait, now)
     }
 
     /// Passes a permit reply to the task that awaits it.
     pub fn deliver_permit_reply(&self, reply: PermitReply) {
-        self.merge_rate_limit(&reply.limit, Millis::now());
+        self.merge_rate_limit(&reply.rate_limit, Millis::now());
         let pending_request = self
             .limits
             .borrow_mut()
@@ -622,7 +636,7 @@
     RateLimit {
         target: target.id.clone(),
         target_start_unix_ms: target.start.0,
-        requests_per_second: report.rate.map(Rate::per_second),
-        in_force_for: report.age,
+        requests_per_second: report.rate.map(RequestRate::requests_per_second),
+        rate_limit_age: report.rate_limit_age,
     }
 }
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -14,11 +14,14 @@
     Name,
     clock::Millis,
     gossip::{self, Datagram, GossipDigest},
-    position::Position,
+    position::LogPosition,
 };
 use cowsliproad_routing::{
-    fleet::{GossipedDeparture, StartTime, Target},
-    owner::{self, LimitOwner, Liveness, OwnerCandidate},
+    fleet::{GossipedDeparture, ProcessStartUnixMs, Target},
+    owner::{
+        self, EntryProcessLiveness, RateLimiterOwner,
+        RateLimiterOwnerCandidate,
+    },
 };
 use rand::seq::IteratorRandom;
 use slog::{info, warn};
@@ -127,20 +130,21 @@
         digest: &GossipDigest,
         now: Millis,
     ) -> bool {
-        self.newest_config =
-            self.newest_config.max((digest.config_version, digest.address));
-        let known = self.known_peers.get(&digest.address);
+        self.newest_config = self
+            .newest_config
+            .max((digest.config_version, digest.sender_address));
+        let known = self.known_peers.get(&digest.sender_address);
         let peer = Peer {
-            vm: digest.vm.clone(),
-            zone: digest.zone.clone(),
+            vm: digest.sender_vm.clone(),
+            zone: digest.sender_zone.clone(),
             last_digest_at: now,
             unresponsive_until: known
                 .map_or(Millis(0), |it| it.unresponsive_until),
         };
         // A VM that was replaced has a new address.
         self.known_peers
-            .retain(|at, it| it.vm != peer.vm || *at == digest.address);
-        self.known_peers.insert(digest.address, peer).is_none()
+            .retain(|at, it| it.vm != peer.vm || *at == digest.sender_address);
+        self.known_peers.insert(digest.sender_address, peer).is_none()
     }
 
     /// The entry process that owns the rate limiter of a target; it may be
@@ -150,20 +154,24 @@
         target: &Target,
         own_zone: &Name,
         now: Millis,
-    ) -> LimitOwner<SocketAddr> {
+    ) -> RateLimiterOwner<SocketAddr> {
         let silence = self.peer_silence_timeout();
-        let own = OwnerCandidate {
+        let own = RateLimiterOwnerCandidate {
             address: self.own_address,
             zone: own_zone,
-            liveness: Liveness::Responsive,
+            liveness: EntryProcessLiveness::Responsive,
         };
         let others = self.known_peers.iter().map(|(address, peer)| {
             let silent = now.since(peer.last_digest_at) >= silence;
             let liveness = match silent || peer.unresponsive_until > now {
-                true => Liveness::Unresponsive,
-                false => Liveness::Responsive,
+                true => EntryProcessLiveness::Unresponsive,
+                false => EntryProcessLiveness::Responsive,
             };
-            OwnerCandidate { address: *address, zone: &peer.zone, liveness }
+            RateLimiterOwnerCandidate {
+                address: *address,
+                zone: &peer.zone,
+                liveness,
+            }
         });
         owner::choose_limiter_owner(target, own, others)
     }
@@ -204,7 +212,10 @@
     }
 
     fn peer_silence_timeout(&self) -> Millis {
-        owner::silence_timeout(self.known_peers.len(), MAX_DIGEST_RECIPIENTS)
+        owner::digest_silence_timeout(
+            self.known_peers.len(),
+            MAX_DIGEST_RECIPIENTS,
+        )
     }
 
     /// Returns the addresses of entry processes in another one's digest that
@@ -258,7 +269,7 @@
         // Expired cooldowns are kept a while, since some requests avoid a
         // target beyond the end of its cooldown.
         let over = now - MAX_COOLDOWN_STAGGER - COOLDOWN_PROBE_PERIOD;
-        entry.cooldowns.borrow_mut().remove_expired(over);
+        entry.cooldowns.borrow_mut().remove_expired_cooldowns(over);
         entry.metrics.set_cooling_targets(
             entry.cooldowns.borrow().active_cooldown_count(now),
         );
@@ -289,39 +300,39 @@
             .departure_window_after_rollback(now)
             .unwrap_or(DEPARTURE_BROADCAST_TTL);
     let fleet = entry.fleet.borrow();
-    let (suspects, retracted) =
+    let (suspected_requests, retracted) =
         entry.quarantine.borrow().suspects_for_digest(scope, now);
-    let (mut left, mut withdrawn) = (Vec::new(), Vec::new());
-    for (id, departure) in fleet.departures_since(since) {
+    let (mut left, mut withdrawn_targets) = (Vec::new(), Vec::new());
+    for (id, departure) in fleet.target_departures_since(since) {
         match departure {
             GossipedDeparture::Announced(start) => {
                 left.push((id.clone(), start.0))
             }
             GossipedDeparture::Withdrawn(start, last) => {
-                withdrawn.push((id.clone(), start.0, last));
+                withdrawn_targets.push((id.clone(), start.0, last));
             }
         }
     }
     GossipDigest {
-        vm: entry.settings().vm.clone(),
-        address: entry.settings().own_peer_address(),
+        sender_vm: entry.settings().vm.clone(),
+        sender_address: entry.settings().own_peer_address(),
         config_version: entry.catalog_version(),
         log_era: entry.rollbacks.newest_era(),
         targets_read_age_ms: now
-            .since(entry.log_read_schedule.borrow().last_read_at())
+            .since(entry.log_read_schedule.borrow().last_log_read_at())
             .0,
-        last_change_offset: entry
+        last_target_change_offset: entry
             .log_read_schedule
             .borrow()
-            .last_change_position()
+            .last_target_change_log_position()
             .offset,
-        departed: left,
-        withdrawn,
+        departed_targets: left,
+        withdrawn_targets,
         peers: entry.peers.borrow().known_peers.keys().copied().collect(),
-        zone: entry.settings().zone.clone(),
-        suspects,
-        retracted_crashes: retracted,
-        limits: entry.limits_for_digest(scope, now),
+        sender_zone: entry.settings().zone.clone(),
+        suspected_requests,
+        retracted_crash_ids: retracted,
+        rate_limits: entry.limits_for_digest(scope, now),
     }
 }
 
@@ -352,9 +363,13 @@
             }
             Some(Datagram::Load(load)) => {
                 agents::apply_engine_load(&entry, &load);
-                if load.list_id == 0 {
-                    agents::send_target_list(&entry, &socket, load.target)
-                        .await;
+                if load.target_list_id == 0 {
+                    agents::send_target_list(
+                        &entry,
+                        &socket,
+                        load.engine_address,
+                    )
+                    .await;
                 }
             }
             Some(Datagram::EngineExit(lost)) => {
@@ -378,29 +393,32 @@
 ) {
     let now = Millis::now();
     entry.observe_log_era(received_digest.log_era, ChangeSource::Peer);
-    let left = received_digest.departed.iter();
-    let left =
-        left.map(|it| (&it.0, GossipedDeparture::Announced(StartTime(it.1))));
-    let withdrawn = received_digest.withdrawn.iter();
+    let left = received_digest.departed_targets.iter();
+    let left = left.map(|it| {
+        (&it.0, GossipedDeparture::Announced(ProcessStartUnixMs(it.1)))
+    });
+    let withdrawn = received_digest.withdrawn_targets.iter();
     let withdrawn = withdrawn.map(|it| {
-        (&it.0, GossipedDeparture::Withdrawn(StartTime(it.1), it.2))
+        (&it.0, GossipedDeparture::Withdrawn(ProcessStartUnixMs(it.1), it.2))
     });
     for (id, departure) in left.chain(withdrawn) {
-        let change =
-            entry.fleet.borrow_mut().merge_departure(id, departure, now);
+        let change = entry
+            .fleet
+            .borrow_mut()
+            .merge_gossiped_departure(id, departure, now);
         entry.apply_target_change(id, change, ChangeSource::Peer);
     }
-    entry.record_zone_contact(&received_digest.zone, now);
+    entry.record_zone_contact(&received_digest.sender_zone, now);
     entry.merge_peer_suspects(
-        &received_digest.suspects,
-        &received_digest.retracted_crashes,
+        &received_digest.suspected_requests,
+        &received_digest.retracted_crash_ids,
         now,
     );
-    entry.merge_peer_limits(&received_digest.limits, now);
+    entry.merge_peer_limits(&received_digest.rate_limits, now);
     let at = now - Millis(received_digest.targets_read_age_ms);
-    let changed = Position::new(
+    let changed = LogPosition::new(
         received_digest.log_era,
-        received_digest.last_change_offset,
+        received_digest.last_target_change_offset,
     );
     entry.merge_peer_targets_read(at, changed, now);
     let (is_new, others) = {
@@ -412,8 +430,8 @@
     };
     entry.digest_received.notify_waiters();
     if is_new {
-        info!(entry.log, "peer_met"; "peer" => &*received_digest.vm,
-            "address" => %received_digest.address);
+        info!(entry.log, "peer_met"; "peer" => &*received_digest.sender_vm,
+            "address" => %received_digest.sender_address);
     }
     // An entry process that starts waits for a digest of every seed.
     let starts =
@@ -424,7 +442,8 @@
             DigestScope::All,
             now,
         )));
-        for other in others.into_iter().chain([received_digest.address]) {
+        for other in others.into_iter().chain([received_digest.sender_address])
+        {
             send_datagram(entry, socket, &own, other).await;
         }
     }
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -9,12 +9,12 @@
 
 use cowsliproad_kernel::{
     clock::Millis,
-    gossip::{self, EngineExit, EngineLoad, Subscribe},
-    position::Era,
+    gossip::{self, EngineExit, EngineLoad, LoadSubscription},
+    position::LogEra,
 };
 use cowsliproad_routing::{
     catalog::{ExpertLayout, Service},
-    fleet::{StartTime, Target},
+    fleet::{ProcessStartUnixMs, Target},
 };
 use slog::info;
 use tokio::net::UdpSocket;
@@ -31,8 +31,8 @@
 pub(super) async fn request_agent_reports(entry: &Entry, socket: &UdpSocket) {
     for full in build_agent_subscriptions(entry) {
         let without_targets =
-            Subscribe { targets: Vec::new(), ..full.clone() };
-        let (list, targets) = (full.list_id, full.targets.clone());
+            LoadSubscription { targets: Vec::new(), ..full.clone() };
+        let (list, targets) = (full.target_list_id, full.targets.clone());
         let (full, without_targets) =
             (gossip::encode(&full), gossip::encode(&without_targets));
         for target in targets {
@@ -67,7 +67,7 @@
 
 /// Builds the subscriptions that ask agents to report, one for each service
 /// that runs model engines.
-fn build_agent_subscriptions(entry: &Entry) -> Vec<Subscribe> {
+fn build_agent_subscriptions(entry: &Entry) -> Vec<LoadSubscription> {
     let Some(catalog) = entry.catalog() else { return Vec::new() };
     let fleet = entry.fleet.borrow();
     let subscription = |service: &Service| {
@@ -87,15 +87,16 @@
 fn build_agent_subscription(
     engine: &ExpertLayout,
     targets: &[SocketAddr],
-    era: Era,
-) -> Subscribe {
-    Subscribe {
-        list_id: gossip::target_list_id(targets),
+    era: LogEra,
+) -> LoadSubscription {
+    LoadSubscription {
+        target_list_id: gossip::target_list_id(targets),
         targets: targets.to_vec(),
-        layer_sets: engine.layer_sets as u16,
-        experts_per_set: engine.experts_per_layer_set as u16,
-        slots_per_set: engine.experts_per_rank as u16,
-        max_new_experts_per_set: engine.max_added_experts_per_map as u16,
+        layer_sets: engine.layer_set_count as u16,
+        experts_per_layer_set: engine.experts_per_layer_set as u16,
+        expert_slots_per_layer_set: engine.experts_per_rank as u16,
+        max_new_experts_per_layer_set: engine.max_added_experts_per_expert_map
+            as u16,
         expert_copy_ms: engine.expert_copy_time.0,
         log_era: era,
     }
@@ -103,20 +104,27 @@
 
 /// Applies an agent's report on the load and the group of its model engine.
 pub(super) fn apply_engine_load(entry: &Entry, load: &EngineLoad) {
-    entry.agent_target_list_ids.borrow_mut().insert(load.target, load.list_id);
+    entry
+        .agent_target_list_ids
+        .borrow_mut()
+        .insert(load.engine_address, load.target_list_id);
     let now = Millis::now();
-    let Some(target) =
-        target_at_address(entry, load.target, load.start_unix_ms)
-    else {
+    let Some(target) = target_at_address(
+        entry,
+        load.engine_address,
+        load.engine_start_unix_ms,
+    ) else {
         return;
     };
     entry.record_zone_contact(&target.zone, now);
     entry.retract_crash_on_agent_report(
         &target,
-        StartTime(load.start_unix_ms),
+        ProcessStartUnixMs(load.engine_start_unix_ms),
         now,
     );
-    if load.leaving && target.start == StartTime(load.start_unix_ms) {
+    if load.draining
+        && target.start == ProcessStartUnixMs(load.engine_start_unix_ms)
+    {
         info!(entry.log, "target_leaving"; "target" => &*target.id,
             "source" => ?ChangeSource::Peer);
         return entry.mark_target_left(&target);
@@ -132,17 +140,18 @@
         )
     };
     let before = endpoint.group.as_ref().map(visible_state);
-    endpoint
-        .request_stats
-        .record_load_report(load.running.saturating_add(load.queued), now);
+    endpoint.request_stats.record_load_report(
+        load.running_requests.saturating_add(load.queued_requests),
+        now,
+    );
     endpoint.last_seen_alive = Some(now);
     endpoint.exit_reported_at = None;
     let group = GroupReport {
-        group_name: load.group.clone(),
+        group_name: load.group_name.clone(),
         formation_epoch: load.group_epoch,
         accepts_requests: load.group_accepts_requests,
-        last_forward_pass: load.forward_pass,
-        service_time_percent: load.pace_percent,
+        last_forward_pass: load.last_forward_pass,
+        service_time_percent: load.service_time_percent,
         reported_at: now,
     };
     let after = visible_state(&group);
@@ -163,7 +172,7 @@
         info!(entry.log, "group"; "target" => &*id,
             "epoch" => load.group_epoch,
             "open" => load.group_accepts_requests,
-            "step" => load.forward_pass, "pace" => load.pace_percent);
+            "step" => load.last_forward_pass, "pace" => load.service_time_percent);
         entry.notify_target_change();
     }
 }
@@ -173,8 +182,8 @@
     let now = Millis::now();
     let Some(target) = target_at_address(
         entry,
-        engine_exit.target,
-        engine_exit.start_unix_ms,
+        engine_exit.engine_address,
+        engine_exit.engine_start_unix_ms,
     ) else {
         return;
     };
--- a/cowsliproad-direct/src/peers/state.rs
+++ b/cowsliproad-direct/src/peers/state.rs
@@ -69,7 +69,7 @@
     }
     let (newest, ahead) = entry.peers.borrow().newest_config;
     let ahead = (newest > received_digest.config_version).then_some(ahead);
-    for address in ahead.into_iter().chain([received_digest.address]) {
+    for address in ahead.into_iter().chain([received_digest.sender_address]) {
         if let Some(state) = fetch_peer_state(entry, address).await {
             return apply_peer_state(entry, state);
         }
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -25,10 +25,10 @@
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    gossip::{self, Suspect, Suspects},
+    gossip::{self, SuspectedRequest, SuspectedRequests},
 };
 use cowsliproad_platform::log::{self, Client, Record};
-use cowsliproad_routing::fleet::{StartTime, Target};
+use cowsliproad_routing::fleet::{ProcessStartUnixMs, Target};
 use serde::{Deserialize, Serialize};
 use slog::{info, warn};
 use tokio::{sync::Notify, time::timeout};
@@ -133,7 +133,7 @@
 #[derive(Debug, Deserialize, Serialize)]
 struct SuspectLogRecord {
     #[serde(rename = "s")]
-    suspect: Suspect,
+    suspect: SuspectedRequest,
     /// When the record was written, as a Unix time in milliseconds.
     #[serde(rename = "t")]
     written_at: u64,
@@ -165,12 +165,17 @@
         &self,
         scope: DigestScope,
         now: Millis,
-    ) -> (Suspects, Vec<u64>) {
+    ) -> (SuspectedRequests, Vec<u64>) {
         let suspects = match scope {
-            DigestScope::Changed => self.ledger.updates(now),
-            DigestScope::All => self.ledger.updates_and_suspensions(now),
+            DigestScope::Changed => self.ledger.broadcast_suspects(now),
+            DigestScope::All => {
+                self.ledger.broadcast_and_suspended_suspects(now)
+            }
         };
-        (Suspects::pack(suspects), self.ledger.recent_retractions(now))
+        (
+            SuspectedRequests::pack(suspects),
+            self.ledger.recently_retracted_crash_ids(now),
+        )
     }
 
     fn queue_record_write_if_observed(&mut self, work: WorkDigest) {
@@ -189,18 +194,18 @@
             return;
         }
         self.last_eviction = now;
-        for work in self.ledger.evict_expired(now) {
+        for work in self.ledger.evict_expired_cases(now) {
             if self.written_work.remove(&work) {
                 self.pending_writes.insert(work);
                 self.write_wakeup.notify_one();
             }
         }
         let ledger = &self.ledger;
-        self.observed_work.retain(|it| ledger.has_case(*it));
-        self.written_work.retain(|it| ledger.has_case(*it));
-        self.lost_records.retain(|it, _| ledger.has_case(*it));
+        self.observed_work.retain(|it| ledger.has_quarantine_case(*it));
+        self.written_work.retain(|it| ledger.has_quarantine_case(*it));
+        self.lost_records.retain(|it, _| ledger.has_quarantine_case(*it));
         self.watched_crashes
-            .retain(|crash_id, _| ledger.counts_crash(*crash_id));
+            .retain(|crash_id, _| ledger.is_crash_counted(*crash_id));
     }
 
     /// The digest of the request whose record is to be written to the log now;
@@ -222,9 +227,13 @@
     }
 
     /// Cancels the rewrite of a lost record that the log holds again.
-    fn cancel_rewrite_if_stored(&mut self, kept: &Suspect, now: Millis) {
-        let work = WorkDigest(kept.work_digest);
-        if let Some(own) = self.ledger.suspect(work, now)
+    fn cancel_rewrite_if_stored(
+        &mut self,
+        kept: &SuspectedRequest,
+        now: Millis,
+    ) {
+        let work = WorkDigest(kept.request_hash);
+        if let Some(own) = self.ledger.export_suspect(work, now)
             && record_covers_ledger(kept, &own)
         {
             self.lost_records.remove(&work);
@@ -268,7 +277,7 @@
         quarantine.observed_work.insert(work);
         let change = quarantine.ledger.record_crash(work, crash_id, now);
         let suspended = match extent {
-            CrashExtent::Group => quarantine.ledger.suspend(work, now),
+            CrashExtent::Group => quarantine.ledger.suspend_request(work, now),
             CrashExtent::Target => QuarantineChange::None,
         };
         drop(quarantine);
@@ -279,7 +288,7 @@
     /// Records that a target survived a request with this work digest.
     pub fn record_survived_work(&self, work: WorkDigest, now: Millis) {
         let mut quarantine = self.quarantine.borrow_mut();
-        let change = quarantine.ledger.record_survival(work, now);
+        let change = quarantine.ledger.record_survived_request(work, now);
         if change != QuarantineChange::None {
             // The log's record must state the survival too.
             quarantine.observed_work.insert(work);
@@ -315,10 +324,10 @@
     pub fn retract_crash_on_agent_report(
         &self,
         target: &Target,
-        start: StartTime,
+        start: ProcessStartUnixMs,
         now: Millis,
     ) {
-        if start != target.start || start == StartTime::default() {
+        if start != target.start || start == ProcessStartUnixMs::default() {
             return;
         }
         let mut quarantine = self.quarantine.borrow_mut();
@@ -361,10 +370,10 @@
         source: ChangeSource,
     ) {
         let mut quarantine = self.quarantine.borrow_mut();
-        if quarantine.ledger.is_retracted(crash_id) {
+        if quarantine.ledger.is_crash_retracted(crash_id) {
             return;
         }
-        let was_counted = quarantine.ledger.counts_crash(crash_id);
+        let was_counted = quarantine.ledger.is_crash_counted(crash_id);
         let freed = quarantine.ledger.retract_crash(crash_id, now);
         quarantine.watched_crashes.remove(&crash_id);
         drop(quarantine);
@@ -388,7 +397,7 @@
     /// digest.
     pub fn merge_peer_suspects(
         &self,
-        suspects: &Suspects,
+        suspects: &SuspectedRequests,
         retracted_crashes: &[u64],
         now: Millis,
     ) {
@@ -402,22 +411,22 @@
 
     fn merge_suspect(
         &self,
-        suspect: &Suspect,
+        suspect: &SuspectedRequest,
         now: Millis,
         source: ChangeSource,
     ) -> QuarantineChange {
         let mut quarantine = self.quarantine.borrow_mut();
-        let change = quarantine.ledger.merge(suspect, now);
-        for crash_id in suspect.crashes.iter().map(|it| CrashId(*it)) {
+        let change = quarantine.ledger.merge_remote_suspect(suspect, now);
+        for crash_id in suspect.crash_ids.iter().map(|it| CrashId(*it)) {
             if change != QuarantineChange::None
-                && !quarantine.ledger.is_retracted(crash_id)
+                && !quarantine.ledger.is_crash_retracted(crash_id)
             {
                 quarantine.watch_crash(crash_id, now);
             }
         }
         drop(quarantine);
         self.handle_quarantine_change(
-            WorkDigest(suspect.work_digest),
+            WorkDigest(suspect.request_hash),
             change,
             source,
         );
@@ -529,15 +538,17 @@
         // written: not every arrival is written to the log.
         Some(refused) => {
             *refused = *refused + age;
-            suspect.since_last_seen = Millis(0);
+            suspect.since_last_received = Millis(0);
+        }
+        None => {
+            suspect.since_last_received = suspect.since_last_received + age
         }
-        None => suspect.since_last_seen = suspect.since_last_seen + age,
     }
     let change = entry.merge_suspect(&suspect, now, ChangeSource::Log);
-    let work = WorkDigest(suspect.work_digest);
+    let work = WorkDigest(suspect.request_hash);
     let mut quarantine = entry.quarantine.borrow_mut();
     quarantine.cancel_rewrite_if_stored(&suspect, now);
-    if quarantine.ledger.suspect(work, now).is_none() {
+    if quarantine.ledger.export_suspect(work, now).is_none() {
         // The record has expired, and the entry process that wrote it may be
         // gone.
         quarantine.pending_writes.insert(work);
@@ -549,17 +560,17 @@
 /// Schedules rewrites of quarantine records that the log has lost.
 fn schedule_record_rewrites(entry: &Entry, kept: &[SuspectLogRecord]) {
     let now = Millis::now();
-    let kept = kept.iter().map(|it| (it.suspect.work_digest, &it.suspect));
-    let kept: HashMap<u64, &Suspect> = kept.collect();
+    let kept = kept.iter().map(|it| (it.suspect.request_hash, &it.suspect));
+    let kept: HashMap<u64, &SuspectedRequest> = kept.collect();
     let entries = entry.peers.borrow().entry_process_count() as u64;
     let others = Millis(REWRITE_DELAY_PER_PEER.0 * entries);
     let others = others.min(MAX_PEER_REWRITE_DELAY);
-    let known = entry.quarantine.borrow().ledger.snapshot(now);
+    let known = entry.quarantine.borrow().ledger.snapshot_suspects(now);
     let known = known
         .into_iter()
-        .filter(|it| it.crashes.len() >= MIN_CRASHES_FOR_LOG_RECORD);
+        .filter(|it| it.crash_ids.len() >= MIN_CRASHES_FOR_LOG_RECORD);
     for suspect in known {
-        let work = WorkDigest(suspect.work_digest);
+        let work = WorkDigest(suspect.request_hash);
         if kept
             .get(&work.0)
             .is_some_and(|it| record_covers_ledger(it, &suspect))
@@ -581,16 +592,19 @@
 
 /// Whether the log's record of a request includes everything in this entry
 /// process's ledger.
-fn record_covers_ledger(kept: &Suspect, own: &Suspect) -> bool {
+fn record_covers_ledger(
+    kept: &SuspectedRequest,
+    own: &SuspectedRequest,
+) -> bool {
     let tells = |it: &u64| {
-        kept.crashes.contains(it) || kept.excused_crashes.contains(it)
+        kept.crash_ids.contains(it) || kept.excused_crash_ids.contains(it)
     };
-    own.crashes.iter().all(tells)
+    own.crash_ids.iter().all(tells)
         && own
-            .excused_crashes
+            .excused_crash_ids
             .iter()
-            .all(|it| kept.excused_crashes.contains(it))
-        && kept.survived >= own.survived
+            .all(|it| kept.excused_crash_ids.contains(it))
+        && kept.survived_by_target >= own.survived_by_target
         && kept.rejected_for.is_some() >= own.rejected_for.is_some()
 }
 
@@ -641,10 +655,11 @@
 /// is to be deleted.
 fn encode_suspect_record(entry: &Entry, work: WorkDigest) -> Vec<u8> {
     let suspect =
-        entry.quarantine.borrow().ledger.suspect(work, Millis::now());
+        entry.quarantine.borrow().ledger.export_suspect(work, Millis::now());
     // The record states no suspension, which ends before other entry processes
     // read the record.
-    let suspect = suspect.map(|it| Suspect { suspended_for: None, ..it });
+    let suspect =
+        suspect.map(|it| SuspectedRequest { suspension_left: None, ..it });
     let kept = suspect.map(|suspect| SuspectLogRecord {
         suspect,
         written_at: unix_now_ms(),
--- a/cowsliproad-direct/src/receive.rs
+++ b/cowsliproad-direct/src/receive.rs
@@ -2,11 +2,11 @@
 
 use std::rc::Rc;
 
-use cowsliproad_admission::{patience::CallerTry, quarantine::WorkDigest};
+use cowsliproad_admission::{patience::CallerAttempt, quarantine::WorkDigest};
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_platform::header;
 use cowsliproad_routing::catalog::{
-    Catalog, Organisation, RouteError, RouteMatch,
+    Organisation, RouteError, RouteMatch, RoutingCatalog,
 };
 use http::{
     HeaderMap, HeaderName, HeaderValue, Response, StatusCode,
@@ -112,7 +112,10 @@
     };
     let usual_caller_timeout = entry
         .update_longest_caller_timeout(&destination.route.name, time_left);
-    let caller_try = CallerTry::new(time_left, usual_caller_timeout);
+    let caller_try = CallerAttempt::classify_by_time_to_deadline(
+        time_left,
+        usual_caller_timeout,
+    );
     let times =
         RequestTimes { arrived, deadline: arrived + timeout_left, caller_try };
     head.headers = target_headers;
@@ -120,7 +123,7 @@
 }
 
 fn find_route(
-    catalog: &Catalog,
+    catalog: &RoutingCatalog,
     head: &request::Parts,
 ) -> Result<RouteMatch, RouteError> {
     let text = |name: HeaderName| {
--- a/cowsliproad-direct/src/rollback.rs
+++ b/cowsliproad-direct/src/rollback.rs
@@ -24,7 +24,7 @@
     collections::BTreeSet,
 };
 
-use cowsliproad_kernel::{clock::Millis, position::Era};
+use cowsliproad_kernel::{clock::Millis, position::LogEra};
 use cowsliproad_platform::log::{
     CONFIG_TOPIC, QUARANTINE_TOPIC, TARGETS_TOPIC,
 };
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub struct LogRollbacks {
     /// The newest known era of the log, which raises its era at each rollback.
-    era: watch::Sender<Era>,
+    era: watch::Sender<LogEra>,
     /// Whether anything was read from the log, so that a later era means a
     /// rollback.
     has_read_log: Cell<bool>,
@@ -72,19 +72,19 @@
     /// Creates the state before any rollback.
     pub fn new() -> LogRollbacks {
         LogRollbacks {
-            era: watch::Sender::new(Era::default()),
+            era: watch::Sender::new(LogEra::default()),
             has_read_log: Cell::new(false),
             last_rollback: RefCell::new(None),
         }
     }
 
     /// The newest known era of the log, which raises its era at each rollback.
-    pub fn newest_era(&self) -> Era {
+    pub fn newest_era(&self) -> LogEra {
         *self.era.borrow()
     }
 
     /// Waits until the log is in a newer era than `era`.
-    pub async fn wait_for_era_after(&self, era: Era) {
+    pub async fn wait_for_era_after(&self, era: LogEra) {
         let mut newest = self.era.subscribe();
         // The sender exists as long as the entry process.
         let _ = newest.wait_for(|it| *it > era).await;
@@ -113,13 +113,13 @@
 impl Entry {
     /// Records the log's era. Once anything was read from the log, a newer era
     /// means that the log was rolled back.
-    pub fn observe_log_era(&self, era: Era, source: ChangeSource) {
+    pub fn observe_log_era(&self, era: LogEra, source: ChangeSource) {
         let before = self.rollbacks.newest_era();
         if era <= before {
             return;
         }
         self.rollbacks.era.send_replace(era);
-        self.log_read_schedule.borrow_mut().enter_era(era);
+        self.log_read_schedule.borrow_mut().enter_log_era(era);
         if !self.rollbacks.has_read_log.get() {
             return;
         }
@@ -127,7 +127,7 @@
         info!(self.log, "log_rolled_back"; "era" => era.0,
             "before" => before.0, "source" => ?source);
         self.metrics.record_log_rollback();
-        self.fleet.borrow_mut().start_renewal_grace(now);
+        self.fleet.borrow_mut().start_record_renewal_grace(now);
         let unread_topics =
             BTreeSet::from([CONFIG_TOPIC, TARGETS_TOPIC, QUARANTINE_TOPIC]);
         *self.rollbacks.last_rollback.borrow_mut() =
--- a/cowsliproad-direct/src/stream.rs
+++ b/cowsliproad-direct/src/stream.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 use cowsliproad_kernel::clock::Millis;
-use cowsliproad_relay::events::{Event, EventSplitter};
+use cowsliproad_relay::events::{EventSplitter, ServerSentEvent};
 use http::{Response, header as standard, response};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -62,7 +62,7 @@
 
 /// The next item that a target's stream yields.
 enum NextEvent {
-    Event(Event),
+    Event(ServerSentEvent),
     Complete,
     Failed(AttemptError),
 }
@@ -115,7 +115,7 @@
 /// The first reply of a target that is passed on to the caller.
 enum FirstReply {
     /// A stream with its first event, if it has any.
-    Stream(response::Parts, Box<TargetStream>, Option<Event>),
+    Stream(response::Parts, Box<TargetStream>, Option<ServerSentEvent>),
     /// A response with a failure status, passed on unchanged.
     Whole(Response<Body>),
 }
@@ -366,7 +366,7 @@
     async fn relay_stream(
         mut self,
         mut target_stream: TargetStream,
-        first_event: Option<Event>,
+        first_event: Option<ServerSentEvent>,
         in_flight: InFlightRequestGuard,
     ) {
         let outcome = self.relay_events(&mut target_stream, first_event).await;
@@ -383,7 +383,7 @@
     async fn relay_events(
         &mut self,
         target_stream: &mut TargetStream,
-        first_event: Option<Event>,
+        first_event: Option<ServerSentEvent>,
     ) -> &'static str {
         if let Some(event) = first_event
             && !self.send_event_to_caller(event).await
@@ -463,7 +463,7 @@
 
     /// Sends an event to the caller unless it was sent before. Returns false
     /// if the caller left or the deadline passed.
-    async fn send_event_to_caller(&mut self, event: Event) -> bool {
+    async fn send_event_to_caller(&mut self, event: ServerSentEvent) -> bool {
         if event.id.is_some() && event.id <= self.last_event_id {
             return true;
         }
--- a/cowsliproad-placement/src/load.rs
+++ b/cowsliproad-placement/src/load.rs
@@ -10,7 +10,7 @@
 
 /// The number of intervals whose counts have to be recorded before a map is
 /// planned from them.
-const MIN_RECORDED_INTERVALS: u64 = 6;
+const MIN_INTERVALS_BEFORE_PLANNING: u64 = 6;
 
 /// The weight of a new token count in its moving average, for a count that
 /// differs too much from the average to be noise.
@@ -18,7 +18,7 @@
 
 /// The difference of a new token count from its average, in standard
 /// deviations, beyond which the count is a jump and not noise.
-const MIN_JUMP_DEVIATIONS: f64 = 5.0;
+const MIN_JUMP_IN_STANDARD_DEVIATIONS: f64 = 5.0;
 
 /// Token counts, indexed by layer and then by expert.
 pub type TokenCounts = Vec<Vec<f64>>;
@@ -50,7 +50,7 @@
         }
         for (old, new) in average.iter_mut().zip(counts) {
             for (old, new) in old.iter_mut().zip(new) {
-                *old += (new - *old) * new_count_weight(*old, *new);
+                *old += (new - *old) * weight_of_new_count(*old, *new);
             }
         }
     }
@@ -58,7 +58,7 @@
     /// Returns whether both moving averages contain enough intervals to tell
     /// noise from imbalance.
     pub fn has_enough_intervals(&self) -> bool {
-        self.recorded_intervals >= MIN_RECORDED_INTERVALS
+        self.recorded_intervals >= MIN_INTERVALS_BEFORE_PLANNING
     }
 
     /// Returns the moving average on which a plan is made: the average that
@@ -87,10 +87,12 @@
 /// Returns the weight of a new token count in its moving average. Counts vary
 /// like a Poisson variable. A jump far beyond that variation replaces the
 /// average almost completely: the callers' prompts have changed suddenly, for
-/// example because a menu changed.
-fn new_count_weight(average: f64, new_count: f64) -> f64 {
+/// example with a new prompt template.
+fn weight_of_new_count(average: f64, new_count: f64) -> f64 {
     let deviation = average.max(1.0).sqrt();
-    if (new_count - average).abs() > MIN_JUMP_DEVIATIONS * deviation {
+    if (new_count - average).abs()
+        > MIN_JUMP_IN_STANDARD_DEVIATIONS * deviation
+    {
         JUMPED_COUNT_WEIGHT
     } else {
         NOISY_COUNT_WEIGHT
--- a/cowsliproad-placement/src/plan.rs
+++ b/cowsliproad-placement/src/plan.rs
@@ -70,7 +70,8 @@
     }
 }
 
-/// A new expert map with its number of moves and its expected saving.
+/// A new expert map with its number of moves and the share of the step time
+/// that it is expected to save.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The new map.
@@ -78,14 +79,14 @@
     /// The number of copies of experts to be moved to other ranks.
     pub move_count: usize,
     /// The share of the step time that the new map is expected to save.
-    pub saving: f64,
+    pub saved_step_time_share: f64,
 }
 
 /// The cost of moving one copy of an expert, as a share of the mean layer
 /// time, if saved time and moved copies have equal weights. With the default
 /// interval, a saving of this size repays the move before the popularity of
 /// experts has drifted.
-const MOVE_COST: f64 = 0.002;
+const MOVE_COST_SHARE: f64 = 0.002;
 
 /// The maximum number of slow ranks for which a move is searched, one after
 /// the other.
@@ -93,7 +94,7 @@
 
 /// The minimum and maximum number of moves made to search for a better layer.
 /// Between these bounds, three moves are made for every two ranks.
-const MOVES_PER_LAYER_BOUNDS: (usize, usize) = (32, 400);
+const MIN_AND_MAX_LAYER_SEARCH_MOVES: (usize, usize) = (32, 400);
 
 /// The maximum number of fast ranks considered as receivers of an expert.
 const MAX_RECEIVING_RANKS: usize = 12;
@@ -112,10 +113,10 @@
     }
     let mean = loads.mean_counts();
     let total = present.step_time(&mean, speeds);
-    let move_cost = config.move_weight * MOVE_COST * total
-        / shape.layers as f64
+    let move_cost = config.move_weight * MOVE_COST_SHARE * total
+        / shape.layer_count as f64
         / config.skew_weight.max(f64::MIN_POSITIVE);
-    let mut changes: Vec<LayerChange> = (0..shape.layers)
+    let mut changes: Vec<LayerChange> = (0..shape.layer_count)
         .filter_map(|layer_index| {
             let (planning_loads, validation_loads) =
                 (loads.planning_average(), loads.validation_average());
@@ -143,7 +144,11 @@
         saving += change.saving;
         map.layers[change.layer_index] = change.layer;
     }
-    (move_count > 0).then(|| Plan { map, move_count, saving: saving / total })
+    (move_count > 0).then(|| Plan {
+        map,
+        move_count,
+        saved_step_time_share: saving / total,
+    })
 }
 
 /// A change of one layer that saves more than it costs.
@@ -175,15 +180,17 @@
     let mut layer = present.clone();
     let mut times = layer.rank_times(loads, speeds);
     let mut best: Option<(f64, LayerChange)> = None;
-    let max_layer_moves = (present.rank_count() * 3 / 2)
-        .clamp(MOVES_PER_LAYER_BOUNDS.0, MOVES_PER_LAYER_BOUNDS.1);
+    let max_layer_moves = (present.rank_count() * 3 / 2).clamp(
+        MIN_AND_MAX_LAYER_SEARCH_MOVES.0,
+        MIN_AND_MAX_LAYER_SEARCH_MOVES.1,
+    );
     for _ in 0..max_layer_moves {
         let Some(it) = find_move(&layer, &times, loads, speeds) else { break };
-        it.apply_to(&mut layer);
+        it.apply_to_layer(&mut layer);
         times = layer.rank_times(loads, speeds);
         let after = times.iter().copied().fold(0.0, f64::max);
         let saving = before - after;
-        let move_count = present.added_copies(&layer);
+        let move_count = present.count_added_copies(&layer);
         let value = saving - move_cost * move_count as f64;
         if value > best.as_ref().map_or(0.0, |it| it.0) {
             let layer = layer.clone();
@@ -217,7 +224,7 @@
 }
 
 impl ExpertMove {
-    fn apply_to(self, layer: &mut Layer) {
+    fn apply_to_layer(self, layer: &mut Layer) {
         match self {
             ExpertMove::Swap { from, expert, to, other } => {
                 layer.remove_copy(from, expert);
@@ -270,19 +277,19 @@
             if to == slow_rank || layer.holds(to, expert) {
                 continue;
             }
-            for candidate in state.moves_between(slow_rank, expert, to) {
-                let time = state.max_time_after(candidate);
+            for candidate in state.moves_between_ranks(slow_rank, expert, to) {
+                let time = state.max_rank_time_after_move(candidate);
                 let limit = best.as_ref().map_or(longest_time, |it| it.0);
-                if time < limit * REQUIRED_TIME_FACTOR {
+                if time < limit * MAX_TIME_RATIO_AFTER_MOVE {
                     best = Some((time, candidate));
                 }
             }
         }
     }
     for candidate in state.replacement_moves(slow_rank, fast_ranks) {
-        let time = state.max_time_after(candidate);
+        let time = state.max_rank_time_after_move(candidate);
         let limit = best.as_ref().map_or(longest_time, |it| it.0);
-        if time < limit * REQUIRED_TIME_FACTOR {
+        if time < limit * MAX_TIME_RATIO_AFTER_MOVE {
             best = Some((time, candidate));
         }
     }
@@ -291,7 +298,7 @@
 
 /// A move must lower the maximum time below this fraction of the best maximum
 /// time so far, so that rounding errors cause no moves.
-const REQUIRED_TIME_FACTOR: f64 = 1.0 - 1e-6;
+const MAX_TIME_RATIO_AFTER_MOVE: f64 = 1.0 - 1e-6;
 
 /// A layer of the expert map, with the loads of its experts and the times and
 /// speeds of the ranks.
@@ -305,7 +312,7 @@
 impl LayerState<'_> {
     /// Returns the moves that bring `expert` or a copy of it from one rank to
     /// another.
-    fn moves_between(
+    fn moves_between_ranks(
         &self,
         from: Rank,
         expert: Expert,
@@ -355,23 +362,23 @@
     }
 
     /// Returns the maximum time among the ranks that a move affects.
-    fn max_time_after(&self, candidate: ExpertMove) -> f64 {
+    fn max_rank_time_after_move(&self, candidate: ExpertMove) -> f64 {
         match candidate {
             ExpertMove::Fill { expert, to } => {
-                self.max_time_after_copy(expert, to, None)
+                self.max_rank_time_after_copy(expert, to, None)
             }
             ExpertMove::Copy { expert, to, other } => {
-                self.max_time_after_copy(expert, to, Some(other))
+                self.max_rank_time_after_copy(expert, to, Some(other))
             }
             ExpertMove::Swap { from, expert, to, other } => {
-                self.max_time_after_swap(from, expert, to, other)
+                self.max_rank_time_after_swap(from, expert, to, other)
             }
         }
     }
 
     /// Returns the maximum time among the affected ranks after a copy of
     /// `expert` is added to a rank, in place of `other` if given.
-    fn max_time_after_copy(
+    fn max_rank_time_after_copy(
         &self,
         expert: Expert,
         to: Rank,
@@ -410,7 +417,7 @@
 
     /// Returns the approximate maximum time of two ranks after they swap
     /// experts.
-    fn max_time_after_swap(
+    fn max_rank_time_after_swap(
         &self,
         from: Rank,
         expert: Expert,
--- a/tests/order/main.rs
+++ b/tests/order/main.rs
@@ -18,9 +18,10 @@
 use cowsliproad::{
     kernel::clock::Millis,
     mapswitch::order::{
-        self, Aim, ArmOrderStatus, Coordinator, CoordinatorConfig, Directive,
-        Epoch, GroupState, MissingRanks, ObeyedCoordinator, Order,
-        RankSnapshot, Report, SealStatus, VERSIONS_PER_COORDINATOR, Version,
+        self, ArmOrderStatus, Coordinator, CoordinatorArmingNotice,
+        CoordinatorConfig, DesiredState, Directive, Epoch, GroupState,
+        MissingRanks, ObeyedCoordinator, Order, RankReport, RankSnapshot,
+        VERSIONS_PER_COORDINATOR, Version,
     },
 };
 
@@ -32,7 +33,7 @@
 const SUCCESSOR_COORDINATOR_RANK: u16 = 0;
 
 /// The version of the first coordinator's first map.
-const FIRST_VERSION: u64 = VERSIONS_PER_COORDINATOR;
+const FIRST_MAP_VERSION: u64 = VERSIONS_PER_COORDINATOR;
 
 /// The maximum number of states in a scenario; a larger scenario would take
 /// too long.
@@ -72,8 +73,8 @@
     map: u64,
     prepared_map: Option<u64>,
     newest_prepared_map: u64,
-    armed: Option<(u64, u64)>,
-    held: Option<u64>,
+    armed_map_and_pass: Option<(u64, u64)>,
+    held_pass: Option<u64>,
     fence: u64,
 }
 
@@ -83,9 +84,9 @@
     directive: Option<Directive>,
     /// The pass of the agent's last unanswered *arm* order, or 0.
     unanswered_arm_step: u64,
-    /// The pass for which the agent has received the seal: the announcement
-    /// that the coordinator's own rank arms.
-    coordinator_arm_step: Option<u64>,
+    /// The pass for which the agent has received the announcement that the
+    /// coordinator's own rank arms.
+    announced_coordinator_arming_step: Option<u64>,
 }
 
 /// A coordinator, with its last snapshot of each rank and the fencing number
@@ -136,30 +137,34 @@
         // no pass, so their delivery is not explored.
         let engine = Engine {
             map: 0,
-            prepared_map: Some(FIRST_VERSION),
-            newest_prepared_map: FIRST_VERSION,
-            armed: None,
-            held: None,
+            prepared_map: Some(FIRST_MAP_VERSION),
+            newest_prepared_map: FIRST_MAP_VERSION,
+            armed_map_and_pass: None,
+            held_pass: None,
             fence: 0,
         };
-        let (directive, coordinator_arm_step) = (None, None);
+        let (directive, announced_coordinator_arming_step) = (None, None);
         let agent = Agent {
             fence: 0,
             directive,
             unanswered_arm_step: 0,
-            coordinator_arm_step,
+            announced_coordinator_arming_step,
         };
         let mut first = new_coordinator_view(1, FIRST_COORDINATOR_RANK);
-        let report = |rank| Report::new(EPOCH, rank, RANK_COUNT);
+        let report = |rank| RankReport::new(EPOCH, rank, RANK_COUNT);
         let snapshot = |rank| RankSnapshot {
             report: report(rank),
-            arms: ArmOrderStatus::Answered,
-            seal: SealStatus::NotReceived,
-            obeys: ObeyedCoordinator::This,
+            arm_order_status: ArmOrderStatus::Answered,
+            coordinator_arming_notice: CoordinatorArmingNotice::NotReceived,
+            obeyed_coordinator: ObeyedCoordinator::This,
         };
         let snapshots: Vec<RankSnapshot> =
             (0..RANK_COUNT).map(snapshot).collect();
-        first.coordinator.advance(&snapshots, MissingRanks::None, Millis(0));
+        first.coordinator.advance_switch(
+            &snapshots,
+            MissingRanks::None,
+            Millis(0),
+        );
         first.coordinator.begin_plan(&snapshots, Millis(0));
         SystemState {
             step: 0,
@@ -175,22 +180,24 @@
         }
     }
 
-    fn report(&self, rank: u16) -> Report {
+    fn report(&self, rank: u16) -> RankReport {
         let engine = &self.engines[usize::from(rank)];
-        Report {
+        RankReport {
             epoch: EPOCH,
             rank,
             ranks: RANK_COUNT,
             standing: GroupState::Open,
             step: self.step,
             map: Version(engine.map),
-            prepared: engine.prepared_map.map(Version),
-            armed: engine.armed.map(|(map, step)| (Version(map), step)),
-            held: engine.held,
+            prepared_map_version: engine.prepared_map.map(Version),
+            armed_map_and_pass: engine
+                .armed_map_and_pass
+                .map(|(map, step)| (Version(map), step)),
+            held_pass: engine.held_pass,
         }
     }
 
-    fn arm_orders(&self, rank: u16) -> ArmOrderStatus {
+    fn arm_order_status(&self, rank: u16) -> ArmOrderStatus {
         let step = self.agents[usize::from(rank)].unanswered_arm_step;
         if step > self.step {
             ArmOrderStatus::InDoubt
@@ -199,11 +206,13 @@
         }
     }
 
-    fn seal_status(&self, rank: u16) -> SealStatus {
-        let coordinator_arm_step =
-            self.agents[usize::from(rank)].coordinator_arm_step;
-        coordinator_arm_step
-            .map_or(SealStatus::NotReceived, SealStatus::Received)
+    fn arming_notice(&self, rank: u16) -> CoordinatorArmingNotice {
+        let announced_coordinator_arming_step =
+            self.agents[usize::from(rank)].announced_coordinator_arming_step;
+        announced_coordinator_arming_step.map_or(
+            CoordinatorArmingNotice::NotReceived,
+            CoordinatorArmingNotice::Received,
+        )
     }
 
     fn is_unreachable(&self, rank: u16) -> bool {
@@ -213,47 +222,55 @@
     /// Returns all states that one event in this state can lead to.
     fn next_states(&self, scenario: &Scenario) -> Vec<SystemState> {
         let mut next_states = Vec::new();
-        self.begin_pass(scenario, &mut next_states);
-        self.execute_late_order(&mut next_states);
+        self.add_state_after_next_pass(scenario, &mut next_states);
+        self.add_states_after_late_orders(&mut next_states);
         for rank in 0..RANK_COUNT {
             if self.is_unreachable(rank) {
                 continue;
             }
-            self.receive_directive(rank, &mut next_states);
-            self.send_next_order(rank, scenario, &mut next_states);
+            self.add_states_after_directive_receipt(rank, &mut next_states);
+            self.add_states_after_next_order(rank, scenario, &mut next_states);
             if scenario.snapshot_age == SnapshotAge::Any {
-                self.send_snapshot(rank, &mut next_states);
+                self.add_states_after_snapshot_receipt(rank, &mut next_states);
             }
         }
         for view_index in 0..self.coordinator_views.len() {
             if view_index == 0 && self.is_frozen {
                 continue;
             }
-            self.advance_coordinator(view_index, scenario, &mut next_states);
-            self.send_hold_order(view_index, scenario, &mut next_states);
+            self.add_states_after_coordinator_run(
+                view_index,
+                scenario,
+                &mut next_states,
+            );
+            self.add_states_after_due_hold_orders(
+                view_index,
+                scenario,
+                &mut next_states,
+            );
         }
-        self.freeze_or_take_over(scenario, &mut next_states);
+        self.add_states_after_freeze_or_takeover(scenario, &mut next_states);
         next_states
     }
 
-    fn begin_pass(
+    fn add_state_after_next_pass(
         &self,
         scenario: &Scenario,
         next_states: &mut Vec<SystemState>,
     ) {
         let next = self.step + 1;
-        let held = self.engines.iter().any(|it| it.held == Some(next));
+        let held = self.engines.iter().any(|it| it.held_pass == Some(next));
         if held || next > scenario.max_passes {
             return;
         }
         let mut state = self.clone();
         state.step = next;
         for engine in &mut state.engines {
-            if let Some((map, step)) = engine.armed
+            if let Some((map, step)) = engine.armed_map_and_pass
                 && step == next
             {
                 engine.map = map;
-                engine.armed = None;
+                engine.armed_map_and_pass = None;
                 engine.prepared_map = None;
             }
         }
@@ -271,7 +288,10 @@
 
     /// Adds the states in which one late order is executed, and the state in
     /// which all late orders have expired.
-    fn execute_late_order(&self, next_states: &mut Vec<SystemState>) {
+    fn add_states_after_late_orders(
+        &self,
+        next_states: &mut Vec<SystemState>,
+    ) {
         if !self.late_orders.is_empty() {
             let mut state = self.clone();
             state.late_orders.clear();
@@ -287,7 +307,7 @@
         }
     }
 
-    fn receive_directive(
+    fn add_states_after_directive_receipt(
         &self,
         rank: u16,
         next_states: &mut Vec<SystemState>,
@@ -295,23 +315,25 @@
         for view in &self.coordinator_views {
             let directive = view.coordinator.directive();
             let agent = &self.agents[usize::from(rank)];
-            if directive.fence < agent.fence {
+            if directive.fencing_number < agent.fence {
                 continue;
             }
             let mut state = self.clone();
             let agent = &mut state.agents[usize::from(rank)];
-            agent.fence = directive.fence;
-            agent.coordinator_arm_step =
-                order::coordinator_arm_step(&directive)
-                    .or(agent.coordinator_arm_step);
+            agent.fence = directive.fencing_number;
+            agent.announced_coordinator_arming_step =
+                order::announced_coordinator_arming_step(&directive)
+                    .or(agent.announced_coordinator_arming_step);
             // In this exploration, an agent acts only on directives to arm,
             // disarm or release.
-            agent.directive = match directive.aim {
-                Aim::Armed { .. }
-                | Aim::Sealed { .. }
-                | Aim::Disarmed
-                | Aim::Released(_) => Some(directive),
-                Aim::Rest | Aim::Prepared(_) | Aim::Held { .. } => None,
+            agent.directive = match directive.desired_state {
+                DesiredState::Armed { .. }
+                | DesiredState::Sealed { .. }
+                | DesiredState::Disarmed
+                | DesiredState::Released(_) => Some(directive),
+                DesiredState::Rest
+                | DesiredState::Prepared(_)
+                | DesiredState::Held { .. } => None,
             };
             if state != *self {
                 next_states.push(state);
@@ -319,7 +341,7 @@
         }
     }
 
-    fn send_next_order(
+    fn add_states_after_next_order(
         &self,
         rank: u16,
         scenario: &Scenario,
@@ -328,8 +350,8 @@
         let agent = &self.agents[usize::from(rank)];
         let Some(directive) = agent.directive else { return };
         let experts = Arc::new(Vec::new());
-        let plan = match directive.aim {
-            Aim::Prepared(version) => Some((version, &experts)),
+        let plan = match directive.desired_state {
+            DesiredState::Prepared(version) => Some((version, &experts)),
             _ => None,
         };
         let Some(order) =
@@ -338,12 +360,18 @@
             return;
         };
         let order = comparable_order(&order);
-        self.send_order(rank, order, directive.fence, scenario, next_states);
+        self.add_states_after_sent_order(
+            rank,
+            order,
+            directive.fencing_number,
+            scenario,
+            next_states,
+        );
     }
 
     /// Adds the state in which an order is executed and answered, and the
     /// state in which it goes unanswered and may be executed later.
-    fn send_order(
+    fn add_states_after_sent_order(
         &self,
         rank: u16,
         sent_order: ComparableOrder,
@@ -367,13 +395,17 @@
     }
 
     /// Adds the states in which one coordinator receives a rank's snapshot.
-    fn send_snapshot(&self, rank: u16, next_states: &mut Vec<SystemState>) {
+    fn add_states_after_snapshot_receipt(
+        &self,
+        rank: u16,
+        next_states: &mut Vec<SystemState>,
+    ) {
         let agent = &self.agents[usize::from(rank)];
         let snapshot = RankSnapshot {
             report: self.report(rank),
-            arms: self.arm_orders(rank),
-            seal: self.seal_status(rank),
-            obeys: ObeyedCoordinator::Another,
+            arm_order_status: self.arm_order_status(rank),
+            coordinator_arming_notice: self.arming_notice(rank),
+            obeyed_coordinator: ObeyedCoordinator::Another,
         };
         for view_index in 0..self.coordinator_views.len() {
             if view_index == 0 && self.is_frozen {
@@ -409,7 +441,7 @@
     }
 
     /// Adds the states in which a coordinator acts on its snapshots.
-    fn advance_coordinator(
+    fn add_states_after_coordinator_run(
         &self,
         view_index: usize,
         scenario: &Scenario,
@@ -421,7 +453,7 @@
         };
         let is_complete = snapshots.len() == usize::from(RANK_COUNT);
         if is_complete {
-            self.advance_with_snapshots(
+            self.add_state_after_switch_advance(
                 view_index,
                 &snapshots,
                 MissingRanks::None,
@@ -438,7 +470,7 @@
             .collect();
         if view_index == 1 && others.len() + 1 == usize::from(RANK_COUNT) {
             let missing = MissingRanks::Predecessor(1);
-            self.advance_with_snapshots(
+            self.add_state_after_switch_advance(
                 view_index,
                 &others,
                 missing,
@@ -450,21 +482,22 @@
 
     /// Returns up-to-date snapshots of all reachable ranks for a coordinator.
     fn current_snapshots(&self, view_index: usize) -> Vec<RankSnapshot> {
-        let fence = self.coordinator_views[view_index].coordinator.fence();
+        let fence =
+            self.coordinator_views[view_index].coordinator.fencing_number();
         let reachable = (0..RANK_COUNT).filter(|it| !self.is_unreachable(*it));
         let snapshot = |rank: u16| {
             let agent = &self.agents[usize::from(rank)];
             RankSnapshot {
                 report: self.report(rank),
-                arms: self.arm_orders(rank),
-                seal: self.seal_status(rank),
-                obeys: obeyed_coordinator(agent.fence, fence),
+                arm_order_status: self.arm_order_status(rank),
+                coordinator_arming_notice: self.arming_notice(rank),
+                obeyed_coordinator: obeyed_coordinator(agent.fence, fence),
             }
         };
         reachable.map(snapshot).collect()
     }
 
-    fn advance_with_snapshots(
+    fn add_state_after_switch_advance(
         &self,
         view_index: usize,
         snapshots: &[RankSnapshot],
@@ -474,7 +507,7 @@
     ) {
         let mut state = self.clone();
         let coordinator = &mut state.coordinator_views[view_index].coordinator;
-        coordinator.advance(snapshots, missing, Millis(0));
+        coordinator.advance_switch(snapshots, missing, Millis(0));
         let may_plan = view_index == 0
             && self.plans_made < scenario.max_plans
             && coordinator.is_idle()
@@ -488,7 +521,7 @@
         }
     }
 
-    fn send_hold_order(
+    fn add_states_after_due_hold_orders(
         &self,
         view_index: usize,
         scenario: &Scenario,
@@ -502,10 +535,10 @@
             if let Some(order) = order
                 && !self.is_unreachable(rank)
             {
-                self.send_order(
+                self.add_states_after_sent_order(
                     rank,
                     comparable_order(&order),
-                    directive.fence,
+                    directive.fencing_number,
                     scenario,
                     next_states,
                 );
@@ -513,7 +546,7 @@
         }
     }
 
-    fn freeze_or_take_over(
+    fn add_states_after_freeze_or_takeover(
         &self,
         scenario: &Scenario,
         next_states: &mut Vec<SystemState>,
@@ -556,29 +589,31 @@
         engine.fence = fence;
         match order {
             ComparableOrder::Prepare(map) => {
-                if map > engine.newest_prepared_map && engine.armed.is_none() {
+                if map > engine.newest_prepared_map
+                    && engine.armed_map_and_pass.is_none()
+                {
                     engine.newest_prepared_map = map;
                     engine.prepared_map = Some(map);
                 }
             }
             ComparableOrder::Arm(map, pass) => {
                 if engine.prepared_map == Some(map) && pass > step {
-                    engine.armed = Some((map, pass));
+                    engine.armed_map_and_pass = Some((map, pass));
                 }
             }
             ComparableOrder::Disarm(map) => {
-                if engine.armed.is_some_and(|it| it.0 == map) {
-                    engine.armed = None;
+                if engine.armed_map_and_pass.is_some_and(|it| it.0 == map) {
+                    engine.armed_map_and_pass = None;
                 }
             }
             ComparableOrder::Hold(pass) => {
                 if pass > step {
-                    engine.held = Some(pass);
+                    engine.held_pass = Some(pass);
                 }
             }
             ComparableOrder::Go(pass) => {
-                if engine.held == Some(pass) {
-                    engine.held = None;
+                if engine.held_pass == Some(pass) {
+                    engine.held_pass = None;
                 }
             }
         }
@@ -588,16 +623,17 @@
     fn is_group_released(&self) -> bool {
         self.engines
             .iter()
-            .all(|it| it.held.is_none_or(|pass| pass <= self.step))
+            .all(|it| it.held_pass.is_none_or(|pass| pass <= self.step))
     }
 }
 
 impl CoordinatorView {
     fn snapshots(&self) -> Vec<RankSnapshot> {
-        let fence = self.coordinator.fence();
+        let fence = self.coordinator.fencing_number();
         let snapshot = |(snapshot, known_fence): &(RankSnapshot, u64)| {
             let mut snapshot = snapshot.clone();
-            snapshot.obeys = obeyed_coordinator(*known_fence, fence);
+            snapshot.obeyed_coordinator =
+                obeyed_coordinator(*known_fence, fence);
             snapshot
         };
         self.snapshots_by_rank.values().map(snapshot).collect()
@@ -655,7 +691,8 @@
     while let Some((state, number)) = queue.pop_front() {
         for next in state.next_states(&scenario) {
             assert!(!next.has_mixed_maps, "two maps in one pass: {next:#?}");
-            changed |= next.engines.iter().all(|it| it.map == FIRST_VERSION);
+            changed |=
+                next.engines.iter().all(|it| it.map == FIRST_MAP_VERSION);
             let next_number = numbers.len() as u32;
             let found =
                 *numbers.entry(state_hash(&next)).or_insert(next_number);
@@ -734,23 +771,26 @@
 }
 
 /// Returns the snapshots that the successor of a frozen coordinator has: all
-/// reachable ranks are armed and have this seal status.
-fn snapshots_after_freeze(seal_status: SealStatus) -> Vec<RankSnapshot> {
+/// reachable ranks are armed, and their agents have or haven't received the
+/// arming notice (the announcement that the coordinator's rank arms).
+fn snapshots_after_coordinator_freeze(
+    arming_notice: CoordinatorArmingNotice,
+) -> Vec<RankSnapshot> {
     let snapshot = |rank| RankSnapshot {
-        report: Report {
+        report: RankReport {
             epoch: EPOCH,
             rank,
             ranks: RANK_COUNT,
             standing: GroupState::Open,
             step: 1,
             map: Version(0),
-            prepared: Some(Version(FIRST_VERSION)),
-            armed: Some((Version(FIRST_VERSION), 3)),
-            held: (rank == SUCCESSOR_COORDINATOR_RANK).then_some(3),
+            prepared_map_version: Some(Version(FIRST_MAP_VERSION)),
+            armed_map_and_pass: Some((Version(FIRST_MAP_VERSION), 3)),
+            held_pass: (rank == SUCCESSOR_COORDINATOR_RANK).then_some(3),
         },
-        arms: ArmOrderStatus::Answered,
-        seal: seal_status,
-        obeys: ObeyedCoordinator::This,
+        arm_order_status: ArmOrderStatus::Answered,
+        coordinator_arming_notice: arming_notice,
+        obeyed_coordinator: ObeyedCoordinator::This,
     };
     (0..RANK_COUNT)
         .filter(|it| *it != FIRST_COORDINATOR_RANK)
@@ -758,30 +798,48 @@
         .collect()
 }
 
-/// Returns the aim of the successor of a frozen coordinator, if the reachable
-/// ranks have this seal status.
-fn successor_aim(seal_status: SealStatus, predecessor_fence: u64) -> Aim {
+/// Returns the state that the successor of a frozen coordinator wants, given
+/// whether the reachable ranks' agents have received the arming notice.
+fn desired_state_of_successor(
+    arming_notice: CoordinatorArmingNotice,
+    predecessor_fencing_number: u64,
+) -> DesiredState {
     let mut successor =
         new_coordinator_view(2, SUCCESSOR_COORDINATOR_RANK).coordinator;
-    let snapshots = snapshots_after_freeze(seal_status);
-    let missing = MissingRanks::Predecessor(predecessor_fence);
+    let snapshots = snapshots_after_coordinator_freeze(arming_notice);
+    let missing = MissingRanks::Predecessor(predecessor_fencing_number);
     for _ in 0..2 {
-        successor.advance(&snapshots, missing, Millis(0));
+        successor.advance_switch(&snapshots, missing, Millis(0));
     }
-    successor.directive().aim
+    successor.directive().desired_state
 }
 
 #[test]
 fn a_switch_is_cancelled_if_the_frozen_rank_is_not_armed() {
-    assert_eq!(successor_aim(SealStatus::NotReceived, 1), Aim::Disarmed);
-    assert_eq!(successor_aim(SealStatus::Received(2), 1), Aim::Disarmed);
+    assert_eq!(
+        desired_state_of_successor(CoordinatorArmingNotice::NotReceived, 1),
+        DesiredState::Disarmed
+    );
+    assert_eq!(
+        desired_state_of_successor(CoordinatorArmingNotice::Received(2), 1),
+        DesiredState::Disarmed
+    );
 }
 
 #[test]
 fn a_switch_is_kept_if_the_frozen_rank_may_be_armed() {
-    assert_eq!(successor_aim(SealStatus::Received(3), 1), Aim::Rest);
-    assert_eq!(successor_aim(SealStatus::Unknown, 1), Aim::Rest);
+    assert_eq!(
+        desired_state_of_successor(CoordinatorArmingNotice::Received(3), 1),
+        DesiredState::Rest
+    );
+    assert_eq!(
+        desired_state_of_successor(CoordinatorArmingNotice::Unknown, 1),
+        DesiredState::Rest
+    );
     // The frozen coordinator had itself taken over the switch from an earlier
     // coordinator.
-    assert_eq!(successor_aim(SealStatus::NotReceived, 7), Aim::Rest);
+    assert_eq!(
+        desired_state_of_successor(CoordinatorArmingNotice::NotReceived, 7),
+        DesiredState::Rest
+    );
 }
--- a/tests/properties/limits.rs
+++ b/tests/properties/limits.rs
@@ -7,15 +7,15 @@
 use cowsliproad::{
     admission::limit::{
         CurrentLimit, LimitChange, LimitReport, Limiter, Permit,
-        PermitDecision, Rate,
+        PermitDecision, RequestRate,
     },
     kernel::clock::Millis,
 };
 use cowsliproad_bench::experiment::limits::{Policy, SIZES, play};
 use proptest::prelude::*;
 
-fn rate(a_second: f64) -> Rate {
-    Rate::new(a_second).expect("a rate")
+fn rate(a_second: f64) -> RequestRate {
+    RequestRate::new(a_second).expect("a rate")
 }
 
 #[test]
@@ -34,10 +34,14 @@
 fn numbers_are_read_and_nothing_else() {
     for (text, read) in [("1", 1.0), ("1.2", 1.2), (" 0 ", 0.0), ("007", 7.0)]
     {
-        assert_eq!(Rate::parse(text.as_bytes()), Some(rate(read)), "{text:?}");
+        assert_eq!(
+            RequestRate::parse(text.as_bytes()),
+            Some(rate(read)),
+            "{text:?}"
+        );
     }
     for text in ["", " ", ".", "1.", ".5", "-1", "+1", "1e3", "nan", "inf"] {
-        assert_eq!(Rate::parse(text.as_bytes()), None, "{text:?}");
+        assert_eq!(RequestRate::parse(text.as_bytes()), None, "{text:?}");
     }
 }
 
@@ -47,26 +51,26 @@
     let named = Some(rate(1.0));
     let (sent, later) = (Millis(900), Millis(1_100));
     assert_eq!(
-        known.observe_response(named, sent, Millis(1_000)),
+        known.observe_response_limit(named, sent, Millis(1_000)),
         LimitChange::Tightened
     );
     assert_eq!(
-        known.observe_response(None, sent, Millis(1_050)),
+        known.observe_response_limit(None, sent, Millis(1_050)),
         LimitChange::None
     );
     let more = Some(rate(5.0));
     assert_eq!(
-        known.observe_response(more, sent, Millis(1_060)),
+        known.observe_response_limit(more, sent, Millis(1_060)),
         LimitChange::None
     );
     assert_eq!(known.rate(), named);
     // One that was sent since then does.
     assert_eq!(
-        known.observe_response(more, later, Millis(1_200)),
+        known.observe_response_limit(more, later, Millis(1_200)),
         LimitChange::Loosened
     );
     assert_eq!(
-        known.observe_response(None, Millis(1_300), Millis(1_400)),
+        known.observe_response_limit(None, Millis(1_300), Millis(1_400)),
         LimitChange::Loosened
     );
     assert_eq!(known.rate(), None);
@@ -76,14 +80,15 @@
 fn who_heard_of_a_limit_before_this_process_began_is_believed_by_age() {
     let mut known = CurrentLimit::default();
     let now = Millis(1_000);
-    let old = LimitReport { rate: Some(rate(1.0)), age: Millis(60_000) };
-    let over = LimitReport { rate: None, age: Millis(30_000) };
-    assert_eq!(known.merge_report(old, now), LimitChange::Tightened);
-    assert_eq!(known.merge_report(over, now), LimitChange::Loosened);
-    assert_eq!(known.merge_report(old, now), LimitChange::None);
+    let old =
+        LimitReport { rate: Some(rate(1.0)), rate_limit_age: Millis(60_000) };
+    let over = LimitReport { rate: None, rate_limit_age: Millis(30_000) };
+    assert_eq!(known.merge_limit_report(old, now), LimitChange::Tightened);
+    assert_eq!(known.merge_limit_report(over, now), LimitChange::Loosened);
+    assert_eq!(known.merge_limit_report(old, now), LimitChange::None);
     assert_eq!(known.rate(), None);
-    let never = LimitReport { rate: None, age: Millis(u64::MAX) };
-    assert_eq!(known.merge_report(never, now), LimitChange::None);
+    let never = LimitReport { rate: None, rate_limit_age: Millis(u64::MAX) };
+    assert_eq!(known.merge_limit_report(never, now), LimitChange::None);
 }
 
 #[test]
@@ -124,7 +129,7 @@
         let mut limiter = Limiter::new(rate, begun, begun);
         for step in 0..50 {
             let now = begun + Millis(step * 100);
-            let verdict = limiter.acquire(rate, 1.0, Millis(0), now);
+            let verdict = limiter.grant_permit(rate, 1.0, Millis(0), now);
             permits += u32::from(verdict == PermitDecision::Permit(Millis(0)));
         }
         if permits > 0 {
@@ -153,8 +158,12 @@
         let mut permits = Vec::new();
         for (pause, patience) in questions {
             now += pause;
-            let verdict =
-                limiter.acquire(rate, share, Millis(patience), Millis(now));
+            let verdict = limiter.grant_permit(
+                rate,
+                share,
+                Millis(patience),
+                Millis(now),
+            );
             match verdict {
                 PermitDecision::Permit(after) => {
                     prop_assert!(after <= Millis(patience));
@@ -195,7 +204,7 @@
         answers.sort_by_key(|it| it.0);
         let mut known = CurrentLimit::default();
         for (come, sent, limit) in answers {
-            known.observe_response(limit, Millis(sent), Millis(come));
+            known.observe_response_limit(limit, Millis(sent), Millis(come));
         }
         prop_assert_eq!(known.rate(), last);
     }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -8,11 +8,11 @@
     admission::{
         queue::{PushOutcome, Queue, QueueConfig, QueueItem, ServiceRate},
         register::TicketRegister,
-        ticket::{Purpose, Ticket},
+        ticket::{Ticket, TokenPurpose},
     },
     config::{
-        Object, State,
-        fold::{Change, Record, encode_record},
+        ConfigState, Object,
+        fold::{ConfigChange, ConfigRecord, encode_record},
         object::Organisation,
     },
     kernel::{clock::Millis, id, wire::Urgency},
@@ -25,9 +25,9 @@
 /// How fast the scripted target works.
 const PACE: ServiceRate = ServiceRate {
     slots: 1,
-    service_us: 100_000,
-    start_interval_us: 0,
-    next_start_us: 0,
+    mean_service_us: 100_000,
+    min_start_interval_us: 0,
+    next_start_delay_us: 0,
 };
 
 /// Everything that a script can touch.
@@ -37,7 +37,7 @@
     tickets: BTreeMap<String, Ticket>,
     queue: Queue<String>,
     log: Vec<Vec<u8>>,
-    replicas: BTreeMap<String, State>,
+    replicas: BTreeMap<String, ConfigState>,
     group: Vec<Member>,
     network: Vec<VoteMessage>,
 }
@@ -60,7 +60,7 @@
     /// `ticket NAME`: an entry makes a ticket for this agent.
     fn ticket(&mut self, name: &str) -> String {
         let ticket = Ticket {
-            purpose: Purpose::Ticket,
+            purpose: TokenPurpose::Ticket,
             organisation: "harju".into(),
             service: "access".into(),
             request_type: "tow-call".into(),
@@ -77,7 +77,7 @@
     fn arrive(&mut self, name: &str, urgency: &str, deadline: u64) -> String {
         let item = QueueItem {
             organisation: name.split('-').next().unwrap_or(name).into(),
-            weight: 1,
+            organisation_weight: 1,
             urgency: match urgency {
                 "urgent" => Urgency::Urgent,
                 "normal" => Urgency::Normal,
@@ -105,9 +105,9 @@
             capacity_weight: share,
             max_in_flight: 1,
         });
-        let change = Change::Put { base_revision: base, object };
+        let change = ConfigChange::Put { base_revision: base, object };
         let command = id::Command(command);
-        self.log.push(encode_record(&Record { command, change }));
+        self.log.push(encode_record(&ConfigRecord { command, change }));
         format!("offset {}", self.log.len())
     }
 
@@ -129,7 +129,11 @@
     fn take(&mut self, from: &str, by: &str) -> String {
         let state = self.replicas.get(from).cloned().unwrap_or_default();
         let own = self.replicas.entry(by.into()).or_default();
-        format!("{:?}, next {}", own.adopt_if_newer(state), own.next_offset())
+        format!(
+            "{:?}, next {}",
+            own.adopt_newer_peer_state(state),
+            own.next_offset()
+        )
     }
 
     /// `propose VERSION boundary=N rank=N`: a member hears a proposal.
@@ -198,7 +202,7 @@
                 Some(item) => item.work,
                 None => "nothing".into(),
             },
-            "lapse" => match self.queue.remove_expired(PACE, self.now) {
+            "lapse" => match self.queue.remove_expired_item(PACE, self.now) {
                 Some(item) => format!("{} not run", item.work),
                 None => "nothing".into(),
             },
