--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -364,7 +364,7 @@
     entry: &Entry,
     other: SocketAddr,
     target: &Target,
-    max_permit_wait: Millis,
+    max_wait: Millis,
     hops: u8,
 ) -> Option<PermitReply> {
     let id = rand::random();
@@ -372,7 +372,7 @@
     let request = PermitRequest {
         request_id: id,
         rate_limit,
-        max_permit_wait: max_permit_wait,
+        max_permit_wait: max_wait,
         forwards_left: hops,
     };
     let (sender, reply) = oneshot::channel();
