--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -1,5 +1,4 @@
-//! Which target a request goes to next, and the wait for one; see the parent
-//! module.
+//! Chooses the next target of a request, and waits while no target is usable.
 
 use std::rc::Rc;
 
@@ -13,194 +12,234 @@
 use slog::info;
 use tokio::time::sleep;
 
-use super::{Call, Certainty, LAST_RANK, RetryCost, failure::Reason};
+use super::{
+    AttemptCost, Call, ExecutionStatus, MAX_QUEUE_RANK,
+    failure::RejectionReason,
+};
 use crate::{
     entry::{
-        Choice, Entry,
-        choose::{Asks, Shortage},
+        ChosenTarget, Entry,
+        choose::{PermitWaitPolicy, TargetShortage},
     },
     limits,
     reply::Body,
 };
 
-/// Permits that a request asks for in vain before it goes where no limit is,
-/// or is refused.
-const MAX_DENIED: usize = 3;
+/// Permits that may be denied to a request before the request goes to a target
+/// without a rate limit, or is rejected.
+const MAX_DENIED_PERMITS: usize = 3;
 
-/// What is left of a caller's patience for the answer's way, also from a VM
-/// that has used up its share of the processor for the moment.
-const ANSWER_LATENCY: Millis = Millis(100);
+/// Time reserved before a caller's deadline for delivering the response, also
+/// from a VM whose CPU share is used up for the moment.
+const RESPONSE_DELIVERY_MARGIN: Millis = Millis(100);
 
-/// Requests that wait for the end of one cooldown are sent within this time,
-/// not all at once.
-pub const MAX_STAGGER: Millis = Millis(200);
+/// Requests that wait for the end of a cooldown are spread over this time, so
+/// that the target doesn't get all of them at once.
+pub const MAX_COOLDOWN_STAGGER: Millis = Millis(200);
 
-/// Within this time after a cooldown, requests that can go elsewhere find out
-/// whether the target takes more.
-pub const PROBE_PERIOD: Millis = Millis(1_000);
+/// For this time after a cooldown, requests that may be retried elsewhere
+/// probe whether the target accepts requests again; other requests avoid
+/// that target.
+pub const COOLDOWN_PROBE_PERIOD: Millis = Millis(1_000);
 
 impl Call {
-    /// Chooses the next target, and waits for one if there is none.
-    pub async fn next_target(
+    /// Chooses the next target, and waits while no target is usable.
+    pub async fn wait_for_next_target(
         &mut self,
         entry: &Rc<Entry>,
-    ) -> Result<Choice, Response<Body>> {
-        let wait = self.until.min(self.waits_since + self.wait(entry));
+    ) -> Result<ChosenTarget, Response<Body>> {
+        let wait_until = self
+            .deadline
+            .min(self.waiting_since + self.max_target_wait(entry));
         loop {
-            let (news, freed) =
-                (entry.news.notified(), entry.freed.notified());
+            let (news, connection_freed) = (
+                entry.targets_changed.notified(),
+                entry.connection_freed.notified(),
+            );
             let now = Millis::now();
-            let verdict = entry.quarantine.borrow_mut().admit(self.work, now);
+            let verdict =
+                entry.quarantine.borrow_mut().admit_work(self.work, now);
             match verdict {
                 QuarantineVerdict::Allowed => {}
                 QuarantineVerdict::Refused(after) => {
-                    return Err(self.reject_with(entry, Reason::Poison(after)));
+                    return Err(self.reject_request(
+                        entry,
+                        RejectionReason::Poison(after),
+                    ));
                 }
                 QuarantineVerdict::Suspended(after) => {
-                    let reason = Reason::Suspended(after);
-                    return Err(self.reject_with(entry, reason));
+                    let reason = RejectionReason::Suspended(after);
+                    return Err(self.reject_request(entry, reason));
                 }
             }
-            let ahead = self.share_of(wait.since(now));
-            let shortage = match self.choose(entry, now, ahead) {
-                Ok((choice, patience)) => {
-                    match self.take(entry, choice, patience).await? {
+            let lookahead = self.max_permit_lookahead(wait_until.since(now));
+            let shortage = match self.choose_target(entry, now, lookahead) {
+                Ok((choice, max_permit_wait)) => {
+                    match self
+                        .reserve_target(entry, choice, max_permit_wait)
+                        .await?
+                    {
                         Some(choice) => return Ok(choice),
                         None => continue,
                     }
                 }
                 Err(shortage) => shortage,
             };
-            let patience = wait.since(now);
+            let wait_left = wait_until.since(now);
             if let Some(shortage) = shortage
-                && (patience.0 == 0
-                    || self.is_futile(entry, &shortage, wait, now))
+                && (wait_left.0 == 0
+                    || self.is_target_wait_futile(
+                        entry, &shortage, wait_until, now,
+                    ))
             {
-                let after = self.free_after(entry, &shortage, now);
-                return Err(self.reject_with(entry, Reason::Busy(after)));
+                let after =
+                    self.time_until_target_usable(entry, &shortage, now);
+                return Err(
+                    self.reject_request(entry, RejectionReason::Busy(after))
+                );
             }
-            if patience.0 == 0 {
-                let reason = Reason::NoTarget("no target can be used");
-                return Err(self.reject_with(entry, reason));
+            if wait_left.0 == 0 {
+                let reason =
+                    RejectionReason::NoTarget("no target can be used");
+                return Err(self.reject_request(entry, reason));
             }
             let cooldown_end = shortage.and_then(|it| it.cooldown_end);
             if let Some(end) = cooldown_end {
-                self.spread_out(entry, wait.since(end));
+                self.draw_cooldown_stagger(entry, wait_until.since(end));
             }
-            // A permit that is free now was asked for in vain.
-            let limit_end = shortage.and_then(|it| it.limit_end);
-            let ends = limit_end.into_iter().filter(|it| *it > now);
+            // A limit that ends now can't end the wait: a permit that is free
+            // now has already been denied.
+            let rate_limit_end = shortage.and_then(|it| it.rate_limit_end);
+            let ends = rate_limit_end.into_iter().filter(|it| *it > now);
             let ends = ends.chain(cooldown_end);
-            let pause = ends.min().map_or(patience, |it| it.since(now));
+            let pause = ends.min().map_or(wait_left, |it| it.since(now));
             tokio::select! {
                 () = news => {}
-                () = freed => {}
-                () = sleep(pause.min(patience).duration()) => {}
+                () = connection_freed => {}
+                () = sleep(pause.min(wait_left).duration()) => {}
             }
         }
     }
 
-    /// Whether it waits in vain for the targets that it may be sent to.
-    fn is_futile(
+    /// Whether no target can become usable for the request by `wait_until`, or
+    /// a retry by the caller would reach another target sooner.
+    fn is_target_wait_futile(
         &self,
         entry: &Entry,
-        shortage: &Shortage,
-        wait: Millis,
+        shortage: &TargetShortage,
+        wait_until: Millis,
         now: Millis,
     ) -> bool {
-        let in_time =
-            |end: Millis| end <= wait && end + ANSWER_LATENCY <= self.until;
+        let in_time = |end: Millis| {
+            end <= wait_until
+                && end + RESPONSE_DELIVERY_MARGIN <= self.deadline
+        };
         let ends_in_time = shortage.cooldown_end.is_some_and(in_time);
-        // A caller that may come back gets to another target sooner.
-        let returns = self.caller_try == CallerAttempt::First
-            && self.certainty == Certainty::NotRun
-            && !self.may_go_elsewhere()
-            && self.has_others(entry, now);
-        shortage.is_complete && (!ends_in_time || returns)
+        // A caller's retry may go to a target that this request may not.
+        let caller_retry_is_sooner = self.caller_try == CallerAttempt::First
+            && self.execution == ExecutionStatus::NotRun
+            && !self.may_attempt_new_target()
+            && self.has_unattempted_target(entry, now);
+        shortage.covers_all_targets
+            && (!ends_in_time || caller_retry_is_sooner)
     }
 
-    /// Whether its route allows it to be sent to one more target.
-    fn may_go_elsewhere(&self) -> bool {
-        self.sent.len() < self.route.max_attempts as usize
+    /// Whether the route allows the request to be sent to one more target.
+    fn may_attempt_new_target(&self) -> bool {
+        self.attempted_targets.len() < self.route.max_attempts as usize
     }
 
-    /// Whether its caller's next try could be sent to a target now that this
-    /// one may not be sent to.
-    fn has_others(&self, entry: &Entry, now: Millis) -> bool {
-        let others = |it: &Target| !self.sent.contains(&it.id);
-        let others = entry.candidates(&self.service, now, Millis(0), others);
-        others.choose(Asks::Now, 0.0).is_some()
+    /// Whether some usable target has not got this request yet. A retry by the
+    /// caller could go to that target even if this request may not.
+    fn has_unattempted_target(&self, entry: &Entry, now: Millis) -> bool {
+        let unattempted =
+            |it: &Target| !self.attempted_targets.contains(&it.id);
+        let candidates =
+            entry.score_candidates(&self.service, now, Millis(0), unattempted);
+        candidates.choose_target(PermitWaitPolicy::Now, 0.0).is_some()
     }
 
-    /// How long no target takes its caller's next try.
-    fn free_after(
+    /// The time until some target accepts a retry by the caller.
+    fn time_until_target_usable(
         &self,
         entry: &Entry,
-        shortage: &Shortage,
+        shortage: &TargetShortage,
         now: Millis,
     ) -> Millis {
-        let all = entry.candidates(&self.service, now, Millis(0), |_| true);
-        if all.choose(Asks::Now, 0.0).is_some() {
+        let all =
+            entry.score_candidates(&self.service, now, Millis(0), |_| true);
+        if all.choose_target(PermitWaitPolicy::Now, 0.0).is_some() {
             return Millis(0);
         }
-        let all = Shortage::new([&all].into_iter());
-        let end = all.and_then(|it| it.end()).or(shortage.end());
+        let all = TargetShortage::new([&all].into_iter());
+        let end = all
+            .and_then(|it| it.earliest_shortage_end())
+            .or(shortage.earliest_shortage_end());
         end.map_or(Millis(0), |it| it.since(now))
     }
 
-    /// Draws how long after the end of a cooldown it goes, once, within the
-    /// time that it can wait.
-    fn spread_out(&mut self, entry: &Entry, most: Millis) {
-        if self.stagger.0 == 0 {
-            let most = MAX_STAGGER.min(most).0 as f64;
-            self.stagger = Millis((most * entry.draw()) as u64);
+    /// Draws the random delay of the request after the end of a cooldown,
+    /// once, and at most `max_delay`.
+    fn draw_cooldown_stagger(&mut self, entry: &Entry, max_delay: Millis) {
+        if self.cooldown_stagger.0 == 0 {
+            let max_delay = MAX_COOLDOWN_STAGGER.min(max_delay).0 as f64;
+            self.cooldown_stagger =
+                Millis((max_delay * entry.random_fraction()) as u64);
         }
     }
 
-    /// Takes a target that was chosen, with a permit there if it names a limit;
-    /// none if it has no permit within `patience`.
-    async fn take(
+    /// Acquires what an attempt at the chosen target needs: a permit if the
+    /// target states a limit and, for a retry, a share of the retry budget.
+    /// Returns `None` if the target grants no permit within `max_permit_wait`.
+    async fn reserve_target(
         &mut self,
         entry: &Rc<Entry>,
-        mut choice: Choice,
-        patience: Millis,
-    ) -> Result<Option<Choice>, Response<Body>> {
+        mut choice: ChosenTarget,
+        max_permit_wait: Millis,
+    ) -> Result<Option<ChosenTarget>, Response<Body>> {
         if let StreamAdmission::RetryAfter(after) =
-            self.start(entry, Millis::now())
+            self.admit_stream_start(entry, Millis::now())
         {
-            return Err(self.reject_with(entry, Reason::TooLate(after)));
+            return Err(
+                self.reject_request(entry, RejectionReason::TooLate(after))
+            );
         }
-        if !limits::permit(entry, &mut choice, patience).await {
-            self.denied += 1;
+        if !limits::acquire_permit(entry, &mut choice, max_permit_wait).await {
+            self.denied_permits += 1;
             return Ok(None);
         }
         let now = Millis::now();
-        if self.next == RetryCost::Budget
-            && !entry.spend_retry(&self.service, now)
+        if self.next_attempt_cost == AttemptCost::OneRetry
+            && !entry.try_spend_retry(&self.service, now)
         {
-            choice.give_back();
-            let reason = Reason::NoTarget("no retry is left");
-            return Err(self.reject_with(entry, reason));
+            choice.return_permit();
+            let reason = RejectionReason::NoTarget("no retry is left");
+            return Err(self.reject_request(entry, reason));
         }
-        self.log_choice(entry, &choice, now);
-        choice.endpoint.borrow_mut().probe(now);
-        self.tries += 1;
-        self.denied = 0;
+        self.log_chosen_target(entry, &choice, now);
+        choice.endpoint.borrow_mut().mark_recovery_probe(now);
+        self.attempt_count += 1;
+        self.denied_permits = 0;
         Ok(Some(choice))
     }
 
-    /// Whether a stream that nothing has run of is still worth its start.
-    fn start(&self, entry: &Entry, now: Millis) -> StreamAdmission {
+    /// Whether a stream that no target has run can still send its first event
+    /// in time, or the caller should retry later.
+    fn admit_stream_start(
+        &self,
+        entry: &Entry,
+        now: Millis,
+    ) -> StreamAdmission {
         let (Some(silence_timeout), Some(expected_first_event_delay)) =
             (self.route.caller_idle_timeout, self.route.latency_goal)
         else {
             return StreamAdmission::Now;
         };
-        if self.certainty == Certainty::Unknown {
+        if self.execution == ExecutionStatus::Unknown {
             return StreamAdmission::Now;
         }
         let Call { arrived, caller_try, .. } = *self;
-        let time_to_deadline = self.left();
+        let time_to_deadline = self.time_left();
         let stream = PendingStream {
             arrived_at: arrived,
             silence_timeout,
@@ -208,94 +247,117 @@
             time_to_deadline,
             caller_try,
         };
-        stream.decide_admission(now, entry.draw())
+        stream.decide_admission(now, entry.random_fraction())
     }
 
-    /// How long the request may wait for a target to be usable. A caller of a
-    /// stream that hears nothing for longer leaves and is lost; one that is
-    /// answered just before comes back when it was told to.
-    fn wait(&self, entry: &Entry) -> Millis {
-        let silence =
-            self.route.caller_idle_timeout.map(|it| it - ANSWER_LATENCY);
-        silence.unwrap_or(entry.settings().wait_ms)
+    /// How long the request may wait for a usable target. The caller of a
+    /// stream gives up after the silence timeout of the route. If the request
+    /// is rejected just before that, the caller retries at the stated time.
+    fn max_target_wait(&self, entry: &Entry) -> Millis {
+        let silence = self
+            .route
+            .caller_idle_timeout
+            .map(|it| it - RESPONSE_DELIVERY_MARGIN);
+        silence.unwrap_or(entry.settings().target_wait_ms)
     }
 
-    /// The best target that the request may still be sent to, and how long it
-    /// may wait for a permit there: a new one while its route allows more, else
-    /// one that was asked before; one that takes it now, else one that does so
-    /// within `ahead`. Without one, what the targets' own words have to do with
-    /// that. A request that may go to one target only leaves those whose
-    /// cooldown has just ended to others, if it can.
-    fn choose(
+    /// Chooses the target for the next attempt, and returns how long the
+    /// request may wait for a permit of that target. Targets that have not got
+    /// the request are preferred while the route allows one more target;
+    /// targets that accept the request now are preferred to targets that
+    /// accept it within `lookahead`. Without a usable target, returns the
+    /// shortage that rate limits and cooldowns cause, if any. A request that
+    /// may go to only one target avoids targets whose cooldown has just ended,
+    /// if another target is usable.
+    fn choose_target(
         &self,
         entry: &Entry,
         now: Millis,
-        ahead: Millis,
-    ) -> Result<(Choice, Millis), Option<Shortage>> {
-        let choose = |after| self.choose_after(entry, now, ahead, after);
+        lookahead: Millis,
+    ) -> Result<(ChosenTarget, Millis), Option<TargetShortage>> {
+        let choose = |after| {
+            self.choose_target_with_stagger(entry, now, lookahead, after)
+        };
         if self.route.max_attempts > 1 || entry.cooldowns.borrow().is_empty() {
-            return choose(self.stagger);
+            return choose(self.cooldown_stagger);
         }
-        let chosen = choose(self.stagger + PROBE_PERIOD);
-        chosen.or_else(|_| choose(self.stagger))
+        let chosen = choose(self.cooldown_stagger + COOLDOWN_PROBE_PERIOD);
+        chosen.or_else(|_| choose(self.cooldown_stagger))
     }
 
-    /// The same, where cooldowns count as longer by `stagger`.
-    fn choose_after(
+    /// Chooses a target like [`Call::choose_target`], with every cooldown
+    /// extended by `cooldown_stagger`.
+    fn choose_target_with_stagger(
         &self,
         entry: &Entry,
         now: Millis,
-        ahead: Millis,
-        stagger: Millis,
-    ) -> Result<(Choice, Millis), Option<Shortage>> {
-        let candidates = |new: bool| {
-            let fits = |it: &Target| self.sent.contains(&it.id) != new;
-            entry.candidates(&self.service, now, stagger, fits)
+        lookahead: Millis,
+        cooldown_stagger: Millis,
+    ) -> Result<(ChosenTarget, Millis), Option<TargetShortage>> {
+        let candidates = |unattempted: bool| {
+            let fits = |it: &Target| {
+                self.attempted_targets.contains(&it.id) != unattempted
+            };
+            entry.score_candidates(&self.service, now, cooldown_stagger, fits)
+        };
+        let may_ask = self.denied_permits < MAX_DENIED_PERMITS;
+        let asks = if may_ask {
+            PermitWaitPolicy::Now
+        } else {
+            PermitWaitPolicy::Never
         };
-        let may_ask = self.denied < MAX_DENIED;
-        let asks = if may_ask { Asks::Now } else { Asks::Never };
-        let more = self.may_go_elsewhere();
-        let first = candidates(more);
-        if let Some(choice) = first.choose(asks, entry.draw()) {
+        let more_allowed = self.may_attempt_new_target();
+        let preferred = candidates(more_allowed);
+        if let Some(choice) =
+            preferred.choose_target(asks, entry.random_fraction())
+        {
             return Ok((choice, Millis(0)));
         }
-        let before = more.then(|| candidates(false));
-        let before = before.as_ref();
-        let chosen = before.and_then(|it| it.choose(asks, entry.draw()));
+        let attempted = more_allowed.then(|| candidates(false));
+        let attempted = attempted.as_ref();
+        let chosen = attempted
+            .and_then(|it| it.choose_target(asks, entry.random_fraction()));
         if let Some(choice) = chosen {
             return Ok((choice, Millis(0)));
         }
-        let seen = || [Some(&first), before].into_iter().flatten();
-        if !may_ask || ahead == Millis(0) {
-            return Err(Shortage::new(seen()));
+        let considered =
+            || [Some(&preferred), attempted].into_iter().flatten();
+        if !may_ask || lookahead == Millis(0) {
+            return Err(TargetShortage::new(considered()));
         }
-        let asks = Asks::Ahead(ahead);
-        let chosen = seen().find_map(|it| it.choose(asks, entry.draw()));
-        let chosen = chosen.map(|it| (it, ahead));
-        chosen.ok_or_else(|| Shortage::new(seen()))
+        let asks = PermitWaitPolicy::Within(lookahead);
+        let chosen = considered()
+            .find_map(|it| it.choose_target(asks, entry.random_fraction()));
+        let chosen = chosen.map(|it| (it, lookahead));
+        chosen.ok_or_else(|| TargetShortage::new(considered()))
     }
 
-    fn log_choice(&self, entry: &Entry, choice: &Choice, now: Millis) {
+    fn log_chosen_target(
+        &self,
+        entry: &Entry,
+        choice: &ChosenTarget,
+        now: Millis,
+    ) {
         let endpoint = choice.endpoint.borrow();
         let group = endpoint.group.as_ref();
-        let age = group.map_or(-1, |it| now.since(it.heard).0 as i64);
-        let report = endpoint.limit.limit_report(now);
-        info!(entry.log, "chosen"; "request" => &*self.id,
+        let age = group.map_or(-1, |it| now.since(it.reported_at).0 as i64);
+        let report = endpoint.rate_limit.limit_report(now);
+        info!(entry.log, "chosen"; "request" => &*self.request_id,
             "work" => %self.work,
             "target" => &*choice.target.id, "route" => &*self.route.name,
-            "cost" => choice.cost as u64, "at_target" => endpoint.record.estimated_occupancy(now),
-            "own" => endpoint.record.in_flight(), "report_age" => age,
-            "limit" => choice.limit.map(|it| it.requests_per_second()),
+            "cost" => choice.cost_ms as u64, "at_target" => endpoint.request_stats.estimated_occupancy(now),
+            "own" => endpoint.request_stats.in_flight(), "report_age" => age,
+            "limit" => choice.rate_limit.map(|it| it.requests_per_second()),
             "limit_age" => report.map(|it| it.rate_limit_age.0),
-            "denied" => self.denied,
-            "left" => self.left().0, "try" => self.tries + 1);
+            "denied" => self.denied_permits,
+            "left" => self.time_left().0, "try" => self.attempt_count + 1);
     }
 
-    /// How far ahead a permit may lie that it takes. Less urgent requests leave
-    /// those that lie further ahead to more urgent ones.
-    fn share_of(&self, patience: Millis) -> Millis {
-        let ranks = u64::from(LAST_RANK) + 1;
-        let rank = u64::from(self.urgency());
-        Millis(patience.0 * (ranks - rank) / ranks)
+    /// How far in the future a permit for the request may become valid. Less
+    /// urgent requests leave later permits to more urgent ones.
+    fn max_permit_lookahead(&self, wait_left: Millis) -> Millis {
+        let ranks = u64::from(MAX_QUEUE_RANK) + 1;
+        let rank = u64::from(self.queue_rank());
+        Millis(wait_left.0 * (ranks - rank) / ranks)
     }
 }
--- a/cowsliproad-direct/src/ends.rs
+++ b/cowsliproad-direct/src/ends.rs
@@ -1,21 +1,21 @@
-//! Whether a target's process ended under its requests.
+//! Finds out whether a target's process crashed under its requests.
 //!
-//! A connection that breaks under a request says little: the target may have
-//! ended, its group may have stalled, an answer may be lost, or only the
-//! connection went. A caller that leaves says nothing at all. So it is asked
-//! a moment later whether the target lives. Its agent, which stands on the
-//! same VM, says that it reads its report or that its process is gone, and an
-//! answer to anybody says that it lives. Where neither comes, a new connection
-//! tells: a VM whose process is gone refuses it. So does a zone that is cut
-//! off with resets, so a refusal counts only while somebody else in that zone
-//! is heard from. Silence tells nothing, as when a VM is frozen, cut off or
-//! without power.
+//! A connection that breaks under a request proves little: the target may have
+//! crashed, its group may have stalled, an answer may be lost, or only the
+//! connection failed. A caller that disconnects proves nothing. So a probe
+//! checks a moment later whether the target is alive. The target's agent, on
+//! the same VM, states that it read the engine's report or that the process is
+//! gone, and any answer of the target shows that it is alive. Without such a
+//! sign, a new connection is tried: a VM whose process is gone refuses it. A
+//! partition that resets connections to a zone looks the same, so a refusal
+//! counts only while another VM of that zone sends messages. Silence proves
+//! nothing, as when a VM is frozen, partitioned or without power.
 //!
-//! A target may go on with a request that was given up here, as long as it has
-//! time: it waits its turn there and runs when nobody listens any more. So a
-//! sign of life settles such a request only once its time is over, and puts
-//! the question off until then. A request that was never written to a
-//! connection is not asked about at all.
+//! A target may continue with a request that was abandoned here until the
+//! request's deadline: the request waits in the target's queue and runs though
+//! its caller is gone. So a sign of life clears such a request only after the
+//! deadline, and otherwise postpones the check. A request that was never
+//! written to a connection raises no suspicion.
 
 use std::{io, rc::Rc};
 
@@ -25,226 +25,278 @@
 use tokio::{net::TcpStream, time::sleep};
 
 use crate::{
-    entry::{Choice, Endpoint, Entry},
-    quarantine::Extent,
+    entry::{ChosenTarget, Endpoint, Entry},
+    quarantine::CrashExtent,
 };
 
-/// What a report or answer may have taken on its way: one that came sooner
-/// after a break may be from before it.
-pub const MAX_LATENCY: Millis = Millis(100);
+/// The longest latency of an agent's report or a target's answer: a message
+/// that arrives within this time after a connection broke may have been sent
+/// before.
+pub const MAX_MESSAGE_LATENCY: Millis = Millis(100);
 
-/// When a target without an agent is asked. Others whose connections broke
-/// with it are asked about together.
-const PLAIN_DELAY: Millis = Millis(150);
+/// Delay before a target without an agent is probed. Requests whose
+/// connections to the target broke together share one probe.
+const PROBE_DELAY_WITHOUT_AGENT: Millis = Millis(150);
 
-/// When one beside an agent is asked: its agent reports every 400 ms, so that
-/// after a whole group was cut off no connection is made.
-const AGENT_DELAY: Millis = Millis(550);
+/// Delay before a target with an agent is probed. An agent reports every 400
+/// ms, so its report mostly makes the probe unnecessary: a partition of a
+/// whole group causes no probe connections.
+const PROBE_DELAY_WITH_AGENT: Millis = Millis(550);
 
-/// An agent that was silent for so long before won't speak.
-const AGENT_TIMEOUT: Millis = Millis(1_000);
+/// An agent that sent no report for this long before a connection broke isn't
+/// expected to report on the target, which is probed as if it had no agent.
+const AGENT_REPORT_TIMEOUT: Millis = Millis(1_000);
 
-/// The time for a connection to be made or refused.
-const CONNECT_TIMEOUT: Millis = Millis(250);
+/// The timeout for the probe's connection to be accepted or refused.
+const PROBE_CONNECT_TIMEOUT: Millis = Millis(250);
 
-/// How often is asked when there is no answer, and the pause between.
-const MAX_ASKED: u32 = 3;
-const RETRY_BACKOFF: Millis = Millis(300);
+/// Probes without a conclusive answer before the target's state counts as
+/// unknown.
+const MAX_INCONCLUSIVE_PROBES: u32 = 3;
 
-/// Requests that are asked about at once, some 70 bytes each: all that a
-/// target runs and has waiting from one entry. Those that were given up give
-/// way to others, the oldest first.
-const MAX_SUSPICIONS: usize = 64;
+/// The pause between probes without a conclusive answer.
+const PROBE_RETRY_BACKOFF: Millis = Millis(300);
 
-/// A request under which its target may have ended.
+/// Suspicions kept per target, some 70 bytes each: all requests of one entry
+/// process that a target runs and queues. The oldest abandoned request gives
+/// way to a new suspicion.
+const MAX_SUSPICIONS_PER_TARGET: usize = 64;
+
+/// A request during which its target may have crashed.
 #[derive(Clone, Debug)]
-pub struct Suspicion {
-    request: Name,
+pub struct CrashSuspicion {
+    request_id: Name,
     work: WorkDigest,
-    /// When its connection broke or was given up, or since then the target
-    /// was last seen to live.
-    at: Millis,
-    /// How long after that the target may still have been at work on it
-    /// before it is asked.
-    lingers: Millis,
-    /// Until when the target may be at work on it at all.
-    until: Millis,
-    /// Whether the target had begun to answer it.
-    has_progress: bool,
+    /// When the request's connection broke or was abandoned, or, if later,
+    /// when the target was last known to be alive.
+    broken_at: Millis,
+    /// The delay after `broken_at` before the target of an abandoned request
+    /// is probed, since the target may continue with the request; 0 if the
+    /// connection broke.
+    abandoned_probe_delay: Millis,
+    /// The latest time at which the target may still run the request.
+    may_run_until: Millis,
+    /// Whether the target had begun to answer the request.
+    answer_begun: bool,
 }
 
-impl Suspicion {
-    /// A request whose connection broke.
-    pub fn broken(request: Name, work: WorkDigest) -> Suspicion {
-        let at = Millis::now();
-        Suspicion {
-            request,
+impl CrashSuspicion {
+    /// Creates the suspicion that a target crashed under a request whose
+    /// connection broke.
+    pub fn new_for_broken_connection(
+        request_id: Name,
+        work: WorkDigest,
+    ) -> CrashSuspicion {
+        let broken_at = Millis::now();
+        CrashSuspicion {
+            request_id,
             work,
-            at,
-            lingers: Millis(0),
-            until: at,
-            has_progress: false,
+            broken_at,
+            abandoned_probe_delay: Millis(0),
+            may_run_until: broken_at,
+            answer_begun: false,
         }
     }
 
-    /// One of whose answer an event had come.
-    pub fn with_progress(self, has_progress: bool) -> Suspicion {
-        Suspicion { has_progress, ..self }
+    /// Sets whether part of the request's answer had arrived.
+    pub fn with_answer_begun(self, answer_begun: bool) -> CrashSuspicion {
+        CrashSuspicion { answer_begun, ..self }
     }
 
-    /// A request that was given up here, and that the target may go on with
-    /// until its time is over.
-    pub fn given_up(
-        request: Name,
+    /// Creates the suspicion that a target crashed under an abandoned request.
+    /// The target may continue with the request until its deadline.
+    pub fn new_for_abandoned_request(
+        request_id: Name,
         work: WorkDigest,
-        until: Millis,
-    ) -> Suspicion {
-        let broken = Suspicion::broken(request, work);
-        let lingers = LINGER_INTERVAL;
-        let until = until.min(broken.at + LONGEST_LINGER);
-        Suspicion { lingers, until, ..broken }
+        may_run_until: Millis,
+    ) -> CrashSuspicion {
+        let broken =
+            CrashSuspicion::new_for_broken_connection(request_id, work);
+        let abandoned_probe_delay = ABANDONED_REQUEST_PROBE_INTERVAL;
+        let may_run_until =
+            may_run_until.min(broken.broken_at + MAX_REQUEST_DURATION);
+        CrashSuspicion { abandoned_probe_delay, may_run_until, ..broken }
     }
 
-    fn is_given_up(&self) -> bool {
-        self.lingers > Millis(0)
+    fn is_abandoned(&self) -> bool {
+        self.abandoned_probe_delay > Millis(0)
     }
 
-    /// What is still suspected once the target is seen to live.
-    fn renewed(&self, now: Millis) -> Option<Suspicion> {
-        (self.until > now).then(|| Suspicion { at: now, ..self.clone() })
+    /// The suspicion that remains after the target was seen alive; None after
+    /// the request's deadline.
+    fn renew_after_sign_of_life(&self, now: Millis) -> Option<CrashSuspicion> {
+        (self.may_run_until > now)
+            .then(|| CrashSuspicion { broken_at: now, ..self.clone() })
     }
 
-    /// From when on a sign of life says that the target outlived it.
-    fn counts_from(&self) -> Millis {
-        self.at + self.lingers + MAX_LATENCY
+    /// The earliest time of a sign of life that shows that the target survived
+    /// the request.
+    fn earliest_survival_proof_at(&self) -> Millis {
+        self.broken_at + self.abandoned_probe_delay + MAX_MESSAGE_LATENCY
     }
 }
 
-/// When a target is first asked that may go on with a request whose connection
-/// was reset. Most drop it at once; one that reads it late has a tenth of a
-/// second to begin and another to end. Others have it wait its turn for as
-/// long as it has time; these are looked at again as often.
-const LINGER_INTERVAL: Millis = Millis(500);
+/// Delay before a target is probed that may continue with a request whose
+/// connection was reset, and the interval of later probes. Most targets drop
+/// the request at once; one that reads the reset late has 100 ms to begin the
+/// request and 100 ms to end it. Other targets keep the request queued until
+/// its deadline.
+const ABANDONED_REQUEST_PROBE_INTERVAL: Millis = Millis(500);
 
-/// The longest that a request's time may be: that of streams, and a quarter
-/// more.
-const LONGEST_LINGER: Millis = Millis(10_000);
+/// The longest that a request may take: the limit for streams plus a quarter.
+const MAX_REQUEST_DURATION: Millis = Millis(10_000);
 
-/// What became of a target.
+/// The result of a probe of a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Fate {
-    Lives,
-    Ended,
-    /// Nobody can tell.
+enum ProbeOutcome {
+    Alive,
+    Crashed,
+    /// The probe didn't show whether the target is alive.
     Unknown,
 }
 
-/// Asks whether a target ended under a request.
-pub fn suspect(entry: &Rc<Entry>, choice: &Choice, suspect: Suspicion) {
+/// Records a suspicion that a target crashed under a request, and starts a
+/// probe task unless one runs for the target.
+pub fn add_crash_suspicion(
+    entry: &Rc<Entry>,
+    choice: &ChosenTarget,
+    suspect: CrashSuspicion,
+) {
     let mut endpoint = choice.endpoint.borrow_mut();
-    if endpoint.suspicions.len() >= MAX_SUSPICIONS {
-        entry.measure.suspected(1, "untold");
-        let oldest =
-            endpoint.suspicions.iter().position(Suspicion::is_given_up);
+    if endpoint.crash_suspicions.len() >= MAX_SUSPICIONS_PER_TARGET {
+        entry.metrics.record_suspicion_outcomes(1, "untold");
+        let oldest = endpoint
+            .crash_suspicions
+            .iter()
+            .position(CrashSuspicion::is_abandoned);
         let Some(oldest) = oldest else { return };
-        endpoint.suspicions.remove(oldest);
+        endpoint.crash_suspicions.remove(oldest);
     }
-    endpoint.suspicions.push(suspect);
-    if endpoint.suspicions.len() == 1 {
-        tokio::task::spawn_local(probe(entry.clone(), choice.clone()));
+    endpoint.crash_suspicions.push(suspect);
+    if endpoint.crash_suspicions.len() == 1 {
+        tokio::task::spawn_local(probe_target(entry.clone(), choice.clone()));
     }
 }
 
-/// Looks until nothing is suspected.
-async fn probe(entry: Rc<Entry>, choice: Choice) {
-    let mut asked = 0;
+/// Probes a target until no suspicion is left.
+async fn probe_target(entry: Rc<Entry>, choice: ChosenTarget) {
+    let mut probes = 0;
     loop {
-        let Some(due) = settle_by_signs(&entry, &choice) else { return };
+        let Some(due) = resolve_by_reports_and_answers(&entry, &choice) else {
+            return;
+        };
         let now = Millis::now();
         let cooldown_end = entry.cooldown_end(&choice.target, now);
         let due = cooldown_end
-            .map_or(due, |end| due.max(end.min(due + LONGEST_LINGER)));
+            .map_or(due, |end| due.max(end.min(due + MAX_REQUEST_DURATION)));
         let wait = due.since(now);
         if wait > Millis(0) {
             tokio::select! {
                 () = sleep(wait.duration()) => {}
-                // An agent may have said what became of it.
-                () = entry.news.notified() => {}
+                // An agent may have reported on the target.
+                () = entry.targets_changed.notified() => {}
             }
             continue;
         }
-        let asked_at = Millis::now();
-        let fate = match cooldown_end {
-            // Not even a connection is made to a target that wants none.
-            Some(_) => Fate::Unknown,
-            None => ask(&entry, &choice).await,
+        let probed_at = Millis::now();
+        let outcome = match cooldown_end {
+            // A target in a cooldown gets no new connections, not even a
+            // probe's.
+            Some(_) => ProbeOutcome::Unknown,
+            None => probe_by_connecting(&entry, &choice).await,
         };
-        asked += 1;
-        if fate == Fate::Unknown && asked < MAX_ASKED {
-            sleep(RETRY_BACKOFF.duration()).await;
+        probes += 1;
+        if outcome == ProbeOutcome::Unknown && probes < MAX_INCONCLUSIVE_PROBES
+        {
+            sleep(PROBE_RETRY_BACKOFF.duration()).await;
             continue;
         }
-        settle(&entry, &choice, fate, |it| it.at + it.lingers <= asked_at);
-        asked = 0;
+        resolve_suspicions(&entry, &choice, outcome, |it| {
+            it.broken_at + it.abandoned_probe_delay <= probed_at
+        });
+        probes = 0;
     }
 }
 
-/// Settles what signs of life have settled, and says when to ask about the
-/// rest.
-fn settle_by_signs(entry: &Entry, choice: &Choice) -> Option<Millis> {
-    let (lived, lost) = {
+/// Resolves the suspicions that reports and answers decide, and returns when
+/// to probe for the rest.
+fn resolve_by_reports_and_answers(
+    entry: &Entry,
+    choice: &ChosenTarget,
+) -> Option<Millis> {
+    let (last_seen_alive, exit_reported_at) = {
         let endpoint = choice.endpoint.borrow();
-        (endpoint.lived, endpoint.lost)
+        (endpoint.last_seen_alive, endpoint.exit_reported_at)
+    };
+    let survived = |it: &CrashSuspicion| {
+        last_seen_alive.is_some_and(|at| it.earliest_survival_proof_at() <= at)
+    };
+    resolve_suspicions(entry, choice, ProbeOutcome::Alive, survived);
+    let crashed = |it: &CrashSuspicion| {
+        exit_reported_at
+            .is_some_and(|at| it.broken_at <= at + MAX_MESSAGE_LATENCY)
     };
-    let outlived =
-        |it: &Suspicion| lived.is_some_and(|at| it.counts_from() <= at);
-    settle(entry, choice, Fate::Lives, outlived);
-    let ended =
-        |it: &Suspicion| lost.is_some_and(|at| it.at <= at + MAX_LATENCY);
-    settle(entry, choice, Fate::Ended, ended);
+    resolve_suspicions(entry, choice, ProbeOutcome::Crashed, crashed);
     let endpoint = choice.endpoint.borrow();
-    let due = |it: &Suspicion| it.at + it.lingers + patience(&endpoint, it.at);
-    endpoint.suspicions.iter().map(due).min()
+    let due = |it: &CrashSuspicion| {
+        it.broken_at
+            + it.abandoned_probe_delay
+            + probe_delay(&endpoint, it.broken_at)
+    };
+    endpoint.crash_suspicions.iter().map(due).min()
 }
 
-fn patience(endpoint: &Endpoint, since: Millis) -> Millis {
-    let heard = endpoint.group.as_ref().map(|it| since.since(it.heard));
-    match heard {
-        Some(age) if age < AGENT_TIMEOUT => AGENT_DELAY,
-        _ => PLAIN_DELAY,
+fn probe_delay(endpoint: &Endpoint, since: Millis) -> Millis {
+    let report_age =
+        endpoint.group.as_ref().map(|it| since.since(it.reported_at));
+    match report_age {
+        Some(age) if age < AGENT_REPORT_TIMEOUT => PROBE_DELAY_WITH_AGENT,
+        _ => PROBE_DELAY_WITHOUT_AGENT,
     }
 }
 
-async fn ask(entry: &Entry, choice: &Choice) -> Fate {
-    let newest = choice.endpoint.borrow().suspicions.last().map(|it| it.at);
-    let since = newest.unwrap_or_default() + MAX_LATENCY;
+async fn probe_by_connecting(
+    entry: &Entry,
+    choice: &ChosenTarget,
+) -> ProbeOutcome {
+    let newest = choice
+        .endpoint
+        .borrow()
+        .crash_suspicions
+        .last()
+        .map(|it| it.broken_at);
+    let since = newest.unwrap_or_default() + MAX_MESSAGE_LATENCY;
     let opening = TcpStream::connect(choice.target.address);
-    match tokio::time::timeout(CONNECT_TIMEOUT.duration(), opening).await {
-        Ok(Ok(_)) => Fate::Lives,
+    match tokio::time::timeout(PROBE_CONNECT_TIMEOUT.duration(), opening).await
+    {
+        Ok(Ok(_)) => ProbeOutcome::Alive,
         Ok(Err(error))
             if error.kind() == io::ErrorKind::ConnectionRefused
-                && entry.reaches(&choice.target.zone, since) =>
+                && entry
+                    .has_zone_contact_since(&choice.target.zone, since) =>
         {
-            Fate::Ended
+            ProbeOutcome::Crashed
         }
-        Ok(Err(_)) | Err(_) => Fate::Unknown,
+        Ok(Err(_)) | Err(_) => ProbeOutcome::Unknown,
     }
 }
 
-fn settle(
+fn resolve_suspicions(
     entry: &Entry,
-    choice: &Choice,
-    fate: Fate,
-    is_settled: impl Fn(&Suspicion) -> bool,
+    choice: &ChosenTarget,
+    outcome: ProbeOutcome,
+    is_settled: impl Fn(&CrashSuspicion) -> bool,
 ) {
     let now = Millis::now();
     let mut settled = Vec::new();
-    choice.endpoint.borrow_mut().suspicions.retain_mut(|it| {
+    choice.endpoint.borrow_mut().crash_suspicions.retain_mut(|it| {
         if !is_settled(it) {
             return true;
         }
-        let lives_on = fate == Fate::Lives;
-        if let Some(renewed) = it.renewed(now).filter(|_| lives_on) {
+        let is_alive = outcome == ProbeOutcome::Alive;
+        if let Some(renewed) =
+            it.renew_after_sign_of_life(now).filter(|_| is_alive)
+        {
             *it = renewed;
             return true;
         }
@@ -254,29 +306,45 @@
     if settled.is_empty() {
         return;
     }
-    match fate {
-        Fate::Lives => entry.measure.suspected(settled.len(), "lives"),
-        Fate::Unknown => entry.measure.suspected(settled.len(), "unknown"),
-        Fate::Ended => {
-            entry.measure.suspected(settled.len(), "ended");
+    match outcome {
+        ProbeOutcome::Alive => {
+            entry.metrics.record_suspicion_outcomes(settled.len(), "lives")
+        }
+        ProbeOutcome::Unknown => {
+            entry.metrics.record_suspicion_outcomes(settled.len(), "unknown")
+        }
+        ProbeOutcome::Crashed => {
+            entry.metrics.record_suspicion_outcomes(settled.len(), "ended");
             for suspect in settled {
-                note_end(entry, choice, &suspect);
+                record_suspected_crash(entry, choice, &suspect);
             }
         }
     }
 }
 
-/// Notes that a target ended under a request.
-fn note_end(entry: &Entry, choice: &Choice, suspect: &Suspicion) {
-    let age = Millis::now().since(suspect.at);
-    // Of what a rank runs, most has begun to answer, and one that crashes it
-    // mostly does so before that.
+/// Records in the quarantine that a target crashed under a suspected request.
+fn record_suspected_crash(
+    entry: &Entry,
+    choice: &ChosenTarget,
+    suspect: &CrashSuspicion,
+) {
+    let age = Millis::now().since(suspect.broken_at);
+    // A rank has begun to answer most requests that it runs, and a
+    // crash-inducing request mostly crashes the rank before that.
     let in_group = choice.endpoint.borrow().group.is_some();
-    let is_likely = !suspect.has_progress && !suspect.is_given_up();
-    let extent =
-        if in_group && is_likely { Extent::Group } else { Extent::Target };
+    let is_likely = !suspect.answer_begun && !suspect.is_abandoned();
+    let extent = if in_group && is_likely {
+        CrashExtent::Group
+    } else {
+        CrashExtent::Target
+    };
     info!(entry.log, "ended_under"; "target" => &*choice.target.id,
-        "request" => &*suspect.request, "work" => %suspect.work,
+        "request" => &*suspect.request_id, "work" => %suspect.work,
         "known_after" => age.0, "extent" => ?extent);
-    entry.note_ended(&choice.target, suspect.work, extent, Millis::now());
+    entry.record_crash_during_work(
+        &choice.target,
+        suspect.work,
+        extent,
+        Millis::now(),
+    );
 }
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -1,8 +1,8 @@
-//! What the process believes, shared by all its tasks.
+//! State of the entry process, shared by all its tasks.
 //!
-//! All state stands here, in one place: the configuration in force, the
-//! targets and how each has fared, the other entries. Tasks borrow it for a
-//! moment and never across a wait.
+//! The state holds the configuration in force, the known targets with their
+//! health, load and connections, and the other entry processes. Tasks borrow
+//! the state briefly and never across an await.
 
 use std::{
     cell::{Cell, RefCell},
@@ -33,239 +33,264 @@
 use tokio::sync::Notify;
 
 use crate::{
-    ends::Suspicion, limits::Limits, measure::Measure, peers::Peers,
-    quarantine::Quarantine, rollback::Rollbacks, settings::Settings,
-    upstream::Pool,
+    ends::CrashSuspicion, limits::RateLimits, measure::EntryMetrics,
+    peers::Peers, quarantine::Quarantine, rollback::LogRollbacks,
+    settings::Settings, upstream::ConnectionPool,
 };
 
 pub mod choose;
 mod groups;
 
-/// Routes whose callers' patience is remembered, some 60 bytes each: more
-/// than operators have had.
-const MAX_ROUTES: usize = 10_000;
+/// Routes whose longest caller timeout is kept, some 60 bytes each. No
+/// operator has had so many routes.
+const MAX_REMEMBERED_ROUTES: usize = 10_000;
 
-/// Availability zones that are kept track of, twice those of the largest
-/// fleet to come.
-const MAX_ZONES: usize = 64;
+/// Availability zones that are tracked, twice those of the largest fleet to
+/// come.
+const MAX_TRACKED_ZONES: usize = 64;
 
-/// Entries of other writers that are told of.
-const MAX_REFUSED: usize = 1_000;
+/// Malformed records of the targets topic that are logged, each key once.
+const MAX_INVALID_TARGET_KEYS: usize = 1_000;
 
-/// Where new facts came from, for logs.
+/// Where a state change came from, for logs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Source {
-    /// The platform's log.
+pub enum ChangeSource {
+    /// The change was read from the platform's log.
     Log,
-    /// Another entry.
+    /// The change came in a digest or state snapshot of another entry process.
     Peer,
-    /// The entry's own requests.
+    /// The change was observed on this entry process's own requests.
     Own,
 }
 
-/// The phases of the process.
+/// The phases of an entry process, from serving to the end of its shutdown.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Phase {
-    /// It serves.
+pub enum ProcessPhase {
+    /// The process accepts connections and requests.
     Serving,
-    /// It was told to stop and serves on until the balancer knows.
+    /// The process got a stop signal and still accepts connections until the
+    /// load balancer notices.
     Leaving,
-    /// No new connections come: it finishes what it has.
+    /// The process accepts no new connections and finishes the requests in
+    /// flight.
     Closing,
 }
 
-/// What an entry keeps of one target beside what the log says.
+/// State that an entry process keeps for one target in addition to the
+/// target's record in the log.
 #[derive(Debug, Default)]
 pub struct Endpoint {
-    /// How it fared.
-    pub record: TargetStats,
-    /// Idle connections.
-    pub pool: Pool,
-    /// Open connections, busy ones and those being made included.
-    pub open: usize,
-    /// Wakes requests that wait for a connection.
-    pub freed: Rc<Notify>,
-    /// What its agent last said of its group.
-    pub group: Option<Group>,
-    /// When it was last known to live: its agent read its report, or it
-    /// answered.
-    pub lived: Option<Millis>,
-    /// When its agent last said that its process is gone.
-    pub lost: Option<Millis>,
-    /// Requests under which it may have ended.
-    pub suspicions: Vec<Suspicion>,
-    /// How many requests a second it takes.
-    pub limit: CurrentLimit,
-    /// Permits there that came too late for the requests that asked.
-    pub permits: Vec<Permit>,
-    /// When a permit there is to be asked for at the earliest.
-    pub full_until: Millis,
-    /// Whether a permit there is being asked for.
-    pub asking: bool,
-    /// Whether its last refusal stated a time that is none.
-    pub unreadable: bool,
-    /// What is known of it since it last asked to be left alone.
-    pub recovery: Recovery,
+    /// In-flight requests, reported load, latencies and failures of the
+    /// target.
+    pub request_stats: TargetStats,
+    /// Idle connections to the target.
+    pub connection_pool: ConnectionPool,
+    /// Open connections to the target, including busy connections and those
+    /// being established.
+    pub open_connection_count: usize,
+    /// Wakes requests that wait for a connection to the target.
+    pub connection_freed: Rc<Notify>,
+    /// State of the target's group from the latest report of the target's
+    /// agent.
+    pub group: Option<GroupReport>,
+    /// When the target was last known to be alive: its agent read the engine's
+    /// report, or the target answered a request.
+    pub last_seen_alive: Option<Millis>,
+    /// When the target's agent last reported that the engine process is gone.
+    pub exit_reported_at: Option<Millis>,
+    /// Requests during which the target may have crashed.
+    pub crash_suspicions: Vec<CrashSuspicion>,
+    /// The rate limit that the target states in its answers.
+    pub rate_limit: CurrentLimit,
+    /// Permits for the target that were granted after their requests stopped
+    /// waiting.
+    pub spare_permits: Vec<Permit>,
+    /// The earliest time at which to request the next permit for the target.
+    pub next_permit_request_at: Millis,
+    /// Whether a permit request for the target is in flight.
+    pub permit_request_in_flight: bool,
+    /// Whether the target's latest Retry-After header was unreadable; logged
+    /// only once.
+    pub last_retry_after_invalid: bool,
+    /// Whether the target takes requests again after its latest cooldown.
+    pub cooldown_recovery: CooldownRecovery,
 }
 
-/// What is known of a target since it last asked to be left alone. After that
-/// one request finds out whether it takes more.
+/// State of a target after a cooldown that the target requested with
+/// Retry-After. When the cooldown ends, one probe request shows whether the
+/// target takes more.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Recovery {
-    /// It takes requests.
+pub enum CooldownRecovery {
+    /// The target accepts requests as usual.
     #[default]
     Done,
-    /// It has got none yet.
+    /// No request was sent to the target since the cooldown.
     Pending,
-    /// One was sent then.
+    /// The probe request was sent to the target at this time.
     Probed(Millis),
 }
 
-/// The group of a target.
+/// The group of engine ranks that a target belongs to, as last reported by the
+/// target's agent.
 #[derive(Clone, Debug)]
-pub struct Group {
-    /// Its name.
-    pub name: Name,
-    /// Its formation.
-    pub epoch: u64,
-    /// Whether it takes requests.
-    pub open: bool,
-    /// The last pass that was begun.
-    pub step: u64,
-    /// How long the target's work takes, in percent of the usual.
-    pub pace: u32,
-    /// When this was heard.
-    pub heard: Millis,
+pub struct GroupReport {
+    /// The group's name.
+    pub group_name: Name,
+    /// Epoch of the group's formation, raised each time that the group forms
+    /// again.
+    pub formation_epoch: u64,
+    /// Whether the group accepts requests.
+    pub accepts_requests: bool,
+    /// The number of the last forward pass that the group began.
+    pub last_forward_pass: u64,
+    /// How long the target's work takes, in percent of the usual time.
+    pub service_time_percent: u32,
+    /// When the agent's report on the group arrived.
+    pub reported_at: Millis,
 }
 
-/// The state of an entry.
+/// The shared state of an entry process.
 #[derive(Debug)]
 pub struct Entry {
     settings: RefCell<Rc<Settings>>,
-    /// Its logger.
+    /// Logger of this entry process.
     pub log: Logger,
-    /// Its counters.
-    pub measure: Measure,
-    /// The configuration in force, as decoded and as it came.
+    /// Counters and histograms of this entry process.
+    pub metrics: EntryMetrics,
+    /// The configuration in force, decoded and as raw bytes.
     catalog: RefCell<Option<(Arc<RoutingCatalog>, Bytes)>>,
-    /// The targets.
+    /// The known targets.
     pub fleet: RefCell<TargetFleet>,
-    /// The longest that callers of each route were seen to wait.
-    patience: RefCell<HashMap<Name, Millis>>,
-    /// Keys in the log whose entries were no target's, so that each is told
-    /// of once.
-    refused: RefCell<HashSet<String>>,
-    /// Announcements as they came, for entries that start without the log.
-    pub announced: RefCell<HashMap<Name, Bytes>>,
+    /// The longest timeout that a caller's request has stated on each route.
+    longest_caller_timeouts: RefCell<HashMap<Name, Millis>>,
+    /// Keys of malformed records in the targets topic, so that each key is
+    /// logged once.
+    invalid_target_keys: RefCell<HashSet<String>>,
+    /// Raw target announcements by target id, served to entry processes that
+    /// start without the log.
+    pub raw_announcements: RefCell<HashMap<Name, Bytes>>,
     endpoints: RefCell<HashMap<Name, Rc<RefCell<Endpoint>>>>,
-    budgets: RefCell<HashMap<Name, RetryWindow>>,
-    /// What was last said of each group, by any of its ranks.
+    retry_budgets: RefCell<HashMap<Name, RetryWindow>>,
+    /// The newest known formation of each group, reported by any of its ranks.
     formations: RefCell<HashMap<Name, GroupFormation>>,
-    /// Requests that crash their targets.
+    /// Quarantine of crash-inducing requests.
     pub quarantine: RefCell<Quarantine>,
-    /// When each availability zone was last heard from.
-    zones: RefCell<HashMap<Name, Millis>>,
-    /// The pace of requests to targets that name a limit.
-    pub limits: RefCell<Limits>,
-    /// Targets that asked to be left alone. They stand apart from what is
-    /// kept of targets, which goes when one drops out of the log.
+    /// When a VM of each availability zone last sent a message.
+    zone_last_seen: RefCell<HashMap<Name, Millis>>,
+    /// Rate limiters of targets that state a limit, and open permit requests.
+    pub limits: RefCell<RateLimits>,
+    /// Cooldowns that targets requested with Retry-After. They are kept apart
+    /// from the endpoints, which are removed when a target is no longer listed
+    /// in the log.
     pub cooldowns: RefCell<Cooldowns>,
-    /// Other entries.
+    /// The other entry processes.
     pub peers: RefCell<Peers>,
-    /// Wakes requests that wait for a target.
-    pub news: Notify,
-    /// Wakes those that wait for a connection to one.
-    pub freed: Rc<Notify>,
-    /// Counts the news, for requests that were not waiting when some came.
-    pub news_told: Cell<u64>,
-    /// Wakes idle connections that are to be closed.
-    pub closing: Notify,
-    /// Wakes the task that tells other entries.
-    pub rumour: Notify,
-    /// The lists of engines that agents know, by engine.
-    pub lists: RefCell<HashMap<SocketAddr, u64>>,
-    /// What is known of readings of the targets in the log.
-    pub readings: RefCell<LogReadSchedule>,
-    /// Wakes the task that reads them.
-    pub behind: Notify,
-    /// Times that the log came back from an older copy.
-    pub rollbacks: Rollbacks,
-    /// Wakes the task that waits for another entry's word at the start.
-    pub met: Notify,
-    /// Counts targets that joined.
-    pub joined: Cell<u64>,
-    /// Requests that were taken and not answered in full.
-    pub under_way: Cell<usize>,
-    /// What the process is doing.
-    pub phase: Cell<Phase>,
-    random: RefCell<SmallRng>,
+    /// Wakes requests that wait for a change of targets or groups.
+    pub targets_changed: Notify,
+    /// Wakes requests that wait for a connection to any target.
+    pub connection_freed: Rc<Notify>,
+    /// Counts the changes of targets and groups, so that a request that wasn't
+    /// waiting detects those that it missed.
+    pub target_change_count: Cell<u64>,
+    /// Wakes idle caller connections that have to be closed at shutdown.
+    pub idle_close_requested: Notify,
+    /// Wakes the task that broadcasts digests to other entry processes.
+    pub digest_wakeup: Notify,
+    /// The id of the target list that each engine's agent has, by the engine's
+    /// address.
+    pub agent_target_list_ids: RefCell<HashMap<SocketAddr, u64>>,
+    /// When the targets topic was last read, by this entry process or by
+    /// another, and up to which position.
+    pub log_read_schedule: RefCell<LogReadSchedule>,
+    /// Wakes the task that reads the targets topic.
+    pub targets_read_wakeup: Notify,
+    /// Rollbacks of the platform's log to an older copy.
+    pub rollbacks: LogRollbacks,
+    /// Wakes the task that waits at startup for digests of other entry
+    /// processes.
+    pub digest_received: Notify,
+    /// Counts targets that joined or restarted, so that agents are asked to
+    /// report at once.
+    pub joined_target_count: Cell<u64>,
+    /// Accepted requests whose answers are not complete yet.
+    pub unfinished_request_count: Cell<usize>,
+    /// The current phase of this entry process, from serving to the end of its
+    /// shutdown.
+    pub process_phase: Cell<ProcessPhase>,
+    rng: RefCell<SmallRng>,
 }
 
-/// A target that was chosen.
+/// A target that was chosen for a request.
 #[derive(Clone, Debug)]
-pub struct Choice {
-    /// The target.
+pub struct ChosenTarget {
+    /// The chosen target.
     pub target: Target,
-    /// What the entry keeps of it.
+    /// The state that the entry process keeps for the chosen target.
     pub endpoint: Rc<RefCell<Endpoint>>,
-    /// Its cost when it was chosen, in milliseconds.
-    pub cost: f64,
-    /// Connections to it that this entry may have.
-    pub connections: usize,
-    /// The limit that it names.
-    pub limit: Option<RequestRate>,
-    /// The permit that the request holds there.
+    /// The target's cost when it was chosen, in milliseconds.
+    pub cost_ms: f64,
+    /// The largest number of connections that this entry process may have to
+    /// the target.
+    pub max_connections: usize,
+    /// The rate limit that the target states.
+    pub rate_limit: Option<RequestRate>,
+    /// The permit that the request holds, granted by the target's rate
+    /// limiter.
     pub permit: Option<Permit>,
 }
 
 impl Entry {
-    /// An entry that knows nothing yet.
+    /// Creates an entry process without configuration, targets or peers.
     pub fn new(settings: Settings, log: Logger) -> Entry {
         let peers = Peers::new(&settings);
-        let readings = LogReadSchedule::new(settings.heartbeat_ms);
+        let log_read_schedule = LogReadSchedule::new(settings.heartbeat_ms);
         Entry {
             settings: RefCell::new(Rc::new(settings)),
             log,
-            measure: Measure::new(),
+            metrics: EntryMetrics::new(),
             catalog: RefCell::new(None),
             fleet: RefCell::new(TargetFleet::new(TargetFleetConfig::new())),
-            patience: RefCell::new(HashMap::new()),
-            refused: RefCell::new(HashSet::new()),
-            announced: RefCell::new(HashMap::new()),
+            longest_caller_timeouts: RefCell::new(HashMap::new()),
+            invalid_target_keys: RefCell::new(HashSet::new()),
+            raw_announcements: RefCell::new(HashMap::new()),
             endpoints: RefCell::new(HashMap::new()),
-            budgets: RefCell::new(HashMap::new()),
+            retry_budgets: RefCell::new(HashMap::new()),
             formations: RefCell::new(HashMap::new()),
             quarantine: RefCell::new(Quarantine::default()),
-            zones: RefCell::new(HashMap::new()),
-            limits: RefCell::new(Limits::default()),
+            zone_last_seen: RefCell::new(HashMap::new()),
+            limits: RefCell::new(RateLimits::default()),
             cooldowns: RefCell::new(Cooldowns::new()),
             peers: RefCell::new(peers),
-            news: Notify::new(),
-            freed: Rc::default(),
-            news_told: Cell::new(0),
-            closing: Notify::new(),
-            rumour: Notify::new(),
-            lists: RefCell::new(HashMap::new()),
-            readings: RefCell::new(readings),
-            behind: Notify::new(),
-            rollbacks: Rollbacks::new(),
-            met: Notify::new(),
-            joined: Cell::new(0),
-            under_way: Cell::new(0),
-            phase: Cell::new(Phase::Serving),
-            random: RefCell::new(SmallRng::from_os_rng()),
+            targets_changed: Notify::new(),
+            connection_freed: Rc::default(),
+            target_change_count: Cell::new(0),
+            idle_close_requested: Notify::new(),
+            digest_wakeup: Notify::new(),
+            agent_target_list_ids: RefCell::new(HashMap::new()),
+            log_read_schedule: RefCell::new(log_read_schedule),
+            targets_read_wakeup: Notify::new(),
+            rollbacks: LogRollbacks::new(),
+            digest_received: Notify::new(),
+            joined_target_count: Cell::new(0),
+            unfinished_request_count: Cell::new(0),
+            process_phase: Cell::new(ProcessPhase::Serving),
+            rng: RefCell::new(SmallRng::from_os_rng()),
         }
     }
 
-    /// Its settings.
+    /// The settings in force.
     pub fn settings(&self) -> Rc<Settings> {
         self.settings.borrow().clone()
     }
 
-    /// Puts settings that were read again in force. Addresses stay what they
-    /// were: connections and other entries depend on them.
-    pub fn reload(&self, read: Result<Settings, settings::Error>) {
-        let new = match read {
+    /// Puts reloaded settings in force and logs invalid ones. Names and
+    /// addresses of this entry process keep their old values: connections and
+    /// other entry processes depend on them.
+    pub fn reload_settings(
+        &self,
+        read_result: Result<Settings, settings::Error>,
+    ) {
+        let new = match read_result {
             Ok(new) => new,
             Err(error) => {
                 warn!(self.log, "settings_refused"; "error" => %error);
@@ -275,219 +300,267 @@
         let old = self.settings();
         info!(self.log, "settings_read";
             "changed" => new != *old,
-            "needs_restart" => !new.same_addresses(&old));
+            "needs_restart" => !new.has_same_restart_settings(&old));
         let kept = Settings {
             vm: old.vm.clone(),
             zone: old.zone.clone(),
-            callers: old.callers,
-            readiness: old.readiness,
+            caller_address: old.caller_address,
+            readiness_address: old.readiness_address,
             peer_port: old.peer_port,
             ..new
         };
         if kept.retries != old.retries {
-            self.budgets.borrow_mut().clear();
+            self.retry_budgets.borrow_mut().clear();
         }
-        self.peers.borrow_mut().reseed(&kept);
+        self.peers.borrow_mut().replace_seeds(&kept);
         *self.settings.borrow_mut() = Rc::new(kept);
     }
 
-    /// The configuration in force.
+    /// The configuration in force, if there is one.
     pub fn catalog(&self) -> Option<Arc<RoutingCatalog>> {
         self.catalog.borrow().as_ref().map(|it| it.0.clone())
     }
 
-    /// The configuration in force as it came.
+    /// The raw bytes of the configuration in force, if there is one.
     pub fn raw_catalog(&self) -> Option<Bytes> {
         self.catalog.borrow().as_ref().map(|it| it.1.clone())
     }
 
-    /// The number of the configuration in force; 0 for none.
-    pub fn version(&self) -> u64 {
+    /// The version of the configuration in force; 0 without a configuration.
+    pub fn catalog_version(&self) -> u64 {
         self.catalog.borrow().as_ref().map_or(0, |it| it.0.config_version())
     }
 
-    /// Puts a configuration in force unless it is older than what is.
-    pub fn adopt(&self, catalog: RoutingCatalog, raw: Bytes, source: Source) {
-        let before = self.version();
+    /// Puts a configuration in force if its version is newer than the one in
+    /// force.
+    pub fn adopt_catalog(
+        &self,
+        catalog: RoutingCatalog,
+        raw: Bytes,
+        source: ChangeSource,
+    ) {
+        let before = self.catalog_version();
         if before >= catalog.config_version() {
             return;
         }
-        info!(self.log, "catalog_in_force";
-            "version" => catalog.config_version(),
+        info!(self.log, "catalog_in_force"; "version" => catalog.config_version(),
             "before" => before, "routes" => catalog.route_count(),
             "source" => ?source);
         *self.catalog.borrow_mut() = Some((Arc::new(catalog), raw));
-        self.tell_news();
-        self.rumour.notify_one();
+        self.notify_target_change();
+        self.digest_wakeup.notify_one();
     }
 
-    /// Notes an entry that is no target's.
-    pub fn refuse_target(&self, key: &str, error: &serde_json::Error) {
-        let mut refused = self.refused.borrow_mut();
-        if refused.len() < MAX_REFUSED && refused.insert(key.into()) {
+    /// Logs a malformed record of the targets topic, once for each key.
+    pub fn record_invalid_target(&self, key: &str, error: &serde_json::Error) {
+        let mut invalid_target_keys = self.invalid_target_keys.borrow_mut();
+        if invalid_target_keys.len() < MAX_INVALID_TARGET_KEYS
+            && invalid_target_keys.insert(key.into())
+        {
             warn!(self.log, "target_refused"; "target" => key,
                 "error" => %error);
         }
     }
 
-    /// Notes what became of a target.
-    pub fn changed(&self, id: &str, change: TargetChange, source: Source) {
+    /// Applies a change of a target to the rest of the state: drops the
+    /// endpoint of a target that restarted or left, and wakes waiting requests
+    /// and the digest broadcaster.
+    pub fn apply_target_change(
+        &self,
+        id: &str,
+        change: TargetChange,
+        source: ChangeSource,
+    ) {
         match change {
             TargetChange::None => return,
-            // Known here, but maybe not to other entries.
-            TargetChange::Returned => return self.note_change(source),
+            // The target is known here, but maybe not to other entry
+            // processes.
+            TargetChange::Returned => {
+                return self.record_target_change_in_log(source);
+            }
             TargetChange::Joined | TargetChange::Restarted => {
-                self.note_change(source);
+                self.record_target_change_in_log(source);
                 if change == TargetChange::Restarted {
                     info!(self.log, "target_restarted"; "target" => id,
                         "source" => ?source);
-                    // Requests there, connections and what its agent said
-                    // were of the start before.
+                    // In-flight requests, connections and agent reports belong
+                    // to the previous start of the target.
                     self.endpoints.borrow_mut().remove(id);
-                    self.limits.borrow_mut().forget(id);
+                    self.limits.borrow_mut().remove_target_limiter(id);
                 }
                 let fleet = self.fleet.borrow();
                 let Some(target) = fleet.get(id) else { return };
                 info!(self.log, "target_joined"; "target" => id,
                     "service" => &*target.service,
                     "address" => %target.address, "source" => ?source);
-                self.joined.set(self.joined.get() + 1);
-                self.rumour.notify_one();
+                self.joined_target_count
+                    .set(self.joined_target_count.get() + 1);
+                self.digest_wakeup.notify_one();
                 drop(fleet);
-                self.recall_limit(id, Millis::now());
+                self.apply_early_limit(id, Millis::now());
             }
             TargetChange::Left => {
-                self.note_change(source);
+                self.record_target_change_in_log(source);
                 info!(self.log, "target_left"; "target" => id,
                     "source" => ?source);
                 self.endpoints.borrow_mut().remove(id);
-                self.limits.borrow_mut().forget(id);
+                self.limits.borrow_mut().remove_target_limiter(id);
                 let addresses: HashSet<SocketAddr> = self
                     .fleet
                     .borrow()
                     .ready_targets()
                     .map(|it| it.address)
                     .collect();
-                self.lists.borrow_mut().retain(|it, _| addresses.contains(it));
-                self.announced.borrow_mut().remove(id);
-                self.rumour.notify_one();
+                self.agent_target_list_ids
+                    .borrow_mut()
+                    .retain(|it, _| addresses.contains(it));
+                self.raw_announcements.borrow_mut().remove(id);
+                self.digest_wakeup.notify_one();
             }
         }
-        self.tell_news();
+        self.notify_target_change();
     }
 
-    /// Takes another entry's reading of the targets in.
-    pub fn note_reading(&self, at: Millis, changed: LogPosition, now: Millis) {
-        let found =
-            self.readings.borrow_mut().merge_peer_log_read(at, changed);
-        self.note_gap(found, now);
-        if self.readings.borrow().has_unread_target_change() {
-            self.behind.notify_one();
+    /// Merges another entry process's latest read of the targets topic: when
+    /// it was read and the position of the last change.
+    pub fn merge_peer_targets_read(
+        &self,
+        at: Millis,
+        changed: LogPosition,
+        now: Millis,
+    ) {
+        let continuity = self
+            .log_read_schedule
+            .borrow_mut()
+            .merge_peer_log_read(at, changed);
+        self.extend_leases_after_gap(continuity, now);
+        if self.log_read_schedule.borrow().has_unread_target_change() {
+            self.targets_read_wakeup.notify_one();
         }
     }
 
-    /// Notes that the targets changed, so that other entries read too.
-    fn note_change(&self, source: Source) {
-        if source == Source::Log {
-            self.readings.borrow_mut().record_target_change();
+    /// Records a change of the targets that was read from the log, so that
+    /// other entry processes read the change too.
+    fn record_target_change_in_log(&self, source: ChangeSource) {
+        if source == ChangeSource::Log {
+            self.log_read_schedule.borrow_mut().record_target_change();
         }
     }
 
-    /// Gives targets that may have lapsed unseen the time to come back.
-    pub fn note_gap(&self, found: LogReadContinuity, now: Millis) {
-        if found == LogReadContinuity::Gap {
+    /// Extends the leases of all targets after a gap in the reads of the
+    /// targets topic, since targets may have renewed them unobserved.
+    pub fn extend_leases_after_gap(
+        &self,
+        continuity: LogReadContinuity,
+        now: Millis,
+    ) {
+        if continuity == LogReadContinuity::Gap {
             info!(self.log, "readings_resumed");
             self.fleet.borrow_mut().start_record_renewal_grace(now);
         }
     }
 
-    /// Tells requests under way that targets or groups have changed.
-    pub fn tell_news(&self) {
-        self.news_told.set(self.news_told.get() + 1);
-        self.news.notify_waiters();
+    /// Wakes waiting requests because targets or groups have changed.
+    pub fn notify_target_change(&self) {
+        self.target_change_count.set(self.target_change_count.get() + 1);
+        self.targets_changed.notify_waiters();
     }
 
-    /// What is kept of a target, if anything is.
-    pub fn known_endpoint(&self, id: &str) -> Option<Rc<RefCell<Endpoint>>> {
+    /// The state kept for a target, if there is any.
+    pub fn existing_endpoint(
+        &self,
+        id: &str,
+    ) -> Option<Rc<RefCell<Endpoint>>> {
         self.endpoints.borrow().get(id).cloned()
     }
 
-    /// What is kept of a target.
-    pub fn endpoint(&self, id: &Name) -> Rc<RefCell<Endpoint>> {
+    /// The state kept for a target, created if there is none.
+    pub fn endpoint_or_insert(&self, id: &Name) -> Rc<RefCell<Endpoint>> {
         let new = || {
-            let freed = self.freed.clone();
-            Rc::new(RefCell::new(Endpoint { freed, ..Endpoint::default() }))
+            let connection_freed = self.connection_freed.clone();
+            Rc::new(RefCell::new(Endpoint {
+                connection_freed,
+                ..Endpoint::default()
+            }))
         };
         let mut endpoints = self.endpoints.borrow_mut();
         endpoints.entry(id.clone()).or_insert_with(new).clone()
     }
 
-    /// Whether the entry can serve: it knows routes and targets.
-    pub fn is_ready(&self) -> bool {
-        self.phase.get() == Phase::Serving
+    /// Whether the entry process can serve: it isn't stopping, and it has a
+    /// configuration and at least one usable target.
+    pub fn is_ready_to_serve(&self) -> bool {
+        self.process_phase.get() == ProcessPhase::Serving
             && self.catalog.borrow().is_some()
             && self.fleet.borrow().ready_targets().next().is_some()
     }
 
-    /// Takes in how long a caller of a route will wait, and says how long
-    /// callers do on their first try.
-    pub fn patience_of(&self, route: &Name, left: Millis) -> Millis {
-        let mut patience = self.patience.borrow_mut();
-        if patience.len() > MAX_ROUTES {
-            patience.clear();
+    /// Records the timeout that a caller's request states and returns the
+    /// longest timeout stated on the same route, which is about that of a
+    /// caller's first try.
+    pub fn update_longest_caller_timeout(
+        &self,
+        route: &Name,
+        stated_timeout: Millis,
+    ) -> Millis {
+        let mut timeouts = self.longest_caller_timeouts.borrow_mut();
+        if timeouts.len() > MAX_REMEMBERED_ROUTES {
+            timeouts.clear();
         }
-        let longest = patience.entry(route.clone()).or_default();
-        *longest = left.max(*longest);
+        let longest = timeouts.entry(route.clone()).or_default();
+        *longest = stated_timeout.max(*longest);
         *longest
     }
 
-    /// Notes that a VM of an availability zone was heard from.
-    pub fn heard_from(&self, zone: &Name, at: Millis) {
-        let mut zones = self.zones.borrow_mut();
-        if let Some(heard) = zones.get_mut(zone) {
-            *heard = at.max(*heard);
-        } else if zones.len() < MAX_ZONES {
+    /// Records that a message of a VM in an availability zone arrived.
+    pub fn record_zone_contact(&self, zone: &Name, at: Millis) {
+        let mut zones = self.zone_last_seen.borrow_mut();
+        if let Some(last_seen) = zones.get_mut(zone) {
+            *last_seen = at.max(*last_seen);
+        } else if zones.len() < MAX_TRACKED_ZONES {
             zones.insert(zone.clone(), at);
         }
     }
 
-    /// Whether there is a way to an availability zone since a moment: one of
-    /// its VMs was heard from, or, for the own zone, any other VM was.
-    pub fn reaches(&self, zone: &Name, since: Millis) -> bool {
+    /// Whether an availability zone was reachable since a moment: a VM of the
+    /// zone sent a message or, for this entry process's own zone, any other VM
+    /// did.
+    pub fn has_zone_contact_since(&self, zone: &Name, since: Millis) -> bool {
         let own = self.settings().zone == *zone;
-        let zones = self.zones.borrow();
-        let mut heard = zones.iter().filter(|it| own || it.0 == zone);
-        heard.any(|it| *it.1 >= since)
+        let zones = self.zone_last_seen.borrow();
+        let mut last_seen = zones.iter().filter(|it| own || it.0 == zone);
+        last_seen.any(|it| *it.1 >= since)
     }
 
-    /// Notes a request in its service's retry budget.
-    pub fn count_request(&self, service: &Name, now: Millis) {
-        self.budget(service, |it| it.record_request(now));
+    /// Records a request in its service's retry budget.
+    pub fn record_request_in_budget(&self, service: &Name, now: Millis) {
+        self.with_retry_budget(service, |it| it.record_request(now));
     }
 
-    /// Spends a retry of a service, if there is one left.
-    pub fn spend_retry(&self, service: &Name, now: Millis) -> bool {
-        let entries = self.peers.borrow().entries();
-        self.budget(service, |it| it.try_spend_retry(entries, now))
+    /// Spends a retry of a service's retry budget; false if the budget is
+    /// exhausted.
+    pub fn try_spend_retry(&self, service: &Name, now: Millis) -> bool {
+        let entries = self.peers.borrow().entry_process_count();
+        self.with_retry_budget(service, |it| it.try_spend_retry(entries, now))
     }
 
     /// A random number from 0 to 1.
-    pub fn draw(&self) -> f64 {
-        rand::Rng::random(&mut *self.random.borrow_mut())
+    pub fn random_fraction(&self) -> f64 {
+        rand::Rng::random(&mut *self.rng.borrow_mut())
     }
 
-    fn budget<T>(
+    fn with_retry_budget<T>(
         &self,
         service: &Name,
         with: impl FnOnce(&mut RetryWindow) -> T,
     ) -> T {
         let retries = self.settings().retries;
         let config = RetryWindowConfig::new(
-            retries.ratio,
-            retries.slack,
-            retries.span_ms,
+            retries.retries_per_request,
+            retries.extra_retries,
+            retries.window_ms,
         );
-        let mut budgets = self.budgets.borrow_mut();
+        let mut budgets = self.retry_budgets.borrow_mut();
         let window = budgets
             .entry(service.clone())
             .or_insert_with(|| RetryWindow::new(config));
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -1,4 +1,5 @@
-//! Which target a request goes to, from what the entry believes of all.
+//! Choice of the target for a request, by cost, from this entry process's
+//! state of all targets.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -10,191 +11,244 @@
     },
 };
 
-use super::{Choice, Endpoint, Entry, Group, Recovery, groups::AGENT_TIMEOUT};
+use super::{
+    ChosenTarget, CooldownRecovery, Endpoint, Entry, GroupReport,
+    groups::AGENT_REPORT_TIMEOUT,
+};
 
-/// The targets of a service that work, as an entry sees them at a moment.
-pub struct Candidates {
-    seen: Vec<Seen>,
-    at: Millis,
+/// Snapshot of the usable targets of a service, scored by cost, at one moment.
+pub struct CandidateSnapshot {
+    scored: Vec<ScoredTarget>,
+    observed_at: Millis,
     usual: ServiceLatency,
-    /// Requests of others that no report shows.
-    unseen: f64,
-    /// Requests a second that a target would get if all were sent as many.
-    part: f64,
-    /// Targets that fit, also those that don't work.
-    fitting: usize,
-    /// Those of them that work and asked to be left alone.
-    cooling: usize,
-    /// When the first of these takes requests again, or one that is being
-    /// probed may get another request.
+    /// Estimated requests of other entry processes that no agent's report
+    /// includes yet.
+    unreported_requests: f64,
+    /// Requests a second that each target would get if all targets got equally
+    /// many.
+    equal_share_requests_per_second: f64,
+    /// The number of eligible targets, including targets that can't be used
+    /// now.
+    eligible_count: usize,
+    /// The number of eligible, working targets in a cooldown that they
+    /// requested with Retry-After.
+    cooling_count: usize,
+    /// When the first cooldown of a target ends, or the first probe of a
+    /// recovering target times out.
     cooldown_end: Option<Millis>,
 }
 
-/// A target that a request could go to, or could but for its limit.
-struct Seen {
-    choice: Choice,
-    /// When a permit there may be asked for, if one has to be.
-    free: Option<Millis>,
+/// A target that could get the request, if the target's rate limit allows it.
+struct ScoredTarget {
+    choice: ChosenTarget,
+    /// The earliest time to request a permit, if the target's rate limit
+    /// demands one.
+    permit_at: Option<Millis>,
 }
 
-/// When targets take a request again that take none now by their own word.
+/// When targets that now decline requests by a rate limit or a cooldown take
+/// requests again.
 #[derive(Clone, Copy, Debug)]
-pub struct Shortage {
-    /// When one that names a limit may have a permit.
-    pub limit_end: Option<Millis>,
-    /// When one that asked to be left alone takes requests again.
+pub struct TargetShortage {
+    /// When the first rate-limited target may grant a permit.
+    pub rate_limit_end: Option<Millis>,
+    /// When the first cooldown of a target ends.
     pub cooldown_end: Option<Millis>,
-    /// Whether there is no other target that may be usable before.
-    pub is_complete: bool,
+    /// Whether every eligible target is rate-limited or in a cooldown, so that
+    /// no target becomes usable before a limit or cooldown ends.
+    pub covers_all_targets: bool,
 }
 
-impl Shortage {
-    /// What the targets lack that were seen at a moment; nothing where none
-    /// is kept from use by its own word.
+impl TargetShortage {
+    /// The shortage in snapshots of targets; None if no target declines
+    /// requests by a rate limit or a cooldown.
     pub fn new<'a>(
-        looks: impl Iterator<Item = &'a Candidates>,
-    ) -> Option<Shortage> {
-        let mut shortage = Shortage {
-            limit_end: None,
+        snapshots: impl Iterator<Item = &'a CandidateSnapshot>,
+    ) -> Option<TargetShortage> {
+        let mut shortage = TargetShortage {
+            rate_limit_end: None,
             cooldown_end: None,
-            is_complete: true,
+            covers_all_targets: true,
         };
-        for look in looks {
-            let limited = look.seen.iter().filter_map(|it| it.free);
-            let limit_end = shortage.limit_end.into_iter().chain(limited);
-            shortage.limit_end = limit_end.min();
+        for snapshot in snapshots {
+            let limited = snapshot.scored.iter().filter_map(|it| it.permit_at);
+            let rate_limit_end =
+                shortage.rate_limit_end.into_iter().chain(limited);
+            shortage.rate_limit_end = rate_limit_end.min();
             let ends = shortage.cooldown_end.into_iter();
-            shortage.cooldown_end = ends.chain(look.cooldown_end).min();
-            let kept = look.seen.len() + look.cooling;
-            shortage.is_complete &= kept == look.fitting;
+            shortage.cooldown_end = ends.chain(snapshot.cooldown_end).min();
+            let kept = snapshot.scored.len() + snapshot.cooling_count;
+            shortage.covers_all_targets &= kept == snapshot.eligible_count;
         }
-        shortage.end().map(|_| shortage)
+        shortage.earliest_shortage_end().map(|_| shortage)
     }
 
-    /// When the first target may take a request.
-    pub fn end(&self) -> Option<Millis> {
-        self.limit_end.into_iter().chain(self.cooldown_end).min()
+    /// When the first target may take a request again.
+    pub fn earliest_shortage_end(&self) -> Option<Millis> {
+        self.rate_limit_end.into_iter().chain(self.cooldown_end).min()
     }
 }
 
-/// Whether a request may ask for permits at targets that name limits.
+/// Whether a request may wait for permits at rate-limited targets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Asks {
-    /// For one that is free now; it goes elsewhere if there is none.
+pub enum PermitWaitPolicy {
+    /// The request uses only a permit that is free now, and otherwise goes to
+    /// another target.
     Now,
-    /// For one that is free within this time.
-    Ahead(Millis),
-    /// It may not.
+    /// The request waits for a permit that becomes free within this time.
+    Within(Millis),
+    /// The request doesn't ask for permits.
     Never,
 }
 
-impl Candidates {
-    /// The target with the least cost, or, where agents report, one of those
-    /// with little cost; see [`pick::choose_target_by_cost`]. One that takes
-    /// fewer requests than its part is chosen whenever it costs no more, so
-    /// that it gets what it takes. `draw` is a random number from 0 to 1.
-    pub fn choose(&self, asks: Asks, draw: f64) -> Option<Choice> {
-        let usable = self.seen.iter().filter(|it| self.is_usable(it, asks));
-        let usable: Vec<&Choice> = usable.map(|it| &it.choice).collect();
-        let costs: Vec<f64> = usable.iter().map(|it| it.cost).collect();
+impl CandidateSnapshot {
+    /// Chooses the target with the least cost or, where agents report, one of
+    /// the cheapest at random; see [`pick::choose_target_by_cost`]. A target whose
+    /// rate limit is below its equal share is preferred at the same or lower
+    /// cost, so that its limit is used up. `draw` is a random number from 0 to
+    /// 1.
+    pub fn choose_target(
+        &self,
+        permit_wait: PermitWaitPolicy,
+        draw: f64,
+    ) -> Option<ChosenTarget> {
+        let usable = self
+            .scored
+            .iter()
+            .filter(|it| self.is_target_usable(it, permit_wait));
+        let usable: Vec<&ChosenTarget> = usable.map(|it| &it.choice).collect();
+        let costs: Vec<f64> = usable.iter().map(|it| it.cost_ms).collect();
         let slots = usable.iter().map(|it| it.target.slots).max()?;
         let step = self.usual.lockstep_rank_latency_ms() / f64::from(slots);
-        let place =
-            pick::choose_target_by_cost(&costs, step, self.unseen, draw)?;
-        let binds = |it: &Choice| {
-            it.limit.is_some_and(|it| it.requests_per_second() < self.part)
+        let place = pick::choose_target_by_cost(
+            &costs,
+            step,
+            self.unreported_requests,
+            draw,
+        )?;
+        let is_below_share = |it: &ChosenTarget| {
+            it.rate_limit.is_some_and(|it| {
+                it.requests_per_second() < self.equal_share_requests_per_second
+            })
         };
-        let scarce =
-            usable.iter().filter(|it| binds(it) && it.cost <= costs[place]);
-        let scarce = scarce.min_by(|a, b| a.cost.total_cmp(&b.cost));
-        Some((*scarce.unwrap_or(&usable[place])).clone())
+        let limited = usable
+            .iter()
+            .filter(|it| is_below_share(it) && it.cost_ms <= costs[place]);
+        let limited = limited.min_by(|a, b| a.cost_ms.total_cmp(&b.cost_ms));
+        Some((*limited.unwrap_or(&usable[place])).clone())
     }
 
-    fn is_usable(&self, seen: &Seen, asks: Asks) -> bool {
-        let Some(free) = seen.free else { return true };
-        match asks {
-            Asks::Now => {
-                free <= self.at && !seen.choice.endpoint.borrow().asking
+    fn is_target_usable(
+        &self,
+        scored: &ScoredTarget,
+        permit_wait: PermitWaitPolicy,
+    ) -> bool {
+        let Some(permit_at) = scored.permit_at else { return true };
+        match permit_wait {
+            PermitWaitPolicy::Now => {
+                permit_at <= self.observed_at
+                    && !scored
+                        .choice
+                        .endpoint
+                        .borrow()
+                        .permit_request_in_flight
             }
-            Asks::Ahead(patience) => free <= self.at + patience,
-            Asks::Never => false,
+            PermitWaitPolicy::Within(max_permit_wait) => {
+                permit_at <= self.observed_at + max_permit_wait
+            }
+            PermitWaitPolicy::Never => false,
         }
     }
 }
 
 impl Endpoint {
-    /// Until when only one request is under way there, if that is so.
-    fn probe_end(&self, now: Millis) -> Option<Millis> {
-        match self.recovery {
-            Recovery::Probed(at) => Some(at + PROBE_TIMEOUT),
-            Recovery::Done | Recovery::Pending => None,
+    /// When the probe of a recovering target times out, while one is in
+    /// flight. Until then no other request is sent to the target.
+    fn probe_timeout_at(&self, now: Millis) -> Option<Millis> {
+        match self.cooldown_recovery {
+            CooldownRecovery::Probed(at) => Some(at + RECOVERY_PROBE_TIMEOUT),
+            CooldownRecovery::Done | CooldownRecovery::Pending => None,
         }
         .filter(|end| *end > now)
     }
 
-    /// Notes that a request is about to be sent there.
-    pub fn probe(&mut self, now: Millis) {
-        if self.recovery != Recovery::Done {
-            self.recovery = Recovery::Probed(now);
+    /// Records that a request is about to be sent, which makes the request a
+    /// probe if the target is recovering.
+    pub fn mark_recovery_probe(&mut self, now: Millis) {
+        if self.cooldown_recovery != CooldownRecovery::Done {
+            self.cooldown_recovery = CooldownRecovery::Probed(now);
         }
     }
 }
 
 impl Entry {
-    /// Looks at the targets of a service that `fits` lets through. Cooldowns
-    /// count as longer by `stagger`.
-    pub fn candidates(
+    /// Scores the targets of a service for which `is_eligible` is true.
+    /// Cooldowns count as longer by `stagger`.
+    pub fn score_candidates(
         &self,
         service: &str,
         now: Millis,
         stagger: Millis,
-        fits: impl Fn(&Target) -> bool,
-    ) -> Candidates {
+        is_eligible: impl Fn(&Target) -> bool,
+    ) -> CandidateSnapshot {
         let fleet = self.fleet.borrow();
-        let most = self.connections(service);
+        let max_connections = self.max_connections_per_target(service);
         let zone = &self.settings().zone;
-        let own = fleet.ready_targets().filter(|it| &*it.service == service);
-        let endpoints: Vec<(&Target, Rc<RefCell<Endpoint>>)> =
-            own.map(|it| (it, self.endpoint(&it.id))).collect();
-        // Where most agents report, a target whose agent is silent is not
-        // idle but unknown: its VM may be frozen, or it may be the slow one.
-        let known = |group: &Option<Group>| {
-            let heard = group.as_ref().map(|it| now.since(it.heard));
-            heard.is_some_and(|age| age < AGENT_TIMEOUT)
+        let of_service =
+            fleet.ready_targets().filter(|it| &*it.service == service);
+        let endpoints: Vec<(&Target, Rc<RefCell<Endpoint>>)> = of_service
+            .map(|it| (it, self.endpoint_or_insert(&it.id)))
+            .collect();
+        // Where most agents report, a target whose agent is silent is not idle
+        // but unknown: the VM may be frozen or slow.
+        let has_recent_report = |group: &Option<GroupReport>| {
+            let report_age =
+                group.as_ref().map(|it| now.since(it.reported_at));
+            report_age.is_some_and(|age| age < AGENT_REPORT_TIMEOUT)
         };
-        let heard = endpoints.iter().filter(|it| known(&it.1.borrow().group));
-        let reported = heard.count() * 2 > endpoints.len();
+        let reporting = endpoints
+            .iter()
+            .filter(|it| has_recent_report(&it.1.borrow().group));
+        let most_report = reporting.count() * 2 > endpoints.len();
         let records: Vec<TargetStats> =
-            endpoints.iter().map(|it| it.1.borrow().record).collect();
+            endpoints.iter().map(|it| it.1.borrow().request_stats).collect();
         let usual = ServiceLatency::new(records.iter());
-        let unseen =
-            if reported { self.unseen(service, &records, now) } else { 0.0 };
+        let unreported_requests = if most_report {
+            self.estimate_unreported_requests(service, &records, now)
+        } else {
+            0.0
+        };
         let targets = endpoints.len();
-        let mut fitting = 0;
-        let (mut cooling, mut cooldown_end) = (0, None);
-        let mut seen: Vec<Seen> = Vec::new();
+        let mut eligible_count = 0;
+        let (mut cooling_count, mut cooldown_end) = (0, None);
+        let mut scored: Vec<ScoredTarget> = Vec::new();
         for (target, endpoint) in endpoints {
-            if !fits(target) {
+            if !is_eligible(target) {
                 continue;
             }
-            fitting += 1;
-            let held = endpoint.borrow();
-            let group = held.group.as_ref();
-            let closed = group.is_some_and(|it| !self.is_open(it, now));
-            if closed || reported && !known(&held.group) {
+            eligible_count += 1;
+            let endpoint_state = endpoint.borrow();
+            let group = endpoint_state.group.as_ref();
+            let closed =
+                group.is_some_and(|it| !self.group_accepts_requests(it, now));
+            if closed
+                || most_report && !has_recent_report(&endpoint_state.group)
+            {
                 continue;
             }
             if let Some(end) = self.cooldown_end(target, now - stagger) {
-                cooling += 1;
+                cooling_count += 1;
                 let end = end + stagger;
                 cooldown_end = cooldown_end.into_iter().chain([end]).min();
                 continue;
             }
-            if let Some(end) = held.probe_end(now) {
+            if let Some(end) = endpoint_state.probe_timeout_at(now) {
                 cooldown_end = cooldown_end.into_iter().chain([end]).min();
                 continue;
             }
-            if held.open >= most && held.pool.is_empty() {
+            if endpoint_state.open_connection_count >= max_connections
+                && endpoint_state.connection_pool.has_no_idle_connection()
+            {
                 continue;
             }
             let near = target.zone == *zone;
@@ -205,98 +259,116 @@
             };
             let latency_ms = match group {
                 Some(_) => usual.lockstep_rank_latency_ms(),
-                None => usual.target_latency_ms(&held.record, now),
+                None => {
+                    usual.target_latency_ms(&endpoint_state.request_stats, now)
+                }
             };
             let candidate = TargetCandidate {
-                stats: &held.record,
+                stats: &endpoint_state.request_stats,
                 slots: target.slots,
                 locality,
                 service_time_percent_of_normal: group
-                    .map_or(100, |it| it.pace),
+                    .map_or(100, |it| it.service_time_percent),
                 latency_ms,
             };
-            let cost = pick::expected_request_cost_ms(&candidate, now);
-            let limit = held.limit.rate();
-            let needs = limit.filter(|it| !held.has_permit(*it, now));
-            let free = needs.map(|_| held.full_until);
-            drop(held);
-            let choice = Choice {
+            let cost_ms = pick::expected_request_cost_ms(&candidate, now);
+            let rate_limit = endpoint_state.rate_limit.rate();
+            let needs = rate_limit
+                .filter(|it| !endpoint_state.has_spare_permit(*it, now));
+            let permit_at =
+                needs.map(|_| endpoint_state.next_permit_request_at);
+            drop(endpoint_state);
+            let choice = ChosenTarget {
                 target: target.clone(),
                 endpoint,
-                cost,
-                connections: most,
-                limit,
+                cost_ms,
+                max_connections,
+                rate_limit,
                 permit: None,
             };
-            seen.push(Seen { choice, free });
+            scored.push(ScoredTarget { choice, permit_at });
         }
-        let limited = seen.iter().any(|it| it.choice.limit.is_some());
-        let part =
-            if limited { self.part(service, targets, now) } else { 0.0 };
-        Candidates {
-            seen,
-            at: now,
+        let limited = scored.iter().any(|it| it.choice.rate_limit.is_some());
+        let equal_share_requests_per_second = if limited {
+            self.equal_share_requests_per_second(service, targets, now)
+        } else {
+            0.0
+        };
+        CandidateSnapshot {
+            scored,
+            observed_at: now,
             usual,
-            unseen,
-            part,
-            fitting,
-            cooling,
+            unreported_requests,
+            equal_share_requests_per_second,
+            eligible_count,
+            cooling_count,
             cooldown_end,
         }
     }
 
-    /// Requests a second that a target of a service would get if all were
-    /// sent as many.
-    fn part(&self, service: &str, targets: usize, now: Millis) -> f64 {
-        let entries = self.peers.borrow().entries() as f64;
-        let budgets = self.budgets.borrow();
+    /// Requests a second that each target of a service would get from all
+    /// entry processes if all targets got equally many.
+    fn equal_share_requests_per_second(
+        &self,
+        service: &str,
+        targets: usize,
+        now: Millis,
+    ) -> f64 {
+        let entries = self.peers.borrow().entry_process_count() as f64;
+        let budgets = self.retry_budgets.borrow();
         let usual = budgets.get(service);
-        let usual = usual.map_or(0.0, |it| it.estimate_requests(SECOND, now));
+        let usual =
+            usual.map_or(0.0, |it| it.estimate_requests(ONE_SECOND, now));
         usual * entries / targets.max(1) as f64
     }
 
-    /// Requests that other entries send to a service without a report that
-    /// shows them. Entries see much the same, so they send what this one does:
-    /// as often as usual, and in a moment what it sent in a moment.
-    fn unseen(
+    /// Estimates the requests that other entry processes sent to a service and
+    /// that no report includes yet. Entry processes see much the same state,
+    /// so they are taken to send what this entry process does: its usual rate,
+    /// or its latest burst if that is more.
+    fn estimate_unreported_requests(
         &self,
         service: &str,
         records: &[TargetStats],
         now: Millis,
     ) -> f64 {
-        let others = (self.peers.borrow().entries() - 1) as f64;
+        let others = (self.peers.borrow().entry_process_count() - 1) as f64;
         let sent: u32 =
             records.iter().map(TargetStats::requests_sent_since_report).sum();
-        let budgets = self.budgets.borrow();
+        let budgets = self.retry_budgets.borrow();
         let usual = budgets.get(service);
-        let usual =
-            usual.map_or(0.0, |it| it.estimate_requests(UNSEEN_INTERVAL, now));
+        let usual = usual.map_or(0.0, |it| {
+            it.estimate_requests(UNREPORTED_REQUEST_INTERVAL, now)
+        });
         usual.max(f64::from(sent)) * others
     }
 
-    /// Connections that this entry may have to one target of a service.
-    fn connections(&self, service: &str) -> usize {
+    /// Connections that this entry process may open to one target of a
+    /// service: its part of the service's limit.
+    fn max_connections_per_target(&self, service: &str) -> usize {
         let catalog = self.catalog.borrow();
         let service = catalog.as_ref().and_then(|it| it.0.service(service));
-        let Some(most) = service.and_then(|it| it.max_connections_per_target)
+        let Some(max_connections) =
+            service.and_then(|it| it.max_connections_per_target)
         else {
             return usize::MAX;
         };
-        let entries = self.peers.borrow().entries();
-        (most as usize / entries).max(MIN_CONNECTIONS)
+        let entries = self.peers.borrow().entry_process_count();
+        (max_connections as usize / entries).max(MIN_CONNECTIONS_PER_TARGET)
     }
 }
 
-const SECOND: Millis = Millis(1_000);
+const ONE_SECOND: Millis = Millis(1_000);
 
-/// How long the first request after a cooldown is waited for before another
-/// one is sent.
-const PROBE_TIMEOUT: Millis = Millis(400);
+/// How long the answer to a target's recovery probe is awaited before another
+/// request is sent to the target.
+const RECOVERY_PROBE_TIMEOUT: Millis = Millis(400);
 
-/// The time for which requests of others are allowed for: two reports of an
-/// agent. `cowsliproad-bench routing` compares it with others.
-const UNSEEN_INTERVAL: Millis = Millis(800);
+/// The time for which requests of other entry processes are estimated: two
+/// report intervals of an agent. `cowsliproad-bench routing` compares this
+/// interval with others.
+const UNREPORTED_REQUEST_INTERVAL: Millis = Millis(800);
 
-/// Connections to a target that an entry may have however many entries there
-/// are.
-const MIN_CONNECTIONS: usize = 1;
+/// Connections to one target that every entry process may open, however many
+/// entry processes share the service's limit.
+const MIN_CONNECTIONS_PER_TARGET: usize = 1;
--- a/cowsliproad-direct/src/entry/groups.rs
+++ b/cowsliproad-direct/src/entry/groups.rs
@@ -1,87 +1,108 @@
-//! What the entry believes of the groups that targets are ranks of.
+//! State of the groups whose ranks the targets are.
 
 use cowsliproad_kernel::{Name, clock::Millis};
 use cowsliproad_routing::formation::GroupFormation;
 use slog::info;
 
-use super::{Choice, Entry, Group};
+use super::{ChosenTarget, Entry, GroupReport};
 
 impl Entry {
-    /// Notes that a target called its group broken. All of its ranks refuse
-    /// then, and it opens in a new formation, so nothing is sent to any of
-    /// them before an agent reports one. Each would refuse a request that
-    /// can wait here, and draw on the retry budget.
-    pub fn note_broken(&self, choice: &Choice) {
+    /// Records that a target called its group broken. All ranks of a broken
+    /// group refuse requests until the group forms again, so nothing is sent
+    /// to any rank before an agent reports a new formation. Each rank would
+    /// refuse a request that can wait here, and each refusal would draw on the
+    /// retry budget.
+    pub fn record_broken_group(&self, choice: &ChosenTarget) {
         let endpoint = choice.endpoint.borrow();
         let Some(group) = &endpoint.group else { return };
-        self.note_formation(&group.name, group.epoch, false);
+        self.merge_formation(&group.group_name, group.formation_epoch, false);
     }
 
-    /// Notes what a rank says of its group. A group that is open is so at all
-    /// ranks: were each waited for, the first to say so would be sent all
-    /// that waited.
-    pub fn note_formation(&self, group: &Name, epoch: u64, open: bool) {
+    /// Merges a rank's report on the formation of its group. A group that
+    /// accepts requests does so at all ranks: if each rank's report were
+    /// awaited, the first rank to report would get all waiting requests.
+    pub fn merge_formation(
+        &self,
+        group: &Name,
+        formation_epoch: u64,
+        accepts_requests: bool,
+    ) {
         let mut formations = self.formations.borrow_mut();
-        let new = GroupFormation::new(epoch, open);
+        let new = GroupFormation::new(formation_epoch, accepts_requests);
         let known = formations.entry(group.clone()).or_insert(new);
-        if known.merge_rank_report(epoch, open) {
+        if known.merge_rank_report(formation_epoch, accepts_requests) {
             info!(self.log, "group_stands"; "group" => &**group,
-                "epoch" => epoch, "open" => open);
+                "epoch" => formation_epoch, "open" => accepts_requests);
         }
     }
 
-    /// Notes that a rank's process is gone. Passes need all ranks, so the
-    /// others begin nothing, though their engines say so only once they have
-    /// waited for it in vain.
-    pub fn note_lost_rank(&self, group: &Group, now: Millis) {
+    /// Records that a rank's process is gone. A forward pass needs all ranks,
+    /// so the other ranks begin nothing, though their engines report the loss
+    /// only after waiting for the lost rank.
+    pub fn record_rank_exit(&self, group: &GroupReport, now: Millis) {
         let mut formations = self.formations.borrow_mut();
-        let Some(known) = formations.get_mut(&group.name) else { return };
-        if known.halt_for_lost_rank(group.epoch, now) {
-            info!(self.log, "group_halted"; "group" => &*group.name,
-                "epoch" => group.epoch);
+        let Some(known) = formations.get_mut(&group.group_name) else {
+            return;
+        };
+        if known.halt_for_lost_rank(group.formation_epoch, now) {
+            info!(self.log, "group_halted"; "group" => &*group.group_name,
+                "epoch" => group.formation_epoch);
         }
     }
 
-    /// Notes a pass that a rank reports. A group that goes on has lost none.
-    pub fn note_step(&self, group: &Name, epoch: u64, step: u64, now: Millis) {
+    /// Records a forward pass that a rank reports. A group that goes on with
+    /// passes has lost no rank.
+    pub fn record_forward_pass(
+        &self,
+        group: &Name,
+        formation_epoch: u64,
+        pass: u64,
+        now: Millis,
+    ) {
         let mut formations = self.formations.borrow_mut();
         let Some(known) = formations.get_mut(group) else { return };
-        if known.record_reported_step(epoch, step, now) {
+        if known.record_reported_step(formation_epoch, pass, now) {
             info!(self.log, "group_goes_on"; "group" => &**group,
-                "epoch" => epoch, "step" => step);
+                "epoch" => formation_epoch, "step" => pass);
         }
     }
 
-    /// Whether a group takes requests, as far as is known.
-    pub(super) fn is_open(&self, group: &Group, now: Millis) -> bool {
+    /// Whether a group accepts requests, by the newest known formation.
+    pub(super) fn group_accepts_requests(
+        &self,
+        group: &GroupReport,
+        now: Millis,
+    ) -> bool {
         let formations = self.formations.borrow();
-        let newest = formations.get(&group.name);
-        newest.map_or(group.open, |it| it.accepts_requests(now))
+        let newest = formations.get(&group.group_name);
+        newest.map_or(group.accepts_requests, |it| it.accepts_requests(now))
     }
 
-    /// Whether the agent beside a target spoke lately.
-    pub fn hears_of(&self, choice: &Choice) -> bool {
+    /// Whether the agent on a target's VM has reported recently.
+    pub fn has_recent_agent_report(&self, choice: &ChosenTarget) -> bool {
         let now = Millis::now();
         let endpoint = choice.endpoint.borrow();
         let group = endpoint.group.as_ref();
-        group.is_some_and(|it| now.since(it.heard) < AGENT_TIMEOUT)
+        group
+            .is_some_and(|it| now.since(it.reported_at) < AGENT_REPORT_TIMEOUT)
     }
 
-    /// The last pass that any group of a service is known to have begun.
-    pub fn step_of(&self, service: &str) -> u64 {
+    /// The highest forward pass that any group of a service is known to have
+    /// begun.
+    pub fn highest_forward_pass(&self, service: &str) -> u64 {
         let mut last = 0;
-        self.each_group(service, |group| {
-            last = last.max(group.map_or(0, |it| it.step));
+        self.for_each_group(service, |group| {
+            last = last.max(group.map_or(0, |it| it.last_forward_pass));
         });
         last
     }
 
-    /// Looks at what is known of the group of each of a service's targets.
-    /// Streams ask with each event, so nothing is copied.
-    pub fn each_group(
+    /// Calls `visit` with the last group report, if any, of each target of a
+    /// service. Streams call this for each event, so nothing is copied.
+    pub fn for_each_group(
         &self,
         service: &str,
-        mut look: impl FnMut(Option<&Group>),
+        mut visit: impl FnMut(Option<&GroupReport>),
     ) {
         let (fleet, endpoints) =
             (self.fleet.borrow(), self.endpoints.borrow());
@@ -89,12 +110,12 @@
             fleet.ready_targets().filter(|it| &*it.service == service)
         {
             match endpoints.get(&target.id) {
-                Some(endpoint) => look(endpoint.borrow().group.as_ref()),
-                None => look(None),
+                Some(endpoint) => visit(endpoint.borrow().group.as_ref()),
+                None => visit(None),
             }
         }
     }
 }
 
-/// An agent that two reports are missing of is silent.
-pub(super) const AGENT_TIMEOUT: Millis = Millis(1_000);
+/// An agent counts as silent after two missing reports.
+pub(super) const AGENT_REPORT_TIMEOUT: Millis = Millis(1_000);
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -1,14 +1,14 @@
-//! Configuration and targets, followed in the platform's log.
+//! Follows the configuration and the targets in the platform's log.
 //!
-//! The configuration changes seldom and has to be in force everywhere within
-//! seconds, so its topic is read with a long poll. Targets renew their
-//! entries all the time: a long poll there would wake for each, so the topic
-//! is read by a timer, well inside the time in which a leaving target has to
-//! be known, and by one entry for all.
+//! The configuration changes seldom and must be in force everywhere within
+//! seconds, so its topic is read by long polling. Targets renew their records
+//! continuously, and a long poll would return for each renewal. So the targets
+//! topic is read on a timer, well within the time in which a leaving target
+//! has to be known, and by one entry process on behalf of all.
 //!
-//! When the log turns this entry away, the others tell it what they read; see
-//! [`crate::peers`]. What happens when the log comes back from an older copy
-//! stands in [`crate::rollback`].
+//! While the log refuses this entry process's calls or doesn't answer, other
+//! entry processes send the state that they read; see [`crate::peers`].
+//! Rollbacks of the log to an older copy are handled in [`crate::rollback`].
 
 use std::{collections::HashMap, rc::Rc};
 
@@ -24,196 +24,224 @@
 use tokio::time::sleep;
 
 use crate::{
-    entry::{Entry, Source},
+    entry::{ChangeSource, Entry},
     peers,
 };
 
-/// How long the log may hold a read of the configuration. A connection that
-/// fell silent is noticed when this is over; other entries tell us sooner.
-const POLL_TIMEOUT: Millis = Millis(15_000);
+/// How long the log may hold a long poll for the configuration. A dead
+/// connection is noticed when this time is over; other entry processes send
+/// new versions sooner.
+const LONG_POLL_TIMEOUT: Millis = Millis(15_000);
 
-/// The pauses between calls that fail, doubled from the first to the last.
-const MIN_BACKOFF: Millis = Millis(150);
-const MAX_BACKOFF: Millis = Millis(1_200);
+/// The first backoff after a failed call to the log; each further failure
+/// doubles the backoff.
+const MIN_LOG_CALL_BACKOFF: Millis = Millis(150);
 
-/// The least time between two calls for one topic, so that a storm of new
-/// versions costs no more than 20 calls a second; only the newest counts.
-const MIN_READ_INTERVAL: Millis = Millis(50);
+/// The longest backoff after failed calls to the log.
+const MAX_LOG_CALL_BACKOFF: Millis = Millis(1_200);
 
-/// The part of the time for a leaving target in which the targets are read
-/// once at the latest by some entry, in percent. Two readings may be late or
-/// lost before a target gets requests for too long.
-const READ_PERCENT: u64 = 40;
+/// The least time between two calls for one topic, so that a burst of new
+/// configurations costs no more than 20 calls a second; only the newest
+/// version counts.
+const MIN_CONFIG_READ_INTERVAL: Millis = Millis(50);
 
-/// Contact with the log as one task sees it.
+/// How often some entry process reads the targets, in percent of the time in
+/// which a leaving target must be known. Two reads may be late or lost before
+/// a target gets requests for too long.
+const TARGETS_READ_INTERVAL_PERCENT: u64 = 40;
+
+/// Successes and failures of one task's calls to the log.
 #[derive(Debug)]
-pub struct Contact {
+pub struct LogCallStatus {
     topic: &'static str,
-    last: Millis,
+    last_success: Millis,
     failures: u32,
 }
 
-impl Contact {
-    /// Nothing called yet.
-    pub fn new(topic: &'static str) -> Contact {
-        Contact { topic, last: Millis::now(), failures: 0 }
+impl LogCallStatus {
+    /// Creates the status of a task that has made no calls to the log yet.
+    pub fn new(topic: &'static str) -> LogCallStatus {
+        LogCallStatus { topic, last_success: Millis::now(), failures: 0 }
     }
 
-    /// Notes an answer.
-    pub fn good(&mut self, entry: &Entry) {
+    /// Records a successful call to the log and resets the backoff.
+    pub fn record_success(&mut self, entry: &Entry) {
         let now = Millis::now();
-        let away = now.since(self.last);
+        let away = now.since(self.last_success);
         if self.failures > 0 {
             info!(entry.log, "log_regained"; "topic" => self.topic,
                 "away" => away.0, "failures" => self.failures);
         }
         self.failures = 0;
-        self.last = now;
+        self.last_success = now;
     }
 
-    /// Notes a failure and waits before the next call.
-    pub async fn bad(&mut self, entry: &Entry, error: &Error) {
+    /// Records a failed call to the log and waits for the backoff.
+    pub async fn back_off_after_failure(
+        &mut self,
+        entry: &Entry,
+        error: &Error,
+    ) {
         if self.failures == 0 {
             warn!(entry.log, "log_lost"; "topic" => self.topic,
                 "error" => %error);
         }
-        let doubled = MIN_BACKOFF.0 << self.failures.min(4);
+        let doubled = MIN_LOG_CALL_BACKOFF.0 << self.failures.min(4);
         self.failures += 1;
-        let pause = doubled.min(MAX_BACKOFF.0);
-        sleep(jittered(Millis(pause)).duration()).await;
+        let pause = doubled.min(MAX_LOG_CALL_BACKOFF.0);
+        sleep(jittered_interval(Millis(pause)).duration()).await;
     }
 }
 
-/// A time between three quarters and the whole of one, so that entries
-/// spread.
-fn jittered(time: Millis) -> Millis {
+/// Returns a random time from three quarters of `time` to the whole of `time`,
+/// so that the calls of entry processes spread out.
+fn jittered_interval(time: Millis) -> Millis {
     Millis(rand::rng().random_range(time.0 * 3 / 4..=time.0))
 }
 
-/// Reads one topic: first the newest record of every key, then what follows.
+/// Reads one topic of the log: first the newest record of every key, then the
+/// records that follow.
 #[derive(Debug)]
-pub struct Reader {
+pub struct TopicReader {
     topic: &'static str,
     client: Client,
-    contact: Contact,
-    next: Option<LogPosition>,
+    contact: LogCallStatus,
+    next_position: Option<LogPosition>,
     has_read: bool,
 }
 
-/// What a read brought.
+/// The result of reading a topic.
 #[derive(Debug)]
-pub struct Reading {
-    /// The records.
+pub struct TopicReadResult {
+    /// The records that were read.
     pub records: Vec<Record>,
-    /// The place after them.
-    pub end: LogPosition,
-    /// Which records they are.
-    pub scope: Scope,
+    /// The position in the topic after the last record that was read.
+    pub end_position: LogPosition,
+    /// Which records of the topic were read.
+    pub scope: ReadScope,
 }
 
-/// Which records a read brought.
+/// Which records of a topic a read returned.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Scope {
-    /// The newest of every key, for the first time.
+pub enum ReadScope {
+    /// The read returned the newest record of every key for the first time.
     First,
-    /// The newest of every key once more.
+    /// The read returned the newest record of every key, as an earlier read
+    /// did.
     All,
-    /// Those since the last read.
+    /// The read returned the records since the previous read.
     New,
 }
 
-impl Reader {
-    /// Nothing read yet.
-    pub fn new(entry: &Entry, topic: &'static str) -> Reader {
-        Reader {
+impl TopicReader {
+    /// Creates a reader that starts with the newest record of every key.
+    pub fn new(entry: &Entry, topic: &'static str) -> TopicReader {
+        TopicReader {
             topic,
-            client: Client::new(entry.settings().log),
-            contact: Contact::new(topic),
-            next: None,
+            client: Client::new(entry.settings().log_address),
+            contact: LogCallStatus::new(topic),
+            next_position: None,
             has_read: false,
         }
     }
 
-    /// Reads on. The log may hold the call for `hold` until there is a record.
-    pub async fn read(
+    /// Reads the next records. The log may hold the call for up to `max_hold`
+    /// until there is a record.
+    pub async fn read_next_records(
         &mut self,
         entry: &Entry,
-        hold: Millis,
-    ) -> Result<Reading, Error> {
-        let is_over = |it: LogPosition| it.era < entry.rollbacks.era();
-        if self.next.is_some_and(is_over) {
-            self.next = None;
-            sleep(entry.reading_delay().duration()).await;
+        max_hold: Millis,
+    ) -> Result<TopicReadResult, Error> {
+        let is_old = |it: LogPosition| it.era < entry.rollbacks.newest_era();
+        if self.next_position.is_some_and(is_old) {
+            self.next_position = None;
+            sleep(entry.draw_reread_delay().duration()).await;
         }
-        let era = entry.rollbacks.era();
+        let era = entry.rollbacks.newest_era();
         self.client.raise_era(era);
         let call = async {
-            match self.next {
+            match self.next_position {
                 None => self.client.read_newest(self.topic).await,
-                Some(from) => self.client.read(self.topic, from, hold).await,
+                Some(from) => {
+                    self.client.read(self.topic, from, max_hold).await
+                }
             }
         };
         let read = tokio::select! {
             read = call => read,
-            () = entry.rollbacks.after(era) => Err(Error::RolledBack),
+            () = entry.rollbacks.wait_for_era_after(era) => Err(Error::RolledBack),
         };
-        entry.learn_era(self.client.era(), Source::Log);
+        entry.observe_log_era(self.client.era(), ChangeSource::Log);
         let Page { next_position: next, records } = read?;
-        self.contact.good(entry);
-        let scope = match self.next.replace(next) {
-            None if self.has_read => Scope::All,
-            None => Scope::First,
-            Some(_) => Scope::New,
+        self.contact.record_success(entry);
+        let scope = match self.next_position.replace(next) {
+            None if self.has_read => ReadScope::All,
+            None => ReadScope::First,
+            Some(_) => ReadScope::New,
         };
         self.has_read = true;
-        Ok(Reading { records, end: next, scope })
+        Ok(TopicReadResult { records, end_position: next, scope })
     }
 
-    /// Prepares the next read after one that failed.
-    pub async fn recover(&mut self, entry: &Entry, error: &Error) {
+    /// Prepares the next read after a failed one; backs off unless records
+    /// expired or the log was rolled back.
+    pub async fn prepare_retry(&mut self, entry: &Entry, error: &Error) {
         match error {
-            // The next read notices by itself.
+            // The next read detects the log's new era and reads the newest
+            // record of every key again.
             Error::RolledBack => {}
             Error::Expired => {
                 info!(entry.log, "records_expired"; "topic" => self.topic);
-                self.next = None;
+                self.next_position = None;
             }
-            error => self.contact.bad(entry, error).await,
+            error => self.contact.back_off_after_failure(entry, error).await,
         }
     }
 }
 
-/// Follows the configuration for ever.
-pub async fn catalog(entry: Rc<Entry>) {
-    let mut reader = Reader::new(&entry, log::CONFIG_TOPIC);
+/// Follows the configuration topic; never returns.
+pub async fn follow_config_topic(entry: Rc<Entry>) {
+    let mut reader = TopicReader::new(&entry, log::CONFIG_TOPIC);
     let mut called = Millis(0);
     loop {
-        let pause = (called + MIN_READ_INTERVAL).since(Millis::now());
+        let pause = (called + MIN_CONFIG_READ_INTERVAL).since(Millis::now());
         sleep(pause.duration()).await;
         called = Millis::now();
-        match reader.read(&entry, POLL_TIMEOUT).await {
+        match reader.read_next_records(&entry, LONG_POLL_TIMEOUT).await {
             Ok(reading) => {
-                let before = entry.version();
-                adopt_newest(&entry, &reading.records).await;
-                if reading.scope != Scope::New {
-                    let new = usize::from(entry.version() > before);
+                let before = entry.catalog_version();
+                adopt_newest_catalog(&entry, &reading.records).await;
+                if reading.scope != ReadScope::New {
+                    let new = usize::from(entry.catalog_version() > before);
                     let records = reading.records.len();
-                    entry.note_read(log::CONFIG_TOPIC, records, new);
+                    entry.record_full_topic_read(
+                        log::CONFIG_TOPIC,
+                        records,
+                        new,
+                    );
                 }
             }
-            Err(error) => reader.recover(&entry, &error).await,
+            Err(error) => reader.prepare_retry(&entry, &error).await,
         }
     }
 }
 
-async fn adopt_newest(entry: &Entry, records: &[Record]) {
+async fn adopt_newest_catalog(entry: &Entry, records: &[Record]) {
     let versions = records.iter().rev();
     for record in versions.filter(|it| it.key == catalog::CONFIG_KEY) {
         let Some(raw) = &record.value else { continue };
         match catalog::decode(raw) {
             Ok(catalog) => {
-                peers::meet(entry, catalog.config_version()).await;
-                return entry.adopt(catalog, raw.clone(), Source::Log);
+                peers::wait_for_newest_catalog(
+                    entry,
+                    catalog.config_version(),
+                )
+                .await;
+                return entry.adopt_catalog(
+                    catalog,
+                    raw.clone(),
+                    ChangeSource::Log,
+                );
             }
             Err(error) => {
                 warn!(entry.log, "catalog_refused"; "error" => %error);
@@ -222,47 +250,56 @@
     }
 }
 
-/// Follows the targets for ever.
-pub async fn targets(entry: Rc<Entry>) {
-    let mut reader = Reader::new(&entry, log::TARGETS_TOPIC);
+/// Follows the targets topic; never returns.
+pub async fn follow_targets_topic(entry: Rc<Entry>) {
+    let mut reader = TopicReader::new(&entry, log::TARGETS_TOPIC);
     loop {
-        wait_for_turn(&entry).await;
+        wait_until_read_is_due(&entry).await;
         let begun = Millis::now();
-        match reader.read(&entry, Millis(0)).await {
+        match reader.read_next_records(&entry, Millis(0)).await {
             Ok(reading) => {
                 let now = Millis::now();
                 let found = entry
-                    .readings
+                    .log_read_schedule
                     .borrow_mut()
-                    .record_own_log_read(now, reading.end);
-                entry.note_gap(found, now);
-                take(&entry, &reading, now);
-                // What was back by then has been read.
+                    .record_own_log_read(now, reading.end_position);
+                entry.extend_leases_after_gap(found, now);
+                apply_target_records(&entry, &reading, now);
+                // Targets that renewed their records before the read began are
+                // among the records just read.
                 let gone =
                     entry.fleet.borrow_mut().apply_due_withdrawals(begun);
-                note_gone(&entry, &gone);
-                // The others need not read.
-                entry.rumour.notify_one();
+                record_left_targets(&entry, &gone);
+                // The digest shows that this entry process has just read the
+                // topic, so that other entry processes don't.
+                entry.digest_wakeup.notify_one();
             }
             Err(error) => {
                 if !matches!(error, Error::Expired | Error::RolledBack) {
-                    entry.readings.borrow_mut().mark_log_unreachable();
+                    entry
+                        .log_read_schedule
+                        .borrow_mut()
+                        .mark_log_unreachable();
                 }
-                reader.recover(&entry, &error).await;
+                reader.prepare_retry(&entry, &error).await;
             }
         }
     }
 }
 
-/// Waits until nobody is known to have read the targets for too long, or until
-/// a target counts as gone unless it is back.
-async fn wait_for_turn(entry: &Rc<Entry>) {
-    let period = Millis(entry.settings().drain_ms.0 * READ_PERCENT / 100);
-    let patience = jittered(period);
+/// Waits until the latest read of the targets by any entry process is too old,
+/// or until a target's lease ends unless it is renewed.
+async fn wait_until_read_is_due(entry: &Rc<Entry>) {
+    let period = Millis(
+        entry.settings().drain_ms.0 * TARGETS_READ_INTERVAL_PERCENT / 100,
+    );
+    let max_age = jittered_interval(period);
     loop {
         let now = Millis::now();
-        let wait =
-            entry.readings.borrow().time_until_next_log_read(patience, now);
+        let wait = entry
+            .log_read_schedule
+            .borrow()
+            .time_until_next_log_read(max_age, now);
         let lapse = entry.fleet.borrow().next_withdrawal_due_at();
         let wait = lapse.map_or(wait, |at| wait.min(at.since(now)));
         if wait == Millis(0) {
@@ -270,57 +307,65 @@
         }
         tokio::select! {
             () = sleep(wait.duration()) => {}
-            () = entry.behind.notified() => {}
+            () = entry.targets_read_wakeup.notified() => {}
         }
     }
 }
 
-/// Takes announcements in; all of them withdraw those that are missing.
-fn take(entry: &Entry, reading: &Reading, now: Millis) {
+/// Applies target records that were read from the log. Targets that are
+/// missing from a full read count as withdrawn.
+fn apply_target_records(
+    entry: &Entry,
+    reading: &TopicReadResult,
+    now: Millis,
+) {
     let records = &reading.records;
-    let news = records
+    let changes = records
         .iter()
-        .map(|it| announce(entry, it, now, Source::Log))
+        .map(|it| apply_target_announcement(entry, it, now, ChangeSource::Log))
         .filter(|it| *it != TargetChange::None)
         .count();
-    if reading.scope == Scope::New {
+    if reading.scope == ReadScope::New {
         return;
     }
-    entry.note_read(log::TARGETS_TOPIC, records.len(), news);
-    if reading.scope == Scope::First {
-        // Others told of the targets known so far, and the log may have come
-        // back from a copy that lacks them.
+    entry.record_full_topic_read(log::TARGETS_TOPIC, records.len(), changes);
+    if reading.scope == ReadScope::First {
+        // Other entry processes announced the targets known so far, and the
+        // log may be an older copy that lacks them.
         entry.fleet.borrow_mut().start_record_renewal_grace(now);
     }
     let listed: HashMap<&str, ProcessStartUnixMs> =
-        records.iter().filter_map(start).collect();
+        records.iter().filter_map(announced_start_time).collect();
     let gone = entry
         .fleet
         .borrow_mut()
         .withdraw_unlisted_targets(|id| listed.get(id).copied(), now);
-    note_gone(entry, &gone);
+    record_left_targets(entry, &gone);
 }
 
-/// Which start of a target a record is of. One of another writer may hide a
-/// target, and counts as its newest.
-fn start(record: &Record) -> Option<(&str, ProcessStartUnixMs)> {
+/// The start of the target that a record announces. A malformed record may
+/// hide a target, and counts as the target's newest start.
+fn announced_start_time(
+    record: &Record,
+) -> Option<(&str, ProcessStartUnixMs)> {
     let raw = record.value.as_ref()?;
     let start = target::decode(&record.key, raw).map(|it| it.start);
     Some((&record.key, start.unwrap_or(ProcessStartUnixMs(u64::MAX))))
 }
 
-fn note_gone(entry: &Entry, gone: &[Name]) {
+fn record_left_targets(entry: &Entry, gone: &[Name]) {
     for id in gone {
-        entry.changed(id, TargetChange::Left, Source::Log);
+        entry.apply_target_change(id, TargetChange::Left, ChangeSource::Log);
     }
 }
 
-/// Takes one announcement or withdrawal in, and says what it changed.
-pub fn announce(
+/// Applies one announcement or withdrawal of a target and returns the
+/// resulting change.
+pub fn apply_target_announcement(
     entry: &Entry,
     record: &Record,
     now: Millis,
-    source: Source,
+    source: ChangeSource,
 ) -> TargetChange {
     let change = match &record.value {
         None => {
@@ -329,24 +374,27 @@
         Some(raw) => match target::decode(&record.key, raw) {
             Ok(target) => {
                 let id = target.id.clone();
-                entry.note_announcement(&target, now);
+                entry.retract_crash_on_renewal(&target, now);
                 let change = entry
                     .fleet
                     .borrow_mut()
                     .merge_target_announcement(target, now);
                 if entry.fleet.borrow().is_ready(&id) {
-                    entry.announced.borrow_mut().insert(id, raw.clone());
+                    entry
+                        .raw_announcements
+                        .borrow_mut()
+                        .insert(id, raw.clone());
                 }
                 change
             }
-            // Another writer's entry names no target, and changes nothing of
-            // one that has that name.
+            // A malformed record describes no target, and leaves a known
+            // target of the same name as it is.
             Err(error) => {
-                entry.refuse_target(&record.key, &error);
+                entry.record_invalid_target(&record.key, &error);
                 return TargetChange::None;
             }
         },
     };
-    entry.changed(&record.key, change, source);
+    entry.apply_target_change(&record.key, change, source);
     change
 }
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -1,13 +1,14 @@
-//! Targets that name how many requests a second they take from all entries.
+//! Enforces rate limits that targets set for the sum of all entry processes.
 //!
-//! What is decided stands in [`cowsliproad_admission::limit`]; here is who
-//! tells and asks whom. What a target says is told to the other entries at
-//! once and then by digests. A request that is to go to such a target first
-//! gets a permit: from this entry, if it keeps the target's pace, else by one
-//! datagram there and one back. An entry that is asked and knows of a better
-//! owner passes the question on, so that entries that know different ones of
-//! the others still keep one pace; one that gets no answer from the owner
-//! takes its place, and begins anew.
+//! The limiter itself is in [`cowsliproad_admission::limit`]; this module
+//! exchanges limits and permits between entry processes. A limit that a target
+//! states is broadcast to the other entry processes at once and then in
+//! digests. A request to such a target first acquires a permit: from this
+//! entry process, if it owns the target's limiter, otherwise by one datagram
+//! to the owner and one back. An entry process that gets a permit request but
+//! knows a better owner forwards the request, so that entry processes with
+//! different views of the peers share one limiter. An entry process that gets
+//! no answer from the owner substitutes for the owner, with a new limiter.
 
 use std::{cell::RefCell, collections::HashMap, fmt, net::SocketAddr, rc::Rc};
 
@@ -35,219 +36,253 @@
 use crate::{
     attempt::Attempt,
     call::AttemptError,
-    entry::{Choice, Endpoint, Entry, Recovery, Source},
+    entry::{ChangeSource, ChosenTarget, CooldownRecovery, Endpoint, Entry},
 };
 
-/// How often a question for a permit may be passed on: to the entry that is
-/// taken for the owner, and from there to the one that it takes for it.
-const RELAYS: u8 = 2;
+/// How often a permit request may be forwarded: to the supposed owner of the
+/// limiter, and from there to the owner that the supposed owner knows.
+const MAX_PERMIT_REQUEST_FORWARDS: u8 = 2;
 
-/// The time for an answer from an entry that asks nobody else.
-const REPLY_TIMEOUT: Millis = Millis(120);
+/// The timeout for a reply to a permit request that isn't forwarded.
+const PERMIT_REPLY_TIMEOUT: Millis = Millis(120);
 
-/// How long a request that can go elsewhere waits for its answer.
-const SHORT_REPLY_TIMEOUT: Millis = Millis(40);
+/// The timeout for a reply to a permit request if the caller's request can go
+/// to another target.
+const SHORT_PERMIT_REPLY_TIMEOUT: Millis = Millis(40);
 
-/// How long an entry that didn't answer is passed over.
-const MUTE_TTL: Millis = Millis(2_000);
+/// How long an entry process that didn't reply to a permit request is passed
+/// over as owner of limiters.
+const UNRESPONSIVE_OWNER_TTL: Millis = Millis(2_000);
 
-/// Entries that are asked for one permit. Each may be gone.
-const MAX_ASKED: usize = 2;
+/// Supposed owners of a limiter that are asked for the same permit. Each may
+/// be gone.
+const MAX_OWNERS_ASKED: usize = 2;
 
-/// When a permit is asked for again if nobody knows when one is free.
-const RETRY_BACKOFF: Millis = Millis(250);
+/// The delay before a permit is requested again if no entry process knows when
+/// one becomes free.
+const PERMIT_RETRY_BACKOFF: Millis = Millis(250);
 
-/// How long a permit is held for its request to get a connection.
+/// How long a permit stays valid while its request gets a connection.
 const PERMIT_TTL: Millis = Millis(400);
 
-/// How long a limit that has changed, or is over, is told with each digest.
-const BROADCAST_TTL: Millis = Millis(8_000);
+/// How long a limit that has changed or was removed is part of each digest.
+const LIMIT_BROADCAST_TTL: Millis = Millis(8_000);
 
-/// How long what is told of an unknown target is kept: it is announced by
+/// How long a limit of an unknown target is kept: the target is announced by
 /// then.
-const UNKNOWN_TTL: Millis = Millis(10_000);
+const UNKNOWN_TARGET_LIMIT_TTL: Millis = Millis(10_000);
 
-/// Limits that others are told of at a time, some 40 bytes each.
-const MAX_UPDATES: usize = 256;
+/// Limits in one digest, some 40 bytes each.
+const MAX_LIMITS_PER_DIGEST: usize = 256;
 
-/// Changes of limits are told at once no more often than this, however often
-/// targets change them.
-const MIN_BROADCAST_INTERVAL: Millis = Millis(100);
+/// The least time between immediate broadcasts of changed limits, however
+/// often targets change them.
+const MIN_LIMIT_BROADCAST_INTERVAL: Millis = Millis(100);
 
-/// How much others are told of limits and of suspended work.
+/// Which rate limits and quarantined requests a digest includes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Update {
-    /// What has changed lately.
+pub enum DigestScope {
+    /// Rate limits and crash records that changed recently, and refused
+    /// requests.
     Changed,
-    /// All of it.
+    /// All rate limits and all suspended requests, in addition to recent
+    /// changes and refused requests.
     All,
 }
 
-/// The pace of requests to targets, and questions that are open.
+/// Rate limiters of targets, and permit requests to other entry processes that
+/// await a reply.
 #[derive(Default)]
-pub struct Limits {
+pub struct RateLimits {
     socket: Option<Rc<UdpSocket>>,
     limiters: HashMap<Name, (ProcessStartUnixMs, limit::Limiter)>,
-    open: HashMap<u64, oneshot::Sender<PermitReply>>,
-    /// Limits of targets that are not known yet, and when they were heard.
-    early: HashMap<Name, (RateLimit, Millis)>,
-    told: Millis,
+    pending_requests: HashMap<u64, oneshot::Sender<PermitReply>>,
+    /// Rate limits of targets that this entry process doesn't know yet, and
+    /// when each limit arrived.
+    early_limits: HashMap<Name, (RateLimit, Millis)>,
+    last_broadcast: Millis,
 }
 
-impl fmt::Debug for Limits {
+impl fmt::Debug for RateLimits {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter
             .debug_struct("Limits")
             .field("limiters", &self.limiters)
-            .field("open", &self.open.len())
+            .field("open", &self.pending_requests.len())
             .finish_non_exhaustive()
     }
 }
 
-impl Limits {
-    /// Asks and answers through a socket from now on.
-    pub fn speak(&mut self, socket: Rc<UdpSocket>) {
+impl RateLimits {
+    /// Sets the socket for permit requests and replies.
+    pub fn set_permit_socket(&mut self, socket: Rc<UdpSocket>) {
         self.socket = Some(socket);
     }
 
-    /// Keeps what was told of a target that isn't known yet.
-    fn keep_early(&mut self, limit: &RateLimit, now: Millis) {
-        if self.early.len() >= MAX_UPDATES {
-            self.early.retain(|_, it| now.since(it.1) < UNKNOWN_TTL);
+    /// Keeps the rate limit of a target that isn't known yet.
+    fn store_early_limit(&mut self, limit: &RateLimit, now: Millis) {
+        if self.early_limits.len() >= MAX_LIMITS_PER_DIGEST {
+            self.early_limits
+                .retain(|_, it| now.since(it.1) < UNKNOWN_TARGET_LIMIT_TTL);
         }
-        if self.early.len() < MAX_UPDATES {
-            self.early.insert(limit.target.clone(), (limit.clone(), now));
+        if self.early_limits.len() < MAX_LIMITS_PER_DIGEST {
+            self.early_limits
+                .insert(limit.target.clone(), (limit.clone(), now));
         }
     }
 
-    /// Forgets the pace of a target that left.
-    pub fn forget(&mut self, target: &str) {
+    /// Removes the limiter of a target that left.
+    pub fn remove_target_limiter(&mut self, target: &str) {
         self.limiters.remove(target);
     }
 }
 
-impl Choice {
-    /// Whether a request may be sent there now.
-    pub fn may_send(&self, now: Millis) -> bool {
-        let rate = self.endpoint.borrow().limit.rate();
+impl ChosenTarget {
+    /// Whether a request may be sent to the chosen target now: the target has
+    /// no limit, or the request holds a valid permit.
+    pub fn may_send_request(&self, now: Millis) -> bool {
+        let rate = self.endpoint.borrow().rate_limit.rate();
         let Some(rate) = rate else { return true };
         self.permit.is_some_and(|it| it.is_valid(rate, now))
     }
 
-    /// Gives back the permit of a request that wasn't sent.
-    pub fn give_back(&self) {
-        self.endpoint.borrow_mut().permits.extend(self.permit);
+    /// Returns the permit of a request that wasn't sent, for use by another
+    /// request.
+    pub fn return_permit(&self) {
+        self.endpoint.borrow_mut().spare_permits.extend(self.permit);
     }
 
-    /// Notes that a request got no answer there.
-    pub fn on_attempt_failed(&self, entry: &Entry, error: &AttemptError) {
+    /// Records a failed attempt at the chosen target: returns an unused
+    /// permit, restarts an unused probe, and counts the failure.
+    pub fn record_failed_attempt(&self, entry: &Entry, error: &AttemptError) {
         if matches!(error, AttemptError::Unsent(_) | AttemptError::Withheld(_))
         {
-            self.give_back();
+            self.return_permit();
             let mut endpoint = self.endpoint.borrow_mut();
-            if matches!(endpoint.recovery, Recovery::Probed(_)) {
-                endpoint.recovery = Recovery::Pending;
+            if matches!(
+                endpoint.cooldown_recovery,
+                CooldownRecovery::Probed(_)
+            ) {
+                endpoint.cooldown_recovery = CooldownRecovery::Pending;
             }
         }
         let now = Millis::now();
-        // A target that says when it takes requests again needs no guess.
+        // A refusal with a cooldown already keeps requests away from the
+        // target.
         let is_failure = match error {
             AttemptError::Withheld(_) => false,
             AttemptError::Refused(_) => {
                 entry.cooldown_end(&self.target, now).is_none()
             }
             AttemptError::Unsent(_)
-            | AttemptError::Unknown(_)
-            | AttemptError::Broken(_) => true,
+            | AttemptError::MayHaveRun(_)
+            | AttemptError::ConnectionBroken(_) => true,
         };
         if is_failure {
-            self.endpoint.borrow_mut().record.record_failure(now);
+            self.endpoint.borrow_mut().request_stats.record_failure(now);
         }
     }
 }
 
 impl Endpoint {
-    /// A permit that came too late for the request that asked for it.
-    pub fn has_permit(&self, rate: RequestRate, now: Millis) -> bool {
-        self.permits.iter().any(|it| it.is_valid(rate, now))
+    /// Whether there is a spare permit, granted too late for the request that
+    /// asked for it.
+    pub fn has_spare_permit(&self, rate: RequestRate, now: Millis) -> bool {
+        self.spare_permits.iter().any(|it| it.is_valid(rate, now))
     }
 
-    fn take_permit(
+    fn take_spare_permit(
         &mut self,
         rate: RequestRate,
         now: Millis,
     ) -> Option<Permit> {
-        self.permits.retain(|it| it.valid_until >= now && it.rate <= rate);
-        let at = self.permits.iter().position(|it| it.is_valid(rate, now))?;
-        Some(self.permits.swap_remove(at))
+        self.spare_permits
+            .retain(|it| it.valid_until >= now && it.rate <= rate);
+        let at =
+            self.spare_permits.iter().position(|it| it.is_valid(rate, now))?;
+        Some(self.spare_permits.swap_remove(at))
     }
 }
 
-/// Gets a permit at the target that was chosen, if it names a limit. One that
-/// is free within `patience` is waited for.
-pub async fn permit(
+/// Acquires a permit for the chosen target, if the target has a rate limit;
+/// returns whether the request may be sent. Waits for a permit that becomes
+/// valid within `max_permit_wait`.
+pub async fn acquire_permit(
     entry: &Rc<Entry>,
-    choice: &mut Choice,
-    patience: Millis,
+    choice: &mut ChosenTarget,
+    max_permit_wait: Millis,
 ) -> bool {
-    let Some(rate) = choice.limit else { return true };
+    let Some(rate) = choice.rate_limit else { return true };
     let now = Millis::now();
-    let kept = choice.endpoint.borrow_mut().take_permit(rate, now);
+    let kept = choice.endpoint.borrow_mut().take_spare_permit(rate, now);
     if kept.is_some() {
         choice.permit = kept;
         return true;
     }
-    choice.endpoint.borrow_mut().asking = true;
+    choice.endpoint.borrow_mut().permit_request_in_flight = true;
     let (sender, given) = oneshot::channel();
-    let asking = get(entry.clone(), choice.clone(), patience, sender);
-    tokio::task::spawn_local(asking);
-    let wait = match patience {
-        Millis(0) => SHORT_REPLY_TIMEOUT,
-        _ => Millis(REPLY_TIMEOUT.0 * u64::from(RELAYS + 1)),
+    let task =
+        request_permit(entry.clone(), choice.clone(), max_permit_wait, sender);
+    tokio::task::spawn_local(task);
+    let wait = match max_permit_wait {
+        Millis(0) => SHORT_PERMIT_REPLY_TIMEOUT,
+        _ => Millis(
+            PERMIT_REPLY_TIMEOUT.0
+                * u64::from(MAX_PERMIT_REQUEST_FORWARDS + 1),
+        ),
     };
     let Ok(Ok(Some(permit))) = timeout(wait.duration(), given).await else {
-        entry.measure.limited("none");
+        entry.metrics.record_permit_outcome("none");
         return false;
     };
-    let mut held =
-        Held { endpoint: choice.endpoint.clone(), permit: Some(permit) };
+    let mut held = PendingPermit {
+        endpoint: choice.endpoint.clone(),
+        permit: Some(permit),
+    };
     tokio::select! {
         () = sleep(permit.valid_from.since(Millis::now()).duration()) => {}
-        () = entry.until_cooldown(&choice.target) => return false,
+        () = entry.wait_until_in_cooldown(&choice.target) => return false,
     }
     choice.permit = held.permit.take();
-    entry.measure.limited("permit");
+    entry.metrics.record_permit_outcome("permit");
     true
 }
 
-/// A permit whose time has not come. If its request is gone by then another
-/// one may have it.
-struct Held {
+/// A permit that isn't valid yet. If its request is dropped before, another
+/// request may use the permit.
+struct PendingPermit {
     endpoint: Rc<RefCell<Endpoint>>,
     permit: Option<Permit>,
 }
 
-impl Drop for Held {
+impl Drop for PendingPermit {
     fn drop(&mut self) {
-        self.endpoint.borrow_mut().permits.extend(self.permit.take());
+        self.endpoint.borrow_mut().spare_permits.extend(self.permit.take());
     }
 }
 
-/// Asks for a permit, and keeps one that comes too late for the next request.
-async fn get(
+/// Requests a permit for a request. If the request no longer waits, the permit
+/// is kept for the next request.
+async fn request_permit(
     entry: Rc<Entry>,
-    choice: Choice,
-    patience: Millis,
+    choice: ChosenTarget,
+    max_permit_wait: Millis,
     given: oneshot::Sender<Option<Permit>>,
 ) {
-    let verdict = decide(&entry, &choice.target, patience, RELAYS).await;
+    let verdict = decide_permit(
+        &entry,
+        &choice.target,
+        max_permit_wait,
+        MAX_PERMIT_REQUEST_FORWARDS,
+    )
+    .await;
     let now = Millis::now();
     let mut endpoint = choice.endpoint.borrow_mut();
-    endpoint.asking = false;
+    endpoint.permit_request_in_flight = false;
     match verdict {
         PermitDecision::Permit(after) => {
             let valid_from = now + after;
-            let rate = endpoint.limit.rate().or(choice.limit);
+            let rate = endpoint.rate_limit.rate().or(choice.rate_limit);
             let Some(rate) = rate else { return };
             let permit = Permit {
                 rate,
@@ -255,117 +290,151 @@
                 valid_until: valid_from + PERMIT_TTL,
             };
             if given.send(Some(permit)).is_err() {
-                endpoint.permits.push(permit);
+                endpoint.spare_permits.push(permit);
             }
         }
         PermitDecision::Later(after) => {
-            endpoint.full_until = now + after;
-            // Whoever asked may have gone elsewhere.
+            endpoint.next_permit_request_at = now + after;
+            // The request that needed the permit may have gone to another
+            // target.
             let _ = given.send(None);
         }
     }
     drop(endpoint);
     debug!(entry.log, "permit"; "target" => &*choice.target.id,
-        "verdict" => ?verdict, "patience" => patience.0);
+        "verdict" => ?verdict, "patience" => max_permit_wait.0);
 }
 
-/// Decides on a permit, here or where the target's pace is kept.
-async fn decide(
+/// Grants or refuses a permit, here or at the entry process that owns the
+/// target's limiter.
+async fn decide_permit(
     entry: &Rc<Entry>,
     target: &Target,
-    patience: Millis,
-    relays: u8,
+    max_permit_wait: Millis,
+    hops: u8,
 ) -> PermitDecision {
-    for asked in 0..MAX_ASKED {
+    for asked in 0..MAX_OWNERS_ASKED {
         let now = Millis::now();
         let zone = entry.settings().zone.clone();
-        let owner = entry.peers.borrow().owner(target, &zone, now);
+        let owner = entry.peers.borrow().limiter_owner(target, &zone, now);
         let other = match owner {
-            // Whoever asked waits for one question more, not for two.
-            RateLimiterOwner::Remote(_) if asked > 0 && relays < RELAYS => {
+            // The asking entry process's reply timeout allows for one
+            // forwarded request, not for two.
+            RateLimiterOwner::Remote(_)
+                if asked > 0 && hops < MAX_PERMIT_REQUEST_FORWARDS =>
+            {
                 break;
             }
-            RateLimiterOwner::Remote(other) if relays > 0 => other,
-            _ => return entry.give(target, owner, patience, now),
+            RateLimiterOwner::Remote(other) if hops > 0 => other,
+            _ => {
+                return entry.decide_permit_as_owner(
+                    target,
+                    owner,
+                    max_permit_wait,
+                    now,
+                );
+            }
         };
-        match ask(entry, other, target, patience, relays - 1).await {
+        match request_permit_from(
+            entry,
+            other,
+            target,
+            max_permit_wait,
+            hops - 1,
+        )
+        .await
+        {
             Some(it) if it.permit_granted => {
                 return PermitDecision::Permit(it.permit_wait);
             }
             Some(it) => return PermitDecision::Later(it.permit_wait),
             None => {
-                let until = Millis::now() + MUTE_TTL;
-                entry.peers.borrow_mut().mute(other, until);
+                let until = Millis::now() + UNRESPONSIVE_OWNER_TTL;
+                entry.peers.borrow_mut().mark_owner_unresponsive(other, until);
                 info!(entry.log, "keeper_mute"; "peer" => %other,
                     "target" => &*target.id);
             }
         }
     }
-    PermitDecision::Later(RETRY_BACKOFF)
+    PermitDecision::Later(PERMIT_RETRY_BACKOFF)
 }
 
-/// Asks another entry for a permit.
-async fn ask(
+/// Requests a permit from another entry process; None without a reply in time.
+async fn request_permit_from(
     entry: &Entry,
     other: SocketAddr,
     target: &Target,
-    patience: Millis,
-    relays: u8,
+    max_wait: Millis,
+    hops: u8,
 ) -> Option<PermitReply> {
-    let number = rand::random();
-    let rate_limit = entry.current_limit(target, Millis::now());
-    let question = PermitRequest {
-        request_id: number,
+    let id = rand::random();
+    let rate_limit = entry.current_rate_limit(target, Millis::now());
+    let request = PermitRequest {
+        request_id: id,
         rate_limit,
-        max_permit_wait: patience,
-        forwards_left: relays,
+        max_permit_wait: max_wait,
+        forwards_left: hops,
     };
     let (sender, reply) = oneshot::channel();
-    entry.limits.borrow_mut().open.insert(number, sender);
-    entry.say(Datagram::PermitRequest(question), other).await;
-    let wait = Millis(REPLY_TIMEOUT.0 * (u64::from(relays) + 1));
+    entry.limits.borrow_mut().pending_requests.insert(id, sender);
+    entry.send_permit_message(Datagram::PermitRequest(request), other).await;
+    let wait = Millis(PERMIT_REPLY_TIMEOUT.0 * (u64::from(hops) + 1));
     let reply = timeout(wait.duration(), reply).await;
-    entry.limits.borrow_mut().open.remove(&number);
+    entry.limits.borrow_mut().pending_requests.remove(&id);
     reply.ok()?.ok()
 }
 
-/// Answers another entry's question.
-pub fn answer(entry: &Rc<Entry>, ask: PermitRequest, from: SocketAddr) {
-    entry.hear_limit(&ask.rate_limit, Millis::now());
+/// Answers another entry process's permit request.
+pub fn answer_permit_request(
+    entry: &Rc<Entry>,
+    request: PermitRequest,
+    from: SocketAddr,
+) {
+    entry.merge_rate_limit(&request.rate_limit, Millis::now());
     let entry = entry.clone();
-    let relays = ask.forwards_left.min(RELAYS - 1);
+    let hops = request.forwards_left.min(MAX_PERMIT_REQUEST_FORWARDS - 1);
     tokio::task::spawn_local(async move {
-        let target = entry.fleet.borrow().get(&ask.rate_limit.target).cloned();
-        let same = target
-            .filter(|it| it.start.0 == ask.rate_limit.target_start_unix_ms);
+        let target =
+            entry.fleet.borrow().get(&request.rate_limit.target).cloned();
+        let same = target.filter(|it| {
+            it.start.0 == request.rate_limit.target_start_unix_ms
+        });
         let (verdict, rate_limit) = match same {
             Some(target) => {
-                let verdict =
-                    decide(&entry, &target, ask.max_permit_wait, relays).await;
-                (verdict, entry.current_limit(&target, Millis::now()))
+                let verdict = decide_permit(
+                    &entry,
+                    &target,
+                    request.max_permit_wait,
+                    hops,
+                )
+                .await;
+                (verdict, entry.current_rate_limit(&target, Millis::now()))
             }
-            // Its announcement has not come here yet.
-            None => (PermitDecision::Later(RETRY_BACKOFF), ask.rate_limit),
+            // The target's announcement has not arrived here yet.
+            None => (
+                PermitDecision::Later(PERMIT_RETRY_BACKOFF),
+                request.rate_limit,
+            ),
         };
         let (given, after) = match verdict {
             PermitDecision::Permit(after) => (true, after),
             PermitDecision::Later(after) => (false, after),
         };
         let reply = PermitReply {
-            request_id: ask.request_id,
+            request_id: request.request_id,
             rate_limit,
             permit_granted: given,
             permit_wait: after,
         };
-        entry.say(Datagram::PermitReply(reply), from).await;
+        entry.send_permit_message(Datagram::PermitReply(reply), from).await;
     });
 }
 
 impl Entry {
-    /// Takes in what a target says of its limit with an answer.
-    pub fn note_limit(
+    /// Applies the rate limit in the headers of a target's answer.
+    pub fn apply_rate_limit_header(
         &self,
-        choice: &Choice,
+        choice: &ChosenTarget,
         attempt: &Attempt,
         headers: &HeaderMap,
     ) {
@@ -374,26 +443,31 @@
         let sent = attempt.sent_at().unwrap_or(now);
         let bytes = named.map(HeaderValue::as_bytes);
         let mut endpoint = choice.endpoint.borrow_mut();
-        let news = endpoint.limit.observe_limit_header(bytes, sent, now);
+        let observed =
+            endpoint.rate_limit.observe_limit_header(bytes, sent, now);
         drop(endpoint);
-        if news.limit_became_invalid {
+        if observed.limit_became_invalid {
             warn!(self.log, "limit_refused"; "target" => &*choice.target.id,
                 "limit" => ?named);
         }
-        self.limit_changed(&choice.target.id, news.change, Source::Own);
+        self.handle_limit_change(
+            &choice.target.id,
+            observed.change,
+            ChangeSource::Own,
+        );
     }
 
-    /// Takes in what another entry tells of limits.
-    pub fn hear_limits(&self, limits: &[RateLimit], now: Millis) {
+    /// Merges the rate limits in another entry process's digest.
+    pub fn merge_peer_limits(&self, limits: &[RateLimit], now: Millis) {
         for limit in limits {
-            self.hear_limit(limit, now);
+            self.merge_rate_limit(limit, now);
         }
     }
 
-    fn hear_limit(&self, limit: &RateLimit, now: Millis) {
+    fn merge_rate_limit(&self, limit: &RateLimit, now: Millis) {
         let start = self.fleet.borrow().get(&limit.target).map(|it| it.start);
         if start != Some(ProcessStartUnixMs(limit.target_start_unix_ms)) {
-            self.limits.borrow_mut().keep_early(limit, now);
+            self.limits.borrow_mut().store_early_limit(limit, now);
             return;
         }
         let rate = limit.requests_per_second.and_then(RequestRate::new);
@@ -402,104 +476,124 @@
         }
         let report =
             LimitReport { rate, rate_limit_age: limit.rate_limit_age };
-        let endpoint = self.endpoint(&limit.target);
+        let endpoint = self.endpoint_or_insert(&limit.target);
         let change =
-            endpoint.borrow_mut().limit.merge_limit_report(report, now);
-        self.limit_changed(&limit.target, change, Source::Peer);
+            endpoint.borrow_mut().rate_limit.merge_limit_report(report, now);
+        self.handle_limit_change(&limit.target, change, ChangeSource::Peer);
     }
 
-    /// Takes in what was told of a target before it was known here.
-    pub fn recall_limit(&self, target: &str, now: Millis) {
-        let early = self.limits.borrow_mut().early.remove(target);
+    /// Applies a rate limit that another entry process sent before the target
+    /// was known here.
+    pub fn apply_early_limit(&self, target: &str, now: Millis) {
+        let early = self.limits.borrow_mut().early_limits.remove(target);
         if let Some((limit, heard)) = early {
             let age = limit.rate_limit_age + now.since(heard);
-            self.hear_limit(&RateLimit { rate_limit_age: age, ..limit }, now);
+            self.merge_rate_limit(
+                &RateLimit { rate_limit_age: age, ..limit },
+                now,
+            );
         }
     }
 
-    fn limit_changed(
+    fn handle_limit_change(
         &self,
         target: &Name,
         change: LimitChange,
-        source: Source,
+        source: ChangeSource,
     ) {
         if change == LimitChange::None {
             return;
         }
-        let Some(endpoint) = self.known_endpoint(target) else { return };
+        let Some(endpoint) = self.existing_endpoint(target) else { return };
         let mut endpoint = endpoint.borrow_mut();
-        let rate = endpoint.limit.rate();
+        let rate = endpoint.rate_limit.rate();
         if change == LimitChange::Loosened {
-            endpoint.full_until = Millis(0);
+            endpoint.next_permit_request_at = Millis(0);
         }
         drop(endpoint);
         info!(self.log, "limit"; "target" => &**target,
-            "a_second" => rate.map(RequestRate::requests_per_second),
-            "change" => ?change,
+            "a_second" => rate.map(RequestRate::requests_per_second), "change" => ?change,
             "source" => ?source);
         if change == LimitChange::Loosened {
-            self.tell_news();
+            self.notify_target_change();
         }
-        // Others hand it on too: there may be more entries than one tells.
+        // Every entry process broadcasts the change: there may be more entry
+        // processes than one digest reaches.
         let now = Millis::now();
         let mut limits = self.limits.borrow_mut();
-        if now.since(limits.told) >= MIN_BROADCAST_INTERVAL {
-            limits.told = now;
-            self.rumour.notify_one();
+        if now.since(limits.last_broadcast) >= MIN_LIMIT_BROADCAST_INTERVAL {
+            limits.last_broadcast = now;
+            self.digest_wakeup.notify_one();
         }
     }
 
-    /// What others are told of limits.
-    pub fn limit_updates(&self, which: Update, now: Millis) -> Vec<RateLimit> {
+    /// The rate limits of targets to include in a digest.
+    pub fn limits_for_digest(
+        &self,
+        scope: DigestScope,
+        now: Millis,
+    ) -> Vec<RateLimit> {
         let fleet = self.fleet.borrow();
-        let told = |target: &Target| {
-            let endpoint = self.known_endpoint(&target.id)?;
-            let limit = endpoint.borrow().limit;
+        let to_update = |target: &Target| {
+            let endpoint = self.existing_endpoint(&target.id)?;
+            let limit = endpoint.borrow().rate_limit;
             let report = limit.limit_report(now)?;
-            let is_news = now.since(limit.limit_changed_at()) < BROADCAST_TTL;
-            let is_told = match which {
-                Update::Changed => is_news,
-                Update::All => is_news || report.rate.is_some(),
+            let is_recent =
+                now.since(limit.limit_changed_at()) < LIMIT_BROADCAST_TTL;
+            let is_included = match scope {
+                DigestScope::Changed => is_recent,
+                DigestScope::All => is_recent || report.rate.is_some(),
             };
-            is_told.then(|| limit_of(target, report))
+            is_included.then(|| encode_limit(target, report))
         };
-        fleet.ready_targets().filter_map(told).take(MAX_UPDATES).collect()
+        fleet
+            .ready_targets()
+            .filter_map(to_update)
+            .take(MAX_LIMITS_PER_DIGEST)
+            .collect()
     }
 
-    /// Targets that name a limit.
-    pub fn limits_known(&self) -> usize {
+    /// The number of targets with a rate limit.
+    pub fn limited_target_count(&self) -> usize {
         let fleet = self.fleet.borrow();
         let limited = |target: &&Target| {
-            let endpoint = self.known_endpoint(&target.id);
-            endpoint.is_some_and(|it| it.borrow().limit.rate().is_some())
+            let endpoint = self.existing_endpoint(&target.id);
+            endpoint.is_some_and(|it| it.borrow().rate_limit.rate().is_some())
         };
         fleet.ready_targets().filter(limited).count()
     }
 
-    /// What is known of a target's limit.
-    fn current_limit(&self, target: &Target, now: Millis) -> RateLimit {
-        let report =
-            self.endpoint(&target.id).borrow().limit.limit_report(now);
+    /// The known rate limit of a target; if none is known, an unlimited rate
+    /// of the greatest age.
+    fn current_rate_limit(&self, target: &Target, now: Millis) -> RateLimit {
+        let report = self
+            .endpoint_or_insert(&target.id)
+            .borrow()
+            .rate_limit
+            .limit_report(now);
         let never =
             LimitReport { rate: None, rate_limit_age: Millis(u64::MAX) };
-        limit_of(target, report.unwrap_or(never))
+        encode_limit(target, report.unwrap_or(never))
     }
 
-    /// Decides on a permit as the one that keeps the target's pace.
-    fn give(
+    /// Grants or refuses a permit as the owner of the target's limiter.
+    fn decide_permit_as_owner(
         &self,
         target: &Target,
         owner: RateLimiterOwner<SocketAddr>,
-        patience: Millis,
+        max_permit_wait: Millis,
         now: Millis,
     ) -> PermitDecision {
-        let report =
-            self.endpoint(&target.id).borrow().limit.limit_report(now);
+        let report = self
+            .endpoint_or_insert(&target.id)
+            .borrow()
+            .rate_limit
+            .limit_report(now);
         let Some(LimitReport { rate: Some(rate), rate_limit_age }) = report
         else {
             return PermitDecision::Permit(Millis(0));
         };
-        let share = self.peers.borrow().reached(now);
+        let share = self.peers.borrow().reachable_entry_fraction(now);
         let new =
             (target.start, limit::Limiter::new(rate, rate_limit_age, now));
         let mut limits = self.limits.borrow_mut();
@@ -509,20 +603,25 @@
         if kept.0 != target.start || stale {
             *kept = new;
         }
-        kept.1.grant_permit(rate, share, patience, now)
+        kept.1.grant_permit(rate, share, max_permit_wait, now)
     }
 
-    /// Takes in the answer to a question.
-    pub fn hear_reply(&self, reply: PermitReply) {
-        self.hear_limit(&reply.rate_limit, Millis::now());
-        let open = self.limits.borrow_mut().open.remove(&reply.request_id);
-        if let Some(open) = open {
-            // Whoever asked may have stopped waiting just now.
-            let _ = open.send(reply);
+    /// Passes a permit reply to the task that awaits it.
+    pub fn deliver_permit_reply(&self, reply: PermitReply) {
+        self.merge_rate_limit(&reply.rate_limit, Millis::now());
+        let pending_request = self
+            .limits
+            .borrow_mut()
+            .pending_requests
+            .remove(&reply.request_id);
+        if let Some(pending_request) = pending_request {
+            // The task that awaited the permit reply may have stopped waiting
+            // just now.
+            let _ = pending_request.send(reply);
         }
     }
 
-    async fn say(&self, message: Datagram, to: SocketAddr) {
+    async fn send_permit_message(&self, message: Datagram, to: SocketAddr) {
         let Some(socket) = self.limits.borrow().socket.clone() else {
             return;
         };
@@ -533,7 +632,7 @@
     }
 }
 
-fn limit_of(target: &Target, report: LimitReport) -> RateLimit {
+fn encode_limit(target: &Target, report: LimitReport) -> RateLimit {
     RateLimit {
         target: target.id.clone(),
         target_start_unix_ms: target.start.0,
--- a/cowsliproad-direct/src/measure.rs
+++ b/cowsliproad-direct/src/measure.rs
@@ -1,4 +1,4 @@
-//! The entry's counters and histograms.
+//! Metrics of the entry process.
 
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_net::metrics::Metrics;
@@ -7,15 +7,16 @@
     metrics::{Counter, Gauge, Histogram},
 };
 
-/// Counters and histograms, and the text that shows them.
+/// The counters, gauges and histograms of an entry process, and their text
+/// output.
 #[derive(Clone, Debug)]
-pub struct Measure {
+pub struct EntryMetrics {
     metrics: Metrics,
     answers: Counter<u64>,
     tries: Counter<u64>,
     first_byte: Histogram<u64>,
     whole: Histogram<u64>,
-    suspicions: Counter<u64>,
+    crash_suspicions: Counter<u64>,
     quarantined: Counter<u64>,
     limited: Counter<u64>,
     limits: Gauge<u64>,
@@ -27,12 +28,12 @@
     targets: Gauge<u64>,
 }
 
-impl Measure {
-    /// Nothing measured yet.
-    pub fn new() -> Measure {
+impl EntryMetrics {
+    /// Creates all metrics at zero.
+    pub fn new() -> EntryMetrics {
         let metrics = Metrics::new();
         let meter = metrics.meter();
-        Measure {
+        EntryMetrics {
             answers: meter.u64_counter("answers").build(),
             tries: meter.u64_counter("tries").build(),
             first_byte: meter.u64_histogram("first_byte_ms").build(),
@@ -44,86 +45,92 @@
             cooling: meter.u64_gauge("cooling_targets").build(),
             rollbacks: meter.u64_counter("log_rollbacks").build(),
             caught_up: meter.u64_histogram("log_caught_up_ms").build(),
-            suspicions: meter.u64_counter("doubts").build(),
+            crash_suspicions: meter.u64_counter("doubts").build(),
             peers: meter.u64_gauge("peers").build(),
             targets: meter.u64_gauge("targets").build(),
             metrics,
         }
     }
 
-    /// Notes an answer's status and the time to its first byte.
-    pub fn answered(&self, status: u16, took: Millis) {
+    /// Records the status of an answer to a caller and the time to its first
+    /// byte.
+    pub fn record_caller_answer(&self, status: u16, took: Millis) {
         let status = KeyValue::new("status", i64::from(status));
         self.answers.add(1, std::slice::from_ref(&status));
         self.first_byte.record(took.0, &[status]);
     }
 
-    /// Notes the time to the end of an answer.
-    pub fn ended(&self, took: Millis) {
+    /// Records the time until an answer to a caller was complete.
+    pub fn record_answer_completion(&self, took: Millis) {
         self.whole.record(took.0, &[]);
     }
 
-    /// Notes how a try at a target ended.
-    pub fn tried(&self, outcome: &'static str) {
+    /// Records the outcome of an attempt at a target.
+    pub fn record_attempt_outcome(&self, outcome: &'static str) {
         self.tries.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Notes what became of requests under which a target may have ended.
-    pub fn suspected(&self, requests: usize, outcome: &'static str) {
+    /// Records the outcome of suspicions that a target crashed under requests.
+    pub fn record_suspicion_outcomes(
+        &self,
+        requests: usize,
+        outcome: &'static str,
+    ) {
         let outcome = KeyValue::new("outcome", outcome);
-        self.suspicions.add(requests as u64, &[outcome]);
+        self.crash_suspicions.add(requests as u64, &[outcome]);
     }
 
-    /// Notes work that is refused, a request of it that was, or work that is
-    /// refused no longer.
-    pub fn quarantined(&self, outcome: &'static str) {
+    /// Records a quarantine event: work was refused, suspended or freed, or a
+    /// request for refused work was rejected.
+    pub fn record_quarantine_event(&self, outcome: &'static str) {
         self.quarantined.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Notes what came of asking for a place at a target that names a limit.
-    pub fn limited(&self, outcome: &'static str) {
+    /// Records the outcome of a permit request at a rate-limited target.
+    pub fn record_permit_outcome(&self, outcome: &'static str) {
         self.limited.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Notes how many targets name a limit.
-    pub fn knows_limits(&self, targets: usize) {
+    /// Sets the number of targets that state a rate limit.
+    pub fn set_limited_targets(&self, targets: usize) {
         self.limits.record(targets as u64, &[]);
     }
 
-    /// Notes that a target asked to be left alone, or for longer.
-    pub fn cooled_down(&self) {
+    /// Records that a target requested a cooldown, or a longer one.
+    pub fn record_cooldown(&self) {
         self.cooldowns.add(1, &[]);
     }
 
-    /// Notes how many targets are left alone.
-    pub fn knows_cooling(&self, targets: usize) {
+    /// Sets the number of targets in a cooldown.
+    pub fn set_cooling_targets(&self, targets: usize) {
         self.cooling.record(targets as u64, &[]);
     }
 
-    /// Notes that the platform's log came back from an older copy.
-    pub fn rolled_back(&self) {
+    /// Records a rollback of the platform's log to an older copy.
+    pub fn record_log_rollback(&self) {
         self.rollbacks.add(1, &[]);
     }
 
-    /// Notes how long it took until all of that log was read again.
-    pub fn caught_up(&self, took: Millis) {
+    /// Records the time from a rollback until all topics of the log were read
+    /// again.
+    pub fn record_log_catch_up(&self, took: Millis) {
         self.caught_up.record(took.0, &[]);
     }
 
-    /// Notes how many other entries and targets it knows.
-    pub fn knows(&self, peers: usize, targets: usize) {
+    /// Sets the numbers of known other entry processes and of usable targets.
+    pub fn set_known_peers_and_targets(&self, peers: usize, targets: usize) {
         self.peers.record(peers as u64, &[]);
         self.targets.record(targets as u64, &[]);
     }
 
-    /// All of it as text.
-    pub fn text(&self) -> String {
+    /// Renders all metrics as text.
+    pub fn render_text(&self) -> String {
         self.metrics.text()
     }
 }
 
-impl Default for Measure {
-    fn default() -> Measure {
-        Measure::new()
+impl Default for EntryMetrics {
+    fn default() -> EntryMetrics {
+        EntryMetrics::new()
     }
 }
