--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -1,10 +1,12 @@
-//! What entries tell one another, and what they hear.
+//! Gossip between entry processes.
 //!
-//! Each entry sends a short digest to the others twice a second, and at once
-//! when something changed: the version of its configuration and the targets
-//! that it saw leave. One that the platform's log turns away so learns of a
-//! new version, fetches it from whoever has it, and stops using a target in
-//! time. Entries meet through seeds and then through one another.
+//! Each entry process sends a short digest to other entry processes twice a
+//! second, and at once after a change: the version of its configuration, the
+//! targets that it saw leave, rate limits and crash-inducing requests. An
+//! entry process whose calls the platform's log refuses or doesn't answer thus
+//! learns of a new configuration, fetches it from the entry process that has
+//! it, and stops using a target in time. Entry processes find one another
+//! through the seeds in their settings, then through the addresses in digests.
 
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc};
 
@@ -29,128 +31,139 @@
 };
 
 use crate::{
-    call::{MAX_STAGGER, PROBE_PERIOD},
-    entry::{Entry, Source},
-    limits::{self, Update},
+    call::{COOLDOWN_PROBE_PERIOD, MAX_COOLDOWN_STAGGER},
+    entry::{ChangeSource, Entry},
+    limits::{self, DigestScope},
     settings::Settings,
 };
 
 mod agents;
 mod state;
 
-pub use self::state::state;
+pub use self::state::serve_entry_state;
 
-/// How often other entries are told. Two digests may be lost before an entry
-/// that the log turns away misses a change for longer than its bound.
-const BROADCAST_INTERVAL: Millis = Millis(500);
+/// The interval between digests. Two digests may be lost before an entry
+/// process whose calls the log refuses or doesn't answer misses a change for
+/// longer than allowed.
+const DIGEST_INTERVAL: Millis = Millis(500);
 
-/// Every so many digests the agents are asked to report, and at once when
-/// there are new ones: after a restart of everything they wait for it.
-const ASK_EVERY: u32 = 2;
+/// Digest rounds between requests to the agents to report. When targets
+/// joined, agents are asked at once: after a restart of all processes they
+/// wait for the request.
+const DIGEST_ROUNDS_PER_AGENT_REQUEST: u32 = 2;
 
-/// Every so many digests tell all limits and all suspended work, the others
-/// what has changed.
-const RENEW_EVERY: u32 = 8;
+/// Digest rounds between full digests, which hold all limits and all suspended
+/// work; the other digests hold only recent changes.
+const DIGEST_ROUNDS_PER_FULL_DIGEST: u32 = 8;
 
-/// Entries told at a time. With more of them news travels on by digests.
-const MAX_RECIPIENTS: usize = 16;
+/// Recipients of one digest. With more entry processes, changes spread over
+/// several digests.
+const MAX_DIGEST_RECIPIENTS: usize = 16;
 
-/// Without a word for so long an entry is no longer told to others.
+/// An entry process that has sent no digest for this time is forgotten.
 const PEER_TTL: Millis = Millis(12_000);
 
-/// How long the targets that left are told of.
-const DEPARTURE_TTL: Millis = Millis(8_000);
+/// How long the departure of a target is included in each digest.
+const DEPARTURE_BROADCAST_TTL: Millis = Millis(8_000);
 
-/// How long an entry that starts waits for the word of another one.
-const MEETING_TIMEOUT: Millis = Millis(400);
+/// How long an entry process that starts waits for digests of all seeds.
+const SEED_DIGEST_TIMEOUT: Millis = Millis(400);
 
-/// How long it waits for a newer configuration that another one told of.
-const NEWER_TIMEOUT: Millis = Millis(2_000);
+/// How long an entry process that starts waits for a newer configuration that
+/// another entry process announced.
+const NEWER_CONFIG_TIMEOUT: Millis = Millis(2_000);
 
-/// The pause after a datagram that could not be received.
-const ERROR_BACKOFF: Millis = Millis(120);
+/// The pause after a failed receive.
+const RECEIVE_ERROR_BACKOFF: Millis = Millis(120);
 
-/// Other entries.
+/// The other entry processes that are known, and the seeds.
 #[derive(Debug)]
 pub struct Peers {
-    own: SocketAddr,
+    own_address: SocketAddr,
     seeds: Vec<SocketAddr>,
-    known: BTreeMap<SocketAddr, Peer>,
-    /// The newest version of the configuration that any of them told of, and
-    /// who did.
-    newest: (u64, SocketAddr),
-    fetching: bool,
+    known_peers: BTreeMap<SocketAddr, Peer>,
+    /// The newest configuration version in any digest, and the entry process
+    /// that sent it.
+    newest_config: (u64, SocketAddr),
+    fetching_state: bool,
 }
 
 #[derive(Debug)]
 struct Peer {
     vm: Name,
     zone: Name,
-    heard: Millis,
-    /// Until when it is taken for one that doesn't answer.
-    mute_until: Millis,
+    last_digest_at: Millis,
+    /// Until when the entry process counts as unresponsive to permit requests.
+    unresponsive_until: Millis,
 }
 
 impl Peers {
-    /// Nobody met yet.
+    /// Creates the state before any digest has arrived.
     pub fn new(settings: &Settings) -> Peers {
         let mut peers = Peers {
-            own: settings.peer_address(),
+            own_address: settings.own_peer_address(),
             seeds: Vec::new(),
-            known: BTreeMap::new(),
-            newest: (0, settings.peer_address()),
-            fetching: false,
+            known_peers: BTreeMap::new(),
+            newest_config: (0, settings.own_peer_address()),
+            fetching_state: false,
         };
-        peers.reseed(settings);
+        peers.replace_seeds(settings);
         peers
     }
 
-    /// Takes new seeds.
-    pub fn reseed(&mut self, settings: &Settings) {
-        let own = self.own;
-        let seeds = settings.seeds.iter();
+    /// Replaces the seeds; this entry process's own address is left out.
+    pub fn replace_seeds(&mut self, settings: &Settings) {
+        let own = self.own_address;
+        let seeds = settings.seed_addresses.iter();
         let seeds = seeds.map(|it| SocketAddr::new(it.ip(), own.port()));
         self.seeds = seeds.filter(|it| *it != own).collect();
     }
 
-    /// The number of entries, this one included. Those that can't be reached
-    /// count for a while, since they go on serving.
-    pub fn entries(&self) -> usize {
-        self.known.len().max(self.seeds.len()) + 1
+    /// The number of entry processes, including this one. Entry processes that
+    /// can't be reached count for a while, since they continue to serve.
+    pub fn entry_process_count(&self) -> usize {
+        self.known_peers.len().max(self.seeds.len()) + 1
     }
 
-    fn hear(&mut self, digest: &GossipDigest, now: Millis) -> bool {
-        self.newest =
-            self.newest.max((digest.config_version, digest.sender_address));
-        let known = self.known.get(&digest.sender_address);
+    fn merge_peer_digest(
+        &mut self,
+        digest: &GossipDigest,
+        now: Millis,
+    ) -> bool {
+        self.newest_config = self
+            .newest_config
+            .max((digest.config_version, digest.sender_address));
+        let known = self.known_peers.get(&digest.sender_address);
         let peer = Peer {
             vm: digest.sender_vm.clone(),
             zone: digest.sender_zone.clone(),
-            heard: now,
-            mute_until: known.map_or(Millis(0), |it| it.mute_until),
+            last_digest_at: now,
+            unresponsive_until: known
+                .map_or(Millis(0), |it| it.unresponsive_until),
         };
-        // A VM that was replaced speaks from another address.
-        self.known
+        // A VM that was replaced has a new address.
+        self.known_peers
             .retain(|at, it| it.vm != peer.vm || *at == digest.sender_address);
-        self.known.insert(digest.sender_address, peer).is_none()
+        self.known_peers.insert(digest.sender_address, peer).is_none()
     }
 
-    /// The entry that keeps the pace of a target, this one too.
-    pub fn owner(
+    /// The entry process that owns the rate limiter of a target; it may be
+    /// this entry process.
+    pub fn limiter_owner(
         &self,
         target: &Target,
         own_zone: &Name,
         now: Millis,
     ) -> RateLimiterOwner<SocketAddr> {
-        let silence = self.silence();
+        let silence = self.peer_silence_timeout();
         let own = RateLimiterOwnerCandidate {
-            address: self.own,
+            address: self.own_address,
             zone: own_zone,
             liveness: EntryProcessLiveness::Responsive,
         };
-        let others = self.known.iter().map(|(address, peer)| {
-            let silent = now.since(peer.heard) >= silence;
-            let liveness = match silent || peer.mute_until > now {
+        let others = self.known_peers.iter().map(|(address, peer)| {
+            let silent = now.since(peer.last_digest_at) >= silence;
+            let liveness = match silent || peer.unresponsive_until > now {
                 true => EntryProcessLiveness::Unresponsive,
                 false => EntryProcessLiveness::Responsive,
             };
@@ -163,99 +176,132 @@
         owner::choose_limiter_owner(target, own, others)
     }
 
-    /// Notes that an entry doesn't answer questions.
-    pub fn mute(&mut self, address: SocketAddr, until: Millis) {
-        if let Some(peer) = self.known.get_mut(&address) {
-            peer.mute_until = until;
+    /// Records that an entry process doesn't answer permit requests.
+    pub fn mark_owner_unresponsive(
+        &mut self,
+        address: SocketAddr,
+        until: Millis,
+    ) {
+        if let Some(peer) = self.known_peers.get_mut(&address) {
+            peer.unresponsive_until = until;
         }
     }
 
-    /// The part of all entries that are heard from, this one included. Seeds
-    /// that a new entry hasn't met yet are among them, until it would have
-    /// forgotten them.
-    pub fn reached(&self, now: Millis) -> f64 {
-        let silence = self.silence();
-        let known = self.known.values();
-        let heard = known.filter(|it| now.since(it.heard) < silence);
-        let unmet = |it: &&SocketAddr| !self.known.contains_key(*it);
-        let unmet = match now < PEER_TTL {
-            true => self.seeds.iter().filter(unmet).count(),
+    /// The fraction of all entry processes, including this one, that sent a
+    /// digest lately. Seeds without a digest count as unreachable entry
+    /// processes until this entry process has run for as long as a silent peer
+    /// is kept.
+    pub fn reachable_entry_fraction(&self, now: Millis) -> f64 {
+        let silence = self.peer_silence_timeout();
+        let known = self.known_peers.values();
+        let reachable =
+            known.filter(|it| now.since(it.last_digest_at) < silence);
+        let unknown_seeds =
+            |it: &&SocketAddr| !self.known_peers.contains_key(*it);
+        let unknown_seeds = match now < PEER_TTL {
+            true => self.seeds.iter().filter(unknown_seeds).count(),
             false => 0,
         };
-        let all = self.known.len() + unmet + 1;
-        (heard.count() + 1) as f64 / all as f64
+        let all = self.known_peers.len() + unknown_seeds + 1;
+        (reachable.count() + 1) as f64 / all as f64
     }
 
-    /// Whether all seeds were met.
-    fn has_met_seeds(&self) -> bool {
-        self.seeds.iter().all(|it| self.known.contains_key(it))
+    /// Whether a digest from each seed has arrived.
+    fn has_digest_of_each_seed(&self) -> bool {
+        self.seeds.iter().all(|it| self.known_peers.contains_key(it))
     }
 
-    fn silence(&self) -> Millis {
-        owner::digest_silence_timeout(self.known.len(), MAX_RECIPIENTS)
+    fn peer_silence_timeout(&self) -> Millis {
+        owner::digest_silence_timeout(
+            self.known_peers.len(),
+            MAX_DIGEST_RECIPIENTS,
+        )
     }
 
-    /// Notes entries that others speak of.
-    fn introduce(&mut self, peers: &[SocketAddr]) -> Vec<SocketAddr> {
+    /// Returns the addresses of entry processes in another one's digest that
+    /// are not known yet.
+    fn unknown_peer_addresses(
+        &mut self,
+        peers: &[SocketAddr],
+    ) -> Vec<SocketAddr> {
         let new = |it: &&SocketAddr| {
-            **it != self.own && !self.known.contains_key(*it)
+            **it != self.own_address && !self.known_peers.contains_key(*it)
         };
         peers.iter().filter(new).copied().collect()
     }
 
-    fn recipients(&mut self, now: Millis) -> Vec<SocketAddr> {
-        self.known.retain(|_, it| now.since(it.heard) < PEER_TTL);
-        let known = self.known.keys().copied();
-        let mut told = known.choose_multiple(&mut rand::rng(), MAX_RECIPIENTS);
-        let unmet = |it: &&SocketAddr| !self.known.contains_key(*it);
-        told.extend(self.seeds.iter().filter(unmet));
-        told
+    fn pick_digest_recipients(&mut self, now: Millis) -> Vec<SocketAddr> {
+        self.known_peers
+            .retain(|_, it| now.since(it.last_digest_at) < PEER_TTL);
+        let known = self.known_peers.keys().copied();
+        let mut recipients =
+            known.choose_multiple(&mut rand::rng(), MAX_DIGEST_RECIPIENTS);
+        let unknown_seeds =
+            |it: &&SocketAddr| !self.known_peers.contains_key(*it);
+        recipients.extend(self.seeds.iter().filter(unknown_seeds));
+        recipients
     }
 }
 
-/// Tells other entries and asks agents, for ever.
-pub async fn tell(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
+/// Broadcasts digests to other entry processes and asks agents to report;
+/// never returns.
+pub async fn broadcast_digests(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
     let mut round = 0;
-    let mut asked = 0;
+    let mut counted_joins = 0;
     loop {
         let now = Millis::now();
-        entry.quarantine.borrow_mut().sweep(now);
-        let recipients = entry.peers.borrow_mut().recipients(now);
-        let all = round % RENEW_EVERY == 0;
-        let which = if all { Update::All } else { Update::Changed };
-        let digest =
-            gossip::encode(&Datagram::Digest(digest(&entry, which, now)));
+        entry.quarantine.borrow_mut().evict_expired_records(now);
+        let recipients = entry.peers.borrow_mut().pick_digest_recipients(now);
+        let all = round % DIGEST_ROUNDS_PER_FULL_DIGEST == 0;
+        let scope = if all { DigestScope::All } else { DigestScope::Changed };
+        let digest = gossip::encode(&Datagram::Digest(build_digest(
+            &entry, scope, now,
+        )));
         for peer in recipients {
-            send(&entry, &socket, &digest, peer).await;
+            send_datagram(&entry, &socket, &digest, peer).await;
         }
-        let known = entry.peers.borrow().known.len();
-        entry
-            .measure
-            .knows(known, entry.fleet.borrow().ready_targets().count());
-        entry.measure.knows_limits(entry.limits_known());
-        // Some requests count cooldowns as longer.
-        let over = now - MAX_STAGGER - PROBE_PERIOD;
+        let known = entry.peers.borrow().known_peers.len();
+        entry.metrics.set_known_peers_and_targets(
+            known,
+            entry.fleet.borrow().ready_targets().count(),
+        );
+        entry.metrics.set_limited_targets(entry.limited_target_count());
+        // Expired cooldowns are kept a while, since some requests avoid a
+        // target beyond the end of its cooldown.
+        let over = now - MAX_COOLDOWN_STAGGER - COOLDOWN_PROBE_PERIOD;
         entry.cooldowns.borrow_mut().remove_expired_cooldowns(over);
-        entry.measure.knows_cooling(
+        entry.metrics.set_cooling_targets(
             entry.cooldowns.borrow().active_cooldown_count(now),
         );
-        let joined = entry.joined.get();
-        if round % ASK_EVERY == 0 || joined != asked {
-            asked = joined;
-            agents::ask_agents(&entry, &socket).await;
+        let joined = entry.joined_target_count.get();
+        if round % DIGEST_ROUNDS_PER_AGENT_REQUEST == 0
+            || joined != counted_joins
+        {
+            counted_joins = joined;
+            agents::request_agent_reports(&entry, &socket).await;
         }
         round += 1;
-        let _ =
-            timeout(BROADCAST_INTERVAL.duration(), entry.rumour.notified())
-                .await;
+        let _ = timeout(
+            DIGEST_INTERVAL.duration(),
+            entry.digest_wakeup.notified(),
+        )
+        .await;
     }
 }
 
-fn digest(entry: &Entry, update: Update, now: Millis) -> GossipDigest {
-    let since = now - entry.rollbacks.departures(now).unwrap_or(DEPARTURE_TTL);
+fn build_digest(
+    entry: &Entry,
+    scope: DigestScope,
+    now: Millis,
+) -> GossipDigest {
+    let since = now
+        - entry
+            .rollbacks
+            .departure_window_after_rollback(now)
+            .unwrap_or(DEPARTURE_BROADCAST_TTL);
     let fleet = entry.fleet.borrow();
-    let (suspected_requests, lives) =
-        entry.quarantine.borrow().updates(update, now);
+    let (suspected_requests, retracted) =
+        entry.quarantine.borrow().suspects_for_digest(scope, now);
     let (mut left, mut withdrawn_targets) = (Vec::new(), Vec::new());
     for (id, departure) in fleet.target_departures_since(since) {
         match departure {
@@ -269,28 +315,28 @@
     }
     GossipDigest {
         sender_vm: entry.settings().vm.clone(),
-        sender_address: entry.settings().peer_address(),
-        config_version: entry.version(),
-        log_era: entry.rollbacks.era(),
+        sender_address: entry.settings().own_peer_address(),
+        config_version: entry.catalog_version(),
+        log_era: entry.rollbacks.newest_era(),
         targets_read_age_ms: now
-            .since(entry.readings.borrow().last_log_read_at())
+            .since(entry.log_read_schedule.borrow().last_log_read_at())
             .0,
         last_target_change_offset: entry
-            .readings
+            .log_read_schedule
             .borrow()
             .last_target_change_log_position()
             .offset,
         departed_targets: left,
         withdrawn_targets,
-        peers: entry.peers.borrow().known.keys().copied().collect(),
+        peers: entry.peers.borrow().known_peers.keys().copied().collect(),
         sender_zone: entry.settings().zone.clone(),
         suspected_requests,
-        retracted_crash_ids: lives,
-        rate_limits: entry.limit_updates(update, now),
+        retracted_crash_ids: retracted,
+        rate_limits: entry.limits_for_digest(scope, now),
     }
 }
 
-async fn send(
+async fn send_datagram(
     entry: &Entry,
     socket: &UdpSocket,
     message: &[u8],
@@ -301,46 +347,57 @@
     }
 }
 
-/// Takes datagrams for ever.
-pub async fn listen(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
+/// Receives datagrams and dispatches them by type; never returns.
+pub async fn receive_datagrams(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; gossip::MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
-            // An unreachable peer shows here; the next datagram may be good.
-            sleep(ERROR_BACKOFF.duration()).await;
+            // An unreachable peer causes errors here; the next datagram may be
+            // good.
+            sleep(RECEIVE_ERROR_BACKOFF.duration()).await;
             continue;
         };
         match gossip::decode::<Datagram>(&buffer[..length]) {
             Some(Datagram::Digest(digest)) => {
-                hear(&entry, &socket, digest).await;
+                handle_digest(&entry, &socket, digest).await;
             }
             Some(Datagram::Load(load)) => {
-                agents::take_load(&entry, &load);
+                agents::apply_engine_load(&entry, &load);
                 if load.target_list_id == 0 {
-                    agents::introduce(&entry, &socket, load.engine_address)
-                        .await;
+                    agents::send_target_list(
+                        &entry,
+                        &socket,
+                        load.engine_address,
+                    )
+                    .await;
                 }
             }
             Some(Datagram::EngineExit(lost)) => {
-                agents::take_lost(&entry, &lost)
+                agents::apply_engine_exit(&entry, &lost)
             }
             Some(Datagram::PermitRequest(ask)) => {
-                limits::answer(&entry, ask, from)
+                limits::answer_permit_request(&entry, ask, from)
+            }
+            Some(Datagram::PermitReply(reply)) => {
+                entry.deliver_permit_reply(reply)
             }
-            Some(Datagram::PermitReply(reply)) => entry.hear_reply(reply),
             None => warn!(entry.log, "strange_datagram"; "bytes" => length),
         }
     }
 }
 
-async fn hear(entry: &Rc<Entry>, socket: &UdpSocket, heard: GossipDigest) {
+async fn handle_digest(
+    entry: &Rc<Entry>,
+    socket: &UdpSocket,
+    received_digest: GossipDigest,
+) {
     let now = Millis::now();
-    entry.learn_era(heard.log_era, Source::Peer);
-    let left = heard.departed_targets.iter();
+    entry.observe_log_era(received_digest.log_era, ChangeSource::Peer);
+    let left = received_digest.departed_targets.iter();
     let left = left.map(|it| {
         (&it.0, GossipedDeparture::Announced(ProcessStartUnixMs(it.1)))
     });
-    let withdrawn = heard.withdrawn_targets.iter();
+    let withdrawn = received_digest.withdrawn_targets.iter();
     let withdrawn = withdrawn.map(|it| {
         (&it.0, GossipedDeparture::Withdrawn(ProcessStartUnixMs(it.1), it.2))
     });
@@ -349,81 +406,99 @@
             .fleet
             .borrow_mut()
             .merge_gossiped_departure(id, departure, now);
-        entry.changed(id, change, Source::Peer);
+        entry.apply_target_change(id, change, ChangeSource::Peer);
     }
-    entry.heard_from(&heard.sender_zone, now);
-    entry.hear_suspects(
-        &heard.suspected_requests,
-        &heard.retracted_crash_ids,
+    entry.record_zone_contact(&received_digest.sender_zone, now);
+    entry.merge_peer_suspects(
+        &received_digest.suspected_requests,
+        &received_digest.retracted_crash_ids,
         now,
     );
-    entry.hear_limits(&heard.rate_limits, now);
-    let at = now - Millis(heard.targets_read_age_ms);
-    let changed =
-        LogPosition::new(heard.log_era, heard.last_target_change_offset);
-    entry.note_reading(at, changed, now);
+    entry.merge_peer_limits(&received_digest.rate_limits, now);
+    let at = now - Millis(received_digest.targets_read_age_ms);
+    let changed = LogPosition::new(
+        received_digest.log_era,
+        received_digest.last_target_change_offset,
+    );
+    entry.merge_peer_targets_read(at, changed, now);
     let (is_new, others) = {
         let mut peers = entry.peers.borrow_mut();
-        (peers.hear(&heard, now), peers.introduce(&heard.peers))
+        (
+            peers.merge_peer_digest(&received_digest, now),
+            peers.unknown_peer_addresses(&received_digest.peers),
+        )
     };
-    entry.met.notify_waiters();
+    entry.digest_received.notify_waiters();
     if is_new {
-        info!(entry.log, "peer_met"; "peer" => &*heard.sender_vm,
-            "address" => %heard.sender_address);
+        info!(entry.log, "peer_met"; "peer" => &*received_digest.sender_vm,
+            "address" => %received_digest.sender_address);
     }
-    // One that starts waits for it.
-    let starts = heard.config_version == 0 && entry.version() > 0;
+    // An entry process that starts waits for a digest of every seed.
+    let starts =
+        received_digest.config_version == 0 && entry.catalog_version() > 0;
     if is_new || starts {
-        let own =
-            gossip::encode(&Datagram::Digest(digest(entry, Update::All, now)));
-        for other in others.into_iter().chain([heard.sender_address]) {
-            send(entry, socket, &own, other).await;
+        let own = gossip::encode(&Datagram::Digest(build_digest(
+            entry,
+            DigestScope::All,
+            now,
+        )));
+        for other in others.into_iter().chain([received_digest.sender_address])
+        {
+            send_datagram(entry, socket, &own, other).await;
         }
     }
-    let behind = heard.config_version > entry.version()
-        || heard.config_version > 0 && !entry.is_ready()
-        || entry.readings.borrow().needs_peer_state();
-    if behind && !entry.peers.borrow().fetching {
-        entry.peers.borrow_mut().fetching = true;
+    let behind = received_digest.config_version > entry.catalog_version()
+        || received_digest.config_version > 0 && !entry.is_ready_to_serve()
+        || entry.log_read_schedule.borrow().needs_peer_state();
+    if behind && !entry.peers.borrow().fetching_state {
+        entry.peers.borrow_mut().fetching_state = true;
         let entry = entry.clone();
         tokio::task::spawn_local(async move {
-            state::catch_up(&entry, &heard).await;
-            entry.peers.borrow_mut().fetching = false;
+            state::catch_up_from_peers(&entry, &received_digest).await;
+            entry.peers.borrow_mut().fetching_state = false;
         });
     }
 }
 
-/// Waits, in an entry that starts, until all others that it was told of have
-/// said which version of the configuration they use, or as long as those that
-/// run need for that, and until it has the newest of these: the log may have
-/// come back from an older copy, and some others may be as far behind.
-pub async fn meet(entry: &Entry, version: u64) {
-    let has_heard_all = hear_all(entry).await;
+/// Waits, at startup, for digests of all seeds and then for the newest
+/// configuration that any digest announces; each wait has a timeout. The log
+/// may have been rolled back to an older copy, and some other entry processes
+/// may be as far behind.
+pub async fn wait_for_newest_catalog(entry: &Entry, version: u64) {
+    let has_heard_all = wait_for_seed_digests(entry).await;
+    let has_newest = |it: &Peers| {
+        entry.catalog().is_some() || it.newest_config.0 <= version
+    };
     let has_newest =
-        |it: &Peers| entry.catalog().is_some() || it.newest.0 <= version;
-    let has_newest = hear_until(entry, NEWER_TIMEOUT, has_newest).await;
+        wait_for_digests_until(entry, NEWER_CONFIG_TIMEOUT, has_newest).await;
     if !(has_heard_all && has_newest) {
         info!(entry.log, "not_all_met"; "version" => version,
-            "newest" => entry.peers.borrow().newest.0);
+            "newest" => entry.peers.borrow().newest_config.0);
     }
 }
 
-/// Waits until all others that an entry was told of have spoken, or as long as
-/// those that run need for that. Returns whether they have.
-async fn hear_all(entry: &Entry) -> bool {
-    hear_until(entry, MEETING_TIMEOUT, Peers::has_met_seeds).await
+/// Waits until a digest from each seed has arrived, or for the time that a
+/// running entry process needs to send one. Returns whether all arrived.
+async fn wait_for_seed_digests(entry: &Entry) -> bool {
+    wait_for_digests_until(
+        entry,
+        SEED_DIGEST_TIMEOUT,
+        Peers::has_digest_of_each_seed,
+    )
+    .await
 }
 
-/// Waits for others until something holds; returns whether it does in time.
-async fn hear_until(
+/// Waits for digests until a condition on the peers holds; returns whether it
+/// holds in time.
+async fn wait_for_digests_until(
     entry: &Entry,
-    time: Millis,
-    holds: impl Fn(&Peers) -> bool,
+    max_wait: Millis,
+    condition: impl Fn(&Peers) -> bool,
 ) -> bool {
-    let end = Millis::now() + time;
+    let end = Millis::now() + max_wait;
     loop {
-        let met = entry.met.notified();
-        if holds(&entry.peers.borrow()) {
+        let met = entry.digest_received.notified();
+        if condition(&entry.peers.borrow()) {
             return true;
         }
         let left = end.since(Millis::now());
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -1,7 +1,9 @@
-//! What entries and the agents beside model engines tell one another.
+//! Messages between entry processes and the agents on the VMs of model
+//! engines.
 //!
-//! Agents report to whoever asks them to, so a new entry hears from all of
-//! them within a second, and nobody keeps a list.
+//! Agents report to every entry process that subscribes, so a new entry
+//! process gets reports of all agents within a second, and no process keeps a
+//! list of entry processes.
 
 use std::net::SocketAddr;
 
@@ -17,48 +19,55 @@
 use slog::info;
 use tokio::net::UdpSocket;
 
-use super::send;
-use crate::entry::{Entry, Group, Source};
+use super::send_datagram;
+use crate::entry::{ChangeSource, Entry, GroupReport};
 
-/// Steps of a target's pace that are news to requests under way, in percent.
-const NEWS_PERCENT: u32 = 100;
+/// In-flight requests are woken when a target's service time, in percent of
+/// the usual time, crosses a multiple of this number.
+const SERVICE_TIME_STEP_PERCENT: u32 = 100;
 
-/// Asks all agents to report.
-pub(super) async fn ask_agents(entry: &Entry, socket: &UdpSocket) {
-    for whole in subscriptions(entry) {
-        let named = LoadSubscription { targets: Vec::new(), ..whole.clone() };
-        let (list, targets) = (whole.target_list_id, whole.targets.clone());
-        let (whole, named) = (gossip::encode(&whole), gossip::encode(&named));
+/// Asks all agents to report, and sends the list of targets to agents that
+/// don't have the current one.
+pub(super) async fn request_agent_reports(entry: &Entry, socket: &UdpSocket) {
+    for full in build_agent_subscriptions(entry) {
+        let without_targets =
+            LoadSubscription { targets: Vec::new(), ..full.clone() };
+        let (list, targets) = (full.target_list_id, full.targets.clone());
+        let (full, without_targets) =
+            (gossip::encode(&full), gossip::encode(&without_targets));
         for target in targets {
-            let agent = agent_of(entry, target);
-            let knows = entry.lists.borrow().get(&target) == Some(&list);
-            let message = if knows { &named } else { &whole };
-            send(entry, socket, message, agent).await;
+            let agent = agent_address(entry, target);
+            let knows = entry.agent_target_list_ids.borrow().get(&target)
+                == Some(&list);
+            let message = if knows { &without_targets } else { &full };
+            send_datagram(entry, socket, message, agent).await;
         }
     }
 }
 
-/// Tells an agent that has just started of the others: it can do nothing
-/// before it knows them.
-pub(super) async fn introduce(
+/// Sends the list of targets to an agent that has just started: the agent can
+/// do nothing without the list.
+pub(super) async fn send_target_list(
     entry: &Entry,
     socket: &UdpSocket,
     target: SocketAddr,
 ) {
-    let mut subscriptions = subscriptions(entry).into_iter();
-    let whole = subscriptions.find(|it| it.targets.contains(&target));
-    if let Some(whole) = whole {
-        let message = gossip::encode(&whole);
-        send(entry, socket, &message, agent_of(entry, target)).await;
+    let mut subscriptions = build_agent_subscriptions(entry).into_iter();
+    let full = subscriptions.find(|it| it.targets.contains(&target));
+    if let Some(full) = full {
+        let message = gossip::encode(&full);
+        send_datagram(entry, socket, &message, agent_address(entry, target))
+            .await;
     }
 }
 
-fn agent_of(entry: &Entry, target: SocketAddr) -> SocketAddr {
+fn agent_address(entry: &Entry, target: SocketAddr) -> SocketAddr {
     SocketAddr::new(target.ip(), entry.settings().peer_port)
 }
 
-/// What the agents of each service of engines are told.
-fn subscriptions(entry: &Entry) -> Vec<LoadSubscription> {
+/// Builds the subscriptions that ask agents to report, one for each service
+/// that runs model engines.
+fn build_agent_subscriptions(entry: &Entry) -> Vec<LoadSubscription> {
     let Some(catalog) = entry.catalog() else { return Vec::new() };
     let fleet = entry.fleet.borrow();
     let subscription = |service: &Service| {
@@ -66,12 +75,16 @@
         let own =
             fleet.ready_targets().filter(|it| it.service == service.name);
         let targets: Vec<SocketAddr> = own.map(|it| it.address).collect();
-        Some(subscribe(engine, &targets, entry.rollbacks.era()))
+        Some(build_agent_subscription(
+            engine,
+            &targets,
+            entry.rollbacks.newest_era(),
+        ))
     };
     catalog.services().filter_map(subscription).collect()
 }
 
-fn subscribe(
+fn build_agent_subscription(
     engine: &ExpertLayout,
     targets: &[SocketAddr],
     era: LogEra,
@@ -89,17 +102,22 @@
     }
 }
 
-/// Takes an agent's report in.
-pub(super) fn take_load(entry: &Entry, load: &EngineLoad) {
-    entry.lists.borrow_mut().insert(load.engine_address, load.target_list_id);
+/// Applies an agent's report on the load and the group of its model engine.
+pub(super) fn apply_engine_load(entry: &Entry, load: &EngineLoad) {
+    entry
+        .agent_target_list_ids
+        .borrow_mut()
+        .insert(load.engine_address, load.target_list_id);
     let now = Millis::now();
-    let Some(target) =
-        target_at(entry, load.engine_address, load.engine_start_unix_ms)
-    else {
+    let Some(target) = target_at_address(
+        entry,
+        load.engine_address,
+        load.engine_start_unix_ms,
+    ) else {
         return;
     };
-    entry.heard_from(&target.zone, now);
-    entry.note_report(
+    entry.record_zone_contact(&target.zone, now);
+    entry.retract_crash_on_agent_report(
         &target,
         ProcessStartUnixMs(load.engine_start_unix_ms),
         now,
@@ -108,31 +126,46 @@
         && target.start == ProcessStartUnixMs(load.engine_start_unix_ms)
     {
         info!(entry.log, "target_leaving"; "target" => &*target.id,
-            "source" => ?Source::Peer);
-        return entry.note_left(&target);
+            "source" => ?ChangeSource::Peer);
+        return entry.mark_target_left(&target);
     }
     let id = target.id;
-    let endpoint = entry.endpoint(&id);
+    let endpoint = entry.endpoint_or_insert(&id);
     let mut endpoint = endpoint.borrow_mut();
-    let stands = |it: &Group| (it.epoch, it.open, it.pace / NEWS_PERCENT);
-    let before = endpoint.group.as_ref().map(stands);
-    endpoint.record.record_load_report(
+    let visible_state = |it: &GroupReport| {
+        (
+            it.formation_epoch,
+            it.accepts_requests,
+            it.service_time_percent / SERVICE_TIME_STEP_PERCENT,
+        )
+    };
+    let before = endpoint.group.as_ref().map(visible_state);
+    endpoint.request_stats.record_load_report(
         load.running_requests.saturating_add(load.queued_requests),
         now,
     );
-    endpoint.lived = Some(now);
-    endpoint.lost = None;
-    let group = Group {
-        name: load.group_name.clone(),
-        epoch: load.group_epoch,
-        open: load.group_accepts_requests,
-        step: load.last_forward_pass,
-        pace: load.service_time_percent,
-        heard: now,
+    endpoint.last_seen_alive = Some(now);
+    endpoint.exit_reported_at = None;
+    let group = GroupReport {
+        group_name: load.group_name.clone(),
+        formation_epoch: load.group_epoch,
+        accepts_requests: load.group_accepts_requests,
+        last_forward_pass: load.last_forward_pass,
+        service_time_percent: load.service_time_percent,
+        reported_at: now,
     };
-    let after = stands(&group);
-    entry.note_formation(&group.name, group.epoch, group.open);
-    entry.note_step(&group.name, group.epoch, group.step, now);
+    let after = visible_state(&group);
+    entry.merge_formation(
+        &group.group_name,
+        group.formation_epoch,
+        group.accepts_requests,
+    );
+    entry.record_forward_pass(
+        &group.group_name,
+        group.formation_epoch,
+        group.last_forward_pass,
+        now,
+    );
     endpoint.group = Some(group);
     drop(endpoint);
     if before != Some(after) {
@@ -140,33 +173,36 @@
             "epoch" => load.group_epoch,
             "open" => load.group_accepts_requests,
             "step" => load.last_forward_pass, "pace" => load.service_time_percent);
-        entry.tell_news();
+        entry.notify_target_change();
     }
 }
 
-/// Takes in that an agent finds no process of its engine.
-pub(super) fn take_lost(entry: &Entry, lost: &EngineExit) {
+/// Applies an agent's message that its engine's process is gone.
+pub(super) fn apply_engine_exit(entry: &Entry, engine_exit: &EngineExit) {
     let now = Millis::now();
-    let Some(target) =
-        target_at(entry, lost.engine_address, lost.engine_start_unix_ms)
-    else {
+    let Some(target) = target_at_address(
+        entry,
+        engine_exit.engine_address,
+        engine_exit.engine_start_unix_ms,
+    ) else {
         return;
     };
-    entry.heard_from(&target.zone, now);
-    let endpoint = entry.endpoint(&target.id);
-    let before = endpoint.borrow_mut().lost.replace(now);
+    entry.record_zone_contact(&target.zone, now);
+    let endpoint = entry.endpoint_or_insert(&target.id);
+    let before = endpoint.borrow_mut().exit_reported_at.replace(now);
     if before.is_none() {
         info!(entry.log, "target_lost"; "target" => &*target.id);
         if let Some(group) = &endpoint.borrow().group {
-            entry.note_lost_rank(group, now);
+            entry.record_rank_exit(group, now);
         }
-        entry.tell_news();
+        entry.notify_target_change();
     }
 }
 
-/// The target that listens at an address, of the start that its agent saw.
-/// One that took the place of another is announced before that one lapses.
-fn target_at(
+/// The target at an address whose start is the one that the agent reported, or
+/// unknown. A target that replaces another at the address is announced before
+/// the old one's lease ends.
+fn target_at_address(
     entry: &Entry,
     address: SocketAddr,
     start: u64,
--- a/cowsliproad-direct/src/peers/state.rs
+++ b/cowsliproad-direct/src/peers/state.rs
@@ -1,5 +1,5 @@
-//! The state that an entry takes from another one: the configuration and the
-//! targets, where the log doesn't bring them in time.
+//! Transfer of the configuration and the targets from another entry process,
+//! where the log doesn't bring them in time.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -17,63 +17,77 @@
 use slog::warn;
 use tokio::time::sleep;
 
-use super::hear_all;
+use super::wait_for_seed_digests;
 use crate::{
-    entry::{Entry, Source},
+    entry::{ChangeSource, Entry},
     follow,
 };
 
-/// What the own reading of the log is given before a peer is asked.
-const OWN_READ_DELAY: Millis = Millis(120);
+/// How long this entry process waits for its own read of the log before it
+/// fetches a peer's state.
+const OWN_LOG_READ_DELAY: Millis = Millis(120);
 
-/// The time for fetching a peer's state.
-const FETCH_TIMEOUT: Millis = Millis(1_000);
+/// The timeout for fetching a peer's state.
+const STATE_FETCH_TIMEOUT: Millis = Millis(1_000);
 
-/// The largest state that is fetched.
-const MAX_STATE_BYTES: usize = 16 << 20;
+/// The largest encoded state that is accepted from a peer.
+const MAX_PEER_STATE_BYTES: usize = 16 << 20;
 
-/// The path of an entry's state.
+/// The HTTP path that serves an entry process's state.
 const STATE_PATH: &str = "/state";
 
-/// What an entry that starts without the log takes from another.
+/// The configuration and the target announcements, as sent to an entry process
+/// that starts, or whose calls the log refuses or doesn't answer.
 #[derive(Debug, Deserialize, Serialize)]
-struct State {
+struct EntryState {
     #[serde(with = "serde_bytes")]
     catalog: Vec<u8>,
-    targets: Vec<Announcement>,
+    targets: Vec<TargetAnnouncement>,
 }
 
 #[derive(Debug, Deserialize, Serialize)]
-struct Announcement {
+struct TargetAnnouncement {
     id: String,
     #[serde(with = "serde_bytes")]
     value: Vec<u8>,
 }
 
-/// Fetches a peer's state if the log doesn't bring it in time.
-pub(super) async fn catch_up(entry: &Rc<Entry>, heard: &GossipDigest) {
-    sleep(OWN_READ_DELAY.duration()).await;
-    let knows = entry.version() >= heard.config_version && entry.is_ready();
-    if knows && !entry.readings.borrow().needs_peer_state() {
+/// Fetches a peer's state unless this entry process's own read of the log
+/// brings it in time.
+pub(super) async fn catch_up_from_peers(
+    entry: &Rc<Entry>,
+    received_digest: &GossipDigest,
+) {
+    sleep(OWN_LOG_READ_DELAY.duration()).await;
+    let knows = entry.catalog_version() >= received_digest.config_version
+        && entry.is_ready_to_serve();
+    if knows && !entry.log_read_schedule.borrow().needs_peer_state() {
         return;
     }
     if entry.catalog().is_none() {
-        hear_all(entry).await;
+        wait_for_seed_digests(entry).await;
     }
-    let (newest, ahead) = entry.peers.borrow().newest;
-    let ahead = (newest > heard.config_version).then_some(ahead);
-    for address in ahead.into_iter().chain([heard.sender_address]) {
-        if let Some(state) = fetch(entry, address).await {
-            return take_state(entry, state);
+    let (newest, ahead) = entry.peers.borrow().newest_config;
+    let ahead = (newest > received_digest.config_version).then_some(ahead);
+    for address in ahead.into_iter().chain([received_digest.sender_address]) {
+        if let Some(state) = fetch_peer_state(entry, address).await {
+            return apply_peer_state(entry, state);
         }
     }
 }
 
-async fn fetch(entry: &Entry, peer: SocketAddr) -> Option<State> {
+async fn fetch_peer_state(
+    entry: &Entry,
+    peer: SocketAddr,
+) -> Option<EntryState> {
     let uri = format!("http://{peer}{STATE_PATH}");
     let request = Request::get(uri).body(Full::new(Bytes::new())).ok()?;
     let client = Client::new();
-    let call = client.call(request, MAX_STATE_BYTES, FETCH_TIMEOUT.duration());
+    let call = client.call(
+        request,
+        MAX_PEER_STATE_BYTES,
+        STATE_FETCH_TIMEOUT.duration(),
+    );
     let body = match call.await {
         Ok(answer) => answer.into_body(),
         Err(error) => {
@@ -82,35 +96,42 @@
             return None;
         }
     };
-    let state = gossip::decode::<State>(&body);
+    let state = gossip::decode::<EntryState>(&body);
     if state.is_none() {
         warn!(entry.log, "strange_state"; "peer" => %peer);
     }
     state
 }
 
-fn take_state(entry: &Entry, state: State) {
+fn apply_peer_state(entry: &Entry, state: EntryState) {
     let raw = Bytes::from(state.catalog);
     match catalog::decode(&raw) {
-        Ok(catalog) => entry.adopt(catalog, raw, Source::Peer),
+        Ok(catalog) => entry.adopt_catalog(catalog, raw, ChangeSource::Peer),
         Err(error) => warn!(entry.log, "catalog_refused"; "error" => %error),
     }
-    // Own knowledge of the targets goes first, as long as the log tells more.
+    // The targets that this entry process knows are kept while its reads of
+    // the log succeed.
     let knows = entry.fleet.borrow().ready_targets().next().is_some();
-    if knows && !entry.readings.borrow().needs_peer_state() {
+    if knows && !entry.log_read_schedule.borrow().needs_peer_state() {
         return;
     }
     let now = Millis::now();
     for announcement in state.targets {
         let value = Some(announcement.value.into());
         let record = Record { key: announcement.id, value };
-        follow::announce(entry, &record, now, Source::Peer);
+        follow::apply_target_announcement(
+            entry,
+            &record,
+            now,
+            ChangeSource::Peer,
+        );
     }
-    entry.readings.borrow_mut().record_merged_peer_state();
+    entry.log_read_schedule.borrow_mut().record_merged_peer_state();
 }
 
-/// The entry's state, for one that starts or is turned away by the log.
-pub fn state(
+/// Serves this entry process's state to an entry process that starts, or whose
+/// calls the log refuses or doesn't answer.
+pub fn serve_entry_state(
     entry: &Entry,
     request: &Request<Incoming>,
 ) -> Response<Full<Bytes>> {
@@ -120,11 +141,12 @@
         *answer.status_mut() = StatusCode::NOT_FOUND;
         return answer;
     };
-    let announced = entry.announced.borrow();
-    let targets = announced.iter().map(|(id, value)| Announcement {
+    let announced = entry.raw_announcements.borrow();
+    let targets = announced.iter().map(|(id, value)| TargetAnnouncement {
         id: id.to_string(),
         value: value.to_vec(),
     });
-    let state = State { catalog: raw.to_vec(), targets: targets.collect() };
+    let state =
+        EntryState { catalog: raw.to_vec(), targets: targets.collect() };
     Response::new(Full::new(gossip::encode(&state).into()))
 }
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -1,15 +1,18 @@
-//! The entry's part in refusing requests that crash their targets.
+//! Quarantine of crash-inducing requests, shared between entry processes.
 //!
-//! What is decided stands in [`cowsliproad_admission::quarantine`]. Here is
-//! who is told: other entries at once and then by digests, so that it works
-//! while the platform's log is away and within a zone that is cut off; and
-//! the log, from the second end on, so that entries that all start anew know
-//! it, and one that the others don't reach. What the log brings is waited
-//! for, which costs two calls a minute.
+//! The rules for suspicion and refusal are in
+//! [`cowsliproad_admission::quarantine`]. This module spreads the crash
+//! records. Other entry processes get them at once and then in digests, so
+//! that the quarantine works while the platform's log is down and within a
+//! partitioned zone. From the second crash on, records are also written to the
+//! log, so that they survive a restart of all entry processes and reach an
+//! entry process that the others can't reach. The log is read by long polling,
+//! which costs two calls a minute.
 //!
-//! A log that comes back from an older copy has lost some of it. Whoever has
-//! what it lacks writes that again after a random time, first those who wrote
-//! it before; as all read what one of them writes, mostly one does.
+//! A log that is rolled back to an older copy loses some records. Entry
+//! processes that have a lost record write it again after a random delay,
+//! first the entry processes that wrote it before. All entry processes read
+//! the rewritten record, so mostly one entry process writes it.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, HashSet},
@@ -31,96 +34,115 @@
 use tokio::{sync::Notify, time::timeout};
 
 use crate::{
-    ends::MAX_LATENCY,
-    entry::{Entry, Source},
-    follow::{Contact, Reader, Scope},
-    limits::Update,
+    ends::MAX_MESSAGE_LATENCY,
+    entry::{ChangeSource, Entry},
+    follow::{LogCallStatus, ReadScope, TopicReader},
+    limits::DigestScope,
 };
 
-/// Ends from which on work is written to the log. After the first, one end
-/// more is the price of all entries' starting anew; written from the first
-/// on, each killed target would cost a call for all that it ran.
-const WRITTEN_ENDS: usize = 2;
+/// The number of crashes under a request from which on the request's record is
+/// written to the platform's log. Without an earlier record, a restart of all
+/// entry processes costs one more crash; if the first crash were written, each
+/// killed target would cost a call for every request that it ran.
+const MIN_CRASHES_FOR_LOG_RECORD: usize = 2;
 
-/// How long the log may hold a read: the longest that it allows.
-const POLL_TIMEOUT: Millis = Millis(30_000);
+/// How long the log may hold a long poll for quarantine records: the longest
+/// hold that the log allows.
+const LONG_POLL_TIMEOUT: Millis = Millis(30_000);
 
-/// The least time between two reads of which the first brought nothing.
-const MIN_READ_INTERVAL: Millis = Millis(15_000);
+/// The least time between two reads of the quarantine topic if the first read
+/// returned no records.
+const MIN_QUARANTINE_READ_INTERVAL: Millis = Millis(15_000);
 
-/// When work that the log lost is written again: by whoever wrote it before,
-/// and by others for each entry, so that one mostly goes first.
-const OWN_REWRITE_DELAY: Millis = Millis(300);
-const REWRITE_DELAY_PER_ENTRY: Millis = Millis(50);
+/// The longest random delay before an entry process rewrites a lost record
+/// that it wrote itself.
+const MAX_OWN_REWRITE_DELAY: Millis = Millis(300);
 
-/// The longest of the latter.
-const MAX_REWRITE_DELAY: Millis = Millis(10_000);
+/// An entry process that didn't write a lost record itself rewrites it later
+/// by a random time of up to this delay for each entry process, so that mostly
+/// one entry process rewrites the record.
+const REWRITE_DELAY_PER_PEER: Millis = Millis(50);
 
-/// A target that answers so soon after its end did not end: none has started
-/// again by then.
-const MIN_RESTART_DELAY: Millis = Millis(1_000);
+/// The longest additional delay before an entry process rewrites a lost record
+/// that it didn't write itself.
+const MAX_PEER_REWRITE_DELAY: Millis = Millis(10_000);
 
-/// Announcements of before an end are read by then.
-const READ_DELAY: Millis = Millis(3_000);
+/// A target that answers within this time after its supposed crash didn't
+/// crash: no target restarts faster.
+const MIN_TARGET_RESTART_TIME: Millis = Millis(1_000);
 
-/// Two announcements that lie further apart are not of one reading.
-const MIN_RENEWAL_INTERVAL: Millis = Millis(1_000);
+/// An announcement that a target wrote before it crashed is read from the log
+/// within this time.
+const MAX_ANNOUNCEMENT_READ_DELAY: Millis = Millis(3_000);
 
-/// How often what is over is looked for.
-const SWEEP_INTERVAL: Millis = Millis(10_000);
+/// Two announcements of a target that arrive at least this far apart come from
+/// different reads of the log.
+const MIN_ANNOUNCEMENT_INTERVAL: Millis = Millis(1_000);
 
-/// Ended targets whose signs of life are looked for, 100 bytes each.
-const MAX_ENDED: usize = 1_024;
+/// How often expired crash records are evicted.
+const EVICTION_INTERVAL: Millis = Millis(10_000);
 
-/// What the entry knows and has to do.
+/// Crashed targets that are watched for signs of life, 100 bytes each.
+const MAX_WATCHED_CRASHES: usize = 1_024;
+
+/// The crash ledger of this entry process, and the crash records that it has
+/// yet to write to the platform's log.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     ledger: CrashLedger,
-    /// Work of which this entry saw something itself.
-    own: HashSet<WorkDigest>,
-    /// Work that the log is to be told of, and that it was told of.
-    unwritten: BTreeSet<WorkDigest>,
-    written: HashSet<WorkDigest>,
-    /// Work that the log lost, and when it is to be told again.
-    lost: BTreeMap<WorkDigest, Millis>,
-    /// Ends that are held against work, whose targets may yet show life.
-    ended: HashMap<CrashId, Ended>,
-    /// Wakes the task that writes.
-    due: Rc<Notify>,
-    swept: Millis,
+    /// Digests of requests under which this entry process itself observed a
+    /// crash or a survival of a target.
+    observed_work: HashSet<WorkDigest>,
+    /// Digests of requests whose records have to be written to the log or
+    /// deleted from the log.
+    pending_writes: BTreeSet<WorkDigest>,
+    /// Digests of requests whose records in the log this entry process wrote.
+    written_work: HashSet<WorkDigest>,
+    /// Digests of requests whose records the log lost, and when to write each
+    /// record again.
+    lost_records: BTreeMap<WorkDigest, Millis>,
+    /// Crashes that are counted against requests, whose targets may yet show
+    /// signs of life.
+    watched_crashes: HashMap<CrashId, WatchedCrash>,
+    /// Wakes the task that writes records to the log.
+    write_wakeup: Rc<Notify>,
+    last_eviction: Millis,
 }
 
-/// A target that was taken for ended.
+/// A supposed crash of a target.
 #[derive(Clone, Copy, Debug)]
-struct Ended {
-    /// When it was first heard of.
-    at: Millis,
-    /// An announcement that was read after the end, and when.
+struct WatchedCrash {
+    /// When the crash was first reported or observed.
+    reported_at: Millis,
+    /// Sequence number and read time of the target's first announcement that
+    /// was read long enough after the crash.
     announced: Option<(u64, Millis)>,
 }
 
-/// What stops working with a target.
+/// How much of a group stops working when a target crashes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Extent {
-    /// It alone.
+pub enum CrashExtent {
+    /// Only the crashed target stops running requests.
     Target,
-    /// The group that goes in lock-step with it.
+    /// All ranks of the crashed target's group stop running requests, because
+    /// they run in lock-step.
     Group,
 }
 
-/// What the log keeps of a piece of work.
+/// The log's record of a crash-inducing request.
 #[derive(Debug, Deserialize, Serialize)]
-struct Kept {
+struct SuspectLogRecord {
     #[serde(rename = "s")]
     suspect: SuspectedRequest,
-    /// When it was written, as a Unix millisecond.
+    /// When the record was written, as a Unix time in milliseconds.
     #[serde(rename = "t")]
-    at: u64,
+    written_at: u64,
 }
 
 impl Quarantine {
-    /// Whether work may run now. Work that is refused counts as seen.
-    pub fn admit(
+    /// Returns whether a request with this work digest may run now, and
+    /// records the arrival of a refused request.
+    pub fn admit_work(
         &mut self,
         work: WorkDigest,
         now: Millis,
@@ -132,20 +154,23 @@
         verdict
     }
 
-    /// Whether work is refused.
-    pub fn refuses(&self, work: WorkDigest, now: Millis) -> bool {
+    /// Whether requests with a work digest are refused now.
+    pub fn refuses_work(&self, work: WorkDigest, now: Millis) -> bool {
         self.ledger.verdict(work, now) != QuarantineVerdict::Allowed
     }
 
-    /// What other entries are told.
-    pub fn updates(
+    /// The suspected requests and the retracted crashes to include in a digest
+    /// for other entry processes.
+    pub fn suspects_for_digest(
         &self,
-        update: Update,
+        scope: DigestScope,
         now: Millis,
     ) -> (SuspectedRequests, Vec<u64>) {
-        let suspects = match update {
-            Update::Changed => self.ledger.broadcast_suspects(now),
-            Update::All => self.ledger.broadcast_and_suspended_suspects(now),
+        let suspects = match scope {
+            DigestScope::Changed => self.ledger.broadcast_suspects(now),
+            DigestScope::All => {
+                self.ledger.broadcast_and_suspended_suspects(now)
+            }
         };
         (
             SuspectedRequests::pack(suspects),
@@ -153,126 +178,150 @@
         )
     }
 
-    fn note(&mut self, work: WorkDigest) {
+    fn queue_record_write_if_observed(&mut self, work: WorkDigest) {
         let known = self.ledger.crash_count(work);
-        if self.own.contains(&work) && known >= WRITTEN_ENDS {
-            self.unwritten.insert(work);
-            self.due.notify_one();
+        if self.observed_work.contains(&work)
+            && known >= MIN_CRASHES_FOR_LOG_RECORD
+        {
+            self.pending_writes.insert(work);
+            self.write_wakeup.notify_one();
         }
     }
 
-    /// Forgets what is over, and has the log forget it.
-    pub fn sweep(&mut self, now: Millis) {
-        if now.since(self.swept) < SWEEP_INTERVAL {
+    /// Evicts expired records, and deletes them from the log.
+    pub fn evict_expired_records(&mut self, now: Millis) {
+        if now.since(self.last_eviction) < EVICTION_INTERVAL {
             return;
         }
-        self.swept = now;
+        self.last_eviction = now;
         for work in self.ledger.evict_expired_cases(now) {
-            if self.written.remove(&work) {
-                self.unwritten.insert(work);
-                self.due.notify_one();
+            if self.written_work.remove(&work) {
+                self.pending_writes.insert(work);
+                self.write_wakeup.notify_one();
             }
         }
         let ledger = &self.ledger;
-        self.own.retain(|it| ledger.has_quarantine_case(*it));
-        self.written.retain(|it| ledger.has_quarantine_case(*it));
-        self.lost.retain(|it, _| ledger.has_quarantine_case(*it));
-        self.ended.retain(|end, _| ledger.is_crash_counted(*end));
+        self.observed_work.retain(|it| ledger.has_quarantine_case(*it));
+        self.written_work.retain(|it| ledger.has_quarantine_case(*it));
+        self.lost_records.retain(|it, _| ledger.has_quarantine_case(*it));
+        self.watched_crashes
+            .retain(|crash_id, _| ledger.is_crash_counted(*crash_id));
     }
 
-    /// Work that the log is to be told of now, or when there is some.
-    fn due(&mut self, now: Millis) -> Result<WorkDigest, Option<Millis>> {
-        let next = self.lost.iter().min_by_key(|it| it.1);
+    /// The digest of the request whose record is to be written to the log now;
+    /// otherwise the time of the next write, if one is scheduled.
+    fn next_record_write(
+        &mut self,
+        now: Millis,
+    ) -> Result<WorkDigest, Option<Millis>> {
+        let next = self.lost_records.iter().min_by_key(|it| it.1);
         let next = next.map(|it| (*it.0, *it.1));
         if let Some((work, at)) = next
             && at <= now
         {
-            self.lost.remove(&work);
-            self.unwritten.insert(work);
+            self.lost_records.remove(&work);
+            self.pending_writes.insert(work);
         }
-        let first = self.unwritten.first().copied();
+        let first = self.pending_writes.first().copied();
         first.ok_or(next.map(|it| it.1))
     }
 
-    /// Notes that the log keeps so much of a piece of work.
-    fn note_kept(&mut self, kept: &SuspectedRequest, now: Millis) {
+    /// Cancels the rewrite of a lost record that the log holds again.
+    fn cancel_rewrite_if_stored(
+        &mut self,
+        kept: &SuspectedRequest,
+        now: Millis,
+    ) {
         let work = WorkDigest(kept.request_hash);
         if let Some(own) = self.ledger.export_suspect(work, now)
-            && covers(kept, &own)
+            && record_covers_ledger(kept, &own)
         {
-            self.lost.remove(&work);
+            self.lost_records.remove(&work);
         }
     }
 
-    fn watch(&mut self, end: CrashId, now: Millis) {
-        if self.ended.len() < MAX_ENDED {
-            let new = Ended { at: now, announced: None };
-            self.ended.entry(end).or_insert(new);
+    fn watch_crash(&mut self, crash_id: CrashId, now: Millis) {
+        if self.watched_crashes.len() < MAX_WATCHED_CRASHES {
+            let new = WatchedCrash { reported_at: now, announced: None };
+            self.watched_crashes.entry(crash_id).or_insert(new);
         }
     }
 
-    /// What is known of the end of a target, if it is held against work.
-    fn end_of(&mut self, target: &Target) -> Option<(CrashId, &mut Ended)> {
-        if self.ended.is_empty() {
+    /// The watched crash of a target since the target's latest start, if there
+    /// is one.
+    fn watched_crash_of(
+        &mut self,
+        target: &Target,
+    ) -> Option<(CrashId, &mut WatchedCrash)> {
+        if self.watched_crashes.is_empty() {
             return None;
         }
-        let end = self.ledger.crash_id(&target.id, target.start.0);
-        self.ended.get_mut(&end).map(|it| (end, it))
+        let crash_id = self.ledger.crash_id(&target.id, target.start.0);
+        self.watched_crashes.get_mut(&crash_id).map(|it| (crash_id, it))
     }
 }
 
 impl Entry {
-    /// Notes that a target ended under work, and with it a whole group or the
-    /// target alone.
-    pub fn note_ended(
+    /// Records that a target, alone or with its whole group, crashed under a
+    /// request with this work digest.
+    pub fn record_crash_during_work(
         &self,
         target: &Target,
         work: WorkDigest,
-        extent: Extent,
+        extent: CrashExtent,
         now: Millis,
     ) {
         let mut quarantine = self.quarantine.borrow_mut();
-        let end = quarantine.ledger.crash_id(&target.id, target.start.0);
-        quarantine.watch(end, now);
-        quarantine.own.insert(work);
-        let change = quarantine.ledger.record_crash(work, end, now);
+        let crash_id = quarantine.ledger.crash_id(&target.id, target.start.0);
+        quarantine.watch_crash(crash_id, now);
+        quarantine.observed_work.insert(work);
+        let change = quarantine.ledger.record_crash(work, crash_id, now);
         let suspended = match extent {
-            Extent::Group => quarantine.ledger.suspend_request(work, now),
-            Extent::Target => QuarantineChange::None,
+            CrashExtent::Group => quarantine.ledger.suspend_request(work, now),
+            CrashExtent::Target => QuarantineChange::None,
         };
         drop(quarantine);
-        self.judged(work, change, Source::Own);
-        self.judged(work, suspended, Source::Own);
+        self.handle_quarantine_change(work, change, ChangeSource::Own);
+        self.handle_quarantine_change(work, suspended, ChangeSource::Own);
     }
 
-    /// Notes that a target outlived work.
-    pub fn note_outlived(&self, work: WorkDigest, now: Millis) {
+    /// Records that a target survived a request with this work digest.
+    pub fn record_survived_work(&self, work: WorkDigest, now: Millis) {
         let mut quarantine = self.quarantine.borrow_mut();
         let change = quarantine.ledger.record_survived_request(work, now);
         if change != QuarantineChange::None {
-            // What the log keeps of it is to say so too.
-            quarantine.own.insert(work);
+            // The log's record must state the survival too.
+            quarantine.observed_work.insert(work);
         }
         drop(quarantine);
-        self.judged(work, change, Source::Own);
+        self.handle_quarantine_change(work, change, ChangeSource::Own);
     }
 
-    /// Notes that a target answers what was sent to it after its end was heard
-    /// of. Later it may have started again under its name.
-    pub fn note_answer(&self, target: &Target, sent: Millis, now: Millis) {
+    /// Retracts a target's crash if the target answers a request that was sent
+    /// after the crash was reported. An answer that arrives later may come
+    /// from a new start under the same name.
+    pub fn retract_crash_on_answer(
+        &self,
+        target: &Target,
+        sent: Millis,
+        now: Millis,
+    ) {
         let mut quarantine = self.quarantine.borrow_mut();
-        let Some((end, ended)) = quarantine.end_of(target) else { return };
-        let is_later = sent > ended.at;
-        let is_soon = now.since(ended.at) < MIN_RESTART_DELAY;
+        let Some((id, watched)) = quarantine.watched_crash_of(target) else {
+            return;
+        };
+        let is_later = sent > watched.reported_at;
+        let is_soon = now.since(watched.reported_at) < MIN_TARGET_RESTART_TIME;
         drop(quarantine);
         if is_later && is_soon {
-            self.note_lives(end, now, Source::Own);
+            self.retract_crash(id, now, ChangeSource::Own);
         }
     }
 
-    /// Notes that an agent reads the report of its engine's start. Where the
-    /// start isn't told it may be one that came after the target.
-    pub fn note_report(
+    /// Retracts a target's crash if the target's agent still reads reports of
+    /// the same start. If the agent states no start, its report may be about a
+    /// later start.
+    pub fn retract_crash_on_agent_report(
         &self,
         target: &Target,
         start: ProcessStartUnixMs,
@@ -282,166 +331,195 @@
             return;
         }
         let mut quarantine = self.quarantine.borrow_mut();
-        let Some((end, ended)) = quarantine.end_of(target) else { return };
-        let is_later = now.since(ended.at) >= MAX_LATENCY;
+        let Some((id, watched)) = quarantine.watched_crash_of(target) else {
+            return;
+        };
+        let is_later = now.since(watched.reported_at) >= MAX_MESSAGE_LATENCY;
         drop(quarantine);
         if is_later {
-            self.note_lives(end, now, Source::Own);
+            self.retract_crash(id, now, ChangeSource::Own);
         }
     }
 
-    /// Notes that a target renews its announcement.
-    pub fn note_announcement(&self, target: &Target, now: Millis) {
+    /// Retracts a target's crash if the target renews its announcement in a
+    /// later read.
+    pub fn retract_crash_on_renewal(&self, target: &Target, now: Millis) {
         let mut quarantine = self.quarantine.borrow_mut();
-        let Some((end, ended)) = quarantine.end_of(target) else { return };
-        if now.since(ended.at) < READ_DELAY {
+        let Some((id, watched)) = quarantine.watched_crash_of(target) else {
+            return;
+        };
+        if now.since(watched.reported_at) < MAX_ANNOUNCEMENT_READ_DELAY {
             return;
         }
-        let (first, at) = *ended
+        let (first, at) = *watched
             .announced
             .get_or_insert((target.announcement_sequence, now));
         drop(quarantine);
         if target.announcement_sequence > first
-            && now.since(at) >= MIN_RENEWAL_INTERVAL
+            && now.since(at) >= MIN_ANNOUNCEMENT_INTERVAL
         {
-            self.note_lives(end, now, Source::Log);
+            self.retract_crash(id, now, ChangeSource::Log);
         }
     }
 
-    /// Notes that what was taken for the end of a target was none.
-    fn note_lives(&self, end: CrashId, now: Millis, source: Source) {
+    /// Retracts a supposed crash whose target is alive.
+    fn retract_crash(
+        &self,
+        crash_id: CrashId,
+        now: Millis,
+        source: ChangeSource,
+    ) {
         let mut quarantine = self.quarantine.borrow_mut();
-        if quarantine.ledger.is_crash_retracted(end) {
+        if quarantine.ledger.is_crash_retracted(crash_id) {
             return;
         }
-        let held = quarantine.ledger.is_crash_counted(end);
-        let freed = quarantine.ledger.retract_crash(end, now);
-        quarantine.ended.remove(&end);
+        let was_counted = quarantine.ledger.is_crash_counted(crash_id);
+        let freed = quarantine.ledger.retract_crash(crash_id, now);
+        quarantine.watched_crashes.remove(&crash_id);
         drop(quarantine);
-        if !held {
+        if !was_counted {
             return;
         }
-        info!(self.log, "end_taken_back"; "end" => ?end, "source" => ?source);
+        info!(self.log, "end_taken_back"; "end" => ?crash_id, "source" => ?source);
         for work in freed {
-            self.judged(work, QuarantineChange::Freed, source);
+            self.handle_quarantine_change(
+                work,
+                QuarantineChange::Freed,
+                source,
+            );
         }
-        if source != Source::Peer {
-            self.rumour.notify_one();
+        if source != ChangeSource::Peer {
+            self.digest_wakeup.notify_one();
         }
     }
 
-    /// Takes in what another entry tells of work that ends targets.
-    pub fn hear_suspects(
+    /// Merges suspects and retracted crashes of another entry process's
+    /// digest.
+    pub fn merge_peer_suspects(
         &self,
         suspects: &SuspectedRequests,
-        lives: &[u64],
+        retracted_crashes: &[u64],
         now: Millis,
     ) {
-        for end in lives.iter().map(|it| CrashId(*it)) {
-            self.note_lives(end, now, Source::Peer);
+        for crash_id in retracted_crashes.iter().map(|it| CrashId(*it)) {
+            self.retract_crash(crash_id, now, ChangeSource::Peer);
         }
         for suspect in suspects.unpack() {
-            self.hear_suspect(&suspect, now, Source::Peer);
+            self.merge_suspect(&suspect, now, ChangeSource::Peer);
         }
     }
 
-    fn hear_suspect(
+    fn merge_suspect(
         &self,
         suspect: &SuspectedRequest,
         now: Millis,
-        source: Source,
+        source: ChangeSource,
     ) -> QuarantineChange {
         let mut quarantine = self.quarantine.borrow_mut();
         let change = quarantine.ledger.merge_remote_suspect(suspect, now);
-        for end in suspect.crash_ids.iter().map(|it| CrashId(*it)) {
+        for crash_id in suspect.crash_ids.iter().map(|it| CrashId(*it)) {
             if change != QuarantineChange::None
-                && !quarantine.ledger.is_crash_retracted(end)
+                && !quarantine.ledger.is_crash_retracted(crash_id)
             {
-                quarantine.watch(end, now);
+                quarantine.watch_crash(crash_id, now);
             }
         }
         drop(quarantine);
-        self.judged(WorkDigest(suspect.request_hash), change, source);
+        self.handle_quarantine_change(
+            WorkDigest(suspect.request_hash),
+            change,
+            source,
+        );
         change
     }
 
-    /// Does what follows when something is learnt of a piece of work.
-    fn judged(
+    /// Logs, counts and broadcasts a change of the quarantine's verdict on a
+    /// request, and wakes waiting requests.
+    fn handle_quarantine_change(
         &self,
         work: WorkDigest,
         change: QuarantineChange,
-        source: Source,
+        source: ChangeSource,
     ) {
         if change == QuarantineChange::None {
             return;
         }
         let now = Millis::now();
-        let ends = self.quarantine.borrow().ledger.crash_count(work);
+        let crashes = self.quarantine.borrow().ledger.crash_count(work);
         match change {
             QuarantineChange::None | QuarantineChange::Suspected => {}
             QuarantineChange::Refused => {
                 info!(self.log, "work_refused"; "work" => %work,
-                    "ends" => ends, "source" => ?source);
-                self.measure.quarantined("refused");
-                // Requests that wait with it are answered now.
-                self.tell_news();
+                    "ends" => crashes, "source" => ?source);
+                self.metrics.record_quarantine_event("refused");
+                // Waiting requests with this work digest are rejected now.
+                self.notify_target_change();
             }
             QuarantineChange::Suspended => {
                 let verdict =
                     self.quarantine.borrow().ledger.verdict(work, now);
                 info!(self.log, "work_suspended"; "work" => %work,
-                    "ends" => ends, "verdict" => ?verdict,
+                    "ends" => crashes, "verdict" => ?verdict,
                     "source" => ?source);
-                self.measure.quarantined("suspended");
-                self.tell_news();
+                self.metrics.record_quarantine_event("suspended");
+                self.notify_target_change();
             }
             QuarantineChange::Freed => {
                 info!(self.log, "work_freed"; "work" => %work,
-                    "ends" => ends, "source" => ?source);
-                self.measure.quarantined("freed");
+                    "ends" => crashes, "source" => ?source);
+                self.metrics.record_quarantine_event("freed");
             }
         }
-        self.quarantine.borrow_mut().note(work);
-        if source == Source::Own {
-            self.rumour.notify_one();
+        self.quarantine.borrow_mut().queue_record_write_if_observed(work);
+        if source == ChangeSource::Own {
+            self.digest_wakeup.notify_one();
         }
     }
 }
 
-/// Follows what the log keeps, for ever.
-pub async fn follow(entry: Rc<Entry>) {
-    let mut reader = Reader::new(&entry, log::QUARANTINE_TOPIC);
+/// Follows the quarantine topic of the log; never returns.
+pub async fn follow_quarantine_topic(entry: Rc<Entry>) {
+    let mut reader = TopicReader::new(&entry, log::QUARANTINE_TOPIC);
     loop {
         let called = Millis::now();
-        let reading = match reader.read(&entry, POLL_TIMEOUT).await {
-            Ok(reading) => reading,
-            Err(error) => {
-                reader.recover(&entry, &error).await;
-                continue;
-            }
-        };
+        let reading =
+            match reader.read_next_records(&entry, LONG_POLL_TIMEOUT).await {
+                Ok(reading) => reading,
+                Err(error) => {
+                    reader.prepare_retry(&entry, &error).await;
+                    continue;
+                }
+            };
         let records = reading.records.iter();
-        let kept: Vec<Kept> =
-            records.filter_map(|it| decode(&entry, it)).collect();
-        let new = kept.iter().filter(|it| take(&entry, it)).count();
-        if reading.scope != Scope::New {
+        let kept: Vec<SuspectLogRecord> = records
+            .filter_map(|it| decode_suspect_record(&entry, it))
+            .collect();
+        let new =
+            kept.iter().filter(|it| merge_log_record(&entry, it)).count();
+        if reading.scope != ReadScope::New {
             let records = reading.records.len();
-            entry.note_read(log::QUARANTINE_TOPIC, records, new);
-            note_lost(&entry, &kept);
+            entry.record_full_topic_read(log::QUARANTINE_TOPIC, records, new);
+            schedule_record_rewrites(&entry, &kept);
         } else if reading.records.is_empty() {
-            // A log that doesn't hold reads is not asked all the time.
-            let rest = (called + MIN_READ_INTERVAL).since(Millis::now());
-            let era = entry.rollbacks.era();
-            let over = entry.rollbacks.after(era);
+            // Pauses between reads, in case the log answers every long poll at
+            // once.
+            let rest =
+                (called + MIN_QUARANTINE_READ_INTERVAL).since(Millis::now());
+            let era = entry.rollbacks.newest_era();
+            let over = entry.rollbacks.wait_for_era_after(era);
             let _ = timeout(rest.duration(), over).await;
         }
     }
 }
 
-/// What a record of the log keeps, if it keeps anything. Work that was
-/// forgotten elsewhere is forgotten here in its own time.
-fn decode(entry: &Entry, record: &Record) -> Option<Kept> {
-    let kept = gossip::decode::<Kept>(record.value.as_ref()?);
+/// Decodes a record of the quarantine topic; None for a deleted or malformed
+/// one. Records deleted by another entry process expire here in their own
+/// time.
+fn decode_suspect_record(
+    entry: &Entry,
+    record: &Record,
+) -> Option<SuspectLogRecord> {
+    let kept = gossip::decode::<SuspectLogRecord>(record.value.as_ref()?);
     if kept.is_none() {
         warn!(entry.log, "strange_record"; "topic" => log::QUARANTINE_TOPIC,
             "key" => &record.key);
@@ -449,13 +527,15 @@
     kept
 }
 
-/// Takes in what the log keeps, and says whether it told something new.
-fn take(entry: &Entry, kept: &Kept) -> bool {
+/// Merges a quarantine record of the log into the crash ledger, and returns
+/// whether the ledger changed.
+fn merge_log_record(entry: &Entry, kept: &SuspectLogRecord) -> bool {
     let now = Millis::now();
-    let age = Millis(unix_now()).since(Millis(kept.at));
+    let age = Millis(unix_now_ms()).since(Millis(kept.written_at));
     let mut suspect = kept.suspect.clone();
     match &mut suspect.rejected_for {
-        // It may have come since, which is not written each time.
+        // The refused request may have arrived again since the record was
+        // written: not every arrival is written to the log.
         Some(refused) => {
             *refused = *refused + age;
             suspect.since_last_received = Millis(0);
@@ -464,49 +544,58 @@
             suspect.since_last_received = suspect.since_last_received + age
         }
     }
-    let change = entry.hear_suspect(&suspect, now, Source::Log);
+    let change = entry.merge_suspect(&suspect, now, ChangeSource::Log);
     let work = WorkDigest(suspect.request_hash);
     let mut quarantine = entry.quarantine.borrow_mut();
-    quarantine.note_kept(&suspect, now);
+    quarantine.cancel_rewrite_if_stored(&suspect, now);
     if quarantine.ledger.export_suspect(work, now).is_none() {
-        // It is over, and whoever wrote it may be gone.
-        quarantine.unwritten.insert(work);
-        quarantine.due.notify_one();
+        // The record has expired, and the entry process that wrote it may be
+        // gone.
+        quarantine.pending_writes.insert(work);
+        quarantine.write_wakeup.notify_one();
     }
     change != QuarantineChange::None
 }
 
-/// Finds the work that the log should keep and lost.
-fn note_lost(entry: &Entry, kept: &[Kept]) {
+/// Schedules rewrites of quarantine records that the log has lost.
+fn schedule_record_rewrites(entry: &Entry, kept: &[SuspectLogRecord]) {
     let now = Millis::now();
     let kept = kept.iter().map(|it| (it.suspect.request_hash, &it.suspect));
     let kept: HashMap<u64, &SuspectedRequest> = kept.collect();
-    let entries = entry.peers.borrow().entries() as u64;
-    let others = Millis(REWRITE_DELAY_PER_ENTRY.0 * entries);
-    let others = others.min(MAX_REWRITE_DELAY);
+    let entries = entry.peers.borrow().entry_process_count() as u64;
+    let others = Millis(REWRITE_DELAY_PER_PEER.0 * entries);
+    let others = others.min(MAX_PEER_REWRITE_DELAY);
     let known = entry.quarantine.borrow().ledger.snapshot_suspects(now);
-    let known =
-        known.into_iter().filter(|it| it.crash_ids.len() >= WRITTEN_ENDS);
+    let known = known
+        .into_iter()
+        .filter(|it| it.crash_ids.len() >= MIN_CRASHES_FOR_LOG_RECORD);
     for suspect in known {
         let work = WorkDigest(suspect.request_hash);
-        if kept.get(&work.0).is_some_and(|it| covers(it, &suspect)) {
+        if kept
+            .get(&work.0)
+            .is_some_and(|it| record_covers_ledger(it, &suspect))
+        {
             continue;
         }
-        let drawn = entry.draw();
+        let drawn = entry.random_fraction();
         let mut quarantine = entry.quarantine.borrow_mut();
-        let wait = match quarantine.written.contains(&work) {
-            true => drawn * OWN_REWRITE_DELAY.0 as f64,
-            false => OWN_REWRITE_DELAY.0 as f64 + drawn * others.0 as f64,
+        let wait = match quarantine.written_work.contains(&work) {
+            true => drawn * MAX_OWN_REWRITE_DELAY.0 as f64,
+            false => MAX_OWN_REWRITE_DELAY.0 as f64 + drawn * others.0 as f64,
         };
         let at = now + Millis(wait as u64);
-        quarantine.lost.insert(work, at);
-        quarantine.due.notify_one();
+        quarantine.lost_records.insert(work, at);
+        quarantine.write_wakeup.notify_one();
         info!(entry.log, "work_lost"; "work" => %work, "wait" => wait as u64);
     }
 }
 
-/// Whether what the log keeps of a piece of work says all that is known.
-fn covers(kept: &SuspectedRequest, own: &SuspectedRequest) -> bool {
+/// Whether the log's record of a request includes everything in this entry
+/// process's ledger.
+fn record_covers_ledger(
+    kept: &SuspectedRequest,
+    own: &SuspectedRequest,
+) -> bool {
     let tells = |it: &u64| {
         kept.crash_ids.contains(it) || kept.excused_crash_ids.contains(it)
     };
@@ -519,42 +608,42 @@
         && kept.rejected_for.is_some() >= own.rejected_for.is_some()
 }
 
-/// Writes to the log what it has to keep, for ever.
-pub async fn write(entry: Rc<Entry>) {
-    let mut client = Client::new(entry.settings().log);
-    let mut contact = Contact::new(log::QUARANTINE_TOPIC);
-    let due = entry.quarantine.borrow().due.clone();
+/// Writes and deletes records of the quarantine topic; never returns.
+pub async fn write_quarantine_records(entry: Rc<Entry>) {
+    let mut client = Client::new(entry.settings().log_address);
+    let mut contact = LogCallStatus::new(log::QUARANTINE_TOPIC);
+    let write_wakeup = entry.quarantine.borrow().write_wakeup.clone();
     loop {
         let now = Millis::now();
-        let next = entry.quarantine.borrow_mut().due(now);
+        let next = entry.quarantine.borrow_mut().next_record_write(now);
         let work = match next {
             Ok(work) => work,
             Err(None) => {
-                due.notified().await;
+                write_wakeup.notified().await;
                 continue;
             }
             Err(Some(at)) => {
                 let wait = at.since(now).duration();
-                let _ = timeout(wait, due.notified()).await;
+                let _ = timeout(wait, write_wakeup.notified()).await;
                 continue;
             }
         };
-        let value = value_of(&entry, work);
+        let value = encode_suspect_record(&entry, work);
         let key = work.to_string();
-        client.raise_era(entry.rollbacks.era());
+        client.raise_era(entry.rollbacks.newest_era());
         let written = client.put(log::QUARANTINE_TOPIC, &key, &value).await;
-        entry.learn_era(client.era(), Source::Log);
+        entry.observe_log_era(client.era(), ChangeSource::Log);
         if let Err(error) = written {
-            contact.bad(&entry, &error).await;
+            contact.back_off_after_failure(&entry, &error).await;
             continue;
         }
-        contact.good(&entry);
+        contact.record_success(&entry);
         let mut quarantine = entry.quarantine.borrow_mut();
-        quarantine.unwritten.remove(&work);
+        quarantine.pending_writes.remove(&work);
         if value.is_empty() {
-            quarantine.written.remove(&work);
+            quarantine.written_work.remove(&work);
         } else {
-            quarantine.written.insert(work);
+            quarantine.written_work.insert(work);
         }
         drop(quarantine);
         info!(entry.log, "work_written"; "work" => %work,
@@ -562,19 +651,25 @@
     }
 }
 
-/// What the log is to keep of work; nothing if it is to forget it.
-fn value_of(entry: &Entry, work: WorkDigest) -> Vec<u8> {
+/// Encodes the quarantine record of a request for the log; empty if the record
+/// is to be deleted.
+fn encode_suspect_record(entry: &Entry, work: WorkDigest) -> Vec<u8> {
     let suspect =
         entry.quarantine.borrow().ledger.export_suspect(work, Millis::now());
-    // A suspension is over before others read it again.
+    // The record states no suspension, which ends before other entry processes
+    // read the record.
     let suspect =
         suspect.map(|it| SuspectedRequest { suspension_left: None, ..it });
-    let kept = suspect.map(|suspect| Kept { suspect, at: unix_now() });
+    let kept = suspect.map(|suspect| SuspectLogRecord {
+        suspect,
+        written_at: unix_now_ms(),
+    });
     kept.map(|it| gossip::encode(&it)).unwrap_or_default()
 }
 
-/// The time of day, for records that outlive this process.
-fn unix_now() -> u64 {
+/// The Unix time in milliseconds, for records that are kept beyond this
+/// process's lifetime.
+fn unix_now_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |it| it.as_millis() as u64)
 }
--- a/cowsliproad-direct/src/settings.rs
+++ b/cowsliproad-direct/src/settings.rs
@@ -1,4 +1,4 @@
-//! The entry's settings file.
+//! The settings file of the entry process.
 
 use std::net::SocketAddr;
 
@@ -7,89 +7,104 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// All that an entry is told before it starts.
+/// Settings of an entry process.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The VM's name, for logs and other entries.
+    /// The VM's name, used in logs and sent to other entry processes.
     pub vm: Name,
-    /// The availability zone.
+    /// The availability zone of this entry process's VM.
     pub zone: Name,
-    /// Where callers connect.
-    pub callers: SocketAddr,
-    /// Where readiness and metrics are asked for.
-    pub readiness: SocketAddr,
-    /// Entries to ask first. Some may be gone.
-    pub seeds: Vec<SocketAddr>,
-    /// The port on which entries and agents reach one another.
+    /// The address where callers connect.
+    #[serde(rename = "callers")]
+    pub caller_address: SocketAddr,
+    /// The address that serves readiness and metrics.
+    #[serde(rename = "readiness")]
+    pub readiness_address: SocketAddr,
+    /// Addresses of other entry processes to contact at startup. Some may be
+    /// gone.
+    #[serde(rename = "seeds")]
+    pub seed_addresses: Vec<SocketAddr>,
+    /// The port for messages between entry processes and agents, the same on
+    /// all VMs.
     pub peer_port: u16,
-    /// The platform's log.
-    pub log: SocketAddr,
-    /// How often a target renews its entry in the log.
+    /// The address of the platform's log.
+    #[serde(rename = "log")]
+    pub log_address: SocketAddr,
+    /// How often a target renews its record in the log.
     pub heartbeat_ms: Millis,
-    /// How soon after a target's leaving nothing new may reach it.
+    /// How long new requests may still reach a target after it has announced
+    /// its departure.
     pub drain_ms: Millis,
-    /// The time from SIGTERM to the process's end by force.
-    pub grace_ms: Millis,
-    /// How long a request waits for a target to be usable, where its route
-    /// doesn't say how long callers stay without an event.
-    pub wait_ms: Millis,
-    /// What all entries together may send again.
-    pub retries: Retries,
-    /// How much is logged.
+    /// The time from SIGTERM until the process is killed.
+    #[serde(rename = "grace_ms")]
+    pub shutdown_grace_ms: Millis,
+    /// How long a request waits for a usable target, where the route doesn't
+    /// set how long callers wait without an event.
+    #[serde(rename = "wait_ms")]
+    pub target_wait_ms: Millis,
+    /// The retry budget that all entry processes share.
+    pub retries: RetryBudgetSettings,
+    /// The minimum level of log messages.
     #[serde(default)]
     pub log_level: Level,
 }
 
-/// The retry budget of a service over all entries.
+/// The retry budget of a service, shared by all entry processes.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Retries {
-    /// Retries for each request.
-    pub ratio: f64,
-    /// Retries beyond that.
-    pub slack: f64,
-    /// The span over which both are counted.
-    pub span_ms: Millis,
+pub struct RetryBudgetSettings {
+    /// Retries allowed per request.
+    #[serde(rename = "ratio")]
+    pub retries_per_request: f64,
+    /// Retries allowed per window in addition to the retries per request,
+    /// independent of the number of requests.
+    #[serde(rename = "slack")]
+    pub extra_retries: f64,
+    /// The sliding window over which requests and retries are counted.
+    #[serde(rename = "span_ms")]
+    pub window_ms: Millis,
 }
 
 impl Settings {
-    /// Settings to start from.
+    /// Example settings for the help text.
     pub fn example() -> Settings {
         let local = |port| SocketAddr::from(([127, 0, 0, 1], port));
         Settings {
             vm: "entry-1".into(),
             zone: "a".into(),
-            callers: local(8080),
-            readiness: local(8081),
-            seeds: vec![local(8082)],
+            caller_address: local(8080),
+            readiness_address: local(8081),
+            seed_addresses: vec![local(8082)],
             peer_port: 7340,
-            log: local(8223),
+            log_address: local(8223),
             heartbeat_ms: Millis(1_200),
             drain_ms: Millis(2_000),
-            grace_ms: Millis(8_000),
-            wait_ms: Millis(1_500),
-            retries: Retries {
-                ratio: 0.2,
-                slack: 90.0,
-                span_ms: Millis(10_000),
+            shutdown_grace_ms: Millis(8_000),
+            target_wait_ms: Millis(1_500),
+            retries: RetryBudgetSettings {
+                retries_per_request: 0.2,
+                extra_retries: 90.0,
+                window_ms: Millis(10_000),
             },
             log_level: Level::Info,
         }
     }
 
-    /// Whether all that can't change without a restart is alike.
-    pub fn same_addresses(&self, other: &Settings) -> bool {
+    /// Whether two settings agree in everything that needs a restart to
+    /// change.
+    pub fn has_same_restart_settings(&self, other: &Settings) -> bool {
         self.vm == other.vm
             && self.zone == other.zone
-            && self.callers == other.callers
-            && self.readiness == other.readiness
+            && self.caller_address == other.caller_address
+            && self.readiness_address == other.readiness_address
             && self.peer_port == other.peer_port
     }
 
-    /// Where this entry takes datagrams and calls of other entries.
-    pub fn peer_address(&self) -> SocketAddr {
-        SocketAddr::new(self.callers.ip(), self.peer_port)
+    /// The address where this entry process receives datagrams and calls of
+    /// other entry processes.
+    pub fn own_peer_address(&self) -> SocketAddr {
+        SocketAddr::new(self.caller_address.ip(), self.peer_port)
     }
 }
 
@@ -105,18 +120,20 @@
             let least = format!("at least {MIN_DRAIN} is needed");
             return Err(("drain_ms", least));
         }
-        if self.grace_ms.0 < MIN_GRACE.0 {
+        if self.shutdown_grace_ms.0 < MIN_GRACE.0 {
             let least = format!("at least {MIN_GRACE} is needed");
             return Err(("grace_ms", least));
         }
         let share = 0.0..=1.0;
-        if !share.contains(&self.retries.ratio) {
+        if !share.contains(&self.retries.retries_per_request) {
             return Err(("retries.ratio", "0 to 1 is needed".into()));
         }
-        if self.retries.slack.is_nan() || self.retries.slack < 0.0 {
+        if self.retries.extra_retries.is_nan()
+            || self.retries.extra_retries < 0.0
+        {
             return Err(("retries.slack", "0 or more is needed".into()));
         }
-        if self.retries.span_ms.0 < MIN_SPAN.0 {
+        if self.retries.window_ms.0 < MIN_SPAN.0 {
             let least = format!("at least {MIN_SPAN} is needed");
             return Err(("retries.span_ms", least));
         }
@@ -124,11 +141,14 @@
     }
 }
 
-/// Targets are read twice in this time, and a reading may be lost.
+/// The least `drain_ms`: within this time the targets topic is read twice, and
+/// one read may be lost.
 const MIN_DRAIN: Millis = Millis(200);
 
-/// The balancer needs up to three seconds to notice that we aren't ready.
+/// The least `grace_ms`: the load balancer needs up to three seconds to notice
+/// that this entry process isn't ready.
 const MIN_GRACE: Millis = Millis(4_000);
 
-/// Two steps in which the budget's span slides.
+/// The least span of the retry budget's sliding window: two steps of that
+/// window.
 const MIN_SPAN: Millis = Millis(1_000);
--- a/cowsliproad-direct/src/stated.rs
+++ b/cowsliproad-direct/src/stated.rs
@@ -1,8 +1,8 @@
-//! What targets state of themselves in the headers of their answers.
+//! Load, Retry-After and leaving headers that targets send with their answers.
 //!
-//! It concerns the process that answers, whichever request the answer is to.
-//! The answer of another process at a target's address says nothing of the
-//! target and never comes here.
+//! These headers describe the process that answers, whichever request the
+//! answer is to. Answers of another process at a target's address say nothing
+//! about the target and are not passed to this module.
 
 use std::time::SystemTime;
 
@@ -13,24 +13,24 @@
 use http::{HeaderMap, header::RETRY_AFTER, response};
 use slog::{info, warn};
 
-use crate::entry::{Choice, Entry, Recovery, Source};
+use crate::entry::{ChangeSource, ChosenTarget, CooldownRecovery, Entry};
 
 impl Entry {
-    /// Takes in what a target states with its answer to a request.
-    pub fn note_stated(
+    /// Applies the load, Retry-After and leaving headers of a target's answer.
+    pub fn update_target_from_headers(
         &self,
-        choice: &Choice,
+        choice: &ChosenTarget,
         request: &str,
         head: &response::Parts,
     ) {
-        note_load(choice, &head.headers);
-        self.note_retry_after(choice, request, head);
-        self.note_leaving(choice, request, head);
+        record_load_header(choice, &head.headers);
+        self.start_cooldown_from_retry_after(choice, request, head);
+        self.apply_leaving_header(choice, request, head);
     }
 
-    fn note_leaving(
+    fn apply_leaving_header(
         &self,
-        choice: &Choice,
+        choice: &ChosenTarget,
         request: &str,
         head: &response::Parts,
     ) {
@@ -40,28 +40,30 @@
             info!(self.log, "target_leaving"; "request" => request,
                 "target" => &*choice.target.id,
                 "status" => head.status.as_u16());
-            self.note_left(&choice.target);
+            self.mark_target_left(&choice.target);
         }
     }
 
-    /// Notes that a target takes nothing new, and tells other entries.
-    pub fn note_left(&self, target: &Target) {
+    /// Marks a target as taking no new requests, and broadcasts that to other
+    /// entry processes.
+    pub fn mark_target_left(&self, target: &Target) {
         let (id, start) = (&target.id, target.start);
         let now = Millis::now();
         let change =
             self.fleet.borrow_mut().record_announced_departure(id, start, now);
-        self.changed(id, change, Source::Own);
+        self.apply_target_change(id, change, ChangeSource::Own);
     }
 
-    /// Whether this start of a target takes new requests.
+    /// Whether a target still accepts new requests and hasn't restarted since
+    /// it was looked up.
     pub fn is_ready_target(&self, target: &Target) -> bool {
         let fleet = self.fleet.borrow();
         fleet.get(&target.id).is_some_and(|it| it.start == target.start)
     }
 
-    fn note_retry_after(
+    fn start_cooldown_from_retry_after(
         &self,
-        choice: &Choice,
+        choice: &ChosenTarget,
         request: &str,
         head: &response::Parts,
     ) {
@@ -75,17 +77,20 @@
         let wait = match read {
             RetryAfter::Wait(wait) if wait.0 > 0 => wait,
             RetryAfter::None | RetryAfter::Wait(_) => {
-                return self.note_recovered(choice);
+                return self.record_target_recovery(choice);
             }
             RetryAfter::Unreadable => {
                 let mut endpoint = choice.endpoint.borrow_mut();
-                if !std::mem::replace(&mut endpoint.unreadable, true) {
+                if !std::mem::replace(
+                    &mut endpoint.last_retry_after_invalid,
+                    true,
+                ) {
                     warn!(self.log, "retry_after_refused";
                         "request" => request, "target" => &*target.id,
                         "stated" => ?stated);
                 }
                 drop(endpoint);
-                return self.note_recovered(choice);
+                return self.record_target_recovery(choice);
             }
         };
         let now = Millis::now();
@@ -94,31 +99,35 @@
             return;
         }
         let mut endpoint = choice.endpoint.borrow_mut();
-        endpoint.unreadable = false;
-        endpoint.recovery = Recovery::Pending;
+        endpoint.last_retry_after_invalid = false;
+        endpoint.cooldown_recovery = CooldownRecovery::Pending;
         drop(endpoint);
         info!(self.log, "cooldown"; "request" => request,
             "target" => &*target.id, "status" => head.status.as_u16(),
             "stated" => ?stated, "wait" => wait.0,
             "left_before" => before.map(|it| it.since(now).0));
-        self.measure.cooled_down();
-        // Requests that wait for this target go elsewhere.
-        self.tell_news();
-        self.freed.notify_waiters();
+        self.metrics.record_cooldown();
+        // Requests that wait for this target now choose another one.
+        self.notify_target_change();
+        self.connection_freed.notify_waiters();
     }
 
-    /// Notes an answer that asks for nothing.
-    fn note_recovered(&self, choice: &Choice) {
-        if choice.endpoint.borrow().recovery == Recovery::Done {
+    /// Marks a target as recovered when an answer without Retry-After arrives
+    /// after the cooldown.
+    fn record_target_recovery(&self, choice: &ChosenTarget) {
+        if choice.endpoint.borrow().cooldown_recovery == CooldownRecovery::Done
+        {
             return;
         }
         if self.cooldown_end(&choice.target, Millis::now()).is_none() {
-            choice.endpoint.borrow_mut().recovery = Recovery::Done;
-            self.freed.notify_waiters();
+            choice.endpoint.borrow_mut().cooldown_recovery =
+                CooldownRecovery::Done;
+            self.connection_freed.notify_waiters();
         }
     }
 
-    /// When a target takes requests again that asked to be left alone.
+    /// The end of the cooldown that a target requested with Retry-After, if it
+    /// is in one.
     pub fn cooldown_end(
         &self,
         target: &Target,
@@ -127,19 +136,19 @@
         self.cooldowns.borrow().cooldown_end(target, now)
     }
 
-    /// Waits until a target asks to be left alone.
-    pub async fn until_cooldown(&self, target: &Target) {
+    /// Waits until a target is in a cooldown.
+    pub async fn wait_until_in_cooldown(&self, target: &Target) {
         loop {
-            let news = self.news.notified();
+            let changed = self.targets_changed.notified();
             if self.cooldown_end(target, Millis::now()).is_some() {
                 return;
             }
-            news.await;
+            changed.await;
         }
     }
 }
 
-fn note_load(choice: &Choice, headers: &HeaderMap) {
+fn record_load_header(choice: &ChosenTarget, headers: &HeaderMap) {
     let text = headers.get(&header::LOAD).and_then(|it| it.to_str().ok());
     let Some(text) = text else { return };
     let mut numbers = text.split(',').map(|it| it.trim().parse::<u32>());
@@ -150,7 +159,7 @@
         choice
             .endpoint
             .borrow_mut()
-            .record
+            .request_stats
             .record_load_report(requests, Millis::now());
     }
 }
