--- a/cowsliproad-agent/src/adapter.rs
+++ b/cowsliproad-agent/src/adapter.rs
@@ -1,7 +1,8 @@
-//! How the target is spoken to: one plug-in for each kind of target.
+//! Adapters that send requests to targets: one plug-in for each kind of target.
 //!
-//! An adapter is a type; [`run`] is compiled for each, and the plug-in's
-//! entry point starts that one. Nothing is dispatched while requests flow.
+//! An adapter is a type. [`run_work`] is compiled for each adapter, and the
+//! plug-in's `start` function selects one, so there is no dynamic dispatch per
+//! request.
 
 pub mod engine;
 pub mod plain;
@@ -15,73 +16,82 @@
 use tokio::runtime::Handle;
 
 use crate::{
-    ends::{self, Seen},
-    gate::Gate,
-    pace::Pace,
+    crashes::{self, CrashCheck},
+    gate::TargetGate,
+    pace::RequestPacer,
     settings::Settings,
-    work::Work,
+    work::RequestWork,
 };
 
-/// A kind of target.
+/// The plug-in for one kind of target.
 #[derive(Clone, Copy, Debug)]
-pub struct Plugin {
-    /// The name that settings choose it by.
+pub struct AdapterPlugin {
+    /// The adapter's name in the settings.
     pub name: &'static str,
-    /// One line for help texts.
-    pub about: &'static str,
-    /// Starts taking work from a gate.
-    pub start: fn(Arc<Gate>, &Handle),
+    /// The adapter's one-line description in help texts.
+    pub description: &'static str,
+    /// Starts the adapter on work from a gate.
+    pub start: fn(Arc<TargetGate>, &Handle),
 }
 
-inventory::collect!(Plugin);
+inventory::collect!(AdapterPlugin);
 
-impl plugin::Plugin for Plugin {
+impl plugin::Plugin for AdapterPlugin {
     fn name(&self) -> &'static str {
         self.name
     }
 
     fn description(&self) -> &'static str {
-        self.about
+        self.description
     }
 }
 
-/// A way to speak to a target.
+/// Sends requests to one kind of target.
 pub trait Adapter: Send + Sync + 'static {
-    /// Makes the adapter of an agent. What answers say of how much the target
-    /// takes is noted in `pace`.
-    fn new(settings: &Settings, pace: &Arc<Pace>) -> Self;
+    /// Creates the adapter of an agent. The limits and cooldowns that the
+    /// target's answers state are recorded in `pacer`.
+    fn new(settings: &Settings, pacer: &Arc<RequestPacer>) -> Self;
 
-    /// Has the target do the work once, adding the answer's bytes to it.
-    fn call(
+    /// Sends the request to the target once and appends the answer bytes to
+    /// `work`.
+    fn call_target(
         &self,
-        work: &Work,
+        work: &RequestWork,
     ) -> impl Future<Output = Result<AnswerFormat, RequestFailure>> + Send;
 }
 
-/// Starts taking work from a gate.
-pub fn start<A: Adapter>(gate: Arc<Gate>, traffic: &Handle) {
-    let adapter = Arc::new(A::new(&gate.settings, &gate.pace));
-    let handle = traffic.clone();
-    traffic.spawn(async move {
+/// Starts a task that takes work from a gate and sends it to the target.
+pub fn start_adapter<A: Adapter>(
+    gate: Arc<TargetGate>,
+    traffic_runtime: &Handle,
+) {
+    let adapter = Arc::new(A::new(&gate.settings, &gate.pacer));
+    let handle = traffic_runtime.clone();
+    traffic_runtime.spawn(async move {
         loop {
-            let work = gate.next().await;
-            handle.spawn(run(gate.clone(), adapter.clone(), work));
+            let work = gate.next_work().await;
+            handle.spawn(run_work(gate.clone(), adapter.clone(), work));
         }
     });
 }
 
-async fn run<A: Adapter>(gate: Arc<Gate>, adapter: Arc<A>, work: Arc<Work>) {
+async fn run_work<A: Adapter>(
+    gate: Arc<TargetGate>,
+    adapter: Arc<A>,
+    work: Arc<RequestWork>,
+) {
     let start = Instant::now();
-    let result = adapter.call(&work).await;
-    let held = start.elapsed();
+    let result = adapter.call_target(&work).await;
+    let slot_time = start.elapsed();
     let Err(failure) = result else {
-        gate.finish(&work, result, held);
-        return gate.ends.outlived(work.kind());
+        gate.finish_running_work(&work, result, slot_time);
+        return gate.crashes.record_survived_request(work.digest());
     };
-    // Before the answer, so that no entry sends it on to one target more.
-    let seen = ends::look(&gate, &work, failure).await;
-    gate.finish(&work, result, held);
-    if seen == Seen::Listens {
-        ends::look_again(&gate, &work).await;
+    // Checked before the failure is sent, so that no entry process retries a
+    // crash-inducing request at another target.
+    let crash_check = crashes::check_for_crash(&gate, &work, failure).await;
+    gate.finish_running_work(&work, result, slot_time);
+    if crash_check == CrashCheck::StillListening {
+        crashes::recheck_for_crash(&gate, &work).await;
     }
 }
--- a/cowsliproad-agent/src/adapter/engine.rs
+++ b/cowsliproad-agent/src/adapter/engine.rs
@@ -1,8 +1,8 @@
-//! Model engines: chat completions as server-sent events.
+//! The adapter for model engines: chat completions as server-sent events.
 //!
-//! When a stream breaks in its middle the engine is asked to resume it
-//! after the last token that came, so the tokens already passed on stay
-//! good. Only when that fails too does the work fail.
+//! When a stream breaks, the engine is asked to resume it after the last token
+//! received, so the tokens already sent to the caller stay valid. The request
+//! fails only when resuming fails too.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -20,55 +20,58 @@
 use serde_json::Value;
 use tokio::time::{Instant, timeout};
 
-use super::{Adapter, Plugin, plain, start};
+use super::{Adapter, AdapterPlugin, plain, start_adapter};
 use crate::{
-    pace::Pace,
+    pace::RequestPacer,
     settings::Settings,
-    work::{MAX_ANSWER, Repeat, Work},
+    work::{MAX_ANSWER_BYTES, RequestWork, RerunPolicy},
 };
 
 inventory::submit! {
-    Plugin {
+    AdapterPlugin {
         name: "engine",
-        about: "a model engine with chat completions",
-        start: start::<Engine>,
+        description: "a model engine with chat completions",
+        start: start_adapter::<EngineAdapter>,
     }
 }
 
-/// Times that one broken stream is resumed.
-const RESUMES: u32 = 2;
+/// How often one stream may be resumed after it broke.
+const MAX_STREAM_RESUMES: u32 = 2;
 
-/// An adapter for model engines.
+/// Sends requests to a model engine and streams its answers.
 #[derive(Debug)]
-pub struct Engine {
+pub struct EngineAdapter {
     client: Client,
-    target: SocketAddr,
-    silence: Duration,
-    pace: Arc<Pace>,
+    target_address: SocketAddr,
+    silence_timeout: Duration,
+    pacer: Arc<RequestPacer>,
 }
 
-/// How reading a stream ended.
-enum Reading {
+/// The result of reading an event stream.
+enum StreamResult {
     Done,
     Broken,
     Silent,
 }
 
-impl Adapter for Engine {
-    fn new(settings: &Settings, pace: &Arc<Pace>) -> Engine {
-        Engine {
+impl Adapter for EngineAdapter {
+    fn new(settings: &Settings, pacer: &Arc<RequestPacer>) -> EngineAdapter {
+        EngineAdapter {
             client: Client::new(),
-            pace: pace.clone(),
-            target: settings.target,
-            silence: settings.silence_ms.duration(),
+            pacer: pacer.clone(),
+            target_address: settings.target_address,
+            silence_timeout: settings.target_silence_timeout.duration(),
         }
     }
 
-    async fn call(&self, work: &Work) -> Result<AnswerFormat, RequestFailure> {
+    async fn call_target(
+        &self,
+        work: &RequestWork,
+    ) -> Result<AnswerFormat, RequestFailure> {
         tokio::select! {
-            result = self.stream(work) => result,
-            () = work.cancelled() => {
-                self.cancel(work).await;
+            result = self.stream_answer(work) => result,
+            () = work.wait_until_cancelled() => {
+                self.cancel_at_target(work).await;
                 Err(RequestFailure::new(
                     Code::Cancelled,
                     Execution::OutcomeUnknown,
@@ -78,31 +81,37 @@
     }
 }
 
-impl Engine {
-    async fn stream(
+impl EngineAdapter {
+    async fn stream_answer(
         &self,
-        work: &Work,
+        work: &RequestWork,
     ) -> Result<AnswerFormat, RequestFailure> {
-        let mut events = Events::default();
-        let start = self.start(work)?;
-        let mut response = self.head(start).await?;
-        for _ in 0..=RESUMES {
+        let mut events = EventParser::default();
+        let start = self.start_request(work)?;
+        let mut response = self.send_request(start).await?;
+        for _ in 0..=MAX_STREAM_RESUMES {
             if !response.status().is_success() {
                 break;
             }
-            match self.read(response, work, &mut events).await? {
-                Reading::Done => return Ok(AnswerFormat::Text),
-                Reading::Silent => break,
-                Reading::Broken => {
-                    events.rest.clear();
-                    let resume = self.resume(work, events.tokens)?;
-                    // It is one more request to the target.
-                    let patience = self.patience(work)?;
-                    if timeout(patience, self.pace.turn()).await.is_err() {
+            match self.read_events(response, work, &mut events).await? {
+                StreamResult::Done => return Ok(AnswerFormat::Text),
+                StreamResult::Silent => break,
+                StreamResult::Broken => {
+                    events.unparsed_bytes.clear();
+                    let resume =
+                        self.resume_request(work, events.received_tokens)?;
+                    // Resuming is one more request to the target, so it needs
+                    // a permit.
+                    let byte_timeout = self.byte_timeout(work)?;
+                    if timeout(byte_timeout, self.pacer.acquire_permit())
+                        .await
+                        .is_err()
+                    {
                         break;
                     }
-                    let resumed = self.head(resume).await;
-                    // It has begun, whatever became of the resumption.
+                    let resumed = self.send_request(resume).await;
+                    // The engine has started the request, so a failed resume
+                    // leaves the outcome unknown.
                     response = resumed.map_err(|it| RequestFailure {
                         ran: Execution::OutcomeUnknown,
                         ..it
@@ -110,45 +119,49 @@
                 }
             }
         }
-        self.cancel(work).await;
+        self.cancel_at_target(work).await;
         Err(RequestFailure::new(Code::TargetFailed, Execution::OutcomeUnknown))
     }
 
-    async fn head(
+    async fn send_request(
         &self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, RequestFailure> {
-        let sent = Millis::now();
-        let head = timeout(self.silence, self.client.send(request)).await;
+        let sent_at = Millis::now();
+        let head =
+            timeout(self.silence_timeout, self.client.send(request)).await;
         let silent =
             RequestFailure::new(Code::TimedOut, Execution::OutcomeUnknown);
-        let head = head.map_err(|_| silent)?.map_err(plain::failure)?;
-        self.pace.answered(head.status(), head.headers(), sent);
+        let head =
+            head.map_err(|_| silent)?.map_err(plain::request_failure)?;
+        self.pacer.observe_answer(head.status(), head.headers(), sent_at);
         Ok(head)
     }
 
-    async fn read(
+    async fn read_events(
         &self,
         response: Response<Incoming>,
-        work: &Work,
-        events: &mut Events,
-    ) -> Result<Reading, RequestFailure> {
+        work: &RequestWork,
+        events: &mut EventParser,
+    ) -> Result<StreamResult, RequestFailure> {
         let mut body = response.into_body();
         loop {
-            let wait = self.patience(work)?;
+            let wait = self.byte_timeout(work)?;
             let Ok(frame) = timeout(wait, body.frame()).await else {
-                return Ok(Reading::Silent);
+                return Ok(StreamResult::Silent);
+            };
+            let Some(Ok(frame)) = frame else {
+                return Ok(StreamResult::Broken);
             };
-            let Some(Ok(frame)) = frame else { return Ok(Reading::Broken) };
             let Ok(bytes) = frame.into_data() else { continue };
-            let text = events.push(&bytes);
+            let text = events.push_bytes(&bytes);
             if !text.is_empty() {
-                work.append(text.as_bytes());
+                work.append_answer_bytes(text.as_bytes());
             }
-            if events.done {
-                return Ok(Reading::Done);
+            if events.is_done {
+                return Ok(StreamResult::Done);
             }
-            if work.length() > MAX_ANSWER {
+            if work.answer_length() > MAX_ANSWER_BYTES {
                 return Err(RequestFailure::new(
                     Code::TargetFailed,
                     Execution::OutcomeUnknown,
@@ -157,22 +170,24 @@
         }
     }
 
-    /// How long the next byte may take.
-    fn patience(&self, work: &Work) -> Result<Duration, RequestFailure> {
+    /// How long to wait for the next answer byte.
+    fn byte_timeout(
+        &self,
+        work: &RequestWork,
+    ) -> Result<Duration, RequestFailure> {
         let left = work.deadline.since(Millis::now()).duration();
-        match work.repeat {
-            Repeat::Never => Ok(self.silence),
-            Repeat::Allowed if left.is_zero() => Err(RequestFailure::new(
-                Code::TimedOut,
-                Execution::OutcomeUnknown,
-            )),
-            Repeat::Allowed => Ok(self.silence.min(left)),
+        match work.rerun_policy {
+            RerunPolicy::Never => Ok(self.silence_timeout),
+            RerunPolicy::Allowed if left.is_zero() => Err(
+                RequestFailure::new(Code::TimedOut, Execution::OutcomeUnknown),
+            ),
+            RerunPolicy::Allowed => Ok(self.silence_timeout.min(left)),
         }
     }
 
-    fn start(
+    fn start_request(
         &self,
-        work: &Work,
+        work: &RequestWork,
     ) -> Result<Request<Full<Bytes>>, RequestFailure> {
         let bad = RequestFailure::new(Code::BadJson, Execution::NotRun);
         let mut body: Value =
@@ -180,20 +195,23 @@
         let fields = body.as_object_mut().ok_or(bad)?;
         fields.insert("stream".into(), true.into());
         fields.insert("priority".into(), work.priority.into());
-        Request::post(format!("http://{}/v1/chat/completions", self.target))
-            .header(header::CONTENT_TYPE, "application/json")
-            .header("x-request-id", work.request.to_string())
-            .body(Full::new(Bytes::from(body.to_string())))
-            .map_err(|_| bad)
+        Request::post(format!(
+            "http://{}/v1/chat/completions",
+            self.target_address
+        ))
+        .header(header::CONTENT_TYPE, "application/json")
+        .header("x-request-id", work.request.to_string())
+        .body(Full::new(Bytes::from(body.to_string())))
+        .map_err(|_| bad)
     }
 
-    fn resume(
+    fn resume_request(
         &self,
-        work: &Work,
+        work: &RequestWork,
         from: u32,
     ) -> Result<Request<Full<Bytes>>, RequestFailure> {
         let id = work.request;
-        let target = self.target;
+        let target = self.target_address;
         Request::get(format!("http://{target}/v1/streams/{id}?from={from}"))
             .body(Full::default())
             .map_err(|_| {
@@ -201,42 +219,46 @@
             })
     }
 
-    async fn cancel(&self, work: &Work) {
-        if self.pace.cooldown(Millis::now()).0 > 0 {
+    async fn cancel_at_target(&self, work: &RequestWork) {
+        if self.pacer.remaining_cooldown(Millis::now()).0 > 0 {
             return;
         }
         let id = work.request;
-        let uri = format!("http://{}/v1/streams/{id}", self.target);
+        let uri = format!("http://{}/v1/streams/{id}", self.target_address);
         let Ok(request) = Request::delete(uri).body(Full::default()) else {
             return;
         };
-        let wait = Duration::from_millis(500);
-        let deadline = Instant::now() + wait;
-        let call = self.client.call(request, MAX_ANSWER, wait);
-        // A target that does not take the cancel frees itself in the end.
+        let cancel_timeout = Duration::from_millis(500);
+        let deadline = Instant::now() + cancel_timeout;
+        let call = self.client.call(request, MAX_ANSWER_BYTES, cancel_timeout);
+        // Best effort: without the cancellation the target only frees its
+        // resources later.
         let _ = tokio::time::timeout_at(deadline, call).await;
     }
 }
 
-/// The text in a stream of events, however its bytes are cut up.
+/// Parses the answer text from server-sent events that arrive in arbitrary
+/// pieces.
 #[derive(Debug, Default)]
-struct Events {
-    rest: Vec<u8>,
-    tokens: u32,
-    done: bool,
+struct EventParser {
+    unparsed_bytes: Vec<u8>,
+    received_tokens: u32,
+    is_done: bool,
 }
 
-impl Events {
-    /// Takes bytes in and returns the text that they complete.
-    fn push(&mut self, bytes: &[u8]) -> String {
-        self.rest.extend_from_slice(bytes);
+impl EventParser {
+    /// Appends stream bytes and returns the text of the events that they
+    /// complete.
+    fn push_bytes(&mut self, bytes: &[u8]) -> String {
+        self.unparsed_bytes.extend_from_slice(bytes);
         let mut text = String::new();
-        while let Some(end) = find(&self.rest, b"\n\n") {
-            let event: Vec<u8> = self.rest.drain(..end + 2).collect();
+        while let Some(end) = find_bytes(&self.unparsed_bytes, b"\n\n") {
+            let event: Vec<u8> =
+                self.unparsed_bytes.drain(..end + 2).collect();
             let event = event.strip_prefix(b"data: ").unwrap_or(&event);
             let event = event.trim_ascii();
             if event == b"[DONE]" {
-                self.done = true;
+                self.is_done = true;
                 continue;
             }
             let Ok(value) = serde_json::from_slice::<Value>(event) else {
@@ -245,13 +267,13 @@
             let token = &value["choices"][0]["delta"]["content"];
             if let Some(token) = token.as_str() {
                 text.push_str(token);
-                self.tokens += 1;
+                self.received_tokens += 1;
             }
         }
         text
     }
 }
 
-fn find(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
+fn find_bytes(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
     bytes.windows(pattern.len()).position(|window| window == pattern)
 }
--- a/cowsliproad-agent/src/adapter/plain.rs
+++ b/cowsliproad-agent/src/adapter/plain.rs
@@ -1,4 +1,4 @@
-//! Plain services: one POST, one JSON answer.
+//! The adapter for plain HTTP services: one POST request, one JSON answer.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,72 +13,79 @@
 use http::{Request, header};
 use http_body_util::Full;
 
-use super::{Adapter, Plugin, start};
+use super::{Adapter, AdapterPlugin, start_adapter};
 use crate::{
-    pace::Pace,
+    pace::RequestPacer,
     settings::Settings,
-    work::{MAX_ANSWER, Repeat, Work},
+    work::{MAX_ANSWER_BYTES, RequestWork, RerunPolicy},
 };
 
 inventory::submit! {
-    Plugin {
+    AdapterPlugin {
         name: "plain",
-        about: "a plain HTTP service",
-        start: start::<Plain>,
+        description: "a plain HTTP service",
+        start: start_adapter::<PlainAdapter>,
     }
 }
 
-/// How late an answer may be.
-const LATE: Duration = Duration::from_millis(250);
+/// How long after its deadline the answer to a repeatable request is awaited.
+const MAX_ANSWER_DELAY: Duration = Duration::from_millis(250);
 
-/// An adapter for plain services.
+/// Sends requests to a plain HTTP service.
 #[derive(Debug)]
-pub struct Plain {
+pub struct PlainAdapter {
     client: Client,
-    target: SocketAddr,
-    silence: Duration,
-    pace: Arc<Pace>,
+    target_address: SocketAddr,
+    silence_timeout: Duration,
+    pacer: Arc<RequestPacer>,
 }
 
-impl Adapter for Plain {
-    fn new(settings: &Settings, pace: &Arc<Pace>) -> Plain {
-        Plain {
+impl Adapter for PlainAdapter {
+    fn new(settings: &Settings, pacer: &Arc<RequestPacer>) -> PlainAdapter {
+        PlainAdapter {
             client: Client::new(),
-            pace: pace.clone(),
-            target: settings.target,
-            silence: settings.silence_ms.duration(),
+            pacer: pacer.clone(),
+            target_address: settings.target_address,
+            silence_timeout: settings.target_silence_timeout.duration(),
         }
     }
 
-    async fn call(&self, work: &Work) -> Result<AnswerFormat, RequestFailure> {
-        let request = request(self.target, work)?;
-        let patience = patience(work, self.silence);
-        let sent = Millis::now();
-        let call = self.client.call(request, MAX_ANSWER, patience);
+    async fn call_target(
+        &self,
+        work: &RequestWork,
+    ) -> Result<AnswerFormat, RequestFailure> {
+        let request = build_request(self.target_address, work)?;
+        let answer_timeout = answer_timeout(work, self.silence_timeout);
+        let sent_at = Millis::now();
+        let call = self.client.call(request, MAX_ANSWER_BYTES, answer_timeout);
         let response = tokio::select! {
-            response = call => response.map_err(failure)?,
-            () = work.cancelled() => {
+            response = call => response.map_err(request_failure)?,
+            () = work.wait_until_cancelled() => {
                 return Err(RequestFailure::new(
                     Code::Cancelled,
                     Execution::OutcomeUnknown,
                 ));
             }
         };
-        self.pace.answered(response.status(), response.headers(), sent);
+        self.pacer.observe_answer(
+            response.status(),
+            response.headers(),
+            sent_at,
+        );
         if !response.status().is_success() {
             return Err(RequestFailure::new(
                 Code::TargetFailed,
                 Execution::OutcomeUnknown,
             ));
         }
-        work.append(response.body());
+        work.append_answer_bytes(response.body());
         Ok(AnswerFormat::Json)
     }
 }
 
-fn request(
+fn build_request(
     target: SocketAddr,
-    work: &Work,
+    work: &RequestWork,
 ) -> Result<Request<Full<Bytes>>, RequestFailure> {
     Request::post(format!("http://{target}/{}", work.request_type))
         .header(header::CONTENT_TYPE, "application/json")
@@ -87,19 +94,20 @@
         .map_err(|_| RequestFailure::new(Code::BadRequest, Execution::NotRun))
 }
 
-/// Work that may be repeated has until shortly after its deadline: once it
-/// runs, a slightly late answer is worth more than none. Work that may not is
-/// awaited a while longer, since its outcome is worth knowing even late.
-fn patience(work: &Work, silence: Duration) -> Duration {
+/// How long to wait for the answer. A repeatable request has until shortly
+/// after its deadline: a slightly late answer is worth more than none. A
+/// non-repeatable request gets at least the silence timeout, since its outcome
+/// is worth knowing even late.
+fn answer_timeout(work: &RequestWork, silence_timeout: Duration) -> Duration {
     let left = work.deadline.since(Millis::now()).duration();
-    match work.repeat {
-        Repeat::Allowed => (left + LATE).min(silence),
-        Repeat::Never => left.max(silence),
+    match work.rerun_policy {
+        RerunPolicy::Allowed => (left + MAX_ANSWER_DELAY).min(silence_timeout),
+        RerunPolicy::Never => left.max(silence_timeout),
     }
 }
 
-/// What a failed call says of the work.
-pub(super) fn failure(error: Error) -> RequestFailure {
+/// Maps an HTTP client error to the failure of the request at the target.
+pub(super) fn request_failure(error: Error) -> RequestFailure {
     match error {
         Error::Connect(_) | Error::Refused(_) => {
             RequestFailure::new(Code::TargetFailed, Execution::NotRun)
--- /dev/null
+++ b/cowsliproad-agent/src/crashes.rs
@@ -0,0 +1,360 @@
+//! Detection of crashes of the target's process, and of the requests that ran
+//! then.
+//!
+//! The agent runs on the target's own VM, so a refused connection proves that
+//! no process listens there. The agent reports the requests that were
+//! interrupted by a crash to all entry processes, also to those that connect
+//! later. Entry processes decide on a quarantine, since they receive reports
+//! about all targets; see [`cowsliproad_admission::quarantine`].
+//!
+//! The report is sent before the answer to the request, on the same link:
+//! each retry of a crash-inducing request goes to another target, and the
+//! request would crash four of them in the 250 ms between two heartbeats. The
+//! agent also reports that the target's process is gone or back; entry
+//! processes send no requests in between.
+
+use std::{
+    collections::VecDeque,
+    io,
+    sync::{Arc, Mutex},
+    time::Duration,
+};
+
+use cowsliproad_admission::quarantine::{
+    self, CrashId, CrashLedger, QuarantineChange,
+};
+use cowsliproad_kernel::{
+    clock::Millis,
+    code::{Code, Execution},
+    gossip::SuspectedRequest,
+    id,
+    sync::lock,
+    wire::{RequestFailure, TargetPresence},
+};
+use slog::info;
+use tokio::{
+    io::AsyncReadExt,
+    net::TcpStream,
+    sync::Notify,
+    time::{sleep, timeout},
+};
+
+use crate::{gate::TargetGate, links::Links, work::RequestWork};
+
+/// How long a connection on the same VM may take to be accepted or refused.
+const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// Failures within this time belong to one crash: no target restarts faster.
+const MIN_CRASH_INTERVAL: Millis = Millis(300);
+
+/// The delay before a second check for a crash. A process closes its listener
+/// and its connections one after the other, and never restarts this fast.
+const CRASH_RECHECK_DELAY: Duration = Duration::from_millis(50);
+
+/// The time between checks whether the target's process is there, while it is
+/// gone or may still run abandoned requests. A check costs one connection on
+/// the same VM.
+const PRESENCE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// The least time that a target is assumed to run an abandoned request, even
+/// past its deadline. Ten times the usual service time.
+const MIN_ABANDONED_RUN_TIME: Millis = Millis(1_000);
+
+/// The longest delay before reconnecting to a target that closes idle
+/// connections.
+const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(5);
+
+/// The number of abandoned requests tracked, 16 bytes each: enough for all
+/// requests queued inside a target.
+const MAX_ABANDONED_REQUESTS: usize = 256;
+
+/// Tracks crashes of the target's process and whether the process is there.
+#[derive(Debug)]
+pub struct TargetCrashes {
+    target: String,
+    inner: Mutex<CrashState>,
+    /// Wakes the watcher when the process is gone or a request is abandoned.
+    watch_needed: Notify,
+}
+
+#[derive(Debug, Default)]
+struct CrashState {
+    ledger: CrashLedger,
+    /// The last crash and the time it was detected.
+    last_crash: Option<(CrashId, Millis)>,
+    /// Requests whose reports must still be sent to entry processes.
+    unsent_reports: Vec<quarantine::WorkDigest>,
+    presence: TargetPresence,
+    /// Whether a change of the presence must still be sent to entry processes.
+    has_unsent_presence: bool,
+    /// Abandoned requests, each with the time until which the target may still
+    /// run it.
+    abandoned: VecDeque<(quarantine::WorkDigest, Millis)>,
+}
+
+/// The result of the check for a crash after a request failed.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub enum CrashCheck {
+    /// The check is complete.
+    Complete,
+    /// The target still accepts connections, as a crashing process may do for
+    /// a moment; check again.
+    StillListening,
+}
+
+impl TargetCrashes {
+    /// Creates a tracker without crashes for this agent process.
+    pub fn new(target: &str, incarnation: id::Incarnation) -> TargetCrashes {
+        TargetCrashes {
+            target: format!("{target} {incarnation}"),
+            inner: Mutex::default(),
+            watch_needed: Notify::new(),
+        }
+    }
+
+    /// Whether the target's process is running.
+    pub fn presence(&self) -> TargetPresence {
+        lock(&self.inner).presence
+    }
+
+    /// Whether any report must still be sent to entry processes.
+    pub fn has_unsent_reports(&self) -> bool {
+        let inner = lock(&self.inner);
+        inner.has_unsent_presence || !inner.unsent_reports.is_empty()
+    }
+
+    /// Takes the reports that must still be sent to entry processes.
+    pub fn take_unsent_reports(&self) -> Vec<SuspectedRequest> {
+        let mut inner = lock(&self.inner);
+        inner.has_unsent_presence = false;
+        let reports = std::mem::take(&mut inner.unsent_reports);
+        let now = Millis::now();
+        let known = |it: &quarantine::WorkDigest| {
+            inner.ledger.export_suspect(*it, now)
+        };
+        reports.iter().filter_map(known).collect()
+    }
+
+    /// All suspected requests, for an entry process that has just connected.
+    pub fn all_suspects(&self) -> Vec<SuspectedRequest> {
+        let mut inner = lock(&self.inner);
+        let now = Millis::now();
+        inner.ledger.evict_expired_cases(now);
+        inner.ledger.snapshot_suspects(now)
+    }
+
+    /// Records that the target survived a request.
+    pub fn record_survived_request(&self, request: quarantine::WorkDigest) {
+        let mut inner = lock(&self.inner);
+        if inner.ledger.record_survived_request(request, Millis::now())
+            != QuarantineChange::None
+        {
+            inner.unsent_reports.push(request);
+        }
+    }
+
+    fn record_crash_during(&self, request: quarantine::WorkDigest) {
+        let now = Millis::now();
+        let mut inner = lock(&self.inner);
+        let crash = match inner.last_crash {
+            Some((crash, at)) if now.since(at) < MIN_CRASH_INTERVAL => crash,
+            _ => CrashId::new(&self.target, now.0),
+        };
+        inner.last_crash = Some((crash, now));
+        inner.ledger.record_crash(request, crash, now);
+        inner.unsent_reports.push(request);
+    }
+
+    /// Records whether the target's process is running. Returns whether the
+    /// presence changed.
+    fn set_presence(&self, presence: TargetPresence) -> bool {
+        let mut inner = lock(&self.inner);
+        let is_new = inner.presence != presence;
+        inner.presence = presence;
+        inner.has_unsent_presence |= is_new;
+        drop(inner);
+        if presence == TargetPresence::Gone {
+            self.watch_needed.notify_one();
+        }
+        is_new
+    }
+
+    /// Records an abandoned request that the target may still run until
+    /// `until`.
+    fn record_abandoned_request(
+        &self,
+        request: quarantine::WorkDigest,
+        until: Millis,
+    ) {
+        let mut inner = lock(&self.inner);
+        if inner.abandoned.len() >= MAX_ABANDONED_REQUESTS {
+            inner.abandoned.pop_front();
+        }
+        inner.abandoned.push_back((request, until));
+        drop(inner);
+        self.watch_needed.notify_one();
+    }
+
+    /// Whether the target's process must be checked regularly.
+    fn needs_watching(&self) -> bool {
+        let inner = lock(&self.inner);
+        inner.presence == TargetPresence::Gone || !inner.abandoned.is_empty()
+    }
+
+    /// Records that the target was alive at `at`, and clears the abandoned
+    /// requests that it no longer ran then.
+    fn record_alive_at(&self, at: Millis) {
+        lock(&self.inner).abandoned.retain(|it| at < it.1);
+    }
+
+    /// Takes the abandoned requests that the target may have been running.
+    fn take_abandoned_requests(&self) -> Vec<quarantine::WorkDigest> {
+        let abandoned = std::mem::take(&mut lock(&self.inner).abandoned);
+        abandoned.into_iter().map(|it| it.0).collect()
+    }
+}
+
+/// Checks whether the target crashed while it ran a request that failed.
+pub async fn check_for_crash(
+    gate: &TargetGate,
+    work: &RequestWork,
+    failure: RequestFailure,
+) -> CrashCheck {
+    if failure.code != Code::TargetFailed {
+        if failure.ran == Execution::OutcomeUnknown {
+            let until = Millis::now() + MIN_ABANDONED_RUN_TIME;
+            gate.crashes.record_abandoned_request(
+                work.digest(),
+                until.max(work.deadline),
+            );
+        }
+        return CrashCheck::Complete;
+    }
+    let is_gone = is_target_gone(gate).await;
+    match (failure.ran, is_gone) {
+        (Execution::OutcomeUnknown, true) => {
+            report_crash(gate, work);
+            CrashCheck::Complete
+        }
+        (Execution::OutcomeUnknown, false) => CrashCheck::StillListening,
+        // The process was gone before the request was sent.
+        (_, true) => {
+            report_presence(gate, TargetPresence::Gone);
+            CrashCheck::Complete
+        }
+        (_, false) => CrashCheck::Complete,
+    }
+}
+
+/// Checks for a crash once more, after `CRASH_RECHECK_DELAY`.
+pub async fn recheck_for_crash(gate: &TargetGate, work: &RequestWork) {
+    sleep(CRASH_RECHECK_DELAY).await;
+    if is_target_gone(gate).await {
+        report_crash(gate, work);
+    }
+}
+
+/// Watches for the return of a target that is gone, and for a crash while the
+/// target may run abandoned requests. Reports both to entry processes, for as
+/// long as the agent runs.
+pub async fn watch_target_presence(gate: Arc<TargetGate>, links: Arc<Links>) {
+    loop {
+        gate.crashes.watch_needed.notified().await;
+        while gate.crashes.needs_watching() {
+            let check_started = Millis::now();
+            if is_target_gone(&gate).await {
+                report_crash_under_abandoned(&gate);
+                report_presence(&gate, TargetPresence::Gone);
+            } else {
+                gate.crashes.record_alive_at(check_started);
+                report_presence(&gate, TargetPresence::Here);
+            }
+            links.send_unsent_reports();
+            sleep(PRESENCE_CHECK_INTERVAL).await;
+        }
+    }
+}
+
+/// Ends a cooldown early if the target process that asked for it is gone,
+/// since its successor asked for none, and reports it to entry processes. Runs
+/// for as long as the agent runs.
+pub async fn watch_target_during_cooldown(
+    gate: Arc<TargetGate>,
+    links: Arc<Links>,
+) {
+    loop {
+        let changed = gate.pacer.next_change();
+        let left = gate.pacer.remaining_cooldown(Millis::now());
+        if left.0 == 0 {
+            changed.await;
+            continue;
+        }
+        tokio::select! {
+            () = changed => {}
+            () = sleep(left.duration()) => {}
+            () = wait_until_target_gone(&gate) => {
+                report_presence(&gate, TargetPresence::Gone);
+                links.send_unsent_reports();
+            }
+        }
+    }
+}
+
+/// Waits until the target's process is gone. An idle connection, which costs
+/// the process no work, closes when the process exits.
+async fn wait_until_target_gone(gate: &TargetGate) {
+    let mut pause = CRASH_RECHECK_DELAY;
+    loop {
+        match TcpStream::connect(gate.settings.target_address).await {
+            Ok(mut stream) => {
+                let mut bytes = [0; 64];
+                while matches!(stream.read(&mut bytes).await, Ok(1..)) {}
+            }
+            Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
+                return;
+            }
+            Err(_) => {}
+        }
+        // An exiting process may close its listener after its connections.
+        sleep(pause).await;
+        pause = MAX_RECONNECT_DELAY.min(2 * pause);
+    }
+}
+
+/// Records that the target crashed while it may have run abandoned requests.
+fn report_crash_under_abandoned(gate: &TargetGate) {
+    for digest in gate.crashes.take_abandoned_requests() {
+        info!(gate.logger(), "ended_under_left"; "work" => %digest,
+            "target" => %gate.settings.target_address);
+        gate.crashes.record_crash_during(digest);
+    }
+}
+
+fn report_crash(gate: &TargetGate, work: &RequestWork) {
+    let digest = work.digest();
+    info!(gate.logger(), "ended_under";
+        "request" => %work.request, "work" => %digest,
+        "target" => %gate.settings.target_address);
+    gate.crashes.record_crash_during(digest);
+    report_presence(gate, TargetPresence::Gone);
+}
+
+fn report_presence(gate: &TargetGate, presence: TargetPresence) {
+    if presence == TargetPresence::Gone {
+        gate.pacer.reset();
+    }
+    if gate.crashes.set_presence(presence) {
+        info!(gate.logger(), "target_presence";
+            "target" => %gate.settings.target_address, "is" => ?presence);
+    }
+}
+
+async fn is_target_gone(gate: &TargetGate) -> bool {
+    let connecting = TcpStream::connect(gate.settings.target_address);
+    let refused = io::ErrorKind::ConnectionRefused;
+    match timeout(CRASH_CHECK_TIMEOUT, connecting).await {
+        Ok(Err(error)) => error.kind() == refused,
+        // A target that is frozen or overloaded has not crashed.
+        Ok(Ok(_)) | Err(_) => false,
+    }
+}
--- a/cowsliproad-agent/src/gate/submit.rs
+++ b/cowsliproad-agent/src/gate/submit.rs
@@ -1,5 +1,5 @@
-//! Taking work in: with a ticket, with a key or as it comes; see the parent
-//! module.
+//! Admission of submitted requests: with a ticket, with an idempotency key or
+//! with neither; see the parent module.
 
 use std::sync::Arc;
 
@@ -15,28 +15,30 @@
 };
 use slog::{debug, info};
 
-use super::{Gate, Inner, Keyed};
-use crate::work::{Ending, Work};
+use super::{GateState, KeyedRequest, TargetGate};
+use crate::work::{AnswerEnding, RequestWork};
 
-/// The refusal of work that ends the targets that run it. The entry, which
-/// knows of all ends, says when to come back.
+/// Refuses a quarantined request, which crashes the targets that run it. The
+/// entry process, which knows of all crashes, adds the time to retry after.
 const QUARANTINED: RequestFailure = RequestFailure {
     code: Code::Quarantined,
     ran: Execution::NotRun,
     retry_after: None,
 };
 
-impl Gate {
-    /// Takes work in, or finds what an earlier submission left of it.
-    pub fn submit(
+impl TargetGate {
+    /// Admits a request, or finds the work of an earlier submission of it.
+    pub fn submit_request(
         &self,
         submit: &SubmitRequest,
-    ) -> Result<Arc<Work>, RequestFailure> {
+    ) -> Result<Arc<RequestWork>, RequestFailure> {
         let now = Millis::now();
-        let mut inner = self.lock();
+        let mut inner = self.lock_state();
         let outcome = match &submit.ticket {
-            Some(text) => self.submit_ticket(&mut inner, text, submit, now),
-            None => self.submit_plain(&mut inner, submit, now),
+            Some(text) => {
+                self.submit_with_ticket(&mut inner, text, submit, now)
+            }
+            None => self.submit_without_ticket(&mut inner, submit, now),
         };
         drop(inner);
         match &outcome {
@@ -45,10 +47,10 @@
                     "request" => %work.request,
                     "organisation" => %submit.organisation,
                     "type" => %submit.request_type);
-                self.ready.notify_one();
+                self.work_available.notify_one();
             }
             Err(failure) => {
-                self.count(failure.code);
+                self.count_result(failure.code);
                 info!(self.log, "refuse";
                     "request" => %submit.request,
                     "organisation" => %submit.organisation,
@@ -60,14 +62,14 @@
         outcome
     }
 
-    fn submit_ticket(
+    fn submit_with_ticket(
         &self,
-        inner: &mut Inner,
-        text: &[u8],
+        inner: &mut GateState,
+        encoded_ticket: &[u8],
         submit: &SubmitRequest,
         now: Millis,
-    ) -> Result<Arc<Work>, RequestFailure> {
-        let ticket = self.open(text, submit)?;
+    ) -> Result<Arc<RequestWork>, RequestFailure> {
+        let ticket = self.verify_ticket(encoded_ticket, submit)?;
         let leaving = inner.phase == ProcessPhase::Leaving;
         let recalled = submit.mode == SubmitMode::ReportOnly;
         let verdict = if ticket.incarnation == self.incarnation {
@@ -76,8 +78,10 @@
             } else {
                 inner.register.submit(&ticket, now)
             }
-        } else if let Some(it) = inner.inherited.get_mut(&ticket.incarnation) {
-            let then = it.now(now);
+        } else if let Some(it) =
+            inner.inherited_registers.get_mut(&ticket.incarnation)
+        {
+            let then = it.sender_now(now);
             it.register.submit(&ticket, then)
         } else {
             return Err(RequestFailure::new(
@@ -86,9 +90,9 @@
             ));
         };
         match verdict {
-            SubmitVerdict::Run => self.enqueue(inner, submit, now),
+            SubmitVerdict::Run => self.enqueue_work(inner, submit, now),
             SubmitVerdict::Duplicate => {
-                inner.works.get(&ticket.request).cloned().ok_or(
+                inner.work_by_request.get(&ticket.request).cloned().ok_or(
                     RequestFailure::new(Code::AnswerDropped, Execution::Ran),
                 )
             }
@@ -115,29 +119,29 @@
         }
     }
 
-    fn submit_plain(
+    fn submit_without_ticket(
         &self,
-        inner: &mut Inner,
+        inner: &mut GateState,
         submit: &SubmitRequest,
         now: Millis,
-    ) -> Result<Arc<Work>, RequestFailure> {
+    ) -> Result<Arc<RequestWork>, RequestFailure> {
         let key = submit.idempotency_key.as_ref();
         let key = key.map(|it| (submit.organisation.clone(), it.clone()));
         if let Some(key) = &key
-            && let Some(keyed) = inner.keys.get(key)
+            && let Some(keyed) = inner.idempotency_keys.get(key)
         {
-            if keyed.body != blake3::hash(&submit.body) {
+            if keyed.body_hash != blake3::hash(&submit.body) {
                 return Err(RequestFailure::new(
                     Code::KeyReused,
                     Execution::NotRun,
                 ));
             }
-            let known = inner.works.get(&keyed.request);
+            let known = inner.work_by_request.get(&keyed.request);
             if let Some(work) = known.filter(|it| !has_failed(it)) {
                 return Ok(work.clone());
             }
         }
-        let known = inner.works.get(&submit.request);
+        let known = inner.work_by_request.get(&submit.request);
         if let Some(work) = known.filter(|it| !has_failed(it)) {
             let own = work.organisation == submit.organisation;
             let foreign = RequestFailure::new(
@@ -152,21 +156,24 @@
         if inner.phase == ProcessPhase::Leaving {
             return Err(RequestFailure::new(Code::Leaving, Execution::NotRun));
         }
-        let work = self.enqueue(inner, submit, now)?;
+        let work = self.enqueue_work(inner, submit, now)?;
         if let Some(key) = key {
-            let body = blake3::hash(&submit.body);
-            inner.keys.insert(key, Keyed { request: work.request, body });
+            let body_hash = blake3::hash(&submit.body);
+            inner.idempotency_keys.insert(
+                key,
+                KeyedRequest { request: work.request, body_hash },
+            );
         }
         Ok(work)
     }
 
-    fn enqueue(
+    fn enqueue_work(
         &self,
-        inner: &mut Inner,
+        inner: &mut GateState,
         submit: &SubmitRequest,
         now: Millis,
-    ) -> Result<Arc<Work>, RequestFailure> {
-        let work = Arc::new(Work::new(submit, now));
+    ) -> Result<Arc<RequestWork>, RequestFailure> {
+        let work = Arc::new(RequestWork::new(submit, now));
         let item = QueueItem {
             organisation: submit.organisation.clone(),
             organisation_weight: submit.queue_weight,
@@ -174,14 +181,18 @@
             deadline: work.deadline,
             work: work.clone(),
         };
-        let pace = self.speed(inner);
-        // With a free slot nothing waits, so only the deadline can refuse.
-        match inner.queue.push(item, pace, now) {
+        let service_rate = self.service_rate(inner);
+        // With a free slot the queue is empty, so `push` refuses only for the
+        // deadline.
+        match inner.queue.push(item, service_rate, now) {
             PushOutcome::Queued => {}
             PushOutcome::Displaced(loser, wait) => {
                 let failure =
                     RequestFailure::new(Code::Shed, Execution::NotRun);
-                inner.give_up(&loser.work, failure.with_retry_after(wait));
+                inner.fail_unsent_work(
+                    &loser.work,
+                    failure.with_retry_after(wait),
+                );
             }
             PushOutcome::Refused(_, wait) => {
                 inner.register.refuse_unsent_ticket(work.request);
@@ -192,19 +203,19 @@
                 .with_retry_after(wait));
             }
         }
-        inner.count += 1;
-        inner.works.insert(work.request, work.clone());
+        inner.accepted_total += 1;
+        inner.work_by_request.insert(work.request, work.clone());
         Ok(work)
     }
 
-    fn open(
+    fn verify_ticket(
         &self,
-        text: &[u8],
+        encoded_ticket: &[u8],
         submit: &SubmitRequest,
     ) -> Result<Ticket, RequestFailure> {
         let forged =
             RequestFailure::new(Code::ForgedToken, Execution::NotForwarded);
-        let text = std::str::from_utf8(text).map_err(|_| forged)?;
+        let text = std::str::from_utf8(encoded_ticket).map_err(|_| forged)?;
         let ticket =
             ticket::verify(text, &self.ticket_key).map_err(|_| forged)?;
         let fits = ticket.purpose == TokenPurpose::Ticket
@@ -221,6 +232,6 @@
     }
 }
 
-fn has_failed(work: &Work) -> bool {
-    matches!(work.ending(), Some(Ending::Failed(_)))
+fn has_failed(work: &RequestWork) -> bool {
+    matches!(work.ending(), Some(AnswerEnding::Failed(_)))
 }
--- a/cowsliproad-agent/src/handover.rs
+++ b/cowsliproad-agent/src/handover.rs
@@ -1,10 +1,10 @@
-//! The graceful stop.
+//! The graceful stop of an agent and the handover to a peer.
 //!
-//! A stopping agent first refuses new work, then finishes what it has, then
-//! hands its ticket records and kept answers to a peer agent of the same
-//! service, preferably in its own availability zone. The peer announces in
-//! its heartbeats that it answers for the stopped process, so the planned
-//! restarts of every day leave no outcome unknown.
+//! A stopping agent first refuses new requests, then finishes the accepted
+//! ones, then hands its ticket records and kept answers to a peer agent of the
+//! same service, preferably in its own availability zone. The peer announces
+//! in its heartbeats that it answers for the stopped process, so a planned
+//! restart leaves no outcome unknown.
 
 use std::time::Duration;
 
@@ -19,79 +19,83 @@
 use slog::{info, warn};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::{Agent, gate::Estate};
+use crate::{Agent, gate::HandoverData};
 
-/// How often the stop looks whether the work is done.
-const POLL: Duration = Duration::from_millis(10);
+/// The time between checks whether all accepted requests are finished.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long entries get to hear that the agent is leaving and to read the
-/// ends of answers.
-const LINGER: Duration = Duration::from_millis(300);
+/// How long a stopping agent stays up after the handover, so that entry
+/// processes learn that it is leaving and receive the ends of answers.
+const EXIT_DELAY: Duration = Duration::from_millis(300);
 
-/// How long a peer may take to confirm.
-const CONFIRM: Duration = Duration::from_secs(5);
+/// How long a peer may take to confirm a handover.
+const HANDOVER_CONFIRM_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long an agent that knows no peers waits to hear of them.
-const CONFIGURATION: Duration = Duration::from_secs(1);
+/// How long a stopping agent without known peers waits for the configuration
+/// that lists them.
+const PEER_DISCOVERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How often it asks for them.
-const ASK_AGAIN: Duration = Duration::from_millis(50);
+/// The time between requests for the configuration while no peer is known.
+const CONFIG_REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Bytes of answers in one message.
-const CHUNK: usize = 4 << 20;
+/// The size from which a handover message takes no further answers.
+const HANDOVER_CHUNK_BYTES: usize = 4 << 20;
 
-/// Stops an agent gracefully.
-pub async fn stop(agent: &Agent) {
-    agent.gate.leave();
-    agent.links.beat();
-    let deadline = Instant::now() + agent.settings.stop_ms.duration();
-    while agent.gate.in_hand() > 0 && Instant::now() < deadline {
-        sleep(POLL).await;
+/// Stops an agent gracefully: drains its requests and hands its data to a peer.
+pub async fn stop_gracefully(agent: &Agent) {
+    agent.gate.start_leaving();
+    agent.links.send_heartbeats();
+    let deadline = Instant::now() + agent.settings.drain_timeout.duration();
+    while agent.gate.unfinished_requests() > 0 && Instant::now() < deadline {
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
-    let peers = find_peers(agent).await;
-    let estate = agent.gate.hand_over();
+    let peers = wait_for_peers(agent).await;
+    let handover_data = agent.gate.seal_for_handover();
     for peer in peers {
-        if hand_to(agent, &peer, &estate).await {
+        if hand_over_to_peer(agent, &peer, &handover_data).await {
             info!(agent.log, "handed_over";
                 "peer" => %peer.name,
-                "answers" => estate.answers.len());
+                "answers" => handover_data.answers.len());
             break;
         }
         warn!(agent.log, "handover_failed"; "peer" => %peer.name);
     }
-    sleep(LINGER).await;
+    sleep(EXIT_DELAY).await;
 }
 
-/// The agents that could take over. An agent may stop before it has heard
-/// of them, so it asks the entries for the latest configuration first.
-async fn find_peers(agent: &Agent) -> Vec<Target> {
-    let deadline = Instant::now() + CONFIGURATION;
+/// Finds the agents that can take over. An agent that stops before its
+/// configuration lists any first requests the latest configuration from entry
+/// processes.
+async fn wait_for_peers(agent: &Agent) -> Vec<Target> {
+    let deadline = Instant::now() + PEER_DISCOVERY_TIMEOUT;
     loop {
-        let found = peers(agent);
+        let found = known_peers(agent);
         if !found.is_empty() || Instant::now() >= deadline {
             return found;
         }
-        agent.links.pull();
-        sleep(ASK_AGAIN).await;
+        agent.links.request_config();
+        sleep(CONFIG_REQUEST_INTERVAL).await;
     }
 }
 
-/// Reads the ticket records in a handover.
-pub fn decode(bytes: &[u8]) -> Option<TicketRegister> {
+/// Decodes the ticket register of a handover, or returns `None` if the bytes
+/// are invalid.
+pub fn decode_ticket_register(bytes: &[u8]) -> Option<TicketRegister> {
     ciborium::from_reader(bytes).ok()
 }
 
-/// The other agents of the service, those of the same zone first.
-fn peers(agent: &Agent) -> Vec<Target> {
-    let name = &agent.settings.name;
-    let mut peers = agent.replica.with(|state| {
+/// The targets of the same service whose agents can take over, those in the
+/// same availability zone first.
+fn known_peers(agent: &Agent) -> Vec<Target> {
+    let name = &agent.settings.target_name;
+    let mut peers = agent.replica.with_config(|state| {
         let targets = state.objects().filter_map(|it| match &it.object {
             Object::Target(target) => Some(target.clone()),
             _ => None,
         });
         let targets: Vec<Target> = targets.collect();
-        let own = targets.iter().find(|it| it.name == *name).cloned();
-        let service = own.map(|it| it.service);
+        let own_target = targets.iter().find(|it| it.name == *name).cloned();
+        let service = own_target.map(|it| it.service);
         let peers = targets.into_iter().filter(|it| {
             it.name != *name && Some(&it.service) == service.as_ref()
         });
@@ -101,39 +105,47 @@
     peers
 }
 
-async fn hand_to(agent: &Agent, peer: &Target, estate: &Estate) -> bool {
+async fn hand_over_to_peer(
+    agent: &Agent,
+    peer: &Target,
+    handover_data: &HandoverData,
+) -> bool {
     let identity = Identity {
         role: ProcessRole::Agent,
-        name: agent.settings.name.clone(),
+        name: agent.settings.target_name.clone(),
         zone: agent.settings.zone.clone(),
-        key: agent.settings.key.0,
+        key: agent.settings.shared_key.0,
         source_address: None,
     };
-    let Ok((sender, mut receiver, beat)) =
+    let Ok((sender, mut receiver, heartbeat)) =
         link::dial(peer.agent_address, &identity).await
     else {
         return false;
     };
-    if beat.phase != cowsliproad_kernel::wire::ProcessPhase::Serving {
+    if heartbeat.phase != cowsliproad_kernel::wire::ProcessPhase::Serving {
         return false;
     }
-    let sent = send(&sender, estate).await;
-    let Some(last) = sent else { return false };
+    let confirmation = send_handover(&sender, handover_data).await;
+    let Some(incarnation) = confirmation else { return false };
     let confirmed = async {
         while let Some(frame) = receiver.recv().await {
-            if frame == Frame::HandoverDone(last) {
+            if frame == Frame::HandoverDone(incarnation) {
                 return true;
             }
         }
         false
     };
-    timeout(CONFIRM, confirmed).await.unwrap_or(false)
+    timeout(HANDOVER_CONFIRM_TIMEOUT, confirmed).await.unwrap_or(false)
 }
 
-/// Sends everything and tells which message confirms it.
-async fn send(sender: &Sender, estate: &Estate) -> Option<id::Incarnation> {
-    let own = estate.registers.first()?.incarnation;
-    for chunk in chunks(&estate.answers) {
+/// Sends all handover data. Returns the incarnation that the peer's
+/// confirmation must carry, or `None` if the link breaks.
+async fn send_handover(
+    sender: &Sender,
+    handover_data: &HandoverData,
+) -> Option<id::Incarnation> {
+    let own = handover_data.registers.first()?.incarnation;
+    for chunk in split_into_chunks(&handover_data.answers) {
         let handover = Handover {
             incarnation: own,
             sender_clock: Millis(0),
@@ -143,8 +155,8 @@
         };
         sender.send(Frame::Handover(Box::new(handover))).await.ok()?;
     }
-    // The process's own records go last, since they end the handover.
-    for (index, sealed) in estate.registers.iter().enumerate().rev() {
+    // The agent's own register goes last, since it ends the handover.
+    for (index, sealed) in handover_data.registers.iter().enumerate().rev() {
         let mut encoded_tickets = Vec::new();
         ciborium::into_writer(&sealed.register, &mut encoded_tickets).ok()?;
         let handover = Handover {
@@ -159,16 +171,16 @@
     Some(own)
 }
 
-fn chunks(answers: &[StoredAnswer]) -> Vec<Vec<StoredAnswer>> {
+fn split_into_chunks(answers: &[StoredAnswer]) -> Vec<Vec<StoredAnswer>> {
     let mut chunks = Vec::new();
     let mut chunk = Vec::new();
-    let mut size = 0;
+    let mut chunk_bytes = 0;
     for answer in answers {
-        size += answer.result.as_ref().map_or(0, |it| it.bytes.len());
+        chunk_bytes += answer.result.as_ref().map_or(0, |it| it.bytes.len());
         chunk.push(answer.clone());
-        if size >= CHUNK {
+        if chunk_bytes >= HANDOVER_CHUNK_BYTES {
             chunks.push(std::mem::take(&mut chunk));
-            size = 0;
+            chunk_bytes = 0;
         }
     }
     chunks.push(chunk);
--- a/cowsliproad-agent/src/http.rs
+++ b/cowsliproad-agent/src/http.rs
@@ -11,31 +11,33 @@
 use http::StatusCode;
 use volo_http::{request::Request, response::Response};
 
-use crate::{gate::Gate, settings::Settings};
+use crate::{gate::TargetGate, settings::Settings};
 
-struct Front {
-    gate: Arc<Gate>,
+struct HealthServer {
+    gate: Arc<TargetGate>,
     metrics: Metrics,
 }
 
-pub(crate) async fn start(
+pub(crate) async fn start_http_server(
     settings: &Settings,
-    gate: &Arc<Gate>,
+    gate: &Arc<TargetGate>,
     metrics: &Metrics,
     accept_handle: &AcceptHandle,
 ) -> io::Result<SocketAddr> {
-    let front = Front { gate: gate.clone(), metrics: metrics.clone() };
-    let listener = Listener::bind(settings.http, accept_handle).await?;
+    let health_server =
+        HealthServer { gate: gate.clone(), metrics: metrics.clone() };
+    let listener =
+        Listener::bind(settings.http_listen_address, accept_handle).await?;
     let address = listener.address();
     tokio::spawn(server::serve(
         listener,
-        Arc::new(front),
+        Arc::new(health_server),
         accept_handle.clone(),
     ));
     Ok(address)
 }
 
-impl Handler for Front {
+impl Handler for HealthServer {
     async fn handle(&self, request: Request) -> Response {
         match request.uri().path() {
             "/livez" => reply::text(StatusCode::OK, "live\n"),
--- a/cowsliproad-agent/src/lib.rs
+++ b/cowsliproad-agent/src/lib.rs
@@ -1,25 +1,27 @@
-//! The agent: the one gate in front of a target.
+//! The agent: a proxy that admits all requests for one target.
 //!
-//! An agent runs in the process slot of a target's VM. All work for the
-//! target comes through it, which is what makes its word on "not run" true:
-//! it records a ticket before it calls the target and calls once. It queues
-//! by urgency and deadline, keeps answers for callers whose entry died, and
-//! on a graceful stop hands its records to a peer agent.
+//! An agent runs in the process slot of a target's VM. All requests for the
+//! target pass through the agent, so its result "not run" is reliable: the
+//! agent records a ticket before it calls the target, and calls once. It
+//! queues requests by urgency and deadline, keeps answers for callers whose
+//! entry process crashed, and on a graceful stop hands its records to a peer
+//! agent.
 //!
 //! * [`gate`]: admission, the queue, tickets and kept answers;
-//! * [`work`]: one request and its growing answer;
-//! * [`ends`]: work under which the target's process ended;
-//! * [`adapter`]: how the target is spoken to, one plug-in for each kind;
-//! * [`pace`]: how many requests a second the target takes;
-//! * [`links`]: entries' links and what is said on them;
-//! * [`handover`]: the graceful stop;
-//! * [`replica`]: the configuration, kept for entries that start while the
-//!   log is down.
+//! * [`work`]: one accepted request and its answer as it arrives;
+//! * [`crashes`]: crashes of the target's process and the requests that ran
+//!   then;
+//! * [`adapter`]: sending requests to targets, one plug-in for each kind;
+//! * [`pace`]: the target's rate limit and cooldown;
+//! * [`links`]: the links to entry processes and the frames on them;
+//! * [`handover`]: the graceful stop and the handover to a peer;
+//! * [`replica`]: a copy of the configuration for entry processes that start
+//!   while the log is down.
 
 #![forbid(unsafe_code)]
 
 pub mod adapter;
-pub mod ends;
+pub mod crashes;
 pub mod gate;
 pub mod handover;
 mod http;
@@ -39,62 +41,71 @@
 use tokio::net::TcpListener;
 
 use crate::{
-    adapter::Plugin, gate::Gate, links::Links, replica::Replica,
-    settings::Settings,
+    adapter::AdapterPlugin, gate::TargetGate, links::Links,
+    replica::ConfigReplica, settings::Settings,
 };
 
 /// A running agent.
 #[derive(Clone, Debug)]
 pub struct Agent {
-    /// Its settings.
+    /// The agent's settings.
     pub settings: Arc<Settings>,
-    /// Its gate.
-    pub gate: Arc<Gate>,
-    /// Its copy of the configuration.
-    pub replica: Arc<Replica>,
-    /// Its links.
+    /// The gate that admits and queues the target's requests.
+    pub gate: Arc<TargetGate>,
+    /// The agent's copy of the configuration.
+    pub replica: Arc<ConfigReplica>,
+    /// The open links to entry processes and peer agents.
     pub links: Arc<Links>,
-    /// Its metrics.
+    /// The agent's metrics.
     pub metrics: Metrics,
-    /// Its logger.
+    /// The agent's logger.
     pub log: Logger,
-    /// Where it listens for links.
-    pub address: SocketAddr,
-    /// Where it answers `/readyz` and `/metrics`.
-    pub http: SocketAddr,
+    /// The address on which the agent accepts links.
+    pub link_address: SocketAddr,
+    /// The address on which the agent serves `/livez`, `/readyz` and
+    /// `/metrics`.
+    pub http_address: SocketAddr,
     accept_handle: AcceptHandle,
 }
 
-/// Starts an agent's tasks.
-pub async fn start(
+/// Starts an agent and its background tasks.
+pub async fn start_agent(
     settings: Settings,
-    threads: Runtimes,
+    runtimes: Runtimes,
 ) -> io::Result<Agent> {
     let settings = Arc::new(settings);
-    let log = log::logger("agent", &settings.name, settings.log);
+    let log = log::logger("agent", &settings.target_name, settings.log_level);
     let metrics = Metrics::new();
-    let gate = Gate::new(settings.clone(), log.new(o!()), &metrics.meter());
+    let gate =
+        TargetGate::new(settings.clone(), log.new(o!()), &metrics.meter());
     let gate = Arc::new(gate);
-    let adapter = plugin::find::<Plugin>(&settings.adapter)
+    let adapter = plugin::find::<AdapterPlugin>(&settings.adapter_name)
         .ok_or_else(|| io::Error::other("no such adapter"))?;
-    (adapter.start)(gate.clone(), &threads.traffic_runtime);
-    let replica = Arc::new(Replica::new());
-    let listener = TcpListener::bind(settings.listen).await?;
-    let address = listener.local_addr()?;
+    (adapter.start)(gate.clone(), &runtimes.traffic_runtime);
+    let replica = Arc::new(ConfigReplica::new());
+    let listener = TcpListener::bind(settings.link_listen_address).await?;
+    let link_address = listener.local_addr()?;
     let links = Links::new(gate.clone(), replica.clone(), log.new(o!()));
     let links = Arc::new(links);
-    threads.traffic_runtime.spawn(links::accept(links.clone(), listener));
-    threads.control_runtime.spawn(links::beat(links.clone()));
-    threads.control_runtime.spawn(gate::sweep(gate.clone()));
-    threads.control_runtime.spawn(ends::follow(gate.clone(), links.clone()));
-    let watch = ends::watch_cooldown(gate.clone(), links.clone());
-    threads.control_runtime.spawn(watch);
+    runtimes
+        .traffic_runtime
+        .spawn(links::accept_links(links.clone(), listener));
+    runtimes.control_runtime.spawn(links::run_heartbeats(links.clone()));
+    runtimes.control_runtime.spawn(gate::sweep_queue(gate.clone()));
+    runtimes
+        .control_runtime
+        .spawn(crashes::watch_target_presence(gate.clone(), links.clone()));
+    let cooldown_watch =
+        crashes::watch_target_during_cooldown(gate.clone(), links.clone());
+    runtimes.control_runtime.spawn(cooldown_watch);
     let accept_handle = AcceptHandle::new();
-    let http = http::start(&settings, &gate, &metrics, &accept_handle).await?;
+    let http_address =
+        http::start_http_server(&settings, &gate, &metrics, &accept_handle)
+            .await?;
     info!(log, "start";
-        "listen" => %address,
-        "target" => %settings.target,
-        "adapter" => settings.adapter.as_str(),
+        "listen" => %link_address,
+        "target" => %settings.target_address,
+        "adapter" => settings.adapter_name.as_str(),
         "incarnation" => %gate.incarnation());
     Ok(Agent {
         settings,
@@ -103,16 +114,17 @@
         links,
         metrics,
         log,
-        address,
-        http,
+        link_address,
+        http_address,
         accept_handle,
     })
 }
 
 impl Agent {
-    /// Finishes what it has, hands its records to a peer and returns.
-    pub async fn stop(&self) {
-        handover::stop(self).await;
+    /// Finishes the accepted requests, hands the records to a peer agent, then
+    /// returns.
+    pub async fn stop_gracefully(&self) {
+        handover::stop_gracefully(self).await;
         self.accept_handle.stop_accepting();
     }
 }
--- a/cowsliproad-agent/src/links.rs
+++ b/cowsliproad-agent/src/links.rs
@@ -1,8 +1,8 @@
-//! Entries' links and what is said on them.
+//! The links to entry processes and the frames exchanged on them.
 //!
-//! Each attempt on a link has a task that reads the work's answer at the
-//! pace of the entry's acknowledgements. A slow caller therefore holds up
-//! neither the target nor the other callers on the same link.
+//! Each attempt on a link has a task that sends the answer as fast as the
+//! entry process acknowledges it. A slow caller therefore delays neither the
+//! target nor the other callers on the same link.
 
 use std::{
     collections::HashMap,
@@ -33,288 +33,326 @@
 };
 
 use crate::{
-    gate::Gate,
-    replica::Replica,
-    work::{Ending, Piece, Work},
+    gate::TargetGate,
+    replica::ConfigReplica,
+    work::{AnswerEnding, AnswerPiece, RequestWork},
 };
 
 /// The time between heartbeats.
-pub const BEAT: Duration = Duration::from_millis(250);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long work whose link broke waits for its caller to come back.
-const LINK_GRACE: Duration = Duration::from_millis(2_000);
+/// How long a request whose link broke waits for its caller to reconnect.
+const RECONNECT_GRACE_TIME: Duration = Duration::from_millis(2_000);
 
-/// Answer bytes in one frame.
-const PIECE: usize = 16 << 10;
+/// The largest number of answer bytes in one frame.
+const MAX_ANSWER_FRAME_BYTES: usize = 16 << 10;
 
-/// The links of an agent.
+/// All open links of an agent to entry processes and peer agents.
 #[derive(Debug)]
 pub struct Links {
-    gate: Arc<Gate>,
-    replica: Arc<Replica>,
+    gate: Arc<TargetGate>,
+    replica: Arc<ConfigReplica>,
     log: Logger,
-    open: Mutex<Vec<Sender>>,
+    open_links: Mutex<Vec<Sender>>,
 }
 
 impl Links {
-    /// No links yet.
-    pub fn new(gate: Arc<Gate>, replica: Arc<Replica>, log: Logger) -> Links {
-        Links { gate, replica, log, open: Mutex::default() }
+    /// Creates an agent's link set without open links.
+    pub fn new(
+        gate: Arc<TargetGate>,
+        replica: Arc<ConfigReplica>,
+        log: Logger,
+    ) -> Links {
+        Links { gate, replica, log, open_links: Mutex::default() }
     }
 
-    /// Sends a heartbeat on every link, and news of the target's ends.
-    pub fn beat(&self) {
-        self.beat_on(self.lock());
+    /// Sends a heartbeat and the unsent crash reports on every link.
+    pub fn send_heartbeats(&self) {
+        self.send_heartbeats_on(self.lock_open_links());
     }
 
-    /// Has every entry know of the target's ends before it hears what is
-    /// sent next.
-    pub fn tell_news(&self) {
-        // Under the lock, so that whoever took the news has passed it on.
-        let open = self.lock();
-        if self.gate.ends.has_news() || self.gate.pace.has_news() {
-            self.beat_on(open);
+    /// Sends unsent crash and cooldown reports to every entry process, ahead of
+    /// any frame that is sent after this call.
+    pub fn send_unsent_reports(&self) {
+        // The lock is held until all links have the reports, so a concurrent
+        // caller can't return before the reports are sent.
+        let open_links = self.lock_open_links();
+        if self.gate.crashes.has_unsent_reports()
+            || self.gate.pacer.has_unsent_cooldown()
+        {
+            self.send_heartbeats_on(open_links);
         }
     }
 
-    fn beat_on(&self, mut open: MutexGuard<'_, Vec<Sender>>) {
-        let news = self.gate.ends.take_news();
-        self.gate.pace.take_news();
-        let beat = Frame::Heartbeat(self.gate.beat(self.replica.next()));
-        open.retain(|link| !link.is_closed());
-        for link in open.iter() {
-            // A full queue means that the peer will hear of us anyway.
+    fn send_heartbeats_on(&self, mut open_links: MutexGuard<'_, Vec<Sender>>) {
+        let reports = self.gate.crashes.take_unsent_reports();
+        self.gate.pacer.mark_cooldown_sent();
+        let beat = Frame::Heartbeat(
+            self.gate.build_heartbeat(self.replica.next_offset()),
+        );
+        open_links.retain(|link| !link.is_closed());
+        for link in open_links.iter() {
+            // A full send queue keeps the link alive without a heartbeat.
             let _ = link.try_send(beat.clone());
-            if !news.is_empty() {
-                tell(link, news.clone());
+            if !reports.is_empty() {
+                send_suspects(link, reports.clone());
             }
         }
     }
 
-    /// Asks every peer for the configuration that is lacking.
-    pub fn pull(&self) {
-        let pull = Frame::PullConfig(self.replica.next());
-        for link in self.lock().iter() {
-            // A full queue means a busy peer; others are asked too.
+    /// Requests newer configuration records from the peer of every link.
+    pub fn request_config(&self) {
+        let pull = Frame::PullConfig(self.replica.next_offset());
+        for link in self.lock_open_links().iter() {
+            // A full send queue means a busy peer; the other peers are asked
+            // too.
             let _ = link.try_send(pull.clone());
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Sender>> {
-        lock(&self.open)
+    fn lock_open_links(&self) -> MutexGuard<'_, Vec<Sender>> {
+        lock(&self.open_links)
     }
 }
 
-/// Tells an entry of work that ended the target, also on a busy link.
-fn tell(link: &Sender, suspects: Vec<SuspectedRequest>) {
+/// Sends suspected requests to an entry process, also when the send queue of
+/// the link is full.
+fn send_suspects(link: &Sender, suspects: Vec<SuspectedRequest>) {
     let frame = Frame::SuspectedRequests(suspects);
     if link.try_send(frame.clone()).is_ok() {
         return;
     }
     let link = link.clone();
     tokio::spawn(async move {
-        // An entry whose link is gone is told all when it links again.
+        // If the link breaks, the entry process receives all suspected requests
+        // when it reconnects.
         let _ = link.send(frame).await;
     });
 }
 
 /// Sends heartbeats for as long as the agent runs.
-pub async fn beat(links: Arc<Links>) {
+pub async fn run_heartbeats(links: Arc<Links>) {
     loop {
-        sleep(BEAT).await;
-        links.beat();
+        sleep(HEARTBEAT_INTERVAL).await;
+        links.send_heartbeats();
     }
 }
 
 /// Accepts links for as long as the agent runs.
-pub async fn accept(links: Arc<Links>, listener: TcpListener) {
+pub async fn accept_links(links: Arc<Links>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((tcp, _)) => {
-                tokio::spawn(serve(links.clone(), tcp));
+                tokio::spawn(serve_link(links.clone(), tcp));
             }
-            Err(_) => sleep(BEAT).await,
+            Err(_) => sleep(HEARTBEAT_INTERVAL).await,
         }
     }
 }
 
-async fn serve(links: Arc<Links>, tcp: TcpStream) {
-    let key = links.gate.settings.key.0;
-    let beat = links.gate.beat(links.replica.next());
-    let (sender, receiver, hello) = match link::accept(tcp, &key, beat).await {
-        Ok(accepted) => accepted,
-        Err(error) => {
-            warn!(links.log, "link_refused"; "error" => %error);
-            return;
-        }
-    };
-    info!(links.log, "link_open"; "peer" => %hello.name);
-    let known = links.gate.ends.known();
-    if !known.is_empty() {
-        tell(&sender, known);
+async fn serve_link(links: Arc<Links>, tcp: TcpStream) {
+    let key = links.gate.settings.shared_key.0;
+    let beat = links.gate.build_heartbeat(links.replica.next_offset());
+    let (sender, receiver, peer_hello) =
+        match link::accept(tcp, &key, beat).await {
+            Ok(accepted) => accepted,
+            Err(error) => {
+                warn!(links.log, "link_refused"; "error" => %error);
+                return;
+            }
+        };
+    info!(links.log, "link_open"; "peer" => %peer_hello.name);
+    let suspects = links.gate.crashes.all_suspects();
+    if !suspects.is_empty() {
+        send_suspects(&sender, suspects);
     }
-    links.lock().push(sender.clone());
+    links.lock_open_links().push(sender.clone());
     let session =
-        Session { links: links.clone(), sender, attempts: HashMap::new() };
-    session.run(receiver).await;
-    info!(links.log, "link_closed"; "peer" => %hello.name);
+        LinkSession { links: links.clone(), sender, attempts: HashMap::new() };
+    session.run_session(receiver).await;
+    info!(links.log, "link_closed"; "peer" => %peer_hello.name);
 }
 
-/// One link.
-struct Session {
+/// An open link and the attempts that receive answers on it.
+struct LinkSession {
     links: Arc<Links>,
     sender: Sender,
-    attempts: HashMap<id::Attempt, Listener>,
+    attempts: HashMap<id::Attempt, AttemptListener>,
 }
 
-/// An attempt that listens to work.
-struct Listener {
-    work: Arc<Work>,
-    window: Arc<Window>,
+/// An attempt that receives the answer of a request.
+struct AttemptListener {
+    work: Arc<RequestWork>,
+    window: Arc<AnswerWindow>,
     task: AbortHandle,
 }
 
-impl Session {
-    async fn run(mut self, mut receiver: Receiver) {
+impl LinkSession {
+    async fn run_session(mut self, mut receiver: Receiver) {
         while let Some(frame) = receiver.recv().await {
-            self.take(frame).await;
+            self.handle_frame(frame).await;
         }
         for (_, listener) in self.attempts.drain() {
             listener.task.abort();
-            tokio::spawn(part_later(self.links.gate.clone(), listener.work));
+            tokio::spawn(detach_after_grace_time(
+                self.links.gate.clone(),
+                listener.work,
+            ));
         }
     }
 
-    async fn take(&mut self, frame: Frame) {
+    async fn handle_frame(&mut self, frame: Frame) {
         match frame {
-            Frame::SubmitRequest(submit) => self.submit(*submit),
-            Frame::ReclaimAnswer(reclaim) => self.reclaim(&reclaim),
+            Frame::SubmitRequest(submit) => self.submit_request(*submit),
+            Frame::ReclaimAnswer(reclaim) => self.reclaim_answer(&reclaim),
             Frame::AnswerAck(ack) => {
                 if let Some(listener) = self.attempts.get(&ack.attempt) {
-                    listener.window.open(ack.delivered_bytes);
+                    listener.window.acknowledge(ack.delivered_bytes);
                 }
             }
-            Frame::Detach(attempt) => self.detach(attempt),
+            Frame::Detach(attempt) => self.detach_attempt(attempt),
             Frame::CancelRequest(cancel) => {
-                let failure = self.links.gate.cancel(&cancel);
-                self.refuse(cancel.attempt, failure);
+                let failure = self.links.gate.cancel_request(&cancel);
+                self.send_refusal(cancel.attempt, failure);
             }
             Frame::ConfigRecords(records) => {
-                let answer = self.links.replica.records(&records);
-                self.answer(answer).await;
+                let reply = self.links.replica.apply_records(&records);
+                self.send_reply(reply).await;
             }
             Frame::ConfigSnapshot(snapshot) => {
-                self.links.replica.snapshot(&snapshot);
+                self.links.replica.apply_snapshot(&snapshot);
             }
             Frame::PullConfig(next) => {
-                let answer = self.links.replica.pull(next);
-                self.answer(answer).await;
+                let reply = self.links.replica.snapshot_for_peer(next);
+                self.send_reply(reply).await;
             }
-            Frame::Handover(handover) => self.inherit(*handover).await,
-            // Heartbeats of entries only keep the link from falling silent.
+            Frame::Handover(handover) => self.accept_handover(*handover).await,
+            // Heartbeats of entry processes only keep the link alive.
             _ => {}
         }
     }
 
-    fn submit(&mut self, submit: SubmitRequest) {
+    fn submit_request(&mut self, submit: SubmitRequest) {
         let attempt = submit.attempt;
-        match self.links.gate.submit(&submit) {
-            Ok(work) => self.listen(attempt, work, 0),
-            Err(failure) => self.refuse(attempt, failure),
+        match self.links.gate.submit_request(&submit) {
+            Ok(work) => self.start_sending_answer(attempt, work, 0),
+            Err(failure) => self.send_refusal(attempt, failure),
         }
     }
 
-    fn reclaim(&mut self, reclaim: &ReclaimAnswer) {
-        match self.links.gate.reclaim(reclaim) {
-            Ok(work) => {
-                self.listen(reclaim.attempt, work, reclaim.first_byte_offset)
-            }
-            Err(failure) => self.refuse(reclaim.attempt, failure),
+    fn reclaim_answer(&mut self, reclaim: &ReclaimAnswer) {
+        match self.links.gate.find_work_to_reclaim(reclaim) {
+            Ok(work) => self.start_sending_answer(
+                reclaim.attempt,
+                work,
+                reclaim.first_byte_offset,
+            ),
+            Err(failure) => self.send_refusal(reclaim.attempt, failure),
         }
     }
 
-    fn listen(&mut self, attempt: id::Attempt, work: Arc<Work>, from: u64) {
-        work.attach();
+    fn start_sending_answer(
+        &mut self,
+        attempt: id::Attempt,
+        work: Arc<RequestWork>,
+        first_byte_offset: u64,
+    ) {
+        work.add_listener();
         self.attempts.retain(|_, listener| !listener.task.is_finished());
-        let window = Arc::new(Window::new(from));
-        let reader = Reader {
+        let window = Arc::new(AnswerWindow::new(first_byte_offset));
+        let answer_sender = AnswerSender {
             attempt,
             work: work.clone(),
             sender: self.sender.clone(),
             window: window.clone(),
             links: self.links.clone(),
         };
-        let task = tokio::spawn(reader.run(from)).abort_handle();
-        let listener = Listener { work, window, task };
+        let task = tokio::spawn(answer_sender.send_answer(first_byte_offset))
+            .abort_handle();
+        let listener = AttemptListener { work, window, task };
         self.attempts.insert(attempt, listener);
     }
 
-    fn detach(&mut self, attempt: id::Attempt) {
+    fn detach_attempt(&mut self, attempt: id::Attempt) {
         let Some(listener) = self.attempts.remove(&attempt) else { return };
         listener.task.abort();
-        listener.work.detach();
-        self.links.gate.abandon(&listener.work);
+        listener.work.remove_listener();
+        self.links.gate.abandon_unwanted_work(&listener.work);
     }
 
-    fn refuse(&self, attempt: id::Attempt, failure: wire::RequestFailure) {
-        let frame = refusal(attempt, failure);
+    fn send_refusal(
+        &self,
+        attempt: id::Attempt,
+        failure: wire::RequestFailure,
+    ) {
+        let frame = refusal_frame(attempt, failure);
         let sender = self.sender.clone();
         tokio::spawn(async move { sender.send(frame).await });
     }
 
-    async fn answer(&self, answer: Option<Frame>) {
-        if let Some(frame) = answer {
+    async fn send_reply(&self, reply: Option<Frame>) {
+        if let Some(frame) = reply {
             let _ = self.sender.send(frame).await;
         }
     }
 
-    async fn inherit(&self, handover: Handover) {
+    async fn accept_handover(&self, handover: Handover) {
         let incarnation = handover.incarnation;
-        let more = handover.has_more;
+        let has_more = handover.has_more;
         let register = match handover.encoded_tickets.is_empty() {
             true => None,
-            false => crate::handover::decode(&handover.encoded_tickets),
+            false => crate::handover::decode_ticket_register(
+                &handover.encoded_tickets,
+            ),
         };
-        self.links.gate.inherit(handover, register);
-        if !more {
-            self.links.beat();
-            self.answer(Some(Frame::HandoverDone(incarnation))).await;
+        self.links.gate.accept_handover(handover, register);
+        if !has_more {
+            self.links.send_heartbeats();
+            self.send_reply(Some(Frame::HandoverDone(incarnation))).await;
         }
     }
 }
 
-/// Lets go of work a while after its link broke, unless its caller has come
-/// back through another.
-async fn part_later(gate: Arc<Gate>, work: Arc<Work>) {
-    sleep(LINK_GRACE).await;
-    work.detach();
-    gate.abandon(&work);
+/// Removes the listener of a broken link after `RECONNECT_GRACE_TIME`, and
+/// cancels the request if its caller has not reconnected on another link.
+async fn detach_after_grace_time(
+    gate: Arc<TargetGate>,
+    work: Arc<RequestWork>,
+) {
+    sleep(RECONNECT_GRACE_TIME).await;
+    work.remove_listener();
+    gate.abandon_unwanted_work(&work);
 }
 
-/// How far ahead of the entry's acknowledgements an answer may be sent.
+/// Flow control of one answer: limits the bytes sent but not yet acknowledged
+/// by the entry process.
 #[derive(Debug)]
-struct Window {
-    acknowledged: AtomicU64,
-    opened: Notify,
+struct AnswerWindow {
+    acknowledged_bytes: AtomicU64,
+    window_opened: Notify,
 }
 
-impl Window {
-    fn new(from: u64) -> Window {
-        Window { acknowledged: AtomicU64::new(from), opened: Notify::new() }
+impl AnswerWindow {
+    fn new(first_byte_offset: u64) -> AnswerWindow {
+        AnswerWindow {
+            acknowledged_bytes: AtomicU64::new(first_byte_offset),
+            window_opened: Notify::new(),
+        }
     }
 
-    fn open(&self, acknowledged: u64) {
-        self.acknowledged.fetch_max(acknowledged, Ordering::Release);
-        self.opened.notify_waiters();
+    fn acknowledge(&self, acknowledged_bytes: u64) {
+        self.acknowledged_bytes
+            .fetch_max(acknowledged_bytes, Ordering::Release);
+        self.window_opened.notify_waiters();
     }
 
-    /// Waits until more may be sent after the first `sent` bytes.
-    async fn wait(&self, sent: u64) {
+    /// Waits until the window allows more than `sent_bytes` to be sent.
+    async fn wait_for_window(&self, sent_bytes: u64) {
         loop {
-            let mut opened = pin!(self.opened.notified());
+            let mut opened = pin!(self.window_opened.notified());
             opened.as_mut().enable();
-            let acknowledged = self.acknowledged.load(Ordering::Acquire);
-            if sent < acknowledged + wire::SEND_WINDOW_BYTES {
+            let acknowledged = self.acknowledged_bytes.load(Ordering::Acquire);
+            if sent_bytes < acknowledged + wire::SEND_WINDOW_BYTES {
                 return;
             }
             opened.await;
@@ -322,17 +360,17 @@
     }
 }
 
-/// Reads an answer out to one attempt.
-struct Reader {
+/// Sends the answer of a request to one attempt.
+struct AnswerSender {
     attempt: id::Attempt,
-    work: Arc<Work>,
+    work: Arc<RequestWork>,
     sender: Sender,
-    window: Arc<Window>,
+    window: Arc<AnswerWindow>,
     links: Arc<Links>,
 }
 
-impl Reader {
-    async fn run(self, from: u64) {
+impl AnswerSender {
+    async fn send_answer(self, first_byte_offset: u64) {
         let accepted = RequestAccepted {
             attempt: self.attempt,
             request: self.work.request,
@@ -340,54 +378,61 @@
         if self.sender.send(Frame::RequestAccepted(accepted)).await.is_err() {
             return;
         }
-        let mut sent = from;
+        let mut sent_bytes = first_byte_offset;
         let mut frame_sequence = 0;
         loop {
-            match self.work.next(sent, PIECE).await {
-                Piece::Bytes(bytes) => {
-                    sent += bytes.len() as u64;
+            match self
+                .work
+                .next_answer_piece(sent_bytes, MAX_ANSWER_FRAME_BYTES)
+                .await
+            {
+                AnswerPiece::Bytes(bytes) => {
+                    sent_bytes += bytes.len() as u64;
                     let attempt = self.attempt;
                     let data = AnswerData { attempt, frame_sequence, bytes };
                     frame_sequence += 1;
                     if self.sender.send(Frame::Data(data)).await.is_err() {
                         return;
                     }
-                    self.window.wait(sent).await;
+                    self.window.wait_for_window(sent_bytes).await;
                 }
-                Piece::End(ending) => {
-                    if matches!(ending, Ending::Failed(_)) {
-                        self.links.tell_news();
+                AnswerPiece::End(ending) => {
+                    if matches!(ending, AnswerEnding::Failed(_)) {
+                        self.links.send_unsent_reports();
                     }
-                    let frame = self.ending(ending, frame_sequence);
+                    let frame = self.ending_frame(ending, frame_sequence);
                     let _ = self.sender.send(frame).await;
-                    self.report_load().await;
+                    self.send_load().await;
                     return;
                 }
-                // Waiting ends with a piece.
-                Piece::Nothing => {}
+                // `next_answer_piece` never returns `Pending`.
+                AnswerPiece::Pending => {}
             }
         }
     }
 
-    fn ending(&self, ending: Ending, frame_sequence: u32) -> Frame {
+    fn ending_frame(&self, ending: AnswerEnding, data_frames: u32) -> Frame {
         match ending {
-            Ending::Whole { format, length, digest } => {
+            AnswerEnding::Whole { format, length, digest } => {
                 Frame::End(AnswerEnd {
                     attempt: self.attempt,
-                    data_frames: frame_sequence,
+                    data_frames,
                     format,
                     length,
                     answer_blake3_digest: digest.to_vec(),
                 })
             }
-            Ending::Failed(failure) => refusal(self.attempt, failure),
+            AnswerEnding::Failed(failure) => {
+                refusal_frame(self.attempt, failure)
+            }
         }
     }
 
-    /// Sends the load along with the answer, so that a busy link carries
-    /// fresher reports than the heartbeat alone.
-    async fn report_load(&self) {
-        let beat = self.links.gate.beat(self.links.replica.next());
+    /// Sends the agent's load after an answer, so that a busy link carries
+    /// fresher load reports than the periodic heartbeats.
+    async fn send_load(&self) {
+        let beat =
+            self.links.gate.build_heartbeat(self.links.replica.next_offset());
         if beat.phase == ProcessPhase::Serving
             && beat.load.accepted_requests_total.is_multiple_of(4)
         {
@@ -396,7 +441,10 @@
     }
 }
 
-fn refusal(attempt: id::Attempt, failure: wire::RequestFailure) -> Frame {
+fn refusal_frame(
+    attempt: id::Attempt,
+    failure: wire::RequestFailure,
+) -> Frame {
     Frame::AttemptRefusal(AttemptRefusal {
         attempt,
         code: failure.code,
--- a/cowsliproad-agent/src/main.rs
+++ b/cowsliproad-agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The agent's program.
+//! The agent's executable.
 
 #![forbid(unsafe_code)]
 
@@ -10,17 +10,18 @@
 static ALLOCATOR: MiMalloc = MiMalloc;
 
 fn main() {
-    let about = "The gate in front of one target";
+    let description =
+        "The agent: a proxy that admits all requests for one target";
     let settings: Settings = program::load_settings(
         "cowsliproad-agent",
-        about,
+        description,
         &Settings::example(),
     );
-    let threads = settings.threads;
-    program::run(threads, async |threads| {
-        let agent = cowsliproad_agent::start(settings, threads).await?;
+    let traffic_threads = settings.traffic_threads;
+    program::run(traffic_threads, async |runtimes| {
+        let agent = cowsliproad_agent::start_agent(settings, runtimes).await?;
         program::wait_for_stop_signal().await;
-        agent.stop().await;
+        agent.stop_gracefully().await;
         Ok(())
     });
 }
--- a/cowsliproad-agent/src/pace.rs
+++ b/cowsliproad-agent/src/pace.rs
@@ -1,9 +1,10 @@
-//! When the target takes requests, and how many a second.
+//! The target's rate limit and cooldown.
 //!
-//! All work for a target passes through its agent, so the agent keeps the
-//! limit alone. What holds and who may go next is decided in
-//! [`cowsliproad_admission::limit`]. A target that turns a request away may
-//! also ask to be left alone; see [`cowsliproad_routing::cooldown`].
+//! All requests for a target pass through its agent, so the agent alone
+//! enforces the rate limit. [`cowsliproad_admission::limit`] decides which
+//! limit is in force and when the next permit is free. A target that rejects
+//! a request may also ask for a cooldown with `Retry-After`; see
+//! [`cowsliproad_routing::cooldown`].
 
 use std::{
     sync::{Mutex, MutexGuard},
@@ -25,62 +26,72 @@
     time::sleep,
 };
 
-/// Names the requests a second that a target takes, a decimal number, for as
-/// long as its answers carry it.
-const HEADER: HeaderName = HeaderName::from_static("x-request-limit");
+/// The response header with the target's limit in requests per second, a
+/// decimal number. The limit holds for as long as answers carry the header.
+const LIMIT_HEADER: HeaderName = HeaderName::from_static("x-request-limit");
 
-/// The pace of requests to the target.
+/// Enforces the rate limit and the cooldown of one target.
 #[derive(Debug)]
-pub struct Pace {
-    inner: Mutex<Inner>,
-    /// Wakes what waits for its turn under a limit that has changed.
+pub struct RequestPacer {
+    inner: Mutex<PacerState>,
+    /// Wakes the tasks that wait for a permit when the limit or the cooldown
+    /// changes.
     changed: Notify,
     log: Logger,
 }
 
 #[derive(Debug, Default)]
-struct Inner {
-    known: CurrentLimit,
+struct PacerState {
+    current_limit: CurrentLimit,
     cooldown: Cooldown,
-    /// Whether entries are to be told of that.
-    has_news: bool,
-    /// Whether its last refusal stated a time that is none.
-    unreadable: bool,
-    /// Whether less is taken than when the waiting work came in.
-    tightened: bool,
+    /// Whether a change of the cooldown must still be sent to entry processes.
+    has_unsent_cooldown: bool,
+    /// Whether the last `Retry-After` header was invalid.
+    retry_after_invalid: bool,
+    /// Whether the limit or the cooldown became stricter since the queue was
+    /// last checked against deadlines.
+    has_tightened: bool,
     limiter: Option<Limiter>,
 }
 
-impl Inner {
-    fn limiter(&mut self, rate: RequestRate, now: Millis) -> &mut Limiter {
+impl PacerState {
+    fn limiter_for_rate(
+        &mut self,
+        rate: RequestRate,
+        now: Millis,
+    ) -> &mut Limiter {
         self.limiter.get_or_insert(Limiter::new(rate, Millis(0), now))
     }
 }
 
-impl Pace {
-    /// No limit.
-    pub fn new(log: Logger) -> Pace {
-        Pace { inner: Mutex::default(), changed: Notify::new(), log }
+impl RequestPacer {
+    /// Creates a pacer without a limit or a cooldown.
+    pub fn new(log: Logger) -> RequestPacer {
+        RequestPacer { inner: Mutex::default(), changed: Notify::new(), log }
     }
 
-    /// Takes in an answer to a request that was sent at `sent`.
-    pub fn answered(
+    /// Reads the limit and the cooldown from an answer to a request that was
+    /// sent at `sent_at`.
+    pub fn observe_answer(
         &self,
         status: StatusCode,
         headers: &HeaderMap,
-        sent: Millis,
+        sent_at: Millis,
     ) {
-        self.note_retry_after(status, headers);
-        let named = headers.get(&HEADER);
+        self.apply_retry_after_header(status, headers);
+        let limit_header = headers.get(&LIMIT_HEADER);
         let mut inner = self.lock();
-        let bytes = named.map(HeaderValue::as_bytes);
-        let news =
-            inner.known.observe_limit_header(bytes, sent, Millis::now());
-        let (change, rate) = (news.change, inner.known.rate());
-        inner.tightened |= change == LimitChange::Tightened;
+        let bytes = limit_header.map(HeaderValue::as_bytes);
+        let observation = inner.current_limit.observe_limit_header(
+            bytes,
+            sent_at,
+            Millis::now(),
+        );
+        let (change, rate) = (observation.change, inner.current_limit.rate());
+        inner.has_tightened |= change == LimitChange::Tightened;
         drop(inner);
-        if news.limit_became_invalid {
-            warn!(self.log, "limit_refused"; "limit" => ?named);
+        if observation.limit_became_invalid {
+            warn!(self.log, "limit_refused"; "limit" => ?limit_header);
         }
         if change != LimitChange::None {
             info!(self.log, "limit";
@@ -90,7 +101,11 @@
         }
     }
 
-    fn note_retry_after(&self, status: StatusCode, headers: &HeaderMap) {
+    fn apply_retry_after_header(
+        &self,
+        status: StatusCode,
+        headers: &HeaderMap,
+    ) {
         let wait = match retry_after::parse_header(
             status,
             headers,
@@ -98,7 +113,10 @@
         ) {
             RetryAfter::None => return,
             RetryAfter::Unreadable => {
-                if !std::mem::replace(&mut self.lock().unreadable, true) {
+                if !std::mem::replace(
+                    &mut self.lock().retry_after_invalid,
+                    true,
+                ) {
                     warn!(self.log, "retry_after_refused";
                         "stated" => ?headers.get(RETRY_AFTER));
                 }
@@ -107,10 +125,10 @@
             RetryAfter::Wait(wait) => wait,
         };
         let mut inner = self.lock();
-        inner.unreadable = false;
+        inner.retry_after_invalid = false;
         let extends = inner.cooldown.apply_retry_after(wait, Millis::now());
-        inner.tightened |= extends;
-        inner.has_news |= extends;
+        inner.has_tightened |= extends;
+        inner.has_unsent_cooldown |= extends;
         drop(inner);
         if extends {
             info!(self.log, "cooldown"; "status" => status.as_u16(),
@@ -119,27 +137,28 @@
         }
     }
 
-    /// How long the target is left alone.
-    pub fn cooldown(&self, now: Millis) -> Millis {
+    /// The time left of the target's cooldown.
+    pub fn remaining_cooldown(&self, now: Millis) -> Millis {
         self.lock().cooldown.remaining_cooldown_time(now)
     }
 
-    /// Whether entries haven't been told yet of a change of that.
-    pub fn has_news(&self) -> bool {
-        self.lock().has_news
+    /// Whether a change of the cooldown must still be sent to entry processes.
+    pub fn has_unsent_cooldown(&self) -> bool {
+        self.lock().has_unsent_cooldown
     }
 
-    /// Notes that entries are told.
-    pub fn take_news(&self) {
-        self.lock().has_news = false;
+    /// Records that the cooldown was sent to entry processes.
+    pub fn mark_cooldown_sent(&self) {
+        self.lock().has_unsent_cooldown = false;
     }
 
-    /// Forgets what a process asked for that is gone.
-    pub fn forget(&self) {
+    /// Drops the limit and the cooldown of a target process that is gone.
+    pub fn reset(&self) {
         let mut inner = self.lock();
         let asked = inner.cooldown != Cooldown::default()
-            || inner.known.rate().is_some();
-        *inner = Inner { has_news: asked, ..Inner::default() };
+            || inner.current_limit.rate().is_some();
+        *inner =
+            PacerState { has_unsent_cooldown: asked, ..PacerState::default() };
         drop(inner);
         if asked {
             info!(self.log, "pace_forgotten");
@@ -147,44 +166,56 @@
         }
     }
 
-    /// Whether less is taken than when this was last asked.
+    /// Whether the limit or the cooldown became stricter since the last call.
     pub fn take_tightened(&self) -> bool {
-        std::mem::take(&mut self.lock().tightened)
+        std::mem::take(&mut self.lock().has_tightened)
     }
 
-    /// The limit in force, and how long no request may go.
-    pub fn limit(&self, now: Millis) -> (Option<RequestRate>, Millis) {
+    /// The rate limit in force, and the wait until the next request may start.
+    pub fn limit_and_wait(
+        &self,
+        now: Millis,
+    ) -> (Option<RequestRate>, Millis) {
         let mut inner = self.lock();
         let wait = inner.cooldown.remaining_cooldown_time(now);
-        let Some(rate) = inner.known.rate() else { return (None, wait) };
-        let full_for = inner.limiter(rate, now).time_to_next_permit(now);
-        (Some(rate), wait.max(full_for))
+        let Some(rate) = inner.current_limit.rate() else {
+            return (None, wait);
+        };
+        let permit_wait =
+            inner.limiter_for_rate(rate, now).time_to_next_permit(now);
+        (Some(rate), wait.max(permit_wait))
     }
 
-    /// Takes a permit for a request that goes now. Otherwise says how long
-    /// none is free.
-    pub fn take(&self, now: Millis) -> Result<(), Millis> {
+    /// Acquires a permit to send a request now. The error is the wait until
+    /// the next permit.
+    pub fn try_acquire_permit(&self, now: Millis) -> Result<(), Millis> {
         let mut inner = self.lock();
         let left = inner.cooldown.remaining_cooldown_time(now);
         if left > Millis(0) {
             return Err(left);
         }
-        let Some(rate) = inner.known.rate() else {
+        let Some(rate) = inner.current_limit.rate() else {
             inner.limiter = None;
             return Ok(());
         };
-        match inner.limiter(rate, now).grant_permit(rate, 1.0, Millis(0), now)
-        {
+        match inner.limiter_for_rate(rate, now).grant_permit(
+            rate,
+            1.0,
+            Millis(0),
+            now,
+        ) {
             PermitDecision::Permit(_) => Ok(()),
             PermitDecision::Later(after) => Err(after),
         }
     }
 
-    /// Waits for a permit.
-    pub async fn turn(&self) {
+    /// Waits for a permit and acquires it.
+    pub async fn acquire_permit(&self) {
         loop {
-            let changed = self.changes();
-            let Err(after) = self.take(Millis::now()) else { return };
+            let changed = self.next_change();
+            let Err(after) = self.try_acquire_permit(Millis::now()) else {
+                return;
+            };
             tokio::select! {
                 () = changed => {}
                 () = sleep(after.duration()) => {}
@@ -192,12 +223,12 @@
         }
     }
 
-    /// Waits for the next change of the limit from now on.
-    pub fn changes(&self) -> Notified<'_> {
+    /// Waits for the next change of the limit or the cooldown after this call.
+    pub fn next_change(&self) -> Notified<'_> {
         self.changed.notified()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, PacerState> {
         lock(&self.inner)
     }
 }
--- a/cowsliproad-agent/src/replica.rs
+++ b/cowsliproad-agent/src/replica.rs
@@ -1,8 +1,9 @@
 //! The agent's copy of the configuration.
 //!
-//! An agent uses little of it itself. It keeps the copy so that entries
-//! which start while the log is down, in an availability zone whose other
-//! entries were all replaced, still find the last configuration in force.
+//! The agent itself uses little of the configuration. The copy serves entry
+//! processes that start while the log is down, in an availability zone whose
+//! other entry processes were all replaced: from an agent they still get the
+//! last configuration in force.
 
 use std::sync::{Mutex, MutexGuard};
 
@@ -10,31 +11,33 @@
 use cowsliproad_kernel::sync::lock;
 use cowsliproad_kernel::wire::{ConfigRecords, ConfigSnapshot, Frame};
 
-/// A folded configuration that only moves forward.
+/// A copy of the configuration, built from records, whose log offset only
+/// increases.
 #[derive(Debug)]
-pub struct Replica {
+pub struct ConfigReplica {
     state: Mutex<ConfigState>,
 }
 
-impl Replica {
-    /// An empty configuration.
-    pub fn new() -> Replica {
-        Replica { state: Mutex::new(ConfigState::new()) }
+impl ConfigReplica {
+    /// Creates a replica with an empty configuration.
+    pub fn new() -> ConfigReplica {
+        ConfigReplica { state: Mutex::new(ConfigState::new()) }
     }
 
-    /// The offset after the last record folded in.
-    pub fn next(&self) -> u64 {
-        self.lock().next_offset()
+    /// The log offset after the last configuration record applied.
+    pub fn next_offset(&self) -> u64 {
+        self.lock_config().next_offset()
     }
 
-    /// Runs a function on the state.
-    pub fn with<T>(&self, read: impl FnOnce(&ConfigState) -> T) -> T {
-        read(&self.lock())
+    /// Calls `read` with the current configuration, under the lock.
+    pub fn with_config<T>(&self, read: impl FnOnce(&ConfigState) -> T) -> T {
+        read(&self.lock_config())
     }
 
-    /// Folds records in; the answer asks for a snapshot after a gap.
-    pub fn records(&self, records: &ConfigRecords) -> Option<Frame> {
-        let mut state = self.lock();
+    /// Applies configuration records. After a gap in the offsets, returns the
+    /// frame that requests a snapshot.
+    pub fn apply_records(&self, records: &ConfigRecords) -> Option<Frame> {
+        let mut state = self.lock_config();
         for (offset, bytes) in
             (records.first_offset..).zip(&records.encoded_records)
         {
@@ -45,21 +48,23 @@
         None
     }
 
-    /// Takes over a state that is further on.
-    pub fn snapshot(&self, snapshot: &ConfigSnapshot) {
-        let mut state = self.lock();
+    /// Adopts the configuration of a snapshot if the snapshot is newer.
+    pub fn apply_snapshot(&self, snapshot: &ConfigSnapshot) {
+        let mut state = self.lock_config();
         if snapshot.next_offset <= state.next_offset() {
             return;
         }
-        if let Some(other) = fold::decode_state(&snapshot.encoded_config) {
-            state.adopt_newer_peer_state(other);
+        if let Some(peer_state) = fold::decode_state(&snapshot.encoded_config)
+        {
+            state.adopt_newer_peer_state(peer_state);
         }
     }
 
-    /// The answer to a peer that has folded up to `next`.
-    pub fn pull(&self, next: u64) -> Option<Frame> {
-        let state = self.lock();
-        (state.next_offset() > next).then(|| {
+    /// The snapshot for a peer whose next log offset is `peer_next_offset`, or
+    /// `None` if the peer is up to date.
+    pub fn snapshot_for_peer(&self, peer_next_offset: u64) -> Option<Frame> {
+        let state = self.lock_config();
+        (state.next_offset() > peer_next_offset).then(|| {
             Frame::ConfigSnapshot(ConfigSnapshot {
                 next_offset: state.next_offset(),
                 encoded_config: fold::encode_state(&state),
@@ -67,13 +72,13 @@
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, ConfigState> {
+    fn lock_config(&self) -> MutexGuard<'_, ConfigState> {
         lock(&self.state)
     }
 }
 
-impl Default for Replica {
-    fn default() -> Replica {
-        Replica::new()
+impl Default for ConfigReplica {
+    fn default() -> ConfigReplica {
+        ConfigReplica::new()
     }
 }
--- a/cowsliproad-agent/src/settings.rs
+++ b/cowsliproad-agent/src/settings.rs
@@ -1,4 +1,4 @@
-//! An agent's settings.
+//! An agent's settings and their defaults.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -12,146 +12,172 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::adapter::Plugin;
+use crate::adapter::AdapterPlugin;
 
-/// An agent's settings file.
+/// The settings file of an agent.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// The target's name in the configuration.
-    pub name: Name,
-    /// Its availability zone.
+    #[serde(rename = "name")]
+    pub target_name: Name,
+    /// The availability zone of the target.
     pub zone: Name,
-    /// Where entries dial.
-    pub listen: SocketAddr,
-    /// Where `/livez`, `/readyz` and `/metrics` are served.
-    pub http: SocketAddr,
-    /// Where the target listens.
-    pub target: SocketAddr,
-    /// The plug-in that speaks to the target: `engine` or `plain`.
-    pub adapter: String,
-    /// The key shared by entries and agents.
-    pub key: Secret,
-    /// Requests at the target at once.
-    #[serde(default = "Settings::slots")]
-    pub slots: u32,
-    /// Requests that may wait.
-    #[serde(default = "Settings::queue")]
-    pub queue: u32,
-    /// Ticket records that are kept.
-    #[serde(default = "Settings::tickets")]
-    pub tickets: u32,
-    /// Bytes of finished answers that are kept.
-    #[serde(default = "Settings::kept_bytes")]
-    pub kept_bytes: u64,
+    /// The address on which the agent accepts links from entry processes and
+    /// peer agents.
+    #[serde(rename = "listen")]
+    pub link_listen_address: SocketAddr,
+    /// The address on which `/livez`, `/readyz` and `/metrics` are served.
+    #[serde(rename = "http")]
+    pub http_listen_address: SocketAddr,
+    /// The address on which the target listens.
+    #[serde(rename = "target")]
+    pub target_address: SocketAddr,
+    /// The name of the adapter that calls the target: `engine` or `plain`.
+    #[serde(rename = "adapter")]
+    pub adapter_name: String,
+    /// The key shared by entry processes and agents.
+    #[serde(rename = "key")]
+    pub shared_key: Secret,
+    /// The maximum number of requests running at the target at once.
+    #[serde(rename = "slots", default = "Settings::default_target_slots")]
+    pub target_slots: u32,
+    /// The maximum number of requests that wait for a slot.
+    #[serde(
+        rename = "queue",
+        default = "Settings::default_max_queued_requests"
+    )]
+    pub max_queued_requests: u32,
+    /// The maximum number of ticket records kept.
+    #[serde(
+        rename = "tickets",
+        default = "Settings::default_max_ticket_records"
+    )]
+    pub max_ticket_records: u32,
+    /// The maximum size of all finished answers kept.
+    #[serde(
+        rename = "kept_bytes",
+        default = "Settings::default_max_kept_answer_bytes"
+    )]
+    pub max_kept_answer_bytes: u64,
     /// How long a finished answer is kept.
-    #[serde(default = "Settings::kept_ms")]
-    pub kept_ms: Millis,
-    /// The longest time without a byte from a target that works.
-    #[serde(default = "Settings::silence_ms")]
-    pub silence_ms: Millis,
-    /// The longest time a graceful stop may take.
-    #[serde(default = "Settings::stop_ms")]
-    pub stop_ms: Millis,
-    /// Traffic threads.
-    #[serde(default = "Settings::threads")]
-    pub threads: usize,
-    /// How much is logged.
-    #[serde(default)]
-    pub log: Level,
+    #[serde(
+        rename = "kept_ms",
+        default = "Settings::default_answer_retention_time"
+    )]
+    pub answer_retention_time: Millis,
+    /// The longest time without a byte from a target that is working on a
+    /// request.
+    #[serde(
+        rename = "silence_ms",
+        default = "Settings::default_target_silence_timeout"
+    )]
+    pub target_silence_timeout: Millis,
+    /// How long a graceful stop waits for accepted requests to finish.
+    #[serde(rename = "stop_ms", default = "Settings::default_drain_timeout")]
+    pub drain_timeout: Millis,
+    /// The number of threads that serve requests.
+    #[serde(
+        rename = "threads",
+        default = "Settings::default_traffic_threads"
+    )]
+    pub traffic_threads: usize,
+    /// The level from which messages are logged.
+    #[serde(rename = "log", default)]
+    pub log_level: Level,
 }
 
 impl Settings {
-    /// Settings for a target, with the usual limits.
+    /// Creates the settings of a target's agent, with the default limits.
     pub fn new(
-        name: &str,
+        target_name: &str,
         zone: &str,
-        target: SocketAddr,
-        adapter: &str,
-        key: Secret,
+        target_address: SocketAddr,
+        adapter_name: &str,
+        shared_key: Secret,
     ) -> Settings {
         let any = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
         Settings {
-            name: name.into(),
+            target_name: target_name.into(),
             zone: zone.into(),
-            listen: any,
-            http: any,
-            target,
-            adapter: adapter.into(),
-            key,
-            slots: Settings::slots(),
-            queue: Settings::queue(),
-            tickets: Settings::tickets(),
-            kept_bytes: Settings::kept_bytes(),
-            kept_ms: Settings::kept_ms(),
-            silence_ms: Settings::silence_ms(),
-            stop_ms: Settings::stop_ms(),
-            threads: Settings::threads(),
-            log: Level::Info,
+            link_listen_address: any,
+            http_listen_address: any,
+            target_address,
+            adapter_name: adapter_name.into(),
+            shared_key,
+            target_slots: Settings::default_target_slots(),
+            max_queued_requests: Settings::default_max_queued_requests(),
+            max_ticket_records: Settings::default_max_ticket_records(),
+            max_kept_answer_bytes: Settings::default_max_kept_answer_bytes(),
+            answer_retention_time: Settings::default_answer_retention_time(),
+            target_silence_timeout: Settings::default_target_silence_timeout(),
+            drain_timeout: Settings::default_drain_timeout(),
+            traffic_threads: Settings::default_traffic_threads(),
+            log_level: Level::Info,
         }
     }
 
-    /// What `--print-default` shows.
+    /// The settings that `--print-default` prints.
     pub fn example() -> Settings {
         let target = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 8000);
         let key = Secret([0; KEY_BYTES]);
         let mut settings =
             Settings::new("target-1", "zone-1", target, "engine", key);
-        settings.listen.set_port(7100);
-        settings.http.set_port(7101);
+        settings.link_listen_address.set_port(7100);
+        settings.http_listen_address.set_port(7101);
         settings
     }
 
-    fn slots() -> u32 {
+    fn default_target_slots() -> u32 {
         16
     }
 
-    fn queue() -> u32 {
+    fn default_max_queued_requests() -> u32 {
         4096
     }
 
-    fn tickets() -> u32 {
+    fn default_max_ticket_records() -> u32 {
         200_000
     }
 
-    fn kept_bytes() -> u64 {
+    fn default_max_kept_answer_bytes() -> u64 {
         64 << 20
     }
 
-    fn kept_ms() -> Millis {
+    fn default_answer_retention_time() -> Millis {
         Millis(10 * 60 * 1000)
     }
 
-    fn silence_ms() -> Millis {
+    fn default_target_silence_timeout() -> Millis {
         Millis(5_000)
     }
 
-    fn stop_ms() -> Millis {
+    fn default_drain_timeout() -> Millis {
         Millis(120_000)
     }
 
-    fn threads() -> usize {
+    fn default_traffic_threads() -> usize {
         2
     }
 }
 
 impl Validate for Settings {
     fn validate(&self) -> Result<(), (&'static str, String)> {
-        if self.name.is_empty() {
+        if self.target_name.is_empty() {
             return Err(("name", "the target's name".into()));
         }
-        if plugin::find::<Plugin>(&self.adapter).is_none() {
-            let known = plugin::all::<Plugin>();
+        if plugin::find::<AdapterPlugin>(&self.adapter_name).is_none() {
+            let known = plugin::all::<AdapterPlugin>();
             let known: Vec<_> = known.iter().map(|it| it.name).collect();
             return Err(("adapter", format!("one of {}", known.join(", "))));
         }
-        if self.slots == 0 {
+        if self.target_slots == 0 {
             return Err(("slots", "at least 1".into()));
         }
-        if self.queue == 0 {
+        if self.max_queued_requests == 0 {
             return Err(("queue", "at least 1".into()));
         }
-        if self.silence_ms == Millis(0) {
+        if self.target_silence_timeout == Millis(0) {
             return Err(("silence_ms", "at least 1".into()));
         }
         Ok(())
--- a/cowsliproad-agent/src/work.rs
+++ b/cowsliproad-agent/src/work.rs
@@ -1,8 +1,7 @@
-//! One request and its growing answer.
+//! One accepted request and its answer as it arrives.
 //!
-//! The answer is kept whole in memory from its first byte, so any number of
-//! listeners can read it at their own pace and from any offset, also after
-//! it is finished.
+//! The whole answer is kept in memory, so any number of listeners can read it
+//! at their own speed and from any offset, also after it is finished.
 
 use std::{
     pin::pin,
@@ -26,81 +25,82 @@
 };
 use tokio::sync::Notify;
 
-/// The largest answer that is kept, in bytes.
-pub const MAX_ANSWER: usize = 8 << 20;
+/// The largest answer accepted from a target.
+pub const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// Whether the work may run more than once.
+/// Whether a request may run more than once at targets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Repeat {
-    /// It came without a ticket.
+pub enum RerunPolicy {
+    /// The request came without a ticket and may be repeated.
     Allowed,
-    /// It came with a ticket.
+    /// The request came with a ticket and must not be repeated.
     Never,
 }
 
-/// One request.
+/// One accepted request, its answer so far and its listeners.
 #[derive(Debug)]
-pub struct Work {
-    /// The request.
+pub struct RequestWork {
+    /// The request's id.
     pub request: id::Request,
-    /// Who asked.
+    /// The organisation that submitted the request.
     pub organisation: Name,
-    /// The request type.
+    /// The name of the request type.
     pub request_type: Name,
-    /// The caller's body.
+    /// The request body as the caller sent it.
     pub body: Bytes,
-    /// When the answer has lost its use, by this process's clock.
+    /// The request's deadline on this process's clock.
     pub deadline: Millis,
-    /// Whether it may run more than once.
-    pub repeat: Repeat,
-    /// The priority at the engine, lowest first.
+    /// Whether the request may run more than once.
+    pub rerun_policy: RerunPolicy,
+    /// The request's priority at a model engine; lower values run first.
     pub priority: i64,
-    /// The caller's idempotency key.
-    pub key: Option<Name>,
+    /// The idempotency key that the caller sent with the request.
+    pub idempotency_key: Option<Name>,
     persistence: RequestPersistence,
-    progress: Mutex<Progress>,
-    changed: Notify,
-    cancelled: AtomicBool,
-    cancel: Notify,
-    listeners: AtomicUsize,
+    progress: Mutex<AnswerProgress>,
+    progress_changed: Notify,
+    is_cancelled: AtomicBool,
+    cancellation: Notify,
+    listener_count: AtomicUsize,
 }
 
 #[derive(Debug)]
-struct Progress {
-    bytes: Vec<u8>,
-    ending: Option<Ending>,
+struct AnswerProgress {
+    answer_bytes: Vec<u8>,
+    ending: Option<AnswerEnding>,
 }
 
-/// How work ended.
+/// How a request ended: with a whole answer or a failure.
 #[derive(Clone, Debug)]
-pub enum Ending {
-    /// With a whole answer.
+pub enum AnswerEnding {
+    /// The answer is complete.
     Whole {
-        /// How to read it.
+        /// The format of the answer.
         format: AnswerFormat,
-        /// Its length in bytes.
+        /// The length of the answer in bytes.
         length: u64,
-        /// Its digest.
+        /// The BLAKE3 digest of the answer.
         digest: [u8; 32],
     },
-    /// Without one.
+    /// The request failed.
     Failed(RequestFailure),
 }
 
-/// What a listener gets next.
+/// The next part of an answer that a listener reads.
 #[derive(Debug)]
-pub enum Piece {
+pub enum AnswerPiece {
     /// Bytes of the answer.
     Bytes(Vec<u8>),
-    /// The end.
-    End(Ending),
-    /// Nothing yet.
-    Nothing,
+    /// All answer bytes are read; the request has ended.
+    End(AnswerEnding),
+    /// No further answer bytes have arrived yet.
+    Pending,
 }
 
-impl Work {
-    /// What it is, whatever request it is of.
-    pub fn kind(&self) -> quarantine::WorkDigest {
+impl RequestWork {
+    /// The digest of the organisation, request type and body. Equal
+    /// submissions have the same digest, whatever their request ids.
+    pub fn digest(&self) -> quarantine::WorkDigest {
         quarantine::WorkDigest::digest_submission(
             &self.organisation,
             &self.request_type,
@@ -108,31 +108,34 @@
         )
     }
 
-    /// Work that has not started.
-    pub fn new(submit: &SubmitRequest, now: Millis) -> Work {
-        Work {
+    /// Creates work that has not started.
+    pub fn new(submit: &SubmitRequest, now: Millis) -> RequestWork {
+        RequestWork {
             request: submit.request,
             organisation: submit.organisation.clone(),
             request_type: submit.request_type.clone(),
             body: Bytes::from(submit.body.clone()),
             deadline: now + submit.time_left,
-            repeat: match submit.ticket {
-                Some(_) => Repeat::Never,
-                None => Repeat::Allowed,
+            rerun_policy: match submit.ticket {
+                Some(_) => RerunPolicy::Never,
+                None => RerunPolicy::Allowed,
             },
             priority: submit.urgency as i64,
-            key: submit.idempotency_key.clone(),
+            idempotency_key: submit.idempotency_key.clone(),
             persistence: submit.persistence,
-            progress: Mutex::new(Progress { bytes: Vec::new(), ending: None }),
-            changed: Notify::new(),
-            cancelled: AtomicBool::new(false),
-            cancel: Notify::new(),
-            listeners: AtomicUsize::new(0),
+            progress: Mutex::new(AnswerProgress {
+                answer_bytes: Vec::new(),
+                ending: None,
+            }),
+            progress_changed: Notify::new(),
+            is_cancelled: AtomicBool::new(false),
+            cancellation: Notify::new(),
+            listener_count: AtomicUsize::new(0),
         }
     }
 
-    /// Finished work that a peer hands over.
-    pub fn finished(answer: StoredAnswer) -> Work {
+    /// Creates finished work from an answer that a peer hands over.
+    pub fn from_stored_answer(answer: StoredAnswer) -> RequestWork {
         let submit = SubmitRequest {
             attempt: id::Attempt(0),
             request: answer.request,
@@ -147,26 +150,27 @@
             body: Vec::new(),
             mode: SubmitMode::ReportOnly,
         };
-        let work = Work::new(&submit, Millis(0));
+        let work = RequestWork::new(&submit, Millis(0));
         match answer.result {
             Ok(content) => {
-                work.append(&content.bytes);
-                work.finish(Ok(content.format));
+                work.append_answer_bytes(&content.bytes);
+                work.record_result(Ok(content.format));
             }
-            Err(failure) => work.finish(Err(failure)),
+            Err(failure) => work.record_result(Err(failure)),
         }
         work
     }
 
-    /// The finished answer as a peer takes it.
-    pub fn to_answer(&self) -> Option<StoredAnswer> {
-        let progress = self.lock();
+    /// The finished answer in the form of a handover, or `None` while the
+    /// request is unfinished.
+    pub fn to_stored_answer(&self) -> Option<StoredAnswer> {
+        let progress = self.lock_progress();
         let result = match progress.ending.as_ref()? {
-            Ending::Whole { format, .. } => Ok(AnswerContent {
+            AnswerEnding::Whole { format, .. } => Ok(AnswerContent {
                 format: *format,
-                bytes: progress.bytes.clone(),
+                bytes: progress.answer_bytes.clone(),
             }),
-            Ending::Failed(failure) => Err(*failure),
+            AnswerEnding::Failed(failure) => Err(*failure),
         };
         Some(StoredAnswer {
             request: self.request,
@@ -175,114 +179,125 @@
         })
     }
 
-    /// Adds bytes to the answer.
-    pub fn append(&self, bytes: &[u8]) {
-        self.lock().bytes.extend_from_slice(bytes);
-        self.changed.notify_waiters();
+    /// Appends bytes to the answer and wakes its listeners.
+    pub fn append_answer_bytes(&self, bytes: &[u8]) {
+        self.lock_progress().answer_bytes.extend_from_slice(bytes);
+        self.progress_changed.notify_waiters();
     }
 
-    /// The number of answer bytes so far.
-    pub fn length(&self) -> usize {
-        self.lock().bytes.len()
+    /// The number of answer bytes received so far.
+    pub fn answer_length(&self) -> usize {
+        self.lock_progress().answer_bytes.len()
     }
 
-    /// Ends the work. Only the first ending counts.
-    pub fn finish(&self, result: Result<AnswerFormat, RequestFailure>) {
-        let mut progress = self.lock();
+    /// Records the request's result. A second result is ignored.
+    pub fn record_result(&self, result: Result<AnswerFormat, RequestFailure>) {
+        let mut progress = self.lock_progress();
         if progress.ending.is_some() {
             return;
         }
         progress.ending = Some(match result {
-            Ok(format) => Ending::Whole {
+            Ok(format) => AnswerEnding::Whole {
                 format,
-                length: progress.bytes.len() as u64,
-                digest: *blake3::hash(&progress.bytes).as_bytes(),
+                length: progress.answer_bytes.len() as u64,
+                digest: *blake3::hash(&progress.answer_bytes).as_bytes(),
             },
-            Err(failure) => Ending::Failed(failure),
+            Err(failure) => AnswerEnding::Failed(failure),
         });
         drop(progress);
-        self.changed.notify_waiters();
+        self.progress_changed.notify_waiters();
     }
 
-    /// How it ended, if it did.
-    pub fn ending(&self) -> Option<Ending> {
-        self.lock().ending.clone()
+    /// How the request ended, or `None` while it is unfinished.
+    pub fn ending(&self) -> Option<AnswerEnding> {
+        self.lock_progress().ending.clone()
     }
 
-    /// What stands at an offset, at most `most` bytes of it.
-    pub fn read(&self, offset: u64, most: usize) -> Piece {
-        let progress = self.lock();
+    /// Reads up to `max_bytes` of the answer from a byte offset.
+    pub fn read_answer(&self, offset: u64, max_bytes: usize) -> AnswerPiece {
+        let progress = self.lock_progress();
         let start = usize::try_from(offset).unwrap_or(usize::MAX);
-        let rest = progress.bytes.get(start..).unwrap_or_default();
+        let rest = progress.answer_bytes.get(start..).unwrap_or_default();
         if !rest.is_empty() {
-            return Piece::Bytes(rest[..rest.len().min(most)].to_vec());
+            return AnswerPiece::Bytes(
+                rest[..rest.len().min(max_bytes)].to_vec(),
+            );
         }
         match &progress.ending {
-            Some(ending) => Piece::End(ending.clone()),
-            None => Piece::Nothing,
+            Some(ending) => AnswerPiece::End(ending.clone()),
+            None => AnswerPiece::Pending,
         }
     }
 
-    /// Waits for a piece at an offset, at most `most` bytes of it.
-    pub async fn next(&self, offset: u64, most: usize) -> Piece {
+    /// Waits for answer bytes or the end at a byte offset, and reads up to
+    /// `max_bytes`.
+    pub async fn next_answer_piece(
+        &self,
+        offset: u64,
+        max_bytes: usize,
+    ) -> AnswerPiece {
         loop {
-            let mut changed = pin!(self.changed.notified());
-            // Enabled before the look, so that no change goes unnoticed.
+            let mut changed = pin!(self.progress_changed.notified());
+            // Enabled before the read, so that no change is missed.
             changed.as_mut().enable();
-            match self.read(offset, most) {
-                Piece::Nothing => changed.await,
+            match self.read_answer(offset, max_bytes) {
+                AnswerPiece::Pending => changed.await,
                 piece => return piece,
             }
         }
     }
 
     /// Asks the call to the target to stop.
-    pub fn cancel(&self) {
-        self.cancelled.store(true, Ordering::Release);
-        self.cancel.notify_waiters();
+    pub fn request_cancellation(&self) {
+        self.is_cancelled.store(true, Ordering::Release);
+        self.cancellation.notify_waiters();
     }
 
-    /// Waits until the work is cancelled.
-    pub async fn cancelled(&self) {
+    /// Waits until the request is cancelled.
+    pub async fn wait_until_cancelled(&self) {
         loop {
-            let mut cancel = pin!(self.cancel.notified());
+            let mut cancel = pin!(self.cancellation.notified());
             cancel.as_mut().enable();
-            if self.cancelled.load(Ordering::Acquire) {
+            if self.is_cancelled.load(Ordering::Acquire) {
                 return;
             }
             cancel.await;
         }
     }
 
-    /// Notes a listener.
-    pub fn attach(&self) {
-        self.listeners.fetch_add(1, Ordering::Relaxed);
+    /// Adds a listener to the answer.
+    pub fn add_listener(&self) {
+        self.listener_count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Notes that a listener left; tells whether the work is now unwanted.
-    pub fn detach(&self) -> Wanted {
-        let before = self.listeners.fetch_sub(1, Ordering::Relaxed);
-        if before > 1 { Wanted::Yes } else { self.wanted() }
+    /// Removes a listener. Returns whether the answer is still wanted.
+    pub fn remove_listener(&self) -> AnswerDemand {
+        let before = self.listener_count.fetch_sub(1, Ordering::Relaxed);
+        if before > 1 { AnswerDemand::Wanted } else { self.answer_demand() }
     }
 
-    /// Whether anybody wants the answer.
-    pub fn wanted(&self) -> Wanted {
-        let listened = self.listeners.load(Ordering::Relaxed) > 0;
+    /// Whether the answer has a listener or must be kept.
+    pub fn answer_demand(&self) -> AnswerDemand {
+        let listened = self.listener_count.load(Ordering::Relaxed) > 0;
         let kept = self.persistence == RequestPersistence::Keep
-            || self.repeat == Repeat::Never;
-        if listened || kept { Wanted::Yes } else { Wanted::No }
+            || self.rerun_policy == RerunPolicy::Never;
+        if listened || kept {
+            AnswerDemand::Wanted
+        } else {
+            AnswerDemand::Unwanted
+        }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Progress> {
+    fn lock_progress(&self) -> MutexGuard<'_, AnswerProgress> {
         lock(&self.progress)
     }
 }
 
-/// Whether work is still wanted.
+/// Whether the answer to a request is still wanted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Wanted {
-    /// Somebody listens, or the answer is to be kept.
-    Yes,
-    /// Nobody would miss it.
-    No,
+pub enum AnswerDemand {
+    /// The answer has a listener, or must be kept.
+    Wanted,
+    /// The answer has no listener and need not be kept.
+    Unwanted,
 }
--- a/cowsliproad-bench/src/experiment/config.rs
+++ b/cowsliproad-bench/src/experiment/config.rs
@@ -13,7 +13,7 @@
     time::{Duration, Instant},
 };
 
-use cowsliproad_agent::replica::Replica;
+use cowsliproad_agent::replica::ConfigReplica;
 use cowsliproad_config::{
     Object,
     object::{ObjectKey, ObjectKind, Organisation},
@@ -71,7 +71,7 @@
 #[derive(Clone)]
 enum Watched {
     Entry(Arc<EntryState>),
-    Agent(Arc<Replica>),
+    Agent(Arc<ConfigReplica>),
 }
 
 impl Watched {
@@ -80,7 +80,7 @@
             Watched::Entry(shared) => {
                 shared.published_view.current_view().config_state.next_offset()
             }
-            Watched::Agent(replica) => replica.next(),
+            Watched::Agent(replica) => replica.next_offset(),
         }
     }
 
@@ -92,7 +92,7 @@
             Watched::Entry(shared) => {
                 of(&shared.published_view.current_view().config_state)
             }
-            Watched::Agent(replica) => replica.with(of),
+            Watched::Agent(replica) => replica.with_config(of),
         }
     }
 
@@ -109,7 +109,7 @@
             Watched::Entry(shared) => {
                 of(&shared.published_view.current_view().config_state)
             }
-            Watched::Agent(replica) => replica.with(of),
+            Watched::Agent(replica) => replica.with_config(of),
         }
     }
 }
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -18,7 +18,7 @@
     register::TicketRegister,
     ticket::{Ticket, TokenPurpose},
 };
-use cowsliproad_agent::work::Work;
+use cowsliproad_agent::work::RequestWork;
 use cowsliproad_config::{
     ConfigState, Object,
     fold::{self, ConfigChange, ConfigRecord},
@@ -305,9 +305,9 @@
     let mut points = Points::new();
     for count in [5_000usize, 10_000, 20_000, 40_000] {
         let before = meter::memory();
-        let kept: Vec<Arc<Work>> = (0..count)
+        let kept: Vec<Arc<RequestWork>> = (0..count)
             .map(|index| {
-                Arc::new(Work::finished(StoredAnswer {
+                Arc::new(RequestWork::from_stored_answer(StoredAnswer {
                     request: id::Request(index as u64),
                     organisation: "organisation".into(),
                     result: Ok(AnswerContent {
--- a/cowsliproad-bench/src/node.rs
+++ b/cowsliproad-bench/src/node.rs
@@ -40,7 +40,7 @@
 
 impl Program for cowsliproad_agent::Agent {
     async fn stop(&self) {
-        cowsliproad_agent::Agent::stop(self).await;
+        cowsliproad_agent::Agent::stop_gracefully(self).await;
     }
 }
 
--- a/cowsliproad-bench/src/plant.rs
+++ b/cowsliproad-bench/src/plant.rs
@@ -281,27 +281,30 @@
             adapter,
             self.key,
         );
-        settings.slots = slots;
-        settings.silence_ms =
+        settings.target_slots = slots;
+        settings.target_silence_timeout =
             cowsliproad_kernel::clock::Millis(millis(self.config.silence));
-        settings.log = self.config.log;
+        settings.log_level = self.config.log;
         let agent = match self.config.layout {
             Layout::Single => {
                 Node::start(&site.name, async move || {
-                    cowsliproad_agent::start(settings, Runtimes::current())
-                        .await
+                    cowsliproad_agent::start_agent(
+                        settings,
+                        Runtimes::current(),
+                    )
+                    .await
                 })
                 .await?
             }
             Layout::Wide(workers) => {
                 Node::start_wide(&site.name, workers, async |threads| {
-                    cowsliproad_agent::start(settings, threads).await
+                    cowsliproad_agent::start_agent(settings, threads).await
                 })
                 .await?
             }
         };
         let site = &mut self.sites[index];
-        site.link.lead_to(agent.handle.address);
+        site.link.lead_to(agent.handle.link_address);
         site.agent = Some(agent);
         Ok(())
     }
--- a/tests/processes/harness.rs
+++ b/tests/processes/harness.rs
@@ -151,8 +151,9 @@
     /// Starts the agent of a site anew.
     pub async fn restart_agent(&mut self, index: usize) {
         let settings = self.sites[index].settings.clone();
-        let agent = self.spawn("cowsliproad-agent", &settings.name, &settings);
-        wait_for(settings.listen).await;
+        let agent =
+            self.spawn("cowsliproad-agent", &settings.target_name, &settings);
+        wait_for(settings.link_listen_address).await;
         self.sites[index].agent = agent;
     }
 
@@ -166,7 +167,7 @@
         let client = cowsliproad_net::client::Client::new();
         let mut sum: HashMap<String, u32> = HashMap::new();
         for site in self.sites.iter().filter(|it| it.service == "access") {
-            let uri = format!("http://{}/runs", site.settings.target);
+            let uri = format!("http://{}/runs", site.settings.target_address);
             let request = http::Request::get(uri)
                 .body(http_body_util::Full::default())
                 .expect("the parts are valid");
@@ -194,11 +195,11 @@
         let mut settings = cowsliproad_agent::settings::Settings::new(
             &name, &zone, target, kind, key,
         );
-        settings.listen = free();
-        settings.http = free();
-        settings.silence_ms = Millis(3_000);
+        settings.link_listen_address = free();
+        settings.http_listen_address = free();
+        settings.target_silence_timeout = Millis(3_000);
         let agent = self.spawn("cowsliproad-agent", &name, &settings);
-        wait_for(settings.listen).await;
+        wait_for(settings.link_listen_address).await;
         Site { settings, service, agent, _target: stand_in }
     }
 
@@ -207,10 +208,10 @@
         for site in &self.sites {
             objects.push(cowsliproad_config::Object::Target(
                 cowsliproad_config::object::Target {
-                    name: site.settings.name.clone(),
+                    name: site.settings.target_name.clone(),
                     service: site.service.into(),
                     zone: site.settings.zone.clone(),
-                    agent_address: site.settings.listen,
+                    agent_address: site.settings.link_listen_address,
                 },
             ));
         }
