--- a/cowsliproad-agent/src/adapter.rs
+++ b/cowsliproad-agent/src/adapter.rs
@@ -1,4 +1,4 @@
-//! Adapters that send requests to targets: one plug-in for each kind of target.
+//! Adapters that send requests to targets: one plug-in per kind of target.
 //!
 //! An adapter is a type. [`run_work`] is compiled for each adapter, and the
 //! plug-in's `start` function selects one, so there is no dynamic dispatch per
@@ -27,18 +27,19 @@
 #[derive(Clone, Copy, Debug)]
 pub struct AdapterPlugin {
     /// The adapter's name in the settings.
-    pub name: &'static str,
+    pub adapter_name: &'static str,
     /// The adapter's one-line description in help texts.
     pub description: &'static str,
-    /// Starts the adapter on work from a gate.
-    pub start: fn(Arc<TargetGate>, &Handle),
+    /// Starts a task that takes requests from a gate and sends them to the
+    /// target.
+    pub start_adapter: fn(Arc<TargetGate>, &Handle),
 }
 
 inventory::collect!(AdapterPlugin);
 
 impl plugin::Plugin for AdapterPlugin {
     fn name(&self) -> &'static str {
-        self.name
+        self.adapter_name
     }
 
     fn description(&self) -> &'static str {
@@ -52,7 +53,7 @@
     /// target's answers state are recorded in `pacer`.
     fn new(settings: &Settings, pacer: &Arc<RequestPacer>) -> Self;
 
-    /// Sends the request to the target once and appends the answer bytes to
+    /// Sends a request to the target once and appends the answer bytes to
     /// `work`.
     fn call_target(
         &self,
@@ -60,7 +61,7 @@
     ) -> impl Future<Output = Result<AnswerFormat, RequestFailure>> + Send;
 }
 
-/// Starts a task that takes work from a gate and sends it to the target.
+/// Starts a task that takes requests from a gate and sends them to the target.
 pub fn start_adapter<A: Adapter>(
     gate: Arc<TargetGate>,
     traffic_runtime: &Handle,
@@ -85,10 +86,10 @@
     let slot_time = start.elapsed();
     let Err(failure) = result else {
         gate.finish_running_work(&work, result, slot_time);
-        return gate.crashes.record_survived_request(work.digest());
+        return gate.crashes.record_survived_request(work.submission_digest());
     };
-    // Checked before the failure is sent, so that no entry process retries a
-    // crash-inducing request at another target.
+    // Crashes are checked before the failure is sent, so that no entry process
+    // retries a crash-inducing request at another target.
     let crash_check = crashes::check_for_crash(&gate, &work, failure).await;
     gate.finish_running_work(&work, result, slot_time);
     if crash_check == CrashCheck::StillListening {
--- a/cowsliproad-agent/src/adapter/engine.rs
+++ b/cowsliproad-agent/src/adapter/engine.rs
@@ -29,9 +29,9 @@
 
 inventory::submit! {
     AdapterPlugin {
-        name: "engine",
+        adapter_name: "engine",
         description: "a model engine with chat completions",
-        start: start_adapter::<EngineAdapter>,
+        start_adapter: start_adapter::<EngineAdapter>,
     }
 }
 
@@ -191,10 +191,10 @@
     ) -> Result<Request<Full<Bytes>>, RequestFailure> {
         let bad = RequestFailure::new(Code::BadJson, Execution::NotRun);
         let mut body: Value =
-            serde_json::from_slice(&work.body).map_err(|_| bad)?;
+            serde_json::from_slice(&work.request_body).map_err(|_| bad)?;
         let fields = body.as_object_mut().ok_or(bad)?;
         fields.insert("stream".into(), true.into());
-        fields.insert("priority".into(), work.priority.into());
+        fields.insert("priority".into(), work.engine_priority.into());
         Request::post(format!(
             "http://{}/v1/chat/completions",
             self.target_address
--- a/cowsliproad-agent/src/adapter/plain.rs
+++ b/cowsliproad-agent/src/adapter/plain.rs
@@ -22,9 +22,9 @@
 
 inventory::submit! {
     AdapterPlugin {
-        name: "plain",
+        adapter_name: "plain",
         description: "a plain HTTP service",
-        start: start_adapter::<PlainAdapter>,
+        start_adapter: start_adapter::<PlainAdapter>,
     }
 }
 
@@ -90,7 +90,7 @@
     Request::post(format!("http://{target}/{}", work.request_type))
         .header(header::CONTENT_TYPE, "application/json")
         .header("x-request-id", work.request.to_string())
-        .body(Full::new(work.body.clone()))
+        .body(Full::new(work.request_body.clone()))
         .map_err(|_| RequestFailure::new(Code::BadRequest, Execution::NotRun))
 }
 
--- a/cowsliproad-agent/src/crashes.rs
+++ b/cowsliproad-agent/src/crashes.rs
@@ -39,12 +39,13 @@
     time::{sleep, timeout},
 };
 
-use crate::{gate::TargetGate, links::Links, work::RequestWork};
+use crate::{gate::TargetGate, links::AgentLinks, work::RequestWork};
 
 /// How long a connection on the same VM may take to be accepted or refused.
 const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Failures within this time belong to one crash: no target restarts faster.
+/// Failed requests within this time of each other belong to the same crash,
+/// since no target restarts faster.
 const MIN_CRASH_INTERVAL: Millis = Millis(300);
 
 /// The delay before a second check for a crash. A process closes its listener
@@ -71,31 +72,36 @@
 /// Tracks crashes of the target's process and whether the process is there.
 #[derive(Debug)]
 pub struct TargetCrashes {
-    target: String,
-    inner: Mutex<CrashState>,
-    /// Wakes the watcher when the process is gone or a request is abandoned.
+    /// The target's name and the agent's incarnation, which identify crashes
+    /// together with the time.
+    crash_source: String,
+    state: Mutex<CrashState>,
+    /// Wakes the task that watches the target when the target's process is
+    /// gone or a request to the target is abandoned.
     watch_needed: Notify,
 }
 
 #[derive(Debug, Default)]
 struct CrashState {
-    ledger: CrashLedger,
+    crash_ledger: CrashLedger,
     /// The last crash and the time it was detected.
     last_crash: Option<(CrashId, Millis)>,
-    /// Requests whose reports must still be sent to entry processes.
+    /// Digests of requests whose crash reports must still be sent to entry
+    /// processes.
     unsent_reports: Vec<quarantine::WorkDigest>,
     presence: TargetPresence,
-    /// Whether a change of the presence must still be sent to entry processes.
+    /// Whether a change of the target's presence must still be sent to entry
+    /// processes.
     has_unsent_presence: bool,
     /// Abandoned requests, each with the time until which the target may still
     /// run it.
-    abandoned: VecDeque<(quarantine::WorkDigest, Millis)>,
+    abandoned_requests: VecDeque<(quarantine::WorkDigest, Millis)>,
 }
 
 /// The result of the check for a crash after a request failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CrashCheck {
-    /// The check is complete.
+    /// The check for a crash is complete.
     Complete,
     /// The target still accepts connections, as a crashing process may do for
     /// a moment; check again.
@@ -103,76 +109,82 @@
 }
 
 impl TargetCrashes {
-    /// Creates a tracker without crashes for this agent process.
+    /// Creates a crash tracker for a target and this agent process.
     pub fn new(target: &str, incarnation: id::Incarnation) -> TargetCrashes {
         TargetCrashes {
-            target: format!("{target} {incarnation}"),
-            inner: Mutex::default(),
+            crash_source: format!("{target} {incarnation}"),
+            state: Mutex::default(),
             watch_needed: Notify::new(),
         }
     }
 
     /// Whether the target's process is running.
-    pub fn presence(&self) -> TargetPresence {
-        lock(&self.inner).presence
+    pub fn target_presence(&self) -> TargetPresence {
+        lock(&self.state).presence
     }
 
-    /// Whether any report must still be sent to entry processes.
+    /// Whether a crash or presence report must still be sent to entry
+    /// processes.
     pub fn has_unsent_reports(&self) -> bool {
-        let inner = lock(&self.inner);
-        inner.has_unsent_presence || !inner.unsent_reports.is_empty()
+        let state = lock(&self.state);
+        state.has_unsent_presence || !state.unsent_reports.is_empty()
     }
 
-    /// Takes the reports that must still be sent to entry processes.
+    /// Takes the crash reports that must still be sent to entry processes.
     pub fn take_unsent_reports(&self) -> Vec<SuspectedRequest> {
-        let mut inner = lock(&self.inner);
-        inner.has_unsent_presence = false;
-        let reports = std::mem::take(&mut inner.unsent_reports);
+        let mut state = lock(&self.state);
+        state.has_unsent_presence = false;
+        let reports = std::mem::take(&mut state.unsent_reports);
         let now = Millis::now();
         let known = |it: &quarantine::WorkDigest| {
-            inner.ledger.export_suspect(*it, now)
+            state.crash_ledger.export_suspect(*it, now)
         };
         reports.iter().filter_map(known).collect()
     }
 
     /// All suspected requests, for an entry process that has just connected.
-    pub fn all_suspects(&self) -> Vec<SuspectedRequest> {
-        let mut inner = lock(&self.inner);
+    pub fn all_suspected_requests(&self) -> Vec<SuspectedRequest> {
+        let mut state = lock(&self.state);
         let now = Millis::now();
-        inner.ledger.evict_expired_cases(now);
-        inner.ledger.snapshot_suspects(now)
+        state.crash_ledger.evict_expired_cases(now);
+        state.crash_ledger.snapshot_suspects(now)
     }
 
     /// Records that the target survived a request.
-    pub fn record_survived_request(&self, request: quarantine::WorkDigest) {
-        let mut inner = lock(&self.inner);
-        if inner.ledger.record_survived_request(request, Millis::now())
+    pub fn record_survived_request(
+        &self,
+        request_digest: quarantine::WorkDigest,
+    ) {
+        let mut state = lock(&self.state);
+        if state
+            .crash_ledger
+            .record_survived_request(request_digest, Millis::now())
             != QuarantineChange::None
         {
-            inner.unsent_reports.push(request);
+            state.unsent_reports.push(request_digest);
         }
     }
 
-    fn record_crash_during(&self, request: quarantine::WorkDigest) {
+    fn record_crash_during(&self, request_digest: quarantine::WorkDigest) {
         let now = Millis::now();
-        let mut inner = lock(&self.inner);
-        let crash = match inner.last_crash {
+        let mut state = lock(&self.state);
+        let crash = match state.last_crash {
             Some((crash, at)) if now.since(at) < MIN_CRASH_INTERVAL => crash,
-            _ => CrashId::new(&self.target, now.0),
+            _ => CrashId::new(&self.crash_source, now.0),
         };
-        inner.last_crash = Some((crash, now));
-        inner.ledger.record_crash(request, crash, now);
-        inner.unsent_reports.push(request);
+        state.last_crash = Some((crash, now));
+        state.crash_ledger.record_crash(request_digest, crash, now);
+        state.unsent_reports.push(request_digest);
     }
 
     /// Records whether the target's process is running. Returns whether the
     /// presence changed.
-    fn set_presence(&self, presence: TargetPresence) -> bool {
-        let mut inner = lock(&self.inner);
-        let is_new = inner.presence != presence;
-        inner.presence = presence;
-        inner.has_unsent_presence |= is_new;
-        drop(inner);
+    fn set_target_presence(&self, presence: TargetPresence) -> bool {
+        let mut state = lock(&self.state);
+        let is_new = state.presence != presence;
+        state.presence = presence;
+        state.has_unsent_presence |= is_new;
+        drop(state);
         if presence == TargetPresence::Gone {
             self.watch_needed.notify_one();
         }
@@ -180,36 +192,38 @@
     }
 
     /// Records an abandoned request that the target may still run until
-    /// `until`.
+    /// `may_run_until`.
     fn record_abandoned_request(
         &self,
-        request: quarantine::WorkDigest,
-        until: Millis,
+        request_digest: quarantine::WorkDigest,
+        may_run_until: Millis,
     ) {
-        let mut inner = lock(&self.inner);
-        if inner.abandoned.len() >= MAX_ABANDONED_REQUESTS {
-            inner.abandoned.pop_front();
+        let mut state = lock(&self.state);
+        if state.abandoned_requests.len() >= MAX_ABANDONED_REQUESTS {
+            state.abandoned_requests.pop_front();
         }
-        inner.abandoned.push_back((request, until));
-        drop(inner);
+        state.abandoned_requests.push_back((request_digest, may_run_until));
+        drop(state);
         self.watch_needed.notify_one();
     }
 
     /// Whether the target's process must be checked regularly.
     fn needs_watching(&self) -> bool {
-        let inner = lock(&self.inner);
-        inner.presence == TargetPresence::Gone || !inner.abandoned.is_empty()
+        let state = lock(&self.state);
+        state.presence == TargetPresence::Gone
+            || !state.abandoned_requests.is_empty()
     }
 
-    /// Records that the target was alive at `at`, and clears the abandoned
+    /// Records that the target was alive at `alive_at`. Clears the abandoned
     /// requests that it no longer ran then.
-    fn record_alive_at(&self, at: Millis) {
-        lock(&self.inner).abandoned.retain(|it| at < it.1);
+    fn record_alive_at(&self, alive_at: Millis) {
+        lock(&self.state).abandoned_requests.retain(|it| alive_at < it.1);
     }
 
     /// Takes the abandoned requests that the target may have been running.
     fn take_abandoned_requests(&self) -> Vec<quarantine::WorkDigest> {
-        let abandoned = std::mem::take(&mut lock(&self.inner).abandoned);
+        let abandoned =
+            std::mem::take(&mut lock(&self.state).abandoned_requests);
         abandoned.into_iter().map(|it| it.0).collect()
     }
 }
@@ -224,7 +238,7 @@
         if failure.ran == Execution::OutcomeUnknown {
             let until = Millis::now() + MIN_ABANDONED_RUN_TIME;
             gate.crashes.record_abandoned_request(
-                work.digest(),
+                work.submission_digest(),
                 until.max(work.deadline),
             );
         }
@@ -257,13 +271,16 @@
 /// Watches for the return of a target that is gone, and for a crash while the
 /// target may run abandoned requests. Reports both to entry processes, for as
 /// long as the agent runs.
-pub async fn watch_target_presence(gate: Arc<TargetGate>, links: Arc<Links>) {
+pub async fn watch_target_presence(
+    gate: Arc<TargetGate>,
+    links: Arc<AgentLinks>,
+) {
     loop {
         gate.crashes.watch_needed.notified().await;
         while gate.crashes.needs_watching() {
             let check_started = Millis::now();
             if is_target_gone(&gate).await {
-                report_crash_under_abandoned(&gate);
+                report_crash_with_abandoned_requests(&gate);
                 report_presence(&gate, TargetPresence::Gone);
             } else {
                 gate.crashes.record_alive_at(check_started);
@@ -280,10 +297,10 @@
 /// for as long as the agent runs.
 pub async fn watch_target_during_cooldown(
     gate: Arc<TargetGate>,
-    links: Arc<Links>,
+    links: Arc<AgentLinks>,
 ) {
     loop {
-        let changed = gate.pacer.next_change();
+        let changed = gate.pacer.next_limit_change();
         let left = gate.pacer.remaining_cooldown(Millis::now());
         if left.0 == 0 {
             changed.await;
@@ -315,14 +332,15 @@
             }
             Err(_) => {}
         }
-        // An exiting process may close its listener after its connections.
+        // Wait before reconnecting: an exiting process may close its listener
+        // after its connections.
         sleep(pause).await;
         pause = MAX_RECONNECT_DELAY.min(2 * pause);
     }
 }
 
 /// Records that the target crashed while it may have run abandoned requests.
-fn report_crash_under_abandoned(gate: &TargetGate) {
+fn report_crash_with_abandoned_requests(gate: &TargetGate) {
     for digest in gate.crashes.take_abandoned_requests() {
         info!(gate.logger(), "ended_under_left"; "work" => %digest,
             "target" => %gate.settings.target_address);
@@ -331,7 +349,7 @@
 }
 
 fn report_crash(gate: &TargetGate, work: &RequestWork) {
-    let digest = work.digest();
+    let digest = work.submission_digest();
     info!(gate.logger(), "ended_under";
         "request" => %work.request, "work" => %digest,
         "target" => %gate.settings.target_address);
@@ -341,9 +359,9 @@
 
 fn report_presence(gate: &TargetGate, presence: TargetPresence) {
     if presence == TargetPresence::Gone {
-        gate.pacer.reset();
+        gate.pacer.clear_limits();
     }
-    if gate.crashes.set_presence(presence) {
+    if gate.crashes.set_target_presence(presence) {
         info!(gate.logger(), "target_presence";
             "target" => %gate.settings.target_address, "is" => ?presence);
     }
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -60,7 +60,7 @@
     pub crashes: TargetCrashes,
     /// The target's rate limit and cooldown.
     pub pacer: Arc<pace::RequestPacer>,
-    inner: Mutex<GateState>,
+    state: Mutex<GateState>,
     work_available: Notify,
     log: Logger,
     result_counter: Counter<u64>,
@@ -70,14 +70,14 @@
 #[derive(Debug)]
 struct GateState {
     phase: ProcessPhase,
-    register: TicketRegister,
+    ticket_register: TicketRegister,
     inherited_registers: HashMap<id::Incarnation, InheritedRegister>,
-    queue: Queue<Arc<RequestWork>>,
+    request_queue: Queue<Arc<RequestWork>>,
     running_requests: u32,
     work_by_request: HashMap<id::Request, Arc<RequestWork>>,
     idempotency_keys: HashMap<(Name, Name), KeyedRequest>,
     finished_work: VecDeque<FinishedWork>,
-    kept_bytes: u64,
+    kept_answer_bytes: u64,
     mean_service_us: u64,
     accepted_total: u64,
 }
@@ -85,10 +85,10 @@
 /// The ticket register that a stopped agent handed over.
 #[derive(Debug)]
 struct InheritedRegister {
-    register: TicketRegister,
+    ticket_register: TicketRegister,
     /// The stopped agent's clock at the handover.
     sender_clock: Millis,
-    /// This agent's clock at the handover.
+    /// This agent's clock when it accepted the handover.
     inherited_at: Millis,
 }
 
@@ -110,7 +110,8 @@
 /// The mean service time assumed before the first request finishes.
 const INITIAL_SERVICE_TIME_US: u64 = 5_000;
 
-/// Divisor of the moving average: each new service time has weight 1/16.
+/// The weight of a new service time in the moving average is one divided by
+/// this number.
 const SERVICE_TIME_SMOOTHING_DIVISOR: u64 = 16;
 
 /// The time between checks of queued requests against their deadlines.
@@ -125,18 +126,18 @@
     ) -> TargetGate {
         let queue = QueueConfig::new()
             .with_capacity(settings.max_queued_requests as usize);
-        let inner = GateState {
+        let state = GateState {
             phase: ProcessPhase::Serving,
-            register: TicketRegister::new(
+            ticket_register: TicketRegister::new(
                 settings.max_ticket_records as usize,
             ),
             inherited_registers: HashMap::new(),
-            queue: Queue::new(queue),
+            request_queue: Queue::new(queue),
             running_requests: 0,
             work_by_request: HashMap::new(),
             idempotency_keys: HashMap::new(),
             finished_work: VecDeque::new(),
-            kept_bytes: 0,
+            kept_answer_bytes: 0,
             mean_service_us: INITIAL_SERVICE_TIME_US,
             accepted_total: 0,
         };
@@ -147,7 +148,7 @@
             pacer: Arc::new(pace::RequestPacer::new(log.clone())),
             settings,
             incarnation,
-            inner: Mutex::new(inner),
+            state: Mutex::new(state),
             work_available: Notify::new(),
             log,
             result_counter: meter.u64_counter("agent_results").build(),
@@ -167,8 +168,8 @@
         self.incarnation
     }
 
-    /// Finds queued, running or finished work on behalf of the organisation that
-    /// submitted the request.
+    /// Finds a queued, running or finished request on behalf of the
+    /// organisation that submitted it.
     pub fn find_work_to_reclaim(
         &self,
         reclaim: &ReclaimAnswer,
@@ -176,24 +177,25 @@
         self.find_work(reclaim.request, &reclaim.organisation)
     }
 
-    /// Cancels a request for its caller. Returns the result to report.
+    /// Cancels a request for its caller. Returns the failure to report to the
+    /// caller.
     pub fn cancel_request(&self, cancel: &CancelRequest) -> RequestFailure {
         let work = match self.find_work(cancel.request, &cancel.organisation) {
             Ok(work) => work,
             Err(failure) => return failure,
         };
-        let mut inner = self.lock_state();
-        let queued = inner
-            .queue
+        let mut state = self.lock_state();
+        let queued = state
+            .request_queue
             .remove_first_matching(|it| it.request == cancel.request);
         if queued.is_some() {
             let failure =
                 RequestFailure::new(Code::Cancelled, Execution::NotRun);
-            inner.fail_unsent_work(&work, failure);
+            state.fail_unsent_work(&work, failure);
             return failure;
         }
-        drop(inner);
-        match (work.ending(), work.rerun_policy) {
+        drop(state);
+        match (work.answer_ending(), work.rerun_policy) {
             (Some(AnswerEnding::Whole { .. }), _) => {
                 RequestFailure::new(Code::Cancelled, Execution::Ran)
             }
@@ -202,8 +204,8 @@
                 work.request_cancellation();
                 RequestFailure::new(Code::Cancelled, Execution::OutcomeUnknown)
             }
-            // Non-repeatable work is never aborted while it runs, since the
-            // outcome at the target would be unknown.
+            // A non-repeatable request is never aborted while it runs, since
+            // its outcome at the target would be unknown.
             (None, RerunPolicy::Never) => RequestFailure::new(
                 Code::InProgress,
                 Execution::OutcomeUnknown,
@@ -211,31 +213,35 @@
         }
     }
 
-    /// Cancels work whose last listener left and whose answer need not be kept.
+    /// Cancels a request whose last listener left and whose answer need not be
+    /// kept.
     pub fn abandon_unwanted_work(&self, work: &RequestWork) {
         if work.answer_demand() == AnswerDemand::Wanted
-            || work.ending().is_some()
+            || work.answer_ending().is_some()
         {
             return;
         }
-        let mut inner = self.lock_state();
-        let queued =
-            inner.queue.remove_first_matching(|it| it.request == work.request);
+        let mut state = self.lock_state();
+        let queued = state
+            .request_queue
+            .remove_first_matching(|it| it.request == work.request);
         if let Some(item) = queued {
             let failure =
                 RequestFailure::new(Code::Cancelled, Execution::NotRun);
-            inner.fail_unsent_work(&item.work, failure);
+            state.fail_unsent_work(&item.work, failure);
         } else {
             work.request_cancellation();
         }
     }
 
-    /// Waits for the next work for the target and reserves a slot for it.
+    /// Waits for the next request to send to the target, and reserves a slot
+    /// for it.
     pub async fn next_work(&self) -> Arc<RequestWork> {
         loop {
             let ready = self.work_available.notified();
-            // Subscribed before the check, so that no limit change is missed.
-            let changed = self.pacer.next_change();
+            // Subscribed before the check for a request to start, so that no
+            // change of the rate limit is missed.
+            let changed = self.pacer.next_limit_change();
             match self.try_next_work() {
                 NextWork::Ready(work) => return work,
                 NextWork::Unavailable => ready.await,
@@ -247,38 +253,39 @@
         }
     }
 
-    /// Records the result of work that held a slot and frees the slot.
+    /// Records the result of a request that held a slot at the target, and
+    /// frees the slot.
     pub fn finish_running_work(
         &self,
         work: &Arc<RequestWork>,
         result: Result<cowsliproad_kernel::wire::AnswerFormat, RequestFailure>,
-        held: Duration,
+        slot_time: Duration,
     ) {
         let code = result.err().map_or(Code::Ok, |failure| failure.code);
         work.record_result(result);
-        let mut inner = self.lock_state();
-        inner.running_requests -= 1;
-        inner.observe_service_time(held);
-        inner.retain_finished_work(work, Millis::now());
-        inner.evict_finished_work(&self.settings, Millis::now());
-        drop(inner);
+        let mut state = self.lock_state();
+        state.running_requests -= 1;
+        state.observe_service_time(slot_time);
+        state.retain_finished_work(work, Millis::now());
+        state.evict_finished_work(&self.settings, Millis::now());
+        drop(state);
         self.count_result(code);
-        self.slot_time_histogram.record(held.as_secs_f64(), &[]);
+        self.slot_time_histogram.record(slot_time.as_secs_f64(), &[]);
         self.work_available.notify_one();
     }
 
     /// Builds a heartbeat with the agent's current state.
     pub fn build_heartbeat(&self, next_config_offset: u64) -> Heartbeat {
-        let inner = self.lock_state();
+        let state = self.lock_state();
         Heartbeat {
             sender_name: self.settings.target_name.clone(),
             incarnation: self.incarnation,
             sender_clock: Millis::now(),
-            phase: inner.phase,
-            load: inner.agent_load(self.service_rate(&inner)),
-            presence: self.crashes.presence(),
+            phase: state.phase,
+            load: state.agent_load(self.service_rate(&state)),
+            presence: self.crashes.target_presence(),
             target_cooldown: self.pacer.remaining_cooldown(Millis::now()),
-            taken_over_incarnations: inner
+            taken_over_incarnations: state
                 .inherited_registers
                 .keys()
                 .copied()
@@ -289,75 +296,77 @@
 
     /// Stops accepting new requests.
     pub fn start_leaving(&self) {
-        let mut inner = self.lock_state();
-        inner.phase = ProcessPhase::Leaving;
+        let mut state = self.lock_state();
+        state.phase = ProcessPhase::Leaving;
         info!(self.log, "leave";
-            "queued" => inner.queue.len(), "running" => inner.running_requests);
+            "queued" => state.request_queue.len(),
+            "running" => state.running_requests);
     }
 
-    /// Whether the agent accepts new requests or is leaving.
-    pub fn phase(&self) -> ProcessPhase {
+    /// Whether the agent is serving (accepts new requests) or leaving.
+    pub fn process_phase(&self) -> ProcessPhase {
         self.lock_state().phase
     }
 
     /// The number of requests queued or running at the target.
-    pub fn unfinished_requests(&self) -> usize {
-        let inner = self.lock_state();
-        inner.queue.len() + inner.running_requests as usize
+    pub fn unfinished_request_count(&self) -> usize {
+        let state = self.lock_state();
+        state.request_queue.len() + state.running_requests as usize
     }
 
-    /// Returns all that a peer needs to answer for this agent. The register is
-    /// sealed first, so a ticket it never saw can never run.
+    /// Returns all that a peer needs to answer for this agent. The ticket
+    /// register is sealed first, so a ticket that is not yet recorded can
+    /// never run.
     pub fn seal_for_handover(&self) -> HandoverData {
-        let mut inner = self.lock_state();
-        inner.register.seal();
-        let answers = inner
+        let mut state = self.lock_state();
+        state.ticket_register.seal();
+        let stored_answers = state
             .finished_work
             .iter()
             .filter_map(|it| {
-                inner.work_by_request.get(&it.request)?.to_stored_answer()
+                state.work_by_request.get(&it.request)?.to_stored_answer()
             })
             .collect();
-        let mut registers = vec![SealedRegister {
+        let mut ticket_registers = vec![SealedRegister {
             incarnation: self.incarnation,
-            clock: Millis::now(),
-            register: inner.register.clone(),
+            clock_at_handover: Millis::now(),
+            ticket_register: state.ticket_register.clone(),
         }];
-        for (incarnation, inherited) in &inner.inherited_registers {
-            registers.push(SealedRegister {
+        for (incarnation, inherited) in &state.inherited_registers {
+            ticket_registers.push(SealedRegister {
                 incarnation: *incarnation,
-                clock: inherited.sender_now(Millis::now()),
-                register: inherited.register.clone(),
+                clock_at_handover: inherited.sender_clock_now(Millis::now()),
+                ticket_register: inherited.ticket_register.clone(),
             });
         }
-        HandoverData { registers, answers }
+        HandoverData { ticket_registers, stored_answers }
     }
 
     /// Stores the answers and ticket register that a stopping peer hands over.
     pub fn accept_handover(
         &self,
         handover: Handover,
-        register: Option<TicketRegister>,
+        ticket_register: Option<TicketRegister>,
     ) {
         let now = Millis::now();
-        let mut inner = self.lock_state();
+        let mut state = self.lock_state();
         for answer in handover.stored_answers {
             let work = Arc::new(RequestWork::from_stored_answer(answer));
-            inner.retain_finished_work(&work, now);
-            inner.work_by_request.insert(work.request, work);
+            state.retain_finished_work(&work, now);
+            state.work_by_request.insert(work.request, work);
         }
-        if let Some(register) = register {
+        if let Some(ticket_register) = ticket_register {
             let inherited = InheritedRegister {
-                register,
+                ticket_register,
                 sender_clock: handover.sender_clock,
                 inherited_at: now,
             };
-            inner.inherited_registers.insert(handover.incarnation, inherited);
+            state.inherited_registers.insert(handover.incarnation, inherited);
         }
-        inner.evict_finished_work(&self.settings, now);
+        state.evict_finished_work(&self.settings, now);
         info!(self.log, "inherit";
             "incarnation" => %handover.incarnation,
-            "kept" => inner.finished_work.len());
+            "kept" => state.finished_work.len());
     }
 
     fn find_work(
@@ -365,8 +374,8 @@
         request: id::Request,
         organisation: &str,
     ) -> Result<Arc<RequestWork>, RequestFailure> {
-        let inner = self.lock_state();
-        match inner.work_by_request.get(&request) {
+        let state = self.lock_state();
+        match state.work_by_request.get(&request) {
             Some(work) if &*work.organisation == organisation => {
                 Ok(work.clone())
             }
@@ -382,31 +391,31 @@
     }
 
     fn try_next_work(&self) -> NextWork {
-        let mut inner = self.lock_state();
+        let mut state = self.lock_state();
         let now = Millis::now();
-        let service_rate = self.service_rate(&inner);
-        inner.expire_queued_work(service_rate, now);
-        if inner.running_requests >= self.settings.target_slots
-            || inner.queue.is_empty()
+        let service_rate = self.service_rate(&state);
+        state.expire_queued_work(service_rate, now);
+        if state.running_requests >= self.settings.target_slots
+            || state.request_queue.is_empty()
         {
             return NextWork::Unavailable;
         }
         if let Err(wait) = self.pacer.try_acquire_permit(now) {
             return NextWork::RateLimited(wait);
         }
-        let Some(item) = inner.queue.pop(now) else {
+        let Some(item) = state.request_queue.pop(now) else {
             return NextWork::Unavailable;
         };
-        inner.running_requests += 1;
+        state.running_requests += 1;
         NextWork::Ready(item.work)
     }
 
-    /// How fast the target takes queued requests: slots, mean service time and
-    /// rate limit.
-    fn service_rate(&self, inner: &GateState) -> ServiceRate {
+    /// How fast the target serves queued requests: slots, mean service time
+    /// and rate limit.
+    fn service_rate(&self, state: &GateState) -> ServiceRate {
         let (slots, mean_service_us) =
-            (self.settings.target_slots, inner.mean_service_us as u32);
-        let (rate, next) = self.pacer.limit_and_wait(Millis::now());
+            (self.settings.target_slots, state.mean_service_us as u32);
+        let (rate, next) = self.pacer.rate_limit_and_wait(Millis::now());
         let min_start_interval_us =
             rate.map_or(0, RequestRate::request_interval_us);
         let next_start_delay_us = u32::try_from(next.0.saturating_mul(1_000));
@@ -424,37 +433,39 @@
     }
 
     fn lock_state(&self) -> MutexGuard<'_, GateState> {
-        lock(&self.inner)
+        lock(&self.state)
     }
 }
 
-/// The result of a look for the next work to start.
+/// The result of taking the next request from the queue.
 enum NextWork {
     Ready(Arc<RequestWork>),
     Unavailable,
-    /// Work is queued, but the rate limit or cooldown allows no request for
-    /// this long.
+    /// Requests are queued, but the rate limit or the cooldown allows none to
+    /// start for this long.
     RateLimited(Millis),
 }
 
 /// The ticket registers and answers that a stopping agent hands to a peer.
 #[derive(Debug)]
 pub struct HandoverData {
-    /// The agent's own register first, then the registers it inherited.
-    pub registers: Vec<SealedRegister>,
+    /// The agent's own ticket register first, then the registers it inherited
+    /// from stopped peers.
+    pub ticket_registers: Vec<SealedRegister>,
     /// The answers of finished requests.
-    pub answers: Vec<StoredAnswer>,
+    pub stored_answers: Vec<StoredAnswer>,
 }
 
 /// The ticket register of one agent process, sealed for the handover.
 #[derive(Debug)]
 pub struct SealedRegister {
-    /// The agent process that recorded the tickets.
+    /// The incarnation of the agent process that recorded the tickets.
     pub incarnation: id::Incarnation,
-    /// The clock of that agent process at the handover.
-    pub clock: Millis,
+    /// The clock of the agent process that recorded the tickets, at the
+    /// handover.
+    pub clock_at_handover: Millis,
     /// The ticket records.
-    pub register: TicketRegister,
+    pub ticket_register: TicketRegister,
 }
 
 /// Fails queued requests that can no longer meet their deadline, without
@@ -462,20 +473,20 @@
 pub async fn sweep_queue(gate: Arc<TargetGate>) {
     loop {
         tokio::time::sleep(QUEUE_SWEEP_INTERVAL).await;
-        let mut inner = gate.lock_state();
-        let service_rate = gate.service_rate(&inner);
-        inner.expire_queued_work(service_rate, Millis::now());
-        if gate.pacer.take_tightened() {
-            inner.shed_late_work(service_rate, Millis::now());
+        let mut state = gate.lock_state();
+        let service_rate = gate.service_rate(&state);
+        state.expire_queued_work(service_rate, Millis::now());
+        if gate.pacer.take_tightened_flag() {
+            state.shed_late_work(service_rate, Millis::now());
         }
-        inner.evict_finished_work(&gate.settings, Millis::now());
+        state.evict_finished_work(&gate.settings, Millis::now());
     }
 }
 
 impl GateState {
     fn agent_load(&self, service_rate: ServiceRate) -> AgentLoad {
         AgentLoad {
-            queued_requests: self.queue.len() as u32,
+            queued_requests: self.request_queue.len() as u32,
             running_requests: self.running_requests,
             target_slots: service_rate.slots,
             // Entry processes estimate queueing delay from this value, so it
@@ -485,15 +496,17 @@
         }
     }
 
-    fn observe_service_time(&mut self, held: Duration) {
-        let held = held.as_micros().min(u128::from(u32::MAX)) as u64;
+    fn observe_service_time(&mut self, slot_time: Duration) {
+        let slot_time_us =
+            slot_time.as_micros().min(u128::from(u32::MAX)) as u64;
         let old = self.mean_service_us * (SERVICE_TIME_SMOOTHING_DIVISOR - 1);
-        self.mean_service_us = (old + held) / SERVICE_TIME_SMOOTHING_DIVISOR;
+        self.mean_service_us =
+            (old + slot_time_us) / SERVICE_TIME_SMOOTHING_DIVISOR;
     }
 
     fn expire_queued_work(&mut self, service_rate: ServiceRate, now: Millis) {
         while let Some(item) =
-            self.queue.remove_expired_item(service_rate, now)
+            self.request_queue.remove_expired_item(service_rate, now)
         {
             let failure =
                 RequestFailure::new(Code::DeadlinePassed, Execution::NotRun);
@@ -504,29 +517,31 @@
     /// Fails queued requests that can't meet their deadline under a lower rate
     /// limit.
     fn shed_late_work(&mut self, service_rate: ServiceRate, now: Millis) {
-        for item in self.queue.remove_items_missing_deadline(service_rate, now)
+        for item in
+            self.request_queue.remove_items_missing_deadline(service_rate, now)
         {
             let failure =
                 RequestFailure::new(Code::Overloaded, Execution::NotRun);
-            let wait = self.queue.estimate_retry_after(service_rate);
+            let wait = self.request_queue.estimate_retry_after(service_rate);
             self.fail_unsent_work(&item.work, failure.with_retry_after(wait));
         }
     }
 
-    /// Fails work that was never sent to the target, and refuses its ticket.
+    /// Fails a request that was never sent to the target, and refuses its
+    /// ticket.
     fn fail_unsent_work(
         &mut self,
         work: &Arc<RequestWork>,
         failure: RequestFailure,
     ) {
-        self.register.refuse_unsent_ticket(work.request);
+        self.ticket_register.refuse_unsent_ticket(work.request);
         work.record_result(Err(failure));
         self.retain_finished_work(work, Millis::now());
     }
 
     fn retain_finished_work(&mut self, work: &Arc<RequestWork>, now: Millis) {
         let answer_bytes = work.answer_length() as u64;
-        self.kept_bytes += answer_bytes;
+        self.kept_answer_bytes += answer_bytes;
         let key = work.idempotency_key.clone();
         self.finished_work.push_back(FinishedWork {
             finished_at: now,
@@ -540,11 +555,13 @@
         while let Some(oldest) = self.finished_work.front() {
             let young =
                 now.since(oldest.finished_at) < settings.answer_retention_time;
-            if young && self.kept_bytes <= settings.max_kept_answer_bytes {
+            if young
+                && self.kept_answer_bytes <= settings.max_kept_answer_bytes
+            {
                 return;
             }
             let Some(oldest) = self.finished_work.pop_front() else { return };
-            self.kept_bytes -= oldest.answer_bytes;
+            self.kept_answer_bytes -= oldest.answer_bytes;
             self.work_by_request.remove(&oldest.request);
             if let Some(key) = oldest.idempotency_key
                 && self
@@ -560,7 +577,7 @@
 
 impl InheritedRegister {
     /// The current time on the stopped agent's clock.
-    fn sender_now(&self, now: Millis) -> Millis {
+    fn sender_clock_now(&self, now: Millis) -> Millis {
         self.sender_clock + now.since(self.inherited_at)
     }
 }
--- a/cowsliproad-agent/src/gate/submit.rs
+++ b/cowsliproad-agent/src/gate/submit.rs
@@ -20,27 +20,28 @@
 
 /// Refuses a quarantined request, which crashes the targets that run it. The
 /// entry process, which knows of all crashes, adds the time to retry after.
-const QUARANTINED: RequestFailure = RequestFailure {
+const QUARANTINED_REFUSAL: RequestFailure = RequestFailure {
     code: Code::Quarantined,
     ran: Execution::NotRun,
     retry_after: None,
 };
 
 impl TargetGate {
-    /// Admits a request, or finds the work of an earlier submission of it.
+    /// Admits a request, or returns the accepted request if it was submitted
+    /// before.
     pub fn submit_request(
         &self,
         submit: &SubmitRequest,
     ) -> Result<Arc<RequestWork>, RequestFailure> {
         let now = Millis::now();
-        let mut inner = self.lock_state();
+        let mut state = self.lock_state();
         let outcome = match &submit.ticket {
             Some(text) => {
-                self.submit_with_ticket(&mut inner, text, submit, now)
+                self.submit_with_ticket(&mut state, text, submit, now)
             }
-            None => self.submit_without_ticket(&mut inner, submit, now),
+            None => self.submit_without_ticket(&mut state, submit, now),
         };
-        drop(inner);
+        drop(state);
         match &outcome {
             Ok(work) => {
                 debug!(self.log, "admit";
@@ -64,25 +65,25 @@
 
     fn submit_with_ticket(
         &self,
-        inner: &mut GateState,
+        state: &mut GateState,
         encoded_ticket: &[u8],
         submit: &SubmitRequest,
         now: Millis,
     ) -> Result<Arc<RequestWork>, RequestFailure> {
         let ticket = self.verify_ticket(encoded_ticket, submit)?;
-        let leaving = inner.phase == ProcessPhase::Leaving;
+        let leaving = state.phase == ProcessPhase::Leaving;
         let recalled = submit.mode == SubmitMode::ReportOnly;
         let verdict = if ticket.incarnation == self.incarnation {
             if leaving || recalled {
-                inner.register.refuse(&ticket, now)
+                state.ticket_register.refuse(&ticket, now)
             } else {
-                inner.register.submit(&ticket, now)
+                state.ticket_register.submit(&ticket, now)
             }
         } else if let Some(it) =
-            inner.inherited_registers.get_mut(&ticket.incarnation)
+            state.inherited_registers.get_mut(&ticket.incarnation)
         {
-            let then = it.sender_now(now);
-            it.register.submit(&ticket, then)
+            let then = it.sender_clock_now(now);
+            it.ticket_register.submit(&ticket, then)
         } else {
             return Err(RequestFailure::new(
                 Code::TargetGone,
@@ -90,13 +91,13 @@
             ));
         };
         match verdict {
-            SubmitVerdict::Run => self.enqueue_work(inner, submit, now),
+            SubmitVerdict::Run => self.enqueue_work(state, submit, now),
             SubmitVerdict::Duplicate => {
-                inner.work_by_request.get(&ticket.request).cloned().ok_or(
+                state.work_by_request.get(&ticket.request).cloned().ok_or(
                     RequestFailure::new(Code::AnswerDropped, Execution::Ran),
                 )
             }
-            SubmitVerdict::Refused if recalled => Err(QUARANTINED),
+            SubmitVerdict::Refused if recalled => Err(QUARANTINED_REFUSAL),
             SubmitVerdict::Refused if leaving => {
                 Err(RequestFailure::new(Code::Leaving, Execution::NotRun))
             }
@@ -121,14 +122,14 @@
 
     fn submit_without_ticket(
         &self,
-        inner: &mut GateState,
+        state: &mut GateState,
         submit: &SubmitRequest,
         now: Millis,
     ) -> Result<Arc<RequestWork>, RequestFailure> {
         let key = submit.idempotency_key.as_ref();
         let key = key.map(|it| (submit.organisation.clone(), it.clone()));
         if let Some(key) = &key
-            && let Some(keyed) = inner.idempotency_keys.get(key)
+            && let Some(keyed) = state.idempotency_keys.get(key)
         {
             if keyed.body_hash != blake3::hash(&submit.body) {
                 return Err(RequestFailure::new(
@@ -136,12 +137,12 @@
                     Execution::NotRun,
                 ));
             }
-            let known = inner.work_by_request.get(&keyed.request);
+            let known = state.work_by_request.get(&keyed.request);
             if let Some(work) = known.filter(|it| !has_failed(it)) {
                 return Ok(work.clone());
             }
         }
-        let known = inner.work_by_request.get(&submit.request);
+        let known = state.work_by_request.get(&submit.request);
         if let Some(work) = known.filter(|it| !has_failed(it)) {
             let own = work.organisation == submit.organisation;
             let foreign = RequestFailure::new(
@@ -151,15 +152,15 @@
             return own.then(|| work.clone()).ok_or(foreign);
         }
         if submit.mode == SubmitMode::ReportOnly {
-            return Err(QUARANTINED);
+            return Err(QUARANTINED_REFUSAL);
         }
-        if inner.phase == ProcessPhase::Leaving {
+        if state.phase == ProcessPhase::Leaving {
             return Err(RequestFailure::new(Code::Leaving, Execution::NotRun));
         }
-        let work = self.enqueue_work(inner, submit, now)?;
+        let work = self.enqueue_work(state, submit, now)?;
         if let Some(key) = key {
             let body_hash = blake3::hash(&submit.body);
-            inner.idempotency_keys.insert(
+            state.idempotency_keys.insert(
                 key,
                 KeyedRequest { request: work.request, body_hash },
             );
@@ -169,7 +170,7 @@
 
     fn enqueue_work(
         &self,
-        inner: &mut GateState,
+        state: &mut GateState,
         submit: &SubmitRequest,
         now: Millis,
     ) -> Result<Arc<RequestWork>, RequestFailure> {
@@ -181,21 +182,21 @@
             deadline: work.deadline,
             work: work.clone(),
         };
-        let service_rate = self.service_rate(inner);
+        let service_rate = self.service_rate(state);
         // With a free slot the queue is empty, so `push` refuses only for the
         // deadline.
-        match inner.queue.push(item, service_rate, now) {
+        match state.request_queue.push(item, service_rate, now) {
             PushOutcome::Queued => {}
             PushOutcome::Displaced(loser, wait) => {
                 let failure =
                     RequestFailure::new(Code::Shed, Execution::NotRun);
-                inner.fail_unsent_work(
+                state.fail_unsent_work(
                     &loser.work,
                     failure.with_retry_after(wait),
                 );
             }
             PushOutcome::Refused(_, wait) => {
-                inner.register.refuse_unsent_ticket(work.request);
+                state.ticket_register.refuse_unsent_ticket(work.request);
                 return Err(RequestFailure::new(
                     Code::Overloaded,
                     Execution::NotRun,
@@ -203,8 +204,8 @@
                 .with_retry_after(wait));
             }
         }
-        inner.accepted_total += 1;
-        inner.work_by_request.insert(work.request, work.clone());
+        state.accepted_total += 1;
+        state.work_by_request.insert(work.request, work.clone());
         Ok(work)
     }
 
@@ -233,5 +234,5 @@
 }
 
 fn has_failed(work: &RequestWork) -> bool {
-    matches!(work.ending(), Some(AnswerEnding::Failed(_)))
+    matches!(work.answer_ending(), Some(AnswerEnding::Failed(_)))
 }
--- a/cowsliproad-agent/src/handover.rs
+++ b/cowsliproad-agent/src/handover.rs
@@ -41,12 +41,15 @@
 /// The size from which a handover message takes no further answers.
 const HANDOVER_CHUNK_BYTES: usize = 4 << 20;
 
-/// Stops an agent gracefully: drains its requests and hands its data to a peer.
+/// Stops an agent gracefully: drains its requests and hands its records and
+/// answers to a peer.
 pub async fn stop_gracefully(agent: &Agent) {
     agent.gate.start_leaving();
     agent.links.send_heartbeats();
     let deadline = Instant::now() + agent.settings.drain_timeout.duration();
-    while agent.gate.unfinished_requests() > 0 && Instant::now() < deadline {
+    while agent.gate.unfinished_request_count() > 0
+        && Instant::now() < deadline
+    {
         sleep(DRAIN_POLL_INTERVAL).await;
     }
     let peers = wait_for_peers(agent).await;
@@ -55,7 +58,7 @@
         if hand_over_to_peer(agent, &peer, &handover_data).await {
             info!(agent.log, "handed_over";
                 "peer" => %peer.name,
-                "answers" => handover_data.answers.len());
+                "answers" => handover_data.stored_answers.len());
             break;
         }
         warn!(agent.log, "handover_failed"; "peer" => %peer.name);
@@ -88,7 +91,7 @@
 /// same availability zone first.
 fn known_peers(agent: &Agent) -> Vec<Target> {
     let name = &agent.settings.target_name;
-    let mut peers = agent.replica.with_config(|state| {
+    let mut peers = agent.replica.read_config(|state| {
         let targets = state.objects().filter_map(|it| match &it.object {
             Object::Target(target) => Some(target.clone()),
             _ => None,
@@ -144,8 +147,8 @@
     sender: &Sender,
     handover_data: &HandoverData,
 ) -> Option<id::Incarnation> {
-    let own = handover_data.registers.first()?.incarnation;
-    for chunk in split_into_chunks(&handover_data.answers) {
+    let own = handover_data.ticket_registers.first()?.incarnation;
+    for chunk in split_into_chunks(&handover_data.stored_answers) {
         let handover = Handover {
             incarnation: own,
             sender_clock: Millis(0),
@@ -155,13 +158,17 @@
         };
         sender.send(Frame::Handover(Box::new(handover))).await.ok()?;
     }
-    // The agent's own register goes last, since it ends the handover.
-    for (index, sealed) in handover_data.registers.iter().enumerate().rev() {
+    // The agent's own ticket register goes last, since its message ends the
+    // handover.
+    for (index, sealed) in
+        handover_data.ticket_registers.iter().enumerate().rev()
+    {
         let mut encoded_tickets = Vec::new();
-        ciborium::into_writer(&sealed.register, &mut encoded_tickets).ok()?;
+        ciborium::into_writer(&sealed.ticket_register, &mut encoded_tickets)
+            .ok()?;
         let handover = Handover {
             incarnation: sealed.incarnation,
-            sender_clock: sealed.clock,
+            sender_clock: sealed.clock_at_handover,
             encoded_tickets,
             stored_answers: Vec::new(),
             has_more: index > 0,
--- a/cowsliproad-agent/src/http.rs
+++ b/cowsliproad-agent/src/http.rs
@@ -41,7 +41,7 @@
     async fn handle(&self, request: Request) -> Response {
         match request.uri().path() {
             "/livez" => reply::text(StatusCode::OK, "live\n"),
-            "/readyz" => match self.gate.phase() {
+            "/readyz" => match self.gate.process_phase() {
                 ProcessPhase::Serving => {
                     reply::text(StatusCode::OK, "ready\n")
                 }
--- a/cowsliproad-agent/src/lib.rs
+++ b/cowsliproad-agent/src/lib.rs
@@ -41,7 +41,7 @@
 use tokio::net::TcpListener;
 
 use crate::{
-    adapter::AdapterPlugin, gate::TargetGate, links::Links,
+    adapter::AdapterPlugin, gate::TargetGate, links::AgentLinks,
     replica::ConfigReplica, settings::Settings,
 };
 
@@ -55,7 +55,7 @@
     /// The agent's copy of the configuration.
     pub replica: Arc<ConfigReplica>,
     /// The open links to entry processes and peer agents.
-    pub links: Arc<Links>,
+    pub links: Arc<AgentLinks>,
     /// The agent's metrics.
     pub metrics: Metrics,
     /// The agent's logger.
@@ -81,11 +81,11 @@
     let gate = Arc::new(gate);
     let adapter = plugin::find::<AdapterPlugin>(&settings.adapter_name)
         .ok_or_else(|| io::Error::other("no such adapter"))?;
-    (adapter.start)(gate.clone(), &runtimes.traffic_runtime);
+    (adapter.start_adapter)(gate.clone(), &runtimes.traffic_runtime);
     let replica = Arc::new(ConfigReplica::new());
     let listener = TcpListener::bind(settings.link_listen_address).await?;
     let link_address = listener.local_addr()?;
-    let links = Links::new(gate.clone(), replica.clone(), log.new(o!()));
+    let links = AgentLinks::new(gate.clone(), replica.clone(), log.new(o!()));
     let links = Arc::new(links);
     runtimes
         .traffic_runtime
@@ -121,8 +121,8 @@
 }
 
 impl Agent {
-    /// Finishes the accepted requests, hands the records to a peer agent, then
-    /// returns.
+    /// Finishes the accepted requests, then hands the agent's records to a
+    /// peer agent.
     pub async fn stop_gracefully(&self) {
         handover::stop_gracefully(self).await;
         self.accept_handle.stop_accepting();
--- a/cowsliproad-agent/src/links.rs
+++ b/cowsliproad-agent/src/links.rs
@@ -38,7 +38,7 @@
     work::{AnswerEnding, AnswerPiece, RequestWork},
 };
 
-/// The time between heartbeats.
+/// The time between heartbeats on a link.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How long a request whose link broke waits for its caller to reconnect.
@@ -49,21 +49,21 @@
 
 /// All open links of an agent to entry processes and peer agents.
 #[derive(Debug)]
-pub struct Links {
+pub struct AgentLinks {
     gate: Arc<TargetGate>,
     replica: Arc<ConfigReplica>,
     log: Logger,
     open_links: Mutex<Vec<Sender>>,
 }
 
-impl Links {
+impl AgentLinks {
     /// Creates an agent's link set without open links.
     pub fn new(
         gate: Arc<TargetGate>,
         replica: Arc<ConfigReplica>,
         log: Logger,
-    ) -> Links {
-        Links { gate, replica, log, open_links: Mutex::default() }
+    ) -> AgentLinks {
+        AgentLinks { gate, replica, log, open_links: Mutex::default() }
     }
 
     /// Sends a heartbeat and the unsent crash reports on every link.
@@ -71,11 +71,11 @@
         self.send_heartbeats_on(self.lock_open_links());
     }
 
-    /// Sends unsent crash and cooldown reports to every entry process, ahead of
-    /// any frame that is sent after this call.
+    /// Sends unsent crash and cooldown reports to every entry process, ahead
+    /// of any frame that is sent after this call.
     pub fn send_unsent_reports(&self) {
-        // The lock is held until all links have the reports, so a concurrent
-        // caller can't return before the reports are sent.
+        // The lock is held until the reports are queued on all links, so no
+        // concurrent caller returns before that.
         let open_links = self.lock_open_links();
         if self.gate.crashes.has_unsent_reports()
             || self.gate.pacer.has_unsent_cooldown()
@@ -87,26 +87,27 @@
     fn send_heartbeats_on(&self, mut open_links: MutexGuard<'_, Vec<Sender>>) {
         let reports = self.gate.crashes.take_unsent_reports();
         self.gate.pacer.mark_cooldown_sent();
-        let beat = Frame::Heartbeat(
+        let heartbeat = Frame::Heartbeat(
             self.gate.build_heartbeat(self.replica.next_offset()),
         );
         open_links.retain(|link| !link.is_closed());
         for link in open_links.iter() {
-            // A full send queue keeps the link alive without a heartbeat.
-            let _ = link.try_send(beat.clone());
+            // If the send queue is full, the queued frames show the peer that
+            // this agent is alive, so the heartbeat may be dropped.
+            let _ = link.try_send(heartbeat.clone());
             if !reports.is_empty() {
                 send_suspects(link, reports.clone());
             }
         }
     }
 
-    /// Requests newer configuration records from the peer of every link.
+    /// Requests newer configuration from the peer of every link.
     pub fn request_config(&self) {
-        let pull = Frame::PullConfig(self.replica.next_offset());
+        let config_request = Frame::PullConfig(self.replica.next_offset());
         for link in self.lock_open_links().iter() {
-            // A full send queue means a busy peer; the other peers are asked
-            // too.
-            let _ = link.try_send(pull.clone());
+            // If the send queue is full, the peer is busy; the request goes to
+            // the other peers too.
+            let _ = link.try_send(config_request.clone());
         }
     }
 
@@ -124,14 +125,14 @@
     }
     let link = link.clone();
     tokio::spawn(async move {
-        // If the link breaks, the entry process receives all suspected requests
-        // when it reconnects.
+        // If the link breaks, the entry process receives all suspected
+        // requests when it reconnects.
         let _ = link.send(frame).await;
     });
 }
 
 /// Sends heartbeats for as long as the agent runs.
-pub async fn run_heartbeats(links: Arc<Links>) {
+pub async fn run_heartbeats(links: Arc<AgentLinks>) {
     loop {
         sleep(HEARTBEAT_INTERVAL).await;
         links.send_heartbeats();
@@ -139,7 +140,7 @@
 }
 
 /// Accepts links for as long as the agent runs.
-pub async fn accept_links(links: Arc<Links>, listener: TcpListener) {
+pub async fn accept_links(links: Arc<AgentLinks>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((tcp, _)) => {
@@ -150,11 +151,11 @@
     }
 }
 
-async fn serve_link(links: Arc<Links>, tcp: TcpStream) {
+async fn serve_link(links: Arc<AgentLinks>, tcp: TcpStream) {
     let key = links.gate.settings.shared_key.0;
-    let beat = links.gate.build_heartbeat(links.replica.next_offset());
+    let heartbeat = links.gate.build_heartbeat(links.replica.next_offset());
     let (sender, receiver, peer_hello) =
-        match link::accept(tcp, &key, beat).await {
+        match link::accept(tcp, &key, heartbeat).await {
             Ok(accepted) => accepted,
             Err(error) => {
                 warn!(links.log, "link_refused"; "error" => %error);
@@ -162,7 +163,7 @@
             }
         };
     info!(links.log, "link_open"; "peer" => %peer_hello.name);
-    let suspects = links.gate.crashes.all_suspects();
+    let suspects = links.gate.crashes.all_suspected_requests();
     if !suspects.is_empty() {
         send_suspects(&sender, suspects);
     }
@@ -175,12 +176,12 @@
 
 /// An open link and the attempts that receive answers on it.
 struct LinkSession {
-    links: Arc<Links>,
+    links: Arc<AgentLinks>,
     sender: Sender,
     attempts: HashMap<id::Attempt, AttemptListener>,
 }
 
-/// An attempt that receives the answer of a request.
+/// An attempt on this link that receives the answer of a request.
 struct AttemptListener {
     work: Arc<RequestWork>,
     window: Arc<AnswerWindow>,
@@ -227,7 +228,8 @@
                 self.send_reply(reply).await;
             }
             Frame::Handover(handover) => self.accept_handover(*handover).await,
-            // Heartbeats of entry processes only keep the link alive.
+            // Other frames need no handling: heartbeats of entry processes
+            // only keep the link alive.
             _ => {}
         }
     }
@@ -346,7 +348,7 @@
         self.window_opened.notify_waiters();
     }
 
-    /// Waits until the window allows more than `sent_bytes` to be sent.
+    /// Waits until more bytes may be sent after the first `sent_bytes`.
     async fn wait_for_window(&self, sent_bytes: u64) {
         loop {
             let mut opened = pin!(self.window_opened.notified());
@@ -366,7 +368,7 @@
     work: Arc<RequestWork>,
     sender: Sender,
     window: Arc<AnswerWindow>,
-    links: Arc<Links>,
+    links: Arc<AgentLinks>,
 }
 
 impl AnswerSender {
@@ -402,7 +404,7 @@
                     }
                     let frame = self.ending_frame(ending, frame_sequence);
                     let _ = self.sender.send(frame).await;
-                    self.send_load().await;
+                    self.send_agent_load().await;
                     return;
                 }
                 // `next_answer_piece` never returns `Pending`.
@@ -430,13 +432,13 @@
 
     /// Sends the agent's load after an answer, so that a busy link carries
     /// fresher load reports than the periodic heartbeats.
-    async fn send_load(&self) {
-        let beat =
+    async fn send_agent_load(&self) {
+        let heartbeat =
             self.links.gate.build_heartbeat(self.links.replica.next_offset());
-        if beat.phase == ProcessPhase::Serving
-            && beat.load.accepted_requests_total.is_multiple_of(4)
+        if heartbeat.phase == ProcessPhase::Serving
+            && heartbeat.load.accepted_requests_total.is_multiple_of(4)
         {
-            let _ = self.sender.send(Frame::Heartbeat(beat)).await;
+            let _ = self.sender.send(Frame::Heartbeat(heartbeat)).await;
         }
     }
 }
--- a/cowsliproad-agent/src/pace.rs
+++ b/cowsliproad-agent/src/pace.rs
@@ -33,10 +33,10 @@
 /// Enforces the rate limit and the cooldown of one target.
 #[derive(Debug)]
 pub struct RequestPacer {
-    inner: Mutex<PacerState>,
+    state: Mutex<PacerState>,
     /// Wakes the tasks that wait for a permit when the limit or the cooldown
     /// changes.
-    changed: Notify,
+    limits_changed: Notify,
     log: Logger,
 }
 
@@ -67,7 +67,11 @@
 impl RequestPacer {
     /// Creates a pacer without a limit or a cooldown.
     pub fn new(log: Logger) -> RequestPacer {
-        RequestPacer { inner: Mutex::default(), changed: Notify::new(), log }
+        RequestPacer {
+            state: Mutex::default(),
+            limits_changed: Notify::new(),
+            log,
+        }
     }
 
     /// Reads the limit and the cooldown from an answer to a request that was
@@ -80,16 +84,16 @@
     ) {
         self.apply_retry_after_header(status, headers);
         let limit_header = headers.get(&LIMIT_HEADER);
-        let mut inner = self.lock();
+        let mut state = self.lock_state();
         let bytes = limit_header.map(HeaderValue::as_bytes);
-        let observation = inner.current_limit.observe_limit_header(
+        let observation = state.current_limit.observe_limit_header(
             bytes,
             sent_at,
             Millis::now(),
         );
-        let (change, rate) = (observation.change, inner.current_limit.rate());
-        inner.has_tightened |= change == LimitChange::Tightened;
-        drop(inner);
+        let (change, rate) = (observation.change, state.current_limit.rate());
+        state.has_tightened |= change == LimitChange::Tightened;
+        drop(state);
         if observation.limit_became_invalid {
             warn!(self.log, "limit_refused"; "limit" => ?limit_header);
         }
@@ -97,7 +101,7 @@
             info!(self.log, "limit";
                 "a_second" => rate.map(RequestRate::requests_per_second),
                 "change" => ?change);
-            self.changed.notify_waiters();
+            self.limits_changed.notify_waiters();
         }
     }
 
@@ -114,7 +118,7 @@
             RetryAfter::None => return,
             RetryAfter::Unreadable => {
                 if !std::mem::replace(
-                    &mut self.lock().retry_after_invalid,
+                    &mut self.lock_state().retry_after_invalid,
                     true,
                 ) {
                     warn!(self.log, "retry_after_refused";
@@ -124,81 +128,82 @@
             }
             RetryAfter::Wait(wait) => wait,
         };
-        let mut inner = self.lock();
-        inner.retry_after_invalid = false;
-        let extends = inner.cooldown.apply_retry_after(wait, Millis::now());
-        inner.has_tightened |= extends;
-        inner.has_unsent_cooldown |= extends;
-        drop(inner);
+        let mut state = self.lock_state();
+        state.retry_after_invalid = false;
+        let extends = state.cooldown.apply_retry_after(wait, Millis::now());
+        state.has_tightened |= extends;
+        state.has_unsent_cooldown |= extends;
+        drop(state);
         if extends {
             info!(self.log, "cooldown"; "status" => status.as_u16(),
                 "stated" => ?headers.get(RETRY_AFTER), "wait" => wait.0);
-            self.changed.notify_waiters();
+            self.limits_changed.notify_waiters();
         }
     }
 
     /// The time left of the target's cooldown.
     pub fn remaining_cooldown(&self, now: Millis) -> Millis {
-        self.lock().cooldown.remaining_cooldown_time(now)
+        self.lock_state().cooldown.remaining_cooldown_time(now)
     }
 
     /// Whether a change of the cooldown must still be sent to entry processes.
     pub fn has_unsent_cooldown(&self) -> bool {
-        self.lock().has_unsent_cooldown
+        self.lock_state().has_unsent_cooldown
     }
 
     /// Records that the cooldown was sent to entry processes.
     pub fn mark_cooldown_sent(&self) {
-        self.lock().has_unsent_cooldown = false;
+        self.lock_state().has_unsent_cooldown = false;
     }
 
     /// Drops the limit and the cooldown of a target process that is gone.
-    pub fn reset(&self) {
-        let mut inner = self.lock();
-        let asked = inner.cooldown != Cooldown::default()
-            || inner.current_limit.rate().is_some();
-        *inner =
+    pub fn clear_limits(&self) {
+        let mut state = self.lock_state();
+        let asked = state.cooldown != Cooldown::default()
+            || state.current_limit.rate().is_some();
+        *state =
             PacerState { has_unsent_cooldown: asked, ..PacerState::default() };
-        drop(inner);
+        drop(state);
         if asked {
             info!(self.log, "pace_forgotten");
-            self.changed.notify_waiters();
+            self.limits_changed.notify_waiters();
         }
     }
 
-    /// Whether the limit or the cooldown became stricter since the last call.
-    pub fn take_tightened(&self) -> bool {
-        std::mem::take(&mut self.lock().has_tightened)
+    /// Takes the flag that the limit or the cooldown became stricter since the
+    /// last call.
+    pub fn take_tightened_flag(&self) -> bool {
+        std::mem::take(&mut self.lock_state().has_tightened)
     }
 
     /// The rate limit in force, and the wait until the next request may start.
-    pub fn limit_and_wait(
+    pub fn rate_limit_and_wait(
         &self,
         now: Millis,
     ) -> (Option<RequestRate>, Millis) {
-        let mut inner = self.lock();
-        let wait = inner.cooldown.remaining_cooldown_time(now);
-        let Some(rate) = inner.current_limit.rate() else {
+        let mut state = self.lock_state();
+        let wait = state.cooldown.remaining_cooldown_time(now);
+        let Some(rate) = state.current_limit.rate() else {
             return (None, wait);
         };
         let permit_wait =
-            inner.limiter_for_rate(rate, now).time_to_next_permit(now);
+            state.limiter_for_rate(rate, now).time_to_next_permit(now);
         (Some(rate), wait.max(permit_wait))
     }
 
     /// Acquires a permit to send a request now. The error is the wait until
     /// the next permit.
     pub fn try_acquire_permit(&self, now: Millis) -> Result<(), Millis> {
-        let mut inner = self.lock();
-        let left = inner.cooldown.remaining_cooldown_time(now);
+        let mut state = self.lock_state();
+        let left = state.cooldown.remaining_cooldown_time(now);
         if left > Millis(0) {
             return Err(left);
         }
-        let Some(rate) = inner.current_limit.rate() else {
-            inner.limiter = None;
+        let Some(rate) = state.current_limit.rate() else {
+            state.limiter = None;
             return Ok(());
         };
-        match inner.limiter_for_rate(rate, now).grant_permit(
+        match state.limiter_for_rate(rate, now).grant_permit(
             rate,
             1.0,
             Millis(0),
@@ -209,10 +214,10 @@
         }
     }
 
-    /// Waits for a permit and acquires it.
+    /// Waits for a permit to send a request to the target and acquires it.
     pub async fn acquire_permit(&self) {
         loop {
-            let changed = self.next_change();
+            let changed = self.next_limit_change();
             let Err(after) = self.try_acquire_permit(Millis::now()) else {
                 return;
             };
@@ -224,11 +229,11 @@
     }
 
     /// Waits for the next change of the limit or the cooldown after this call.
-    pub fn next_change(&self) -> Notified<'_> {
-        self.changed.notified()
+    pub fn next_limit_change(&self) -> Notified<'_> {
+        self.limits_changed.notified()
     }
 
-    fn lock(&self) -> MutexGuard<'_, PacerState> {
-        lock(&self.inner)
+    fn lock_state(&self) -> MutexGuard<'_, PacerState> {
+        lock(&self.state)
     }
 }
--- a/cowsliproad-agent/src/replica.rs
+++ b/cowsliproad-agent/src/replica.rs
@@ -24,13 +24,13 @@
         ConfigReplica { state: Mutex::new(ConfigState::new()) }
     }
 
-    /// The log offset after the last configuration record applied.
+    /// The log offset that follows the last configuration record applied.
     pub fn next_offset(&self) -> u64 {
         self.lock_config().next_offset()
     }
 
     /// Calls `read` with the current configuration, under the lock.
-    pub fn with_config<T>(&self, read: impl FnOnce(&ConfigState) -> T) -> T {
+    pub fn read_config<T>(&self, read: impl FnOnce(&ConfigState) -> T) -> T {
         read(&self.lock_config())
     }
 
--- a/cowsliproad-agent/src/settings.rs
+++ b/cowsliproad-agent/src/settings.rs
@@ -168,7 +168,8 @@
         }
         if plugin::find::<AdapterPlugin>(&self.adapter_name).is_none() {
             let known = plugin::all::<AdapterPlugin>();
-            let known: Vec<_> = known.iter().map(|it| it.name).collect();
+            let known: Vec<_> =
+                known.iter().map(|it| it.adapter_name).collect();
             return Err(("adapter", format!("one of {}", known.join(", "))));
         }
         if self.target_slots == 0 {
--- a/cowsliproad-agent/src/work.rs
+++ b/cowsliproad-agent/src/work.rs
@@ -47,13 +47,13 @@
     /// The name of the request type.
     pub request_type: Name,
     /// The request body as the caller sent it.
-    pub body: Bytes,
+    pub request_body: Bytes,
     /// The request's deadline on this process's clock.
     pub deadline: Millis,
     /// Whether the request may run more than once.
     pub rerun_policy: RerunPolicy,
     /// The request's priority at a model engine; lower values run first.
-    pub priority: i64,
+    pub engine_priority: i64,
     /// The idempotency key that the caller sent with the request.
     pub idempotency_key: Option<Name>,
     persistence: RequestPersistence,
@@ -89,7 +89,7 @@
 /// The next part of an answer that a listener reads.
 #[derive(Debug)]
 pub enum AnswerPiece {
-    /// Bytes of the answer.
+    /// The next bytes of the answer.
     Bytes(Vec<u8>),
     /// All answer bytes are read; the request has ended.
     End(AnswerEnding),
@@ -100,27 +100,27 @@
 impl RequestWork {
     /// The digest of the organisation, request type and body. Equal
     /// submissions have the same digest, whatever their request ids.
-    pub fn digest(&self) -> quarantine::WorkDigest {
+    pub fn submission_digest(&self) -> quarantine::WorkDigest {
         quarantine::WorkDigest::digest_submission(
             &self.organisation,
             &self.request_type,
-            &self.body,
+            &self.request_body,
         )
     }
 
-    /// Creates work that has not started.
+    /// Creates a request that has not started.
     pub fn new(submit: &SubmitRequest, now: Millis) -> RequestWork {
         RequestWork {
             request: submit.request,
             organisation: submit.organisation.clone(),
             request_type: submit.request_type.clone(),
-            body: Bytes::from(submit.body.clone()),
+            request_body: Bytes::from(submit.body.clone()),
             deadline: now + submit.time_left,
             rerun_policy: match submit.ticket {
                 Some(_) => RerunPolicy::Never,
                 None => RerunPolicy::Allowed,
             },
-            priority: submit.urgency as i64,
+            engine_priority: submit.urgency as i64,
             idempotency_key: submit.idempotency_key.clone(),
             persistence: submit.persistence,
             progress: Mutex::new(AnswerProgress {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Creates finished work from an answer that a peer hands over.
+    /// Creates a finished request from an answer that a peer agent hands over.
     pub fn from_stored_answer(answer: StoredAnswer) -> RequestWork {
         let submit = SubmitRequest {
             attempt: id::Attempt(0),
@@ -190,7 +190,8 @@
         self.lock_progress().answer_bytes.len()
     }
 
-    /// Records the request's result. A second result is ignored.
+    /// Records the request's result and wakes the listeners. A second result
+    /// is ignored.
     pub fn record_result(&self, result: Result<AnswerFormat, RequestFailure>) {
         let mut progress = self.lock_progress();
         if progress.ending.is_some() {
@@ -209,7 +210,7 @@
     }
 
     /// How the request ended, or `None` while it is unfinished.
-    pub fn ending(&self) -> Option<AnswerEnding> {
+    pub fn answer_ending(&self) -> Option<AnswerEnding> {
         self.lock_progress().ending.clone()
     }
 
@@ -238,7 +239,8 @@
     ) -> AnswerPiece {
         loop {
             let mut changed = pin!(self.progress_changed.notified());
-            // Enabled before the read, so that no change is missed.
+            // Registered as a waiter before the read, so that no new answer
+            // bytes are missed.
             changed.as_mut().enable();
             match self.read_answer(offset, max_bytes) {
                 AnswerPiece::Pending => changed.await,
@@ -247,7 +249,7 @@
         }
     }
 
-    /// Asks the call to the target to stop.
+    /// Signals the running call to the target to stop.
     pub fn request_cancellation(&self) {
         self.is_cancelled.store(true, Ordering::Release);
         self.cancellation.notify_waiters();
--- a/cowsliproad-bench/src/experiment/config.rs
+++ b/cowsliproad-bench/src/experiment/config.rs
@@ -92,7 +92,7 @@
             Watched::Entry(shared) => {
                 of(&shared.published_view.current_view().config_state)
             }
-            Watched::Agent(replica) => replica.with_config(of),
+            Watched::Agent(replica) => replica.read_config(of),
         }
     }
 
@@ -109,7 +109,7 @@
             Watched::Entry(shared) => {
                 of(&shared.published_view.current_view().config_state)
             }
-            Watched::Agent(replica) => replica.with_config(of),
+            Watched::Agent(replica) => replica.read_config(of),
         }
     }
 }
