--- a/cowsliproad-agent/src/adapter/engine.rs
+++ b/cowsliproad-agent/src/adapter/engine.rs
@@ -49,7 +49,7 @@
 
 /// The result of reading an event stream.
 enum StreamResult {
-    Done,
+    Complete,
     Broken,
     Silent,
 }
@@ -87,19 +87,19 @@
         work: &RequestWork,
     ) -> Result<AnswerFormat, RequestFailure> {
         let mut events = EventParser::default();
-        let start = self.start_request(work)?;
+        let start = self.build_start_request(work)?;
         let mut response = self.send_request(start).await?;
         for _ in 0..=MAX_STREAM_RESUMES {
             if !response.status().is_success() {
                 break;
             }
             match self.read_events(response, work, &mut events).await? {
-                StreamResult::Done => return Ok(AnswerFormat::Text),
+                StreamResult::Complete => return Ok(AnswerFormat::Text),
                 StreamResult::Silent => break,
                 StreamResult::Broken => {
                     events.unparsed_bytes.clear();
-                    let resume =
-                        self.resume_request(work, events.received_tokens)?;
+                    let resume = self
+                        .build_resume_request(work, events.received_tokens)?;
                     // Resuming is one more request to the target, so it needs
                     // a permit.
                     let byte_timeout = self.byte_timeout(work)?;
@@ -159,7 +159,7 @@
                 work.append_answer_bytes(text.as_bytes());
             }
             if events.is_done {
-                return Ok(StreamResult::Done);
+                return Ok(StreamResult::Complete);
             }
             if work.answer_length() > MAX_ANSWER_BYTES {
                 return Err(RequestFailure::new(
@@ -185,7 +185,7 @@
         }
     }
 
-    fn start_request(
+    fn build_start_request(
         &self,
         work: &RequestWork,
     ) -> Result<Request<Full<Bytes>>, RequestFailure> {
@@ -205,7 +205,7 @@
         .map_err(|_| bad)
     }
 
-    fn resume_request(
+    fn build_resume_request(
         &self,
         work: &RequestWork,
         from: u32,
--- a/cowsliproad-agent/src/adapter/plain.rs
+++ b/cowsliproad-agent/src/adapter/plain.rs
@@ -28,7 +28,8 @@
     }
 }
 
-/// How long after its deadline the answer to a repeatable request is awaited.
+/// How long the answer to a repeatable request is awaited after the request's
+/// deadline.
 const MAX_ANSWER_DELAY: Duration = Duration::from_millis(250);
 
 /// Sends requests to a plain HTTP service.
--- a/cowsliproad-agent/src/crashes.rs
+++ b/cowsliproad-agent/src/crashes.rs
@@ -109,7 +109,7 @@
 }
 
 impl TargetCrashes {
-    /// Creates a crash tracker for a target and this agent process.
+    /// Creates a crash tracker for a target, before any crash is recorded.
     pub fn new(target: &str, incarnation: id::Incarnation) -> TargetCrashes {
         TargetCrashes {
             crash_source: format!("{target} {incarnation}"),
@@ -300,7 +300,7 @@
     links: Arc<AgentLinks>,
 ) {
     loop {
-        let changed = gate.pacer.next_limit_change();
+        let changed = gate.pacer.wait_for_limit_change();
         let left = gate.pacer.remaining_cooldown(Millis::now());
         if left.0 == 0 {
             changed.await;
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -241,7 +241,7 @@
             let ready = self.work_available.notified();
             // Subscribed before the check for a request to start, so that no
             // change of the rate limit is missed.
-            let changed = self.pacer.next_limit_change();
+            let changed = self.pacer.wait_for_limit_change();
             match self.try_next_work() {
                 NextWork::Ready(work) => return work,
                 NextWork::Unavailable => ready.await,
@@ -477,7 +477,7 @@
         let service_rate = gate.service_rate(&state);
         state.expire_queued_work(service_rate, Millis::now());
         if gate.pacer.take_tightened_flag() {
-            state.shed_late_work(service_rate, Millis::now());
+            state.fail_late_work(service_rate, Millis::now());
         }
         state.evict_finished_work(&gate.settings, Millis::now());
     }
@@ -516,7 +516,7 @@
 
     /// Fails queued requests that can't meet their deadline under a lower rate
     /// limit.
-    fn shed_late_work(&mut self, service_rate: ServiceRate, now: Millis) {
+    fn fail_late_work(&mut self, service_rate: ServiceRate, now: Millis) {
         for item in
             self.request_queue.remove_items_missing_deadline(service_rate, now)
         {
--- a/cowsliproad-agent/src/pace.rs
+++ b/cowsliproad-agent/src/pace.rs
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Takes the flag that the limit or the cooldown became stricter since the
+    /// Returns whether the limit or the cooldown became stricter since the
     /// last call.
     pub fn take_tightened_flag(&self) -> bool {
         std::mem::take(&mut self.lock_state().has_tightened)
@@ -217,7 +217,7 @@
     /// Waits for a permit to send a request to the target and acquires it.
     pub async fn acquire_permit(&self) {
         loop {
-            let changed = self.next_limit_change();
+            let changed = self.wait_for_limit_change();
             let Err(after) = self.try_acquire_permit(Millis::now()) else {
                 return;
             };
@@ -229,7 +229,7 @@
     }
 
     /// Waits for the next change of the limit or the cooldown after this call.
-    pub fn next_limit_change(&self) -> Notified<'_> {
+    pub fn wait_for_limit_change(&self) -> Notified<'_> {
         self.limits_changed.notified()
     }
 
