--- a/cowsliproad-agent/src/adapter.rs
+++ b/cowsliproad-agent/src/adapter.rs
@@ -16,7 +16,7 @@
 use tokio::runtime::Handle;
 
 use crate::{
-    crashes::{self, CrashCheck},
+    ends::{self, CrashCheck},
     gate::TargetGate,
     pace::RequestPacer,
     settings::Settings,
@@ -90,9 +90,9 @@
     };
     // Crashes are checked before the failure is sent, so that no entry process
     // retries a crash-inducing request at another target.
-    let crash_check = crashes::check_for_crash(&gate, &work, failure).await;
+    let crash_check = ends::check_for_crash(&gate, &work, failure).await;
     gate.finish_running_work(&work, result, slot_time);
     if crash_check == CrashCheck::StillListening {
-        crashes::recheck_for_crash(&gate, &work).await;
+        ends::recheck_for_crash(&gate, &work).await;
     }
 }
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -41,7 +41,7 @@
 use tokio::sync::Notify;
 
 use crate::{
-    crashes::TargetCrashes,
+    ends::TargetCrashes,
     pace,
     settings::Settings,
     work::{AnswerDemand, AnswerEnding, RequestWork, RerunPolicy},
--- a/cowsliproad-agent/src/lib.rs
+++ b/cowsliproad-agent/src/lib.rs
@@ -21,7 +21,7 @@
 #![forbid(unsafe_code)]
 
 pub mod adapter;
-pub mod crashes;
+pub mod ends;
 pub mod gate;
 pub mod handover;
 mod http;
@@ -94,9 +94,9 @@
     runtimes.control_runtime.spawn(gate::sweep_queue(gate.clone()));
     runtimes
         .control_runtime
-        .spawn(crashes::watch_target_presence(gate.clone(), links.clone()));
+        .spawn(ends::watch_target_presence(gate.clone(), links.clone()));
     let cooldown_watch =
-        crashes::watch_target_during_cooldown(gate.clone(), links.clone());
+        ends::watch_target_during_cooldown(gate.clone(), links.clone());
     runtimes.control_runtime.spawn(cooldown_watch);
     let accept_handle = AcceptHandle::new();
     let http_address =
