--- a/cowsliproad-admin/src/convert.rs
+++ b/cowsliproad-admin/src/convert.rs
@@ -15,7 +15,7 @@
         Object::Organisation(it) => {
             Kind::Organisation(message::Organisation {
                 name: text(&it.name),
-                keys: texts(&it.key_hashes),
+                keys: texts(&it.api_key_hashes),
                 share: it.capacity_weight,
                 max_in_flight: it.max_in_flight,
             })
@@ -55,7 +55,7 @@
             name: text(&it.name),
             service: text(&it.service),
             ranks: texts(&it.ranks),
-            skew_weight: it.step_skew_weight,
+            skew_weight: it.step_time_skew_weight,
             move_weight: it.expert_move_weight,
         }),
         Object::Drain(it) => {
@@ -71,7 +71,7 @@
     Ok(match kind {
         Kind::Organisation(it) => Object::Organisation(Organisation {
             name: name(&it.name),
-            key_hashes: names(&it.keys),
+            api_key_hashes: names(&it.keys),
             capacity_weight: it.share,
             max_in_flight: it.max_in_flight,
         }),
@@ -100,7 +100,7 @@
             name: name(&it.name),
             service: name(&it.service),
             ranks: names(&it.ranks),
-            step_skew_weight: it.skew_weight,
+            step_time_skew_weight: it.skew_weight,
             expert_move_weight: it.move_weight,
         }),
         Kind::Drain(it) => {
--- a/cowsliproad-agent/src/adapter/engine.rs
+++ b/cowsliproad-agent/src/adapter/engine.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     plugin::inventory,
     wire::{AnswerFormat, RequestFailure},
 };
@@ -71,7 +71,7 @@
                 self.cancel(work).await;
                 Err(RequestFailure::new(
                     Code::Cancelled,
-                    Execution::OutcomeUnknown,
+                    ExecutionStatus::OutcomeUnknown,
                 ))
             }
         }
@@ -104,14 +104,17 @@
                     let resumed = self.head(resume).await;
                     // It has begun, whatever became of the resumption.
                     response = resumed.map_err(|it| RequestFailure {
-                        ran: Execution::OutcomeUnknown,
+                        ran: ExecutionStatus::OutcomeUnknown,
                         ..it
                     })?;
                 }
             }
         }
         self.cancel(work).await;
-        Err(RequestFailure::new(Code::TargetFailed, Execution::OutcomeUnknown))
+        Err(RequestFailure::new(
+            Code::TargetFailed,
+            ExecutionStatus::OutcomeUnknown,
+        ))
     }
 
     async fn head(
@@ -120,8 +123,10 @@
     ) -> Result<Response<Incoming>, RequestFailure> {
         let sent = Millis::now();
         let head = timeout(self.silence, self.client.send(request)).await;
-        let silent =
-            RequestFailure::new(Code::TimedOut, Execution::OutcomeUnknown);
+        let silent = RequestFailure::new(
+            Code::TimedOut,
+            ExecutionStatus::OutcomeUnknown,
+        );
         let head = head.map_err(|_| silent)?.map_err(plain::failure)?;
         self.pace.answered(head.status(), head.headers(), sent);
         Ok(head)
@@ -151,7 +156,7 @@
             if work.length() > MAX_ANSWER {
                 return Err(RequestFailure::new(
                     Code::TargetFailed,
-                    Execution::OutcomeUnknown,
+                    ExecutionStatus::OutcomeUnknown,
                 ));
             }
         }
@@ -164,7 +169,7 @@
             Repeat::Never => Ok(self.silence),
             Repeat::Allowed if left.is_zero() => Err(RequestFailure::new(
                 Code::TimedOut,
-                Execution::OutcomeUnknown,
+                ExecutionStatus::OutcomeUnknown,
             )),
             Repeat::Allowed => Ok(self.silence.min(left)),
         }
@@ -174,7 +179,7 @@
         &self,
         work: &Work,
     ) -> Result<Request<Full<Bytes>>, RequestFailure> {
-        let bad = RequestFailure::new(Code::BadJson, Execution::NotRun);
+        let bad = RequestFailure::new(Code::BadJson, ExecutionStatus::NotRun);
         let mut body: Value =
             serde_json::from_slice(&work.body).map_err(|_| bad)?;
         let fields = body.as_object_mut().ok_or(bad)?;
@@ -197,7 +202,7 @@
         Request::get(format!("http://{target}/v1/streams/{id}?from={from}"))
             .body(Full::default())
             .map_err(|_| {
-                RequestFailure::new(Code::BadRequest, Execution::NotRun)
+                RequestFailure::new(Code::BadRequest, ExecutionStatus::NotRun)
             })
     }
 
--- a/cowsliproad-agent/src/adapter/plain.rs
+++ b/cowsliproad-agent/src/adapter/plain.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     plugin::inventory,
     wire::{AnswerFormat, RequestFailure},
 };
@@ -60,7 +60,7 @@
             () = work.cancelled() => {
                 return Err(RequestFailure::new(
                     Code::Cancelled,
-                    Execution::OutcomeUnknown,
+                    ExecutionStatus::OutcomeUnknown,
                 ));
             }
         };
@@ -68,7 +68,7 @@
         if !response.status().is_success() {
             return Err(RequestFailure::new(
                 Code::TargetFailed,
-                Execution::OutcomeUnknown,
+                ExecutionStatus::OutcomeUnknown,
             ));
         }
         work.append(response.body());
@@ -84,7 +84,9 @@
         .header(header::CONTENT_TYPE, "application/json")
         .header("x-request-id", work.request.to_string())
         .body(Full::new(work.body.clone()))
-        .map_err(|_| RequestFailure::new(Code::BadRequest, Execution::NotRun))
+        .map_err(|_| {
+            RequestFailure::new(Code::BadRequest, ExecutionStatus::NotRun)
+        })
 }
 
 /// Work that may be repeated has until shortly after its deadline: once it
@@ -102,13 +104,15 @@
 pub(super) fn failure(error: Error) -> RequestFailure {
     match error {
         Error::Connect(_) | Error::Refused(_) => {
-            RequestFailure::new(Code::TargetFailed, Execution::NotRun)
-        }
-        Error::Timeout => {
-            RequestFailure::new(Code::TimedOut, Execution::OutcomeUnknown)
-        }
-        Error::Exchange(_) | Error::TooLarge => {
-            RequestFailure::new(Code::TargetFailed, Execution::OutcomeUnknown)
+            RequestFailure::new(Code::TargetFailed, ExecutionStatus::NotRun)
         }
+        Error::Timeout => RequestFailure::new(
+            Code::TimedOut,
+            ExecutionStatus::OutcomeUnknown,
+        ),
+        Error::Exchange(_) | Error::TooLarge => RequestFailure::new(
+            Code::TargetFailed,
+            ExecutionStatus::OutcomeUnknown,
+        ),
     }
 }
--- a/cowsliproad-agent/src/ends.rs
+++ b/cowsliproad-agent/src/ends.rs
@@ -23,7 +23,7 @@
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     gossip::SuspectedRequest,
     id,
     sync::lock,
@@ -206,7 +206,7 @@
 /// Asks whether the target ended under work that failed.
 pub async fn look(gate: &Gate, work: &Work, failure: RequestFailure) -> Seen {
     if failure.code != Code::TargetFailed {
-        if failure.ran == Execution::OutcomeUnknown {
+        if failure.ran == ExecutionStatus::OutcomeUnknown {
             let until = Millis::now() + LINGER_TIME;
             gate.ends.leave(work.kind(), until.max(work.deadline));
         }
@@ -214,11 +214,11 @@
     }
     let is_gone = nobody_listens(gate).await;
     match (failure.ran, is_gone) {
-        (Execution::OutcomeUnknown, true) => {
+        (ExecutionStatus::OutcomeUnknown, true) => {
             note_end(gate, work);
             Seen::Enough
         }
-        (Execution::OutcomeUnknown, false) => Seen::Listens,
+        (ExecutionStatus::OutcomeUnknown, false) => Seen::Listens,
         // It was gone before this work came.
         (_, true) => {
             note_presence(gate, TargetPresence::Gone);
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -24,7 +24,7 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     id,
     sync::lock,
     wire::{
@@ -177,25 +177,28 @@
             .remove_first_matching(|it| it.request == cancel.request);
         if queued.is_some() {
             let failure =
-                RequestFailure::new(Code::Cancelled, Execution::NotRun);
+                RequestFailure::new(Code::Cancelled, ExecutionStatus::NotRun);
             inner.give_up(&work, failure);
             return failure;
         }
         drop(inner);
         match (work.ending(), work.repeat) {
             (Some(Ending::Whole { .. }), _) => {
-                RequestFailure::new(Code::Cancelled, Execution::Ran)
+                RequestFailure::new(Code::Cancelled, ExecutionStatus::Ran)
             }
             (Some(Ending::Failed(failure)), _) => failure,
             (None, Repeat::Allowed) => {
                 work.cancel();
-                RequestFailure::new(Code::Cancelled, Execution::OutcomeUnknown)
+                RequestFailure::new(
+                    Code::Cancelled,
+                    ExecutionStatus::OutcomeUnknown,
+                )
             }
             // Work that must not be repeated is never broken off in its
             // middle, since nobody could say what the target did of it.
             (None, Repeat::Never) => RequestFailure::new(
                 Code::InProgress,
-                Execution::OutcomeUnknown,
+                ExecutionStatus::OutcomeUnknown,
             ),
         }
     }
@@ -210,7 +213,7 @@
             inner.queue.remove_first_matching(|it| it.request == work.request);
         if let Some(item) = queued {
             let failure =
-                RequestFailure::new(Code::Cancelled, Execution::NotRun);
+                RequestFailure::new(Code::Cancelled, ExecutionStatus::NotRun);
             inner.give_up(&item.work, failure);
         } else {
             work.cancel();
@@ -264,7 +267,7 @@
             phase: inner.phase,
             load: inner.load(self.speed(&inner)),
             presence: self.ends.presence(),
-            target_cooldown: self.pace.cooldown(Millis::now()),
+            target_cooldown_remaining: self.pace.cooldown(Millis::now()),
             taken_over_incarnations: inner.inherited.keys().copied().collect(),
             next_config_offset: offset,
         }
@@ -353,11 +356,11 @@
             }
             Some(_) => Err(RequestFailure::new(
                 Code::ForeignToken,
-                Execution::NotForwarded,
+                ExecutionStatus::NotForwarded,
             )),
             None => Err(RequestFailure::new(
                 Code::UnknownToken,
-                Execution::OutcomeUnknown,
+                ExecutionStatus::OutcomeUnknown,
             )),
         }
     }
@@ -446,7 +449,7 @@
         AgentLoad {
             queued_requests: self.queue.len() as u32,
             running_requests: self.running,
-            target_slots: speed.slots,
+            target_request_slots: speed.slots,
             // Entries go by how fast the queue empties.
             mean_service_time_us: speed.effective_service_us(),
             accepted_requests_total: self.count,
@@ -461,8 +464,10 @@
 
     fn lapse(&mut self, pace: ServiceRate, now: Millis) {
         while let Some(item) = self.queue.remove_expired(pace, now) {
-            let failure =
-                RequestFailure::new(Code::DeadlinePassed, Execution::NotRun);
+            let failure = RequestFailure::new(
+                Code::DeadlinePassed,
+                ExecutionStatus::NotRun,
+            );
             self.give_up(&item.work, failure);
         }
     }
@@ -471,7 +476,7 @@
     fn shed(&mut self, pace: ServiceRate, now: Millis) {
         for item in self.queue.remove_late(pace, now) {
             let failure =
-                RequestFailure::new(Code::Overloaded, Execution::NotRun);
+                RequestFailure::new(Code::Overloaded, ExecutionStatus::NotRun);
             let wait = self.queue.retry_after(pace);
             self.give_up(&item.work, failure.with_retry_after(wait));
         }
--- a/cowsliproad-agent/src/gate/submit.rs
+++ b/cowsliproad-agent/src/gate/submit.rs
@@ -10,7 +10,7 @@
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     wire::{ProcessPhase, RequestFailure, SubmitMode, SubmitRequest},
 };
 use slog::{debug, info};
@@ -22,7 +22,7 @@
 /// knows of all ends, says when to come back.
 const QUARANTINED: RequestFailure = RequestFailure {
     code: Code::Quarantined,
-    ran: Execution::NotRun,
+    ran: ExecutionStatus::NotRun,
     retry_after: None,
 };
 
@@ -82,34 +82,39 @@
         } else {
             return Err(RequestFailure::new(
                 Code::TargetGone,
-                Execution::OutcomeUnknown,
+                ExecutionStatus::OutcomeUnknown,
             ));
         };
         match verdict {
             SubmitVerdict::Run => self.enqueue(inner, submit, now),
             SubmitVerdict::Duplicate => {
                 inner.works.get(&ticket.request).cloned().ok_or(
-                    RequestFailure::new(Code::AnswerDropped, Execution::Ran),
+                    RequestFailure::new(
+                        Code::AnswerDropped,
+                        ExecutionStatus::Ran,
+                    ),
                 )
             }
             SubmitVerdict::Refused if recalled => Err(QUARANTINED),
-            SubmitVerdict::Refused if leaving => {
-                Err(RequestFailure::new(Code::Leaving, Execution::NotRun))
-            }
-            SubmitVerdict::Refused => {
-                Err(RequestFailure::new(Code::TicketBurned, Execution::NotRun))
-            }
+            SubmitVerdict::Refused if leaving => Err(RequestFailure::new(
+                Code::Leaving,
+                ExecutionStatus::NotRun,
+            )),
+            SubmitVerdict::Refused => Err(RequestFailure::new(
+                Code::TicketBurned,
+                ExecutionStatus::NotRun,
+            )),
             SubmitVerdict::Expired => Err(RequestFailure::new(
                 Code::TicketExpired,
-                Execution::NotRun,
+                ExecutionStatus::NotRun,
             )),
             SubmitVerdict::TooOld => Err(RequestFailure::new(
                 Code::TicketExpired,
-                Execution::OutcomeUnknown,
+                ExecutionStatus::OutcomeUnknown,
             )),
             SubmitVerdict::RegisterFull => Err(RequestFailure::new(
                 Code::RegisterFull,
-                Execution::NotForwarded,
+                ExecutionStatus::NotForwarded,
             )
             .with_retry_after(Millis(1_000))),
         }
@@ -129,7 +134,7 @@
             if keyed.body != blake3::hash(&submit.body) {
                 return Err(RequestFailure::new(
                     Code::KeyReused,
-                    Execution::NotRun,
+                    ExecutionStatus::NotRun,
                 ));
             }
             let known = inner.works.get(&keyed.request);
@@ -142,7 +147,7 @@
             let own = work.organisation == submit.organisation;
             let foreign = RequestFailure::new(
                 Code::ForeignToken,
-                Execution::NotForwarded,
+                ExecutionStatus::NotForwarded,
             );
             return own.then(|| work.clone()).ok_or(foreign);
         }
@@ -150,7 +155,10 @@
             return Err(QUARANTINED);
         }
         if inner.phase == ProcessPhase::Leaving {
-            return Err(RequestFailure::new(Code::Leaving, Execution::NotRun));
+            return Err(RequestFailure::new(
+                Code::Leaving,
+                ExecutionStatus::NotRun,
+            ));
         }
         let work = self.enqueue(inner, submit, now)?;
         if let Some(key) = key {
@@ -180,14 +188,14 @@
             PushOutcome::Queued => {}
             PushOutcome::Displaced(loser, wait) => {
                 let failure =
-                    RequestFailure::new(Code::Shed, Execution::NotRun);
+                    RequestFailure::new(Code::Shed, ExecutionStatus::NotRun);
                 inner.give_up(&loser.work, failure.with_retry_after(wait));
             }
             PushOutcome::Refused(_, wait) => {
                 inner.register.refuse_unsent(work.request);
                 return Err(RequestFailure::new(
                     Code::Overloaded,
-                    Execution::NotRun,
+                    ExecutionStatus::NotRun,
                 )
                 .with_retry_after(wait));
             }
@@ -202,8 +210,10 @@
         text: &[u8],
         submit: &SubmitRequest,
     ) -> Result<Ticket, RequestFailure> {
-        let forged =
-            RequestFailure::new(Code::ForgedToken, Execution::NotForwarded);
+        let forged = RequestFailure::new(
+            Code::ForgedToken,
+            ExecutionStatus::NotForwarded,
+        );
         let text = std::str::from_utf8(text).map_err(|_| forged)?;
         let ticket =
             ticket::verify(text, &self.ticket_key).map_err(|_| forged)?;
@@ -214,7 +224,7 @@
         if !fits {
             return Err(RequestFailure::new(
                 Code::ForeignToken,
-                Execution::NotForwarded,
+                ExecutionStatus::NotForwarded,
             ));
         }
         Ok(ticket)
--- a/cowsliproad-agent/src/replica.rs
+++ b/cowsliproad-agent/src/replica.rs
@@ -36,7 +36,7 @@
     pub fn records(&self, records: &ConfigRecords) -> Option<Frame> {
         let mut state = self.lock();
         for (offset, bytes) in
-            (records.first_offset..).zip(&records.encoded_records)
+            (records.first_record_offset..).zip(&records.encoded_records)
         {
             if let Err(gap) = state.apply_record(offset, bytes) {
                 return Some(Frame::PullConfig(gap.expected_offset));
--- a/cowsliproad-bench/src/experiment/config.rs
+++ b/cowsliproad-bench/src/experiment/config.rs
@@ -21,7 +21,7 @@
 use cowsliproad_ctl::client::{Client, Error, Mode};
 use cowsliproad_entry::Shared;
 use cowsliproad_kernel::{
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     id,
     plugin::inventory,
     sync::lock,
@@ -244,7 +244,7 @@
         self.value += 1;
         let object = Object::Organisation(Organisation {
             name: self.key.name.clone(),
-            key_hashes: Vec::new(),
+            api_key_hashes: Vec::new(),
             capacity_weight: 1,
             max_in_flight: self.value,
         });
@@ -279,7 +279,9 @@
                     *last = value;
                 }
             }
-            Err(Error::Change { ran: Execution::NotRun, code, .. }) => {
+            Err(Error::Change {
+                ran: ExecutionStatus::NotRun, code, ..
+            }) => {
                 match code {
                     Code::StaleBase => ledger.refused += 1,
                     _ => ledger.not_run += 1,
--- a/cowsliproad-bench/src/experiment/limits.rs
+++ b/cowsliproad-bench/src/experiment/limits.rs
@@ -513,7 +513,7 @@
             request_id: number,
             rate_limit: limit.clone(),
             permit_granted: true,
-            permit_wait: none,
+            permit_or_retry_wait: none,
         };
         Sizes {
             question: gossip::encode(&Datagram::PermitRequest(ask)).len(),
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -149,7 +149,7 @@
     let hash = blake3::hash(&index.to_le_bytes()).to_hex();
     Object::Organisation(Organisation {
         name: format!("organisation-{index}").as_str().into(),
-        key_hashes: vec![hash.as_str().into()],
+        api_key_hashes: vec![hash.as_str().into()],
         capacity_weight: 1,
         max_in_flight: 100,
     })
@@ -270,11 +270,11 @@
             load: AgentLoad {
                 queued_requests: 12,
                 running_requests: 16,
-                target_slots: 16,
+                target_request_slots: 16,
                 mean_service_time_us: 81_234,
                 accepted_requests_total: 1_234_567,
             },
-            target_cooldown: Millis(0),
+            target_cooldown_remaining: Millis(0),
             presence: TargetPresence::Here,
             taken_over_incarnations: (0..holds)
                 .map(|_| id::Incarnation::random())
--- a/cowsliproad-bench/src/workload.rs
+++ b/cowsliproad-bench/src/workload.rs
@@ -192,7 +192,7 @@
         let hash = blake3::hash(key(name).as_bytes()).to_hex();
         objects.push(Object::Organisation(Organisation {
             name: (*name).into(),
-            key_hashes: vec![hash.as_str().into()],
+            api_key_hashes: vec![hash.as_str().into()],
             capacity_weight: if index < 2 { 4 } else { 1 },
             max_in_flight: 10_000,
         }));
--- a/cowsliproad-config/src/fold.rs
+++ b/cowsliproad-config/src/fold.rs
@@ -3,7 +3,7 @@
 //! Invariant: the state after the record at offset `n` depends on the records
 //! up to `n` alone. A replica only moves forward: a record below
 //! [`ConfigState::next_offset`] is ignored and a record above that offset is
-//! refused as a gap, so no accepted change can be reverted. The verdicts of
+//! refused as a gap, so no accepted change can be reverted. The outcomes of
 //! recent commands are part of the state, so every replica treats a repeated
 //! command as a no-op.
 //!
@@ -18,9 +18,10 @@
 
 use crate::object::{Object, ObjectKey};
 
-/// The number of commands whose verdicts are kept. At 40,000 changes a day
-/// they cover the last nine hours, far longer than operators repeat a command.
-pub const MAX_KEPT_VERDICTS: usize = 16_384;
+/// The number of operator commands whose outcomes are kept. At 40,000 changes a
+/// day, the outcomes of the last nine hours are kept; operators repeat a command
+/// much sooner.
+pub const MAX_KEPT_COMMAND_OUTCOMES: usize = 16_384;
 
 /// A record of the configuration log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -57,7 +58,7 @@
 
 /// The result of applying the change of a record to the configuration.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum ChangeVerdict {
+pub enum ChangeOutcome {
     /// The change took effect; the object now has this revision.
     Accepted(u64),
     /// The change was refused with this result code.
@@ -81,7 +82,8 @@
     next_offset: u64,
     #[serde(with = "object_list")]
     objects: BTreeMap<ObjectKey, VersionedObject>,
-    verdicts: VecDeque<(id::Command, ChangeVerdict)>,
+    #[serde(rename = "verdicts")]
+    command_outcomes: VecDeque<(id::Command, ChangeOutcome)>,
 }
 
 /// The error for a record that arrives before all records at lower offsets have
@@ -99,7 +101,7 @@
         ConfigState {
             next_offset: 1,
             objects: BTreeMap::new(),
-            verdicts: VecDeque::new(),
+            command_outcomes: VecDeque::new(),
         }
     }
 
@@ -118,12 +120,15 @@
         self.objects.values()
     }
 
-    /// The verdict on a recent command, if the verdict is still kept.
-    pub fn verdict(&self, command: id::Command) -> Option<ChangeVerdict> {
-        let newest_first = self.verdicts.iter().rev();
+    /// The outcome of a recent command, if the outcome is still kept.
+    pub fn command_outcome(
+        &self,
+        command: id::Command,
+    ) -> Option<ChangeOutcome> {
+        let newest_first = self.command_outcomes.iter().rev();
         newest_first
             .filter(|(id, _)| *id == command)
-            .map(|(_, verdict)| *verdict)
+            .map(|(_, outcome)| *outcome)
             .next()
     }
 
@@ -133,7 +138,7 @@
         &mut self,
         offset: u64,
         record_bytes: &[u8],
-    ) -> Result<Option<(id::Command, ChangeVerdict)>, MissingRecordError> {
+    ) -> Result<Option<(id::Command, ChangeOutcome)>, MissingRecordError> {
         if offset < self.next_offset {
             return Ok(None);
         }
@@ -146,14 +151,14 @@
         let Some(record) = decode_record(record_bytes) else {
             return Ok(None);
         };
-        if let Some(known) = self.verdict(record.command) {
+        if let Some(known) = self.command_outcome(record.command) {
             return Ok(Some((record.command, known)));
         }
-        let Some(verdict) = self.apply_change(offset, record.change) else {
+        let Some(outcome) = self.apply_change(offset, record.change) else {
             return Ok(None);
         };
-        self.store_verdict(record.command, verdict);
-        Ok(Some((record.command, verdict)))
+        self.store_command_outcome(record.command, outcome);
+        Ok(Some((record.command, outcome)))
     }
 
     /// Checks whether the current state would accept a change; the error is
@@ -187,9 +192,9 @@
         &mut self,
         offset: u64,
         change: ConfigChange,
-    ) -> Option<ChangeVerdict> {
+    ) -> Option<ChangeOutcome> {
         if let Err(code) = self.check_change(&change) {
-            return Some(ChangeVerdict::Refused(code));
+            return Some(ChangeOutcome::Refused(code));
         }
         match change {
             ConfigChange::Put { object, .. } => {
@@ -201,7 +206,7 @@
             }
             ConfigChange::Snapshot(_) => return None,
         }
-        Some(ChangeVerdict::Accepted(offset))
+        Some(ChangeOutcome::Accepted(offset))
     }
 
     fn check_put(
@@ -249,11 +254,15 @@
         self.objects.get(key).map_or(0, |it| it.revision)
     }
 
-    fn store_verdict(&mut self, command: id::Command, verdict: ChangeVerdict) {
-        if self.verdicts.len() == MAX_KEPT_VERDICTS {
-            self.verdicts.pop_front();
+    fn store_command_outcome(
+        &mut self,
+        command: id::Command,
+        outcome: ChangeOutcome,
+    ) {
+        if self.command_outcomes.len() == MAX_KEPT_COMMAND_OUTCOMES {
+            self.command_outcomes.pop_front();
         }
-        self.verdicts.push_back((command, verdict));
+        self.command_outcomes.push_back((command, outcome));
     }
 }
 
@@ -267,7 +276,8 @@
 /// configuration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StateAdoption {
-    /// The replica had already folded as many records, and kept its state.
+    /// The replica kept its configuration, because the peer's configuration
+    /// contains no log records that the replica had not folded.
     Unchanged,
     /// The replica adopted the newer state.
     Advanced,
--- a/cowsliproad-config/src/object.rs
+++ b/cowsliproad-config/src/object.rs
@@ -8,7 +8,7 @@
 use cowsliproad_kernel::{Name, clock::Millis, wire::Urgency};
 use serde::{Deserialize, Serialize};
 
-/// An object of the configuration.
+/// An object of the configuration, such as a service or a target.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Object {
@@ -35,14 +35,14 @@
     /// BLAKE3 hashes, in hexadecimal, of the keys that the organisation's
     /// callers present.
     #[serde(rename = "keys")]
-    pub key_hashes: Vec<Name>,
+    pub api_key_hashes: Vec<Name>,
     /// The weight by which the organisation gets capacity when capacity is
     /// short, at least 1.
     #[serde(rename = "share", default = "default_capacity_weight")]
     pub capacity_weight: u32,
     /// The largest number of the organisation's requests in flight through one
     /// entry process.
-    #[serde(default = "default_max_in_flight")]
+    #[serde(default = "default_max_in_flight_requests")]
     pub max_in_flight: u32,
 }
 
@@ -129,7 +129,7 @@
     /// The weight of the step-time skew between the ranks in the cost of an
     /// expert placement.
     #[serde(rename = "skew_weight")]
-    pub step_skew_weight: f64,
+    pub step_time_skew_weight: f64,
     /// The weight of moving experts to other ranks in the cost of an expert
     /// placement.
     #[serde(rename = "move_weight")]
@@ -252,7 +252,7 @@
                 Err("share: must be at least 1".into())
             }
             Object::Organisation(it)
-                if !it.key_hashes.iter().all(is_key_hash) =>
+                if !it.api_key_hashes.iter().all(is_key_hash) =>
             {
                 Err("keys: must be BLAKE3 hashes of 64 hexadecimal digits"
                     .into())
@@ -330,7 +330,7 @@
 }
 
 fn has_valid_weights(group: &RankGroup) -> bool {
-    [group.step_skew_weight, group.expert_move_weight]
+    [group.step_time_skew_weight, group.expert_move_weight]
         .iter()
         .all(|weight| weight.is_finite() && *weight >= 0.0)
 }
@@ -363,7 +363,7 @@
     1
 }
 
-fn default_max_in_flight() -> u32 {
+fn default_max_in_flight_requests() -> u32 {
     10_000
 }
 
--- a/cowsliproad-ctl/src/client.rs
+++ b/cowsliproad-ctl/src/client.rs
@@ -9,7 +9,7 @@
     object::{ObjectKey, ObjectKind},
 };
 use cowsliproad_kernel::{
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     id,
 };
 use futures_util::{Stream, StreamExt};
@@ -28,7 +28,7 @@
         /// The result code.
         code: Code,
         /// Whether it took effect.
-        ran: Execution,
+        ran: ExecutionStatus,
         /// What the entry added.
         detail: String,
     },
@@ -190,8 +190,8 @@
         return Ok(reply.revision);
     }
     let ran = match reply.ran.as_str() {
-        "NOT_RUN" => Execution::NotRun,
-        _ => Execution::OutcomeUnknown,
+        "NOT_RUN" => ExecutionStatus::NotRun,
+        _ => ExecutionStatus::OutcomeUnknown,
     };
     Err(Error::Change { code, ran, detail: reply.detail.to_string() })
 }
--- a/cowsliproad-ctl/src/main.rs
+++ b/cowsliproad-ctl/src/main.rs
@@ -32,7 +32,7 @@
         let unknown = matches!(
             &error,
             Error::Change { ran, .. }
-                if *ran == cowsliproad_kernel::code::Execution::OutcomeUnknown
+                if *ran == cowsliproad_kernel::code::ExecutionStatus::OutcomeUnknown
         );
         process::exit(if unknown { UNKNOWN } else { 1 });
     }
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -282,7 +282,7 @@
         info!(entry.log, "chosen"; "request" => &*self.id,
             "work" => %self.work,
             "target" => &*choice.target.id, "route" => &*self.route.name,
-            "cost" => choice.cost as u64, "at_target" => endpoint.record.estimated_occupancy(now),
+            "cost" => choice.cost as u64, "at_target" => endpoint.record.estimated_request_count(now),
             "own" => endpoint.record.in_flight(), "report_age" => age,
             "limit" => choice.limit.map(|it| it.per_second()),
             "limit_age" => report.map(|it| it.in_force_for.0),
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -98,7 +98,8 @@
         let usable: Vec<&Choice> = usable.map(|it| &it.choice).collect();
         let costs: Vec<f64> = usable.iter().map(|it| it.cost).collect();
         let slots = usable.iter().map(|it| it.target.slots).max()?;
-        let step = self.usual.lockstep_rank_latency_ms() / f64::from(slots);
+        let step =
+            self.usual.expected_rank_response_time_ms() / f64::from(slots);
         let place =
             pick::choose_target_by_cost(&costs, step, self.unseen, draw)?;
         let binds = |it: &Choice| {
@@ -204,7 +205,7 @@
                 TargetLocality::OtherZone
             };
             let latency_ms = match group {
-                Some(_) => usual.lockstep_rank_latency_ms(),
+                Some(_) => usual.expected_rank_response_time_ms(),
                 None => usual.target_latency_ms(&held.record, now),
             };
             let candidate = TargetCandidate {
--- a/cowsliproad-direct/src/entry/groups.rs
+++ b/cowsliproad-direct/src/entry/groups.rs
@@ -46,7 +46,7 @@
     pub fn note_step(&self, group: &Name, epoch: u64, step: u64, now: Millis) {
         let mut formations = self.formations.borrow_mut();
         let Some(known) = formations.get_mut(group) else { return };
-        if known.record_reported_step(epoch, step, now) {
+        if known.record_rank_step_report(epoch, step, now) {
             info!(self.log, "group_goes_on"; "group" => &**group,
                 "epoch" => epoch, "step" => step);
         }
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -286,9 +286,11 @@
         };
         match ask(entry, other, target, patience, relays - 1).await {
             Some(it) if it.permit_granted => {
-                return PermitDecision::Permit(it.permit_wait);
+                return PermitDecision::Permit(it.permit_or_retry_wait);
+            }
+            Some(it) => {
+                return PermitDecision::Later(it.permit_or_retry_wait);
             }
-            Some(it) => return PermitDecision::Later(it.permit_wait),
             None => {
                 let until = Millis::now() + MUTE_TTL;
                 entry.peers.borrow_mut().mute(other, until);
@@ -351,7 +353,7 @@
             request_id: ask.request_id,
             rate_limit,
             permit_granted: given,
-            permit_wait: after,
+            permit_or_retry_wait: after,
         };
         entry.say(Datagram::PermitReply(reply), from).await;
     });
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -256,14 +256,19 @@
     let fleet = entry.fleet.borrow();
     let (suspected_requests, lives) =
         entry.quarantine.borrow().updates(update, now);
-    let (mut left, mut withdrawn_targets) = (Vec::new(), Vec::new());
+    let (mut left, mut withdrawn_targets_with_start_and_sequence) =
+        (Vec::new(), Vec::new());
     for (id, departure) in fleet.target_departures_since(since) {
         match departure {
             GossipedDeparture::Announced(start) => {
                 left.push((id.clone(), start.0))
             }
             GossipedDeparture::Withdrawn(start, last) => {
-                withdrawn_targets.push((id.clone(), start.0, last));
+                withdrawn_targets_with_start_and_sequence.push((
+                    id.clone(),
+                    start.0,
+                    last,
+                ));
             }
         }
     }
@@ -281,7 +286,7 @@
             .last_target_change_log_position()
             .offset,
         departed_targets: left,
-        withdrawn_targets,
+        withdrawn_targets_with_start_and_sequence,
         peers: entry.peers.borrow().known.keys().copied().collect(),
         sender_zone: entry.settings().zone.clone(),
         suspected_requests,
@@ -340,7 +345,7 @@
     let left = left.map(|it| {
         (&it.0, GossipedDeparture::Announced(ProcessStartUnixMs(it.1)))
     });
-    let withdrawn = heard.withdrawn_targets.iter();
+    let withdrawn = heard.withdrawn_targets_with_start_and_sequence.iter();
     let withdrawn = withdrawn.map(|it| {
         (&it.0, GossipedDeparture::Withdrawn(ProcessStartUnixMs(it.1), it.2))
     });
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -82,7 +82,8 @@
         layer_sets: engine.layer_set_count as u16,
         experts_per_layer_set: engine.experts_per_layer_set as u16,
         expert_slots_per_layer_set: engine.experts_per_rank as u16,
-        max_new_experts_per_layer_set: engine.max_added_experts_per_expert_map
+        max_new_experts_per_layer_set: engine
+            .max_experts_added_to_rank_per_layer_set
             as u16,
         expert_copy_ms: engine.expert_copy_time.0,
         log_era: era,
--- a/cowsliproad-direct/src/receive.rs
+++ b/cowsliproad-direct/src/receive.rs
@@ -82,7 +82,7 @@
     };
     let time = route.response_timeout.map_or(left, |it| it.min(left));
     let headers = passed_on(&head.headers, organisation.as_deref());
-    let rank = organisation.as_ref().and_then(|it| it.priority);
+    let rank = organisation.as_ref().and_then(|it| it.priority_override);
     let target = Destination {
         priority: rank.unwrap_or(route.priority),
         route,
--- a/cowsliproad-entry/src/admin.rs
+++ b/cowsliproad-entry/src/admin.rs
@@ -10,12 +10,12 @@
 use cowsliproad_admin::{convert, message};
 use cowsliproad_config::{
     ConfigState,
-    fold::{self, ChangeVerdict, ConfigChange, ConfigRecord, VersionedObject},
+    fold::{self, ChangeOutcome, ConfigChange, ConfigRecord, VersionedObject},
     object::{ObjectKey, ObjectKind},
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     id,
 };
 use cowsliproad_net::server::{AcceptHandle, Listener};
@@ -165,7 +165,9 @@
         if mode == message::Mode::DRY_RUN {
             let view = self.shared.published.load();
             return match view.state.check_change(&change) {
-                Ok(()) => reply(Code::Ok, Execution::NotRun, 0, "dry run"),
+                Ok(()) => {
+                    reply(Code::Ok, ExecutionStatus::NotRun, 0, "dry run")
+                }
                 Err(code) => refused(code, "dry run"),
             };
         }
@@ -189,7 +191,7 @@
             Some(verdict) => self.tell(command, verdict),
             None => reply(
                 Code::AppendUnknown,
-                Execution::OutcomeUnknown,
+                ExecutionStatus::OutcomeUnknown,
                 0,
                 Code::AppendUnknown.text(),
             ),
@@ -197,7 +199,7 @@
     }
 
     /// Waits until the command's record was folded in.
-    async fn read_back(&self, command: id::Command) -> Option<ChangeVerdict> {
+    async fn read_back(&self, command: id::Command) -> Option<ChangeOutcome> {
         let deadline = Instant::now() + READ_BACK;
         let mut published = self.shared.published.subscribe();
         loop {
@@ -209,34 +211,34 @@
         }
     }
 
-    fn verdict(&self, command: id::Command) -> Option<ChangeVerdict> {
-        self.shared.published.load().state.verdict(command)
+    fn verdict(&self, command: id::Command) -> Option<ChangeOutcome> {
+        self.shared.published.load().state.command_outcome(command)
     }
 
     fn tell(
         &self,
         command: id::Command,
-        verdict: ChangeVerdict,
+        verdict: ChangeOutcome,
     ) -> Response<message::ChangeReply> {
         info!(self.shared.log, "command";
             "command" => %command, "verdict" => ?verdict);
         match verdict {
-            ChangeVerdict::Accepted(revision) => {
-                reply(Code::Ok, Execution::Ran, revision, "accepted")
+            ChangeOutcome::Accepted(revision) => {
+                reply(Code::Ok, ExecutionStatus::Ran, revision, "accepted")
             }
-            ChangeVerdict::Refused(code) => refused(code, ""),
+            ChangeOutcome::Refused(code) => refused(code, ""),
         }
     }
 }
 
 fn refused(code: Code, detail: &str) -> Response<message::ChangeReply> {
     let detail = if detail.is_empty() { code.text() } else { detail };
-    reply(code, Execution::NotRun, 0, detail)
+    reply(code, ExecutionStatus::NotRun, 0, detail)
 }
 
 fn reply(
     code: Code,
-    ran: Execution,
+    ran: ExecutionStatus,
     revision: u64,
     detail: &str,
 ) -> Response<message::ChangeReply> {
@@ -287,7 +289,7 @@
             state: status.state.into(),
             queued: status.load.queued_requests,
             running: status.load.running_requests,
-            slots: status.load.target_slots,
+            slots: status.load.target_request_slots,
             report_age_ms: status.age.0,
             offset: status.offset,
         }
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -16,7 +16,7 @@
 use cowsliproad_config::object::RequestType;
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     id,
     wire::{
         CancelRequest, Frame, ProcessPhase, RequestFailure,
@@ -269,7 +269,7 @@
         let gone = || {
             let failure = RequestFailure::new(
                 Code::TargetGone,
-                Execution::OutcomeUnknown,
+                ExecutionStatus::OutcomeUnknown,
             );
             Refused::new(failure)
         };
@@ -359,7 +359,7 @@
             let Some(wait) = wait else { return no_target() };
             let after = patience::add_retry_jitter(wait, rand::random());
             let failure =
-                RequestFailure::new(Code::Overloaded, Execution::NotRun);
+                RequestFailure::new(Code::Overloaded, ExecutionStatus::NotRun);
             Refused::new(failure.with_retry_after(after))
         })
     }
@@ -398,7 +398,7 @@
         // The last tenth of the places is for urgent work.
         let most = if urgent { most } else { most - most / 10 };
         let full = self.shared.in_flight.load(Ordering::Relaxed) > most;
-        let ran = Execution::NotForwarded;
+        let ran = ExecutionStatus::NotForwarded;
         if full {
             let failure = RequestFailure::new(Code::Overloaded, ran);
             let failure = failure.with_retry_after(OVER_SHARE);
@@ -442,8 +442,10 @@
     fn ask_for_ticket(&self, checked: &Checked) -> Refused {
         match self.mint(checked) {
             Ok(ticket) => {
-                let failure =
-                    RequestFailure::new(Code::TicketNeeded, Execution::NotRun);
+                let failure = RequestFailure::new(
+                    Code::TicketNeeded,
+                    ExecutionStatus::NotRun,
+                );
                 Refused { ticket: Some(ticket), ..Refused::new(failure) }
             }
             Err(refused) => refused,
@@ -529,7 +531,7 @@
                 let code = Code::TargetFailed;
                 return Err(RequestFailure::new(
                     code,
-                    Execution::OutcomeUnknown,
+                    ExecutionStatus::OutcomeUnknown,
                 ));
             }
         }
@@ -556,8 +558,10 @@
     let (response, failure) = answer::whole(forward).await;
     match failure {
         Some(failure) if failure.code == Code::TimedOut => {
-            let failure =
-                RequestFailure::new(Code::Accepted, Execution::OutcomeUnknown);
+            let failure = RequestFailure::new(
+                Code::Accepted,
+                ExecutionStatus::OutcomeUnknown,
+            );
             let failure = failure.with_retry_after(NOT_YET);
             reply::problem(&failure, "the work is not finished yet")
         }
@@ -568,11 +572,12 @@
 /// A refusal of something the entry itself looked at, so that this attempt
 /// did not leave it.
 fn refused(code: Code, detail: &str) -> Refused {
-    let failure = RequestFailure::new(code, Execution::NotForwarded);
+    let failure = RequestFailure::new(code, ExecutionStatus::NotForwarded);
     Refused { detail: detail.into(), ..Refused::new(failure) }
 }
 
 fn no_target() -> Refused {
-    let failure = RequestFailure::new(Code::NoTarget, Execution::NotForwarded);
+    let failure =
+        RequestFailure::new(Code::NoTarget, ExecutionStatus::NotForwarded);
     Refused::new(failure.with_retry_after(NOT_YET))
 }
--- a/cowsliproad-entry/src/callers/head.rs
+++ b/cowsliproad-entry/src/callers/head.rs
@@ -4,7 +4,7 @@
 
 use cowsliproad_kernel::{
     Name,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     wire::RequestFailure,
 };
 use http::header;
@@ -24,7 +24,7 @@
     if view.services.is_empty() {
         // Nobody's key is known yet, so no key can be called wrong.
         let failure =
-            RequestFailure::new(Code::NotReady, Execution::NotForwarded);
+            RequestFailure::new(Code::NotReady, ExecutionStatus::NotForwarded);
         return Err(Refused::new(failure.with_retry_after(OVER_SHARE)));
     }
     let value = request
--- a/cowsliproad-entry/src/control.rs
+++ b/cowsliproad-entry/src/control.rs
@@ -13,7 +13,7 @@
 
 use cowsliproad_config::{
     ConfigState,
-    fold::{self, ChangeVerdict, ConfigChange, StateAdoption},
+    fold::{self, ChangeOutcome, ConfigChange, StateAdoption},
     object::{ObjectKey, ObjectKind},
 };
 use cowsliproad_kernel::{
@@ -141,7 +141,7 @@
 
     fn records(&mut self, records: ConfigRecords) {
         for (offset, bytes) in
-            (records.first_offset..).zip(records.encoded_records)
+            (records.first_record_offset..).zip(records.encoded_records)
         {
             if offset < self.state.next_offset() {
                 continue;
@@ -187,7 +187,7 @@
             let encoded_records =
                 self.recent.iter().skip(skip).cloned().collect();
             return Some(Frame::ConfigRecords(ConfigRecords {
-                first_offset: next,
+                first_record_offset: next,
                 encoded_records,
             }));
         }
@@ -263,12 +263,12 @@
     fn log_verdict(
         &self,
         offset: u64,
-        outcome: Option<(id::Command, ChangeVerdict)>,
+        outcome: Option<(id::Command, ChangeOutcome)>,
     ) {
         let Some((command, verdict)) = outcome else { return };
         let verdict = match verdict {
-            ChangeVerdict::Accepted(_) => "accepted",
-            ChangeVerdict::Refused(code) => code.name(),
+            ChangeOutcome::Accepted(_) => "accepted",
+            ChangeOutcome::Refused(code) => code.name(),
         };
         info!(self.shared.log, "config_record";
             "offset" => offset, "command" => %command,
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -26,7 +26,7 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     id,
     wire::{
         AnswerAck, AnswerEnd, Frame, ReclaimAnswer, RequestFailure,
@@ -370,7 +370,7 @@
     /// The attempt never left this entry.
     fn not_sent(&mut self, target: Arc<Target>) {
         let failure =
-            RequestFailure::new(Code::LinkLost, Execution::NotForwarded);
+            RequestFailure::new(Code::LinkLost, ExecutionStatus::NotForwarded);
         match &self.task {
             // The next round looks for the ticket's process again.
             Task::Work(order) if order.ticket.is_some() => {}
@@ -460,7 +460,7 @@
                 self.tried.push(attempt.target.name.clone());
                 let failure = RequestFailure::new(
                     Code::TargetFailed,
-                    Execution::OutcomeUnknown,
+                    ExecutionStatus::OutcomeUnknown,
                 );
                 self.after_failure(failure);
             }
--- a/cowsliproad-entry/src/forward/failure.rs
+++ b/cowsliproad-entry/src/forward/failure.rs
@@ -5,7 +5,7 @@
 use cowsliproad_admission::{patience, quarantine::QuarantineVerdict};
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     id,
     sync::lock,
     wire::{Frame, ReclaimAnswer, RequestFailure},
@@ -25,8 +25,10 @@
     pub(super) fn time_out(&mut self, attempt: Attempt) {
         attempt.detach();
         self.maybe_ran = true;
-        let failure =
-            RequestFailure::new(Code::TimedOut, Execution::OutcomeUnknown);
+        let failure = RequestFailure::new(
+            Code::TimedOut,
+            ExecutionStatus::OutcomeUnknown,
+        );
         self.fail(failure.with_retry_after(ASK_AGAIN));
     }
 
@@ -50,8 +52,10 @@
             self.holder(&attempt.target.name, incarnation).await
         else {
             self.tried.push(attempt.target.name.clone());
-            let failure =
-                RequestFailure::new(Code::LinkLost, Execution::OutcomeUnknown);
+            let failure = RequestFailure::new(
+                Code::LinkLost,
+                ExecutionStatus::OutcomeUnknown,
+            );
             return self.after_failure(failure);
         };
         let next = id::Attempt::random();
@@ -77,7 +81,10 @@
 
     /// Decides what follows a failed attempt.
     pub(super) fn after_failure(&mut self, failure: RequestFailure) {
-        if matches!(failure.ran, Execution::Ran | Execution::OutcomeUnknown) {
+        if matches!(
+            failure.ran,
+            ExecutionStatus::Ran | ExecutionStatus::OutcomeUnknown
+        ) {
             self.maybe_ran = true;
         }
         if self.may_try_again(&failure) {
@@ -153,11 +160,11 @@
         self.ready.push_back(Item::Failed(failure));
     }
 
-    pub(super) fn ran(&self) -> Execution {
+    pub(super) fn ran(&self) -> ExecutionStatus {
         if self.maybe_ran {
-            Execution::OutcomeUnknown
+            ExecutionStatus::OutcomeUnknown
         } else {
-            Execution::NotRun
+            ExecutionStatus::NotRun
         }
     }
 
@@ -180,7 +187,7 @@
         if is_gone(&view, &self.task, incarnation) {
             return RequestFailure::new(
                 Code::TargetGone,
-                Execution::OutcomeUnknown,
+                ExecutionStatus::OutcomeUnknown,
             );
         }
         unknown(Code::LinkLost)
@@ -233,6 +240,6 @@
 }
 
 pub(super) fn unknown(code: Code) -> RequestFailure {
-    RequestFailure::new(code, Execution::OutcomeUnknown)
+    RequestFailure::new(code, ExecutionStatus::OutcomeUnknown)
         .with_retry_after(ASK_AGAIN)
 }
--- a/cowsliproad-entry/src/links.rs
+++ b/cowsliproad-entry/src/links.rs
@@ -259,7 +259,7 @@
         sender_clock: Millis::now(),
         phase: shared.phase(),
         load: AgentLoad::default(),
-        target_cooldown: Millis(0),
+        target_cooldown_remaining: Millis(0),
         presence: TargetPresence::Here,
         taken_over_incarnations: Vec::new(),
         next_config_offset: shared.published.load().state.next_offset(),
--- a/cowsliproad-entry/src/log.rs
+++ b/cowsliproad-entry/src/log.rs
@@ -100,12 +100,12 @@
         note(&shared, page.is_some());
         match page {
             None => sleep(READ_AGAIN).await,
-            Some(page) if page.first_offset > next => {
+            Some(page) if page.first_record_offset > next => {
                 restore(&shared, page).await;
             }
             Some(page) => {
-                let next =
-                    page.first_offset + page.encoded_records.len() as u64;
+                let next = page.first_record_offset
+                    + page.encoded_records.len() as u64;
                 if !page.encoded_records.is_empty() {
                     shared.control.tell(Event::Records(page)).await;
                     settle(&shared, next).await;
@@ -135,14 +135,14 @@
     let records: Result<Vec<_>, _> = decoded.collect();
     let encoded_records =
         records.ok()?.into_iter().map(ByteBuf::from).collect();
-    Some(ConfigRecords { first_offset: page.first, encoded_records })
+    Some(ConfigRecords { first_record_offset: page.first, encoded_records })
 }
 
 /// Finds a snapshot when the records that come next have left the log. A
 /// peer or an agent may send one meanwhile, so a search that finds nothing
 /// is simply made again.
 async fn restore(shared: &Shared, mut page: ConfigRecords) {
-    let oldest = page.first_offset;
+    let oldest = page.first_record_offset;
     warn!(shared.log, "log_trimmed"; "first" => oldest);
     while !page.encoded_records.is_empty() {
         let states =
@@ -156,7 +156,8 @@
             shared.control.tell(Event::Snapshot(snapshot)).await;
             return settle(shared, next).await;
         }
-        let next = page.first_offset + page.encoded_records.len() as u64;
+        let next =
+            page.first_record_offset + page.encoded_records.len() as u64;
         match read(shared, next, 0).await {
             Some(following) => page = following,
             None => break,
--- a/cowsliproad-entry/src/quarantine.rs
+++ b/cowsliproad-entry/src/quarantine.rs
@@ -10,7 +10,7 @@
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     gossip::SuspectedRequest,
     sync::lock,
     wire::RequestFailure,
@@ -75,7 +75,7 @@
 pub fn refusal(
     shared: &Shared,
     order: &Order,
-    ran: Execution,
+    ran: ExecutionStatus,
     after: Millis,
 ) -> RequestFailure {
     info!(shared.log, "refused"; "request" => %order.request,
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -155,7 +155,7 @@
     /// Takes a heartbeat in.
     pub fn take_beat(&self, beat: Heartbeat, now: Millis) {
         let mut stats = lock(&self.stats);
-        stats.health.set_retry_after(now, beat.target_cooldown);
+        stats.health.set_retry_after(now, beat.target_cooldown_remaining);
         stats.beat = Some(beat);
         stats.beat_at = now;
         stats.sent_since = 0;
@@ -212,7 +212,7 @@
         let load =
             stats.beat.as_ref().map_or(AgentLoad::default(), |it| it.load);
         let candidate = TargetCandidate {
-            load,
+            reported_load: load,
             requests_sent_since_report: stats.sent_since,
             requests_completed_since_report: stats.done_since,
             in_flight: stats.in_flight,
--- a/cowsliproad-entry/src/view.rs
+++ b/cowsliproad-entry/src/view.rs
@@ -157,7 +157,7 @@
             declared: declared.clone(),
             in_flight: in_flight.unwrap_or_default(),
         });
-        for key in &declared.key_hashes {
+        for key in &declared.api_key_hashes {
             self.organisations.insert(key.clone(), organisation.clone());
         }
     }
--- a/cowsliproad-kernel/src/code.rs
+++ b/cowsliproad-kernel/src/code.rs
@@ -9,7 +9,7 @@
 /// Whether a request ran, as far as the entry process knows.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
-pub enum Execution {
+pub enum ExecutionStatus {
     /// The request ran and its answer is complete.
     Ran,
     /// The request did not run, and will never run under this request
@@ -22,14 +22,14 @@
     OutcomeUnknown,
 }
 
-impl Execution {
+impl ExecutionStatus {
     /// Returns the value that callers see.
     pub fn as_str(self) -> &'static str {
         match self {
-            Execution::Ran => "RAN",
-            Execution::NotRun => "NOT_RUN",
-            Execution::NotForwarded => "NOT_FORWARDED",
-            Execution::OutcomeUnknown => "OUTCOME_UNKNOWN",
+            ExecutionStatus::Ran => "RAN",
+            ExecutionStatus::NotRun => "NOT_RUN",
+            ExecutionStatus::NotForwarded => "NOT_FORWARDED",
+            ExecutionStatus::OutcomeUnknown => "OUTCOME_UNKNOWN",
         }
     }
 }
--- a/cowsliproad-kernel/src/gossip.rs
+++ b/cowsliproad-kernel/src/gossip.rs
@@ -87,8 +87,8 @@
     /// milliseconds.
     #[serde(rename = "r")]
     pub targets_read_age_ms: u64,
-    /// The highest log offset in the era `log_era` at which the sender knows
-    /// that the targets changed.
+    /// The log offset, in the era `log_era`, of the latest change of a target
+    /// that the sender knows of.
     #[serde(rename = "n")]
     pub last_target_change_offset: u64,
     /// Targets that the sender recently saw leave for good, each with its
@@ -99,7 +99,7 @@
     /// log, each with its start time as a Unix millisecond and the sequence
     /// number of its last announcement.
     #[serde(rename = "w")]
-    pub withdrawn_targets: Vec<(Name, u64, u64)>,
+    pub withdrawn_targets_with_start_and_sequence: Vec<(Name, u64, u64)>,
     /// Other entry processes whose gossip recently reached the sender.
     #[serde(rename = "p")]
     pub peers: Vec<SocketAddr>,
@@ -122,7 +122,7 @@
     pub rate_limits: Vec<RateLimit>,
 }
 
-/// The rate limit that a target last stated.
+/// The most recent rate limit that a target reported.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RateLimit {
     /// The name of the target.
@@ -148,8 +148,8 @@
     /// Identifies the permit request; the reply repeats the same number.
     #[serde(rename = "n")]
     pub request_id: u64,
-    /// The rate limit of the target, as the entry process that asks for the
-    /// permit knows the limit.
+    /// The rate limit of the target, as last known to the entry process that
+    /// requests the permit.
     #[serde(rename = "l")]
     pub rate_limit: RateLimit,
     /// How long the caller's request can wait for the permit, in milliseconds.
@@ -167,8 +167,8 @@
     /// Identifies the permit request that this is the reply to.
     #[serde(rename = "n")]
     pub request_id: u64,
-    /// The rate limit of the target, as the entry process that replies knows
-    /// the limit.
+    /// The rate limit of the target, as last known to the entry process that
+    /// replies.
     #[serde(rename = "l")]
     pub rate_limit: RateLimit,
     /// Whether the permit to send a request to the target is granted.
@@ -177,7 +177,7 @@
     /// The wait in milliseconds until a granted permit may be used, or until a
     /// rejected permit request may be retried.
     #[serde(rename = "w")]
-    pub permit_wait: Millis,
+    pub permit_or_retry_wait: Millis,
 }
 
 /// Returns the empty name, which stands for the availability zone of a sender
--- a/cowsliproad-kernel/src/settings.rs
+++ b/cowsliproad-kernel/src/settings.rs
@@ -34,7 +34,8 @@
     parse(&file, &text)
 }
 
-/// Parses settings and validates them; errors contain the name `file`.
+/// Parses the text of a settings file and validates the settings. Errors
+/// contain the file name `file`.
 pub fn parse<T: Validate + DeserializeOwned>(
     file: &str,
     text: &str,
--- a/cowsliproad-kernel/src/wire.rs
+++ b/cowsliproad-kernel/src/wire.rs
@@ -12,7 +12,7 @@
 use crate::{
     Name,
     clock::Millis,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     gossip::SuspectedRequest,
     id,
 };
@@ -183,7 +183,7 @@
     /// For how long from now the target asked to receive no requests; zero
     /// without a cooldown.
     #[serde(rename = "c", default, skip_serializing_if = "is_zero")]
-    pub target_cooldown: Millis,
+    pub target_cooldown_remaining: Millis,
     /// Earlier agent processes that handed their tickets over to the sender
     /// when they stopped.
     #[serde(rename = "h")]
@@ -208,7 +208,7 @@
     pub running_requests: u32,
     /// The number of requests that the target processes at the same time.
     #[serde(rename = "s")]
-    pub target_slots: u32,
+    pub target_request_slots: u32,
     /// The mean time that a request occupies a slot, in microseconds.
     #[serde(rename = "u")]
     pub mean_service_time_us: u32,
@@ -332,7 +332,8 @@
     /// The organisation that cancelled the request.
     #[serde(rename = "o")]
     pub organisation: Name,
-    /// The attempt that frames with the outcome refer to.
+    /// The attempt that the agent names in the frames that report the outcome
+    /// of the cancelled request.
     #[serde(rename = "a")]
     pub attempt: id::Attempt,
 }
@@ -415,7 +416,7 @@
     pub code: Code,
     /// Whether the request ran.
     #[serde(rename = "r")]
-    pub ran: Execution,
+    pub ran: ExecutionStatus,
     /// How long the caller should wait before it retries.
     #[serde(rename = "w")]
     pub retry_after: Option<Millis>,
@@ -424,9 +425,10 @@
 /// Consecutive records of the configuration log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ConfigRecords {
-    /// The offset of the first record in the configuration log.
+    /// The position in the configuration log of the first record in
+    /// `encoded_records`.
     #[serde(rename = "first")]
-    pub first_offset: u64,
+    pub first_record_offset: u64,
     /// The encoded log records, one for each offset.
     #[serde(rename = "records")]
     pub encoded_records: Vec<serde_bytes::ByteBuf>,
@@ -489,15 +491,15 @@
     /// The reason for the failure.
     pub code: Code,
     /// Whether the request ran.
-    pub ran: Execution,
+    pub ran: ExecutionStatus,
     /// How long the caller should wait before it retries.
     pub retry_after: Option<Millis>,
 }
 
 impl RequestFailure {
     /// Creates a failure without a retry delay.
-    pub fn new(code: Code, ran: Execution) -> RequestFailure {
-        RequestFailure { code, ran, retry_after: None }
+    pub fn new(code: Code, execution: ExecutionStatus) -> RequestFailure {
+        RequestFailure { code, ran: execution, retry_after: None }
     }
 
     /// Returns the same failure with a retry delay.
--- a/cowsliproad-net/src/retry_after.rs
+++ b/cowsliproad-net/src/retry_after.rs
@@ -17,9 +17,9 @@
 /// runs, and adding it to a point in time can't overflow.
 const MAX_WAIT: Millis = Millis(100 * 365 * 24 * 3_600 * 1_000);
 
-/// The resolution of the clock. It is added to a wait because the clock
-/// truncates the current time to whole milliseconds, so the wait would end up
-/// to one millisecond early.
+/// The resolution of the clock, which is added to every wait. The clock truncates
+/// the current time to whole milliseconds, so a wait without this addition
+/// could end up to one millisecond early.
 const CLOCK_RESOLUTION: Millis = Millis(1);
 
 /// The `Retry-After` value of a response.
--- a/cowsliproad-net/src/threads.rs
+++ b/cowsliproad-net/src/threads.rs
@@ -8,7 +8,8 @@
 /// The runtimes on which a program spawns its tasks.
 #[derive(Clone, Debug)]
 pub struct Runtimes {
-    /// The single-threaded runtime that owns the control state.
+    /// The single-threaded runtime, on which tasks that use the control state
+    /// run.
     pub control_runtime: Handle,
     /// The runtime that serves requests.
     pub traffic_runtime: Handle,
--- a/cowsliproad-routing/src/catalog.rs
+++ b/cowsliproad-routing/src/catalog.rs
@@ -99,9 +99,9 @@
     pub experts_per_layer_set: usize,
     /// The number of experts that one rank holds of each set of layers.
     pub experts_per_rank: usize,
-    /// The largest number of experts that one map may add to a rank, in each
-    /// set of layers.
-    pub max_added_experts_per_expert_map: usize,
+    /// The largest number of experts of each set of layers that a new expert
+    /// map may add to a rank.
+    pub max_experts_added_to_rank_per_layer_set: usize,
     /// The time that a rank needs to copy one expert.
     pub expert_copy_time: Millis,
 }
@@ -113,7 +113,7 @@
     pub name: Name,
     /// The priority of the organisation's requests, which overrides the
     /// priority of the route.
-    pub priority: Option<u8>,
+    pub priority_override: Option<u8>,
 }
 
 /// Limits on the size of requests and on the time to receive them.
--- a/cowsliproad-routing/src/fleet.rs
+++ b/cowsliproad-routing/src/fleet.rs
@@ -155,7 +155,7 @@
     kind: DepartureKind,
 }
 
-/// How the incarnation of a target that a tombstone records has departed.
+/// How the target incarnation recorded in a tombstone departed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum DepartureKind {
     /// The target announced its departure: this incarnation never returns.
@@ -237,8 +237,9 @@
         )
     }
 
-    /// Merges the removal of a target's record from the log. Within the
-    /// renewal grace, the withdrawal stays pending until the grace ends.
+    /// Merges the removal of a target's record from the log. During the grace
+    /// period for record renewals, the target stays in use and is withdrawn at
+    /// the end of the period unless its record was renewed.
     pub fn merge_target_withdrawal(
         &mut self,
         target_id: &str,
--- a/cowsliproad-routing/src/formation.rs
+++ b/cowsliproad-routing/src/formation.rs
@@ -9,10 +9,10 @@
 
 use cowsliproad_kernel::clock::Millis;
 
-/// The longest time for which a group stays halted. Engines that wait for a
-/// lost rank report the formation broken within this time. An idle group runs
-/// no steps that could end the halt, so the halt of a group without a lost
-/// rank must time out.
+/// The longest time for which a group stays halted. If a rank is lost, the
+/// engines of the other ranks report within this time that the formation is
+/// broken. If no rank is lost and the group is idle, no step ends the halt, so
+/// the halt must time out.
 const MAX_GROUP_HALT_DURATION: Millis = Millis(2_500);
 
 /// The longest delay of a rank's report of a step. A report that arrives
@@ -76,7 +76,7 @@
 
     /// Records the step that a rank reports. Returns whether the step ends a
     /// halt of the group.
-    pub fn record_reported_step(
+    pub fn record_rank_step_report(
         &mut self,
         epoch: u64,
         step: u64,
--- a/cowsliproad-routing/src/health.rs
+++ b/cowsliproad-routing/src/health.rs
@@ -16,7 +16,8 @@
 
 use crate::cooldown::Cooldown;
 
-/// Settings of ejection: failure threshold, backoff and share of targets.
+/// The settings by which targets that fail repeatedly are ejected: failure
+/// threshold, backoff and the largest share of ejected targets.
 #[derive(Clone, Copy, Debug)]
 pub struct EjectionConfig {
     failures_to_eject: u32,
--- a/cowsliproad-routing/src/pick.rs
+++ b/cowsliproad-routing/src/pick.rs
@@ -42,7 +42,7 @@
 
 /// The largest number of requests that a valid load report states. Targets
 /// have some ten slots and queue a few more requests.
-const MAX_REPORTED_REQUESTS: u32 = 10_000;
+const MAX_LOAD_REPORT_REQUEST_COUNT: u32 = 10_000;
 
 /// How long the requests of a load report count in full. Agents send two
 /// reports within this time.
@@ -106,9 +106,9 @@
     }
 
     /// Records the number of requests at the target that a load report states;
-    /// ignores a report of more than `MAX_REPORTED_REQUESTS`.
+    /// ignores a report of more than `MAX_LOAD_REPORT_REQUEST_COUNT`.
     pub fn record_load_report(&mut self, reported_requests: u32, now: Millis) {
-        if reported_requests > MAX_REPORTED_REQUESTS {
+        if reported_requests > MAX_LOAD_REPORT_REQUEST_COUNT {
             return;
         }
         self.reported_requests = reported_requests;
@@ -148,7 +148,7 @@
 
     /// The estimated number of requests at the target, from all entry
     /// processes.
-    pub fn estimated_occupancy(&self, now: Millis) -> u32 {
+    pub fn estimated_request_count(&self, now: Millis) -> u32 {
         let estimate = self
             .decayed_reported_requests(now)
             .saturating_add(self.requests_sent_since_report);
@@ -277,7 +277,7 @@
 
     /// The expected response time of a rank of a group. The ranks run in lock
     /// step, so a rank with a longer average only had longer responses.
-    pub fn lockstep_rank_latency_ms(&self) -> f64 {
+    pub fn expected_rank_response_time_ms(&self) -> f64 {
         self.mean_latency_ms
     }
 }
@@ -343,7 +343,7 @@
     let latency = candidate.latency_ms.max(1.0)
         * f64::from(candidate.service_time_percent_of_normal.max(1))
         / 100.0;
-    let requests = f64::from(stats.estimated_occupancy(now));
+    let requests = f64::from(stats.estimated_request_count(now));
     let slots = f64::from(candidate.slots.max(1));
     // Requests of one batch slow one another down before all slots are in use;
     // beyond that, a request waits for a slot to become free.
--- a/cowsliproad-routing/src/readings.rs
+++ b/cowsliproad-routing/src/readings.rs
@@ -134,8 +134,8 @@
         self.log_status = LogStatus::Unreachable;
     }
 
-    /// Records that the complete state of a peer was merged, which includes
-    /// the last known change of a target.
+    /// Records that the complete state of a peer was merged. The state includes
+    /// the last known change of a target, so that change counts as read.
     pub fn record_merged_peer_state(&mut self) {
         self.read_position =
             self.read_position.max(self.last_target_change_log_position);
--- a/cowsliproad-routing/src/score.rs
+++ b/cowsliproad-routing/src/score.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TargetCandidate {
     /// The last load report of the target.
-    pub load: AgentLoad,
+    pub reported_load: AgentLoad,
     /// Requests that this entry process sent to the target since the last load
     /// report.
     pub requests_sent_since_report: u32,
@@ -37,9 +37,11 @@
 impl TargetCandidate {
     /// The estimated number of requests at the target, from all entry
     /// processes.
-    pub fn estimated_occupancy(&self) -> u64 {
-        let reported =
-            u64::from(self.load.queued_requests + self.load.running_requests);
+    pub fn estimated_request_count(&self) -> u64 {
+        let reported = u64::from(
+            self.reported_load.queued_requests
+                + self.reported_load.running_requests,
+        );
         let estimate = (reported + u64::from(self.requests_sent_since_report))
             .saturating_sub(u64::from(self.requests_completed_since_report));
         estimate.max(u64::from(self.in_flight))
@@ -47,16 +49,18 @@
 
     /// The predicted time to the first token at the target, in microseconds.
     pub fn predicted_first_token_us(&self) -> u64 {
-        let slots = u64::from(self.load.target_slots.max(1));
-        let service_us = match u64::from(self.load.mean_service_time_us) {
-            0 => DEFAULT_SERVICE_TIME_US,
-            known => known,
-        };
-        let occupancy = self.estimated_occupancy();
+        let slots = u64::from(self.reported_load.target_request_slots.max(1));
+        let service_us =
+            match u64::from(self.reported_load.mean_service_time_us) {
+                0 => DEFAULT_SERVICE_TIME_US,
+                known => known,
+            };
+        let occupancy = self.estimated_request_count();
         let queue_us =
             (occupancy + 1).saturating_sub(slots) * service_us / slots;
         // Requests at the same target slow one another down even before all
-        // slots are in use, so an idle target is preferred to a busy one.
+        // slots are in use, so an idle target is preferred to a busy one. With
+        // all slots in use, the delay is an eighth of a service time.
         let sharing_us = occupancy.min(slots) * service_us / slots / 8;
         let uncached_percent =
             u64::from(100 - self.cached_prompt_percent.min(100));
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -14,7 +14,7 @@
 fn organisation(share: u32) -> Object {
     Object::Organisation(Organisation {
         name: "new".into(),
-        key_hashes: Vec::new(),
+        api_key_hashes: Vec::new(),
         capacity_weight: share,
         max_in_flight: 5,
     })
--- a/tests/properties/decoders.rs
+++ b/tests/properties/decoders.rs
@@ -56,11 +56,11 @@
             load: AgentLoad {
                 queued_requests: load[0],
                 running_requests: load[1],
-                target_slots: load[2],
+                target_request_slots: load[2],
                 mean_service_time_us: load[3],
                 accepted_requests_total: 1,
             },
-            target_cooldown: Millis(u64::from(load[0])),
+            target_cooldown_remaining: Millis(u64::from(load[0])),
             presence: TargetPresence::Gone,
             taken_over_incarnations: vec![id::Incarnation(1)],
             next_config_offset: 3,
--- a/tests/properties/direct.rs
+++ b/tests/properties/direct.rs
@@ -49,7 +49,7 @@
     made.add_route(route("/a/", RouteAccess::KeyRequired));
     made.add_route(route("/a/b/", RouteAccess::Public));
     made.require_caller_keys();
-    let harju = Organisation { name: "harju".into(), priority: None };
+    let harju = Organisation { name: "harju".into(), priority_override: None };
     made.add_organisation(harju, vec!["key".into()]);
     let catalog = made.build();
     let find = |host: &str, path: &str, key: Option<&str>| {
@@ -152,8 +152,8 @@
 fn ranks_in_step_are_filled_evenly_whatever_their_answers_took() {
     let (mut short, mut long) = (known(), TargetStats::new());
     long.record_success(Millis(60), Millis(0));
-    let latency_ms =
-        ServiceLatency::new([short, long].iter()).lockstep_rank_latency_ms();
+    let latency_ms = ServiceLatency::new([short, long].iter())
+        .expected_rank_response_time_ms();
     let now = Millis(0);
     for _ in 0..20 {
         let cost = |stats: &TargetStats| {
@@ -192,11 +192,11 @@
     stats.record_load_report(3, now);
     stats.record_sent_request();
     stats.record_sent_request();
-    assert_eq!(stats.estimated_occupancy(now), 5);
+    assert_eq!(stats.estimated_request_count(now), 5);
     stats.record_completed_request();
-    assert_eq!(stats.estimated_occupancy(now), 4);
+    assert_eq!(stats.estimated_request_count(now), 4);
     stats.record_load_report(9, now);
-    assert_eq!(stats.estimated_occupancy(now), 9);
+    assert_eq!(stats.estimated_request_count(now), 9);
 }
 
 #[test]
@@ -204,11 +204,11 @@
     let mut stats = known();
     stats.record_load_report(200, Millis(5_000));
     stats.record_sent_request();
-    assert_eq!(stats.estimated_occupancy(Millis(6_000)), 201);
-    assert_eq!(stats.estimated_occupancy(Millis(6_500)), 101);
-    assert_eq!(stats.estimated_occupancy(Millis(20_000)), 1);
+    assert_eq!(stats.estimated_request_count(Millis(6_000)), 201);
+    assert_eq!(stats.estimated_request_count(Millis(6_500)), 101);
+    assert_eq!(stats.estimated_request_count(Millis(20_000)), 1);
     stats.record_load_report(u32::MAX, Millis(20_000));
-    assert_eq!(stats.estimated_occupancy(Millis(20_000)), 1);
+    assert_eq!(stats.estimated_request_count(Millis(20_000)), 1);
 }
 
 proptest! {
@@ -305,11 +305,11 @@
     // Reports from before the end, and the pass that was under way.
     for (after, step) in [(50, 900), (150, 40), (200, 41), (900, 41)] {
         assert!(
-            !group.record_reported_step(1, step, now + Millis(after)),
+            !group.record_rank_step_report(1, step, now + Millis(after)),
             "{after}"
         );
     }
-    assert!(group.record_reported_step(1, 42, now + Millis(1_000)));
+    assert!(group.record_rank_step_report(1, 42, now + Millis(1_000)));
     assert!(group.accepts_requests(now + Millis(1_000)));
     let mut group = halted(1);
     assert!(group.merge_rank_report(1, false));
--- a/tests/properties/fold.rs
+++ b/tests/properties/fold.rs
@@ -4,7 +4,7 @@
     config::{
         ConfigState, Object,
         fold::{
-            ChangeVerdict, ConfigChange, ConfigRecord, MissingRecordError,
+            ChangeOutcome, ConfigChange, ConfigRecord, MissingRecordError,
             decode_record, decode_state, encode_record, encode_state,
         },
         object::{
@@ -22,7 +22,7 @@
         (name(), 1..4u32).prop_map(|(name, share)| {
             Object::Organisation(Organisation {
                 name: name.into(),
-                key_hashes: Vec::new(),
+                api_key_hashes: Vec::new(),
                 capacity_weight: share,
                 max_in_flight: 10,
             })
@@ -123,7 +123,7 @@
             }
         }
         for (command, verdict) in verdicts {
-            prop_assert_eq!(state.verdict(command), Some(verdict));
+            prop_assert_eq!(state.command_outcome(command), Some(verdict));
         }
     }
 
@@ -159,7 +159,7 @@
     command: u64,
     base: u64,
     name: &str,
-) -> ChangeVerdict {
+) -> ChangeOutcome {
     let change =
         ConfigChange::Put { base_revision: base, object: service(name) };
     let record = ConfigRecord { command: Command(command), change };
@@ -171,17 +171,17 @@
 #[test]
 fn of_two_racing_operators_the_first_in_the_log_wins() {
     let mut state = ConfigState::new();
-    assert_eq!(put(&mut state, 1, 0, "a"), ChangeVerdict::Accepted(1));
-    assert_eq!(put(&mut state, 2, 1, "a"), ChangeVerdict::Accepted(2));
-    let stale = ChangeVerdict::Refused(Code::StaleBase);
+    assert_eq!(put(&mut state, 1, 0, "a"), ChangeOutcome::Accepted(1));
+    assert_eq!(put(&mut state, 2, 1, "a"), ChangeOutcome::Accepted(2));
+    let stale = ChangeOutcome::Refused(Code::StaleBase);
     assert_eq!(put(&mut state, 3, 1, "a"), stale);
 }
 
 #[test]
 fn a_repeated_command_changes_nothing() {
     let mut state = ConfigState::new();
-    assert_eq!(put(&mut state, 1, 0, "a"), ChangeVerdict::Accepted(1));
-    assert_eq!(put(&mut state, 1, 0, "a"), ChangeVerdict::Accepted(1));
+    assert_eq!(put(&mut state, 1, 0, "a"), ChangeOutcome::Accepted(1));
+    assert_eq!(put(&mut state, 1, 0, "a"), ChangeOutcome::Accepted(1));
     let key = ObjectKey::new(ObjectKind::Service, "a");
     assert_eq!(state.get(&key).map(|it| it.revision), Some(1));
 }
--- a/tests/properties/routing.rs
+++ b/tests/properties/routing.rs
@@ -39,18 +39,18 @@
         queued_requests in 0..200u32,
         running_requests in 0..64u32,
         sent in 0..50u32,
-        target_slots in 1..64u32,
+        target_request_slots in 1..64u32,
         service_us in 1..1_000_000u32,
     ) {
         let load = AgentLoad {
             queued_requests,
             running_requests,
-            target_slots,
+            target_request_slots,
             mean_service_time_us: service_us,
             accepted_requests_total: 0,
         };
         let less = TargetCandidate {
-            load,
+            reported_load: load,
             requests_sent_since_report: sent,
             ..TargetCandidate::default()
         };
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -101,7 +101,7 @@
     fn append(&mut self, command: u64, base: u64, share: u32) -> String {
         let object = Object::Organisation(Organisation {
             name: "harju".into(),
-            key_hashes: Vec::new(),
+            api_key_hashes: Vec::new(),
             capacity_weight: share,
             max_in_flight: 1,
         });
