--- a/cowsliproad-admin/src/convert.rs
+++ b/cowsliproad-admin/src/convert.rs
@@ -1,7 +1,7 @@
 //! Conversions between the schema's messages and configuration objects.
 
 use cowsliproad_config::object::{
-    Backend, DrainOrder, Object, Organisation, RankGroup,
+    Backend, ConfigObject, DrainOrder, Organisation, RankGroup,
     RequestRepeatability, RequestType, Service, Target,
 };
 use cowsliproad_kernel::{Name, clock::Millis, wire::Urgency};
@@ -10,9 +10,9 @@
 use crate::message::{self, object::Kind};
 
 /// The message for an object.
-pub fn to_message(object: &Object) -> message::Object {
+pub fn to_message(object: &ConfigObject) -> message::Object {
     let kind = match object {
-        Object::Organisation(it) => {
+        ConfigObject::Organisation(it) => {
             Kind::Organisation(message::Organisation {
                 name: text(&it.name),
                 keys: texts(&it.api_key_hashes),
@@ -20,45 +20,47 @@
                 max_in_flight: it.max_in_flight,
             })
         }
-        Object::Service(it) => Kind::Service(message::Service {
+        ConfigObject::Service(it) => Kind::Service(message::Service {
             name: text(&it.name),
             backend: match it.backend {
                 Backend::Engine => message::Backend::ENGINE,
                 Backend::Plain => message::Backend::PLAIN,
             },
         }),
-        Object::RequestType(it) => Kind::RequestType(message::RequestType {
-            service: text(&it.service),
-            name: text(&it.name),
-            urgency: match it.urgency {
-                Urgency::Urgent => message::Urgency::URGENT,
-                Urgency::Normal => message::Urgency::NORMAL,
-                Urgency::Background => message::Urgency::BACKGROUND,
-            },
-            deadline_ms: it.deadline_ms.0,
-            repeat: match it.repeat {
-                RequestRepeatability::Repeatable => {
-                    message::Repeat::REPEATABLE
-                }
-                RequestRepeatability::Never => message::Repeat::NEVER,
-            },
-            senders: texts(&it.allowed_organisations),
-            max_body: it.max_body_bytes,
-        }),
-        Object::Target(it) => Kind::Target(message::Target {
+        ConfigObject::RequestType(it) => {
+            Kind::RequestType(message::RequestType {
+                service: text(&it.service),
+                name: text(&it.name),
+                urgency: match it.urgency {
+                    Urgency::Urgent => message::Urgency::URGENT,
+                    Urgency::Normal => message::Urgency::NORMAL,
+                    Urgency::Background => message::Urgency::BACKGROUND,
+                },
+                deadline_ms: it.deadline_ms.0,
+                repeat: match it.repeat {
+                    RequestRepeatability::Repeatable => {
+                        message::Repeat::REPEATABLE
+                    }
+                    RequestRepeatability::Never => message::Repeat::NEVER,
+                },
+                senders: texts(&it.allowed_organisations),
+                max_body: it.max_body_bytes,
+            })
+        }
+        ConfigObject::Target(it) => Kind::Target(message::Target {
             name: text(&it.name),
             service: text(&it.service),
             zone: text(&it.zone),
             agent: it.agent_address.to_string().into(),
         }),
-        Object::Group(it) => Kind::Group(message::Group {
+        ConfigObject::Group(it) => Kind::Group(message::Group {
             name: text(&it.name),
             service: text(&it.service),
-            ranks: texts(&it.ranks),
+            ranks: texts(&it.rank_targets),
             skew_weight: it.step_time_skew_weight,
             move_weight: it.expert_move_weight,
         }),
-        Object::Drain(it) => {
+        ConfigObject::Drain(it) => {
             Kind::Drain(message::Drain { target: text(&it.target) })
         }
     };
@@ -66,20 +68,20 @@
 }
 
 /// The object in a message, or what is wrong with the message.
-pub fn from_message(object: message::Object) -> Result<Object, String> {
+pub fn from_message(object: message::Object) -> Result<ConfigObject, String> {
     let kind = object.kind.ok_or("object: one kind is needed")?;
     Ok(match kind {
-        Kind::Organisation(it) => Object::Organisation(Organisation {
+        Kind::Organisation(it) => ConfigObject::Organisation(Organisation {
             name: name(&it.name),
             api_key_hashes: names(&it.keys),
             capacity_weight: it.share,
             max_in_flight: it.max_in_flight,
         }),
-        Kind::Service(it) => Object::Service(Service {
+        Kind::Service(it) => ConfigObject::Service(Service {
             name: name(&it.name),
             backend: backend(it.backend)?,
         }),
-        Kind::RequestType(it) => Object::RequestType(RequestType {
+        Kind::RequestType(it) => ConfigObject::RequestType(RequestType {
             service: name(&it.service),
             name: name(&it.name),
             urgency: urgency(it.urgency)?,
@@ -88,7 +90,7 @@
             allowed_organisations: names(&it.senders),
             max_body_bytes: it.max_body,
         }),
-        Kind::Target(it) => Object::Target(Target {
+        Kind::Target(it) => ConfigObject::Target(Target {
             name: name(&it.name),
             service: name(&it.service),
             zone: name(&it.zone),
@@ -96,15 +98,15 @@
                 format!("agent {:?}: an IP address and a port", it.agent)
             })?,
         }),
-        Kind::Group(it) => Object::Group(RankGroup {
+        Kind::Group(it) => ConfigObject::Group(RankGroup {
             name: name(&it.name),
             service: name(&it.service),
-            ranks: names(&it.ranks),
+            rank_targets: names(&it.ranks),
             step_time_skew_weight: it.skew_weight,
             expert_move_weight: it.move_weight,
         }),
         Kind::Drain(it) => {
-            Object::Drain(DrainOrder { target: name(&it.target) })
+            ConfigObject::Drain(DrainOrder { target: name(&it.target) })
         }
     })
 }
--- a/cowsliproad-agent/src/handover.rs
+++ b/cowsliproad-agent/src/handover.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use cowsliproad_admission::register::TicketRegister;
-use cowsliproad_config::{Object, object::Target};
+use cowsliproad_config::{ConfigObject, object::Target};
 use cowsliproad_kernel::{
     clock::Millis,
     id,
@@ -86,7 +86,7 @@
     let name = &agent.settings.name;
     let mut peers = agent.replica.with(|state| {
         let targets = state.objects().filter_map(|it| match &it.object {
-            Object::Target(target) => Some(target.clone()),
+            ConfigObject::Target(target) => Some(target.clone()),
             _ => None,
         });
         let targets: Vec<Target> = targets.collect();
--- a/cowsliproad-agent/src/http.rs
+++ b/cowsliproad-agent/src/http.rs
@@ -38,17 +38,20 @@
 impl Handler for Front {
     async fn handle(&self, request: Request) -> Response {
         match request.uri().path() {
-            "/livez" => reply::text(StatusCode::OK, "live\n"),
+            "/livez" => reply::text_response(StatusCode::OK, "live\n"),
             "/readyz" => match self.gate.phase() {
                 ProcessPhase::Serving => {
-                    reply::text(StatusCode::OK, "ready\n")
-                }
-                ProcessPhase::Leaving => {
-                    reply::text(StatusCode::SERVICE_UNAVAILABLE, "leaving\n")
+                    reply::text_response(StatusCode::OK, "ready\n")
                 }
+                ProcessPhase::Leaving => reply::text_response(
+                    StatusCode::SERVICE_UNAVAILABLE,
+                    "leaving\n",
+                ),
             },
-            "/metrics" => reply::text(StatusCode::OK, &self.metrics.text()),
-            _ => reply::text(StatusCode::NOT_FOUND, "no such path\n"),
+            "/metrics" => {
+                reply::text_response(StatusCode::OK, &self.metrics.text())
+            }
+            _ => reply::text_response(StatusCode::NOT_FOUND, "no such path\n"),
         }
     }
 }
--- a/cowsliproad-agent/src/lib.rs
+++ b/cowsliproad-agent/src/lib.rs
@@ -75,7 +75,7 @@
     let metrics = Metrics::new();
     let gate = Gate::new(settings.clone(), log.new(o!()), &metrics.meter());
     let gate = Arc::new(gate);
-    let adapter = plugin::find::<Plugin>(&settings.adapter)
+    let adapter = plugin::find_plugin::<Plugin>(&settings.adapter)
         .ok_or_else(|| io::Error::other("no such adapter"))?;
     (adapter.start)(gate.clone(), &threads.traffic_runtime);
     let replica = Arc::new(Replica::new());
--- a/cowsliproad-agent/src/links.rs
+++ b/cowsliproad-agent/src/links.rs
@@ -374,7 +374,7 @@
             Ending::Whole { format, length, digest } => {
                 Frame::End(AnswerEnd {
                     attempt: self.attempt,
-                    data_frames: frame_sequence,
+                    data_frame_count: frame_sequence,
                     format,
                     length,
                     answer_blake3_digest: digest.to_vec(),
--- a/cowsliproad-agent/src/settings.rs
+++ b/cowsliproad-agent/src/settings.rs
@@ -140,8 +140,8 @@
         if self.name.is_empty() {
             return Err(("name", "the target's name".into()));
         }
-        if plugin::find::<Plugin>(&self.adapter).is_none() {
-            let known = plugin::all::<Plugin>();
+        if plugin::find_plugin::<Plugin>(&self.adapter).is_none() {
+            let known = plugin::all_plugins::<Plugin>();
             let known: Vec<_> = known.iter().map(|it| it.name).collect();
             return Err(("adapter", format!("one of {}", known.join(", "))));
         }
--- a/cowsliproad-bench/src/baseline.rs
+++ b/cowsliproad-bench/src/baseline.rs
@@ -86,16 +86,16 @@
         let path: Vec<&str> =
             path.trim_start_matches('/').split('/').collect();
         let [_, service, kind] = path[..] else {
-            return reply::text(StatusCode::NOT_FOUND, "");
+            return reply::text_response(StatusCode::NOT_FOUND, "");
         };
         let body =
             server::read_body(request.into_body(), MAX_ANSWER, PATIENCE);
         let Ok(body) = body.await else {
-            return reply::text(StatusCode::BAD_REQUEST, "");
+            return reply::text_response(StatusCode::BAD_REQUEST, "");
         };
         match self.forward(service, kind, body).await {
-            Some(answer) => reply::json(StatusCode::OK, answer),
-            None => reply::text(StatusCode::BAD_GATEWAY, ""),
+            Some(answer) => reply::json_response(StatusCode::OK, answer),
+            None => reply::text_response(StatusCode::BAD_GATEWAY, ""),
         }
     }
 }
--- a/cowsliproad-bench/src/experiment.rs
+++ b/cowsliproad-bench/src/experiment.rs
@@ -145,7 +145,7 @@
 pub fn main() {
     let matches = command().get_matches();
     let Some((name, args)) = matches.subcommand() else { return };
-    let Some(plugin) = plugin::find::<Plugin>(name) else { return };
+    let Some(plugin) = plugin::find_plugin::<Plugin>(name) else { return };
     let options = options(args);
     let mut outcome = (plugin.start)(options);
     if let Some(path) = args.get_one::<String>("plot") {
@@ -221,27 +221,28 @@
 }
 
 fn command() -> Command {
-    let experiments = plugin::all::<Plugin>().into_iter().map(|plugin| {
-        Command::new(plugin.name).about(plugin.about).args([
-            flag("json", "Print one JSON object as the last line"),
-            flag("quick", "Run a smaller size"),
-            flag("hold", "Keep the plant up until SIGINT (demo)"),
-            Arg::new("log")
-                .long("log")
-                .value_parser(["off", "error", "info", "debug"])
-                .default_value("off")
-                .help("How much the nodes log on standard error"),
-            Arg::new("plot")
-                .long("plot")
-                .value_name("FILE")
-                .help("Write a plot as SVG (pace)"),
-            Arg::new("seed")
-                .long("seed")
-                .value_parser(value_parser!(u64))
-                .default_value("1")
-                .help("The seed of what the experiment draws"),
-        ])
-    });
+    let experiments =
+        plugin::all_plugins::<Plugin>().into_iter().map(|plugin| {
+            Command::new(plugin.name).about(plugin.about).args([
+                flag("json", "Print one JSON object as the last line"),
+                flag("quick", "Run a smaller size"),
+                flag("hold", "Keep the plant up until SIGINT (demo)"),
+                Arg::new("log")
+                    .long("log")
+                    .value_parser(["off", "error", "info", "debug"])
+                    .default_value("off")
+                    .help("How much the nodes log on standard error"),
+                Arg::new("plot")
+                    .long("plot")
+                    .value_name("FILE")
+                    .help("Write a plot as SVG (pace)"),
+                Arg::new("seed")
+                    .long("seed")
+                    .value_parser(value_parser!(u64))
+                    .default_value("1")
+                    .help("The seed of what the experiment draws"),
+            ])
+        });
     Command::new("cowsliproad-bench")
         .about("Load, faults and experiments")
         .version(env!("CARGO_PKG_VERSION"))
--- a/cowsliproad-bench/src/experiment/config.rs
+++ b/cowsliproad-bench/src/experiment/config.rs
@@ -15,7 +15,7 @@
 
 use cowsliproad_agent::replica::Replica;
 use cowsliproad_config::{
-    Object,
+    ConfigObject,
     object::{ObjectKey, ObjectKind, Organisation},
 };
 use cowsliproad_ctl::client::{Client, Error, Mode};
@@ -98,7 +98,7 @@
         let of = |state: &cowsliproad_config::ConfigState| match state.get(key)
         {
             Some(it) => match &it.object {
-                Object::Organisation(it) => Some(it.max_in_flight),
+                ConfigObject::Organisation(it) => Some(it.max_in_flight),
                 _ => None,
             },
             None => None,
@@ -242,7 +242,7 @@
             Err(_) => 0,
         };
         self.value += 1;
-        let object = Object::Organisation(Organisation {
+        let object = ConfigObject::Organisation(Organisation {
             name: self.key.name.clone(),
             api_key_hashes: Vec::new(),
             capacity_weight: 1,
--- a/cowsliproad-bench/src/experiment/demo.rs
+++ b/cowsliproad-bench/src/experiment/demo.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use cowsliproad_config::{Object, object::DrainOrder};
+use cowsliproad_config::{ConfigObject, object::DrainOrder};
 use cowsliproad_kernel::plugin::inventory;
 use rand::{SeedableRng, rngs::StdRng};
 use tokio::{sync::Semaphore, task::JoinSet, time::sleep};
@@ -45,7 +45,7 @@
     let load = tokio::spawn(load(caller, count, options.seed));
     reach(&tally, count / 3).await;
     eprintln!("draining engine-1 and stopping its agent");
-    let drain = Object::Drain(DrainOrder { target: "engine-1".into() });
+    let drain = ConfigObject::Drain(DrainOrder { target: "engine-1".into() });
     plant.load(&[drain]).await?;
     plant.stop_agent(1).await;
     reach(&tally, count * 2 / 3).await;
--- a/cowsliproad-bench/src/experiment/limits.rs
+++ b/cowsliproad-bench/src/experiment/limits.rs
@@ -407,7 +407,7 @@
             liveness,
         };
         let known = &self.entries[entry].known;
-        let silence = owner::digest_silence_timeout(known.len(), MAX_TOLD).0;
+        let silence = owner::gossip_silence_timeout(known.len(), MAX_TOLD).0;
         let others = known.iter().map(|(other, (heard, mute))| {
             let silent = self.now - heard >= silence || *mute > self.now;
             let liveness = if silent {
@@ -427,7 +427,7 @@
     fn give(&mut self, entry: usize, substitute: bool) -> PermitDecision {
         let now = Millis(self.now);
         let known = &self.entries[entry].known;
-        let silence = owner::digest_silence_timeout(known.len(), MAX_TOLD).0;
+        let silence = owner::gossip_silence_timeout(known.len(), MAX_TOLD).0;
         let heard = known.values().filter(|it| self.now - it.0 < silence);
         let share = (heard.count() + 1) as f64 / (known.len() + 1) as f64;
         let entry = &mut self.entries[entry];
--- a/cowsliproad-bench/src/experiment/overload.rs
+++ b/cowsliproad-bench/src/experiment/overload.rs
@@ -13,7 +13,7 @@
 };
 
 use bytes::Bytes;
-use cowsliproad_config::{Object, object::RequestRepeatability};
+use cowsliproad_config::{ConfigObject, object::RequestRepeatability};
 use cowsliproad_kernel::{
     clock::Millis, log::Level, plugin::inventory, sync::lock, wire::Urgency,
 };
@@ -196,7 +196,7 @@
     let plant = Plant::start_empty(config).await?;
     let mut objects = plant.objects();
     for object in &mut objects {
-        if let Object::RequestType(it) = object {
+        if let ConfigObject::RequestType(it) = object {
             let urgent = it.urgency == Urgency::Urgent;
             let deadline = if urgent { URGENT_MS } else { OTHER_MS };
             it.deadline_ms = Millis(deadline);
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -20,7 +20,7 @@
 };
 use cowsliproad_agent::work::Work;
 use cowsliproad_config::{
-    ConfigState, Object,
+    ConfigObject, ConfigState,
     fold::{self, ConfigChange, ConfigRecord},
     object::{self, Organisation},
 };
@@ -145,9 +145,9 @@
     Ok(())
 }
 
-fn organisation(index: usize) -> Object {
+fn organisation(index: usize) -> ConfigObject {
     let hash = blake3::hash(&index.to_le_bytes()).to_hex();
-    Object::Organisation(Organisation {
+    ConfigObject::Organisation(Organisation {
         name: format!("organisation-{index}").as_str().into(),
         api_key_hashes: vec![hash.as_str().into()],
         capacity_weight: 1,
--- a/cowsliproad-bench/src/plant.rs
+++ b/cowsliproad-bench/src/plant.rs
@@ -9,7 +9,7 @@
 };
 
 use cowsliproad_agent::Agent;
-use cowsliproad_config::{Object, object};
+use cowsliproad_config::{ConfigObject, object};
 use cowsliproad_ctl::{
     apply::{self, Others},
     client::{Client, Mode},
@@ -213,10 +213,10 @@
     }
 
     /// The whole configuration.
-    pub fn objects(&self) -> Vec<Object> {
+    pub fn objects(&self) -> Vec<ConfigObject> {
         let mut objects = workload::objects();
         for site in &self.sites {
-            objects.push(Object::Target(object::Target {
+            objects.push(ConfigObject::Target(object::Target {
                 name: site.name.as_str().into(),
                 service: site.service.into(),
                 zone: zone_name(site.zone).as_str().into(),
@@ -227,7 +227,7 @@
     }
 
     /// Applies objects through the first entry that is up.
-    pub async fn load(&self, objects: &[Object]) -> io::Result<()> {
+    pub async fn load(&self, objects: &[ConfigObject]) -> io::Result<()> {
         let client = self.operator().ok_or_else(no_entry)?;
         let (_, present) =
             client.list(None).await.map_err(io::Error::other)?;
--- a/cowsliproad-bench/src/workload.rs
+++ b/cowsliproad-bench/src/workload.rs
@@ -5,7 +5,7 @@
 //! its right answer follows from the body alone.
 
 use cowsliproad_config::{
-    Object,
+    ConfigObject,
     object::{
         Backend, Organisation, RequestRepeatability, RequestType, Service,
     },
@@ -186,11 +186,11 @@
 }
 
 /// The organisations, services and request types of both users.
-pub fn objects() -> Vec<Object> {
+pub fn objects() -> Vec<ConfigObject> {
     let mut objects = Vec::new();
     for (index, name) in ORGANISATIONS.iter().enumerate() {
         let hash = blake3::hash(key(name).as_bytes()).to_hex();
-        objects.push(Object::Organisation(Organisation {
+        objects.push(ConfigObject::Organisation(Organisation {
             name: (*name).into(),
             api_key_hashes: vec![hash.as_str().into()],
             capacity_weight: if index < 2 { 4 } else { 1 },
@@ -200,10 +200,13 @@
     for (name, backend) in
         [("drafting", Backend::Engine), ("access", Backend::Plain)]
     {
-        objects.push(Object::Service(Service { name: name.into(), backend }));
+        objects.push(ConfigObject::Service(Service {
+            name: name.into(),
+            backend,
+        }));
     }
     for kind in &KINDS {
-        objects.push(Object::RequestType(RequestType {
+        objects.push(ConfigObject::RequestType(RequestType {
             service: kind.service.into(),
             name: kind.name.into(),
             urgency: kind.urgency,
--- a/cowsliproad-config/src/fold.rs
+++ b/cowsliproad-config/src/fold.rs
@@ -16,7 +16,7 @@
 use cowsliproad_kernel::{code::Code, id};
 use serde::{Deserialize, Serialize};
 
-use crate::object::{Object, ObjectKey};
+use crate::object::{ConfigObject, ObjectKey};
 
 /// The number of operator commands whose outcomes are kept. At 40,000 changes a
 /// day, the outcomes of the last nine hours are kept; operators repeat a command
@@ -42,7 +42,7 @@
         #[serde(rename = "base")]
         base_revision: u64,
         /// The object to store.
-        object: Object,
+        object: ConfigObject,
     },
     /// Removes an object.
     Delete {
@@ -71,7 +71,7 @@
     /// The offset of the record that last changed the object.
     pub revision: u64,
     /// The object at this revision.
-    pub object: Object,
+    pub object: ConfigObject,
 }
 
 /// The configuration that results from folding the records of the log up to an
@@ -212,7 +212,7 @@
     fn check_put(
         &self,
         base_revision: u64,
-        object: &Object,
+        object: &ConfigObject,
     ) -> Result<(), Code> {
         if object.validate().is_err() {
             return Err(Code::BadObject);
--- a/cowsliproad-config/src/lib.rs
+++ b/cowsliproad-config/src/lib.rs
@@ -14,4 +14,4 @@
 pub mod object;
 
 pub use fold::{ConfigRecord, ConfigState};
-pub use object::Object;
+pub use object::ConfigObject;
--- a/cowsliproad-config/src/object.rs
+++ b/cowsliproad-config/src/object.rs
@@ -1,6 +1,6 @@
 //! The objects that operators declare.
 //!
-//! `cowsliproad-ctl apply` reads and `get` prints an [`Object`] in its JSON
+//! `cowsliproad-ctl apply` reads and `get` prints a [`ConfigObject`] in its JSON
 //! form; the log and the snapshots store the same types.
 
 use std::{fmt, net::SocketAddr, str::FromStr};
@@ -11,7 +11,7 @@
 /// An object of the configuration, such as a service or a target.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
-pub enum Object {
+pub enum ConfigObject {
     /// A customer.
     Organisation(Organisation),
     /// A service that callers send requests to.
@@ -125,7 +125,8 @@
     pub service: Name,
     /// The names of the targets that hold the group's ranks, starting with
     /// rank 0.
-    pub ranks: Vec<Name>,
+    #[serde(rename = "ranks")]
+    pub rank_targets: Vec<Name>,
     /// The weight of the step-time skew between the ranks in the cost of an
     /// expert placement.
     #[serde(rename = "skew_weight")]
@@ -192,23 +193,29 @@
     }
 }
 
-impl Object {
+impl ConfigObject {
     /// The key of the object.
     pub fn key(&self) -> ObjectKey {
         match self {
-            Object::Organisation(it) => {
+            ConfigObject::Organisation(it) => {
                 ObjectKey::new(ObjectKind::Organisation, &it.name)
             }
-            Object::Service(it) => {
+            ConfigObject::Service(it) => {
                 ObjectKey::new(ObjectKind::Service, &it.name)
             }
-            Object::RequestType(it) => ObjectKey::new(
+            ConfigObject::RequestType(it) => ObjectKey::new(
                 ObjectKind::RequestType,
                 &format!("{}/{}", it.service, it.name),
             ),
-            Object::Target(it) => ObjectKey::new(ObjectKind::Target, &it.name),
-            Object::Group(it) => ObjectKey::new(ObjectKind::Group, &it.name),
-            Object::Drain(it) => ObjectKey::new(ObjectKind::Drain, &it.target),
+            ConfigObject::Target(it) => {
+                ObjectKey::new(ObjectKind::Target, &it.name)
+            }
+            ConfigObject::Group(it) => {
+                ObjectKey::new(ObjectKind::Group, &it.name)
+            }
+            ConfigObject::Drain(it) => {
+                ObjectKey::new(ObjectKind::Drain, &it.target)
+            }
         }
     }
 
@@ -216,22 +223,24 @@
     /// created.
     pub fn dependencies(&self) -> Vec<ObjectKey> {
         match self {
-            Object::Organisation(_) | Object::Service(_) => Vec::new(),
-            Object::RequestType(it) => {
+            ConfigObject::Organisation(_) | ConfigObject::Service(_) => {
+                Vec::new()
+            }
+            ConfigObject::RequestType(it) => {
                 vec![ObjectKey::new(ObjectKind::Service, &it.service)]
             }
-            Object::Target(it) => {
+            ConfigObject::Target(it) => {
                 vec![ObjectKey::new(ObjectKind::Service, &it.service)]
             }
-            Object::Group(it) => {
+            ConfigObject::Group(it) => {
                 let service = ObjectKey::new(ObjectKind::Service, &it.service);
                 let targets = it
-                    .ranks
+                    .rank_targets
                     .iter()
                     .map(|rank| ObjectKey::new(ObjectKind::Target, rank));
                 std::iter::once(service).chain(targets).collect()
             }
-            Object::Drain(it) => {
+            ConfigObject::Drain(it) => {
                 vec![ObjectKey::new(ObjectKind::Target, &it.target)]
             }
         }
@@ -248,22 +257,22 @@
             ));
         }
         match self {
-            Object::Organisation(it) if it.capacity_weight == 0 => {
+            ConfigObject::Organisation(it) if it.capacity_weight == 0 => {
                 Err("share: must be at least 1".into())
             }
-            Object::Organisation(it)
+            ConfigObject::Organisation(it)
                 if !it.api_key_hashes.iter().all(is_key_hash) =>
             {
                 Err("keys: must be BLAKE3 hashes of 64 hexadecimal digits"
                     .into())
             }
-            Object::RequestType(it) if it.deadline_ms == Millis(0) => {
+            ConfigObject::RequestType(it) if it.deadline_ms == Millis(0) => {
                 Err("deadline_ms: must be at least 1".into())
             }
-            Object::Group(it) if it.ranks.is_empty() => {
+            ConfigObject::Group(it) if it.rank_targets.is_empty() => {
                 Err("ranks: must name at least one target".into())
             }
-            Object::Group(it) if !has_valid_weights(it) => {
+            ConfigObject::Group(it) if !has_valid_weights(it) => {
                 Err("skew_weight, move_weight: must be finite and at least 0"
                     .into())
             }
--- a/cowsliproad-ctl/src/apply.rs
+++ b/cowsliproad-ctl/src/apply.rs
@@ -7,7 +7,7 @@
 use std::{collections::BTreeMap, fmt};
 
 use cowsliproad_config::{
-    Object,
+    ConfigObject,
     fold::VersionedObject,
     object::{ObjectKey, ObjectKind},
 };
@@ -22,9 +22,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Difference {
     /// The object is new.
-    Create(Object),
+    Create(ConfigObject),
     /// The object changes; the old one has this revision.
-    Replace(u64, Object),
+    Replace(u64, ConfigObject),
     /// The object of this revision goes.
     Delete(u64, ObjectKey),
 }
@@ -40,7 +40,7 @@
 
 /// What has to change for the configuration to be as the file says.
 pub fn differences(
-    wanted: &[Object],
+    wanted: &[ConfigObject],
     present: &[VersionedObject],
     others: Others,
 ) -> Vec<Difference> {
@@ -130,6 +130,6 @@
     }
 }
 
-fn json(object: &Object) -> String {
+fn json(object: &ConfigObject) -> String {
     serde_json::to_string(object).unwrap_or_else(|error| error.to_string())
 }
--- a/cowsliproad-ctl/src/client.rs
+++ b/cowsliproad-ctl/src/client.rs
@@ -4,7 +4,7 @@
 
 use cowsliproad_admin::{convert, message};
 use cowsliproad_config::{
-    Object,
+    ConfigObject,
     fold::VersionedObject,
     object::{ObjectKey, ObjectKind},
 };
@@ -66,7 +66,7 @@
         &self,
         command: id::Command,
         base: u64,
-        object: &Object,
+        object: &ConfigObject,
         mode: Mode,
     ) -> Result<u64, Error> {
         let request = message::PutRequest {
--- a/cowsliproad-ctl/src/main.rs
+++ b/cowsliproad-ctl/src/main.rs
@@ -6,7 +6,7 @@
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use cowsliproad_config::{
-    Object,
+    ConfigObject,
     fold::VersionedObject,
     object::{DrainOrder, ObjectKey, ObjectKind},
 };
@@ -158,7 +158,8 @@
     output: Output,
 ) -> Result<(), Error> {
     let target = args.get_one::<String>("target").expect("it is required");
-    let object = Object::Drain(DrainOrder { target: target.as_str().into() });
+    let object =
+        ConfigObject::Drain(DrainOrder { target: target.as_str().into() });
     let order = Difference::Create(object);
     make(client, &[order], Mode::Commit, output).await
 }
@@ -228,7 +229,7 @@
     if args.get_flag("dry-run") { Mode::DryRun } else { Mode::Commit }
 }
 
-fn read(args: &ArgMatches) -> Result<Vec<Object>, Error> {
+fn read(args: &ArgMatches) -> Result<Vec<ConfigObject>, Error> {
     let path = args.get_one::<PathBuf>("file").expect("it is required");
     let bad =
         |why: String| Error::Answer(format!("{}: {why}", path.display()));
--- a/cowsliproad-ctl/tests/apply.rs
+++ b/cowsliproad-ctl/tests/apply.rs
@@ -1,14 +1,14 @@
 //! The difference between a file and the configuration.
 
 use cowsliproad_config::{
-    Object,
+    ConfigObject,
     fold::VersionedObject,
     object::{Backend, ObjectKey, ObjectKind, Service},
 };
 use cowsliproad_ctl::apply::{Difference, Others, differences};
 
-fn service(name: &str, backend: Backend) -> Object {
-    Object::Service(Service { name: name.into(), backend })
+fn service(name: &str, backend: Backend) -> ConfigObject {
+    ConfigObject::Service(Service { name: name.into(), backend })
 }
 
 fn present() -> Vec<VersionedObject> {
@@ -22,7 +22,7 @@
     ]
 }
 
-fn wanted() -> Vec<Object> {
+fn wanted() -> Vec<ConfigObject> {
     vec![
         service("same", Backend::Plain),
         service("old", Backend::Engine),
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -334,7 +334,7 @@
                     .fleet
                     .borrow_mut()
                     .merge_target_announcement(target, now);
-                if entry.fleet.borrow().is_ready(&id) {
+                if entry.fleet.borrow().is_target_ready(&id) {
                     entry.announced.borrow_mut().insert(id, raw.clone());
                 }
                 change
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -192,7 +192,7 @@
     }
 
     fn silence(&self) -> Millis {
-        owner::digest_silence_timeout(self.known.len(), MAX_RECIPIENTS)
+        owner::gossip_silence_timeout(self.known.len(), MAX_RECIPIENTS)
     }
 
     /// Notes entries that others speak of.
@@ -285,7 +285,7 @@
             .borrow()
             .last_target_change_log_position()
             .offset,
-        departed_targets: left,
+        departed_targets_with_start_unix_ms: left,
         withdrawn_targets_with_start_and_sequence,
         peers: entry.peers.borrow().known.keys().copied().collect(),
         sender_zone: entry.settings().zone.clone(),
@@ -341,7 +341,7 @@
 async fn hear(entry: &Rc<Entry>, socket: &UdpSocket, heard: GossipDigest) {
     let now = Millis::now();
     entry.learn_era(heard.log_era, Source::Peer);
-    let left = heard.departed_targets.iter();
+    let left = heard.departed_targets_with_start_unix_ms.iter();
     let left = left.map(|it| {
         (&it.0, GossipedDeparture::Announced(ProcessStartUnixMs(it.1)))
     });
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -79,7 +79,7 @@
     LoadSubscription {
         target_list_id: gossip::target_list_id(targets),
         targets: targets.to_vec(),
-        layer_sets: engine.layer_set_count as u16,
+        layer_set_count: engine.layer_set_count as u16,
         experts_per_layer_set: engine.experts_per_layer_set as u16,
         expert_slots_per_layer_set: engine.experts_per_rank as u16,
         max_new_experts_per_layer_set: engine
--- a/cowsliproad-direct/src/stream.rs
+++ b/cowsliproad-direct/src/stream.rs
@@ -205,7 +205,7 @@
     /// The next whole event, the end, or why there is none.
     async fn next(&mut self, entry: &Entry, end: Instant) -> Next {
         loop {
-            if let Some(event) = self.splitter.pop() {
+            if let Some(event) = self.splitter.pop_event() {
                 self.attempt.progress();
                 return Next::Event(event);
             }
@@ -241,7 +241,7 @@
             match frame {
                 Some(Ok(frame)) => {
                     let Ok(bytes) = frame.into_data() else { continue };
-                    self.splitter.push(&bytes);
+                    self.splitter.push_bytes(&bytes);
                     self.last_bytes = Moment::new(entry, &self.choice);
                 }
                 Some(Err(_)) => {
--- a/cowsliproad-entry/src/answer.rs
+++ b/cowsliproad-entry/src/answer.rs
@@ -29,20 +29,20 @@
             Item::Bytes(more) => bytes.extend_from_slice(&more),
             Item::Restart => bytes.clear(),
             Item::Failed(failure) => {
-                let mut response = reply::problem(&failure, "");
+                let mut response = reply::problem_response(&failure, "");
                 set_token(&mut response, &token);
                 return (response, Some(failure));
             }
             Item::Done(end) => {
                 let body = document(end.format, bytes);
-                let mut response = reply::json(StatusCode::OK, body);
+                let mut response = reply::json_response(StatusCode::OK, body);
                 set_token(&mut response, &token);
                 return (response, None);
             }
         }
     }
     // The machine always ends with one of the two items above.
-    (reply::text(StatusCode::INTERNAL_SERVER_ERROR, ""), None)
+    (reply::text_response(StatusCode::INTERNAL_SERVER_ERROR, ""), None)
 }
 
 fn document(format: AnswerFormat, bytes: Vec<u8>) -> String {
@@ -59,7 +59,8 @@
         "token": token,
         "reclaim": format!("/v1/requests/{token}"),
     });
-    let mut response = reply::json(StatusCode::ACCEPTED, body.to_string());
+    let mut response =
+        reply::json_response(StatusCode::ACCEPTED, body.to_string());
     set_token(&mut response, token);
     response
 }
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -92,7 +92,8 @@
     }
 
     fn into_response(self) -> Response {
-        let mut response = reply::problem(&self.failure, &self.detail);
+        let mut response =
+            reply::problem_response(&self.failure, &self.detail);
         let ticket = self.ticket.as_deref().map(HeaderValue::from_str);
         if let Some(Ok(ticket)) = ticket {
             response.headers_mut().insert(TICKET_HEADER, ticket);
@@ -135,12 +136,12 @@
             path.split('/').filter(|it| !it.is_empty()).collect();
         let outcome = match (request.method().clone(), &path[..]) {
             (Method::GET, ["livez"]) => {
-                return reply::text(StatusCode::OK, "live\n");
+                return reply::text_response(StatusCode::OK, "live\n");
             }
             (Method::GET, ["readyz"]) => return self.ready(),
             (Method::GET, ["metrics"]) => {
                 let text = self.shared.metrics.text();
-                return reply::text(StatusCode::OK, &text);
+                return reply::text_response(StatusCode::OK, &text);
             }
             // Boxed, so that the common future stays small: the server
             // moves it several times.
@@ -168,15 +169,18 @@
     fn ready(&self) -> Response {
         let view = self.shared.published.load();
         if self.shared.phase() == ProcessPhase::Leaving {
-            return reply::text(StatusCode::SERVICE_UNAVAILABLE, "stopping\n");
+            return reply::text_response(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "stopping\n",
+            );
         }
         if view.services.is_empty() {
-            return reply::text(
+            return reply::text_response(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "no configuration yet\n",
             );
         }
-        reply::text(StatusCode::OK, "ready\n")
+        reply::text_response(StatusCode::OK, "ready\n")
     }
 
     async fn submit(
@@ -290,7 +294,7 @@
                 if failure.code == Code::Cancelled =>
             {
                 let body = json!({ "ran": failure.ran.as_str() });
-                Ok(reply::json(StatusCode::OK, body.to_string()))
+                Ok(reply::json_response(StatusCode::OK, body.to_string()))
             }
             Ok(Some(Event::Refused(failure))) => Err(Refused::new(failure)),
             _ => Err(gone()),
@@ -317,7 +321,7 @@
             "tickets": tickets,
             "valid_ms": TICKET_TTL.0,
         });
-        Ok(reply::json(StatusCode::OK, body.to_string()))
+        Ok(reply::json_response(StatusCode::OK, body.to_string()))
     }
 
     /// Makes a ticket for the target that suits best now.
@@ -512,7 +516,7 @@
             }
             Err(failure) => {
                 finish.ended(Some(&failure));
-                reply::problem(&failure, "")
+                reply::problem_response(&failure, "")
             }
         },
     }
@@ -547,10 +551,10 @@
     match forward.next().await {
         Some(Item::Failed(failure)) => {
             companion.ended(Some(&failure));
-            reply::problem(&failure, "")
+            reply::problem_response(&failure, "")
         }
         Some(first) => answer::stream(forward, first, from, companion),
-        None => reply::text(StatusCode::INTERNAL_SERVER_ERROR, ""),
+        None => reply::text_response(StatusCode::INTERNAL_SERVER_ERROR, ""),
     }
 }
 
@@ -563,7 +567,7 @@
                 ExecutionStatus::OutcomeUnknown,
             );
             let failure = failure.with_retry_after(NOT_YET);
-            reply::problem(&failure, "the work is not finished yet")
+            reply::problem_response(&failure, "the work is not finished yet")
         }
         _ => response,
     }
--- a/cowsliproad-entry/src/view.rs
+++ b/cowsliproad-entry/src/view.rs
@@ -11,7 +11,7 @@
 use arc_swap::ArcSwap;
 use cowsliproad_admission::budget::RetryBudget;
 use cowsliproad_config::{
-    ConfigState, Object,
+    ConfigObject, ConfigState,
     object::{self, Backend},
 };
 use cowsliproad_kernel::{Name, clock::Millis, id};
@@ -79,26 +79,30 @@
         let counters = counters(old);
         for versioned in state.objects() {
             match &versioned.object {
-                Object::Organisation(it) => {
+                ConfigObject::Organisation(it) => {
                     view.add_organisation(it, &counters);
                 }
-                Object::RequestType(it) => {
+                ConfigObject::RequestType(it) => {
                     types
                         .entry(it.service.clone())
                         .or_default()
                         .push(it.clone());
                 }
-                Object::Target(it) => {
+                ConfigObject::Target(it) => {
                     let target = target(it);
                     let of_service = targets.entry(it.service.clone());
                     of_service.or_default().push(target.clone());
                     view.targets.insert(it.name.clone(), target);
                 }
-                Object::Service(_) | Object::Group(_) | Object::Drain(_) => {}
+                ConfigObject::Service(_)
+                | ConfigObject::Group(_)
+                | ConfigObject::Drain(_) => {}
             }
         }
         for versioned in state.objects() {
-            let Object::Service(it) = &versioned.object else { continue };
+            let ConfigObject::Service(it) = &versioned.object else {
+                continue;
+            };
             let types = types.remove(&it.name).unwrap_or_default();
             let service = Service {
                 name: it.name.clone(),
--- a/cowsliproad-kernel/src/gossip.rs
+++ b/cowsliproad-kernel/src/gossip.rs
@@ -94,7 +94,7 @@
     /// Targets that the sender recently saw leave for good, each with its
     /// start time as a Unix millisecond.
     #[serde(rename = "l")]
-    pub departed_targets: Vec<(Name, u64)>,
+    pub departed_targets_with_start_unix_ms: Vec<(Name, u64)>,
     /// Targets whose announcements recently expired or were deleted in the
     /// log, each with its start time as a Unix millisecond and the sequence
     /// number of its last announcement.
@@ -232,7 +232,7 @@
     pub target_list_id: u64,
     /// The number of sets of layers that have their own expert map.
     #[serde(rename = "s")]
-    pub layer_sets: u16,
+    pub layer_set_count: u16,
     /// The number of experts in each set of layers.
     #[serde(rename = "e")]
     pub experts_per_layer_set: u16,
@@ -314,7 +314,7 @@
 
 /// Whether nothing is known of a suspected request but the crashes attributed
 /// to it.
-fn only_crashes_known(request: &SuspectedRequest) -> bool {
+fn has_only_crash_ids(request: &SuspectedRequest) -> bool {
     !request.survived_by_target
         && request.rejected_for.is_none()
         && request.suspension_left.is_none()
@@ -328,7 +328,7 @@
         let mut other_requests = Vec::new();
         for request in requests {
             match request.crash_ids[..] {
-                [crash] if only_crashes_known(&request) => {
+                [crash] if has_only_crash_ids(&request) => {
                     let hashes =
                         single_crash_requests.entry(crash).or_default();
                     hashes.extend_from_slice(
@@ -350,7 +350,8 @@
     }
 
     /// Decodes the suspected requests. A compactly encoded request counts as
-    /// received just now, because it is broadcast for only a few seconds.
+    /// received just now, because such requests are broadcast for only a few
+    /// seconds.
     pub fn unpack(&self) -> impl Iterator<Item = SuspectedRequest> {
         let single_crash_requests =
             self.single_crash_requests.iter().flat_map(|(crash, hashes)| {
--- a/cowsliproad-kernel/src/log.rs
+++ b/cowsliproad-kernel/src/log.rs
@@ -30,7 +30,7 @@
 /// Creates a logger whose lines name the program and the VM.
 pub fn logger(program: &'static str, vm: &str, level: Level) -> Logger {
     let keys = o!("program" => program, "vm" => vm.to_string());
-    let Some(min_level) = min_level(level) else {
+    let Some(min_level) = min_slog_level(level) else {
         return Logger::root(slog::Discard, keys);
     };
     let stdout = std::io::LineWriter::new(std::io::stdout());
@@ -56,7 +56,7 @@
     Ok(())
 }
 
-fn min_level(level: Level) -> Option<slog::Level> {
+fn min_slog_level(level: Level) -> Option<slog::Level> {
     match level {
         Level::Off => None,
         Level::Error => Some(slog::Level::Error),
--- a/cowsliproad-kernel/src/plugin.rs
+++ b/cowsliproad-kernel/src/plugin.rs
@@ -18,12 +18,12 @@
 }
 
 /// Returns the plug-in with the given name.
-pub fn find<P: Plugin>(name: &str) -> Option<&'static P> {
-    all::<P>().into_iter().find(|plugin| plugin.name() == name)
+pub fn find_plugin<P: Plugin>(name: &str) -> Option<&'static P> {
+    all_plugins::<P>().into_iter().find(|plugin| plugin.name() == name)
 }
 
 /// Returns all plug-ins of one type, sorted by name.
-pub fn all<P: Plugin>() -> Vec<&'static P> {
+pub fn all_plugins<P: Plugin>() -> Vec<&'static P> {
     let mut found: Vec<_> = inventory::iter::<P>.into_iter().collect();
     found.sort_by_key(|plugin| plugin.name());
     found
--- a/cowsliproad-kernel/src/wire.rs
+++ b/cowsliproad-kernel/src/wire.rs
@@ -149,7 +149,7 @@
 }
 
 impl TargetPresence {
-    fn is_here(&self) -> bool {
+    fn is_running(&self) -> bool {
         *self == TargetPresence::Here
     }
 }
@@ -177,7 +177,7 @@
     #[serde(
         rename = "x",
         default,
-        skip_serializing_if = "TargetPresence::is_here"
+        skip_serializing_if = "TargetPresence::is_running"
     )]
     pub presence: TargetPresence,
     /// For how long from now the target asked to receive no requests; zero
@@ -393,7 +393,7 @@
     pub attempt: id::Attempt,
     /// The number of data frames in the attempt.
     #[serde(rename = "s")]
-    pub data_frames: u32,
+    pub data_frame_count: u32,
     /// The format of the answer.
     #[serde(rename = "f")]
     pub format: AnswerFormat,
--- a/cowsliproad-net/src/reply.rs
+++ b/cowsliproad-net/src/reply.rs
@@ -6,12 +6,12 @@
 use volo_http::{body::Body, response::Response};
 
 /// Creates a JSON response.
-pub fn json(status: StatusCode, body: String) -> Response {
+pub fn json_response(status: StatusCode, body: String) -> Response {
     response_with_content_type(status, "application/json", body)
 }
 
 /// Creates a plain text response.
-pub fn text(status: StatusCode, body: &str) -> Response {
+pub fn text_response(status: StatusCode, body: &str) -> Response {
     response_with_content_type(
         status,
         "text/plain; charset=utf-8",
@@ -21,7 +21,7 @@
 
 /// Creates a problem response for a failure. If `detail` is empty, the
 /// standard text of the result code is used.
-pub fn problem(failure: &RequestFailure, detail: &str) -> Response {
+pub fn problem_response(failure: &RequestFailure, detail: &str) -> Response {
     let status = StatusCode::from_u16(failure.code.status())
         .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let body = problem_body(failure, detail).to_string();
--- a/cowsliproad-rank/src/agent/readings.rs
+++ b/cowsliproad-rank/src/agent/readings.rs
@@ -87,7 +87,7 @@
             return;
         };
         let experts = usize::from(shape.experts_per_layer_set);
-        let numbers = u64::from(shape.layer_sets)
+        let numbers = u64::from(shape.layer_set_count)
             * u64::from(shape.experts_per_layer_set);
         let round = Millis(numbers * u64::from(report.ranks) / COUNT_RATE);
         let Some((_, to, _)) = self.word else { return };
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -319,7 +319,7 @@
         let shape_of_map = Shape {
             rank_count: snapshots.len(),
             expert_count: usize::from(shape.experts_per_layer_set),
-            layer_count: usize::from(shape.layer_sets),
+            layer_count: usize::from(shape.layer_set_count),
             slots_per_rank: usize::from(shape.expert_slots_per_layer_set),
         };
         let Some(present) = self.present(shape_of_map, snapshots) else {
--- a/cowsliproad-rank/tests/group/main.rs
+++ b/cowsliproad-rank/tests/group/main.rs
@@ -122,7 +122,7 @@
         let message = gossip::encode(&LoadSubscription {
             target_list_id: gossip::target_list_id(&targets),
             targets: targets.clone(),
-            layer_sets: 2,
+            layer_set_count: 2,
             experts_per_layer_set: EXPERTS as u16,
             expert_slots_per_layer_set: 6,
             max_new_experts_per_layer_set: 2,
--- a/cowsliproad-rank/tests/lead.rs
+++ b/cowsliproad-rank/tests/lead.rs
@@ -47,7 +47,7 @@
         let shape = LoadSubscription {
             targets: Vec::new(),
             target_list_id: 1,
-            layer_sets: 1,
+            layer_set_count: 1,
             experts_per_layer_set: EXPERTS as u16,
             expert_slots_per_layer_set: 8,
             max_new_experts_per_layer_set: 2,
--- a/cowsliproad-relay/src/events.rs
+++ b/cowsliproad-relay/src/events.rs
@@ -35,12 +35,12 @@
     }
 
     /// Appends received bytes to the buffer.
-    pub fn push(&mut self, bytes: &[u8]) {
+    pub fn push_bytes(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
     /// Removes the next complete event from the buffer and returns it.
-    pub fn pop(&mut self) -> Option<ServerSentEvent> {
+    pub fn pop_event(&mut self) -> Option<ServerSentEvent> {
         let search_start = self.searched_bytes.saturating_sub(3);
         let Some(length) = event_length(&self.buffer, search_start) else {
             self.searched_bytes = self.buffer.len();
--- a/cowsliproad-relay/src/lib.rs
+++ b/cowsliproad-relay/src/lib.rs
@@ -154,7 +154,7 @@
 
     fn completeness(&self) -> Completeness {
         let Some(end) = &self.end else { return Completeness::Incomplete };
-        if self.next_sequence < end.data_frames {
+        if self.next_sequence < end.data_frame_count {
             return Completeness::Incomplete;
         }
         let digest_matches = match &self.hasher {
@@ -165,7 +165,7 @@
         };
         if digest_matches
             && self.next_byte_offset == end.length
-            && self.next_sequence == end.data_frames
+            && self.next_sequence == end.data_frame_count
         {
             Completeness::Complete
         } else {
--- a/cowsliproad-routing/src/fleet.rs
+++ b/cowsliproad-routing/src/fleet.rs
@@ -142,8 +142,8 @@
 #[derive(Clone, Debug)]
 struct KnownTarget {
     target: Target,
-    /// When the pending withdrawal of the target takes effect, if there is
-    /// one.
+    /// When the pending withdrawal of the target takes effect; `None` if no
+    /// withdrawal is pending.
     withdrawal_due_at: Option<Millis>,
 }
 
@@ -308,7 +308,7 @@
     }
 
     /// Whether a target takes new requests.
-    pub fn is_ready(&self, target_id: &str) -> bool {
+    pub fn is_target_ready(&self, target_id: &str) -> bool {
         self.targets.contains_key(target_id)
     }
 
--- a/cowsliproad-routing/src/owner.rs
+++ b/cowsliproad-routing/src/owner.rs
@@ -77,20 +77,20 @@
     owner
 }
 
-/// How long an entry process may send no digest before it counts as
-/// unresponsive, if each entry process sends digests to `digest_fanout` of its
+/// How long an entry process may send no gossip digest before the process
+/// counts as unresponsive, if each entry process sends digests to `digest_fanout` of its
 /// `peer_count` peers at a time.
-pub fn digest_silence_timeout(
+pub fn gossip_silence_timeout(
     peer_count: usize,
     digest_fanout: usize,
 ) -> Millis {
     let rounds = (peer_count / digest_fanout.max(1)).max(1) as u64;
-    Millis(MIN_DIGEST_SILENCE_TIMEOUT.0 * rounds)
+    Millis(MIN_GOSSIP_SILENCE_TIMEOUT.0 * rounds)
 }
 
-/// The digest silence timeout if each digest goes to all peers; three digests
-/// are missing by then.
-const MIN_DIGEST_SILENCE_TIMEOUT: Millis = Millis(1_600);
+/// The gossip silence timeout if each gossip digest goes to all peers; three
+/// digests are missing by then.
+const MIN_GOSSIP_SILENCE_TIMEOUT: Millis = Millis(1_600);
 
 fn rendezvous_weight<A: Hash>(
     target: &Target,
--- a/cowsliproad-standin/src/engine.rs
+++ b/cowsliproad-standin/src/engine.rs
@@ -340,7 +340,7 @@
             (Method::GET, ["v1", "load"]) => {
                 let (running, waiting) = *self.0.reported.borrow();
                 let body = json!({ "running": running, "waiting": waiting });
-                reply::json(StatusCode::OK, body.to_string())
+                reply::json_response(StatusCode::OK, body.to_string())
             }
             (Method::POST, ["v1", "orders"]) => self.order(request).await,
             (Method::POST, ["fault"]) => {
--- a/cowsliproad-standin/src/lib.rs
+++ b/cowsliproad-standin/src/lib.rs
@@ -38,5 +38,5 @@
 }
 
 fn status(status: StatusCode) -> Response<Body> {
-    reply::text(status, "")
+    reply::text_response(status, "")
 }
--- a/cowsliproad-standin/src/log.rs
+++ b/cowsliproad-standin/src/log.rs
@@ -111,7 +111,10 @@
             return crate::engine::cut_response();
         }
         self.switch.before_answer().await;
-        reply::json(StatusCode::OK, json!({ "offset": offset }).to_string())
+        reply::json_response(
+            StatusCode::OK,
+            json!({ "offset": offset }).to_string(),
+        )
     }
 
     async fn read(&self, from: u64, wait: Duration) -> Response {
@@ -127,7 +130,7 @@
         let page = records.kept.iter().skip(skip).take(MAX_RECORDS);
         let page: Vec<String> = page.map(|it| STANDARD.encode(it)).collect();
         let body = json!({ "first": first, "records": page });
-        reply::json(StatusCode::OK, body.to_string())
+        reply::json_response(StatusCode::OK, body.to_string())
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Records> {
--- a/cowsliproad-standin/src/plain.rs
+++ b/cowsliproad-standin/src/plain.rs
@@ -126,7 +126,7 @@
         match self.switch.get() {
             Fault::LoseAnswer | Fault::Cut => crate::engine::cut_response(),
             Fault::Stall => std::future::pending().await,
-            _ => reply::json(StatusCode::OK, answer),
+            _ => reply::json_response(StatusCode::OK, answer),
         }
     }
 
@@ -149,9 +149,10 @@
         let path = crate::path(&request);
         let path: Vec<&str> = path.iter().map(String::as_str).collect();
         match (request.method().clone(), &path[..]) {
-            (Method::GET, ["runs"]) => {
-                reply::json(StatusCode::OK, json!(self.runs()).to_string())
-            }
+            (Method::GET, ["runs"]) => reply::json_response(
+                StatusCode::OK,
+                json!(self.runs()).to_string(),
+            ),
             (Method::POST, ["fault"]) => {
                 set_fault(&self.switch, request).await
             }
@@ -178,6 +179,8 @@
             switch.set(fault);
             crate::status(StatusCode::NO_CONTENT)
         }
-        Err(error) => reply::text(StatusCode::BAD_REQUEST, &error.to_string()),
+        Err(error) => {
+            reply::text_response(StatusCode::BAD_REQUEST, &error.to_string())
+        }
     }
 }
--- a/cowsliproad-standin/src/vms.rs
+++ b/cowsliproad-standin/src/vms.rs
@@ -100,7 +100,7 @@
                     return crate::status(StatusCode::SERVICE_UNAVAILABLE);
                 }
                 let shown = lock(&self.shown).clone();
-                reply::json(StatusCode::OK, json!(shown).to_string())
+                reply::json_response(StatusCode::OK, json!(shown).to_string())
             }
             (Method::POST, ["vms", name]) => {
                 let Ok(body) = crate::body(request).await else {
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -4,15 +4,15 @@
 
 use cowsliproad_bench::plant::{Config, Plant};
 use cowsliproad_config::{
-    Object,
+    ConfigObject,
     object::{ObjectKey, ObjectKind, Organisation},
 };
 use cowsliproad_ctl::client::{Client, Mode};
 use cowsliproad_kernel::{code::Code, id};
 use cowsliproad_standin::fault::Fault;
 
-fn organisation(share: u32) -> Object {
-    Object::Organisation(Organisation {
+fn organisation(share: u32) -> ConfigObject {
+    ConfigObject::Organisation(Organisation {
         name: "new".into(),
         api_key_hashes: Vec::new(),
         capacity_weight: share,
--- a/tests/processes/harness.rs
+++ b/tests/processes/harness.rs
@@ -200,7 +200,7 @@
     async fn load(&self) {
         let mut objects = workload::objects();
         for site in &self.sites {
-            objects.push(cowsliproad_config::Object::Target(
+            objects.push(cowsliproad_config::ConfigObject::Target(
                 cowsliproad_config::object::Target {
                     name: site.settings.name.clone(),
                     service: site.service.into(),
--- a/tests/properties/direct.rs
+++ b/tests/properties/direct.rs
@@ -265,9 +265,9 @@
         let mut cuts = cuts.into_iter().cycle();
         while !rest.is_empty() {
             let length = cuts.next().unwrap_or(1).min(rest.len());
-            splitter.push(&rest[..length]);
+            splitter.push_bytes(&rest[..length]);
             rest = &rest[length..];
-            while let Some(event) = splitter.pop() {
+            while let Some(event) = splitter.pop_event() {
                 ids.extend(event.id);
                 bytes.extend_from_slice(&event.bytes);
             }
@@ -281,9 +281,9 @@
 #[test]
 fn a_broken_off_event_stays_inside() {
     let mut splitter = EventSplitter::new();
-    splitter.push(b"id: 1\ndata: x\n\nid: 2\nda");
-    assert_eq!(splitter.pop().and_then(|it| it.id), Some(1));
-    assert_eq!(splitter.pop(), None);
+    splitter.push_bytes(b"id: 1\ndata: x\n\nid: 2\nda");
+    assert_eq!(splitter.pop_event().and_then(|it| it.id), Some(1));
+    assert_eq!(splitter.pop_event(), None);
     assert!(splitter.has_partial_event());
 }
 
--- a/tests/properties/fleet.rs
+++ b/tests/properties/fleet.rs
@@ -38,7 +38,7 @@
         fleet.merge_target_withdrawal("i-1", Millis(10)),
         TargetChange::Left
     );
-    assert!(!fleet.is_ready("i-1"));
+    assert!(!fleet.is_target_ready("i-1"));
 }
 
 #[test]
@@ -50,13 +50,13 @@
         TargetChange::None
     );
     assert!(fleet.apply_due_withdrawals(Millis(11_900)).is_empty());
-    assert!(fleet.is_ready("i-1"));
+    assert!(fleet.is_target_ready("i-1"));
     fleet.merge_target_announcement(
         target(2, TargetState::Ready),
         Millis(12_000),
     );
     assert!(fleet.apply_due_withdrawals(Millis(20_000)).is_empty());
-    assert!(fleet.is_ready("i-1"));
+    assert!(fleet.is_target_ready("i-1"));
 }
 
 #[test]
@@ -65,7 +65,7 @@
     fleet.start_record_renewal_grace(Millis(10_000));
     fleet.merge_target_withdrawal("i-1", Millis(10_050));
     assert_eq!(fleet.apply_due_withdrawals(Millis(12_400)), ["i-1".into()]);
-    assert!(!fleet.is_ready("i-1"));
+    assert!(!fleet.is_target_ready("i-1"));
 }
 
 #[test]
@@ -85,7 +85,7 @@
     let again = fleet
         .merge_target_announcement(target(4, TargetState::Ready), Millis(50));
     assert_eq!(again, TargetChange::None);
-    assert!(!fleet.is_ready("i-1"));
+    assert!(!fleet.is_target_ready("i-1"));
 }
 
 /// A piece of news and when it comes.
@@ -149,7 +149,7 @@
                     fleet.apply_due_withdrawals(now);
                 }
             }
-            prop_assert!(!left || !fleet.is_ready("i-1"));
+            prop_assert!(!left || !fleet.is_target_ready("i-1"));
         }
     }
 }
@@ -199,7 +199,7 @@
         Millis(20),
     );
     assert_eq!(back, TargetChange::Joined);
-    assert!(fleet.is_ready("i-1"));
+    assert!(fleet.is_target_ready("i-1"));
     // What is still said of the start before says nothing of this one.
     fleet.merge_target_announcement(
         target(8, TargetState::Draining),
@@ -215,19 +215,19 @@
         GossipedDeparture::Withdrawn(START, 9),
         Millis(50),
     );
-    assert!(fleet.is_ready("i-1"));
+    assert!(fleet.is_target_ready("i-1"));
     // It may leave in its turn.
     fleet.merge_gossiped_departure(
         "i-1",
         GossipedDeparture::Announced(LATER),
         Millis(60),
     );
-    assert!(!fleet.is_ready("i-1"));
+    assert!(!fleet.is_target_ready("i-1"));
     fleet.merge_target_announcement(
         restarted(2, TargetState::Ready),
         Millis(70),
     );
-    assert!(!fleet.is_ready("i-1"));
+    assert!(!fleet.is_target_ready("i-1"));
 }
 
 #[test]
@@ -274,12 +274,12 @@
         fleet.record_announced_departure("i-1", START, Millis(20)),
         TargetChange::None
     );
-    assert!(fleet.is_ready("i-1"));
+    assert!(fleet.is_target_ready("i-1"));
     assert_eq!(
         fleet.record_announced_departure("i-1", LATER, Millis(30)),
         TargetChange::Left
     );
-    assert!(!fleet.is_ready("i-1"));
+    assert!(!fleet.is_target_ready("i-1"));
 }
 
 /// Guards against counting the entry of an earlier start for a target, and
--- a/tests/properties/fold.rs
+++ b/tests/properties/fold.rs
@@ -2,7 +2,7 @@
 
 use cowsliproad::{
     config::{
-        ConfigState, Object,
+        ConfigObject, ConfigState,
         fold::{
             ChangeOutcome, ConfigChange, ConfigRecord, MissingRecordError,
             decode_record, decode_state, encode_record, encode_state,
@@ -16,11 +16,11 @@
 };
 use proptest::prelude::*;
 
-fn object() -> impl Strategy<Value = Object> {
+fn object() -> impl Strategy<Value = ConfigObject> {
     let name = || prop::sample::select(vec!["a", "b", "c"]);
     prop_oneof![
         (name(), 1..4u32).prop_map(|(name, share)| {
-            Object::Organisation(Organisation {
+            ConfigObject::Organisation(Organisation {
                 name: name.into(),
                 api_key_hashes: Vec::new(),
                 capacity_weight: share,
@@ -29,17 +29,17 @@
         }),
         name().prop_map(|name| {
             let backend = Backend::Plain;
-            Object::Service(Service { name: name.into(), backend })
+            ConfigObject::Service(Service { name: name.into(), backend })
         }),
         (name(), name(), 1..9u16).prop_map(|(name, service, port)| {
-            Object::Target(Target {
+            ConfigObject::Target(Target {
                 name: name.into(),
                 service: service.into(),
                 zone: "z".into(),
                 agent_address: ([127, 0, 0, 1], port).into(),
             })
         }),
-        name().prop_map(|name| Object::Drain(DrainOrder {
+        name().prop_map(|name| ConfigObject::Drain(DrainOrder {
             target: name.into()
         })),
     ]
@@ -149,9 +149,9 @@
     }
 }
 
-fn service(name: &str) -> Object {
+fn service(name: &str) -> ConfigObject {
     let backend = Backend::Plain;
-    Object::Service(Service { name: name.into(), backend })
+    ConfigObject::Service(Service { name: name.into(), backend })
 }
 
 fn put(
--- a/tests/properties/relay.rs
+++ b/tests/properties/relay.rs
@@ -21,7 +21,7 @@
     });
     let end = Frame::End(AnswerEnd {
         attempt,
-        data_frames: pieces.len() as u32,
+        data_frame_count: pieces.len() as u32,
         format: AnswerFormat::Text,
         length: whole.len() as u64,
         answer_blake3_digest: blake3::hash(&whole).as_bytes().to_vec(),
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -11,7 +11,7 @@
         ticket::{Ticket, TokenPurpose},
     },
     config::{
-        ConfigState, Object,
+        ConfigObject, ConfigState,
         fold::{ConfigChange, ConfigRecord, encode_record},
         object::Organisation,
     },
@@ -99,7 +99,7 @@
 
     /// `put COMMAND base=N share=N`: an operator appends a change.
     fn append(&mut self, command: u64, base: u64, share: u32) -> String {
-        let object = Object::Organisation(Organisation {
+        let object = ConfigObject::Organisation(Organisation {
             name: "harju".into(),
             api_key_hashes: Vec::new(),
             capacity_weight: share,
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -11,7 +11,7 @@
     tally::{Runs, Tally},
     workload::{Job, KINDS},
 };
-use cowsliproad_config::{Object, object::DrainOrder};
+use cowsliproad_config::{ConfigObject, object::DrainOrder};
 use cowsliproad_standin::vms;
 use rand::{SeedableRng, rngs::StdRng};
 
@@ -50,7 +50,7 @@
 async fn a_drained_target_gets_nothing_new_within_two_seconds() {
     let plant = Plant::start(Config::new()).await.expect("it starts");
     let (caller, tally) = caller(&plant);
-    let drain = Object::Drain(DrainOrder { target: "plain-1".into() });
+    let drain = ConfigObject::Drain(DrainOrder { target: "plain-1".into() });
     plant.load(&[drain]).await.expect("it is accepted");
     let quiet = quiet_after(&plant, &caller, 3).await;
     assert!(quiet < Duration::from_secs(2), "{quiet:?}");
