--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -16,7 +16,7 @@
 };
 
 use cowsliproad_admission::{
-    limit::Rate,
+    limit::RequestRate,
     queue::{Queue, QueueConfig, ServiceRate},
     register::TicketRegister,
     ticket,
@@ -53,7 +53,7 @@
 pub struct Gate {
     /// The agent's settings.
     pub settings: Arc<Settings>,
-    ticket_key: [u8; ticket::KEY_BYTES],
+    ticket_key: [u8; ticket::TICKET_KEY_BYTES],
     incarnation: id::Incarnation,
     /// Work under which the target's process ended.
     pub ends: Ends,
@@ -383,13 +383,19 @@
 
     /// How fast the queue empties.
     fn speed(&self, inner: &Inner) -> ServiceRate {
-        let (slots, service_us) =
+        let (slots, mean_service_us) =
             (self.settings.slots, inner.service_us as u32);
         let (rate, next) = self.pace.limit(Millis::now());
-        let start_interval_us = rate.map_or(0, Rate::request_interval_us);
-        let next_start_us = u32::try_from(next.0.saturating_mul(1_000));
-        let next_start_us = next_start_us.unwrap_or(u32::MAX);
-        ServiceRate { slots, service_us, start_interval_us, next_start_us }
+        let min_start_interval_us =
+            rate.map_or(0, RequestRate::request_interval_us);
+        let next_start_delay_us = u32::try_from(next.0.saturating_mul(1_000));
+        let next_start_delay_us = next_start_delay_us.unwrap_or(u32::MAX);
+        ServiceRate {
+            slots,
+            mean_service_us,
+            min_start_interval_us,
+            next_start_delay_us,
+        }
     }
 
     fn count(&self, code: Code) {
@@ -463,7 +469,7 @@
     }
 
     fn lapse(&mut self, pace: ServiceRate, now: Millis) {
-        while let Some(item) = self.queue.remove_expired(pace, now) {
+        while let Some(item) = self.queue.remove_expired_item(pace, now) {
             let failure = RequestFailure::new(
                 Code::DeadlinePassed,
                 ExecutionStatus::NotRun,
@@ -474,17 +480,17 @@
 
     /// Gives back what a lower limit leaves no time for.
     fn shed(&mut self, pace: ServiceRate, now: Millis) {
-        for item in self.queue.remove_late(pace, now) {
+        for item in self.queue.remove_items_missing_deadline(pace, now) {
             let failure =
                 RequestFailure::new(Code::Overloaded, ExecutionStatus::NotRun);
-            let wait = self.queue.retry_after(pace);
+            let wait = self.queue.estimate_retry_after(pace);
             self.give_up(&item.work, failure.with_retry_after(wait));
         }
     }
 
     /// Ends work that never reached the target.
     fn give_up(&mut self, work: &Arc<Work>, failure: RequestFailure) {
-        self.register.refuse_unsent(work.request);
+        self.register.refuse_unsent_ticket(work.request);
         work.finish(Err(failure));
         self.keep(work, Millis::now());
     }
--- a/cowsliproad-entry/src/quarantine.rs
+++ b/cowsliproad-entry/src/quarantine.rs
@@ -1,9 +1,10 @@
-//! Requests that crash their targets are refused.
+//! Refuses crash-inducing requests.
 //!
-//! Agents tell every entry that links to them under which work their targets
-//! ended. Entries need not speak to one another for it: one that starts anew
-//! hears it from the agents, and one in a zone that is cut off counts the ends
-//! of the targets that it can reach.
+//! Each agent reports to every entry process that links to it the work under
+//! which its targets ended. Entry processes need no gossip of their own for
+//! this: a restarted entry process gets the reports from the agents, and an
+//! entry process in an availability zone that is cut off counts the crashes of
+//! the targets that it can reach.
 
 use cowsliproad_admission::quarantine::{
     QuarantineChange, QuarantineVerdict, WorkDigest,
@@ -17,53 +18,62 @@
 };
 use slog::info;
 
-use crate::{Shared, forward::Order, target::Target, view::Service};
+use crate::{EntryState, forward::WorkRequest, target::Target, view::Service};
 
-/// What a request is, whatever its id. Agents know it without its service.
-pub fn work_of(
+/// The digest of a request's work, which does not depend on the request id.
+/// Agents compute the digest without the service.
+pub fn compute_work_digest(
     service: &Service,
     organisation: &str,
     request_type: &str,
     body: &[u8],
 ) -> WorkDigest {
-    WorkDigest::of_submission(organisation, request_type, body)
-        .for_service(&service.name)
+    WorkDigest::digest_submission(organisation, request_type, body)
+        .combine_with_service(&service.name)
 }
 
-/// Takes in what an agent tells.
-pub fn hear(
-    shared: &Shared,
+/// Merges the crash reports of an agent.
+pub fn merge_suspected_requests(
+    shared: &EntryState,
     target: &Target,
     suspects: Vec<SuspectedRequest>,
 ) {
     let now = Millis::now();
-    let mut ledger = lock(&shared.quarantine);
-    ledger.evict_expired(now);
+    let mut ledger = lock(&shared.crash_ledger);
+    ledger.evict_expired_cases(now);
     for suspect in suspects {
-        let work =
-            WorkDigest(suspect.request_hash).for_service(&target.service);
+        let work = WorkDigest(suspect.request_hash)
+            .combine_with_service(&target.service);
         let suspect = SuspectedRequest { request_hash: work.0, ..suspect };
         let change = ledger.merge_remote_suspect(&suspect, now);
         if matches!(
             change,
             QuarantineChange::Refused | QuarantineChange::Freed
         ) {
-            info!(shared.log, "work_judged"; "work" => %work,
+            info!(shared.logger, "work_judged"; "work" => %work,
                 "change" => ?change, "ends" => ledger.crash_count(work),
                 "target" => %target.name);
         }
     }
 }
 
-/// Notes that a target outlived a request.
-pub fn outlived(shared: &Shared, order: &Order) {
-    lock(&shared.quarantine).record_survival(order.work, Millis::now());
+/// Records that a target completed a request without crashing.
+pub fn record_crash_free_request(
+    shared: &EntryState,
+    work_request: &WorkRequest,
+) {
+    lock(&shared.crash_ledger)
+        .record_survived_request(work_request.work_digest, Millis::now());
 }
 
-/// Whether a request may run now, and when it may come back if not.
-pub fn verdict(shared: &Shared, order: &Order) -> QuarantineVerdict {
-    let (now, work) = (Millis::now(), order.work);
-    let mut ledger = lock(&shared.quarantine);
+/// The quarantine verdict for a request: allowed, or refused or suspended with
+/// the time after which the caller may retry.
+pub fn check_quarantine(
+    shared: &EntryState,
+    work_request: &WorkRequest,
+) -> QuarantineVerdict {
+    let (now, work) = (Millis::now(), work_request.work_digest);
+    let mut ledger = lock(&shared.crash_ledger);
     let verdict = ledger.verdict(work, now);
     if verdict != QuarantineVerdict::Allowed {
         ledger.record_arrival(work, now);
@@ -71,14 +81,14 @@
     verdict
 }
 
-/// The final answer to a request of such work.
-pub fn refusal(
-    shared: &Shared,
-    order: &Order,
+/// Logs the refusal of a quarantined request and returns its failure.
+pub fn refuse_quarantined(
+    shared: &EntryState,
+    work_request: &WorkRequest,
     ran: ExecutionStatus,
-    after: Millis,
+    retry_after: Millis,
 ) -> RequestFailure {
-    info!(shared.log, "refused"; "request" => %order.request,
-        "work" => %order.work, "after" => after.0);
-    RequestFailure::new(Code::Quarantined, ran).with_retry_after(after)
+    info!(shared.logger, "refused"; "request" => %work_request.request_id,
+        "work" => %work_request.work_digest, "after" => retry_after.0);
+    RequestFailure::new(Code::Quarantined, ran).with_retry_after(retry_after)
 }
--- a/cowsliproad-rank/src/settings.rs
+++ b/cowsliproad-rank/src/settings.rs
@@ -1,46 +1,53 @@
-//! The agent's settings file.
+//! The settings file of an agent.
 
 use std::net::{IpAddr, SocketAddr};
 
 use cowsliproad_kernel::{Name, log::Level, settings::Validate};
 use serde::{Deserialize, Serialize};
 
-/// All that an agent is told before it starts.
+/// The settings of an agent.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The VM's name, for logs.
-    pub vm: Name,
-    /// The VM's address.
-    pub address: IpAddr,
-    /// The engine on this VM.
-    pub engine: SocketAddr,
-    /// The port on which entries and agents reach one another.
-    pub peer_port: u16,
-    /// The port on which agents reach one another.
-    pub agent_port: u16,
-    /// The platform's log.
-    pub log: SocketAddr,
-    /// What moving an expert to a rank costs, as a share of the mean load of
-    /// a rank that a better map must save for it.
-    pub move_price: f64,
-    /// How much is logged.
+    /// The name of the agent's VM, for logs.
+    #[serde(rename = "vm")]
+    pub vm_name: Name,
+    /// The address of the agent's VM.
+    #[serde(rename = "address")]
+    pub vm_address: IpAddr,
+    /// The address of the model engine on the agent's VM.
+    #[serde(rename = "engine")]
+    pub engine_address: SocketAddr,
+    /// The port for datagrams between entry processes and agents.
+    #[serde(rename = "peer_port")]
+    pub entry_datagram_port: u16,
+    /// The port for datagrams between agents.
+    #[serde(rename = "agent_port")]
+    pub agent_datagram_port: u16,
+    /// The address of the platform's log.
+    #[serde(rename = "log")]
+    pub platform_log_address: SocketAddr,
+    /// The cost of moving an expert to a rank: the share of a rank's mean load
+    /// that a better map has to save for each move.
+    #[serde(rename = "move_price")]
+    pub expert_move_cost: f64,
+    /// The level from which messages are logged.
     #[serde(default)]
     pub log_level: Level,
 }
 
 impl Settings {
-    /// Settings to start from.
+    /// Returns example settings.
     pub fn example() -> Settings {
         let local = |port| SocketAddr::from(([127, 0, 0, 1], port));
         Settings {
-            vm: "agent-1".into(),
-            address: local(0).ip(),
-            engine: local(8228),
-            peer_port: 7340,
-            agent_port: 7341,
-            log: local(8223),
-            move_price: 0.03,
+            vm_name: "agent-1".into(),
+            vm_address: local(0).ip(),
+            engine_address: local(8228),
+            entry_datagram_port: 7340,
+            agent_datagram_port: 7341,
+            platform_log_address: local(8223),
+            expert_move_cost: 0.03,
             log_level: Level::Info,
         }
     }
@@ -48,14 +55,14 @@
 
 impl Validate for Settings {
     fn validate(&self) -> Result<(), (&'static str, String)> {
-        if self.vm.is_empty() {
+        if self.vm_name.is_empty() {
             return Err(("vm", "a name is needed".into()));
         }
-        if self.peer_port == self.agent_port {
+        if self.entry_datagram_port == self.agent_datagram_port {
             let reason = "a port other than peer_port is needed";
             return Err(("agent_port", reason.into()));
         }
-        if !(0.0..=1.0).contains(&self.move_price) {
+        if !(0.0..=1.0).contains(&self.expert_move_cost) {
             return Err(("move_price", "0 to 1 is needed".into()));
         }
         Ok(())
