--- a/cowsliproad-admission/src/quarantine.rs
+++ b/cowsliproad-admission/src/quarantine.rs
@@ -225,7 +225,7 @@
         let Some(case) = self.cases.get_mut(&work) else {
             return QuarantineChange::None;
         };
-        if case.survived_by_target
+        if case.completed_without_crash
             || case.crashes.is_empty()
             || case.refused_since.is_some()
         {
@@ -256,7 +256,7 @@
             request_hash: work.0,
             crash_ids: vec![crash.0],
             excused_crash_ids: Vec::new(),
-            survived_by_target: false,
+            completed_without_crash: false,
             since_last_received: Millis(0),
             rejected_for: None,
             suspension_left: None,
@@ -275,10 +275,10 @@
         let Some(case) = self.cases.get_mut(&work) else {
             return QuarantineChange::None;
         };
-        if case.survived_by_target && case.crashes.is_empty() {
+        if case.completed_without_crash && case.crashes.is_empty() {
             return QuarantineChange::None;
         }
-        case.survived_by_target = true;
+        case.completed_without_crash = true;
         for crash in std::mem::take(&mut case.crashes) {
             case.stop_counting_crash(crash);
         }
@@ -317,11 +317,12 @@
         if !self.cases.contains_key(&work) {
             self.evict_case_if_full();
         }
-        let survived_by_target = self.survived_work.is_survived_request(work);
+        let completed_without_crash =
+            self.survived_work.is_survived_request(work);
         let case = self.cases.entry(work).or_insert_with(|| QuarantineCase {
             crashes: BTreeSet::new(),
             excused_crashes: Vec::new(),
-            survived_by_target,
+            completed_without_crash,
             last_arrival: now - suspect.since_last_received,
             refused_since: None,
             suspended_until: None,
@@ -340,14 +341,14 @@
         let before = (
             case.crashes.len(),
             case.excused_crashes.len(),
-            case.survived_by_target,
+            case.completed_without_crash,
         );
         // A sender that doesn't report the survival, or still counts a crash
         // that was excused or retracted, has missed that update and would soon
         // refuse a request that every caller sends.
         let mut missed_update =
-            case.survived_by_target && !suspect.survived_by_target;
-        case.survived_by_target |= suspect.survived_by_target;
+            case.completed_without_crash && !suspect.completed_without_crash;
+        case.completed_without_crash |= suspect.completed_without_crash;
         for crash in suspect.excused_crash_ids.iter().map(|it| CrashId(*it)) {
             case.stop_counting_crash(crash);
         }
@@ -363,7 +364,7 @@
         let after = (
             case.crashes.len(),
             case.excused_crashes.len(),
-            case.survived_by_target,
+            case.completed_without_crash,
         );
         // Each crash extends a suspension at most once: a later message about
         // the same crash may have been delayed in a stalled process.
@@ -372,7 +373,7 @@
             may_extend && case.extend_suspension(suspect.suspension_left, now);
         let has_changed = after != before || suspends;
         let is_relayed = case.crashes.len() >= MIN_CRASHES_TO_RELAY
-            || case.survived_by_target
+            || case.completed_without_crash
             || suspends;
         if missed_update
             || has_changed
--- a/cowsliproad-admission/src/quarantine/case.rs
+++ b/cowsliproad-admission/src/quarantine/case.rs
@@ -20,7 +20,7 @@
     /// target survived the request later; newest last.
     pub(super) excused_crashes: Vec<CrashId>,
     /// Whether a target is known to have survived the request.
-    pub(super) survived_by_target: bool,
+    pub(super) completed_without_crash: bool,
     /// When the request last arrived at any entry process.
     pub(super) last_arrival: Millis,
     /// The time since which the request is refused; `None` if the request is
@@ -56,8 +56,9 @@
         let Some(reported_time) = reported_time else { return false };
         let until = now + reported_time.min(MAX_SUSPENSION_TIME);
         let is_longer = self.suspended_until.is_none_or(|it| until > it);
-        let extends =
-            is_longer && !self.survived_by_target && !self.crashes.is_empty();
+        let extends = is_longer
+            && !self.completed_without_crash
+            && !self.crashes.is_empty();
         if extends {
             self.suspended_until = Some(until);
         }
@@ -69,10 +70,10 @@
     /// counts against, or that a target survived, is not suspended either.
     pub(super) fn update_refusal(&mut self, now: Millis) -> QuarantineChange {
         let was_suspended = self.suspended_until.is_some_and(|it| it > now);
-        if self.survived_by_target || self.crashes.is_empty() {
+        if self.completed_without_crash || self.crashes.is_empty() {
             self.suspended_until = None;
         }
-        let threshold = if self.survived_by_target {
+        let threshold = if self.completed_without_crash {
             SURVIVED_REQUEST_CRASH_THRESHOLD
         } else {
             CRASH_THRESHOLD
@@ -132,7 +133,7 @@
                 .iter()
                 .map(|it| it.0)
                 .collect(),
-            survived_by_target: self.survived_by_target,
+            completed_without_crash: self.completed_without_crash,
             since_last_received: now.since(self.last_arrival),
             rejected_for: self.refused_since.map(|it| now.since(it)),
             suspension_left: self.remaining_suspension(now),
--- a/cowsliproad-bench/src/experiment/quarantine.rs
+++ b/cowsliproad-bench/src/experiment/quarantine.rs
@@ -406,11 +406,11 @@
         };
         let kept = self.log.get(&work);
         let same = |it: &SuspectedRequest| {
-            (&it.crash_ids, &it.excused_crash_ids, it.survived_by_target)
+            (&it.crash_ids, &it.excused_crash_ids, it.completed_without_crash)
                 == (
                     &suspect.crash_ids,
                     &suspect.excused_crash_ids,
-                    suspect.survived_by_target,
+                    suspect.completed_without_crash,
                 )
         };
         if kept.is_some_and(same) {
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -515,7 +515,7 @@
             .excused_crash_ids
             .iter()
             .all(|it| kept.excused_crash_ids.contains(it))
-        && kept.survived_by_target >= own.survived_by_target
+        && kept.completed_without_crash >= own.completed_without_crash
         && kept.rejected_for.is_some() >= own.rejected_for.is_some()
 }
 
--- a/cowsliproad-kernel/src/gossip.rs
+++ b/cowsliproad-kernel/src/gossip.rs
@@ -204,7 +204,7 @@
     /// Whether some target is known to have survived the request, that is,
     /// completed the request without a crash.
     #[serde(rename = "s")]
-    pub survived_by_target: bool,
+    pub completed_without_crash: bool,
     /// The time since the suspected request was last received from a caller,
     /// in milliseconds.
     #[serde(rename = "i")]
@@ -315,7 +315,7 @@
 /// Whether nothing is known of a suspected request but the crashes attributed
 /// to it.
 fn has_only_crash_ids(request: &SuspectedRequest) -> bool {
-    !request.survived_by_target
+    !request.completed_without_crash
         && request.rejected_for.is_none()
         && request.suspension_left.is_none()
 }
@@ -362,7 +362,7 @@
                         }),
                         crash_ids: vec![*crash],
                         excused_crash_ids: Vec::new(),
-                        survived_by_target: false,
+                        completed_without_crash: false,
                         since_last_received: Millis(0),
                         rejected_for: None,
                         suspension_left: None,
--- a/tests/properties/quarantine.rs
+++ b/tests/properties/quarantine.rs
@@ -264,7 +264,7 @@
         request_hash: innocent.0,
         crash_ids: vec![end(1).0],
         excused_crash_ids: Vec::new(),
-        survived_by_target: false,
+        completed_without_crash: false,
         since_last_received: Millis(0),
         rejected_for: None,
         suspension_left: None,
