--- a/cowsliproad-agent/src/links.rs
+++ b/cowsliproad-agent/src/links.rs
@@ -376,7 +376,7 @@
                     attempt: self.attempt,
                     data_frame_count: frame_sequence,
                     format,
-                    length,
+                    answer_bytes_total: length,
                     answer_blake3_digest: digest.to_vec(),
                 })
             }
--- a/cowsliproad-entry/src/answer.rs
+++ b/cowsliproad-entry/src/answer.rs
@@ -167,11 +167,11 @@
                     AnswerFormat::Json => "json",
                 };
                 let data = json!({
-                    "length": end.length,
+                    "length": end.answer_bytes_total,
                     "digest": digest,
                     "format": format,
                 });
-                Some(format_event("done", Some(end.length), &data))
+                Some(format_event("done", Some(end.answer_bytes_total), &data))
             }
             AnswerItem::Failed(failure) => {
                 self.observer.answer_ended(Some(&failure));
--- a/cowsliproad-kernel/src/wire.rs
+++ b/cowsliproad-kernel/src/wire.rs
@@ -399,7 +399,7 @@
     pub format: AnswerFormat,
     /// The length of the complete answer in bytes.
     #[serde(rename = "l")]
-    pub length: u64,
+    pub answer_bytes_total: u64,
     /// The BLAKE3 digest of the complete answer.
     #[serde(rename = "d", with = "serde_bytes")]
     pub answer_blake3_digest: Vec<u8>,
--- a/cowsliproad-relay/src/lib.rs
+++ b/cowsliproad-relay/src/lib.rs
@@ -164,7 +164,7 @@
             None => true,
         };
         if digest_matches
-            && self.next_byte_offset == end.length
+            && self.next_byte_offset == end.answer_bytes_total
             && self.next_sequence == end.data_frame_count
         {
             Completeness::Complete
--- a/tests/properties/relay.rs
+++ b/tests/properties/relay.rs
@@ -23,7 +23,7 @@
         attempt,
         data_frame_count: pieces.len() as u32,
         format: AnswerFormat::Text,
-        length: whole.len() as u64,
+        answer_bytes_total: whole.len() as u64,
         answer_blake3_digest: blake3::hash(&whole).as_bytes().to_vec(),
     });
     data.chain([end]).collect()
@@ -127,7 +127,7 @@
             last = match frame {
                 Frame::Data(data) => assembly.push_data(data),
                 Frame::End(end) => assembly.push_end(AnswerEnd {
-                    length: pieces.concat().len() as u64,
+                    answer_bytes_total: pieces.concat().len() as u64,
                     answer_blake3_digest: digest(&pieces.concat()),
                     ..end
                 }),
