--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -35,9 +35,9 @@
     engine::EngineClient,
     lead::GroupCoordinator,
     plan::{MapPlan, PlanUpdate},
-    rota::CountReportSchedule,
+    rota::SelectionCountReportSchedule,
     settings::Settings,
-    wire::{AgentMessage, GroupMessage, UrgentStatus},
+    wire::{AgentMessage, GroupMessage, UrgentRankStatus},
 };
 
 mod chair;
@@ -47,22 +47,22 @@
 
 /// The interval at which the agent polls its engine while no switch is in
 /// progress.
-const IDLE_ENGINE_POLL_INTERVAL: Millis = Millis(50);
+const ENGINE_POLL_INTERVAL_WITHOUT_MAP_SWITCH: Millis = Millis(50);
 
 /// The polling interval while a switch of maps is in progress: shorter than a
 /// pass.
-const SWITCH_POLL_INTERVAL: Millis = Millis(30);
+const ENGINE_POLL_INTERVAL_DURING_MAP_SWITCH: Millis = Millis(30);
 
 /// The polling interval of the holder's agent while the hold is ordered: from
 /// then on the group may be stopped until all ranks are armed.
-const HOLD_POLL_INTERVAL: Millis = Millis(6);
+const ENGINE_POLL_INTERVAL_DURING_HOLD: Millis = Millis(6);
 
 /// The interval at which the agent reports the engine's load to entry
 /// processes.
 const LOAD_REPORT_INTERVAL: Millis = Millis(400);
 
 /// The number of ranks up to which messages are repeated every
-/// [`SWITCH_POLL_INTERVAL`].
+/// [`ENGINE_POLL_INTERVAL_DURING_MAP_SWITCH`].
 const MAX_RANKS_AT_SHORTEST_MESSAGE_INTERVAL: u64 = 16;
 
 /// How long a stopping agent waits at most for a switch of maps to end. A
@@ -72,7 +72,7 @@
 
 /// The time after which the subscription of an entry process expires unless
 /// renewed.
-const SUBSCRIPTION_TTL: Millis = Millis(4_000);
+const LOAD_SUBSCRIPTION_TTL: Millis = Millis(4_000);
 
 /// A task that acquires a fencing number from the platform's log.
 type FencingNumberTask = JoinHandle<Option<LogPosition>>;
@@ -106,7 +106,7 @@
     engines_of_other_groups: BTreeSet<SocketAddr>,
     experts_of_map: Option<(Epoch, order::Version, Vec<Vec<u16>>)>,
     last_selection_counts: Option<(Epoch, Vec<Vec<u64>>)>,
-    count_schedule: Option<CountReportSchedule>,
+    count_schedule: Option<SelectionCountReportSchedule>,
     held_plan: Option<MapPlan>,
     /// The last directive, the address of the coordinator that sent it, and
     /// when it arrived.
@@ -130,7 +130,7 @@
     /// Whether the agent must poll the engine again without waiting for the
     /// interval.
     poll_again_at_once: bool,
-    last_actions: LastActions,
+    last_actions: LastAgentActions,
 }
 
 /// Whether an engine's process has ended. A process that doesn't answer may
@@ -152,7 +152,7 @@
 
 /// When the agent last took each kind of action, and with which content.
 #[derive(Default)]
-struct LastActions {
+struct LastAgentActions {
     load_report_time: Millis,
     status_time: Millis,
     directive_time: Millis,
@@ -165,13 +165,13 @@
     hold_order_time: Millis,
     /// The urgent part of the status that the agent last sent to the
     /// coordinator.
-    sent_urgent_status: Option<UrgentStatus>,
+    last_sent_urgent_rank_status: Option<UrgentRankStatus>,
     /// The version of the plan that the agent last distributed as coordinator.
     distributed_plan_version: Option<order::Version>,
     plan_distribution_time: Millis,
     /// When the agent last called the engine of a silent agent.
-    silent_engine_call_time: Millis,
-    silent_engine_call_count: usize,
+    silent_agent_engine_call_time: Millis,
+    silent_agent_engine_call_count: usize,
     /// The directive for which the engine last accepted an order, and when.
     accepted_order: Option<(Directive, Millis)>,
 }
@@ -210,14 +210,14 @@
             first_reported_pass: None,
             stop_request_time: None,
             poll_again_at_once: false,
-            last_actions: LastActions::default(),
+            last_actions: LastAgentActions::default(),
             settings,
         })
     }
 
     /// Runs the agent until it is asked to stop and no switch of maps needs
     /// it.
-    pub async fn run(
+    pub async fn run_until_stopped(
         mut self,
         stop: impl Future<Output = ()>,
     ) -> io::Result<()> {
@@ -233,7 +233,7 @@
                 () = &mut stop, if self.stop_request_time.is_none() => {
                     self.stop_request_time = Some(Millis::now());
                     if let Some(coordinator) = &mut self.coordinator {
-                        coordinator.stop_planning();
+                        coordinator.prevent_further_map_switches();
                     }
                 }
                 got = self.agents_socket.recv_from(&mut from_agents) => {
@@ -290,11 +290,11 @@
             .map_or(DesiredState::Rest, |it| it.0.desired_state);
         let rank = self.engine_report().map(|it| it.rank);
         match aim {
-            DesiredState::Rest => IDLE_ENGINE_POLL_INTERVAL,
+            DesiredState::Rest => ENGINE_POLL_INTERVAL_WITHOUT_MAP_SWITCH,
             DesiredState::Held { holder, .. } if Some(holder) == rank => {
-                HOLD_POLL_INTERVAL
+                ENGINE_POLL_INTERVAL_DURING_HOLD
             }
-            _ => SWITCH_POLL_INTERVAL,
+            _ => ENGINE_POLL_INTERVAL_DURING_MAP_SWITCH,
         }
     }
 
@@ -310,7 +310,7 @@
             info!(self.log, "entry_met"; "entry" => %sender);
         }
         self.subscribed_entries.retain(|_, last_received| {
-            now.since(*last_received) < SUBSCRIPTION_TTL
+            now.since(*last_received) < LOAD_SUBSCRIPTION_TTL
         });
         if !subscription.targets.is_empty() {
             self.service_shape = Some(subscription);
@@ -325,7 +325,7 @@
     async fn handle_agent_message(&mut self, datagram: &[u8]) {
         let now = Millis::now();
         let decoded = gossip::decode::<GroupMessage<AgentMessage>>(datagram);
-        let Some(GroupMessage { group_name, message }) = decoded else {
+        let Some(GroupMessage { group_name, agent_message }) = decoded else {
             warn!(self.log, "strange_datagram");
             return;
         };
@@ -333,7 +333,7 @@
         if self.engine_group() != Some(&group_name) {
             return;
         }
-        match message {
+        match agent_message {
             AgentMessage::Status(status) => {
                 if let Some(coordinator) = &mut self.coordinator {
                     if status.max_known_fencing_number
@@ -344,9 +344,9 @@
                         );
                         return;
                     }
-                    coordinator.merge_status(*status, now);
+                    coordinator.merge_rank_status(*status, now);
                     coordinator
-                        .advance_switch(self.service_shape.as_ref(), now);
+                        .advance_map_switch(self.service_shape.as_ref(), now);
                     self.broadcast_directive(now).await;
                 }
             }
@@ -361,7 +361,7 @@
                     self.step_down_as_coordinator(directive.fencing_number);
                 }
                 let before = self.last_directive.as_ref().map(|it| it.0);
-                self.record_coordinator_arming(&directive);
+                self.record_coordinator_arming_announcement(&directive);
                 self.last_directive = Some((directive, from, now));
                 if before != Some(directive) {
                     self.poll_engine().await;
@@ -376,7 +376,10 @@
                 let experts_per_set =
                     shape.map_or(0, |it| it.experts_per_layer_set.into());
                 if let Some(coordinator) = &mut self.coordinator {
-                    coordinator.add_selection_growth(growth, experts_per_set);
+                    coordinator.add_growth_to_selection_counts(
+                        growth,
+                        experts_per_set,
+                    );
                 }
             }
             AgentMessage::CoordinatorStop(fencing_number) => {
@@ -406,38 +409,44 @@
                 "has" => ?has),
         }
         let forward_to_agents = std::mem::take(&mut update.forward_to_agents);
-        self.send_to_agents(&AgentMessage::Plan(update), &forward_to_agents)
-            .await;
+        self.send_message_to_agents(
+            &AgentMessage::Plan(update),
+            &forward_to_agents,
+        )
+        .await;
     }
 
     /// Polls the engine, sends the order that is needed and reports to entry
     /// processes and the coordinator.
     async fn poll_engine(&mut self) {
-        let before = self.group_standing();
+        let before = self.group_epoch_and_state();
         self.read_engine_state().await;
         if let Some((directive, _, _)) = self.last_directive
-            && self.send_required_order(directive).await
+            && self.send_order_required_by_directive(directive).await
         {
             self.read_engine_state().await;
         }
         let now = Millis::now();
-        let changed = self.group_standing() != before;
+        let changed = self.group_epoch_and_state() != before;
         if changed {
-            info!(self.log, "standing"; "now" => ?self.group_standing());
+            info!(self.log, "standing"; "now" => ?self.group_epoch_and_state());
         }
         if changed
             || now.since(self.last_actions.load_report_time)
                 >= LOAD_REPORT_INTERVAL
         {
             self.last_actions.load_report_time = now;
-            self.report_load_to_entries().await;
+            self.report_load_to_entry_processes().await;
         }
         self.report_selection_growth(now).await;
         self.report_status_to_coordinator(now).await;
         self.act_as_coordinator_or_candidate(now).await;
     }
 
-    fn record_coordinator_arming(&mut self, directive: &Directive) {
+    fn record_coordinator_arming_announcement(
+        &mut self,
+        directive: &Directive,
+    ) {
         if let Some(step) = order::announced_coordinator_arming_step(directive)
         {
             self.announced_coordinator_arming = Some((directive.epoch, step));
@@ -459,17 +468,18 @@
         self.engine_state.as_ref()?.report.as_ref()
     }
 
-    fn group_standing(&self) -> Option<(Epoch, GroupState)> {
+    fn group_epoch_and_state(&self) -> Option<(Epoch, GroupState)> {
         self.engine_report().map(|it| (it.epoch, it.standing))
     }
 
-    async fn send_to_agents(
+    async fn send_message_to_agents(
         &self,
-        message: &AgentMessage,
+        agent_message: &AgentMessage,
         agents: &[SocketAddr],
     ) {
         let Some(group_name) = self.engine_group().cloned() else { return };
-        let bytes = gossip::encode(&GroupMessage { group_name, message });
+        let bytes =
+            gossip::encode(&GroupMessage { group_name, agent_message });
         for agent in agents {
             send_datagram(&self.log, &self.agents_socket, &bytes, *agent)
                 .await;
@@ -479,10 +489,10 @@
     /// Returns the interval at which messages are repeated while a switch is
     /// in progress. A larger group repeats them less often, to limit the load
     /// on the coordinator's link and processor.
-    fn switch_message_interval(&self) -> Millis {
+    fn message_interval_during_map_switch(&self) -> Millis {
         let ranks = self.engine_report().map_or(0, |it| u64::from(it.ranks));
         Millis(
-            SWITCH_POLL_INTERVAL.0
+            ENGINE_POLL_INTERVAL_DURING_MAP_SWITCH.0
                 * ranks
                     .div_ceil(MAX_RANKS_AT_SHORTEST_MESSAGE_INTERVAL)
                     .max(1),
--- a/cowsliproad-rank/src/agent/chair.rs
+++ b/cowsliproad-rank/src/agent/chair.rs
@@ -29,7 +29,7 @@
 
 /// How long rank 0 waits for a directive during a switch, when directives
 /// arrive every 30 ms and the group may be held.
-const SWITCH_DIRECTIVE_TIMEOUT: Millis = Millis(350);
+const DIRECTIVE_TIMEOUT_DURING_MAP_SWITCH: Millis = Millis(350);
 
 /// The pause before the agent asks the platform's log for a fencing number
 /// again.
@@ -37,7 +37,7 @@
 
 /// The most records that an agent appends for one fencing number. Another
 /// record is needed if the log turns out to be in a later era.
-const MAX_FENCING_NUMBER_RECORDS: usize = 3;
+const MAX_RECORDS_PER_FENCING_NUMBER: usize = 3;
 
 impl Agent {
     /// Becomes the coordinator with the fencing number of a record, unless the
@@ -66,7 +66,8 @@
         info!(self.log, "leads"; "fence" => fencing_number);
         self.max_known_fencing_number = fencing_number;
         let price = self.settings.expert_move_cost;
-        let Some(own_rank) = self.engine_report().map(|it| it.rank) else {
+        let Some(coordinator_rank) = self.engine_report().map(|it| it.rank)
+        else {
             return;
         };
         let before = self.last_directive.as_ref();
@@ -74,7 +75,7 @@
             before.map(|it| (it.1.ip(), it.0.fencing_number));
         let start = CoordinatorParameters {
             fencing_number,
-            own_rank,
+            coordinator_rank,
             predecessor_vm_and_fencing_number,
         };
         self.coordinator =
@@ -95,7 +96,7 @@
         let timeout = match (report.rank, &self.last_directive) {
             (0, None) => FIRST_DIRECTIVE_TIMEOUT,
             (rank, Some((directive, _, _))) if busy(directive) => {
-                SWITCH_DIRECTIVE_TIMEOUT
+                DIRECTIVE_TIMEOUT_DURING_MAP_SWITCH
                     + Millis(TAKEOVER_DELAY_PER_RANK.0 * u64::from(rank) / 4)
             }
             (rank, _) => {
@@ -127,7 +128,7 @@
         now: Millis,
     ) {
         if self.coordinator.is_some() {
-            self.call_silent_engine(now).await;
+            self.call_engine_of_silent_agent(now).await;
             self.broadcast_directive(now).await;
             return;
         }
@@ -142,7 +143,7 @@
         if self.last_actions.fencing_number_request_time.is_none_or(again) {
             self.last_actions.fencing_number_request_time = Some(now);
             info!(self.log, "asks_for_number";
-                "standing" => ?self.group_standing());
+                "standing" => ?self.group_epoch_and_state());
             let (log, vm) = (
                 self.settings.platform_log_address,
                 self.settings.vm_name.clone(),
@@ -185,7 +186,7 @@
     logger: Logger,
 ) -> Option<LogPosition> {
     let mut client = Client::new(log_address);
-    for _ in 0..MAX_FENCING_NUMBER_RECORDS {
+    for _ in 0..MAX_RECORDS_PER_FENCING_NUMBER {
         client.raise_era(era);
         match client.append(COORDINATORS_TOPIC, vm_name.as_bytes()).await {
             Ok(record) if fence::is_position_unique(record, era) => {
--- a/cowsliproad-rank/src/agent/orders.rs
+++ b/cowsliproad-rank/src/agent/orders.rs
@@ -24,12 +24,12 @@
 const LATE_ORDER_EXECUTION_TIMEOUT: Millis = Millis(13_000);
 
 /// The interval at which the coordinator calls the engines of silent agents.
-const SILENT_ENGINE_POLL_INTERVAL: Millis = Millis(100);
+const SILENT_AGENT_ENGINE_CALL_INTERVAL: Millis = Millis(100);
 
 impl Agent {
     /// Sends the order that a directive requires of the agent's own engine, if
     /// any, and returns whether an order was sent.
-    pub(super) async fn send_required_order(
+    pub(super) async fn send_order_required_by_directive(
         &mut self,
         directive: Directive,
     ) -> bool {
@@ -89,7 +89,7 @@
     /// Acts for a silent agent while the group may be held because of that
     /// agent. Calls over the network are slow and block the caller, so only
     /// one VM is called at a time.
-    pub(super) async fn call_silent_engine(&mut self, now: Millis) {
+    pub(super) async fn call_engine_of_silent_agent(&mut self, now: Millis) {
         let (Some(coordinator), Some(shape)) =
             (&self.coordinator, &self.service_shape)
         else {
@@ -98,8 +98,8 @@
         let calm = coordinator.current_directive().desired_state
             == DesiredState::Rest;
         if calm
-            || now.since(self.last_actions.silent_engine_call_time)
-                < SILENT_ENGINE_POLL_INTERVAL
+            || now.since(self.last_actions.silent_agent_engine_call_time)
+                < SILENT_AGENT_ENGINE_CALL_INTERVAL
         {
             return;
         }
@@ -110,16 +110,16 @@
         let silent: Vec<SocketAddr> =
             shape.targets.iter().filter(silent).copied().collect();
         let count = silent.len().max(1);
-        let Some(target) =
-            silent.get(self.last_actions.silent_engine_call_count % count)
+        let Some(target) = silent
+            .get(self.last_actions.silent_agent_engine_call_count % count)
         else {
             return;
         };
-        self.last_actions.silent_engine_call_count += 1;
-        self.last_actions.silent_engine_call_time = now;
+        self.last_actions.silent_agent_engine_call_count += 1;
+        self.last_actions.silent_agent_engine_call_time = now;
         let (target, epoch) = (*target, coordinator.current_directive().epoch);
         let mut engine = self.remote_engine_client(target, epoch);
-        let state = engine.fetch_state().await;
+        let state = engine.fetch_engine_state().await;
         self.record_remote_engine_cooldown(target, epoch, &engine);
         let state = match state {
             Ok(state) => state,
@@ -182,13 +182,16 @@
             map_version_and_experts_by_set: None,
             slowdown_factor: state.slowdown_factor as f32,
             arm_order_status: ArmOrderStatus::InDoubt,
-            coordinator_arming_notice: CoordinatorArmingNotice::Unknown,
+            coordinator_arming_notice_receipt:
+                CoordinatorArmingNotice::Unknown,
             engine_report: report,
         };
         if let Some(coordinator) = &mut self.coordinator {
-            coordinator.merge_status(status, Millis::now());
-            coordinator
-                .advance_switch(self.service_shape.as_ref(), Millis::now());
+            coordinator.merge_rank_status(status, Millis::now());
+            coordinator.advance_map_switch(
+                self.service_shape.as_ref(),
+                Millis::now(),
+            );
         }
     }
 
@@ -208,7 +211,7 @@
                 && recent(arm.order_time)
         });
         let inherited = recent(self.agent_start)
-            && self.may_previous_process_orders_apply(report);
+            && self.may_orders_of_previous_agent_process_apply(report);
         if open || inherited {
             ArmOrderStatus::InDoubt
         } else {
@@ -218,7 +221,10 @@
 
     /// Returns whether the group is still at passes for which the agent's
     /// previous process may have sent orders.
-    fn may_previous_process_orders_apply(&self, report: &Report) -> bool {
+    fn may_orders_of_previous_agent_process_apply(
+        &self,
+        report: &Report,
+    ) -> bool {
         self.first_reported_pass.is_none_or(|(epoch, step)| {
             epoch == report.epoch
                 && report.step <= step + MAX_BOUNDARY_LEAD_PASSES
@@ -227,7 +233,7 @@
 
     /// Returns whether the agent has received the announcement that the
     /// coordinator's own rank arms, as far as the agent knows.
-    pub(super) fn coordinator_arming_notice(
+    pub(super) fn coordinator_arming_notice_receipt(
         &self,
         report: &Report,
     ) -> CoordinatorArmingNotice {
@@ -235,7 +241,7 @@
             Some((epoch, step)) if epoch == report.epoch => {
                 CoordinatorArmingNotice::Received(step)
             }
-            _ if self.may_previous_process_orders_apply(report) => {
+            _ if self.may_orders_of_previous_agent_process_apply(report) => {
                 CoordinatorArmingNotice::Unknown
             }
             _ => CoordinatorArmingNotice::NotReceived,
@@ -246,8 +252,10 @@
     /// engine and is called over the network.
     pub(super) async fn send_hold_order(&mut self) {
         let now = Millis::now();
-        let Some((vm, due)) =
-            self.coordinator.as_ref().and_then(|it| it.hold_order_to_send())
+        let Some((vm, due)) = self
+            .coordinator
+            .as_ref()
+            .and_then(|it| it.recipient_vm_and_hold_order())
         else {
             return;
         };
--- a/cowsliproad-rank/src/agent/readings.rs
+++ b/cowsliproad-rank/src/agent/readings.rs
@@ -8,7 +8,7 @@
 
 use super::{Agent, EngineProcessState};
 use crate::{
-    rota::{CountReportAction, CountReportSchedule},
+    rota::{SelectionCountReportAction, SelectionCountReportSchedule},
     wire::{AgentMessage, SelectionGrowth},
 };
 
@@ -20,9 +20,11 @@
     /// Reads the engine's report, and the engine's expert lists if the map is
     /// new.
     pub(super) async fn read_engine_state(&mut self) {
-        match self.engine_client.fetch_state().await {
+        match self.engine_client.fetch_engine_state().await {
             Ok(state) => {
-                self.reset_after_engine_restart(state.start_unix_ms);
+                self.discard_data_of_previous_engine_process(
+                    state.start_unix_ms,
+                );
                 self.engine_process = EngineProcessState::NotKnownEnded;
                 self.engine_group =
                     state.group.clone().or(self.engine_group.take());
@@ -37,7 +39,7 @@
                     info!(self.log, "engine_lost"; "error" => %error,
                         "cooldown" => cooldown.0);
                 }
-                self.record_engine_loss(&error);
+                self.record_engine_exit_if_refused(&error);
                 return;
             }
         }
@@ -61,7 +63,7 @@
     /// Detects from a failed call that no process listens at the engine's
     /// address, and then reports the loss to entry processes at once: they
     /// look for the work that ended the engine.
-    fn record_engine_loss(&mut self, error: &io::Error) {
+    fn record_engine_exit_if_refused(&mut self, error: &io::Error) {
         let gone = error.kind() == io::ErrorKind::ConnectionRefused;
         if gone && self.engine_process == EngineProcessState::NotKnownEnded {
             self.engine_process = EngineProcessState::Ended;
@@ -72,7 +74,7 @@
     /// Discards the data of the engine's previous process if the engine has
     /// restarted: the new process has none of the earlier maps, orders and
     /// counts.
-    fn reset_after_engine_restart(&mut self, start_unix_ms: u64) {
+    fn discard_data_of_previous_engine_process(&mut self, start_unix_ms: u64) {
         let before = self.engine_start_unix_ms.replace(start_unix_ms);
         if before.is_none_or(|it| it == start_unix_ms) {
             return;
@@ -102,13 +104,14 @@
         );
         let Some((_, to, _)) = self.last_directive else { return };
         let (rank, ranks) = (report.rank, report.ranks);
-        let new =
-            || CountReportSchedule::new(now, round_duration, rank, ranks);
+        let new = || {
+            SelectionCountReportSchedule::new(now, round_duration, rank, ranks)
+        };
         let due = self
             .count_schedule
             .get_or_insert_with(new)
-            .take_required_action(now, round_duration);
-        if due == CountReportAction::Nothing {
+            .advance_count_report_schedule(now, round_duration);
+        if due == SelectionCountReportAction::Nothing {
             return;
         }
         let counts =
@@ -122,7 +125,8 @@
         let before = self.last_selection_counts.replace(counts.clone());
         let growth = before
             .filter(|it| {
-                due == CountReportAction::ReportGrowth && it.0 == counts.0
+                due == SelectionCountReportAction::ReportGrowth
+                    && it.0 == counts.0
             })
             .and_then(|it| CountGrowth::from_counts(&it.1, &counts.1));
         let Some(CountGrowth {
@@ -134,14 +138,13 @@
         };
         let reported_growth = SelectionGrowth {
             selections_per_growth_unit: scale,
-            growth_in_units: units,
+            growth_units_by_expert: units,
         };
         match &mut self.coordinator {
-            Some(coordinator) => {
-                coordinator.add_selection_growth(reported_growth, experts)
-            }
+            Some(coordinator) => coordinator
+                .add_growth_to_selection_counts(reported_growth, experts),
             None => {
-                self.send_to_agents(
+                self.send_message_to_agents(
                     &AgentMessage::SelectionGrowth(reported_growth),
                     &[to],
                 )
--- a/cowsliproad-rank/src/agent/words.rs
+++ b/cowsliproad-rank/src/agent/words.rs
@@ -22,16 +22,16 @@
 
 /// The interval of the coordinator's directives, and of the agents' statuses,
 /// while no switch is in progress.
-const IDLE_MESSAGE_INTERVAL: Millis = Millis(400);
+const MESSAGE_INTERVAL_WITHOUT_MAP_SWITCH: Millis = Millis(400);
 
 /// The time without a directive after which an agent sends its status to all
 /// agents.
 const COORDINATOR_SILENCE_TIMEOUT: Millis = Millis(900);
 
 impl Agent {
-    pub(super) async fn report_load_to_entries(&mut self) {
+    pub(super) async fn report_load_to_entry_processes(&mut self) {
         let Some(state) = &self.engine_state else {
-            return self.report_engine_loss_to_entries().await;
+            return self.report_engine_exit_to_entry_processes().await;
         };
         let report = state.report.as_ref();
         let load = Datagram::Load(EngineLoad {
@@ -48,26 +48,26 @@
             engine_start_unix_ms: state.start_unix_ms,
             draining: self.engine_client.is_engine_leaving(),
         });
-        self.send_to_entries(&load).await;
+        self.send_to_entry_processes(&load).await;
     }
 
     /// Reports to entry processes that the engine's process has ended, until
     /// the engine answers again.
-    async fn report_engine_loss_to_entries(&self) {
+    async fn report_engine_exit_to_entry_processes(&self) {
         let (Some(start), EngineProcessState::Ended) =
             (self.engine_start_unix_ms, self.engine_process)
         else {
             return;
         };
         let engine_address = self.settings.engine_address;
-        self.send_to_entries(&Datagram::EngineExit(EngineExit {
+        self.send_to_entry_processes(&Datagram::EngineExit(EngineExit {
             engine_address,
             engine_start_unix_ms: start,
         }))
         .await;
     }
 
-    async fn send_to_entries(&self, datagram: &Datagram) {
+    async fn send_to_entry_processes(&self, datagram: &Datagram) {
         let bytes = gossip::encode(datagram);
         for entry in self.subscribed_entries.keys() {
             send_datagram(&self.log, &self.entries_socket, &bytes, *entry)
@@ -86,33 +86,39 @@
         }
         let busy = directive.desired_state != DesiredState::Rest;
         let time = if busy {
-            self.switch_message_interval()
+            self.message_interval_during_map_switch()
         } else {
-            IDLE_MESSAGE_INTERVAL
+            MESSAGE_INTERVAL_WITHOUT_MAP_SWITCH
         };
         let Some(status) = self.rank_status() else { return };
-        let urgent_status = status.urgent_status();
-        let new = self.last_actions.sent_urgent_status.as_ref()
-            != Some(&urgent_status);
+        let urgent_rank_status = status.urgent_rank_status();
+        let new = self.last_actions.last_sent_urgent_rank_status.as_ref()
+            != Some(&urgent_rank_status);
         if !new && now.since(self.last_actions.status_time) < time {
             return;
         }
         self.last_actions.status_time = now;
-        self.last_actions.sent_urgent_status = Some(urgent_status);
+        self.last_actions.last_sent_urgent_rank_status =
+            Some(urgent_rank_status);
         if let Some(coordinator) = &mut self.coordinator {
-            coordinator.merge_status(status, now);
-            coordinator.advance_switch(self.service_shape.as_ref(), now);
+            coordinator.merge_rank_status(status, now);
+            coordinator.advance_map_switch(self.service_shape.as_ref(), now);
             self.broadcast_directive(now).await;
             return;
         }
-        self.send_to_agents(&AgentMessage::Status(Box::new(status)), &[to])
-            .await;
+        self.send_message_to_agents(
+            &AgentMessage::Status(Box::new(status)),
+            &[to],
+        )
+        .await;
     }
 
     /// Sends the status to all agents when no directive arrives. The
     /// coordinator may not know an agent that was frozen or cut off.
     async fn broadcast_rank_status(&mut self, now: Millis) {
-        if now.since(self.last_actions.status_time) < IDLE_MESSAGE_INTERVAL {
+        if now.since(self.last_actions.status_time)
+            < MESSAGE_INTERVAL_WITHOUT_MAP_SWITCH
+        {
             return;
         }
         let Some(status) = self.rank_status() else { return };
@@ -120,8 +126,11 @@
         let others =
             self.agent_addresses().filter(|it| *it != self.own_address);
         let others: Vec<SocketAddr> = others.collect();
-        self.send_to_agents(&AgentMessage::Status(Box::new(status)), &others)
-            .await;
+        self.send_message_to_agents(
+            &AgentMessage::Status(Box::new(status)),
+            &others,
+        )
+        .await;
     }
 
     fn rank_status(&self) -> Option<RankStatus> {
@@ -145,7 +154,8 @@
                 .as_ref()
                 .map_or(1.0, |it| it.slowdown_factor as f32),
             arm_order_status: self.arm_order_status(&report),
-            coordinator_arming_notice: self.coordinator_arming_notice(&report),
+            coordinator_arming_notice_receipt: self
+                .coordinator_arming_notice_receipt(&report),
             engine_report: report,
         })
     }
@@ -178,9 +188,9 @@
         let new = self.last_actions.sent_directive != Some(directive);
         let busy = directive.desired_state != DesiredState::Rest;
         let time = if busy {
-            self.switch_message_interval()
+            self.message_interval_during_map_switch()
         } else {
-            IDLE_MESSAGE_INTERVAL
+            MESSAGE_INTERVAL_WITHOUT_MAP_SWITCH
         };
         if !new && now.since(self.last_actions.directive_time) < time {
             return;
@@ -193,18 +203,18 @@
         let mut agents: Vec<SocketAddr> = self.agent_addresses().collect();
         if let Some(coordinator) = &self.coordinator {
             let known = coordinator
-                .reporting_agents()
+                .reporting_agent_addresses()
                 .filter(|it| !agents.contains(it));
             agents.extend(known.collect::<Vec<_>>());
         }
         agents.retain(|it| *it != self.own_address);
         let message = AgentMessage::Directive(directive, self.own_address);
-        self.send_to_agents(&message, &agents).await;
-        self.record_coordinator_arming(&directive);
+        self.send_message_to_agents(&message, &agents).await;
+        self.record_coordinator_arming_announcement(&directive);
         self.last_directive = Some((directive, self.own_address, now));
         if new {
             self.poll_again_at_once =
-                self.send_required_order(directive).await;
+                self.send_order_required_by_directive(directive).await;
         }
         self.send_hold_order().await;
     }
@@ -215,7 +225,7 @@
     /// the next directive, since a single rank without the plan delays the
     /// switch for all.
     async fn distribute_plan(&mut self, plan: MapPlan, now: Millis) {
-        let again = self.switch_message_interval();
+        let again = self.message_interval_during_map_switch();
         let new = self.last_actions.distributed_plan_version
             != Some(plan.map_version);
         if !new && now.since(self.last_actions.plan_distribution_time) < again
@@ -225,16 +235,21 @@
         self.last_actions.distributed_plan_version = Some(plan.map_version);
         self.last_actions.plan_distribution_time = now;
         self.held_plan = Some(plan);
-        let updates =
-            self.coordinator.as_ref().map(GroupCoordinator::plan_updates);
+        let updates = self
+            .coordinator
+            .as_ref()
+            .map(GroupCoordinator::plan_updates_with_recipients);
         for (update, mut agents) in updates.unwrap_or_default() {
             agents.retain(|it| *it != self.own_address);
             let size =
                 agents.len().div_ceil(MAX_DIRECT_PLAN_RECIPIENTS).max(1);
             for chunk in agents.chunks(size) {
                 let update = update.with_forwarding_to(&chunk[1..]);
-                self.send_to_agents(&AgentMessage::Plan(update), &chunk[..1])
-                    .await;
+                self.send_message_to_agents(
+                    &AgentMessage::Plan(update),
+                    &chunk[..1],
+                )
+                .await;
             }
         }
     }
@@ -248,7 +263,7 @@
         let others =
             self.agent_addresses().filter(|it| *it != self.own_address);
         let others: Vec<SocketAddr> = others.collect();
-        self.send_to_agents(
+        self.send_message_to_agents(
             &AgentMessage::CoordinatorStop(coordinator.fencing_number()),
             &others,
         )
--- a/cowsliproad-rank/src/engine.rs
+++ b/cowsliproad-rank/src/engine.rs
@@ -77,7 +77,7 @@
     }
 
     /// Fetches the engine's load and its rank's report.
-    pub async fn fetch_state(&mut self) -> io::Result<EngineState> {
+    pub async fn fetch_engine_state(&mut self) -> io::Result<EngineState> {
         let (_, body) = self.send_request(engine::state_request()).await?;
         Ok(engine::decode_state(&body)?)
     }
@@ -108,8 +108,9 @@
         fencing_number: u64,
     ) -> io::Result<OrderResult> {
         let request = engine::order_request(order, epoch, fencing_number);
-        let (status, _) =
-            self.send_request_within(ORDER_ANSWER_TIMEOUT, request).await?;
+        let (status, _) = self
+            .send_request_with_timeout(ORDER_ANSWER_TIMEOUT, request)
+            .await?;
         Ok(engine::decode_verdict(status))
     }
 
@@ -117,15 +118,15 @@
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> io::Result<(StatusCode, Bytes)> {
-        self.send_request_within(ENGINE_ANSWER_TIMEOUT, request).await
+        self.send_request_with_timeout(ENGINE_ANSWER_TIMEOUT, request).await
     }
 
-    async fn send_request_within(
+    async fn send_request_with_timeout(
         &mut self,
         timeout: Millis,
         request: Request<Full<Bytes>>,
     ) -> io::Result<(StatusCode, Bytes)> {
-        self.fail_during_cooldown().await?;
+        self.reject_request_during_cooldown().await?;
         let timeout = timeout.duration();
         let call = self
             .connection
@@ -155,7 +156,7 @@
 
     /// Returns an error while the engine is in its cooldown. The end of the
     /// engine's process shows on the connection that the client keeps open.
-    async fn fail_during_cooldown(&mut self) -> io::Result<()> {
+    async fn reject_request_during_cooldown(&mut self) -> io::Result<()> {
         let now = Millis::now();
         if self.cooldown.cooldown_end(now).is_none() {
             return Ok(());
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -39,7 +39,7 @@
 const SELECTION_COUNT_SAMPLE_INTERVAL: Millis = Millis(50);
 
 /// The minimum interval between two searches for a better map.
-const MIN_PLAN_INTERVAL: Millis = Millis(50);
+const MIN_MAP_SEARCH_INTERVAL: Millis = Millis(50);
 
 /// The coordinator of a group, with its view of the ranks.
 #[derive(Debug)]
@@ -72,7 +72,7 @@
     /// The new coordinator's fencing number.
     pub fencing_number: u64,
     /// The rank of the new coordinator's own engine.
-    pub own_rank: u16,
+    pub coordinator_rank: u16,
     /// The VM of the previous coordinator, and that coordinator's fencing
     /// number.
     pub predecessor_vm_and_fencing_number: Option<(IpAddr, u64)>,
@@ -89,7 +89,7 @@
             switch_coordinator: Coordinator::new(
                 CoordinatorConfig::new(),
                 start.fencing_number,
-                start.own_rank,
+                start.coordinator_rank,
             ),
             predecessor_vm_and_fencing_number: start
                 .predecessor_vm_and_fencing_number,
@@ -123,13 +123,17 @@
     }
 
     /// Returns the agents from which the coordinator has a status.
-    pub fn reporting_agents(&self) -> impl Iterator<Item = SocketAddr> {
+    pub fn reporting_agent_addresses(
+        &self,
+    ) -> impl Iterator<Item = SocketAddr> {
         self.statuses_by_rank.values().map(|it| it.0.agent_address)
     }
 
     /// Returns the current plan for the agents that lack it. Agents that have
     /// the previous plan receive only the differences.
-    pub fn plan_updates(&self) -> Vec<(PlanUpdate, Vec<SocketAddr>)> {
+    pub fn plan_updates_with_recipients(
+        &self,
+    ) -> Vec<(PlanUpdate, Vec<SocketAddr>)> {
         let Some(plan) = &self.current_plan else { return Vec::new() };
         let version = Some(plan.map_version);
         let lacks =
@@ -164,12 +168,12 @@
     }
 
     /// Prevents the coordinator from starting another switch of maps.
-    pub fn stop_planning(&mut self) {
+    pub fn prevent_further_map_switches(&mut self) {
         self.must_not_start_switch = true;
     }
 
     /// Merges a rank's status into the coordinator's view of the group.
-    pub fn merge_status(&mut self, mut status: RankStatus, now: Millis) {
+    pub fn merge_rank_status(&mut self, mut status: RankStatus, now: Millis) {
         let rank = status.engine_report.rank;
         if let Some((known, _)) = self.statuses_by_rank.get_mut(&rank) {
             let newer =
@@ -187,14 +191,14 @@
     }
 
     /// Adds the growth of a rank's selection counts to the total.
-    pub fn add_selection_growth(
+    pub fn add_growth_to_selection_counts(
         &mut self,
         growth: SelectionGrowth,
         experts_per_set: usize,
     ) {
         let SelectionGrowth {
             selections_per_growth_unit: scale,
-            growth_in_units: units,
+            growth_units_by_expert: units,
         } = growth;
         CountGrowth { counts_per_unit: scale, growth_in_units: units }
             .add_to_counts(&mut self.total_selection_counts, experts_per_set);
@@ -202,7 +206,7 @@
 
     /// Advances the switch of maps according to the reports of all ranks, and
     /// plans a better map if no switch is in progress.
-    pub fn advance_switch(
+    pub fn advance_map_switch(
         &mut self,
         service_shape: Option<&LoadSubscription>,
         now: Millis,
@@ -214,7 +218,7 @@
             missing_ranks,
             now,
         );
-        self.handle_switch_event(event);
+        self.handle_map_switch_event(event);
         if missing_ranks != MissingRanks::None {
             return;
         }
@@ -223,7 +227,7 @@
         let is_open =
             |it: &RankSnapshot| it.report.standing == GroupState::Open;
         let open = snapshots.iter().all(is_open);
-        let due = now.since(self.last_plan_search) >= MIN_PLAN_INTERVAL;
+        let due = now.since(self.last_plan_search) >= MIN_MAP_SEARCH_INTERVAL;
         if let Some(service_shape) = service_shape
             && self.switch_coordinator.is_idle()
             && self.current_directive().epoch == snapshots[0].report.epoch
@@ -254,8 +258,10 @@
         } else {
             ObeyedCoordinator::Another
         };
-        let (report, seal) =
-            (status.engine_report.clone(), status.coordinator_arming_notice);
+        let (report, seal) = (
+            status.engine_report.clone(),
+            status.coordinator_arming_notice_receipt,
+        );
         RankSnapshot {
             report,
             arm_order_status: status.arm_order_status,
@@ -298,7 +304,7 @@
 
     /// Returns the VM of the engine that has to hold the group, and the *hold*
     /// order to send to this engine.
-    pub fn hold_order_to_send(&self) -> Option<(IpAddr, Order)> {
+    pub fn recipient_vm_and_hold_order(&self) -> Option<(IpAddr, Order)> {
         let directive = self.current_directive();
         self.statuses_by_rank.values().find_map(|(status, _)| {
             let order = due_hold_order(&directive, &status.engine_report)?;
@@ -306,7 +312,7 @@
         })
     }
 
-    fn handle_switch_event(&mut self, event: SwitchEvent) {
+    fn handle_map_switch_event(&mut self, event: SwitchEvent) {
         match event {
             SwitchEvent::None => {}
             SwitchEvent::Changed(version) => {
@@ -450,8 +456,10 @@
 
 /// Returns how many new experts a map may assign to a rank: as many as are
 /// copied in the time that the rest of a switch takes, but at least one.
-fn max_new_experts_per_rank(copy_duration: Millis) -> usize {
-    let most = MAP_SWITCH_DURATION.0.checked_div(copy_duration.0);
+fn max_new_experts_per_rank(expert_copy_duration: Millis) -> usize {
+    let most = MAP_SWITCH_DURATION_WITHOUT_COPIES
+        .0
+        .checked_div(expert_copy_duration.0);
     most.map_or(usize::MAX, |it| it.max(1) as usize)
 }
 
@@ -459,11 +467,11 @@
 /// the passes before the boundary. In groups of 24 ranks with copies of 76 ms,
 /// results under heavy load were best at two copies a rank: 0.77, against 0.71
 /// at five, 0.75 at three and 0.76 at one.
-const MAP_SWITCH_DURATION: Millis = Millis(180);
+const MAP_SWITCH_DURATION_WITHOUT_COPIES: Millis = Millis(180);
 
 /// Returns a rank's speed relative to its normal speed.
-fn relative_rank_speed(rank: &(RankStatus, Millis)) -> f64 {
-    1.0 / f64::from(rank.0.slowdown_factor).max(MIN_SLOWDOWN_FACTOR)
+fn relative_rank_speed(status_and_time: &(RankStatus, Millis)) -> f64 {
+    1.0 / f64::from(status_and_time.0.slowdown_factor).max(MIN_SLOWDOWN_FACTOR)
 }
 
 /// The lower bound of a rank's slowdown factor: no engine counts as more than
--- a/cowsliproad-rank/src/plan.rs
+++ b/cowsliproad-rank/src/plan.rs
@@ -58,13 +58,13 @@
     /// The version of the base plan, and the expert lists that differ from
     /// that plan.
     #[serde(rename = "s")]
-    Differences(Version, Vec<ExpertsOfRankInSet>),
+    Differences(Version, Vec<LayerSetRankAndExperts>),
 }
 
 /// The experts that one rank holds in one set of layers: the index of the set,
 /// the rank and its experts.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-struct ExpertsOfRankInSet(u16, u16, Vec<u16>);
+struct LayerSetRankAndExperts(u16, u16, Vec<u16>);
 
 /// The reason why an agent can't rebuild a plan from an update.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -90,7 +90,7 @@
         for (set, (old, new)) in sets {
             let ranks = old.iter().zip(new).enumerate();
             for (rank, (_, held)) in ranks.filter(|(_, it)| it.0 != it.1) {
-                lists.push(ExpertsOfRankInSet(
+                lists.push(LayerSetRankAndExperts(
                     set as u16,
                     rank as u16,
                     held.clone(),
@@ -147,10 +147,10 @@
 
 fn replace_expert_lists(
     base: &ExpertsByLayerAndRank,
-    lists: &[ExpertsOfRankInSet],
+    lists: &[LayerSetRankAndExperts],
 ) -> Result<ExpertsByLayerAndRank, PlanUpdateError> {
     let mut experts = base.clone();
-    for ExpertsOfRankInSet(set, rank, held) in lists {
+    for LayerSetRankAndExperts(set, rank, held) in lists {
         let ranks = experts.get_mut(usize::from(*set));
         let list = ranks.and_then(|it| it.get_mut(usize::from(*rank)));
         *list.ok_or(PlanUpdateError::Digest)? = held.clone();
--- a/cowsliproad-rank/src/rota.rs
+++ b/cowsliproad-rank/src/rota.rs
@@ -13,15 +13,15 @@
 /// The longest window in which a rank counts selections. Twenty samples of 200
 /// ms distinguish a shift of demand from chance; see
 /// [`cowsliproad_placement::demand`].
-pub const MAX_COUNTING_WINDOW: Millis = Millis(200);
+pub const MAX_SELECTION_COUNTING_WINDOW: Millis = Millis(200);
 
 /// The shortest window in which a rank counts selections. An engine updates
 /// its counts once a pass, and the passes of a busy group take 50 ms and more.
-pub const MIN_COUNTING_WINDOW: Millis = Millis(45);
+pub const MIN_SELECTION_COUNTING_WINDOW: Millis = Millis(45);
 
 /// The times at which a rank reads and reports its selection counts.
 #[derive(Clone, Copy, Debug)]
-pub struct CountReportSchedule {
+pub struct SelectionCountReportSchedule {
     /// The start of the current counting window, or `None` between two
     /// windows.
     window_start: Option<Millis>,
@@ -31,7 +31,7 @@
 
 /// The action that the schedule requires at a given time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum CountReportAction {
+pub enum SelectionCountReportAction {
     /// No action is required.
     Nothing,
     /// Read the engine's counts at the start of a counting window.
@@ -41,7 +41,7 @@
     ReportGrowth,
 }
 
-impl CountReportSchedule {
+impl SelectionCountReportSchedule {
     /// Creates the schedule of one rank. Its first window starts within the
     /// first round, at an offset that depends on the rank.
     pub fn new(
@@ -49,10 +49,10 @@
         round_duration: Millis,
         rank: u16,
         rank_count: u16,
-    ) -> CountReportSchedule {
+    ) -> SelectionCountReportSchedule {
         let offset =
             round_duration.0 * u64::from(rank) / u64::from(rank_count.max(1));
-        CountReportSchedule {
+        SelectionCountReportSchedule {
             window_start: None,
             next_window_start: now + Millis(offset),
         }
@@ -60,28 +60,31 @@
 
     /// Returns the action that is required now, and records the action as
     /// done.
-    pub fn take_required_action(
+    pub fn advance_count_report_schedule(
         &mut self,
         now: Millis,
         round_duration: Millis,
-    ) -> CountReportAction {
+    ) -> SelectionCountReportAction {
         match self.window_start {
-            None if now < self.next_window_start => CountReportAction::Nothing,
+            None if now < self.next_window_start => {
+                SelectionCountReportAction::Nothing
+            }
             None => {
                 self.window_start = Some(now);
-                CountReportAction::StartWindow
+                SelectionCountReportAction::StartWindow
             }
             Some(window_start)
                 if now.since(window_start)
-                    < counting_window_duration(round_duration) =>
+                    < selection_counting_window_duration(round_duration) =>
             {
-                CountReportAction::Nothing
+                SelectionCountReportAction::Nothing
             }
             Some(window_start) => {
                 self.next_window_start = window_start + round_duration;
-                self.window_start =
-                    (round_duration <= MAX_COUNTING_WINDOW).then_some(now);
-                CountReportAction::ReportGrowth
+                self.window_start = (round_duration
+                    <= MAX_SELECTION_COUNTING_WINDOW)
+                    .then_some(now);
+                SelectionCountReportAction::ReportGrowth
             }
         }
     }
@@ -89,6 +92,7 @@
 
 /// Returns the length of a counting window: a whole round where the bounds
 /// allow this, so that windows follow each other without a gap.
-pub fn counting_window_duration(round_duration: Millis) -> Millis {
-    round_duration.clamp(MIN_COUNTING_WINDOW, MAX_COUNTING_WINDOW)
+pub fn selection_counting_window_duration(round_duration: Millis) -> Millis {
+    round_duration
+        .clamp(MIN_SELECTION_COUNTING_WINDOW, MAX_SELECTION_COUNTING_WINDOW)
 }
--- a/cowsliproad-rank/src/wire.rs
+++ b/cowsliproad-rank/src/wire.rs
@@ -20,7 +20,7 @@
     pub group_name: Name,
     /// The content of the datagram.
     #[serde(rename = "m")]
-    pub message: T,
+    pub agent_message: T,
 }
 
 /// A message from one agent to another.
@@ -61,7 +61,7 @@
     /// Whether the agent has received the announcement that the coordinator's
     /// own rank arms.
     #[serde(rename = "l")]
-    pub coordinator_arming_notice: CoordinatorArmingNotice,
+    pub coordinator_arming_notice_receipt: CoordinatorArmingNotice,
     /// The factor by which the engine's work takes longer than normal.
     #[serde(rename = "t")]
     pub slowdown_factor: f32,
@@ -80,10 +80,10 @@
 /// The part of a rank's status whose changes are sent to the coordinator
 /// without delay.
 #[derive(Clone, Debug, PartialEq)]
-pub struct UrgentStatus {
+pub struct UrgentRankStatus {
     engine_report: Report,
     arm_order_status: ArmOrderStatus,
-    coordinator_arming_notice: CoordinatorArmingNotice,
+    coordinator_arming_notice_receipt: CoordinatorArmingNotice,
     max_known_fencing_number: u64,
     held_plan_version: Option<Version>,
 }
@@ -91,20 +91,20 @@
 impl RankStatus {
     /// Returns the part of the status whose changes are sent to the
     /// coordinator without delay.
-    pub fn urgent_status(&self) -> UrgentStatus {
+    pub fn urgent_rank_status(&self) -> UrgentRankStatus {
         // The pass number is left out: it changes with each pass.
         let engine_report = Report { step: 0, ..self.engine_report.clone() };
         let RankStatus {
             arm_order_status,
-            coordinator_arming_notice,
+            coordinator_arming_notice_receipt,
             max_known_fencing_number,
             held_plan_version,
             ..
         } = *self;
-        UrgentStatus {
+        UrgentRankStatus {
             engine_report,
             arm_order_status,
-            coordinator_arming_notice,
+            coordinator_arming_notice_receipt,
             max_known_fencing_number,
             held_plan_version,
         }
@@ -121,5 +121,5 @@
     pub selections_per_growth_unit: u64,
     /// The growth of the count of each expert in units, one set after another.
     #[serde(rename = "u", with = "serde_bytes")]
-    pub growth_in_units: Vec<u8>,
+    pub growth_units_by_expert: Vec<u8>,
 }
--- a/cowsliproad-rank/tests/group/main.rs
+++ b/cowsliproad-rank/tests/group/main.rs
@@ -42,7 +42,7 @@
 static NEXT_NETWORK_NUMBER: AtomicU8 = AtomicU8::new(1);
 
 struct TestGroup {
-    network: (u8, u8),
+    network_octets: (u8, u8),
     group: Arc<Group>,
     log: Arc<Log>,
     log_address: SocketAddr,
@@ -57,40 +57,42 @@
 }
 
 impl TestGroup {
-    async fn start_with_subscription() -> TestGroup {
+    async fn start_and_subscribe_to_load_reports() -> TestGroup {
         let (test_group, engines) =
-            TestGroup::start_without_subscription().await;
+            TestGroup::start_without_load_subscription().await;
         test_group.subscribe_to_agents(engines).await;
         test_group
     }
 
     /// Starts a group and its agents, and waits until the map follows a first
     /// demand.
-    async fn start_balanced() -> TestGroup {
-        let test_group = TestGroup::start_with_subscription().await;
+    async fn start_with_balanced_load() -> TestGroup {
+        let test_group =
+            TestGroup::start_and_subscribe_to_load_reports().await;
         test_group.group.concentrate_demand(0);
-        test_group.wait_until_balanced().await;
+        test_group.wait_until_load_is_balanced().await;
         test_group
     }
 
     /// Starts a group and its agents, without a subscription to load reports.
-    async fn start_without_subscription() -> (TestGroup, Vec<SocketAddr>) {
+    async fn start_without_load_subscription() -> (TestGroup, Vec<SocketAddr>)
+    {
         let block = 16 + (std::process::id() % 200) as u8;
-        let network =
+        let network_octets =
             (block, NEXT_NETWORK_NUMBER.fetch_add(1, Ordering::Relaxed));
         let address =
-            SocketAddr::from((vm_address(network, 250), ENGINE_PORT));
+            SocketAddr::from((vm_address(network_octets, 250), ENGINE_PORT));
         let (log, log_address) = log::start(address).await.expect("a log");
         let numbers = 1..=RANK_COUNT;
         let engines: Vec<SocketAddr> = numbers
             .clone()
-            .map(|it| (vm_address(network, it), ENGINE_PORT).into())
+            .map(|it| (vm_address(network_octets, it), ENGINE_PORT).into())
             .collect();
         let pass = Duration::from_millis(20);
         let group = group::start(&engines, (2, EXPERTS_PER_SET), pass).await;
         let group = group.expect("a group");
         let mut test_group = TestGroup {
-            network,
+            network_octets,
             group,
             log,
             log_address,
@@ -106,7 +108,7 @@
     }
 
     fn start_agent(&self, number: u8) -> AgentProcess {
-        let vm = vm_address(self.network, number);
+        let vm = vm_address(self.network_octets, number);
         let settings = Settings {
             vm_name: format!("agent-{number}").into(),
             vm_address: vm.into(),
@@ -120,14 +122,17 @@
         let settings_file = std::env::temp_dir().join(name);
         let text = cowsliproad_kernel::settings::to_json(&settings);
         fs::write(&settings_file, text).expect("a settings file");
-        AgentProcess { child: spawn_agent(&settings_file), settings_file }
+        AgentProcess {
+            child: spawn_agent_process(&settings_file),
+            settings_file,
+        }
     }
 
     /// Subscribes to the load reports of all agents, as an entry process does,
     /// and records the received datagrams.
     async fn subscribe_to_agents(&self, targets: Vec<SocketAddr>) {
         let own = SocketAddr::from((
-            vm_address(self.network, 200),
+            vm_address(self.network_octets, 200),
             ENTRY_DATAGRAM_PORT,
         ));
         let socket = Arc::new(UdpSocket::bind(own).await.expect("a socket"));
@@ -176,7 +181,7 @@
 
     /// Waits until the load of the ranks is balanced, and checks that no pass
     /// mixed two maps.
-    async fn wait_until_balanced(&self) {
+    async fn wait_until_load_is_balanced(&self) {
         let group = &self.group;
         wait_until("the map follows the demand", || group.load_skew() < 1.35)
             .await;
@@ -197,9 +202,9 @@
 impl AgentProcess {
     /// Waits until the agent's process has ended and its address is free, and
     /// starts the agent again.
-    fn restart_after_exit(&mut self) {
+    fn restart_agent_after_exit(&mut self) {
         self.child.wait().expect("the process ends");
-        self.child = spawn_agent(&self.settings_file);
+        self.child = spawn_agent_process(&self.settings_file);
     }
 }
 
@@ -208,7 +213,7 @@
     settings_file.with_extension("log")
 }
 
-fn spawn_agent(settings_file: &Path) -> Child {
+fn spawn_agent_process(settings_file: &Path) -> Child {
     let output = fs::File::options()
         .create(true)
         .append(true)
@@ -232,13 +237,16 @@
     }
 }
 
-fn vm_address(network: (u8, u8), vm_number: u8) -> Ipv4Addr {
-    Ipv4Addr::new(127, network.0, network.1, vm_number)
+fn vm_address(network_octets: (u8, u8), vm_number: u8) -> Ipv4Addr {
+    Ipv4Addr::new(127, network_octets.0, network_octets.1, vm_number)
 }
 
-async fn wait_until(condition_name: &str, mut holds: impl FnMut() -> bool) {
+async fn wait_until(
+    condition_name: &str,
+    mut condition_holds: impl FnMut() -> bool,
+) {
     let start = Instant::now();
-    while !holds() {
+    while !condition_holds() {
         assert!(
             start.elapsed() < CONDITION_TIMEOUT,
             "timed out: {condition_name}"
@@ -248,11 +256,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn map_follows_shifting_demand() {
-    let test_group = TestGroup::start_with_subscription().await;
+async fn expert_map_follows_shifting_demand() {
+    let test_group = TestGroup::start_and_subscribe_to_load_reports().await;
     for first in [0, 5, 11] {
         test_group.group.concentrate_demand(first);
-        test_group.wait_until_balanced().await;
+        test_group.wait_until_load_is_balanced().await;
     }
     assert!(test_group.group.pass_counts().expert_map_changes >= 3);
     assert_eq!(
@@ -263,31 +271,31 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_and_late_orders_mix_no_maps() {
-    let test_group = TestGroup::start_with_subscription().await;
+async fn lost_and_late_orders_mix_no_maps_in_a_pass() {
+    let test_group = TestGroup::start_and_subscribe_to_load_reports().await;
     test_group.group.delay_every_nth_order(3);
     for first in [0, 7] {
         test_group.group.concentrate_demand(first);
-        test_group.wait_until_balanced().await;
+        test_group.wait_until_load_is_balanced().await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_coordinator_is_replaced() {
-    let mut test_group = TestGroup::start_balanced().await;
+    let mut test_group = TestGroup::start_with_balanced_load().await;
     for round in 0..2 {
         // Rank 0 is the first coordinator. It is killed when a switch of maps
         // is needed.
         test_group.group.concentrate_demand(5 + 3 * round);
         test_group.send_signal_to_agent(round, Signal::KILL);
-        test_group.agents[round].restart_after_exit();
-        test_group.wait_until_balanced().await;
+        test_group.agents[round].restart_agent_after_exit();
+        test_group.wait_until_load_is_balanced().await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn frozen_coordinator_is_replaced_and_steps_down() {
-    let test_group = TestGroup::start_balanced().await;
+    let test_group = TestGroup::start_with_balanced_load().await;
     test_group.group.concentrate_demand(8);
     test_group.send_signal_to_agent(0, Signal::STOP);
     test_group.group.set_vm_state(0, VmState::Frozen);
@@ -298,7 +306,7 @@
     .await;
     test_group.group.set_vm_state(0, VmState::Responsive);
     test_group.send_signal_to_agent(0, Signal::CONT);
-    test_group.wait_until_balanced().await;
+    test_group.wait_until_load_is_balanced().await;
     assert!(
         test_group.log.record_count(COORDINATORS_TOPIC) >= 2,
         "no other rank took over"
@@ -306,16 +314,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn reformed_group_is_balanced_again() {
-    let test_group = TestGroup::start_balanced().await;
+async fn load_is_balanced_again_after_a_new_group_epoch() {
+    let test_group = TestGroup::start_with_balanced_load().await;
     test_group.group.start_new_epoch();
     assert!(test_group.group.load_skew() > 1.35);
-    test_group.wait_until_balanced().await;
+    test_group.wait_until_load_is_balanced().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn agents_report_load_without_the_platform_log() {
-    let test_group = TestGroup::start_with_subscription().await;
+    let test_group = TestGroup::start_and_subscribe_to_load_reports().await;
     test_group.log.set_fault(log::Fault::Refusing);
     wait_until("every agent reports", || {
         let load_reports = test_group.load_reports.lock().expect("no panic");
@@ -328,14 +336,14 @@
     .await;
     test_group.log.set_fault(log::Fault::None);
     test_group.group.concentrate_demand(0);
-    test_group.wait_until_balanced().await;
+    test_group.wait_until_load_is_balanced().await;
 }
 
 /// Restarts the agents one after another, as in an update of all VMs, while
 /// demand shifts and a switch of maps may be in progress.
 #[tokio::test(flavor = "multi_thread")]
-async fn graceful_agent_restarts_hold_no_group() {
-    let mut test_group = TestGroup::start_balanced().await;
+async fn graceful_agent_restarts_do_not_block_the_group() {
+    let mut test_group = TestGroup::start_with_balanced_load().await;
     for agent in 0..usize::from(RANK_COUNT) {
         test_group.group.concentrate_demand(3 * agent + 1);
         // After some passes a switch of maps is most likely in progress.
@@ -349,14 +357,14 @@
         })
         .await;
         test_group.send_signal_to_agent(agent, Signal::TERM);
-        test_group.agents[agent].restart_after_exit();
+        test_group.agents[agent].restart_agent_after_exit();
     }
-    test_group.wait_until_balanced().await;
+    test_group.wait_until_load_is_balanced().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn stopping_coordinator_is_replaced_before_the_timeout() {
-    let mut test_group = TestGroup::start_balanced().await;
+    let mut test_group = TestGroup::start_with_balanced_load().await;
     test_group.send_signal_to_agent(0, Signal::TERM);
     let ended = test_group.agents[0].child.wait().expect("the process ends");
     let stopped = Instant::now();
@@ -374,11 +382,11 @@
 /// processes, but these orders belong to passes that are long over, so the
 /// switch can be cancelled.
 #[tokio::test(flavor = "multi_thread")]
-async fn restarted_agents_allow_a_switch_to_be_cancelled() {
-    let mut test_group = TestGroup::start_balanced().await;
+async fn restarted_agents_allow_a_map_switch_to_be_cancelled() {
+    let mut test_group = TestGroup::start_with_balanced_load().await;
     for agent in 1..usize::from(RANK_COUNT) {
         test_group.send_signal_to_agent(agent, Signal::KILL);
-        test_group.agents[agent].restart_after_exit();
+        test_group.agents[agent].restart_agent_after_exit();
     }
     let steps = test_group.group.pass_counts().begun_passes;
     wait_until("the group runs more passes", || {
@@ -404,15 +412,16 @@
     .await;
     test_group.group.set_vm_state(0, VmState::Responsive);
     test_group.send_signal_to_agent(0, Signal::CONT);
-    test_group.wait_until_balanced().await;
+    test_group.wait_until_load_is_balanced().await;
 }
 
 /// A service with two groups: entry processes send the engines of both groups
 /// to all agents.
 #[tokio::test(flavor = "multi_thread")]
 async fn groups_of_one_service_keep_separate_maps() {
-    let (one, mut engines) = TestGroup::start_without_subscription().await;
-    let (other, more) = TestGroup::start_without_subscription().await;
+    let (one, mut engines) =
+        TestGroup::start_without_load_subscription().await;
+    let (other, more) = TestGroup::start_without_load_subscription().await;
     one.group.set_group_name("one");
     other.group.set_group_name("other");
     engines.extend(more);
@@ -421,8 +430,8 @@
     for first in [0, 5, 11] {
         one.group.concentrate_demand(first);
         other.group.concentrate_demand(first + 2);
-        one.wait_until_balanced().await;
-        other.wait_until_balanced().await;
+        one.wait_until_load_is_balanced().await;
+        other.wait_until_load_is_balanced().await;
     }
     assert_eq!(
         one.group.pass_counts().mixed_passes
@@ -436,7 +445,8 @@
 /// end.
 #[tokio::test(flavor = "multi_thread")]
 async fn agent_reports_the_end_of_its_engine_process() {
-    let (test_group, engines) = TestGroup::start_without_subscription().await;
+    let (test_group, engines) =
+        TestGroup::start_without_load_subscription().await;
     test_group.subscribe_to_agents(engines.clone()).await;
     let reports_of = |engine: SocketAddr| {
         let load_reports = test_group.load_reports.lock().expect("no panic");
@@ -468,7 +478,7 @@
 /// engine within the Retry-After of a refusal.
 #[tokio::test(flavor = "multi_thread")]
 async fn agents_call_no_engine_within_its_retry_after() {
-    let test_group = TestGroup::start_balanced().await;
+    let test_group = TestGroup::start_with_balanced_load().await;
     for rank in 0..usize::from(RANK_COUNT) {
         let before = test_group.group.call_count(rank);
         test_group.group.set_retry_after(rank, Some("2.5"));
@@ -493,8 +503,9 @@
 /// Guards against a cooldown that stays in force after the end of the process
 /// that requested it.
 #[tokio::test(flavor = "multi_thread")]
-async fn engine_end_is_detected_within_retry_after() {
-    let (test_group, engines) = TestGroup::start_without_subscription().await;
+async fn engine_process_exit_is_detected_during_cooldown() {
+    let (test_group, engines) =
+        TestGroup::start_without_load_subscription().await;
     test_group.subscribe_to_agents(engines.clone()).await;
     let lost = || {
         let engine_exit_reports =
@@ -531,7 +542,8 @@
 /// not the entry processes.
 #[tokio::test(flavor = "multi_thread")]
 async fn agent_reports_that_its_engine_is_leaving() {
-    let (test_group, engines) = TestGroup::start_without_subscription().await;
+    let (test_group, engines) =
+        TestGroup::start_without_load_subscription().await;
     test_group.subscribe_to_agents(engines.clone()).await;
     test_group.group.set_leaving(1);
     let leaving = |engine: SocketAddr| {
@@ -554,13 +566,13 @@
 async fn fencing_numbers_grow_after_a_log_rollback() {
     let before_all = Instant::now();
     let (mut test_group, engines) =
-        TestGroup::start_without_subscription().await;
+        TestGroup::start_without_load_subscription().await;
     test_group.log.set_era(Some(3));
     test_group.subscribe_to_agents(engines).await;
     let mut last = 0;
     for round in 0..3 {
         test_group.group.concentrate_demand(3 * round);
-        test_group.wait_until_balanced().await;
+        test_group.wait_until_load_is_balanced().await;
         let fence = test_group.group.max_fencing_token();
         assert!(fence > last, "{fence} after {last}");
         last = fence;
@@ -571,7 +583,7 @@
             test_group.send_signal_to_agent(agent, Signal::KILL);
         }
         for agent in &mut test_group.agents {
-            agent.restart_after_exit();
+            agent.restart_agent_after_exit();
         }
     }
 }
--- a/cowsliproad-rank/tests/group/siege.rs
+++ b/cowsliproad-rank/tests/group/siege.rs
@@ -27,14 +27,14 @@
     async fn start(seed: u64) -> FaultSequence {
         let start_time = Instant::now();
         let (test_group, engines) =
-            TestGroup::start_without_subscription().await;
+            TestGroup::start_without_load_subscription().await;
         test_group.log.set_era(Some(seed % 2));
         test_group.subscribe_to_agents(engines).await;
         let random = StdRng::seed_from_u64(seed);
         FaultSequence { test_group, start_time, random, rollback_count: 0 }
     }
 
-    fn draw_duration(&mut self, max_ms: u64) -> Duration {
+    fn draw_random_duration(&mut self, max_ms: u64) -> Duration {
         Duration::from_millis(self.random.random_range(0..max_ms))
     }
 
@@ -42,15 +42,15 @@
         let agent = self.random.random_range(0..usize::from(RANK_COUNT));
         match self.random.random_range(0..6) {
             0 | 1 => {
-                let copy =
-                    Instant::now() - self.draw_duration(MAX_LOG_COPY_AGE_MS);
+                let copy = Instant::now()
+                    - self.draw_random_duration(MAX_LOG_COPY_AGE_MS);
                 self.test_group.log.roll_back(copy.max(self.start_time));
                 self.rollback_count += 1;
             }
             2 => self.kill_and_restart_agents(agent..=agent),
             3 => self.kill_and_restart_agents(0..=usize::from(RANK_COUNT) - 1),
             4 => {
-                let time = self.draw_duration(1_500);
+                let time = self.draw_random_duration(1_500);
                 self.test_group.send_signal_to_agent(agent, Signal::STOP);
                 sleep(time).await;
                 self.test_group.send_signal_to_agent(agent, Signal::CONT);
@@ -70,13 +70,13 @@
             self.test_group.send_signal_to_agent(agent, Signal::KILL);
         }
         for agent in agents {
-            self.test_group.agents[agent].restart_after_exit();
+            self.test_group.agents[agent].restart_agent_after_exit();
         }
     }
 
     /// Returns the fencing numbers of all coordinators so far, from the
     /// agents' log files.
-    fn all_fencing_numbers(&self) -> Vec<u64> {
+    fn fencing_numbers_in_agent_logs(&self) -> Vec<u64> {
         let mut numbers = Vec::new();
         for agent in &self.test_group.agents {
             let text =
@@ -99,7 +99,7 @@
     let mut fault_sequence = FaultSequence::start(seed).await;
     for _ in 0..FAULTS_PER_SEED {
         fault_sequence.inject_random_fault().await;
-        let pause = fault_sequence.draw_duration(700);
+        let pause = fault_sequence.draw_random_duration(700);
         sleep(pause).await;
     }
     let test_group = &fault_sequence.test_group;
@@ -108,9 +108,11 @@
         "seed {seed}: lines in {:?}",
         agent_log_path(&test_group.agents[0].settings_file)
     );
-    test_group.wait_until_balanced().await;
-    let (numbers, tally) =
-        (fault_sequence.all_fencing_numbers(), test_group.group.pass_counts());
+    test_group.wait_until_load_is_balanced().await;
+    let (numbers, tally) = (
+        fault_sequence.fencing_numbers_in_agent_logs(),
+        test_group.group.pass_counts(),
+    );
     println!(
         "seed {seed}: {} rollbacks, numbers {numbers:?}, {tally:?}",
         fault_sequence.rollback_count
@@ -122,7 +124,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn rollbacks_reuse_no_fencing_number() {
+async fn log_rollbacks_reuse_no_fencing_number() {
     let variable = |name: &str| std::env::var(name).ok()?.parse().ok();
     let first = variable("FIRST_SEED").unwrap_or(1);
     for seed in (first..).take(variable("SEEDS").unwrap_or(1) as usize) {
--- a/cowsliproad-rank/tests/lead.rs
+++ b/cowsliproad-rank/tests/lead.rs
@@ -27,7 +27,7 @@
     fn new() -> TestGroup {
         let start = CoordinatorParameters {
             fencing_number: 1,
-            own_rank: 0,
+            coordinator_rank: 0,
             predecessor_vm_and_fencing_number: None,
         };
         let coordinator =
@@ -42,19 +42,19 @@
     fn pass_statuses_to_coordinator(&mut self, popular_expert: usize) {
         self.now = self.now + Millis(60);
         for rank in 0..RANK_COUNT {
-            let mut growth_in_units = vec![10; EXPERTS_PER_SET];
-            growth_in_units[popular_expert] = 250;
-            self.coordinator.add_selection_growth(
+            let mut growth_units_by_expert = vec![10; EXPERTS_PER_SET];
+            growth_units_by_expert[popular_expert] = 250;
+            self.coordinator.add_growth_to_selection_counts(
                 SelectionGrowth {
                     selections_per_growth_unit: 100,
-                    growth_in_units,
+                    growth_units_by_expert,
                 },
                 EXPERTS_PER_SET,
             );
             let report = &mut self.reports_by_rank[usize::from(rank)];
             report.step += 1;
             let status = self.rank_status(rank);
-            self.coordinator.merge_status(status, self.now);
+            self.coordinator.merge_rank_status(status, self.now);
         }
         let shape = LoadSubscription {
             targets: Vec::new(),
@@ -66,7 +66,7 @@
             log_era: Default::default(),
             expert_copy_ms: 400,
         };
-        self.coordinator.advance_switch(Some(&shape), self.now);
+        self.coordinator.advance_map_switch(Some(&shape), self.now);
     }
 
     fn rank_status(&self, rank: u16) -> RankStatus {
@@ -83,7 +83,8 @@
             )),
             slowdown_factor: 1.0,
             arm_order_status: ArmOrderStatus::Answered,
-            coordinator_arming_notice: CoordinatorArmingNotice::NotReceived,
+            coordinator_arming_notice_receipt:
+                CoordinatorArmingNotice::NotReceived,
             engine_report: report,
         }
     }
--- a/cowsliproad-rank/tests/plan.rs
+++ b/cowsliproad-rank/tests/plan.rs
@@ -20,15 +20,15 @@
 }
 
 /// Returns a map of 12 sets of 144 experts, dealt in turn to 72 ranks.
-fn experts_dealt_in_turn() -> ExpertsByLayerAndRank {
+fn experts_assigned_round_robin() -> ExpertsByLayerAndRank {
     let rank = |rank: u16| vec![rank, rank + 72, (rank + 1) % 72];
     vec![(0..72).map(rank).collect(); 12]
 }
 
-/// Returns the map of `experts_dealt_in_turn` after a hundred experts were
+/// Returns the map of `experts_assigned_round_robin` after a hundred experts were
 /// copied to other ranks.
 fn experts_after_copies() -> ExpertsByLayerAndRank {
-    let mut experts = experts_dealt_in_turn();
+    let mut experts = experts_assigned_round_robin();
     for copy in 0..100_u16 {
         let held = &mut experts[usize::from(copy % 12)];
         held[usize::from(copy * 7 % 72)][2] = copy;
@@ -39,7 +39,7 @@
 #[test]
 fn whole_and_difference_updates_rebuild_the_plan() {
     let (base, next) = (
-        map_plan(7, experts_dealt_in_turn()),
+        map_plan(7, experts_assigned_round_robin()),
         map_plan(8, experts_after_copies()),
     );
     let whole_update = PlanUpdate::with_whole_map(&next);
@@ -54,7 +54,7 @@
 #[test]
 fn difference_update_rejects_a_wrong_base_plan() {
     let (base, next) = (
-        map_plan(7, experts_dealt_in_turn()),
+        map_plan(7, experts_assigned_round_robin()),
         map_plan(8, experts_after_copies()),
     );
     let difference_update = PlanUpdate::with_differences(&base, &next);
@@ -69,7 +69,7 @@
     // This base plan has the expected version but a different map.
     let other = map_plan(7, experts_after_copies());
     assert_eq!(difference_update.rebuild_plan(Some(&other)), Ok(next.clone()));
-    let mut shifted = experts_dealt_in_turn();
+    let mut shifted = experts_assigned_round_robin();
     shifted[3][5][0] = 99;
     let other = map_plan(7, shifted);
     assert_eq!(
--- a/cowsliproad-rank/tests/rota.rs
+++ b/cowsliproad-rank/tests/rota.rs
@@ -2,26 +2,32 @@
 
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_rank::rota::{
-    CountReportAction, CountReportSchedule, MAX_COUNTING_WINDOW,
-    MIN_COUNTING_WINDOW,
+    MAX_SELECTION_COUNTING_WINDOW, MIN_SELECTION_COUNTING_WINDOW,
+    SelectionCountReportAction, SelectionCountReportSchedule,
 };
 
 /// Returns the start and end of each counting window that a rank reports in 4
 /// s, with the schedule checked every 20 ms.
-fn reported_windows(
+fn reported_counting_windows(
     rank: u16,
     rank_count: u16,
     round_duration: Millis,
 ) -> Vec<(u64, u64)> {
-    let mut schedule =
-        CountReportSchedule::new(Millis(0), round_duration, rank, rank_count);
+    let mut schedule = SelectionCountReportSchedule::new(
+        Millis(0),
+        round_duration,
+        rank,
+        rank_count,
+    );
     let mut window_start = 0;
     let mut windows = Vec::new();
     for now in (0..4_000).step_by(20) {
-        match schedule.take_required_action(Millis(now), round_duration) {
-            CountReportAction::Nothing => {}
-            CountReportAction::StartWindow => window_start = now,
-            CountReportAction::ReportGrowth => {
+        match schedule
+            .advance_count_report_schedule(Millis(now), round_duration)
+        {
+            SelectionCountReportAction::Nothing => {}
+            SelectionCountReportAction::StartWindow => window_start = now,
+            SelectionCountReportAction::ReportGrowth => {
                 windows.push((window_start, now));
                 window_start = now;
             }
@@ -31,9 +37,11 @@
 }
 
 #[test]
-fn small_group_counts_without_gaps() {
-    for round_duration in [MIN_COUNTING_WINDOW, MAX_COUNTING_WINDOW] {
-        let windows = reported_windows(3, 16, round_duration);
+fn small_group_counts_selections_without_gaps() {
+    for round_duration in
+        [MIN_SELECTION_COUNTING_WINDOW, MAX_SELECTION_COUNTING_WINDOW]
+    {
+        let windows = reported_counting_windows(3, 16, round_duration);
         let least = 4_000 / (round_duration.0 + 25) as usize;
         assert!(windows.len() >= least, "{windows:?}");
         for pair in windows.windows(2) {
@@ -45,12 +53,14 @@
 #[test]
 fn large_group_spreads_short_windows_over_the_round() {
     let round_duration = Millis(1_000);
-    let all: Vec<_> =
-        (0..72).map(|it| reported_windows(it, 72, round_duration)).collect();
+    let all: Vec<_> = (0..72)
+        .map(|it| reported_counting_windows(it, 72, round_duration))
+        .collect();
     for windows in &all {
         assert!((3..=4).contains(&windows.len()), "{windows:?}");
-        let short =
-            |it: &(u64, u64)| it.1 - it.0 <= MAX_COUNTING_WINDOW.0 + 20;
+        let short = |it: &(u64, u64)| {
+            it.1 - it.0 <= MAX_SELECTION_COUNTING_WINDOW.0 + 20
+        };
         assert!(windows.iter().all(short), "{windows:?}");
     }
     // About a quarter of the ranks report in every quarter of a second.
