--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -49,12 +49,13 @@
 /// progress.
 const ENGINE_POLL_INTERVAL_WITHOUT_MAP_SWITCH: Millis = Millis(50);
 
-/// The polling interval while a switch of maps is in progress: shorter than a
-/// pass.
+/// The interval at which an agent polls its engine while a switch of maps is
+/// in progress: shorter than a pass.
 const ENGINE_POLL_INTERVAL_DURING_MAP_SWITCH: Millis = Millis(30);
 
-/// The polling interval of the holder's agent while the hold is ordered: from
-/// then on the group may be stopped until all ranks are armed.
+/// The interval at which an agent polls its engine while the directive
+/// requires this engine to hold the group: the group may be stopped until all
+/// ranks are armed.
 const ENGINE_POLL_INTERVAL_DURING_HOLD: Millis = Millis(6);
 
 /// The interval at which the agent reports the engine's load to entry
@@ -77,7 +78,8 @@
 /// A task that acquires a fencing number from the platform's log.
 type FencingNumberTask = JoinHandle<Option<LogPosition>>;
 
-/// The agent of one engine.
+/// An agent that reports the load of one model engine to entry processes and
+/// sends the engine the orders of a switch of expert maps.
 pub struct Agent {
     settings: Settings,
     log: Logger,
@@ -98,7 +100,7 @@
     /// Whether the engine's process is known to have ended.
     engine_process: EngineProcessState,
     /// The cooldowns that the engines of other ranks requested, each with the
-    /// group formation in which it was requested.
+    /// epoch of the group in which the engine requested the cooldown.
     remote_engine_cooldowns: BTreeMap<SocketAddr, (Epoch, Cooldown)>,
     /// The group that the engine last named as its own.
     engine_group: Option<Name>,
@@ -108,10 +110,10 @@
     last_selection_counts: Option<(Epoch, Vec<Vec<u64>>)>,
     count_schedule: Option<SelectionCountReportSchedule>,
     held_plan: Option<MapPlan>,
-    /// The last directive, the address of the coordinator that sent it, and
-    /// when it arrived.
+    /// The last received directive, the address of the coordinator that sent
+    /// the directive, and the time of receipt.
     last_directive: Option<(Directive, SocketAddr, Millis)>,
-    /// The formation and pass for which the agent last received the
+    /// The group's epoch and the pass for which the agent last received the
     /// announcement that the coordinator's own rank arms.
     announced_coordinator_arming: Option<(Epoch, u64)>,
     /// The highest fencing number that the agent has received.
@@ -122,8 +124,8 @@
     /// The task that acquires a fencing number, if one is running.
     fencing_number_task: Option<FencingNumberTask>,
     agent_start: Millis,
-    /// The formation and pass of the engine's first report to this agent
-    /// process.
+    /// The group's epoch and the pass in the engine's first report to this
+    /// agent process.
     first_reported_pass: Option<(Epoch, u64)>,
     /// When the agent was asked to stop, if at all.
     stop_request_time: Option<Millis>,
@@ -150,7 +152,7 @@
     order_time: Millis,
 }
 
-/// When the agent last took each kind of action, and with which content.
+/// The time and content of the last action of each kind that an agent took.
 #[derive(Default)]
 struct LastAgentActions {
     load_report_time: Millis,
@@ -160,7 +162,8 @@
     sent_directive: Option<Directive>,
     /// The last *arm* order that the engine didn't answer.
     unanswered_arm: Option<UnansweredArm>,
-    /// The directive for which the agent last ordered a hold.
+    /// The directive for which the agent, as the coordinator, last sent the
+    /// *hold* order to the engine that has to hold the group.
     hold_directive: Option<Directive>,
     hold_order_time: Millis,
     /// The urgent part of the status that the agent last sent to the
@@ -172,7 +175,8 @@
     /// When the agent last called the engine of a silent agent.
     silent_agent_engine_call_time: Millis,
     silent_agent_engine_call_count: usize,
-    /// The directive for which the engine last accepted an order, and when.
+    /// The directive for which the engine last accepted an order, and the time
+    /// at which the engine accepted the order.
     accepted_order: Option<(Directive, Millis)>,
 }
 
@@ -272,7 +276,7 @@
     }
 
     /// Returns whether the agent was asked to stop and no switch of maps,
-    /// which may hold the group, needs it any more.
+    /// which may hold the group, needs the agent any more.
     fn can_agent_stop(&self) -> bool {
         let Some(since) = self.stop_request_time else { return false };
         let aim = self
@@ -315,8 +319,8 @@
         if !subscription.targets.is_empty() {
             self.service_shape = Some(subscription);
         } else if subscription.target_list_id != self.target_list_id() {
-            // The load report names the list that the agent has, and the entry
-            // process then sends the full list again.
+            // The load report names the list of targets that the agent has,
+            // and the entry process then sends the full list again.
             self.last_actions.load_report_time = Millis(0);
         }
     }
@@ -416,8 +420,8 @@
         .await;
     }
 
-    /// Polls the engine, sends the order that is needed and reports to entry
-    /// processes and the coordinator.
+    /// Polls the engine, sends the order that the last directive requires and
+    /// reports to entry processes and the coordinator.
     async fn poll_engine(&mut self) {
         let before = self.group_epoch_and_state();
         self.read_engine_state().await;
--- a/cowsliproad-rank/src/agent/orders.rs
+++ b/cowsliproad-rank/src/agent/orders.rs
@@ -1,5 +1,6 @@
-//! The orders of an agent: to its own engine, and over the network to the
-//! engine of a silent agent or to the engine of the holder.
+//! The orders that an agent sends: to its own engine, and as the coordinator
+//! over the network to the engines of silent agents and to the engine that has
+//! to hold the group.
 
 use std::net::SocketAddr;
 
@@ -15,12 +16,12 @@
 use crate::{engine::EngineClient, wire::RankStatus};
 
 /// How long an accepted order may take to appear in the engine's report before
-/// the order is repeated. Repeating an order is harmless where copies take
-/// longer.
+/// the order is repeated. Repeating an order is harmless if the copies of
+/// experts that the order requires take longer.
 const ORDER_REPEAT_INTERVAL: Millis = Millis(120);
 
-/// The time after which an unanswered order is no longer executed, with a
-/// margin.
+/// How long an engine may still execute an order after the call that sent the
+/// order failed, with a margin.
 const LATE_ORDER_EXECUTION_TIMEOUT: Millis = Millis(13_000);
 
 /// The interval at which the coordinator calls the engines of silent agents.
@@ -86,7 +87,8 @@
         true
     }
 
-    /// Acts for a silent agent while the group may be held because of that
+    /// Reads the engine of a silent agent and sends the engine the order that
+    /// is due, as the coordinator, while the group may be held because of that
     /// agent. Calls over the network are slow and block the caller, so only
     /// one VM is called at a time.
     pub(super) async fn call_engine_of_silent_agent(&mut self, now: Millis) {
@@ -195,13 +197,14 @@
         }
     }
 
-    /// Returns whether the engine may still execute an *arm* order of this
-    /// agent or of the agent's previous process. An *arm* for a pass that has
-    /// begun can't be executed any more. The previous process ordered no *arm*
-    /// for a pass farther than [`MAX_BOUNDARY_LEAD_PASSES`] from the first
-    /// pass that this process saw. Without that bound a group whose
-    /// coordinator froze was held for 3.9 s: five agents had restarted two
-    /// seconds before, so that nothing could be cancelled for 13 s.
+    /// Returns whether the engine may still execute an unanswered *arm* order
+    /// that this agent process or the agent's previous process sent. An engine
+    /// no longer executes an *arm* order for a pass that has begun. The
+    /// previous process sent no *arm* order for a pass that is more than
+    /// [`MAX_BOUNDARY_LEAD_PASSES`] after the first pass reported to this
+    /// process. Without this bound a group whose coordinator froze was held
+    /// for 3.9 s: five agents had restarted two seconds before, so that no
+    /// switch of maps could be cancelled for 13 s.
     pub(super) fn arm_order_status(&self, report: &Report) -> ArmOrderStatus {
         let now = Millis::now();
         let recent = |at: Millis| now.since(at) < LATE_ORDER_EXECUTION_TIMEOUT;
@@ -248,8 +251,8 @@
         }
     }
 
-    /// Sends the *hold* order to the holder's engine, which is another rank's
-    /// engine and is called over the network.
+    /// Sends the *hold* order over the network to the engine that has to hold
+    /// the group, which is another rank's engine.
     pub(super) async fn send_hold_order(&mut self) {
         let now = Millis::now();
         let Some((vm, due)) = self
@@ -284,8 +287,8 @@
     }
 
     /// Returns a client of another rank's engine, with the cooldown that the
-    /// engine requested in this formation. An engine that restarts belongs to
-    /// a later formation.
+    /// engine requested in this epoch of the group. An engine that restarts
+    /// belongs to a later epoch.
     fn remote_engine_client(
         &self,
         target: SocketAddr,
@@ -313,8 +316,8 @@
     }
 
     /// Sends an order to another rank's engine, and steps down if the engine
-    /// has seen a higher fencing number. Returns `None` if no answer came, so
-    /// that the outcome is unknown.
+    /// has seen a higher fencing number. Returns `None` if the engine sent no
+    /// answer, so that the outcome is unknown.
     async fn send_order_to_remote_engine(
         &mut self,
         engine: &mut EngineClient,
--- a/cowsliproad-rank/src/agent/readings.rs
+++ b/cowsliproad-rank/src/agent/readings.rs
@@ -60,9 +60,10 @@
         }
     }
 
-    /// Detects from a failed call that no process listens at the engine's
-    /// address, and then reports the loss to entry processes at once: they
-    /// look for the work that ended the engine.
+    /// Records that the engine's process has ended if the engine's address
+    /// refused the connection, and makes the agent report this to entry
+    /// processes at once, because entry processes look for the request that
+    /// ended the engine's process.
     fn record_engine_exit_if_refused(&mut self, error: &io::Error) {
         let gone = error.kind() == io::ErrorKind::ConnectionRefused;
         if gone && self.engine_process == EngineProcessState::NotKnownEnded {
--- a/cowsliproad-rank/src/agent/words.rs
+++ b/cowsliproad-rank/src/agent/words.rs
@@ -17,7 +17,8 @@
     wire::{AgentMessage, RankStatus},
 };
 
-/// The number of agents to which the coordinator itself sends a plan.
+/// The maximum number of agents to which the coordinator itself sends a plan.
+/// These agents forward the plan to the other agents.
 const MAX_DIRECT_PLAN_RECIPIENTS: usize = 16;
 
 /// The interval of the coordinator's directives, and of the agents' statuses,
--- a/cowsliproad-rank/src/engine.rs
+++ b/cowsliproad-rank/src/engine.rs
@@ -2,7 +2,7 @@
 //!
 //! An engine that refuses a call may state in Retry-After when it accepts
 //! calls again. The client sends no call before that time, unless the engine's
-//! process ends: the next process at the address has asked for no pause.
+//! process ends: the next process at the address has requested no cooldown.
 
 use std::{io, net::SocketAddr, time::SystemTime};
 
@@ -30,8 +30,8 @@
 /// and repeating an unanswered order is harmless.
 const ORDER_ANSWER_TIMEOUT: Millis = Millis(40);
 
-/// The largest accepted answer body: the counts of some hundred thousand
-/// experts.
+/// The largest accepted body of an engine's answer: enough for the selection
+/// counts of some hundred thousand experts.
 const MAX_ENGINE_ANSWER_BYTES: usize = 4 << 20;
 
 /// The interval at which the client reconnects to an engine in its cooldown
@@ -154,8 +154,10 @@
         self.engine_is_leaving = leaving.is_some_and(header::is_flag_set);
     }
 
-    /// Returns an error while the engine is in its cooldown. The end of the
-    /// engine's process shows on the connection that the client keeps open.
+    /// Returns an error while the engine is in its cooldown. If the connection
+    /// to the engine is closed and a new connection is refused, the engine's
+    /// process has ended, and the cooldown that the process requested ends
+    /// too.
     async fn reject_request_during_cooldown(&mut self) -> io::Result<()> {
         let now = Millis::now();
         if self.cooldown.cooldown_end(now).is_none() {
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -129,8 +129,9 @@
         self.statuses_by_rank.values().map(|it| it.0.agent_address)
     }
 
-    /// Returns the current plan for the agents that lack it. Agents that have
-    /// the previous plan receive only the differences.
+    /// Returns the updates that send the current plan to the agents without
+    /// this plan, each update with its recipients. Agents that have the
+    /// previous plan receive only the differences.
     pub fn plan_updates_with_recipients(
         &self,
     ) -> Vec<(PlanUpdate, Vec<SocketAddr>)> {
@@ -190,7 +191,8 @@
         self.statuses_by_rank.insert(rank, (status, now));
     }
 
-    /// Adds the growth of a rank's selection counts to the total.
+    /// Adds the growth of a rank's selection counts to the total counts of the
+    /// group.
     pub fn add_growth_to_selection_counts(
         &mut self,
         growth: SelectionGrowth,
@@ -351,8 +353,8 @@
         }
     }
 
-    /// Drops the current plan. Agents may already have it, so the next plan is
-    /// sent as the differences from it.
+    /// Drops the current plan. Agents may already have this plan, so the next
+    /// plan is sent as the differences from this plan.
     fn drop_current_plan(&mut self) {
         self.previous_plan =
             self.current_plan.take().or(self.previous_plan.take());
@@ -463,10 +465,10 @@
     most.map_or(usize::MAX, |it| it.max(1) as usize)
 }
 
-/// The duration of a switch of maps without its copies: messages, orders and
-/// the passes before the boundary. In groups of 24 ranks with copies of 76 ms,
-/// results under heavy load were best at two copies a rank: 0.77, against 0.71
-/// at five, 0.75 at three and 0.76 at one.
+/// The duration of a switch of maps without the copies of experts: messages,
+/// orders and the passes before the boundary. In groups of 24 ranks with
+/// copies of 76 ms, two copies a rank fit into this time, with a result of
+/// 0.77 under heavy load; five copies give 0.71, three 0.75 and one 0.76.
 const MAP_SWITCH_DURATION_WITHOUT_COPIES: Millis = Millis(180);
 
 /// Returns a rank's speed relative to its normal speed.
--- a/cowsliproad-rank/src/main.rs
+++ b/cowsliproad-rank/src/main.rs
@@ -18,9 +18,7 @@
         &example,
         SETTINGS_VARIABLE,
     );
-    match program::run_single_threaded(cowsliproad_rank::run(
-        path, settings,
-    )) {
+    match program::run_single_threaded(cowsliproad_rank::run(path, settings)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("can't run: {error}");
--- a/cowsliproad-rank/src/plan.rs
+++ b/cowsliproad-rank/src/plan.rs
@@ -1,9 +1,10 @@
 //! The transfer of an expert map from the coordinator to all agents.
 //!
-//! Engines are ordered a whole map, but a new map differs from the previous
-//! map in only a few lists. So an agent that has the previous map receives the
-//! differences: a datagram of one packet instead of about eight, any of which
-//! may be lost. Agents that lack the previous map receive the whole map.
+//! An order to an engine contains a whole map, but a new map differs from the
+//! previous map in only a few lists. So an agent that has the previous map
+//! receives the differences: a datagram of one packet instead of about eight,
+//! any of which may be lost. Agents that lack the previous map receive the
+//! whole map.
 //!
 //! Ranks don't compare maps. So an agent accepts a plan only if the digest
 //! matches: an agent that would assemble a different map than the other agents
@@ -19,7 +20,8 @@
 pub struct MapPlan {
     /// The fencing number of the coordinator that made the plan.
     pub fencing_number: u64,
-    /// The group formation for which the plan is valid.
+    /// The epoch of the group in which the plan is valid. The epoch changes
+    /// when the group forms again.
     pub group_epoch: Epoch,
     /// The version of the planned map.
     pub map_version: Version,
@@ -33,7 +35,8 @@
     /// The fencing number of the coordinator that made the plan.
     #[serde(rename = "f")]
     pub fencing_number: u64,
-    /// The group formation for which the plan is valid.
+    /// The epoch of the group in which the plan is valid. The epoch changes
+    /// when the group forms again.
     #[serde(rename = "e")]
     pub group_epoch: Epoch,
     /// The version of the planned map.
@@ -61,8 +64,8 @@
     Differences(Version, Vec<LayerSetRankAndExperts>),
 }
 
-/// The experts that one rank holds in one set of layers: the index of the set,
-/// the rank and its experts.
+/// The experts that one rank holds in one set of layers. The fields are the
+/// index of the layer set, the rank, and the ids of the experts.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 struct LayerSetRankAndExperts(u16, u16, Vec<u16>);
 
--- a/cowsliproad-rank/src/rota.rs
+++ b/cowsliproad-rank/src/rota.rs
@@ -29,15 +29,16 @@
     next_window_start: Millis,
 }
 
-/// The action that the schedule requires at a given time.
+/// The action that the schedule requires of a rank at a given time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SelectionCountReportAction {
-    /// No action is required.
+    /// The rank takes no action.
     Nothing,
-    /// Read the engine's counts at the start of a counting window.
+    /// The rank reads the engine's selection counts at the start of a counting
+    /// window.
     StartWindow,
-    /// Read the engine's counts, and report their growth since the start of
-    /// the window.
+    /// The rank reads the engine's selection counts, and reports their growth
+    /// since the start of the counting window.
     ReportGrowth,
 }
 
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Returns the action that is required now, and records the action as
-    /// done.
+    /// Advances the schedule to the current time, and returns the action that
+    /// the rank has to take now.
     pub fn advance_count_report_schedule(
         &mut self,
         now: Millis,
--- a/cowsliproad-rank/src/wire.rs
+++ b/cowsliproad-rank/src/wire.rs
@@ -54,8 +54,8 @@
     /// The report of the rank's engine.
     #[serde(rename = "r")]
     pub engine_report: Report,
-    /// Whether an *arm* order that the report doesn't show may still be
-    /// executed.
+    /// Whether the engine may still execute an *arm* order that the engine's
+    /// report doesn't show.
     #[serde(rename = "o")]
     pub arm_order_status: ArmOrderStatus,
     /// Whether the agent has received the announcement that the coordinator's
@@ -71,8 +71,9 @@
     /// The version of the plan that the agent has.
     #[serde(rename = "p")]
     pub held_plan_version: Option<Version>,
-    /// The engine's experts by set, with the version of their map. Present
-    /// only if the coordinator needs the lists.
+    /// The experts that the engine holds, by set of layers, with the version
+    /// of the map that assigns them. Present only if the coordinator needs the
+    /// lists.
     #[serde(rename = "x")]
     pub map_version_and_experts_by_set: Option<(Version, Vec<Vec<u16>>)>,
 }
@@ -116,10 +117,13 @@
 /// for a moment.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct SelectionGrowth {
-    /// The number of selections that one unit of growth stands for.
+    /// The number of expert selections that one unit in
+    /// `growth_units_by_expert` stands for.
     #[serde(rename = "s")]
     pub selections_per_growth_unit: u64,
-    /// The growth of the count of each expert in units, one set after another.
+    /// The growth of each expert's selection count, in units of
+    /// `selections_per_growth_unit`: the experts of the first set of layers,
+    /// then those of the next sets.
     #[serde(rename = "u", with = "serde_bytes")]
     pub growth_units_by_expert: Vec<u8>,
 }
--- a/cowsliproad-rank/tests/group/main.rs
+++ b/cowsliproad-rank/tests/group/main.rs
@@ -284,8 +284,8 @@
 async fn killed_coordinator_is_replaced() {
     let mut test_group = TestGroup::start_with_balanced_load().await;
     for round in 0..2 {
-        // Rank 0 is the first coordinator. It is killed when a switch of maps
-        // is needed.
+        // The coordinator, rank 0 in the first round, is killed when a switch
+        // of maps is needed.
         test_group.group.concentrate_demand(5 + 3 * round);
         test_group.send_signal_to_agent(round, Signal::KILL);
         test_group.agents[round].restart_agent_after_exit();
--- a/cowsliproad-rank/tests/plan.rs
+++ b/cowsliproad-rank/tests/plan.rs
@@ -19,14 +19,14 @@
     }
 }
 
-/// Returns a map of 12 sets of 144 experts, dealt in turn to 72 ranks.
+/// Returns a map that assigns 12 sets of 144 experts round-robin to 72 ranks.
 fn experts_assigned_round_robin() -> ExpertsByLayerAndRank {
     let rank = |rank: u16| vec![rank, rank + 72, (rank + 1) % 72];
     vec![(0..72).map(rank).collect(); 12]
 }
 
-/// Returns the map of `experts_assigned_round_robin` after a hundred experts were
-/// copied to other ranks.
+/// Returns the map of `experts_assigned_round_robin` after a hundred experts
+/// were copied to other ranks.
 fn experts_after_copies() -> ExpertsByLayerAndRank {
     let mut experts = experts_assigned_round_robin();
     for copy in 0..100_u16 {
