--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -167,16 +167,16 @@
             return;
         }
         self.swept = now;
-        for work in self.ledger.evict_expired(now) {
+        for work in self.ledger.evict_expired_cases(now) {
             if self.written.remove(&work) {
                 self.unwritten.insert(work);
                 self.due.notify_one();
             }
         }
         let ledger = &self.ledger;
-        self.own.retain(|it| ledger.has_case(*it));
-        self.written.retain(|it| ledger.has_case(*it));
-        self.lost.retain(|it, _| ledger.has_case(*it));
+        self.own.retain(|it| ledger.has_quarantine_case(*it));
+        self.written.retain(|it| ledger.has_quarantine_case(*it));
+        self.lost.retain(|it, _| ledger.has_quarantine_case(*it));
         self.ended.retain(|end, _| ledger.is_crash_counted(*end));
     }
 
@@ -197,7 +197,7 @@
     /// Notes that the log keeps so much of a piece of work.
     fn note_kept(&mut self, kept: &SuspectedRequest, now: Millis) {
         let work = WorkDigest(kept.request_hash);
-        if let Some(own) = self.ledger.suspect(work, now)
+        if let Some(own) = self.ledger.export_suspect(work, now)
             && covers(kept, &own)
         {
             self.lost.remove(&work);
@@ -248,7 +248,7 @@
     /// Notes that a target outlived work.
     pub fn note_outlived(&self, work: WorkDigest, now: Millis) {
         let mut quarantine = self.quarantine.borrow_mut();
-        let change = quarantine.ledger.record_survival(work, now);
+        let change = quarantine.ledger.record_survived_request(work, now);
         if change != QuarantineChange::None {
             // What the log keeps of it is to say so too.
             quarantine.own.insert(work);
@@ -311,7 +311,7 @@
     /// Notes that what was taken for the end of a target was none.
     fn note_lives(&self, end: CrashId, now: Millis, source: Source) {
         let mut quarantine = self.quarantine.borrow_mut();
-        if quarantine.ledger.is_retracted(end) {
+        if quarantine.ledger.is_crash_retracted(end) {
             return;
         }
         let held = quarantine.ledger.is_crash_counted(end);
@@ -355,7 +355,7 @@
         let change = quarantine.ledger.merge_remote_suspect(suspect, now);
         for end in suspect.crash_ids.iter().map(|it| CrashId(*it)) {
             if change != QuarantineChange::None
-                && !quarantine.ledger.is_retracted(end)
+                && !quarantine.ledger.is_crash_retracted(end)
             {
                 quarantine.watch(end, now);
             }
@@ -468,7 +468,7 @@
     let work = WorkDigest(suspect.request_hash);
     let mut quarantine = entry.quarantine.borrow_mut();
     quarantine.note_kept(&suspect, now);
-    if quarantine.ledger.suspect(work, now).is_none() {
+    if quarantine.ledger.export_suspect(work, now).is_none() {
         // It is over, and whoever wrote it may be gone.
         quarantine.unwritten.insert(work);
         quarantine.due.notify_one();
@@ -484,7 +484,7 @@
     let entries = entry.peers.borrow().entries() as u64;
     let others = Millis(REWRITE_DELAY_PER_ENTRY.0 * entries);
     let others = others.min(MAX_REWRITE_DELAY);
-    let known = entry.quarantine.borrow().ledger.snapshot(now);
+    let known = entry.quarantine.borrow().ledger.snapshot_suspects(now);
     let known =
         known.into_iter().filter(|it| it.crash_ids.len() >= WRITTEN_ENDS);
     for suspect in known {
@@ -565,7 +565,7 @@
 /// What the log is to keep of work; nothing if it is to forget it.
 fn value_of(entry: &Entry, work: WorkDigest) -> Vec<u8> {
     let suspect =
-        entry.quarantine.borrow().ledger.suspect(work, Millis::now());
+        entry.quarantine.borrow().ledger.export_suspect(work, Millis::now());
     // A suspension is over before others read it again.
     let suspect =
         suspect.map(|it| SuspectedRequest { suspension_left: None, ..it });
--- a/cowsliproad-entry/src/lib.rs
+++ b/cowsliproad-entry/src/lib.rs
@@ -1,18 +1,18 @@
-//! The entry: where callers and operators come in.
+//! The entry process, which serves callers and operators.
 //!
-//! All entries are equal and keep nothing. An entry holds a replica of the
-//! configuration folded from the platform's log, links to the agents of the
-//! targets, and the requests in flight through it.
+//! All entry processes are equal and store nothing. An entry process holds a
+//! replica of the configuration folded from the platform's log, links to the
+//! agents of the targets, and the requests in flight through it.
 //!
-//! * [`callers`]: the callers' HTTP interface;
-//! * [`forward`]: one request's attempts, and its one whole answer;
-//! * [`choose`]: the choice of a target; [`target`]: what is known of each;
-//! * [`control`]: the control thread, which owns the replica and publishes
-//!   the [`view::View`] that traffic reads;
-//! * [`quarantine`]: requests that crash their targets are refused;
-//! * [`links`]: links to agents and between entries;
+//! * [`callers`]: the HTTP interface for callers;
+//! * [`forward`]: the attempts of one request, and its one whole answer;
+//! * [`choose`]: the choice of a target; [`target`]: the state of each target;
+//! * [`control`]: the control task, which owns the replica and publishes the
+//!   [`view::ConfigView`] that requests read;
+//! * [`quarantine`]: the refusal of crash-inducing requests;
+//! * [`links`]: links to agents and between entry processes;
 //! * [`log`] and [`vms`]: the platform's log and VM list;
-//! * [`admin`]: the operators' gRPC.
+//! * [`admin`]: the gRPC interface for operators.
 
 #![forbid(unsafe_code)]
 
@@ -51,151 +51,172 @@
 use slog::{Logger, info, warn};
 use tokio::time::{Instant, sleep};
 
-use crate::{control::Control, settings::Settings, view::Published};
+use crate::{control::ControlTask, settings::Settings, view::PublishedView};
 
-/// What the parts of an entry share.
+/// The state that the tasks of an entry process share.
 #[derive(Debug)]
-pub struct Shared {
-    /// The settings.
+pub struct EntryState {
+    /// The settings of the entry process.
     pub settings: Settings,
-    /// This process start.
-    pub incarnation: id::Incarnation,
-    /// The key of tickets and resume tokens.
+    /// The id of this start of the entry process.
+    pub own_incarnation: id::Incarnation,
+    /// The key that signs tickets and resume tokens.
     pub ticket_key: [u8; 32],
-    /// What traffic reads.
-    pub published: Published,
-    /// Requests that crash their targets.
-    pub quarantine: Mutex<CrashLedger>,
-    /// Requests in flight.
-    pub in_flight: AtomicU32,
-    /// Whether the entry is stopping.
-    pub stopping: AtomicBool,
-    /// Where control events go.
-    pub control: control::Inbox,
-    /// The client towards the platform.
-    pub client: Client,
-    /// Metrics.
+    /// The view of the configuration that requests read.
+    pub published_view: PublishedView,
+    /// The crashes recorded for each work digest, by which crash-inducing
+    /// requests are refused.
+    pub crash_ledger: Mutex<CrashLedger>,
+    /// The number of callers' requests in flight through the entry process.
+    pub in_flight_requests: AtomicU32,
+    /// Whether the entry process is stopping.
+    pub is_stopping: AtomicBool,
+    /// Sends events to the control task.
+    pub control_queue: control::ControlQueue,
+    /// The HTTP client for the platform's log and VM list.
+    pub platform_client: Client,
+    /// The metrics of the entry process, in text form at `/metrics`.
     pub metrics: Metrics,
-    /// Instruments.
-    pub instruments: callers::Instruments,
-    /// The logger.
-    pub log: Logger,
-    /// Where tasks run.
-    pub threads: Runtimes,
+    /// The metrics of callers' requests.
+    pub request_metrics: callers::RequestMetrics,
+    /// The logger of the entry process.
+    pub logger: Logger,
+    /// The thread pools on which the tasks run.
+    pub runtimes: Runtimes,
 }
 
-impl Shared {
-    /// Where the entry is in its life.
-    pub fn phase(&self) -> ProcessPhase {
-        match self.stopping.load(Ordering::Relaxed) {
+impl EntryState {
+    /// The phase of the entry process that its heartbeats state.
+    pub fn lifecycle_phase(&self) -> ProcessPhase {
+        match self.is_stopping.load(Ordering::Relaxed) {
             true => ProcessPhase::Leaving,
             false => ProcessPhase::Serving,
         }
     }
 }
 
-/// A running entry.
+/// A running entry process.
 #[derive(Clone, Debug)]
-pub struct Entry {
-    /// Its parts' shared state.
-    pub shared: Arc<Shared>,
-    /// Where callers connect.
-    pub http: SocketAddr,
-    /// Where operators connect.
-    pub admin: SocketAddr,
-    /// Where other entries connect.
-    pub link: SocketAddr,
+pub struct EntryProcess {
+    /// The state that the tasks of the entry process share.
+    pub shared: Arc<EntryState>,
+    /// The address at which callers connect.
+    pub caller_address: SocketAddr,
+    /// The address at which operators connect.
+    pub admin_address: SocketAddr,
+    /// The address at which other entry processes connect.
+    pub link_address: SocketAddr,
     accept_handle: AcceptHandle,
 }
 
-/// How often a stopping entry looks whether its requests are done.
-const POLL: Duration = Duration::from_millis(10);
+/// The interval at which a stopping entry process checks whether its requests
+/// have ended.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long the last bytes of answers get to leave.
-const LINGER: Duration = Duration::from_millis(100);
+/// How long a stopping entry process waits for the last bytes of answers to be
+/// sent.
+const FINAL_WRITE_DELAY: Duration = Duration::from_millis(100);
 
-/// Starts an entry's tasks.
-pub async fn start(
+/// Starts the tasks of an entry process.
+pub async fn start_entry(
     settings: Settings,
-    threads: Runtimes,
-) -> io::Result<Entry> {
-    let log =
-        cowsliproad_kernel::log::logger("entry", &settings.name, settings.log);
+    runtimes: Runtimes,
+) -> io::Result<EntryProcess> {
+    let log = cowsliproad_kernel::log::logger(
+        "entry",
+        &settings.name,
+        settings.log_level,
+    );
     let metrics = Metrics::new();
-    let (inbox, events) = control::inbox();
-    let shared = Arc::new(Shared {
-        incarnation: id::Incarnation::random(),
-        ticket_key: settings.key.derive("cowsliproad ticket").0,
-        published: Published::new(),
-        quarantine: Mutex::default(),
-        in_flight: AtomicU32::new(0),
-        stopping: AtomicBool::new(false),
-        control: inbox,
-        client: Client::with_local_address(settings.source),
-        instruments: callers::Instruments::new(&metrics.meter()),
+    let (control_queue, events) = control::new_control_queue();
+    let shared = Arc::new(EntryState {
+        own_incarnation: id::Incarnation::random(),
+        ticket_key: settings.shared_key.derive("cowsliproad ticket").0,
+        published_view: PublishedView::new(),
+        crash_ledger: Mutex::default(),
+        in_flight_requests: AtomicU32::new(0),
+        is_stopping: AtomicBool::new(false),
+        control_queue,
+        platform_client: Client::with_local_address(settings.source_address),
+        request_metrics: callers::RequestMetrics::new(&metrics.meter()),
         metrics,
-        log,
-        threads: threads.clone(),
+        logger: log,
+        runtimes: runtimes.clone(),
         settings,
     });
     let accept_handle = AcceptHandle::new();
-    let http = Listener::bind(shared.settings.http, &accept_handle).await?;
-    let admin = Listener::bind(shared.settings.admin, &accept_handle).await?;
-    let link = tokio::net::TcpListener::bind(shared.settings.link).await?;
-    let entry = Entry {
-        http: http.address(),
-        admin: admin.address(),
-        link: link.local_addr()?,
+    let http =
+        Listener::bind(shared.settings.caller_address, &accept_handle).await?;
+    let admin =
+        Listener::bind(shared.settings.admin_address, &accept_handle).await?;
+    let link =
+        tokio::net::TcpListener::bind(shared.settings.link_address).await?;
+    let entry = EntryProcess {
+        caller_address: http.address(),
+        admin_address: admin.address(),
+        link_address: link.local_addr()?,
         shared: shared.clone(),
         accept_handle: accept_handle.clone(),
     };
-    threads.control_runtime.spawn(Control::new(shared.clone()).run(events));
-    threads.control_runtime.spawn(control::weigh_ejections(shared.clone()));
-    threads.control_runtime.spawn(log::tail(shared.clone()));
-    threads.control_runtime.spawn(vms::watch(shared.clone()));
-    threads.control_runtime.spawn(links::beat(shared.clone()));
-    threads.control_runtime.spawn(links::accept_peers(shared.clone(), link));
-    for peer in shared.settings.peers.clone() {
-        threads.control_runtime.spawn(links::dial_peer(shared.clone(), peer));
+    runtimes
+        .control_runtime
+        .spawn(ControlTask::new(shared.clone()).handle_events(events));
+    runtimes.control_runtime.spawn(control::watch_ejections(shared.clone()));
+    runtimes.control_runtime.spawn(log::follow_log(shared.clone()));
+    runtimes.control_runtime.spawn(vms::watch_vm_list(shared.clone()));
+    runtimes
+        .control_runtime
+        .spawn(links::send_agent_heartbeats(shared.clone()));
+    runtimes
+        .control_runtime
+        .spawn(links::accept_peer_links(shared.clone(), link));
+    for peer in shared.settings.peer_link_addresses.clone() {
+        runtimes
+            .control_runtime
+            .spawn(links::keep_peer_link(shared.clone(), peer));
     }
-    for seed in shared.settings.seeds.clone() {
-        threads.control_runtime.spawn(links::dial_seed(shared.clone(), seed));
+    for seed in shared.settings.seed_agent_addresses.clone() {
+        runtimes
+            .control_runtime
+            .spawn(links::pull_config_from_seed(shared.clone(), seed));
     }
-    let callers = Arc::new(callers::Api::new(shared.clone()));
-    threads.traffic_runtime.spawn(server::serve(
+    let callers = Arc::new(callers::CallerApi::new(shared.clone()));
+    runtimes.traffic_runtime.spawn(server::serve(
         http,
         callers,
         accept_handle.clone(),
     ));
-    threads.control_runtime.spawn(admin::serve(
+    runtimes.control_runtime.spawn(admin::serve_operators(
         shared.clone(),
         admin,
         accept_handle,
     ));
-    info!(shared.log, "start";
-        "http" => %entry.http, "admin" => %entry.admin,
-        "link" => %entry.link);
+    info!(shared.logger, "start";
+        "http" => %entry.caller_address, "admin" => %entry.admin_address,
+        "link" => %entry.link_address);
     Ok(entry)
 }
 
-impl Entry {
-    /// Stops gracefully: not ready at once, no request in flight cut off.
-    pub async fn stop(&self) {
+impl EntryProcess {
+    /// Stops gracefully: the entry process is not ready at once, keeps
+    /// accepting requests for the grace time, and then waits for the requests
+    /// in flight up to the stop limit.
+    pub async fn stop_gracefully(&self) {
         let shared = &self.shared;
-        shared.stopping.store(true, Ordering::Relaxed);
-        let in_flight = || shared.in_flight.load(Ordering::Relaxed);
-        info!(shared.log, "stop"; "in_flight" => in_flight());
-        sleep(shared.settings.grace_ms.duration()).await;
+        shared.is_stopping.store(true, Ordering::Relaxed);
+        let in_flight = || shared.in_flight_requests.load(Ordering::Relaxed);
+        info!(shared.logger, "stop"; "in_flight" => in_flight());
+        sleep(shared.settings.stop_grace_time.duration()).await;
         self.accept_handle.stop_accepting();
-        let most = shared.settings.stop_ms.duration();
-        let deadline = Instant::now() + most;
+        let stop_timeout = shared.settings.stop_timeout.duration();
+        let deadline = Instant::now() + stop_timeout;
         while in_flight() > 0 && Instant::now() < deadline {
-            sleep(POLL).await;
+            sleep(STOP_POLL_INTERVAL).await;
         }
         if in_flight() > 0 {
-            warn!(shared.log, "stop_bound"; "cut" => in_flight());
+            warn!(shared.logger, "stop_bound"; "cut" => in_flight());
         }
-        sleep(LINGER).await;
-        info!(shared.log, "stopped"; "at" => %Millis::now());
+        sleep(FINAL_WRITE_DELAY).await;
+        info!(shared.logger, "stopped"; "at" => %Millis::now());
     }
 }
--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -19,7 +19,7 @@
     position::{LogEra, LogPosition},
 };
 use cowsliproad_mapswitch::order::{
-    self, DesiredState, Directive, Epoch, GroupState, Report,
+    self, DesiredState, Directive, Epoch, GroupState, RankReport,
 };
 use cowsliproad_platform::engine::EngineState;
 use cowsliproad_routing::cooldown::Cooldown;
@@ -468,7 +468,7 @@
         self.service_shape.as_ref().map_or(0, |it| it.target_list_id)
     }
 
-    fn engine_report(&self) -> Option<&Report> {
+    fn engine_report(&self) -> Option<&RankReport> {
         self.engine_state.as_ref()?.report.as_ref()
     }
 
--- a/cowsliproad-rank/src/agent/orders.rs
+++ b/cowsliproad-rank/src/agent/orders.rs
@@ -7,7 +7,7 @@
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_mapswitch::order::{
     self, ArmOrderStatus, CoordinatorArmingNotice, DesiredState, Directive,
-    Epoch, MAX_BOUNDARY_LEAD_PASSES, OrderResult, Report,
+    Epoch, MAX_BOUNDARY_LEAD_PASSES, OrderResult, RankReport,
 };
 use cowsliproad_routing::cooldown::Cooldown;
 use slog::info;
@@ -149,7 +149,7 @@
         // an engine that is already armed receives the *arm* order again.
         let again = match directive.desired_state {
             DesiredState::Armed { version, step, .. }
-                if report.armed == Some((version, step)) =>
+                if report.armed_map_and_pass == Some((version, step)) =>
             {
                 Some(order::Order::Arm(version, step))
             }
@@ -205,7 +205,10 @@
     /// process. Without this bound a group whose coordinator froze was held
     /// for 3.9 s: five agents had restarted two seconds before, so that no
     /// switch of maps could be cancelled for 13 s.
-    pub(super) fn arm_order_status(&self, report: &Report) -> ArmOrderStatus {
+    pub(super) fn arm_order_status(
+        &self,
+        report: &RankReport,
+    ) -> ArmOrderStatus {
         let now = Millis::now();
         let recent = |at: Millis| now.since(at) < LATE_ORDER_EXECUTION_TIMEOUT;
         let open = self.last_actions.unanswered_arm.is_some_and(|arm| {
@@ -226,7 +229,7 @@
     /// previous process may have sent orders.
     fn may_orders_of_previous_agent_process_apply(
         &self,
-        report: &Report,
+        report: &RankReport,
     ) -> bool {
         self.first_reported_pass.is_none_or(|(epoch, step)| {
             epoch == report.epoch
@@ -238,7 +241,7 @@
     /// coordinator's own rank arms, as far as the agent knows.
     pub(super) fn coordinator_arming_notice_receipt(
         &self,
-        report: &Report,
+        report: &RankReport,
     ) -> CoordinatorArmingNotice {
         match self.announced_coordinator_arming {
             Some((epoch, step)) if epoch == report.epoch => {
--- a/cowsliproad-rank/src/wire.rs
+++ b/cowsliproad-rank/src/wire.rs
@@ -4,7 +4,7 @@
 
 use cowsliproad_kernel::Name;
 use cowsliproad_mapswitch::order::{
-    ArmOrderStatus, CoordinatorArmingNotice, Directive, Report, Version,
+    ArmOrderStatus, CoordinatorArmingNotice, Directive, RankReport, Version,
 };
 use serde::{Deserialize, Serialize};
 
@@ -53,7 +53,7 @@
     pub agent_address: SocketAddr,
     /// The report of the rank's engine.
     #[serde(rename = "r")]
-    pub engine_report: Report,
+    pub engine_report: RankReport,
     /// Whether the engine may still execute an *arm* order that the engine's
     /// report doesn't show.
     #[serde(rename = "o")]
@@ -82,7 +82,7 @@
 /// without delay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UrgentRankStatus {
-    engine_report: Report,
+    engine_report: RankReport,
     arm_order_status: ArmOrderStatus,
     coordinator_arming_notice_receipt: CoordinatorArmingNotice,
     max_known_fencing_number: u64,
@@ -94,7 +94,8 @@
     /// coordinator without delay.
     pub fn urgent_rank_status(&self) -> UrgentRankStatus {
         // The pass number is left out: it changes with each pass.
-        let engine_report = Report { step: 0, ..self.engine_report.clone() };
+        let engine_report =
+            RankReport { step: 0, ..self.engine_report.clone() };
         let RankStatus {
             arm_order_status,
             coordinator_arming_notice_receipt,
--- a/cowsliproad-rank/tests/lead.rs
+++ b/cowsliproad-rank/tests/lead.rs
@@ -4,7 +4,7 @@
 
 use cowsliproad_kernel::{clock::Millis, gossip::LoadSubscription};
 use cowsliproad_mapswitch::order::{
-    ArmOrderStatus, CoordinatorArmingNotice, DesiredState, Epoch, Report,
+    ArmOrderStatus, CoordinatorArmingNotice, DesiredState, Epoch, RankReport,
     Version,
 };
 use cowsliproad_rank::{
@@ -19,7 +19,7 @@
 /// A group whose coordinator receives the status of every rank at once.
 struct TestGroup {
     coordinator: GroupCoordinator,
-    reports_by_rank: Vec<Report>,
+    reports_by_rank: Vec<RankReport>,
     now: Millis,
 }
 
@@ -32,7 +32,7 @@
         };
         let coordinator =
             GroupCoordinator::new(start, 0.03, Logger::root(Discard, o!()));
-        let report = |rank| Report::new(Epoch(1), rank, RANK_COUNT);
+        let report = |rank| RankReport::new(Epoch(1), rank, RANK_COUNT);
         let reports_by_rank = (0..RANK_COUNT).map(report).collect();
         TestGroup { coordinator, reports_by_rank, now: Millis(10_000) }
     }
@@ -124,7 +124,7 @@
     }
     let version = group.coordinator.current_plan().map(|it| it.map_version);
     for report in &mut group.reports_by_rank {
-        report.prepared = version;
+        report.prepared_map_version = version;
     }
     for _ in 0..6 {
         group.pass_statuses_to_coordinator(5);
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -13,7 +13,7 @@
 use cowsliproad::{
     admission::quarantine::{
         CRASH_THRESHOLD, CrashId, CrashLedger, QuarantineVerdict,
-        SURVIVED_CRASH_THRESHOLD, SUSPENSION_TTL, WorkDigest,
+        SURVIVED_REQUEST_CRASH_THRESHOLD, SUSPENSION_TTL, WorkDigest,
     },
     kernel::clock::Millis,
 };
@@ -29,7 +29,8 @@
 /// A set of requests, as a bit mask over the request numbers.
 type RequestBitSet = u32;
 
-/// An event in the explored group.
+/// An event in the explored group: a set of requests runs, or time passes until
+/// a suspension expires.
 #[derive(Clone, Copy, Debug)]
 enum Action {
     /// Some requests run on one rank. If the rank crashes, the requests in
@@ -124,14 +125,14 @@
                 answering.map(|answering| Action::Run { requests, answering }),
             );
         }
-        if self.time_to_next_expiry().is_some() {
+        if self.time_to_next_suspension_expiry().is_some() {
             actions.push(Action::Wait);
         }
         actions
     }
 
     /// Returns the time until the next suspension expires, if any.
-    fn time_to_next_expiry(&self) -> Option<Millis> {
+    fn time_to_next_suspension_expiry(&self) -> Option<Millis> {
         let remaining = |it| match self.quarantine_verdict(it) {
             QuarantineVerdict::Suspended(remaining) => Some(remaining),
             QuarantineVerdict::Allowed | QuarantineVerdict::Refused(_) => None,
@@ -142,14 +143,15 @@
     fn apply_action(&mut self, action: Action) {
         match action {
             Action::Wait => {
-                let remaining = self.time_to_next_expiry().unwrap_or_default();
+                let remaining =
+                    self.time_to_next_suspension_expiry().unwrap_or_default();
                 self.now = self.now + remaining;
             }
             Action::Run { requests, .. }
                 if requests & self.crash_inducing == 0 =>
             {
                 for request_number in self.request_numbers_of_set(requests) {
-                    self.ledger.record_survival(
+                    self.ledger.record_survived_request(
                         GroupState::work_digest(request_number),
                         self.now,
                     );
@@ -191,7 +193,7 @@
             let ends = self
                 .ledger
                 .crash_count(GroupState::work_digest(request_number));
-            let is_refused = ends >= SURVIVED_CRASH_THRESHOLD;
+            let is_refused = ends >= SURVIVED_REQUEST_CRASH_THRESHOLD;
             let is_free = self.quarantine_verdict(request_number)
                 == QuarantineVerdict::Allowed;
             assert!(is_free != is_refused, "{request_number}: {actions:?}");
--- a/tests/order/main.rs
+++ b/tests/order/main.rs
@@ -20,7 +20,7 @@
     mapswitch::order::{
         self, ArmOrderStatus, Coordinator, CoordinatorArmingNotice,
         CoordinatorConfig, DesiredState, Directive, Epoch, GroupState,
-        MissingRanks, ObeyedCoordinator, Order, RankSnapshot, Report,
+        MissingRanks, ObeyedCoordinator, Order, RankReport, RankSnapshot,
         VERSIONS_PER_COORDINATOR, Version,
     },
 };
@@ -73,8 +73,8 @@
     map: u64,
     prepared_map: Option<u64>,
     newest_prepared_map: u64,
-    armed: Option<(u64, u64)>,
-    held: Option<u64>,
+    armed_map_and_pass: Option<(u64, u64)>,
+    held_pass: Option<u64>,
     fence: u64,
 }
 
@@ -139,8 +139,8 @@
             map: 0,
             prepared_map: Some(FIRST_MAP_VERSION),
             newest_prepared_map: FIRST_MAP_VERSION,
-            armed: None,
-            held: None,
+            armed_map_and_pass: None,
+            held_pass: None,
             fence: 0,
         };
         let (directive, announced_coordinator_arming_step) = (None, None);
@@ -151,7 +151,7 @@
             announced_coordinator_arming_step,
         };
         let mut first = new_coordinator_view(1, FIRST_COORDINATOR_RANK);
-        let report = |rank| Report::new(EPOCH, rank, RANK_COUNT);
+        let report = |rank| RankReport::new(EPOCH, rank, RANK_COUNT);
         let snapshot = |rank| RankSnapshot {
             report: report(rank),
             arm_order_status: ArmOrderStatus::Answered,
@@ -180,18 +180,20 @@
         }
     }
 
-    fn report(&self, rank: u16) -> Report {
+    fn report(&self, rank: u16) -> RankReport {
         let engine = &self.engines[usize::from(rank)];
-        Report {
+        RankReport {
             epoch: EPOCH,
             rank,
             ranks: RANK_COUNT,
             standing: GroupState::Open,
             step: self.step,
             map: Version(engine.map),
-            prepared: engine.prepared_map.map(Version),
-            armed: engine.armed.map(|(map, step)| (Version(map), step)),
-            held: engine.held,
+            prepared_map_version: engine.prepared_map.map(Version),
+            armed_map_and_pass: engine
+                .armed_map_and_pass
+                .map(|(map, step)| (Version(map), step)),
+            held_pass: engine.held_pass,
         }
     }
 
@@ -220,51 +222,55 @@
     /// Returns all states that one event in this state can lead to.
     fn next_states(&self, scenario: &Scenario) -> Vec<SystemState> {
         let mut next_states = Vec::new();
-        self.add_pass_state(scenario, &mut next_states);
-        self.add_late_order_states(&mut next_states);
+        self.add_state_after_next_pass(scenario, &mut next_states);
+        self.add_states_after_late_orders(&mut next_states);
         for rank in 0..RANK_COUNT {
             if self.is_unreachable(rank) {
                 continue;
             }
-            self.add_directive_states(rank, &mut next_states);
-            self.add_next_order_states(rank, scenario, &mut next_states);
+            self.add_states_after_directive_receipt(rank, &mut next_states);
+            self.add_states_after_next_order(rank, scenario, &mut next_states);
             if scenario.snapshot_age == SnapshotAge::Any {
-                self.add_snapshot_states(rank, &mut next_states);
+                self.add_states_after_snapshot_receipt(rank, &mut next_states);
             }
         }
         for view_index in 0..self.coordinator_views.len() {
             if view_index == 0 && self.is_frozen {
                 continue;
             }
-            self.add_coordinator_states(
+            self.add_states_after_coordinator_run(
+                view_index,
+                scenario,
+                &mut next_states,
+            );
+            self.add_states_after_due_hold_orders(
                 view_index,
                 scenario,
                 &mut next_states,
             );
-            self.add_hold_order_states(view_index, scenario, &mut next_states);
         }
-        self.add_freeze_and_takeover_states(scenario, &mut next_states);
+        self.add_states_after_freeze_or_takeover(scenario, &mut next_states);
         next_states
     }
 
-    fn add_pass_state(
+    fn add_state_after_next_pass(
         &self,
         scenario: &Scenario,
         next_states: &mut Vec<SystemState>,
     ) {
         let next = self.step + 1;
-        let held = self.engines.iter().any(|it| it.held == Some(next));
+        let held = self.engines.iter().any(|it| it.held_pass == Some(next));
         if held || next > scenario.max_passes {
             return;
         }
         let mut state = self.clone();
         state.step = next;
         for engine in &mut state.engines {
-            if let Some((map, step)) = engine.armed
+            if let Some((map, step)) = engine.armed_map_and_pass
                 && step == next
             {
                 engine.map = map;
-                engine.armed = None;
+                engine.armed_map_and_pass = None;
                 engine.prepared_map = None;
             }
         }
@@ -282,7 +288,10 @@
 
     /// Adds the states in which one late order is executed, and the state in
     /// which all late orders have expired.
-    fn add_late_order_states(&self, next_states: &mut Vec<SystemState>) {
+    fn add_states_after_late_orders(
+        &self,
+        next_states: &mut Vec<SystemState>,
+    ) {
         if !self.late_orders.is_empty() {
             let mut state = self.clone();
             state.late_orders.clear();
@@ -298,7 +307,7 @@
         }
     }
 
-    fn add_directive_states(
+    fn add_states_after_directive_receipt(
         &self,
         rank: u16,
         next_states: &mut Vec<SystemState>,
@@ -332,7 +341,7 @@
         }
     }
 
-    fn add_next_order_states(
+    fn add_states_after_next_order(
         &self,
         rank: u16,
         scenario: &Scenario,
@@ -351,7 +360,7 @@
             return;
         };
         let order = comparable_order(&order);
-        self.add_order_states(
+        self.add_states_after_sent_order(
             rank,
             order,
             directive.fencing_number,
@@ -362,7 +371,7 @@
 
     /// Adds the state in which an order is executed and answered, and the
     /// state in which it goes unanswered and may be executed later.
-    fn add_order_states(
+    fn add_states_after_sent_order(
         &self,
         rank: u16,
         sent_order: ComparableOrder,
@@ -386,7 +395,7 @@
     }
 
     /// Adds the states in which one coordinator receives a rank's snapshot.
-    fn add_snapshot_states(
+    fn add_states_after_snapshot_receipt(
         &self,
         rank: u16,
         next_states: &mut Vec<SystemState>,
@@ -432,7 +441,7 @@
     }
 
     /// Adds the states in which a coordinator acts on its snapshots.
-    fn add_coordinator_states(
+    fn add_states_after_coordinator_run(
         &self,
         view_index: usize,
         scenario: &Scenario,
@@ -444,7 +453,7 @@
         };
         let is_complete = snapshots.len() == usize::from(RANK_COUNT);
         if is_complete {
-            self.add_states_after_snapshots(
+            self.add_state_after_switch_advance(
                 view_index,
                 &snapshots,
                 MissingRanks::None,
@@ -461,7 +470,7 @@
             .collect();
         if view_index == 1 && others.len() + 1 == usize::from(RANK_COUNT) {
             let missing = MissingRanks::Predecessor(1);
-            self.add_states_after_snapshots(
+            self.add_state_after_switch_advance(
                 view_index,
                 &others,
                 missing,
@@ -488,7 +497,7 @@
         reachable.map(snapshot).collect()
     }
 
-    fn add_states_after_snapshots(
+    fn add_state_after_switch_advance(
         &self,
         view_index: usize,
         snapshots: &[RankSnapshot],
@@ -512,7 +521,7 @@
         }
     }
 
-    fn add_hold_order_states(
+    fn add_states_after_due_hold_orders(
         &self,
         view_index: usize,
         scenario: &Scenario,
@@ -526,7 +535,7 @@
             if let Some(order) = order
                 && !self.is_unreachable(rank)
             {
-                self.add_order_states(
+                self.add_states_after_sent_order(
                     rank,
                     comparable_order(&order),
                     directive.fencing_number,
@@ -537,7 +546,7 @@
         }
     }
 
-    fn add_freeze_and_takeover_states(
+    fn add_states_after_freeze_or_takeover(
         &self,
         scenario: &Scenario,
         next_states: &mut Vec<SystemState>,
@@ -580,29 +589,31 @@
         engine.fence = fence;
         match order {
             ComparableOrder::Prepare(map) => {
-                if map > engine.newest_prepared_map && engine.armed.is_none() {
+                if map > engine.newest_prepared_map
+                    && engine.armed_map_and_pass.is_none()
+                {
                     engine.newest_prepared_map = map;
                     engine.prepared_map = Some(map);
                 }
             }
             ComparableOrder::Arm(map, pass) => {
                 if engine.prepared_map == Some(map) && pass > step {
-                    engine.armed = Some((map, pass));
+                    engine.armed_map_and_pass = Some((map, pass));
                 }
             }
             ComparableOrder::Disarm(map) => {
-                if engine.armed.is_some_and(|it| it.0 == map) {
-                    engine.armed = None;
+                if engine.armed_map_and_pass.is_some_and(|it| it.0 == map) {
+                    engine.armed_map_and_pass = None;
                 }
             }
             ComparableOrder::Hold(pass) => {
                 if pass > step {
-                    engine.held = Some(pass);
+                    engine.held_pass = Some(pass);
                 }
             }
             ComparableOrder::Go(pass) => {
-                if engine.held == Some(pass) {
-                    engine.held = None;
+                if engine.held_pass == Some(pass) {
+                    engine.held_pass = None;
                 }
             }
         }
@@ -612,7 +623,7 @@
     fn is_group_released(&self) -> bool {
         self.engines
             .iter()
-            .all(|it| it.held.is_none_or(|pass| pass <= self.step))
+            .all(|it| it.held_pass.is_none_or(|pass| pass <= self.step))
     }
 }
 
@@ -766,16 +777,16 @@
     arming_notice: CoordinatorArmingNotice,
 ) -> Vec<RankSnapshot> {
     let snapshot = |rank| RankSnapshot {
-        report: Report {
+        report: RankReport {
             epoch: EPOCH,
             rank,
             ranks: RANK_COUNT,
             standing: GroupState::Open,
             step: 1,
             map: Version(0),
-            prepared: Some(Version(FIRST_MAP_VERSION)),
-            armed: Some((Version(FIRST_MAP_VERSION), 3)),
-            held: (rank == SUCCESSOR_COORDINATOR_RANK).then_some(3),
+            prepared_map_version: Some(Version(FIRST_MAP_VERSION)),
+            armed_map_and_pass: Some((Version(FIRST_MAP_VERSION), 3)),
+            held_pass: (rank == SUCCESSOR_COORDINATOR_RANK).then_some(3),
         },
         arm_order_status: ArmOrderStatus::Answered,
         coordinator_arming_notice: arming_notice,
