--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -84,12 +84,12 @@
     settings: Settings,
     log: Logger,
     engine_client: EngineClient,
-    entries_socket: UdpSocket,
-    agents_socket: UdpSocket,
+    entry_process_socket: UdpSocket,
+    agent_message_socket: UdpSocket,
     own_address: SocketAddr,
     /// The entry processes that subscribed to load reports, and when each last
     /// renewed its subscription.
-    subscribed_entries: BTreeMap<SocketAddr, Millis>,
+    subscribed_entry_processes: BTreeMap<SocketAddr, Millis>,
     /// The service's targets and expert layout, as last received from an entry
     /// process.
     service_shape: Option<LoadSubscription>,
@@ -106,16 +106,16 @@
     engine_group: Option<Name>,
     /// The engines of the service that belong to other groups.
     engines_of_other_groups: BTreeSet<SocketAddr>,
-    experts_of_map: Option<(Epoch, order::Version, Vec<Vec<u16>>)>,
+    expert_lists_of_map_in_use: Option<(Epoch, order::Version, Vec<Vec<u16>>)>,
     last_selection_counts: Option<(Epoch, Vec<Vec<u64>>)>,
-    count_schedule: Option<SelectionCountReportSchedule>,
+    selection_count_report_schedule: Option<SelectionCountReportSchedule>,
     held_plan: Option<MapPlan>,
     /// The last received directive, the address of the coordinator that sent
     /// the directive, and the time of receipt.
     last_directive: Option<(Directive, SocketAddr, Millis)>,
     /// The group's epoch and the pass for which the agent last received the
     /// announcement that the coordinator's own rank arms.
-    announced_coordinator_arming: Option<(Epoch, u64)>,
+    announced_coordinator_arming_pass: Option<(Epoch, u64)>,
     /// The highest fencing number that the agent has received.
     max_known_fencing_number: u64,
     /// The newest known era of the platform's log.
@@ -126,12 +126,12 @@
     agent_start: Millis,
     /// The group's epoch and the pass in the engine's first report to this
     /// agent process.
-    first_reported_pass: Option<(Epoch, u64)>,
+    first_reported_epoch_and_pass: Option<(Epoch, u64)>,
     /// When the agent was asked to stop, if at all.
     stop_request_time: Option<Millis>,
     /// Whether the agent must poll the engine again without waiting for the
     /// interval.
-    poll_again_at_once: bool,
+    poll_engine_again_at_once: bool,
     last_actions: LastAgentActions,
 }
 
@@ -145,7 +145,7 @@
 
 /// An *arm* order that the engine didn't answer.
 #[derive(Clone, Copy)]
-struct UnansweredArm {
+struct UnansweredArmOrder {
     epoch: Epoch,
     /// The pass at which the order was to switch maps.
     switch_pass: u64,
@@ -161,7 +161,7 @@
     fencing_number_request_time: Option<Millis>,
     sent_directive: Option<Directive>,
     /// The last *arm* order that the engine didn't answer.
-    unanswered_arm: Option<UnansweredArm>,
+    unanswered_arm_order: Option<UnansweredArmOrder>,
     /// The directive for which the agent, as the coordinator, last sent the
     /// *hold* order to the engine that has to hold the group.
     hold_directive: Option<Directive>,
@@ -187,12 +187,14 @@
         let own_address = at(settings.agent_datagram_port);
         Ok(Agent {
             engine_client: EngineClient::new(settings.engine_address),
-            entries_socket: UdpSocket::bind(at(settings.entry_datagram_port))
-                .await?,
-            agents_socket: UdpSocket::bind(own_address).await?,
+            entry_process_socket: UdpSocket::bind(at(
+                settings.entry_datagram_port
+            ))
+            .await?,
+            agent_message_socket: UdpSocket::bind(own_address).await?,
             own_address,
             log,
-            subscribed_entries: BTreeMap::new(),
+            subscribed_entry_processes: BTreeMap::new(),
             service_shape: None,
             engine_state: None,
             engine_start_unix_ms: None,
@@ -200,20 +202,20 @@
             remote_engine_cooldowns: BTreeMap::new(),
             engine_group: None,
             engines_of_other_groups: BTreeSet::new(),
-            experts_of_map: None,
+            expert_lists_of_map_in_use: None,
             last_selection_counts: None,
-            count_schedule: None,
+            selection_count_report_schedule: None,
             held_plan: None,
             last_directive: None,
-            announced_coordinator_arming: None,
+            announced_coordinator_arming_pass: None,
             max_known_fencing_number: 0,
             newest_log_era: LogEra::default(),
             coordinator: None,
             fencing_number_task: None,
             agent_start: Millis::now(),
-            first_reported_pass: None,
+            first_reported_epoch_and_pass: None,
             stop_request_time: None,
-            poll_again_at_once: false,
+            poll_engine_again_at_once: false,
             last_actions: LastAgentActions::default(),
             settings,
         })
@@ -240,13 +242,15 @@
                         coordinator.prevent_further_map_switches();
                     }
                 }
-                got = self.agents_socket.recv_from(&mut from_agents) => {
+                got = self.agent_message_socket
+                    .recv_from(&mut from_agents) => {
                     if let Ok((length, _)) = got {
                         self.handle_agent_message(&from_agents[..length])
                             .await;
                     }
                 }
-                got = self.entries_socket.recv_from(&mut from_entries) => {
+                got = self.entry_process_socket
+                    .recv_from(&mut from_entries) => {
                     if let Ok((length, from)) = got {
                         self.handle_subscription(
                             &from_entries[..length], from);
@@ -269,7 +273,7 @@
                 return Ok(());
             }
             // The next report shows the effect of an order or directive.
-            if std::mem::take(&mut self.poll_again_at_once) {
+            if std::mem::take(&mut self.poll_engine_again_at_once) {
                 next_poll = Instant::now();
             }
         }
@@ -310,10 +314,10 @@
         };
         let now = Millis::now();
         self.record_log_era(subscription.log_era);
-        if self.subscribed_entries.insert(sender, now).is_none() {
+        if self.subscribed_entry_processes.insert(sender, now).is_none() {
             info!(self.log, "entry_met"; "entry" => %sender);
         }
-        self.subscribed_entries.retain(|_, last_received| {
+        self.subscribed_entry_processes.retain(|_, last_received| {
             now.since(*last_received) < LOAD_SUBSCRIPTION_TTL
         });
         if !subscription.targets.is_empty() {
@@ -369,7 +373,7 @@
                 self.last_directive = Some((directive, from, now));
                 if before != Some(directive) {
                     self.poll_engine().await;
-                    self.poll_again_at_once = matches!(
+                    self.poll_engine_again_at_once = matches!(
                         directive.desired_state,
                         DesiredState::Held { .. }
                     );
@@ -433,7 +437,8 @@
         let now = Millis::now();
         let changed = self.group_epoch_and_state() != before;
         if changed {
-            info!(self.log, "standing"; "now" => ?self.group_epoch_and_state());
+            info!(self.log, "standing";
+                "now" => ?self.group_epoch_and_state());
         }
         if changed
             || now.since(self.last_actions.load_report_time)
@@ -453,7 +458,8 @@
     ) {
         if let Some(step) = order::announced_coordinator_arming_step(directive)
         {
-            self.announced_coordinator_arming = Some((directive.epoch, step));
+            self.announced_coordinator_arming_pass =
+                Some((directive.epoch, step));
         }
     }
 
@@ -485,8 +491,13 @@
         let bytes =
             gossip::encode(&GroupMessage { group_name, agent_message });
         for agent in agents {
-            send_datagram(&self.log, &self.agents_socket, &bytes, *agent)
-                .await;
+            send_datagram(
+                &self.log,
+                &self.agent_message_socket,
+                &bytes,
+                *agent,
+            )
+            .await;
         }
     }
 
--- a/cowsliproad-rank/src/agent/chair.rs
+++ b/cowsliproad-rank/src/agent/chair.rs
@@ -117,7 +117,7 @@
         {
             info!(self.log, "coordinator_stops"; "fence" => fencing_number);
             *last_received = *last_received - DIRECTIVE_TIMEOUT;
-            self.poll_again_at_once = true;
+            self.poll_engine_again_at_once = true;
         }
     }
 
@@ -209,9 +209,9 @@
 /// Waits for the record of a running fencing number task; never returns if no
 /// task runs.
 pub(super) async fn wait_for_fencing_number_record(
-    candidacy: &mut Option<FencingNumberTask>,
+    fencing_number_task: &mut Option<FencingNumberTask>,
 ) -> Option<LogPosition> {
-    match candidacy {
+    match fencing_number_task {
         Some(task) => task.await.ok().flatten(),
         None => std::future::pending().await,
     }
--- a/cowsliproad-rank/src/agent/orders.rs
+++ b/cowsliproad-rank/src/agent/orders.rs
@@ -12,7 +12,7 @@
 use cowsliproad_routing::cooldown::Cooldown;
 use slog::info;
 
-use super::{Agent, UnansweredArm};
+use super::{Agent, UnansweredArmOrder};
 use crate::{engine::EngineClient, wire::RankStatus};
 
 /// How long an accepted order may take to appear in the engine's report before
@@ -77,8 +77,9 @@
             Err(error) => {
                 if let order::Order::Arm(_, switch_pass) = due {
                     let (epoch, order_time) = (directive.epoch, Millis::now());
-                    let arm = UnansweredArm { epoch, switch_pass, order_time };
-                    self.last_actions.unanswered_arm = Some(arm);
+                    let arm =
+                        UnansweredArmOrder { epoch, switch_pass, order_time };
+                    self.last_actions.unanswered_arm_order = Some(arm);
                 }
                 info!(self.log, "order_unanswered"; "order" => name,
                     "aim" => ?directive.desired_state, "error" => %error);
@@ -211,7 +212,7 @@
     ) -> ArmOrderStatus {
         let now = Millis::now();
         let recent = |at: Millis| now.since(at) < LATE_ORDER_EXECUTION_TIMEOUT;
-        let open = self.last_actions.unanswered_arm.is_some_and(|arm| {
+        let open = self.last_actions.unanswered_arm_order.is_some_and(|arm| {
             arm.epoch == report.epoch
                 && arm.switch_pass > report.step
                 && recent(arm.order_time)
@@ -231,7 +232,7 @@
         &self,
         report: &RankReport,
     ) -> bool {
-        self.first_reported_pass.is_none_or(|(epoch, step)| {
+        self.first_reported_epoch_and_pass.is_none_or(|(epoch, step)| {
             epoch == report.epoch
                 && report.step <= step + MAX_BOUNDARY_LEAD_PASSES
         })
@@ -243,7 +244,7 @@
         &self,
         report: &RankReport,
     ) -> CoordinatorArmingNotice {
-        match self.announced_coordinator_arming {
+        match self.announced_coordinator_arming_pass {
             Some((epoch, step)) if epoch == report.epoch => {
                 CoordinatorArmingNotice::Received(step)
             }
--- a/cowsliproad-rank/src/agent/readings.rs
+++ b/cowsliproad-rank/src/agent/readings.rs
@@ -45,12 +45,13 @@
         }
         let Some(report) = self.engine_report() else { return };
         let (epoch, map, step) = (report.epoch, report.map, report.step);
-        self.first_reported_pass.get_or_insert((epoch, step));
-        let known = self.experts_of_map.as_ref().map(|it| (it.0, it.1));
+        self.first_reported_epoch_and_pass.get_or_insert((epoch, step));
+        let known =
+            self.expert_lists_of_map_in_use.as_ref().map(|it| (it.0, it.1));
         if known != Some((epoch, map)) {
             match self.engine_client.fetch_expert_lists().await {
                 Ok(lists) => {
-                    self.experts_of_map =
+                    self.expert_lists_of_map_in_use =
                         Some((epoch, lists.map_version, lists.experts_by_set));
                 }
                 Err(error) => {
@@ -81,10 +82,10 @@
             return;
         }
         info!(self.log, "engine_restarted"; "start" => start_unix_ms);
-        self.experts_of_map = None;
+        self.expert_lists_of_map_in_use = None;
         self.last_selection_counts = None;
-        self.first_reported_pass = None;
-        self.last_actions.unanswered_arm = None;
+        self.first_reported_epoch_and_pass = None;
+        self.last_actions.unanswered_arm_order = None;
         self.last_actions.accepted_order = None;
     }
 
@@ -109,7 +110,7 @@
             SelectionCountReportSchedule::new(now, round_duration, rank, ranks)
         };
         let due = self
-            .count_schedule
+            .selection_count_report_schedule
             .get_or_insert_with(new)
             .advance_count_report_schedule(now, round_duration);
         if due == SelectionCountReportAction::Nothing {
--- a/cowsliproad-rank/src/agent/words.rs
+++ b/cowsliproad-rank/src/agent/words.rs
@@ -70,9 +70,14 @@
 
     async fn send_to_entry_processes(&self, datagram: &Datagram) {
         let bytes = gossip::encode(datagram);
-        for entry in self.subscribed_entries.keys() {
-            send_datagram(&self.log, &self.entries_socket, &bytes, *entry)
-                .await;
+        for entry in self.subscribed_entry_processes.keys() {
+            send_datagram(
+                &self.log,
+                &self.entry_process_socket,
+                &bytes,
+                *entry,
+            )
+            .await;
         }
     }
 
@@ -137,7 +142,7 @@
     fn rank_status(&self) -> Option<RankStatus> {
         let report = self.engine_report()?.clone();
         let epoch = report.epoch;
-        let experts = self.experts_of_map.as_ref();
+        let experts = self.expert_lists_of_map_in_use.as_ref();
         let experts = experts.filter(|it| {
             it.0 == epoch && self.coordinator_needs_expert_lists(it.1)
         });
@@ -214,7 +219,7 @@
         self.record_coordinator_arming_announcement(&directive);
         self.last_directive = Some((directive, self.own_address, now));
         if new {
-            self.poll_again_at_once =
+            self.poll_engine_again_at_once =
                 self.send_order_required_by_directive(directive).await;
         }
         self.send_hold_order().await;
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -54,7 +54,7 @@
     total_selection_counts: CumulativeCounts,
     demand_estimator: DemandEstimator,
     last_sample_time: Millis,
-    last_plan_search: Millis,
+    last_map_search_time: Millis,
     current_plan: Option<MapPlan>,
     /// The plan that preceded the current plan.
     previous_plan: Option<MapPlan>,
@@ -97,7 +97,7 @@
             total_selection_counts: CumulativeCounts::new(),
             demand_estimator: DemandEstimator::new(),
             last_sample_time: Millis(0),
-            last_plan_search: Millis(0),
+            last_map_search_time: Millis(0),
             current_plan: None,
             previous_plan: None,
             plan_in_use: None,
@@ -213,8 +213,9 @@
         service_shape: Option<&LoadSubscription>,
         now: Millis,
     ) {
-        let snapshots = self.recent_snapshots(now);
-        let missing_ranks = self.missing_ranks(service_shape, now);
+        let snapshots = self.recent_rank_snapshots(now);
+        let missing_ranks =
+            self.ranks_without_recent_report(service_shape, now);
         let event = self.switch_coordinator.advance_switch(
             &snapshots,
             missing_ranks,
@@ -229,7 +230,8 @@
         let is_open =
             |it: &RankSnapshot| it.report.standing == GroupState::Open;
         let open = snapshots.iter().all(is_open);
-        let due = now.since(self.last_plan_search) >= MIN_MAP_SEARCH_INTERVAL;
+        let due =
+            now.since(self.last_map_search_time) >= MIN_MAP_SEARCH_INTERVAL;
         if let Some(service_shape) = service_shape
             && self.switch_coordinator.is_idle()
             && self.current_directive().epoch == snapshots[0].report.epoch
@@ -237,13 +239,13 @@
             && due
             && !self.must_not_start_switch
         {
-            self.last_plan_search = now;
+            self.last_map_search_time = now;
             self.start_switch_to_better_map(service_shape, &snapshots, now);
         }
     }
 
     /// Returns snapshots of the ranks whose reports are recent.
-    fn recent_snapshots(&self, now: Millis) -> Vec<RankSnapshot> {
+    fn recent_rank_snapshots(&self, now: Millis) -> Vec<RankSnapshot> {
         let fresh = self
             .statuses_by_rank
             .values()
@@ -273,7 +275,7 @@
     }
 
     /// Returns which ranks of the group have no recent report.
-    fn missing_ranks(
+    fn ranks_without_recent_report(
         &self,
         service_shape: Option<&LoadSubscription>,
         now: Millis,
@@ -344,7 +346,9 @@
     /// and no rank has armed for it. The switch would wait for copies to a map
     /// that is out of date.
     fn abandon_outdated_plan(&mut self) {
-        if self.demand_estimator.demand_shifted_at() < self.last_plan_search {
+        if self.demand_estimator.demand_shifted_at()
+            < self.last_map_search_time
+        {
             return;
         }
         if let Some(version) = self.switch_coordinator.abandon_plan() {
--- a/cowsliproad-rank/src/lib.rs
+++ b/cowsliproad-rank/src/lib.rs
@@ -41,7 +41,8 @@
     info!(log, "started"; "engine" => %settings.engine_address);
     let agent = Agent::new(settings, log.clone()).await?;
     tokio::select! {
-        outcome = agent.run_until_stopped(program::wait_for_stop_signal()) => outcome?,
+        outcome = agent
+            .run_until_stopped(program::wait_for_stop_signal()) => outcome?,
         () = program::watch_settings(settings_path, |reloaded| {
             log_settings_reload(&log, reloaded)
         }) => {}
