--- a/cowsliproad-rank/src/agent/orders.rs
+++ b/cowsliproad-rank/src/agent/orders.rs
@@ -1,5 +1,6 @@
-//! The orders of an agent: to its own engine, and over the network to the
-//! engine of a silent agent or to the engine of the holder.
+//! The orders that an agent sends: to its own engine, and as the coordinator
+//! over the network to the engines of silent agents and to the engine that has
+//! to hold the group.
 
 use std::net::SocketAddr;
 
@@ -11,25 +12,25 @@
 use cowsliproad_routing::cooldown::Cooldown;
 use slog::info;
 
-use super::{Agent, UnansweredArm};
+use super::{Agent, UnansweredArmOrder};
 use crate::{engine::EngineClient, wire::RankStatus};
 
 /// How long an accepted order may take to appear in the engine's report before
-/// the order is repeated. Repeating an order is harmless where copies take
-/// longer.
+/// the order is repeated. Repeating an order is harmless if the copies of
+/// experts that the order requires take longer.
 const ORDER_REPEAT_INTERVAL: Millis = Millis(120);
 
-/// The time after which an unanswered order is no longer executed, with a
-/// margin.
+/// How long an engine may still execute an order after the call that sent the
+/// order failed, with a margin.
 const LATE_ORDER_EXECUTION_TIMEOUT: Millis = Millis(13_000);
 
 /// The interval at which the coordinator calls the engines of silent agents.
-const SILENT_ENGINE_POLL_INTERVAL: Millis = Millis(100);
+const SILENT_AGENT_ENGINE_CALL_INTERVAL: Millis = Millis(100);
 
 impl Agent {
     /// Sends the order that a directive requires of the agent's own engine, if
     /// any, and returns whether an order was sent.
-    pub(super) async fn send_required_order(
+    pub(super) async fn send_order_required_by_directive(
         &mut self,
         directive: Directive,
     ) -> bool {
@@ -76,8 +77,9 @@
             Err(error) => {
                 if let order::Order::Arm(_, switch_pass) = due {
                     let (epoch, order_time) = (directive.epoch, Millis::now());
-                    let arm = UnansweredArm { epoch, switch_pass, order_time };
-                    self.last_actions.unanswered_arm = Some(arm);
+                    let arm =
+                        UnansweredArmOrder { epoch, switch_pass, order_time };
+                    self.last_actions.unanswered_arm_order = Some(arm);
                 }
                 info!(self.log, "order_unanswered"; "order" => name,
                     "aim" => ?directive.desired_state, "error" => %error);
@@ -86,10 +88,11 @@
         true
     }
 
-    /// Acts for a silent agent while the group may be held because of that
+    /// Reads the engine of a silent agent and sends the engine the order that
+    /// is due, as the coordinator, while the group may be held because of that
     /// agent. Calls over the network are slow and block the caller, so only
     /// one VM is called at a time.
-    pub(super) async fn call_silent_engine(&mut self, now: Millis) {
+    pub(super) async fn call_engine_of_silent_agent(&mut self, now: Millis) {
         let (Some(coordinator), Some(shape)) =
             (&self.coordinator, &self.service_shape)
         else {
@@ -98,8 +101,8 @@
         let calm = coordinator.current_directive().desired_state
             == DesiredState::Rest;
         if calm
-            || now.since(self.last_actions.silent_engine_call_time)
-                < SILENT_ENGINE_POLL_INTERVAL
+            || now.since(self.last_actions.silent_agent_engine_call_time)
+                < SILENT_AGENT_ENGINE_CALL_INTERVAL
         {
             return;
         }
@@ -110,16 +113,16 @@
         let silent: Vec<SocketAddr> =
             shape.targets.iter().filter(silent).copied().collect();
         let count = silent.len().max(1);
-        let Some(target) =
-            silent.get(self.last_actions.silent_engine_call_count % count)
+        let Some(target) = silent
+            .get(self.last_actions.silent_agent_engine_call_count % count)
         else {
             return;
         };
-        self.last_actions.silent_engine_call_count += 1;
-        self.last_actions.silent_engine_call_time = now;
+        self.last_actions.silent_agent_engine_call_count += 1;
+        self.last_actions.silent_agent_engine_call_time = now;
         let (target, epoch) = (*target, coordinator.current_directive().epoch);
         let mut engine = self.remote_engine_client(target, epoch);
-        let state = engine.fetch_state().await;
+        let state = engine.fetch_engine_state().await;
         self.record_remote_engine_cooldown(target, epoch, &engine);
         let state = match state {
             Ok(state) => state,
@@ -182,36 +185,40 @@
             map_version_and_experts_by_set: None,
             slowdown_factor: state.slowdown_factor as f32,
             arm_order_status: ArmOrderStatus::InDoubt,
-            coordinator_arming_notice: CoordinatorArmingNotice::Unknown,
+            coordinator_arming_notice_receipt:
+                CoordinatorArmingNotice::Unknown,
             engine_report: report,
         };
         if let Some(coordinator) = &mut self.coordinator {
-            coordinator.merge_status(status, Millis::now());
-            coordinator
-                .advance_switch(self.service_shape.as_ref(), Millis::now());
+            coordinator.merge_rank_status(status, Millis::now());
+            coordinator.advance_map_switch(
+                self.service_shape.as_ref(),
+                Millis::now(),
+            );
         }
     }
 
-    /// Returns whether the engine may still execute an *arm* order of this
-    /// agent or of the agent's previous process. An *arm* for a pass that has
-    /// begun can't be executed any more. The previous process ordered no *arm*
-    /// for a pass farther than [`MAX_BOUNDARY_LEAD_PASSES`] from the first
-    /// pass that this process saw. Without that bound a group whose
-    /// coordinator froze was held for 3.9 s: five agents had restarted two
-    /// seconds before, so that nothing could be cancelled for 13 s.
+    /// Returns whether the engine may still execute an unanswered *arm* order
+    /// that this agent process or the agent's previous process sent. An engine
+    /// no longer executes an *arm* order for a pass that has begun. The
+    /// previous process sent no *arm* order for a pass that is more than
+    /// [`MAX_BOUNDARY_LEAD_PASSES`] after the first pass reported to this
+    /// process. Without this bound a group whose coordinator froze was held
+    /// for 3.9 s: five agents had restarted two seconds before, so that no
+    /// switch of maps could be cancelled for 13 s.
     pub(super) fn arm_order_status(
         &self,
         report: &RankReport,
     ) -> ArmOrderStatus {
         let now = Millis::now();
         let recent = |at: Millis| now.since(at) < LATE_ORDER_EXECUTION_TIMEOUT;
-        let open = self.last_actions.unanswered_arm.is_some_and(|arm| {
+        let open = self.last_actions.unanswered_arm_order.is_some_and(|arm| {
             arm.epoch == report.epoch
                 && arm.switch_pass > report.step
                 && recent(arm.order_time)
         });
         let inherited = recent(self.agent_start)
-            && self.may_previous_process_orders_apply(report);
+            && self.may_orders_of_previous_agent_process_apply(report);
         if open || inherited {
             ArmOrderStatus::InDoubt
         } else {
@@ -221,8 +228,11 @@
 
     /// Returns whether the group is still at passes for which the agent's
     /// previous process may have sent orders.
-    fn may_previous_process_orders_apply(&self, report: &RankReport) -> bool {
-        self.first_reported_pass.is_none_or(|(epoch, step)| {
+    fn may_orders_of_previous_agent_process_apply(
+        &self,
+        report: &RankReport,
+    ) -> bool {
+        self.first_reported_epoch_and_pass.is_none_or(|(epoch, step)| {
             epoch == report.epoch
                 && report.step <= step + MAX_BOUNDARY_LEAD_PASSES
         })
@@ -230,27 +240,29 @@
 
     /// Returns whether the agent has received the announcement that the
     /// coordinator's own rank arms, as far as the agent knows.
-    pub(super) fn coordinator_arming_notice(
+    pub(super) fn coordinator_arming_notice_receipt(
         &self,
         report: &RankReport,
     ) -> CoordinatorArmingNotice {
-        match self.announced_coordinator_arming {
+        match self.announced_coordinator_arming_pass {
             Some((epoch, step)) if epoch == report.epoch => {
                 CoordinatorArmingNotice::Received(step)
             }
-            _ if self.may_previous_process_orders_apply(report) => {
+            _ if self.may_orders_of_previous_agent_process_apply(report) => {
                 CoordinatorArmingNotice::Unknown
             }
             _ => CoordinatorArmingNotice::NotReceived,
         }
     }
 
-    /// Sends the *hold* order to the holder's engine, which is another rank's
-    /// engine and is called over the network.
+    /// Sends the *hold* order over the network to the engine that has to hold
+    /// the group, which is another rank's engine.
     pub(super) async fn send_hold_order(&mut self) {
         let now = Millis::now();
-        let Some((vm, due)) =
-            self.coordinator.as_ref().and_then(|it| it.hold_order_to_send())
+        let Some((vm, due)) = self
+            .coordinator
+            .as_ref()
+            .and_then(|it| it.recipient_vm_and_hold_order())
         else {
             return;
         };
@@ -279,8 +291,8 @@
     }
 
     /// Returns a client of another rank's engine, with the cooldown that the
-    /// engine requested in this formation. An engine that restarts belongs to
-    /// a later formation.
+    /// engine requested in this epoch of the group. An engine that restarts
+    /// belongs to a later epoch.
     fn remote_engine_client(
         &self,
         target: SocketAddr,
@@ -308,8 +320,8 @@
     }
 
     /// Sends an order to another rank's engine, and steps down if the engine
-    /// has seen a higher fencing number. Returns `None` if no answer came, so
-    /// that the outcome is unknown.
+    /// has seen a higher fencing number. Returns `None` if the engine sent no
+    /// answer, so that the outcome is unknown.
     async fn send_order_to_remote_engine(
         &mut self,
         engine: &mut EngineClient,
--- a/cowsliproad-rank/src/engine.rs
+++ b/cowsliproad-rank/src/engine.rs
@@ -2,7 +2,7 @@
 //!
 //! An engine that refuses a call may state in Retry-After when it accepts
 //! calls again. The client sends no call before that time, unless the engine's
-//! process ends: the next process at the address has asked for no pause.
+//! process ends: the next process at the address has requested no cooldown.
 
 use std::{io, net::SocketAddr, time::SystemTime};
 
@@ -30,8 +30,8 @@
 /// and repeating an unanswered order is harmless.
 const ORDER_ANSWER_TIMEOUT: Millis = Millis(40);
 
-/// The largest accepted answer body: the counts of some hundred thousand
-/// experts.
+/// The largest accepted body of an engine's answer: enough for the selection
+/// counts of some hundred thousand experts.
 const MAX_ENGINE_ANSWER_BYTES: usize = 4 << 20;
 
 /// The interval at which the client reconnects to an engine in its cooldown
@@ -77,7 +77,7 @@
     }
 
     /// Fetches the engine's load and its rank's report.
-    pub async fn fetch_state(&mut self) -> io::Result<EngineState> {
+    pub async fn fetch_engine_state(&mut self) -> io::Result<EngineState> {
         let (_, body) = self.send_request(engine::state_request()).await?;
         Ok(engine::decode_state(&body)?)
     }
@@ -108,8 +108,9 @@
         fencing_number: u64,
     ) -> io::Result<OrderResult> {
         let request = engine::order_request(order, epoch, fencing_number);
-        let (status, _) =
-            self.send_request_within(ORDER_ANSWER_TIMEOUT, request).await?;
+        let (status, _) = self
+            .send_request_with_timeout(ORDER_ANSWER_TIMEOUT, request)
+            .await?;
         Ok(engine::decode_verdict(status))
     }
 
@@ -117,15 +118,15 @@
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> io::Result<(StatusCode, Bytes)> {
-        self.send_request_within(ENGINE_ANSWER_TIMEOUT, request).await
+        self.send_request_with_timeout(ENGINE_ANSWER_TIMEOUT, request).await
     }
 
-    async fn send_request_within(
+    async fn send_request_with_timeout(
         &mut self,
         timeout: Millis,
         request: Request<Full<Bytes>>,
     ) -> io::Result<(StatusCode, Bytes)> {
-        self.fail_during_cooldown().await?;
+        self.reject_request_during_cooldown().await?;
         let timeout = timeout.duration();
         let call = self
             .connection
@@ -153,9 +154,11 @@
         self.engine_is_leaving = leaving.is_some_and(header::is_flag_set);
     }
 
-    /// Returns an error while the engine is in its cooldown. The end of the
-    /// engine's process shows on the connection that the client keeps open.
-    async fn fail_during_cooldown(&mut self) -> io::Result<()> {
+    /// Returns an error while the engine is in its cooldown. If the connection
+    /// to the engine is closed and a new connection is refused, the engine's
+    /// process has ended, and the cooldown that the process requested ends
+    /// too.
+    async fn reject_request_during_cooldown(&mut self) -> io::Result<()> {
         let now = Millis::now();
         if self.cooldown.cooldown_end(now).is_none() {
             return Ok(());
--- a/cowsliproad-rank/src/wire.rs
+++ b/cowsliproad-rank/src/wire.rs
@@ -20,7 +20,7 @@
     pub group_name: Name,
     /// The content of the datagram.
     #[serde(rename = "m")]
-    pub message: T,
+    pub agent_message: T,
 }
 
 /// A message from one agent to another.
@@ -54,14 +54,14 @@
     /// The report of the rank's engine.
     #[serde(rename = "r")]
     pub engine_report: RankReport,
-    /// Whether an *arm* order that the report doesn't show may still be
-    /// executed.
+    /// Whether the engine may still execute an *arm* order that the engine's
+    /// report doesn't show.
     #[serde(rename = "o")]
     pub arm_order_status: ArmOrderStatus,
     /// Whether the agent has received the announcement that the coordinator's
     /// own rank arms.
     #[serde(rename = "l")]
-    pub coordinator_arming_notice: CoordinatorArmingNotice,
+    pub coordinator_arming_notice_receipt: CoordinatorArmingNotice,
     /// The factor by which the engine's work takes longer than normal.
     #[serde(rename = "t")]
     pub slowdown_factor: f32,
@@ -71,8 +71,9 @@
     /// The version of the plan that the agent has.
     #[serde(rename = "p")]
     pub held_plan_version: Option<Version>,
-    /// The engine's experts by set, with the version of their map. Present
-    /// only if the coordinator needs the lists.
+    /// The experts that the engine holds, by set of layers, with the version
+    /// of the map that assigns them. Present only if the coordinator needs the
+    /// lists.
     #[serde(rename = "x")]
     pub map_version_and_experts_by_set: Option<(Version, Vec<Vec<u16>>)>,
 }
@@ -80,10 +81,10 @@
 /// The part of a rank's status whose changes are sent to the coordinator
 /// without delay.
 #[derive(Clone, Debug, PartialEq)]
-pub struct UrgentStatus {
+pub struct UrgentRankStatus {
     engine_report: RankReport,
     arm_order_status: ArmOrderStatus,
-    coordinator_arming_notice: CoordinatorArmingNotice,
+    coordinator_arming_notice_receipt: CoordinatorArmingNotice,
     max_known_fencing_number: u64,
     held_plan_version: Option<Version>,
 }
@@ -91,21 +92,21 @@
 impl RankStatus {
     /// Returns the part of the status whose changes are sent to the
     /// coordinator without delay.
-    pub fn urgent_status(&self) -> UrgentStatus {
+    pub fn urgent_rank_status(&self) -> UrgentRankStatus {
         // The pass number is left out: it changes with each pass.
         let engine_report =
             RankReport { step: 0, ..self.engine_report.clone() };
         let RankStatus {
             arm_order_status,
-            coordinator_arming_notice,
+            coordinator_arming_notice_receipt,
             max_known_fencing_number,
             held_plan_version,
             ..
         } = *self;
-        UrgentStatus {
+        UrgentRankStatus {
             engine_report,
             arm_order_status,
-            coordinator_arming_notice,
+            coordinator_arming_notice_receipt,
             max_known_fencing_number,
             held_plan_version,
         }
@@ -117,10 +118,13 @@
 /// for a moment.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct SelectionGrowth {
-    /// The number of selections that one unit of growth stands for.
+    /// The number of expert selections that one unit in
+    /// `growth_units_by_expert` stands for.
     #[serde(rename = "s")]
     pub selections_per_growth_unit: u64,
-    /// The growth of the count of each expert in units, one set after another.
+    /// The growth of each expert's selection count, in units of
+    /// `selections_per_growth_unit`: the experts of the first set of layers,
+    /// then those of the next sets.
     #[serde(rename = "u", with = "serde_bytes")]
-    pub growth_in_units: Vec<u8>,
+    pub growth_units_by_expert: Vec<u8>,
 }
