--- a/cowsliproad-admission/src/quarantine.rs
+++ b/cowsliproad-admission/src/quarantine.rs
@@ -6,8 +6,8 @@
 //! and would crash one target after the other, unless entry processes
 //! recognise the request by a digest of its content ([`WorkDigest`]). Each
 //! entry process records which requests were running when a target crashed,
-//! and gossips this to the other entry processes ([`SuspectedRequest`]). Once
-//! [`CRASH_THRESHOLD`] targets have crashed under one request, all entry
+//! and gossips this to the other entry processes ([`CrashSuspectRequest`]).
+//! Once [`CRASH_THRESHOLD`] targets have crashed under one request, all entry
 //! processes refuse that request ([`CrashLedger::verdict`]).
 //!
 //! Where targets work in lock-step, the crash of one target stops its whole
@@ -45,7 +45,7 @@
     collections::{BTreeSet, HashMap, HashSet},
 };
 
-use cowsliproad_kernel::{clock::Millis, gossip::SuspectedRequest};
+use cowsliproad_kernel::{clock::Millis, gossip::CrashSuspectRequest};
 
 use self::case::QuarantineCase;
 pub use self::work::{CrashId, WorkDigest};
@@ -252,7 +252,7 @@
         crash: CrashId,
         now: Millis,
     ) -> QuarantineChange {
-        let suspect = SuspectedRequest {
+        let suspect = CrashSuspectRequest {
             request_hash: work.0,
             crash_ids: vec![crash.0],
             excused_crash_ids: Vec::new(),
@@ -293,7 +293,7 @@
     /// reports about a request.
     pub fn merge_remote_suspect(
         &mut self,
-        suspect: &SuspectedRequest,
+        suspect: &CrashSuspectRequest,
         now: Millis,
     ) -> QuarantineChange {
         self.merge_suspect(suspect, OBSERVATION_RELAY_TTL, now)
@@ -303,7 +303,7 @@
     /// for `broadcast_ttl` if the observation changed the case.
     fn merge_suspect(
         &mut self,
-        suspect: &SuspectedRequest,
+        suspect: &CrashSuspectRequest,
         broadcast_ttl: Millis,
         now: Millis,
     ) -> QuarantineChange {
@@ -472,14 +472,14 @@
         &self,
         work: WorkDigest,
         now: Millis,
-    ) -> Option<SuspectedRequest> {
+    ) -> Option<CrashSuspectRequest> {
         let now = now + LEDGER_CLOCK_OFFSET;
         self.cases.get(&work).map(|it| it.to_suspect(work, now))
     }
 
     /// Returns the quarantine cases to broadcast: those of refused requests
     /// and those that changed recently.
-    pub fn broadcast_suspects(&self, now: Millis) -> Vec<SuspectedRequest> {
+    pub fn broadcast_suspects(&self, now: Millis) -> Vec<CrashSuspectRequest> {
         self.select_broadcast_suspects(now, |case, now| {
             case.is_broadcast_due(now)
         })
@@ -490,7 +490,7 @@
     pub fn broadcast_and_suspended_suspects(
         &self,
         now: Millis,
-    ) -> Vec<SuspectedRequest> {
+    ) -> Vec<CrashSuspectRequest> {
         self.select_broadcast_suspects(now, |case, now| {
             case.is_broadcast_due(now)
                 || case.remaining_suspension(now).is_some()
@@ -504,7 +504,7 @@
         &self,
         now: Millis,
         is_selected: impl Fn(&QuarantineCase, Millis) -> bool,
-    ) -> Vec<SuspectedRequest> {
+    ) -> Vec<CrashSuspectRequest> {
         let now = now + LEDGER_CLOCK_OFFSET;
         let mut selected: Vec<(&WorkDigest, &QuarantineCase)> =
             self.cases.iter().filter(|it| is_selected(it.1, now)).collect();
@@ -524,10 +524,10 @@
 
     /// Returns the unexpired quarantine cases with the most crashes, for a
     /// peer that was unreachable.
-    pub fn snapshot_suspects(&self, now: Millis) -> Vec<SuspectedRequest> {
+    pub fn snapshot_suspects(&self, now: Millis) -> Vec<CrashSuspectRequest> {
         let now = now + LEDGER_CLOCK_OFFSET;
         let cases = self.cases.iter().filter(|it| !it.1.is_expired(now));
-        let mut cases: Vec<SuspectedRequest> =
+        let mut cases: Vec<CrashSuspectRequest> =
             cases.map(|it| it.1.to_suspect(*it.0, now)).collect();
         cases.sort_by_key(|it| {
             (Reverse(it.crash_ids.len()), it.since_last_received)
--- a/cowsliproad-admission/src/quarantine/case.rs
+++ b/cowsliproad-admission/src/quarantine/case.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use cowsliproad_kernel::{clock::Millis, gossip::SuspectedRequest};
+use cowsliproad_kernel::{clock::Millis, gossip::CrashSuspectRequest};
 
 use super::{
     CRASH_THRESHOLD, CrashId, MAX_EXCUSED_CRASHES_PER_REQUEST,
@@ -124,8 +124,8 @@
         &self,
         work: WorkDigest,
         now: Millis,
-    ) -> SuspectedRequest {
-        SuspectedRequest {
+    ) -> CrashSuspectRequest {
+        CrashSuspectRequest {
             request_hash: work.0,
             crash_ids: self.crashes.iter().map(|it| it.0).collect(),
             excused_crash_ids: self
--- a/cowsliproad-agent/src/ends.rs
+++ b/cowsliproad-agent/src/ends.rs
@@ -24,7 +24,7 @@
 use cowsliproad_kernel::{
     clock::Millis,
     code::{Code, ExecutionStatus},
-    gossip::SuspectedRequest,
+    gossip::CrashSuspectRequest,
     id,
     sync::lock,
     wire::{RequestFailure, TargetPresence},
@@ -119,7 +119,7 @@
     }
 
     /// What entries haven't been told yet.
-    pub fn take_news(&self) -> Vec<SuspectedRequest> {
+    pub fn take_news(&self) -> Vec<CrashSuspectRequest> {
         let mut inner = lock(&self.inner);
         inner.changed = false;
         let news = std::mem::take(&mut inner.news);
@@ -131,7 +131,7 @@
     }
 
     /// All that an entry is told that has just linked.
-    pub fn known(&self) -> Vec<SuspectedRequest> {
+    pub fn known(&self) -> Vec<CrashSuspectRequest> {
         let mut inner = lock(&self.inner);
         let now = Millis::now();
         inner.ledger.evict_expired_cases(now);
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -28,8 +28,8 @@
     id,
     sync::lock,
     wire::{
-        AgentLoad, CancelRequest, Handover, Heartbeat, ProcessPhase,
-        ReclaimAnswer, RequestFailure, StoredAnswer,
+        AgentLoad, CancelRequest, FetchAnswerRequest, Handover, Heartbeat,
+        ProcessPhase, RequestFailure, StoredAnswer,
     },
 };
 use opentelemetry::{
@@ -160,7 +160,7 @@
     /// Finds kept or running work for its organisation.
     pub fn reclaim(
         &self,
-        reclaim: &ReclaimAnswer,
+        reclaim: &FetchAnswerRequest,
     ) -> Result<Arc<Work>, RequestFailure> {
         self.find(reclaim.request, &reclaim.organisation)
     }
--- a/cowsliproad-agent/src/links.rs
+++ b/cowsliproad-agent/src/links.rs
@@ -15,12 +15,12 @@
 };
 
 use cowsliproad_kernel::{
-    gossip::SuspectedRequest,
+    gossip::CrashSuspectRequest,
     id,
     sync::lock,
     wire::{
-        self, AnswerData, AnswerEnd, AttemptRefusal, Frame, Handover,
-        ProcessPhase, ReclaimAnswer, RequestAccepted, SubmitRequest,
+        self, AnswerData, AnswerEnd, AttemptRefusal, FetchAnswerRequest,
+        Frame, Handover, ProcessPhase, RequestAccepted, SubmitRequest,
     },
 };
 use cowsliproad_net::link::{self, Receiver, Sender};
@@ -106,8 +106,8 @@
 }
 
 /// Tells an entry of work that ended the target, also on a busy link.
-fn tell(link: &Sender, suspects: Vec<SuspectedRequest>) {
-    let frame = Frame::SuspectedRequests(suspects);
+fn tell(link: &Sender, suspects: Vec<CrashSuspectRequest>) {
+    let frame = Frame::CrashSuspectRequests(suspects);
     if link.try_send(frame.clone()).is_ok() {
         return;
     }
@@ -188,7 +188,7 @@
     async fn take(&mut self, frame: Frame) {
         match frame {
             Frame::SubmitRequest(submit) => self.submit(*submit),
-            Frame::ReclaimAnswer(reclaim) => self.reclaim(&reclaim),
+            Frame::FetchAnswerRequest(reclaim) => self.reclaim(&reclaim),
             Frame::AnswerAck(ack) => {
                 if let Some(listener) = self.attempts.get(&ack.attempt) {
                     listener.window.open(ack.delivered_bytes);
@@ -224,7 +224,7 @@
         }
     }
 
-    fn reclaim(&mut self, reclaim: &ReclaimAnswer) {
+    fn reclaim(&mut self, reclaim: &FetchAnswerRequest) {
         match self.links.gate.reclaim(reclaim) {
             Ok(work) => {
                 self.listen(reclaim.attempt, work, reclaim.first_byte_offset)
--- a/cowsliproad-bench/src/experiment/limits.rs
+++ b/cowsliproad-bench/src/experiment/limits.rs
@@ -522,7 +522,7 @@
             request_id: number,
             rate_limit: limit.clone(),
             permit_granted: true,
-            permit_or_retry_wait: none,
+            wait_before_send_or_retry: none,
         };
         Sizes {
             question: gossip::encode(&Datagram::PermitRequest(ask)).len(),
--- a/cowsliproad-bench/src/experiment/quarantine.rs
+++ b/cowsliproad-bench/src/experiment/quarantine.rs
@@ -21,7 +21,7 @@
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    gossip::{self, SuspectedRequest, SuspectedRequests},
+    gossip::{self, CrashSuspectRequest, CrashSuspectRequests},
     plugin::inventory,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IteratorRandom};
@@ -174,8 +174,8 @@
     requests: BTreeMap<u64, (usize, Request)>,
     next: u64,
     events: BinaryHeap<Reverse<(u64, Event)>>,
-    words: BTreeMap<u64, Vec<SuspectedRequest>>,
-    log: BTreeMap<WorkDigest, SuspectedRequest>,
+    words: BTreeMap<u64, Vec<CrashSuspectRequest>>,
+    log: BTreeMap<WorkDigest, CrashSuspectRequest>,
     own: HashSet<(usize, WorkDigest)>,
     /// When each entry's process started.
     born: Vec<u64>,
@@ -382,7 +382,7 @@
         }
     }
 
-    fn hear(&mut self, entry: usize, suspect: &SuspectedRequest) {
+    fn hear(&mut self, entry: usize, suspect: &CrashSuspectRequest) {
         let now = Millis(self.now);
         let change = self.ledgers[entry].merge_remote_suspect(suspect, now);
         if change != QuarantineChange::None {
@@ -405,7 +405,7 @@
             return;
         };
         let kept = self.log.get(&work);
-        let same = |it: &SuspectedRequest| {
+        let same = |it: &CrashSuspectRequest| {
             (&it.crash_ids, &it.excused_crash_ids, it.completed_without_crash)
                 == (
                     &suspect.crash_ids,
@@ -434,7 +434,7 @@
             return;
         }
         let bytes =
-            gossip::encode(&SuspectedRequests::pack(told.clone())).len();
+            gossip::encode(&CrashSuspectRequests::pack(told.clone())).len();
         let others = (0..self.size.entries).filter(|it| *it != entry);
         let others = others.choose_multiple(&mut self.random, MAX_TOLD);
         for other in others {
@@ -446,7 +446,7 @@
         }
     }
 
-    fn say(&mut self, entry: usize, told: Vec<SuspectedRequest>) {
+    fn say(&mut self, entry: usize, told: Vec<CrashSuspectRequest>) {
         self.next += 1;
         self.words.insert(self.next, told);
         self.at(self.now + WAY_MS, Event::Words(entry, self.next));
@@ -467,7 +467,7 @@
         self.own.retain(|it| it.0 != entry);
         if self.policy >= Policy::Kept {
             self.score.calls += 1;
-            let kept: Vec<SuspectedRequest> =
+            let kept: Vec<CrashSuspectRequest> =
                 self.log.values().cloned().collect();
             self.say(entry, kept);
         }
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -290,10 +290,10 @@
         };
         match ask(entry, other, target, patience, relays - 1).await {
             Some(it) if it.permit_granted => {
-                return PermitDecision::Permit(it.permit_or_retry_wait);
+                return PermitDecision::Permit(it.wait_before_send_or_retry);
             }
             Some(it) => {
-                return PermitDecision::Later(it.permit_or_retry_wait);
+                return PermitDecision::Later(it.wait_before_send_or_retry);
             }
             None => {
                 let until = Millis::now() + MUTE_TTL;
@@ -357,7 +357,7 @@
             request_id: ask.request_id,
             rate_limit,
             permit_granted: given,
-            permit_or_retry_wait: after,
+            wait_before_send_or_retry: after,
         };
         entry.say(Datagram::PermitReply(reply), from).await;
     });
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -82,7 +82,7 @@
         layer_set_count: engine.layer_set_count as u16,
         experts_per_layer_set: engine.experts_per_layer_set as u16,
         expert_slots_per_layer_set: engine.experts_per_rank as u16,
-        max_new_experts_per_layer_set: engine
+        max_experts_added_to_rank_per_layer_set: engine
             .max_experts_added_to_rank_per_layer_set
             as u16,
         expert_copy_ms: engine.expert_copy_time.0,
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -22,7 +22,7 @@
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    gossip::{self, SuspectedRequest, SuspectedRequests},
+    gossip::{self, CrashSuspectRequest, CrashSuspectRequests},
 };
 use cowsliproad_platform::log::{self, Client, Record};
 use cowsliproad_routing::fleet::{ProcessStartUnixMs, Target};
@@ -112,7 +112,7 @@
 #[derive(Debug, Deserialize, Serialize)]
 struct Kept {
     #[serde(rename = "s")]
-    suspect: SuspectedRequest,
+    suspect: CrashSuspectRequest,
     /// When it was written, as a Unix millisecond.
     #[serde(rename = "t")]
     at: u64,
@@ -142,13 +142,13 @@
         &self,
         update: Update,
         now: Millis,
-    ) -> (SuspectedRequests, Vec<u64>) {
+    ) -> (CrashSuspectRequests, Vec<u64>) {
         let suspects = match update {
             Update::Changed => self.ledger.broadcast_suspects(now),
             Update::All => self.ledger.broadcast_and_suspended_suspects(now),
         };
         (
-            SuspectedRequests::pack(suspects),
+            CrashSuspectRequests::pack(suspects),
             self.ledger.recently_retracted_crash_ids(now),
         )
     }
@@ -195,7 +195,7 @@
     }
 
     /// Notes that the log keeps so much of a piece of work.
-    fn note_kept(&mut self, kept: &SuspectedRequest, now: Millis) {
+    fn note_kept(&mut self, kept: &CrashSuspectRequest, now: Millis) {
         let work = WorkDigest(kept.request_hash);
         if let Some(own) = self.ledger.export_suspect(work, now)
             && covers(kept, &own)
@@ -333,7 +333,7 @@
     /// Takes in what another entry tells of work that ends targets.
     pub fn hear_suspects(
         &self,
-        suspects: &SuspectedRequests,
+        suspects: &CrashSuspectRequests,
         lives: &[u64],
         now: Millis,
     ) {
@@ -347,7 +347,7 @@
 
     fn hear_suspect(
         &self,
-        suspect: &SuspectedRequest,
+        suspect: &CrashSuspectRequest,
         now: Millis,
         source: Source,
     ) -> QuarantineChange {
@@ -480,7 +480,7 @@
 fn note_lost(entry: &Entry, kept: &[Kept]) {
     let now = Millis::now();
     let kept = kept.iter().map(|it| (it.suspect.request_hash, &it.suspect));
-    let kept: HashMap<u64, &SuspectedRequest> = kept.collect();
+    let kept: HashMap<u64, &CrashSuspectRequest> = kept.collect();
     let entries = entry.peers.borrow().entries() as u64;
     let others = Millis(REWRITE_DELAY_PER_ENTRY.0 * entries);
     let others = others.min(MAX_REWRITE_DELAY);
@@ -506,7 +506,7 @@
 }
 
 /// Whether what the log keeps of a piece of work says all that is known.
-fn covers(kept: &SuspectedRequest, own: &SuspectedRequest) -> bool {
+fn covers(kept: &CrashSuspectRequest, own: &CrashSuspectRequest) -> bool {
     let tells = |it: &u64| {
         kept.crash_ids.contains(it) || kept.excused_crash_ids.contains(it)
     };
@@ -568,7 +568,7 @@
         entry.quarantine.borrow().ledger.export_suspect(work, Millis::now());
     // A suspension is over before others read it again.
     let suspect =
-        suspect.map(|it| SuspectedRequest { suspension_left: None, ..it });
+        suspect.map(|it| CrashSuspectRequest { suspension_left: None, ..it });
     let kept = suspect.map(|suspect| Kept { suspect, at: unix_now() });
     kept.map(|it| gossip::encode(&it)).unwrap_or_default()
 }
--- a/cowsliproad-direct/src/stream.rs
+++ b/cowsliproad-direct/src/stream.rs
@@ -209,7 +209,7 @@
                 self.attempt.progress();
                 return Next::Event(event);
             }
-            if self.splitter.exceeds_max_size() {
+            if self.splitter.event_exceeds_max_size() {
                 return Next::Failed(AttemptError::Unknown(
                     "an event without an end",
                 ));
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -31,7 +31,7 @@
     code::{Code, ExecutionStatus},
     id,
     wire::{
-        AnswerAck, AnswerEnd, Frame, ReclaimAnswer, RequestFailure,
+        AnswerAck, AnswerEnd, FetchAnswerRequest, Frame, RequestFailure,
         RequestPersistence, SEND_WINDOW_BYTES, SubmitMode, SubmitRequest,
     },
 };
@@ -268,7 +268,7 @@
             );
         };
         let attempt = id::Attempt::random();
-        let reclaim = ReclaimAnswer {
+        let reclaim = FetchAnswerRequest {
             attempt,
             request: token.request,
             organisation: token.organisation,
@@ -277,7 +277,7 @@
         let assembly = AnswerAssembly::starting_at(attempt, first_byte);
         self.send_first_frame(
             target,
-            Frame::ReclaimAnswer(reclaim),
+            Frame::FetchAnswerRequest(reclaim),
             assembly,
             token.request,
         )
--- a/cowsliproad-entry/src/forward/failure.rs
+++ b/cowsliproad-entry/src/forward/failure.rs
@@ -9,7 +9,7 @@
     code::{Code, ExecutionStatus},
     id,
     sync::lock,
-    wire::{Frame, ReclaimAnswer, RequestFailure},
+    wire::{FetchAnswerRequest, Frame, RequestFailure},
 };
 use tokio::time::sleep;
 
@@ -78,7 +78,7 @@
                 token.organisation.clone()
             }
         };
-        let reclaim = ReclaimAnswer {
+        let reclaim = FetchAnswerRequest {
             attempt: next,
             request: attempt.request_id,
             organisation,
@@ -87,7 +87,7 @@
         let assembly = attempt.assembly.resume(next);
         self.send_first_frame(
             target,
-            Frame::ReclaimAnswer(reclaim),
+            Frame::FetchAnswerRequest(reclaim),
             assembly,
             attempt.request_id,
         )
--- a/cowsliproad-entry/src/links.rs
+++ b/cowsliproad-entry/src/links.rs
@@ -91,7 +91,7 @@
                     .sync_config_with_peer(shared, &sender, offset)
                     .await;
             }
-            Frame::SuspectedRequests(suspects) => {
+            Frame::CrashSuspectRequests(suspects) => {
                 quarantine::merge_suspected_requests(shared, target, suspects);
             }
             other => handle_agent_frame(shared, &sender, &link, other).await,
--- a/cowsliproad-entry/src/quarantine.rs
+++ b/cowsliproad-entry/src/quarantine.rs
@@ -12,7 +12,7 @@
 use cowsliproad_kernel::{
     clock::Millis,
     code::{Code, ExecutionStatus},
-    gossip::SuspectedRequest,
+    gossip::CrashSuspectRequest,
     sync::lock,
     wire::RequestFailure,
 };
@@ -36,7 +36,7 @@
 pub fn merge_suspected_requests(
     shared: &EntryState,
     target: &Target,
-    suspects: Vec<SuspectedRequest>,
+    suspects: Vec<CrashSuspectRequest>,
 ) {
     let now = Millis::now();
     let mut ledger = lock(&shared.crash_ledger);
@@ -44,7 +44,7 @@
     for suspect in suspects {
         let work = WorkDigest(suspect.request_hash)
             .combine_with_service(&target.service);
-        let suspect = SuspectedRequest { request_hash: work.0, ..suspect };
+        let suspect = CrashSuspectRequest { request_hash: work.0, ..suspect };
         let change = ledger.merge_remote_suspect(&suspect, now);
         if matches!(
             change,
--- a/cowsliproad-kernel/src/gossip.rs
+++ b/cowsliproad-kernel/src/gossip.rs
@@ -111,9 +111,9 @@
     #[serde(
         rename = "q",
         default,
-        skip_serializing_if = "SuspectedRequests::is_empty"
+        skip_serializing_if = "CrashSuspectRequests::is_empty"
     )]
-    pub suspected_requests: SuspectedRequests,
+    pub suspected_requests: CrashSuspectRequests,
     /// Identifiers of reported target crashes that turned out to be false.
     #[serde(rename = "b", default, skip_serializing_if = "Vec::is_empty")]
     pub retracted_crash_ids: Vec<u64>,
@@ -174,10 +174,11 @@
     /// Whether the permit to send a request to the target is granted.
     #[serde(rename = "g")]
     pub permit_granted: bool,
-    /// The wait in milliseconds until a granted permit may be used, or until a
-    /// rejected permit request may be retried.
+    /// A wait in milliseconds. If the permit is granted: until the request may
+    /// be sent to the target. If it is not: until the permit may be requested
+    /// again.
     #[serde(rename = "w")]
-    pub permit_or_retry_wait: Millis,
+    pub wait_before_send_or_retry: Millis,
 }
 
 /// Returns the empty name, which stands for the availability zone of a sender
@@ -188,7 +189,7 @@
 
 /// A request that is suspected of crashing the targets that run it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct SuspectedRequest {
+pub struct CrashSuspectRequest {
     /// Identifies the request's content: a hash of the caller, the path and the
     /// body.
     #[serde(rename = "w")]
@@ -242,7 +243,7 @@
     /// The number of experts in each set of layers that one map change may add
     /// to a rank.
     #[serde(rename = "n")]
-    pub max_new_experts_per_layer_set: u16,
+    pub max_experts_added_to_rank_per_layer_set: u16,
     /// How long a rank takes to copy an expert, in milliseconds.
     #[serde(rename = "c")]
     pub expert_copy_ms: u64,
@@ -299,14 +300,14 @@
 /// it ran many requests, and nothing else is known of these requests. Each such
 /// request takes 8 bytes instead of about 35.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct SuspectedRequests {
+pub struct CrashSuspectRequests {
     /// Requests of which only one crash is known: for each crash, its
     /// identifier and the concatenated hashes of the requests.
     #[serde(rename = "o")]
     single_crash_requests: Vec<(u64, ByteBuf)>,
     /// All other suspected requests.
     #[serde(rename = "m")]
-    other_requests: Vec<SuspectedRequest>,
+    other_requests: Vec<CrashSuspectRequest>,
 }
 
 /// The encoded size of the hash that identifies a suspected request.
@@ -314,15 +315,15 @@
 
 /// Whether nothing is known of a suspected request but the crashes attributed
 /// to it.
-fn has_only_crash_ids(request: &SuspectedRequest) -> bool {
+fn has_only_crash_ids(request: &CrashSuspectRequest) -> bool {
     !request.completed_without_crash
         && request.rejected_for.is_none()
         && request.suspension_left.is_none()
 }
 
-impl SuspectedRequests {
+impl CrashSuspectRequests {
     /// Encodes suspected requests compactly.
-    pub fn pack(requests: Vec<SuspectedRequest>) -> SuspectedRequests {
+    pub fn pack(requests: Vec<CrashSuspectRequest>) -> CrashSuspectRequests {
         let mut single_crash_requests: BTreeMap<u64, ByteBuf> =
             BTreeMap::new();
         let mut other_requests = Vec::new();
@@ -338,7 +339,7 @@
                 _ => other_requests.push(request),
             }
         }
-        SuspectedRequests {
+        CrashSuspectRequests {
             single_crash_requests: single_crash_requests.into_iter().collect(),
             other_requests,
         }
@@ -352,11 +353,11 @@
     /// Decodes the suspected requests. A compactly encoded request counts as
     /// received just now, because such requests are broadcast for only a few
     /// seconds.
-    pub fn unpack(&self) -> impl Iterator<Item = SuspectedRequest> {
+    pub fn unpack(&self) -> impl Iterator<Item = CrashSuspectRequest> {
         let single_crash_requests =
             self.single_crash_requests.iter().flat_map(|(crash, hashes)| {
                 hashes.chunks_exact(REQUEST_HASH_BYTES).map(|hash| {
-                    SuspectedRequest {
+                    CrashSuspectRequest {
                         request_hash: hash.iter().fold(0, |value, byte| {
                             value << 8 | u64::from(*byte)
                         }),
--- a/cowsliproad-kernel/src/wire.rs
+++ b/cowsliproad-kernel/src/wire.rs
@@ -13,7 +13,7 @@
     Name,
     clock::Millis,
     code::{Code, ExecutionStatus},
-    gossip::SuspectedRequest,
+    gossip::CrashSuspectRequest,
     id,
 };
 
@@ -48,7 +48,7 @@
     SubmitRequest(Box<SubmitRequest>),
     /// The entry process asks for a stored answer.
     #[serde(rename = "rc")]
-    ReclaimAnswer(ReclaimAnswer),
+    FetchAnswerRequest(FetchAnswerRequest),
     /// The entry process needs no more frames of the given attempt.
     #[serde(rename = "de")]
     Detach(id::Attempt),
@@ -85,7 +85,7 @@
     PullConfig(u64),
     /// Requests that are suspected of crashing the agent's target.
     #[serde(rename = "sp")]
-    SuspectedRequests(Vec<SuspectedRequest>),
+    CrashSuspectRequests(Vec<CrashSuspectRequest>),
     /// Ticket records and stored answers of an agent that is shutting down.
     #[serde(rename = "ho")]
     Handover(Box<Handover>),
@@ -234,7 +234,7 @@
 pub enum Urgency {
     /// People are held up until the answer comes: at a gate, a tug or a plate.
     Urgent,
-    /// A person at a desk waits for the answer.
+    /// Normal urgency: a user waits interactively for the answer.
     Normal,
     /// The request may wait, but must not be lost.
     Background,
@@ -308,7 +308,7 @@
 
 /// Asks for a stored answer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct ReclaimAnswer {
+pub struct FetchAnswerRequest {
     /// The attempt that frames with the answer refer to.
     #[serde(rename = "a")]
     pub attempt: id::Attempt,
--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -379,13 +379,13 @@
                     );
                 }
             }
-            AgentMessage::SelectionGrowth(growth) => {
+            AgentMessage::SelectionCountIncrease(increase) => {
                 let shape = self.service_shape.as_ref();
                 let experts_per_set =
                     shape.map_or(0, |it| it.experts_per_layer_set.into());
                 if let Some(coordinator) = &mut self.coordinator {
-                    coordinator.add_growth_to_selection_counts(
-                        growth,
+                    coordinator.add_selection_count_increase(
+                        increase,
                         experts_per_set,
                     );
                 }
@@ -447,7 +447,7 @@
             self.last_actions.load_report_time = now;
             self.report_load_to_entry_processes().await;
         }
-        self.report_selection_growth(now).await;
+        self.report_selection_count_increase(now).await;
         self.report_status_to_coordinator(now).await;
         self.act_as_coordinator_or_candidate(now).await;
     }
--- a/cowsliproad-rank/src/agent/orders.rs
+++ b/cowsliproad-rank/src/agent/orders.rs
@@ -182,7 +182,7 @@
             ),
             max_known_fencing_number,
             held_plan_version: None,
-            map_version_and_experts_by_set: None,
+            map_version_and_experts_by_layer_set: None,
             slowdown_factor: state.slowdown_factor as f32,
             arm_order_status: ArmOrderStatus::InDoubt,
             coordinator_arming_notice_receipt:
--- a/cowsliproad-rank/src/agent/readings.rs
+++ b/cowsliproad-rank/src/agent/readings.rs
@@ -9,7 +9,7 @@
 use super::{Agent, EngineProcessState};
 use crate::{
     rota::{SelectionCountReportAction, SelectionCountReportSchedule},
-    wire::{AgentMessage, SelectionGrowth},
+    wire::{AgentMessage, SelectionCountIncrease},
 };
 
 /// The rate at which agents send selection counts to a coordinator, in bytes
@@ -90,8 +90,11 @@
     }
 
     /// Reads the selection counts if the schedule requires this, and sends
-    /// their growth to the coordinator.
-    pub(super) async fn report_selection_growth(&mut self, now: Millis) {
+    /// their increase to the coordinator.
+    pub(super) async fn report_selection_count_increase(
+        &mut self,
+        now: Millis,
+    ) {
         let (Some(shape), Some(report)) =
             (&self.service_shape, self.engine_report())
         else {
@@ -127,7 +130,7 @@
         let before = self.last_selection_counts.replace(counts.clone());
         let growth = before
             .filter(|it| {
-                due == SelectionCountReportAction::ReportGrowth
+                due == SelectionCountReportAction::ReportIncrease
                     && it.0 == counts.0
             })
             .and_then(|it| CountGrowth::from_counts(&it.1, &counts.1));
@@ -138,16 +141,16 @@
         else {
             return;
         };
-        let reported_growth = SelectionGrowth {
-            selections_per_growth_unit: scale,
-            growth_units_by_expert: units,
+        let reported_increase = SelectionCountIncrease {
+            selections_per_increase_unit: scale,
+            increase_units_by_expert: units,
         };
         match &mut self.coordinator {
             Some(coordinator) => coordinator
-                .add_growth_to_selection_counts(reported_growth, experts),
+                .add_selection_count_increase(reported_increase, experts),
             None => {
                 self.send_message_to_agents(
-                    &AgentMessage::SelectionGrowth(reported_growth),
+                    &AgentMessage::SelectionCountIncrease(reported_increase),
                     &[to],
                 )
                 .await
--- a/cowsliproad-rank/src/agent/words.rs
+++ b/cowsliproad-rank/src/agent/words.rs
@@ -153,7 +153,7 @@
                 .held_plan
                 .as_ref()
                 .map(|it| it.map_version),
-            map_version_and_experts_by_set: experts
+            map_version_and_experts_by_layer_set: experts
                 .map(|it| (it.1, it.2.clone())),
             slowdown_factor: self
                 .engine_state
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -24,7 +24,7 @@
 
 use crate::{
     plan::{MapPlan, PlanUpdate},
-    wire::{RankStatus, SelectionGrowth},
+    wire::{RankStatus, SelectionCountIncrease},
 };
 
 /// The age above which the coordinator ignores a rank's report.
@@ -184,24 +184,24 @@
             }
             // A status that the coordinator read from the engine itself has no
             // expert lists.
-            status.map_version_and_experts_by_set = status
-                .map_version_and_experts_by_set
-                .or(known.map_version_and_experts_by_set.take());
+            status.map_version_and_experts_by_layer_set = status
+                .map_version_and_experts_by_layer_set
+                .or(known.map_version_and_experts_by_layer_set.take());
         }
         self.statuses_by_rank.insert(rank, (status, now));
     }
 
-    /// Adds the growth of a rank's selection counts to the total counts of the
-    /// group.
-    pub fn add_growth_to_selection_counts(
+    /// Adds the increase of a rank's selection counts to the total counts of
+    /// the group.
+    pub fn add_selection_count_increase(
         &mut self,
-        growth: SelectionGrowth,
+        increase: SelectionCountIncrease,
         experts_per_set: usize,
     ) {
-        let SelectionGrowth {
-            selections_per_growth_unit: scale,
-            growth_units_by_expert: units,
-        } = growth;
+        let SelectionCountIncrease {
+            selections_per_increase_unit: scale,
+            increase_units_by_expert: units,
+        } = increase;
         CountGrowth { counts_per_unit: scale, growth_in_units: units }
             .add_to_counts(&mut self.total_selection_counts, experts_per_set);
     }
@@ -396,7 +396,7 @@
             return;
         };
         let config = live::LivePlanConfig::new(usize::from(
-            service_shape.max_new_experts_per_layer_set,
+            service_shape.max_experts_added_to_rank_per_layer_set,
         ))
         .with_max_new_experts_per_rank(max_new_experts_per_rank(Millis(
             service_shape.expert_copy_ms,
@@ -447,7 +447,7 @@
             vec![vec![Vec::new(); shape.rank_count]; shape.layer_count];
         for (status, _) in self.statuses_by_rank.values() {
             let (listed, sets) =
-                status.map_version_and_experts_by_set.as_ref()?;
+                status.map_version_and_experts_by_layer_set.as_ref()?;
             if *listed != version || status.engine_report.map != version {
                 return None;
             }
@@ -469,17 +469,18 @@
     most.map_or(usize::MAX, |it| it.max(1) as usize)
 }
 
-/// The duration of a switch of maps without the copies of experts: messages,
-/// orders and the passes before the boundary. In groups of 24 ranks with
-/// copies of 76 ms, two copies a rank fit into this time, with a result of
-/// 0.77 under heavy load; five copies give 0.71, three 0.75 and one 0.76.
+/// The duration of a map switch without the copies of experts. A map may assign
+/// to a rank as many new experts as are copied in this time, but at least one.
+/// At 76 ms a copy, these are two: in groups of 24 ranks under heavy load, two
+/// copies give 0.77, one 0.76, three 0.75 and five 0.71.
 const MAP_SWITCH_DURATION_WITHOUT_COPIES: Millis = Millis(180);
 
 /// Returns a rank's speed relative to its normal speed.
 fn relative_rank_speed(status_and_time: &(RankStatus, Millis)) -> f64 {
-    1.0 / f64::from(status_and_time.0.slowdown_factor).max(MIN_SLOWDOWN_FACTOR)
+    1.0 / f64::from(status_and_time.0.slowdown_factor)
+        .max(MIN_RELATIVE_WORK_DURATION)
 }
 
-/// The lower bound of a rank's slowdown factor: no engine counts as more than
-/// twice as fast as normal.
-const MIN_SLOWDOWN_FACTOR: f64 = 0.5;
+/// The lower bound of the duration of an engine's work relative to normal: no
+/// engine counts as more than twice as fast as normal.
+const MIN_RELATIVE_WORK_DURATION: f64 = 0.5;
--- a/cowsliproad-rank/src/rota.rs
+++ b/cowsliproad-rank/src/rota.rs
@@ -37,14 +37,16 @@
     /// The rank reads the engine's selection counts at the start of a counting
     /// window.
     StartWindow,
-    /// The rank reads the engine's selection counts, and reports their growth
+    /// The rank reads the engine's selection counts, and reports their increase
     /// since the start of the counting window.
-    ReportGrowth,
+    ReportIncrease,
 }
 
 impl SelectionCountReportSchedule {
-    /// Creates the schedule of one rank. Its first window starts within the
-    /// first round, at an offset that depends on the rank.
+    /// Creates the schedule by which one rank counts and reports expert
+    /// selections. The first counting window starts within the first round,
+    /// which begins at `now`: after the share `rank / rank_count` of the
+    /// round's duration.
     pub fn new(
         now: Millis,
         round_duration: Millis,
@@ -85,7 +87,7 @@
                 self.window_start = (round_duration
                     <= MAX_SELECTION_COUNTING_WINDOW)
                     .then_some(now);
-                SelectionCountReportAction::ReportGrowth
+                SelectionCountReportAction::ReportIncrease
             }
         }
     }
--- a/cowsliproad-rank/src/wire.rs
+++ b/cowsliproad-rank/src/wire.rs
@@ -29,10 +29,10 @@
     /// The state of a rank, from each agent to the coordinator.
     #[serde(rename = "s")]
     Status(Box<RankStatus>),
-    /// The growth of a rank's selection counts, from each agent to the
+    /// The increase of a rank's selection counts, from each agent to the
     /// coordinator.
     #[serde(rename = "c")]
-    SelectionGrowth(SelectionGrowth),
+    SelectionCountIncrease(SelectionCountIncrease),
     /// The coordinator's directive to all agents, and the coordinator's
     /// address.
     #[serde(rename = "d")]
@@ -75,7 +75,7 @@
     /// of the map that assigns them. Present only if the coordinator needs the
     /// lists.
     #[serde(rename = "x")]
-    pub map_version_and_experts_by_set: Option<(Version, Vec<Vec<u16>>)>,
+    pub map_version_and_experts_by_layer_set: Option<(Version, Vec<Vec<u16>>)>,
 }
 
 /// The part of a rank's status whose changes are sent to the coordinator
@@ -113,18 +113,18 @@
     }
 }
 
-/// The growth of a rank's selection counts in one window: how often requests
+/// The increase of a rank's selection counts in one window: how often requests
 /// selected each expert. A lost datagram makes the demand seem slightly lower
 /// for a moment.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct SelectionGrowth {
+pub struct SelectionCountIncrease {
     /// The number of expert selections that one unit in
-    /// `growth_units_by_expert` stands for.
+    /// `increase_units_by_expert` stands for.
     #[serde(rename = "s")]
-    pub selections_per_growth_unit: u64,
-    /// The growth of each expert's selection count, in units of
-    /// `selections_per_growth_unit`: the experts of the first set of layers,
+    pub selections_per_increase_unit: u64,
+    /// The increase of each expert's selection count, in units of
+    /// `selections_per_increase_unit`: the experts of the first set of layers,
     /// then those of the next sets.
     #[serde(rename = "u", with = "serde_bytes")]
-    pub growth_units_by_expert: Vec<u8>,
+    pub increase_units_by_expert: Vec<u8>,
 }
--- a/cowsliproad-rank/tests/group/main.rs
+++ b/cowsliproad-rank/tests/group/main.rs
@@ -142,7 +142,7 @@
             layer_set_count: 2,
             experts_per_layer_set: EXPERTS_PER_SET as u16,
             expert_slots_per_layer_set: 6,
-            max_new_experts_per_layer_set: 2,
+            max_experts_added_to_rank_per_layer_set: 2,
             expert_copy_ms: 0,
             log_era: Default::default(),
         });
--- a/cowsliproad-rank/tests/lead.rs
+++ b/cowsliproad-rank/tests/lead.rs
@@ -9,7 +9,7 @@
 };
 use cowsliproad_rank::{
     lead::{CoordinatorParameters, GroupCoordinator},
-    wire::{RankStatus, SelectionGrowth},
+    wire::{RankStatus, SelectionCountIncrease},
 };
 use slog::{Discard, Logger, o};
 
@@ -42,12 +42,12 @@
     fn pass_statuses_to_coordinator(&mut self, popular_expert: usize) {
         self.now = self.now + Millis(60);
         for rank in 0..RANK_COUNT {
-            let mut growth_units_by_expert = vec![10; EXPERTS_PER_SET];
-            growth_units_by_expert[popular_expert] = 250;
-            self.coordinator.add_growth_to_selection_counts(
-                SelectionGrowth {
-                    selections_per_growth_unit: 100,
-                    growth_units_by_expert,
+            let mut increase_units_by_expert = vec![10; EXPERTS_PER_SET];
+            increase_units_by_expert[popular_expert] = 250;
+            self.coordinator.add_selection_count_increase(
+                SelectionCountIncrease {
+                    selections_per_increase_unit: 100,
+                    increase_units_by_expert,
                 },
                 EXPERTS_PER_SET,
             );
@@ -62,7 +62,7 @@
             layer_set_count: 1,
             experts_per_layer_set: EXPERTS_PER_SET as u16,
             expert_slots_per_layer_set: 8,
-            max_new_experts_per_layer_set: 2,
+            max_experts_added_to_rank_per_layer_set: 2,
             log_era: Default::default(),
             expert_copy_ms: 400,
         };
@@ -77,7 +77,7 @@
             agent_address: ([127, 0, 0, 1 + rank as u8], 1).into(),
             max_known_fencing_number: 1,
             held_plan_version: None,
-            map_version_and_experts_by_set: Some((
+            map_version_and_experts_by_layer_set: Some((
                 Version(0),
                 vec![experts_of_rank.collect()],
             )),
--- a/cowsliproad-rank/tests/rota.rs
+++ b/cowsliproad-rank/tests/rota.rs
@@ -27,7 +27,7 @@
         {
             SelectionCountReportAction::Nothing => {}
             SelectionCountReportAction::StartWindow => window_start = now,
-            SelectionCountReportAction::ReportGrowth => {
+            SelectionCountReportAction::ReportIncrease => {
                 windows.push((window_start, now));
                 window_start = now;
             }
--- a/cowsliproad-relay/src/events.rs
+++ b/cowsliproad-relay/src/events.rs
@@ -57,7 +57,7 @@
     }
 
     /// Whether the buffered event exceeds the maximum size.
-    pub fn exceeds_max_size(&self) -> bool {
+    pub fn event_exceeds_max_size(&self) -> bool {
         self.buffer.len() > MAX_EVENT_BYTES
     }
 }
--- a/tests/properties/quarantine.rs
+++ b/tests/properties/quarantine.rs
@@ -9,7 +9,7 @@
     },
     kernel::{
         clock::Millis,
-        gossip::{self, SuspectedRequest, SuspectedRequests},
+        gossip::{self, CrashSuspectRequest, CrashSuspectRequests},
     },
 };
 use cowsliproad_bench::experiment::quarantine::{Policy, SIZES, play};
@@ -114,7 +114,7 @@
     let mut now = NOW;
     while now < over {
         for from in 0..ledgers.len() {
-            let told = SuspectedRequests::pack(
+            let told = CrashSuspectRequests::pack(
                 ledgers[from].broadcast_and_suspended_suspects(now),
             );
             now = now + Millis(20);
@@ -260,7 +260,7 @@
     }
     assert!(!is_refused(&other, innocent, NOW));
     // One who hasn't heard it tells of the end again.
-    let late = SuspectedRequest {
+    let late = CrashSuspectRequest {
         request_hash: innocent.0,
         crash_ids: vec![end(1).0],
         excused_crash_ids: Vec::new(),
@@ -382,7 +382,8 @@
     }
     let told = ledger.broadcast_suspects(NOW);
     assert!(told.len() <= 512, "{}", told.len());
-    let bytes = gossip::encode(&SuspectedRequests::pack(told.clone())).len();
+    let bytes =
+        gossip::encode(&CrashSuspectRequests::pack(told.clone())).len();
     assert!(bytes < gossip::MAX_DATAGRAM_BYTES / 3, "{bytes}");
     assert_eq!(told[0].request_hash, deadly.0);
     assert!(ledger.case_count() <= 4_096, "{}", ledger.case_count());
@@ -397,9 +398,10 @@
         ledger.record_crash(work(piece), end(target), NOW);
     }
     let mut told = ledger.broadcast_suspects(NOW);
-    let packed = gossip::encode(&SuspectedRequests::pack(told.clone()));
-    let packed: SuspectedRequests = gossip::decode(&packed).expect("suspects");
-    let mut unpacked: Vec<SuspectedRequest> = packed.unpack().collect();
+    let packed = gossip::encode(&CrashSuspectRequests::pack(told.clone()));
+    let packed: CrashSuspectRequests =
+        gossip::decode(&packed).expect("suspects");
+    let mut unpacked: Vec<CrashSuspectRequest> = packed.unpack().collect();
     told.sort_by_key(|it| it.request_hash);
     unpacked.sort_by_key(|it| it.request_hash);
     assert_eq!(told, unpacked);
