--- a/cowsliproad-admission/src/quarantine.rs
+++ b/cowsliproad-admission/src/quarantine.rs
@@ -6,8 +6,8 @@
 //! and would crash one target after the other, unless entry processes
 //! recognise the request by a digest of its content ([`WorkDigest`]). Each
 //! entry process records which requests were running when a target crashed,
-//! and gossips this to the other entry processes ([`SuspectedRequest`]). Once
-//! [`CRASH_THRESHOLD`] targets have crashed under one request, all entry
+//! and gossips this to the other entry processes ([`CrashSuspectRequest`]).
+//! Once [`CRASH_THRESHOLD`] targets have crashed under one request, all entry
 //! processes refuse that request ([`CrashLedger::verdict`]).
 //!
 //! Where targets work in lock-step, the crash of one target stops its whole
@@ -45,7 +45,7 @@
     collections::{BTreeSet, HashMap, HashSet},
 };
 
-use cowsliproad_kernel::{clock::Millis, gossip::SuspectedRequest};
+use cowsliproad_kernel::{clock::Millis, gossip::CrashSuspectRequest};
 
 use self::case::QuarantineCase;
 pub use self::work::{CrashId, WorkDigest};
@@ -225,7 +225,7 @@
         let Some(case) = self.cases.get_mut(&work) else {
             return QuarantineChange::None;
         };
-        if case.survived_by_target
+        if case.completed_without_crash
             || case.crashes.is_empty()
             || case.refused_since.is_some()
         {
@@ -252,11 +252,11 @@
         crash: CrashId,
         now: Millis,
     ) -> QuarantineChange {
-        let suspect = SuspectedRequest {
+        let suspect = CrashSuspectRequest {
             request_hash: work.0,
             crash_ids: vec![crash.0],
             excused_crash_ids: Vec::new(),
-            survived_by_target: false,
+            completed_without_crash: false,
             since_last_received: Millis(0),
             rejected_for: None,
             suspension_left: None,
@@ -275,10 +275,10 @@
         let Some(case) = self.cases.get_mut(&work) else {
             return QuarantineChange::None;
         };
-        if case.survived_by_target && case.crashes.is_empty() {
+        if case.completed_without_crash && case.crashes.is_empty() {
             return QuarantineChange::None;
         }
-        case.survived_by_target = true;
+        case.completed_without_crash = true;
         for crash in std::mem::take(&mut case.crashes) {
             case.stop_counting_crash(crash);
         }
@@ -293,7 +293,7 @@
     /// reports about a request.
     pub fn merge_remote_suspect(
         &mut self,
-        suspect: &SuspectedRequest,
+        suspect: &CrashSuspectRequest,
         now: Millis,
     ) -> QuarantineChange {
         self.merge_suspect(suspect, OBSERVATION_RELAY_TTL, now)
@@ -303,7 +303,7 @@
     /// for `broadcast_ttl` if the observation changed the case.
     fn merge_suspect(
         &mut self,
-        suspect: &SuspectedRequest,
+        suspect: &CrashSuspectRequest,
         broadcast_ttl: Millis,
         now: Millis,
     ) -> QuarantineChange {
@@ -317,11 +317,12 @@
         if !self.cases.contains_key(&work) {
             self.evict_case_if_full();
         }
-        let survived_by_target = self.survived_work.is_survived_request(work);
+        let completed_without_crash =
+            self.survived_work.is_survived_request(work);
         let case = self.cases.entry(work).or_insert_with(|| QuarantineCase {
             crashes: BTreeSet::new(),
             excused_crashes: Vec::new(),
-            survived_by_target,
+            completed_without_crash,
             last_arrival: now - suspect.since_last_received,
             refused_since: None,
             suspended_until: None,
@@ -340,14 +341,14 @@
         let before = (
             case.crashes.len(),
             case.excused_crashes.len(),
-            case.survived_by_target,
+            case.completed_without_crash,
         );
         // A sender that doesn't report the survival, or still counts a crash
         // that was excused or retracted, has missed that update and would soon
         // refuse a request that every caller sends.
         let mut missed_update =
-            case.survived_by_target && !suspect.survived_by_target;
-        case.survived_by_target |= suspect.survived_by_target;
+            case.completed_without_crash && !suspect.completed_without_crash;
+        case.completed_without_crash |= suspect.completed_without_crash;
         for crash in suspect.excused_crash_ids.iter().map(|it| CrashId(*it)) {
             case.stop_counting_crash(crash);
         }
@@ -363,7 +364,7 @@
         let after = (
             case.crashes.len(),
             case.excused_crashes.len(),
-            case.survived_by_target,
+            case.completed_without_crash,
         );
         // Each crash extends a suspension at most once: a later message about
         // the same crash may have been delayed in a stalled process.
@@ -372,7 +373,7 @@
             may_extend && case.extend_suspension(suspect.suspension_left, now);
         let has_changed = after != before || suspends;
         let is_relayed = case.crashes.len() >= MIN_CRASHES_TO_RELAY
-            || case.survived_by_target
+            || case.completed_without_crash
             || suspends;
         if missed_update
             || has_changed
@@ -471,14 +472,14 @@
         &self,
         work: WorkDigest,
         now: Millis,
-    ) -> Option<SuspectedRequest> {
+    ) -> Option<CrashSuspectRequest> {
         let now = now + LEDGER_CLOCK_OFFSET;
         self.cases.get(&work).map(|it| it.to_suspect(work, now))
     }
 
     /// Returns the quarantine cases to broadcast: those of refused requests
     /// and those that changed recently.
-    pub fn broadcast_suspects(&self, now: Millis) -> Vec<SuspectedRequest> {
+    pub fn broadcast_suspects(&self, now: Millis) -> Vec<CrashSuspectRequest> {
         self.select_broadcast_suspects(now, |case, now| {
             case.is_broadcast_due(now)
         })
@@ -489,7 +490,7 @@
     pub fn broadcast_and_suspended_suspects(
         &self,
         now: Millis,
-    ) -> Vec<SuspectedRequest> {
+    ) -> Vec<CrashSuspectRequest> {
         self.select_broadcast_suspects(now, |case, now| {
             case.is_broadcast_due(now)
                 || case.remaining_suspension(now).is_some()
@@ -503,7 +504,7 @@
         &self,
         now: Millis,
         is_selected: impl Fn(&QuarantineCase, Millis) -> bool,
-    ) -> Vec<SuspectedRequest> {
+    ) -> Vec<CrashSuspectRequest> {
         let now = now + LEDGER_CLOCK_OFFSET;
         let mut selected: Vec<(&WorkDigest, &QuarantineCase)> =
             self.cases.iter().filter(|it| is_selected(it.1, now)).collect();
@@ -523,10 +524,10 @@
 
     /// Returns the unexpired quarantine cases with the most crashes, for a
     /// peer that was unreachable.
-    pub fn snapshot_suspects(&self, now: Millis) -> Vec<SuspectedRequest> {
+    pub fn snapshot_suspects(&self, now: Millis) -> Vec<CrashSuspectRequest> {
         let now = now + LEDGER_CLOCK_OFFSET;
         let cases = self.cases.iter().filter(|it| !it.1.is_expired(now));
-        let mut cases: Vec<SuspectedRequest> =
+        let mut cases: Vec<CrashSuspectRequest> =
             cases.map(|it| it.1.to_suspect(*it.0, now)).collect();
         cases.sort_by_key(|it| {
             (Reverse(it.crash_ids.len()), it.since_last_received)
--- a/cowsliproad-agent/src/adapter/engine.rs
+++ b/cowsliproad-agent/src/adapter/engine.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     plugin::inventory,
     wire::{AnswerFormat, RequestFailure},
 };
@@ -74,7 +74,7 @@
                 self.cancel_at_target(work).await;
                 Err(RequestFailure::new(
                     Code::Cancelled,
-                    Execution::OutcomeUnknown,
+                    ExecutionStatus::OutcomeUnknown,
                 ))
             }
         }
@@ -113,14 +113,17 @@
                     // The engine has started the request, so a failed resume
                     // leaves the outcome unknown.
                     response = resumed.map_err(|it| RequestFailure {
-                        ran: Execution::OutcomeUnknown,
+                        ran: ExecutionStatus::OutcomeUnknown,
                         ..it
                     })?;
                 }
             }
         }
         self.cancel_at_target(work).await;
-        Err(RequestFailure::new(Code::TargetFailed, Execution::OutcomeUnknown))
+        Err(RequestFailure::new(
+            Code::TargetFailed,
+            ExecutionStatus::OutcomeUnknown,
+        ))
     }
 
     async fn send_request(
@@ -130,8 +133,10 @@
         let sent_at = Millis::now();
         let head =
             timeout(self.silence_timeout, self.client.send(request)).await;
-        let silent =
-            RequestFailure::new(Code::TimedOut, Execution::OutcomeUnknown);
+        let silent = RequestFailure::new(
+            Code::TimedOut,
+            ExecutionStatus::OutcomeUnknown,
+        );
         let head =
             head.map_err(|_| silent)?.map_err(plain::request_failure)?;
         self.pacer.observe_answer(head.status(), head.headers(), sent_at);
@@ -164,7 +169,7 @@
             if work.answer_length() > MAX_ANSWER_BYTES {
                 return Err(RequestFailure::new(
                     Code::TargetFailed,
-                    Execution::OutcomeUnknown,
+                    ExecutionStatus::OutcomeUnknown,
                 ));
             }
         }
@@ -178,9 +183,12 @@
         let left = work.deadline.since(Millis::now()).duration();
         match work.rerun_policy {
             RerunPolicy::Never => Ok(self.silence_timeout),
-            RerunPolicy::Allowed if left.is_zero() => Err(
-                RequestFailure::new(Code::TimedOut, Execution::OutcomeUnknown),
-            ),
+            RerunPolicy::Allowed if left.is_zero() => {
+                Err(RequestFailure::new(
+                    Code::TimedOut,
+                    ExecutionStatus::OutcomeUnknown,
+                ))
+            }
             RerunPolicy::Allowed => Ok(self.silence_timeout.min(left)),
         }
     }
@@ -189,7 +197,7 @@
         &self,
         work: &RequestWork,
     ) -> Result<Request<Full<Bytes>>, RequestFailure> {
-        let bad = RequestFailure::new(Code::BadJson, Execution::NotRun);
+        let bad = RequestFailure::new(Code::BadJson, ExecutionStatus::NotRun);
         let mut body: Value =
             serde_json::from_slice(&work.request_body).map_err(|_| bad)?;
         let fields = body.as_object_mut().ok_or(bad)?;
@@ -215,7 +223,7 @@
         Request::get(format!("http://{target}/v1/streams/{id}?from={from}"))
             .body(Full::default())
             .map_err(|_| {
-                RequestFailure::new(Code::BadRequest, Execution::NotRun)
+                RequestFailure::new(Code::BadRequest, ExecutionStatus::NotRun)
             })
     }
 
--- a/cowsliproad-agent/src/adapter/plain.rs
+++ b/cowsliproad-agent/src/adapter/plain.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     plugin::inventory,
     wire::{AnswerFormat, RequestFailure},
 };
@@ -64,7 +64,7 @@
             () = work.wait_until_cancelled() => {
                 return Err(RequestFailure::new(
                     Code::Cancelled,
-                    Execution::OutcomeUnknown,
+                    ExecutionStatus::OutcomeUnknown,
                 ));
             }
         };
@@ -76,7 +76,7 @@
         if !response.status().is_success() {
             return Err(RequestFailure::new(
                 Code::TargetFailed,
-                Execution::OutcomeUnknown,
+                ExecutionStatus::OutcomeUnknown,
             ));
         }
         work.append_answer_bytes(response.body());
@@ -92,7 +92,9 @@
         .header(header::CONTENT_TYPE, "application/json")
         .header("x-request-id", work.request.to_string())
         .body(Full::new(work.request_body.clone()))
-        .map_err(|_| RequestFailure::new(Code::BadRequest, Execution::NotRun))
+        .map_err(|_| {
+            RequestFailure::new(Code::BadRequest, ExecutionStatus::NotRun)
+        })
 }
 
 /// How long to wait for the answer. A repeatable request has until shortly
@@ -111,13 +113,15 @@
 pub(super) fn request_failure(error: Error) -> RequestFailure {
     match error {
         Error::Connect(_) | Error::Refused(_) => {
-            RequestFailure::new(Code::TargetFailed, Execution::NotRun)
-        }
-        Error::Timeout => {
-            RequestFailure::new(Code::TimedOut, Execution::OutcomeUnknown)
-        }
-        Error::Exchange(_) | Error::TooLarge => {
-            RequestFailure::new(Code::TargetFailed, Execution::OutcomeUnknown)
+            RequestFailure::new(Code::TargetFailed, ExecutionStatus::NotRun)
         }
+        Error::Timeout => RequestFailure::new(
+            Code::TimedOut,
+            ExecutionStatus::OutcomeUnknown,
+        ),
+        Error::Exchange(_) | Error::TooLarge => RequestFailure::new(
+            Code::TargetFailed,
+            ExecutionStatus::OutcomeUnknown,
+        ),
     }
 }
--- a/cowsliproad-agent/src/ends.rs
+++ b/cowsliproad-agent/src/ends.rs
@@ -25,8 +25,8 @@
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Execution},
-    gossip::SuspectedRequest,
+    code::{Code, ExecutionStatus},
+    gossip::CrashSuspectRequest,
     id,
     sync::lock,
     wire::{RequestFailure, TargetPresence},
@@ -131,7 +131,7 @@
     }
 
     /// Takes the crash reports that must still be sent to entry processes.
-    pub fn take_unsent_reports(&self) -> Vec<SuspectedRequest> {
+    pub fn take_unsent_reports(&self) -> Vec<CrashSuspectRequest> {
         let mut state = lock(&self.state);
         state.has_unsent_presence = false;
         let reports = std::mem::take(&mut state.unsent_reports);
@@ -143,7 +143,7 @@
     }
 
     /// All suspected requests, for an entry process that has just connected.
-    pub fn all_suspected_requests(&self) -> Vec<SuspectedRequest> {
+    pub fn all_suspected_requests(&self) -> Vec<CrashSuspectRequest> {
         let mut state = lock(&self.state);
         let now = Millis::now();
         state.crash_ledger.evict_expired_cases(now);
@@ -235,7 +235,7 @@
     failure: RequestFailure,
 ) -> CrashCheck {
     if failure.code != Code::TargetFailed {
-        if failure.ran == Execution::OutcomeUnknown {
+        if failure.ran == ExecutionStatus::OutcomeUnknown {
             let until = Millis::now() + MIN_ABANDONED_RUN_TIME;
             gate.crashes.record_abandoned_request(
                 work.submission_digest(),
@@ -246,11 +246,11 @@
     }
     let is_gone = is_target_gone(gate).await;
     match (failure.ran, is_gone) {
-        (Execution::OutcomeUnknown, true) => {
+        (ExecutionStatus::OutcomeUnknown, true) => {
             report_crash(gate, work);
             CrashCheck::Complete
         }
-        (Execution::OutcomeUnknown, false) => CrashCheck::StillListening,
+        (ExecutionStatus::OutcomeUnknown, false) => CrashCheck::StillListening,
         // The process was gone before the request was sent.
         (_, true) => {
             report_presence(gate, TargetPresence::Gone);
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -25,12 +25,12 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     id,
     sync::lock,
     wire::{
-        AgentLoad, CancelRequest, Handover, Heartbeat, ProcessPhase,
-        ReclaimAnswer, RequestFailure, StoredAnswer,
+        AgentLoad, CancelRequest, FetchAnswerRequest, Handover, Heartbeat,
+        ProcessPhase, RequestFailure, StoredAnswer,
     },
 };
 use opentelemetry::{
@@ -172,7 +172,7 @@
     /// organisation that submitted it.
     pub fn find_work_to_reclaim(
         &self,
-        reclaim: &ReclaimAnswer,
+        reclaim: &FetchAnswerRequest,
     ) -> Result<Arc<RequestWork>, RequestFailure> {
         self.find_work(reclaim.request, &reclaim.organisation)
     }
@@ -190,25 +190,28 @@
             .remove_first_matching(|it| it.request == cancel.request);
         if queued.is_some() {
             let failure =
-                RequestFailure::new(Code::Cancelled, Execution::NotRun);
+                RequestFailure::new(Code::Cancelled, ExecutionStatus::NotRun);
             state.fail_unsent_work(&work, failure);
             return failure;
         }
         drop(state);
         match (work.answer_ending(), work.rerun_policy) {
             (Some(AnswerEnding::Whole { .. }), _) => {
-                RequestFailure::new(Code::Cancelled, Execution::Ran)
+                RequestFailure::new(Code::Cancelled, ExecutionStatus::Ran)
             }
             (Some(AnswerEnding::Failed(failure)), _) => failure,
             (None, RerunPolicy::Allowed) => {
                 work.request_cancellation();
-                RequestFailure::new(Code::Cancelled, Execution::OutcomeUnknown)
+                RequestFailure::new(
+                    Code::Cancelled,
+                    ExecutionStatus::OutcomeUnknown,
+                )
             }
             // A non-repeatable request is never aborted while it runs, since
             // its outcome at the target would be unknown.
             (None, RerunPolicy::Never) => RequestFailure::new(
                 Code::InProgress,
-                Execution::OutcomeUnknown,
+                ExecutionStatus::OutcomeUnknown,
             ),
         }
     }
@@ -227,7 +230,7 @@
             .remove_first_matching(|it| it.request == work.request);
         if let Some(item) = queued {
             let failure =
-                RequestFailure::new(Code::Cancelled, Execution::NotRun);
+                RequestFailure::new(Code::Cancelled, ExecutionStatus::NotRun);
             state.fail_unsent_work(&item.work, failure);
         } else {
             work.request_cancellation();
@@ -284,7 +287,9 @@
             phase: state.phase,
             load: state.agent_load(self.service_rate(&state)),
             presence: self.crashes.target_presence(),
-            target_cooldown: self.pacer.remaining_cooldown(Millis::now()),
+            target_cooldown_remaining: self
+                .pacer
+                .remaining_cooldown(Millis::now()),
             taken_over_incarnations: state
                 .inherited_registers
                 .keys()
@@ -381,11 +386,11 @@
             }
             Some(_) => Err(RequestFailure::new(
                 Code::ForeignToken,
-                Execution::NotForwarded,
+                ExecutionStatus::NotForwarded,
             )),
             None => Err(RequestFailure::new(
                 Code::UnknownToken,
-                Execution::OutcomeUnknown,
+                ExecutionStatus::OutcomeUnknown,
             )),
         }
     }
@@ -488,7 +493,7 @@
         AgentLoad {
             queued_requests: self.request_queue.len() as u32,
             running_requests: self.running_requests,
-            target_slots: service_rate.slots,
+            target_request_slots: service_rate.slots,
             // Entry processes estimate queueing delay from this value, so it
             // includes the rate limit.
             mean_service_time_us: service_rate.effective_service_us(),
@@ -508,8 +513,10 @@
         while let Some(item) =
             self.request_queue.remove_expired_item(service_rate, now)
         {
-            let failure =
-                RequestFailure::new(Code::DeadlinePassed, Execution::NotRun);
+            let failure = RequestFailure::new(
+                Code::DeadlinePassed,
+                ExecutionStatus::NotRun,
+            );
             self.fail_unsent_work(&item.work, failure);
         }
     }
@@ -521,7 +528,7 @@
             self.request_queue.remove_items_missing_deadline(service_rate, now)
         {
             let failure =
-                RequestFailure::new(Code::Overloaded, Execution::NotRun);
+                RequestFailure::new(Code::Overloaded, ExecutionStatus::NotRun);
             let wait = self.request_queue.estimate_retry_after(service_rate);
             self.fail_unsent_work(&item.work, failure.with_retry_after(wait));
         }
--- a/cowsliproad-agent/src/gate/submit.rs
+++ b/cowsliproad-agent/src/gate/submit.rs
@@ -10,7 +10,7 @@
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     wire::{ProcessPhase, RequestFailure, SubmitMode, SubmitRequest},
 };
 use slog::{debug, info};
@@ -22,7 +22,7 @@
 /// entry process, which knows of all crashes, adds the time to retry after.
 const QUARANTINED_REFUSAL: RequestFailure = RequestFailure {
     code: Code::Quarantined,
-    ran: Execution::NotRun,
+    ran: ExecutionStatus::NotRun,
     retry_after: None,
 };
 
@@ -87,34 +87,39 @@
         } else {
             return Err(RequestFailure::new(
                 Code::TargetGone,
-                Execution::OutcomeUnknown,
+                ExecutionStatus::OutcomeUnknown,
             ));
         };
         match verdict {
             SubmitVerdict::Run => self.enqueue_work(state, submit, now),
             SubmitVerdict::Seen => {
                 state.work_by_request.get(&ticket.request).cloned().ok_or(
-                    RequestFailure::new(Code::AnswerDropped, Execution::Ran),
+                    RequestFailure::new(
+                        Code::AnswerDropped,
+                        ExecutionStatus::Ran,
+                    ),
                 )
             }
             SubmitVerdict::Burned if recalled => Err(QUARANTINED_REFUSAL),
-            SubmitVerdict::Burned if leaving => {
-                Err(RequestFailure::new(Code::Leaving, Execution::NotRun))
-            }
-            SubmitVerdict::Burned => {
-                Err(RequestFailure::new(Code::TicketBurned, Execution::NotRun))
-            }
+            SubmitVerdict::Burned if leaving => Err(RequestFailure::new(
+                Code::Leaving,
+                ExecutionStatus::NotRun,
+            )),
+            SubmitVerdict::Burned => Err(RequestFailure::new(
+                Code::TicketBurned,
+                ExecutionStatus::NotRun,
+            )),
             SubmitVerdict::Expired => Err(RequestFailure::new(
                 Code::TicketExpired,
-                Execution::NotRun,
+                ExecutionStatus::NotRun,
             )),
             SubmitVerdict::TooOld => Err(RequestFailure::new(
                 Code::TicketExpired,
-                Execution::OutcomeUnknown,
+                ExecutionStatus::OutcomeUnknown,
             )),
             SubmitVerdict::Full => Err(RequestFailure::new(
                 Code::RegisterFull,
-                Execution::NotForwarded,
+                ExecutionStatus::NotForwarded,
             )
             .with_retry_after(Millis(1_000))),
         }
@@ -134,7 +139,7 @@
             if keyed.body_hash != blake3::hash(&submit.body) {
                 return Err(RequestFailure::new(
                     Code::KeyReused,
-                    Execution::NotRun,
+                    ExecutionStatus::NotRun,
                 ));
             }
             let known = state.work_by_request.get(&keyed.request);
@@ -147,7 +152,7 @@
             let own = work.organisation == submit.organisation;
             let foreign = RequestFailure::new(
                 Code::ForeignToken,
-                Execution::NotForwarded,
+                ExecutionStatus::NotForwarded,
             );
             return own.then(|| work.clone()).ok_or(foreign);
         }
@@ -155,7 +160,10 @@
             return Err(QUARANTINED_REFUSAL);
         }
         if state.phase == ProcessPhase::Leaving {
-            return Err(RequestFailure::new(Code::Leaving, Execution::NotRun));
+            return Err(RequestFailure::new(
+                Code::Leaving,
+                ExecutionStatus::NotRun,
+            ));
         }
         let work = self.enqueue_work(state, submit, now)?;
         if let Some(key) = key {
@@ -189,7 +197,7 @@
             PushOutcome::Queued => {}
             PushOutcome::Displaced(loser, wait) => {
                 let failure =
-                    RequestFailure::new(Code::Shed, Execution::NotRun);
+                    RequestFailure::new(Code::Shed, ExecutionStatus::NotRun);
                 state.fail_unsent_work(
                     &loser.work,
                     failure.with_retry_after(wait),
@@ -199,7 +207,7 @@
                 state.ticket_register.refuse_unsent_ticket(work.request);
                 return Err(RequestFailure::new(
                     Code::Overloaded,
-                    Execution::NotRun,
+                    ExecutionStatus::NotRun,
                 )
                 .with_retry_after(wait));
             }
@@ -214,8 +222,10 @@
         encoded_ticket: &[u8],
         submit: &SubmitRequest,
     ) -> Result<Ticket, RequestFailure> {
-        let forged =
-            RequestFailure::new(Code::ForgedToken, Execution::NotForwarded);
+        let forged = RequestFailure::new(
+            Code::ForgedToken,
+            ExecutionStatus::NotForwarded,
+        );
         let text = std::str::from_utf8(encoded_ticket).map_err(|_| forged)?;
         let ticket =
             ticket::verify(text, &self.ticket_key).map_err(|_| forged)?;
@@ -226,7 +236,7 @@
         if !fits {
             return Err(RequestFailure::new(
                 Code::ForeignToken,
-                Execution::NotForwarded,
+                ExecutionStatus::NotForwarded,
             ));
         }
         Ok(ticket)
--- a/cowsliproad-agent/src/handover.rs
+++ b/cowsliproad-agent/src/handover.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use cowsliproad_admission::register::TicketRegister;
-use cowsliproad_config::{Object, object::Target};
+use cowsliproad_config::{ConfigObject, object::Target};
 use cowsliproad_kernel::{
     clock::Millis,
     id,
@@ -93,7 +93,7 @@
     let name = &agent.settings.target_name;
     let mut peers = agent.replica.read_config(|state| {
         let targets = state.objects().filter_map(|it| match &it.object {
-            Object::Target(target) => Some(target.clone()),
+            ConfigObject::Target(target) => Some(target.clone()),
             _ => None,
         });
         let targets: Vec<Target> = targets.collect();
--- a/cowsliproad-agent/src/lib.rs
+++ b/cowsliproad-agent/src/lib.rs
@@ -79,7 +79,7 @@
     let gate =
         TargetGate::new(settings.clone(), log.new(o!()), &metrics.meter());
     let gate = Arc::new(gate);
-    let adapter = plugin::find::<AdapterPlugin>(&settings.adapter_name)
+    let adapter = plugin::find_plugin::<AdapterPlugin>(&settings.adapter_name)
         .ok_or_else(|| io::Error::other("no such adapter"))?;
     (adapter.start_adapter)(gate.clone(), &runtimes.traffic_runtime);
     let replica = Arc::new(ConfigReplica::new());
--- a/cowsliproad-agent/src/links.rs
+++ b/cowsliproad-agent/src/links.rs
@@ -15,12 +15,12 @@
 };
 
 use cowsliproad_kernel::{
-    gossip::SuspectedRequest,
+    gossip::CrashSuspectRequest,
     id,
     sync::lock,
     wire::{
-        self, AnswerData, AnswerEnd, AttemptRefusal, Frame, Handover,
-        ProcessPhase, ReclaimAnswer, RequestAccepted, SubmitRequest,
+        self, AnswerData, AnswerEnd, AttemptRefusal, FetchAnswerRequest,
+        Frame, Handover, ProcessPhase, RequestAccepted, SubmitRequest,
     },
 };
 use cowsliproad_net::link::{self, Receiver, Sender};
@@ -118,8 +118,8 @@
 
 /// Sends suspected requests to an entry process, also when the send queue of
 /// the link is full.
-fn send_suspects(link: &Sender, suspects: Vec<SuspectedRequest>) {
-    let frame = Frame::SuspectedRequests(suspects);
+fn send_suspects(link: &Sender, suspects: Vec<CrashSuspectRequest>) {
+    let frame = Frame::CrashSuspectRequests(suspects);
     if link.try_send(frame.clone()).is_ok() {
         return;
     }
@@ -205,7 +205,9 @@
     async fn handle_frame(&mut self, frame: Frame) {
         match frame {
             Frame::SubmitRequest(submit) => self.submit_request(*submit),
-            Frame::ReclaimAnswer(reclaim) => self.reclaim_answer(&reclaim),
+            Frame::FetchAnswerRequest(reclaim) => {
+                self.reclaim_answer(&reclaim)
+            }
             Frame::AnswerAck(ack) => {
                 if let Some(listener) = self.attempts.get(&ack.attempt) {
                     listener.window.acknowledge(ack.delivered_bytes);
@@ -242,7 +244,7 @@
         }
     }
 
-    fn reclaim_answer(&mut self, reclaim: &ReclaimAnswer) {
+    fn reclaim_answer(&mut self, reclaim: &FetchAnswerRequest) {
         match self.links.gate.find_work_to_reclaim(reclaim) {
             Ok(work) => self.start_sending_answer(
                 reclaim.attempt,
@@ -418,9 +420,9 @@
             AnswerEnding::Whole { format, length, digest } => {
                 Frame::End(AnswerEnd {
                     attempt: self.attempt,
-                    data_frames,
+                    data_frame_count: data_frames,
                     format,
-                    length,
+                    answer_bytes_total: length,
                     answer_blake3_digest: digest.to_vec(),
                 })
             }
--- a/cowsliproad-agent/src/settings.rs
+++ b/cowsliproad-agent/src/settings.rs
@@ -166,8 +166,8 @@
         if self.target_name.is_empty() {
             return Err(("name", "the target's name".into()));
         }
-        if plugin::find::<AdapterPlugin>(&self.adapter_name).is_none() {
-            let known = plugin::all::<AdapterPlugin>();
+        if plugin::find_plugin::<AdapterPlugin>(&self.adapter_name).is_none() {
+            let known = plugin::all_plugins::<AdapterPlugin>();
             let known: Vec<_> =
                 known.iter().map(|it| it.adapter_name).collect();
             return Err(("adapter", format!("one of {}", known.join(", "))));
--- a/cowsliproad-bench/src/experiment/config.rs
+++ b/cowsliproad-bench/src/experiment/config.rs
@@ -15,13 +15,13 @@
 
 use cowsliproad_agent::replica::ConfigReplica;
 use cowsliproad_config::{
-    Object,
+    ConfigObject,
     object::{ObjectKey, ObjectKind, Organisation},
 };
 use cowsliproad_ctl::client::{Client, Error, Mode};
 use cowsliproad_entry::EntryState;
 use cowsliproad_kernel::{
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     id,
     plugin::inventory,
     sync::lock,
@@ -100,7 +100,7 @@
         let of = |state: &cowsliproad_config::ConfigState| match state.get(key)
         {
             Some(it) => match &it.object {
-                Object::Organisation(it) => Some(it.max_in_flight),
+                ConfigObject::Organisation(it) => Some(it.max_in_flight),
                 _ => None,
             },
             None => None,
@@ -246,9 +246,9 @@
             Err(_) => 0,
         };
         self.value += 1;
-        let object = Object::Organisation(Organisation {
+        let object = ConfigObject::Organisation(Organisation {
             name: self.key.name.clone(),
-            key_hashes: Vec::new(),
+            api_key_hashes: Vec::new(),
             capacity_weight: 1,
             max_in_flight: self.value,
         });
@@ -283,7 +283,9 @@
                     *last = value;
                 }
             }
-            Err(Error::Change { ran: Execution::NotRun, code, .. }) => {
+            Err(Error::Change {
+                ran: ExecutionStatus::NotRun, code, ..
+            }) => {
                 match code {
                     Code::StaleBase => ledger.refused += 1,
                     _ => ledger.not_run += 1,
--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -345,7 +345,7 @@
         info!(entry.log, "chosen"; "request" => &*self.request_id,
             "work" => %self.work,
             "target" => &*choice.target.id, "route" => &*self.route.name,
-            "cost" => choice.cost_ms as u64, "at_target" => endpoint.request_stats.estimated_occupancy(now),
+            "cost" => choice.cost_ms as u64, "at_target" => endpoint.request_stats.estimated_request_count(now),
             "own" => endpoint.request_stats.in_flight(), "report_age" => age,
             "limit" => choice.rate_limit.map(|it| it.requests_per_second()),
             "limit_age" => report.map(|it| it.rate_limit_age.0),
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -119,7 +119,8 @@
         let usable: Vec<&ChosenTarget> = usable.map(|it| &it.choice).collect();
         let costs: Vec<f64> = usable.iter().map(|it| it.cost_ms).collect();
         let slots = usable.iter().map(|it| it.target.slots).max()?;
-        let step = self.usual.lockstep_rank_latency_ms() / f64::from(slots);
+        let step =
+            self.usual.expected_rank_response_time_ms() / f64::from(slots);
         let place = pick::choose_target_by_cost(
             &costs,
             step,
@@ -258,7 +259,7 @@
                 TargetLocality::OtherZone
             };
             let latency_ms = match group {
-                Some(_) => usual.lockstep_rank_latency_ms(),
+                Some(_) => usual.expected_rank_response_time_ms(),
                 None => {
                     usual.target_latency_ms(&endpoint_state.request_stats, now)
                 }
--- a/cowsliproad-direct/src/entry/groups.rs
+++ b/cowsliproad-direct/src/entry/groups.rs
@@ -61,7 +61,7 @@
     ) {
         let mut formations = self.formations.borrow_mut();
         let Some(known) = formations.get_mut(group) else { return };
-        if known.record_reported_step(formation_epoch, pass, now) {
+        if known.record_rank_step_report(formation_epoch, pass, now) {
             info!(self.log, "group_goes_on"; "group" => &**group,
                 "epoch" => formation_epoch, "step" => pass);
         }
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -379,7 +379,7 @@
                     .fleet
                     .borrow_mut()
                     .merge_target_announcement(target, now);
-                if entry.fleet.borrow().is_ready(&id) {
+                if entry.fleet.borrow().is_target_ready(&id) {
                     entry
                         .raw_announcements
                         .borrow_mut()
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -345,9 +345,11 @@
         .await
         {
             Some(it) if it.permit_granted => {
-                return PermitDecision::Permit(it.permit_wait);
+                return PermitDecision::Permit(it.wait_before_send_or_retry);
+            }
+            Some(it) => {
+                return PermitDecision::Later(it.wait_before_send_or_retry);
             }
-            Some(it) => return PermitDecision::Later(it.permit_wait),
             None => {
                 let until = Millis::now() + UNRESPONSIVE_OWNER_TTL;
                 entry.peers.borrow_mut().mark_owner_unresponsive(other, until);
@@ -424,7 +426,7 @@
             request_id: request.request_id,
             rate_limit,
             permit_granted: given,
-            permit_wait: after,
+            wait_before_send_or_retry: after,
         };
         entry.send_permit_message(Datagram::PermitReply(reply), from).await;
     });
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -212,7 +212,7 @@
     }
 
     fn peer_silence_timeout(&self) -> Millis {
-        owner::digest_silence_timeout(
+        owner::gossip_silence_timeout(
             self.known_peers.len(),
             MAX_DIGEST_RECIPIENTS,
         )
@@ -302,14 +302,19 @@
     let fleet = entry.fleet.borrow();
     let (suspected_requests, retracted) =
         entry.quarantine.borrow().suspects_for_digest(scope, now);
-    let (mut left, mut withdrawn_targets) = (Vec::new(), Vec::new());
+    let (mut left, mut withdrawn_targets_with_start_and_sequence) =
+        (Vec::new(), Vec::new());
     for (id, departure) in fleet.target_departures_since(since) {
         match departure {
             GossipedDeparture::Announced(start) => {
                 left.push((id.clone(), start.0))
             }
             GossipedDeparture::Withdrawn(start, last) => {
-                withdrawn_targets.push((id.clone(), start.0, last));
+                withdrawn_targets_with_start_and_sequence.push((
+                    id.clone(),
+                    start.0,
+                    last,
+                ));
             }
         }
     }
@@ -326,8 +331,8 @@
             .borrow()
             .last_target_change_log_position()
             .offset,
-        departed_targets: left,
-        withdrawn_targets,
+        departed_targets_with_start_unix_ms: left,
+        withdrawn_targets_with_start_and_sequence,
         peers: entry.peers.borrow().known_peers.keys().copied().collect(),
         sender_zone: entry.settings().zone.clone(),
         suspected_requests,
@@ -393,11 +398,12 @@
 ) {
     let now = Millis::now();
     entry.observe_log_era(received_digest.log_era, ChangeSource::Peer);
-    let left = received_digest.departed_targets.iter();
+    let left = received_digest.departed_targets_with_start_unix_ms.iter();
     let left = left.map(|it| {
         (&it.0, GossipedDeparture::Announced(ProcessStartUnixMs(it.1)))
     });
-    let withdrawn = received_digest.withdrawn_targets.iter();
+    let withdrawn =
+        received_digest.withdrawn_targets_with_start_and_sequence.iter();
     let withdrawn = withdrawn.map(|it| {
         (&it.0, GossipedDeparture::Withdrawn(ProcessStartUnixMs(it.1), it.2))
     });
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -25,7 +25,7 @@
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    gossip::{self, SuspectedRequest, SuspectedRequests},
+    gossip::{self, CrashSuspectRequest, CrashSuspectRequests},
 };
 use cowsliproad_platform::log::{self, Client, Record};
 use cowsliproad_routing::fleet::{ProcessStartUnixMs, Target};
@@ -133,7 +133,7 @@
 #[derive(Debug, Deserialize, Serialize)]
 struct SuspectLogRecord {
     #[serde(rename = "s")]
-    suspect: SuspectedRequest,
+    suspect: CrashSuspectRequest,
     /// When the record was written, as a Unix time in milliseconds.
     #[serde(rename = "t")]
     written_at: u64,
@@ -165,7 +165,7 @@
         &self,
         scope: DigestScope,
         now: Millis,
-    ) -> (SuspectedRequests, Vec<u64>) {
+    ) -> (CrashSuspectRequests, Vec<u64>) {
         let suspects = match scope {
             DigestScope::Changed => self.ledger.broadcast_suspects(now),
             DigestScope::All => {
@@ -173,7 +173,7 @@
             }
         };
         (
-            SuspectedRequests::pack(suspects),
+            CrashSuspectRequests::pack(suspects),
             self.ledger.recently_retracted_crash_ids(now),
         )
     }
@@ -229,7 +229,7 @@
     /// Cancels the rewrite of a lost record that the log holds again.
     fn cancel_rewrite_if_stored(
         &mut self,
-        kept: &SuspectedRequest,
+        kept: &CrashSuspectRequest,
         now: Millis,
     ) {
         let work = WorkDigest(kept.request_hash);
@@ -397,7 +397,7 @@
     /// digest.
     pub fn merge_peer_suspects(
         &self,
-        suspects: &SuspectedRequests,
+        suspects: &CrashSuspectRequests,
         retracted_crashes: &[u64],
         now: Millis,
     ) {
@@ -411,7 +411,7 @@
 
     fn merge_suspect(
         &self,
-        suspect: &SuspectedRequest,
+        suspect: &CrashSuspectRequest,
         now: Millis,
         source: ChangeSource,
     ) -> QuarantineChange {
@@ -561,7 +561,7 @@
 fn schedule_record_rewrites(entry: &Entry, kept: &[SuspectLogRecord]) {
     let now = Millis::now();
     let kept = kept.iter().map(|it| (it.suspect.request_hash, &it.suspect));
-    let kept: HashMap<u64, &SuspectedRequest> = kept.collect();
+    let kept: HashMap<u64, &CrashSuspectRequest> = kept.collect();
     let entries = entry.peers.borrow().entry_process_count() as u64;
     let others = Millis(REWRITE_DELAY_PER_PEER.0 * entries);
     let others = others.min(MAX_PEER_REWRITE_DELAY);
@@ -593,8 +593,8 @@
 /// Whether the log's record of a request includes everything in this entry
 /// process's ledger.
 fn record_covers_ledger(
-    kept: &SuspectedRequest,
-    own: &SuspectedRequest,
+    kept: &CrashSuspectRequest,
+    own: &CrashSuspectRequest,
 ) -> bool {
     let tells = |it: &u64| {
         kept.crash_ids.contains(it) || kept.excused_crash_ids.contains(it)
@@ -604,7 +604,7 @@
             .excused_crash_ids
             .iter()
             .all(|it| kept.excused_crash_ids.contains(it))
-        && kept.survived_by_target >= own.survived_by_target
+        && kept.completed_without_crash >= own.completed_without_crash
         && kept.rejected_for.is_some() >= own.rejected_for.is_some()
 }
 
@@ -659,7 +659,7 @@
     // The record states no suspension, which ends before other entry processes
     // read the record.
     let suspect =
-        suspect.map(|it| SuspectedRequest { suspension_left: None, ..it });
+        suspect.map(|it| CrashSuspectRequest { suspension_left: None, ..it });
     let kept = suspect.map(|suspect| SuspectLogRecord {
         suspect,
         written_at: unix_now_ms(),
--- a/cowsliproad-direct/src/receive.rs
+++ b/cowsliproad-direct/src/receive.rs
@@ -104,7 +104,8 @@
         route.response_timeout.map_or(time_left, |it| it.min(time_left));
     let target_headers =
         headers_for_target(&head.headers, organisation.as_deref());
-    let own_priority = organisation.as_ref().and_then(|it| it.priority);
+    let own_priority =
+        organisation.as_ref().and_then(|it| it.priority_override);
     let destination = RequestDestination {
         priority: own_priority.unwrap_or(route.priority),
         route,
--- a/cowsliproad-direct/src/stream.rs
+++ b/cowsliproad-direct/src/stream.rs
@@ -234,11 +234,11 @@
         deadline: Instant,
     ) -> NextEvent {
         loop {
-            if let Some(event) = self.splitter.pop() {
+            if let Some(event) = self.splitter.pop_event() {
                 self.attempt.note_event_received();
                 return NextEvent::Event(event);
             }
-            if self.splitter.exceeds_max_size() {
+            if self.splitter.event_exceeds_max_size() {
                 return NextEvent::Failed(AttemptError::MayHaveRun(
                     "an event exceeds the maximum size",
                 ));
@@ -274,7 +274,7 @@
             match frame {
                 Some(Ok(frame)) => {
                     let Ok(bytes) = frame.into_data() else { continue };
-                    self.splitter.push(&bytes);
+                    self.splitter.push_bytes(&bytes);
                     self.last_data_at =
                         ForwardPassSnapshot::new(entry, &self.choice);
                 }
--- a/cowsliproad-entry/src/admin.rs
+++ b/cowsliproad-entry/src/admin.rs
@@ -10,12 +10,12 @@
 use cowsliproad_admin::{convert, message};
 use cowsliproad_config::{
     ConfigState,
-    fold::{self, ChangeVerdict, ConfigChange, ConfigRecord, VersionedObject},
+    fold::{self, ChangeOutcome, ConfigChange, ConfigRecord, VersionedObject},
     object::{ObjectKey, ObjectKind},
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     id,
 };
 use cowsliproad_net::server::{AcceptHandle, Listener};
@@ -168,9 +168,12 @@
         if mode == message::Mode::DRY_RUN {
             let view = self.shared.published_view.current_view();
             return match view.config_state.check_change(&change) {
-                Ok(()) => {
-                    change_reply(Code::Ok, Execution::NotRun, 0, "dry run")
-                }
+                Ok(()) => change_reply(
+                    Code::Ok,
+                    ExecutionStatus::NotRun,
+                    0,
+                    "dry run",
+                ),
                 Err(code) => refused_change(code, "dry run"),
             };
         }
@@ -197,7 +200,7 @@
             Some(verdict) => self.reply_with_verdict(command, verdict),
             None => change_reply(
                 Code::AppendUnknown,
-                Execution::OutcomeUnknown,
+                ExecutionStatus::OutcomeUnknown,
                 0,
                 Code::AppendUnknown.text(),
             ),
@@ -209,7 +212,7 @@
     async fn wait_for_verdict(
         &self,
         command: id::Command,
-    ) -> Option<ChangeVerdict> {
+    ) -> Option<ChangeOutcome> {
         let deadline = Instant::now() + READ_BACK_TIMEOUT;
         let mut published = self.shared.published_view.subscribe_offsets();
         loop {
@@ -225,35 +228,42 @@
     fn published_verdict(
         &self,
         command: id::Command,
-    ) -> Option<ChangeVerdict> {
-        self.shared.published_view.current_view().config_state.verdict(command)
+    ) -> Option<ChangeOutcome> {
+        self.shared
+            .published_view
+            .current_view()
+            .config_state
+            .command_outcome(command)
     }
 
     /// Logs the verdict of a command and returns it as a reply.
     fn reply_with_verdict(
         &self,
         command: id::Command,
-        verdict: ChangeVerdict,
+        verdict: ChangeOutcome,
     ) -> Response<message::ChangeReply> {
         info!(self.shared.logger, "command";
             "command" => %command, "verdict" => ?verdict);
         match verdict {
-            ChangeVerdict::Accepted(revision) => {
-                change_reply(Code::Ok, Execution::Ran, revision, "accepted")
-            }
-            ChangeVerdict::Refused(code) => refused_change(code, ""),
+            ChangeOutcome::Accepted(revision) => change_reply(
+                Code::Ok,
+                ExecutionStatus::Ran,
+                revision,
+                "accepted",
+            ),
+            ChangeOutcome::Refused(code) => refused_change(code, ""),
         }
     }
 }
 
 fn refused_change(code: Code, detail: &str) -> Response<message::ChangeReply> {
     let detail = if detail.is_empty() { code.text() } else { detail };
-    change_reply(code, Execution::NotRun, 0, detail)
+    change_reply(code, ExecutionStatus::NotRun, 0, detail)
 }
 
 fn change_reply(
     code: Code,
-    ran: Execution,
+    ran: ExecutionStatus,
     revision: u64,
     detail: &str,
 ) -> Response<message::ChangeReply> {
@@ -304,7 +314,7 @@
             state: status.state_name.into(),
             queued: status.agent_load.queued_requests,
             running: status.agent_load.running_requests,
-            slots: status.agent_load.target_slots,
+            slots: status.agent_load.target_request_slots,
             report_age_ms: status.agent_load_age.0,
             offset: status.next_config_offset,
         }
--- a/cowsliproad-entry/src/answer.rs
+++ b/cowsliproad-entry/src/answer.rs
@@ -29,20 +29,20 @@
             AnswerItem::Bytes(more) => bytes.extend_from_slice(&more),
             AnswerItem::Restart => bytes.clear(),
             AnswerItem::Failed(failure) => {
-                let mut response = reply::problem(&failure, "");
+                let mut response = reply::problem_response(&failure, "");
                 set_resume_token(&mut response, &token);
                 return (response, Some(failure));
             }
             AnswerItem::Done(end) => {
                 let body = json_document(end.format, bytes);
-                let mut response = reply::json(StatusCode::OK, body);
+                let mut response = reply::json_response(StatusCode::OK, body);
                 set_resume_token(&mut response, &token);
                 return (response, None);
             }
         }
     }
     // A request forwarder always ends with `Done` or `Failed`.
-    (reply::text(StatusCode::INTERNAL_SERVER_ERROR, ""), None)
+    (reply::text_response(StatusCode::INTERNAL_SERVER_ERROR, ""), None)
 }
 
 /// Wraps a text answer in a JSON document. A JSON answer is returned as it
@@ -62,7 +62,8 @@
         "token": token,
         "reclaim": format!("/v1/requests/{token}"),
     });
-    let mut response = reply::json(StatusCode::ACCEPTED, body.to_string());
+    let mut response =
+        reply::json_response(StatusCode::ACCEPTED, body.to_string());
     set_resume_token(&mut response, token);
     response
 }
@@ -166,11 +167,11 @@
                     AnswerFormat::Json => "json",
                 };
                 let data = json!({
-                    "length": end.length,
+                    "length": end.answer_bytes_total,
                     "digest": digest,
                     "format": format,
                 });
-                Some(format_event("done", Some(end.length), &data))
+                Some(format_event("done", Some(end.answer_bytes_total), &data))
             }
             AnswerItem::Failed(failure) => {
                 self.observer.answer_ended(Some(&failure));
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -16,7 +16,7 @@
 use cowsliproad_config::object::RequestType;
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     id,
     wire::{
         CancelRequest, Frame, ProcessPhase, RequestFailure,
@@ -103,7 +103,8 @@
     }
 
     fn into_response(self) -> Response {
-        let mut response = reply::problem(&self.failure, &self.problem_detail);
+        let mut response =
+            reply::problem_response(&self.failure, &self.problem_detail);
         let ticket = self.new_ticket.as_deref().map(HeaderValue::from_str);
         if let Some(Ok(ticket)) = ticket {
             response.headers_mut().insert(TICKET_HEADER, ticket);
@@ -152,12 +153,12 @@
             path.split('/').filter(|it| !it.is_empty()).collect();
         let outcome = match (request.method().clone(), &path[..]) {
             (Method::GET, ["livez"]) => {
-                return reply::text(StatusCode::OK, "live\n");
+                return reply::text_response(StatusCode::OK, "live\n");
             }
             (Method::GET, ["readyz"]) => return self.readiness_response(),
             (Method::GET, ["metrics"]) => {
                 let text = self.shared.metrics.text();
-                return reply::text(StatusCode::OK, &text);
+                return reply::text_response(StatusCode::OK, &text);
             }
             // Boxed to keep the common future small: the server moves it
             // several times.
@@ -194,15 +195,18 @@
     fn readiness_response(&self) -> Response {
         let view = self.shared.published_view.current_view();
         if self.shared.lifecycle_phase() == ProcessPhase::Leaving {
-            return reply::text(StatusCode::SERVICE_UNAVAILABLE, "stopping\n");
+            return reply::text_response(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "stopping\n",
+            );
         }
         if view.services.is_empty() {
-            return reply::text(
+            return reply::text_response(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "no configuration yet\n",
             );
         }
-        reply::text(StatusCode::OK, "ready\n")
+        reply::text_response(StatusCode::OK, "ready\n")
     }
 
     async fn submit_work(
@@ -313,7 +317,7 @@
         let gone = || {
             let failure = RequestFailure::new(
                 Code::TargetGone,
-                Execution::OutcomeUnknown,
+                ExecutionStatus::OutcomeUnknown,
             );
             RequestRefusal::new(failure)
         };
@@ -334,7 +338,7 @@
                 if failure.code == Code::Cancelled =>
             {
                 let body = json!({ "ran": failure.ran.as_str() });
-                Ok(reply::json(StatusCode::OK, body.to_string()))
+                Ok(reply::json_response(StatusCode::OK, body.to_string()))
             }
             Ok(Some(AttemptEvent::Refused(failure))) => {
                 Err(RequestRefusal::new(failure))
@@ -363,7 +367,7 @@
             "tickets": tickets,
             "valid_ms": TICKET_TTL.0,
         });
-        Ok(reply::json(StatusCode::OK, body.to_string()))
+        Ok(reply::json_response(StatusCode::OK, body.to_string()))
     }
 
     /// Signs a ticket for the target with the best score. If no target may be
@@ -416,7 +420,7 @@
             let Some(wait) = wait else { return no_target_refusal() };
             let after = patience::add_retry_jitter(wait, rand::random());
             let failure =
-                RequestFailure::new(Code::Overloaded, Execution::NotRun);
+                RequestFailure::new(Code::Overloaded, ExecutionStatus::NotRun);
             RequestRefusal::new(failure.with_retry_after(after))
         })
     }
@@ -462,7 +466,7 @@
         let limit = if urgent { max } else { max - max / 10 };
         let full =
             self.shared.in_flight_requests.load(Ordering::Relaxed) > limit;
-        let ran = Execution::NotForwarded;
+        let ran = ExecutionStatus::NotForwarded;
         if full {
             let failure = RequestFailure::new(Code::Overloaded, ran);
             let failure = failure.with_retry_after(OVERLOAD_RETRY_AFTER);
@@ -511,8 +515,10 @@
     ) -> RequestRefusal {
         match self.sign_new_ticket(checked) {
             Ok(ticket) => {
-                let failure =
-                    RequestFailure::new(Code::TicketNeeded, Execution::NotRun);
+                let failure = RequestFailure::new(
+                    Code::TicketNeeded,
+                    ExecutionStatus::NotRun,
+                );
                 RequestRefusal {
                     new_ticket: Some(ticket),
                     ..RequestRefusal::new(failure)
@@ -592,7 +598,7 @@
                 }
                 Err(failure) => {
                     recorder.answer_ended(Some(&failure));
-                    reply::problem(&failure, "")
+                    reply::problem_response(&failure, "")
                 }
             }
         }
@@ -617,7 +623,7 @@
                 let code = Code::TargetFailed;
                 return Err(RequestFailure::new(
                     code,
-                    Execution::OutcomeUnknown,
+                    ExecutionStatus::OutcomeUnknown,
                 ));
             }
         }
@@ -634,12 +640,12 @@
     match forwarder.next_item().await {
         Some(AnswerItem::Failed(failure)) => {
             observer.answer_ended(Some(&failure));
-            reply::problem(&failure, "")
+            reply::problem_response(&failure, "")
         }
         Some(first) => {
             answer::stream_answer(forwarder, first, first_byte, observer)
         }
-        None => reply::text(StatusCode::INTERNAL_SERVER_ERROR, ""),
+        None => reply::text_response(StatusCode::INTERNAL_SERVER_ERROR, ""),
     }
 }
 
@@ -649,10 +655,12 @@
     let (response, failure) = answer::whole_answer_response(forwarder).await;
     match failure {
         Some(failure) if failure.code == Code::TimedOut => {
-            let failure =
-                RequestFailure::new(Code::Accepted, Execution::OutcomeUnknown);
+            let failure = RequestFailure::new(
+                Code::Accepted,
+                ExecutionStatus::OutcomeUnknown,
+            );
             let failure = failure.with_retry_after(UNFINISHED_RETRY_AFTER);
-            reply::problem(&failure, "the work is not finished yet")
+            reply::problem_response(&failure, "the work is not finished yet")
         }
         _ => response,
     }
@@ -661,7 +669,7 @@
 /// A refusal, with the outcome "not forwarded", of a request that the entry
 /// process rejected itself.
 fn refuse_unforwarded(code: Code, detail: &str) -> RequestRefusal {
-    let failure = RequestFailure::new(code, Execution::NotForwarded);
+    let failure = RequestFailure::new(code, ExecutionStatus::NotForwarded);
     RequestRefusal {
         problem_detail: detail.into(),
         ..RequestRefusal::new(failure)
@@ -669,6 +677,7 @@
 }
 
 fn no_target_refusal() -> RequestRefusal {
-    let failure = RequestFailure::new(Code::NoTarget, Execution::NotForwarded);
+    let failure =
+        RequestFailure::new(Code::NoTarget, ExecutionStatus::NotForwarded);
     RequestRefusal::new(failure.with_retry_after(UNFINISHED_RETRY_AFTER))
 }
--- a/cowsliproad-entry/src/callers/head.rs
+++ b/cowsliproad-entry/src/callers/head.rs
@@ -4,7 +4,7 @@
 
 use cowsliproad_kernel::{
     Name,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     wire::RequestFailure,
 };
 use http::header;
@@ -27,7 +27,7 @@
         // Without a configuration no organisation key is known, so no key can
         // be rejected as wrong.
         let failure =
-            RequestFailure::new(Code::NotReady, Execution::NotForwarded);
+            RequestFailure::new(Code::NotReady, ExecutionStatus::NotForwarded);
         return Err(RequestRefusal::new(
             failure.with_retry_after(OVERLOAD_RETRY_AFTER),
         ));
--- a/cowsliproad-entry/src/control.rs
+++ b/cowsliproad-entry/src/control.rs
@@ -14,7 +14,7 @@
 
 use cowsliproad_config::{
     ConfigState,
-    fold::{self, ChangeVerdict, ConfigChange, StateAdoption},
+    fold::{self, ChangeOutcome, ConfigChange, StateAdoption},
     object::{ObjectKey, ObjectKind},
 };
 use cowsliproad_kernel::{
@@ -152,7 +152,7 @@
     /// Applies log records in order and skips those that are already applied.
     fn apply_records(&mut self, records: ConfigRecords) {
         for (offset, bytes) in
-            (records.first_offset..).zip(records.encoded_records)
+            (records.first_record_offset..).zip(records.encoded_records)
         {
             if offset < self.state.next_offset() {
                 continue;
@@ -202,7 +202,7 @@
             let encoded_records =
                 self.recent_records.iter().skip(skip).cloned().collect();
             return Some(Frame::ConfigRecords(ConfigRecords {
-                first_offset: peer_offset,
+                first_record_offset: peer_offset,
                 encoded_records,
             }));
         }
@@ -289,12 +289,12 @@
     fn log_verdict(
         &self,
         offset: u64,
-        outcome: Option<(id::Command, ChangeVerdict)>,
+        outcome: Option<(id::Command, ChangeOutcome)>,
     ) {
         let Some((command, verdict)) = outcome else { return };
         let verdict = match verdict {
-            ChangeVerdict::Accepted(_) => "accepted",
-            ChangeVerdict::Refused(code) => code.name(),
+            ChangeOutcome::Accepted(_) => "accepted",
+            ChangeOutcome::Refused(code) => code.name(),
         };
         info!(self.shared.logger, "config_record";
             "offset" => offset, "command" => %command,
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -28,10 +28,10 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     id,
     wire::{
-        AnswerAck, AnswerEnd, Frame, ReclaimAnswer, RequestFailure,
+        AnswerAck, AnswerEnd, FetchAnswerRequest, Frame, RequestFailure,
         RequestPersistence, SEND_WINDOW_BYTES, SubmitMode, SubmitRequest,
     },
 };
@@ -268,7 +268,7 @@
             );
         };
         let attempt = id::Attempt::random();
-        let reclaim = ReclaimAnswer {
+        let reclaim = FetchAnswerRequest {
             attempt,
             request: token.request,
             organisation: token.organisation,
@@ -277,7 +277,7 @@
         let assembly = AnswerAssembly::starting_at(attempt, first_byte);
         self.send_first_frame(
             target,
-            Frame::ReclaimAnswer(reclaim),
+            Frame::FetchAnswerRequest(reclaim),
             assembly,
             token.request,
         )
@@ -430,7 +430,7 @@
     /// Handles an attempt that never left this entry process.
     fn handle_unsent_attempt(&mut self, target: Arc<Target>) {
         let failure =
-            RequestFailure::new(Code::LinkLost, Execution::NotForwarded);
+            RequestFailure::new(Code::LinkLost, ExecutionStatus::NotForwarded);
         match &self.task {
             // The next attempt looks for the process of the ticket again.
             ForwardTask::Work(work_request)
@@ -533,7 +533,7 @@
                 self.tried_targets.push(attempt.target.name.clone());
                 let failure = RequestFailure::new(
                     Code::TargetFailed,
-                    Execution::OutcomeUnknown,
+                    ExecutionStatus::OutcomeUnknown,
                 );
                 self.handle_failed_attempt(failure);
             }
--- a/cowsliproad-entry/src/forward/failure.rs
+++ b/cowsliproad-entry/src/forward/failure.rs
@@ -6,10 +6,10 @@
 use cowsliproad_admission::{patience, quarantine::QuarantineVerdict};
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, Execution},
+    code::{Code, ExecutionStatus},
     id,
     sync::lock,
-    wire::{Frame, ReclaimAnswer, RequestFailure},
+    wire::{FetchAnswerRequest, Frame, RequestFailure},
 };
 use tokio::time::sleep;
 
@@ -28,8 +28,10 @@
     pub(super) fn fail_timed_out(&mut self, attempt: ActiveAttempt) {
         attempt.detach_attempt();
         self.may_have_run = true;
-        let failure =
-            RequestFailure::new(Code::TimedOut, Execution::OutcomeUnknown);
+        let failure = RequestFailure::new(
+            Code::TimedOut,
+            ExecutionStatus::OutcomeUnknown,
+        );
         self.finish_with_failure(
             failure.with_retry_after(UNKNOWN_OUTCOME_RETRY_AFTER),
         );
@@ -61,8 +63,10 @@
             .await
         else {
             self.tried_targets.push(attempt.target.name.clone());
-            let failure =
-                RequestFailure::new(Code::LinkLost, Execution::OutcomeUnknown);
+            let failure = RequestFailure::new(
+                Code::LinkLost,
+                ExecutionStatus::OutcomeUnknown,
+            );
             return self.handle_failed_attempt(failure);
         };
         let next = id::Attempt::random();
@@ -74,7 +78,7 @@
                 token.organisation.clone()
             }
         };
-        let reclaim = ReclaimAnswer {
+        let reclaim = FetchAnswerRequest {
             attempt: next,
             request: attempt.request_id,
             organisation,
@@ -83,7 +87,7 @@
         let assembly = attempt.assembly.resume(next);
         self.send_first_frame(
             target,
-            Frame::ReclaimAnswer(reclaim),
+            Frame::FetchAnswerRequest(reclaim),
             assembly,
             attempt.request_id,
         )
@@ -92,7 +96,10 @@
 
     /// Retries or ends the request after a failed attempt.
     pub(super) fn handle_failed_attempt(&mut self, failure: RequestFailure) {
-        if matches!(failure.ran, Execution::Ran | Execution::OutcomeUnknown) {
+        if matches!(
+            failure.ran,
+            ExecutionStatus::Ran | ExecutionStatus::OutcomeUnknown
+        ) {
             self.may_have_run = true;
         }
         if self.may_retry(&failure) {
@@ -196,11 +203,11 @@
 
     /// Whether the work certainly did not run, or may have run in an earlier
     /// attempt.
-    pub(super) fn execution_state(&self) -> Execution {
+    pub(super) fn execution_state(&self) -> ExecutionStatus {
         if self.may_have_run {
-            Execution::OutcomeUnknown
+            ExecutionStatus::OutcomeUnknown
         } else {
-            Execution::NotRun
+            ExecutionStatus::NotRun
         }
     }
 
@@ -225,7 +232,7 @@
         if is_process_ended(&view, &self.task, incarnation) {
             return RequestFailure::new(
                 Code::TargetGone,
-                Execution::OutcomeUnknown,
+                ExecutionStatus::OutcomeUnknown,
             );
         }
         unknown_outcome_failure(Code::LinkLost)
@@ -282,6 +289,6 @@
 
 /// A failure whose outcome is unknown, with a `Retry-After`.
 pub(super) fn unknown_outcome_failure(code: Code) -> RequestFailure {
-    RequestFailure::new(code, Execution::OutcomeUnknown)
+    RequestFailure::new(code, ExecutionStatus::OutcomeUnknown)
         .with_retry_after(UNKNOWN_OUTCOME_RETRY_AFTER)
 }
--- a/cowsliproad-entry/src/links.rs
+++ b/cowsliproad-entry/src/links.rs
@@ -91,7 +91,7 @@
                     .sync_config_with_peer(shared, &sender, offset)
                     .await;
             }
-            Frame::SuspectedRequests(suspects) => {
+            Frame::CrashSuspectRequests(suspects) => {
                 quarantine::merge_suspected_requests(shared, target, suspects);
             }
             other => handle_agent_frame(shared, &sender, &link, other).await,
@@ -323,7 +323,7 @@
         sender_clock: Millis::now(),
         phase: shared.lifecycle_phase(),
         load: AgentLoad::default(),
-        target_cooldown: Millis(0),
+        target_cooldown_remaining: Millis(0),
         presence: TargetPresence::Here,
         taken_over_incarnations: Vec::new(),
         next_config_offset: shared
--- a/cowsliproad-entry/src/log.rs
+++ b/cowsliproad-entry/src/log.rs
@@ -66,7 +66,7 @@
 #[derive(Deserialize)]
 struct LogPage {
     #[serde(rename = "first")]
-    first_offset: u64,
+    first_record_offset: u64,
     records: Vec<String>,
 }
 
@@ -111,12 +111,12 @@
         record_log_reachability(&shared, page.is_some());
         match page {
             None => sleep(LOG_READ_RETRY_BACKOFF).await,
-            Some(page) if page.first_offset > next => {
+            Some(page) if page.first_record_offset > next => {
                 restore_from_snapshot(&shared, page).await;
             }
             Some(page) => {
-                let next =
-                    page.first_offset + page.encoded_records.len() as u64;
+                let next = page.first_record_offset
+                    + page.encoded_records.len() as u64;
                 if !page.encoded_records.is_empty() {
                     shared
                         .control_queue
@@ -155,14 +155,17 @@
     let records: Result<Vec<_>, _> = decoded.collect();
     let encoded_records =
         records.ok()?.into_iter().map(ByteBuf::from).collect();
-    Some(ConfigRecords { first_offset: page.first_offset, encoded_records })
+    Some(ConfigRecords {
+        first_record_offset: page.first_record_offset,
+        encoded_records,
+    })
 }
 
 /// Searches the log for a snapshot when the records that come next are no
 /// longer in the log. A peer or an agent may send a snapshot meanwhile, so a
 /// search that finds none is simply repeated.
 async fn restore_from_snapshot(shared: &EntryState, mut page: ConfigRecords) {
-    let oldest = page.first_offset;
+    let oldest = page.first_record_offset;
     warn!(shared.logger, "log_trimmed"; "first" => oldest);
     while !page.encoded_records.is_empty() {
         let states =
@@ -179,7 +182,8 @@
                 .await;
             return wait_until_published(shared, next).await;
         }
-        let next = page.first_offset + page.encoded_records.len() as u64;
+        let next =
+            page.first_record_offset + page.encoded_records.len() as u64;
         match read_page(shared, next, 0).await {
             Some(following) => page = following,
             None => break,
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -162,7 +162,7 @@
     /// heartbeat.
     pub fn record_heartbeat(&self, heartbeat: Heartbeat, now: Millis) {
         let mut stats = lock(&self.stats);
-        stats.health.set_retry_after(now, heartbeat.target_cooldown);
+        stats.health.set_retry_after(now, heartbeat.target_cooldown_remaining);
         stats.last_heartbeat = Some(heartbeat);
         stats.heartbeat_received_at = now;
         stats.sent_since_heartbeat = 0;
@@ -230,7 +230,7 @@
             .as_ref()
             .map_or(AgentLoad::default(), |it| it.load);
         let candidate = TargetCandidate {
-            load,
+            reported_load: load,
             requests_sent_since_report: stats.sent_since_heartbeat,
             requests_completed_since_report: stats.completed_since_heartbeat,
             in_flight: stats.in_flight,
--- a/cowsliproad-kernel/src/gossip.rs
+++ b/cowsliproad-kernel/src/gossip.rs
@@ -87,19 +87,19 @@
     /// milliseconds.
     #[serde(rename = "r")]
     pub targets_read_age_ms: u64,
-    /// The highest log offset in the era `log_era` at which the sender knows
-    /// that the targets changed.
+    /// The log offset, in the era `log_era`, of the latest change of a target
+    /// that the sender knows of.
     #[serde(rename = "n")]
     pub last_target_change_offset: u64,
     /// Targets that the sender recently saw leave for good, each with its
     /// start time as a Unix millisecond.
     #[serde(rename = "l")]
-    pub departed_targets: Vec<(Name, u64)>,
+    pub departed_targets_with_start_unix_ms: Vec<(Name, u64)>,
     /// Targets whose announcements recently expired or were deleted in the
     /// log, each with its start time as a Unix millisecond and the sequence
     /// number of its last announcement.
     #[serde(rename = "w")]
-    pub withdrawn_targets: Vec<(Name, u64, u64)>,
+    pub withdrawn_targets_with_start_and_sequence: Vec<(Name, u64, u64)>,
     /// Other entry processes whose gossip recently reached the sender.
     #[serde(rename = "p")]
     pub peers: Vec<SocketAddr>,
@@ -111,9 +111,9 @@
     #[serde(
         rename = "q",
         default,
-        skip_serializing_if = "SuspectedRequests::is_empty"
+        skip_serializing_if = "CrashSuspectRequests::is_empty"
     )]
-    pub suspected_requests: SuspectedRequests,
+    pub suspected_requests: CrashSuspectRequests,
     /// Identifiers of reported target crashes that turned out to be false.
     #[serde(rename = "b", default, skip_serializing_if = "Vec::is_empty")]
     pub retracted_crash_ids: Vec<u64>,
@@ -122,7 +122,7 @@
     pub rate_limits: Vec<RateLimit>,
 }
 
-/// The rate limit that a target last stated.
+/// The most recent rate limit that a target reported.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RateLimit {
     /// The name of the target.
@@ -148,8 +148,8 @@
     /// Identifies the permit request; the reply repeats the same number.
     #[serde(rename = "n")]
     pub request_id: u64,
-    /// The rate limit of the target, as the entry process that asks for the
-    /// permit knows the limit.
+    /// The rate limit of the target, as last known to the entry process that
+    /// requests the permit.
     #[serde(rename = "l")]
     pub rate_limit: RateLimit,
     /// How long the caller's request can wait for the permit, in milliseconds.
@@ -167,17 +167,18 @@
     /// Identifies the permit request that this is the reply to.
     #[serde(rename = "n")]
     pub request_id: u64,
-    /// The rate limit of the target, as the entry process that replies knows
-    /// the limit.
+    /// The rate limit of the target, as last known to the entry process that
+    /// replies.
     #[serde(rename = "l")]
     pub rate_limit: RateLimit,
     /// Whether the permit to send a request to the target is granted.
     #[serde(rename = "g")]
     pub permit_granted: bool,
-    /// The wait in milliseconds until a granted permit may be used, or until a
-    /// rejected permit request may be retried.
+    /// A wait in milliseconds. If the permit is granted: until the request may
+    /// be sent to the target. If it is not: until the permit may be requested
+    /// again.
     #[serde(rename = "w")]
-    pub permit_wait: Millis,
+    pub wait_before_send_or_retry: Millis,
 }
 
 /// Returns the empty name, which stands for the availability zone of a sender
@@ -188,7 +189,7 @@
 
 /// A request that is suspected of crashing the targets that run it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct SuspectedRequest {
+pub struct CrashSuspectRequest {
     /// Identifies the request's content: a hash of the caller, the path and the
     /// body.
     #[serde(rename = "w")]
@@ -204,7 +205,7 @@
     /// Whether some target is known to have survived the request, that is,
     /// completed the request without a crash.
     #[serde(rename = "s")]
-    pub survived_by_target: bool,
+    pub completed_without_crash: bool,
     /// The time since the suspected request was last received from a caller,
     /// in milliseconds.
     #[serde(rename = "i")]
@@ -232,7 +233,7 @@
     pub target_list_id: u64,
     /// The number of sets of layers that have their own expert map.
     #[serde(rename = "s")]
-    pub layer_sets: u16,
+    pub layer_set_count: u16,
     /// The number of experts in each set of layers.
     #[serde(rename = "e")]
     pub experts_per_layer_set: u16,
@@ -242,7 +243,7 @@
     /// The number of experts in each set of layers that one map change may add
     /// to a rank.
     #[serde(rename = "n")]
-    pub max_new_experts_per_layer_set: u16,
+    pub max_experts_added_to_rank_per_layer_set: u16,
     /// How long a rank takes to copy an expert, in milliseconds.
     #[serde(rename = "c")]
     pub expert_copy_ms: u64,
@@ -299,14 +300,14 @@
 /// it ran many requests, and nothing else is known of these requests. Each such
 /// request takes 8 bytes instead of about 35.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct SuspectedRequests {
+pub struct CrashSuspectRequests {
     /// Requests of which only one crash is known: for each crash, its
     /// identifier and the concatenated hashes of the requests.
     #[serde(rename = "o")]
     single_crash_requests: Vec<(u64, ByteBuf)>,
     /// All other suspected requests.
     #[serde(rename = "m")]
-    other_requests: Vec<SuspectedRequest>,
+    other_requests: Vec<CrashSuspectRequest>,
 }
 
 /// The encoded size of the hash that identifies a suspected request.
@@ -314,21 +315,21 @@
 
 /// Whether nothing is known of a suspected request but the crashes attributed
 /// to it.
-fn only_crashes_known(request: &SuspectedRequest) -> bool {
-    !request.survived_by_target
+fn has_only_crash_ids(request: &CrashSuspectRequest) -> bool {
+    !request.completed_without_crash
         && request.rejected_for.is_none()
         && request.suspension_left.is_none()
 }
 
-impl SuspectedRequests {
+impl CrashSuspectRequests {
     /// Encodes suspected requests compactly.
-    pub fn pack(requests: Vec<SuspectedRequest>) -> SuspectedRequests {
+    pub fn pack(requests: Vec<CrashSuspectRequest>) -> CrashSuspectRequests {
         let mut single_crash_requests: BTreeMap<u64, ByteBuf> =
             BTreeMap::new();
         let mut other_requests = Vec::new();
         for request in requests {
             match request.crash_ids[..] {
-                [crash] if only_crashes_known(&request) => {
+                [crash] if has_only_crash_ids(&request) => {
                     let hashes =
                         single_crash_requests.entry(crash).or_default();
                     hashes.extend_from_slice(
@@ -338,7 +339,7 @@
                 _ => other_requests.push(request),
             }
         }
-        SuspectedRequests {
+        CrashSuspectRequests {
             single_crash_requests: single_crash_requests.into_iter().collect(),
             other_requests,
         }
@@ -350,18 +351,19 @@
     }
 
     /// Decodes the suspected requests. A compactly encoded request counts as
-    /// received just now, because it is broadcast for only a few seconds.
-    pub fn unpack(&self) -> impl Iterator<Item = SuspectedRequest> {
+    /// received just now, because such requests are broadcast for only a few
+    /// seconds.
+    pub fn unpack(&self) -> impl Iterator<Item = CrashSuspectRequest> {
         let single_crash_requests =
             self.single_crash_requests.iter().flat_map(|(crash, hashes)| {
                 hashes.chunks_exact(REQUEST_HASH_BYTES).map(|hash| {
-                    SuspectedRequest {
+                    CrashSuspectRequest {
                         request_hash: hash.iter().fold(0, |value, byte| {
                             value << 8 | u64::from(*byte)
                         }),
                         crash_ids: vec![*crash],
                         excused_crash_ids: Vec::new(),
-                        survived_by_target: false,
+                        completed_without_crash: false,
                         since_last_received: Millis(0),
                         rejected_for: None,
                         suspension_left: None,
--- a/cowsliproad-kernel/src/wire.rs
+++ b/cowsliproad-kernel/src/wire.rs
@@ -12,8 +12,8 @@
 use crate::{
     Name,
     clock::Millis,
-    code::{Code, Execution},
-    gossip::SuspectedRequest,
+    code::{Code, ExecutionStatus},
+    gossip::CrashSuspectRequest,
     id,
 };
 
@@ -48,7 +48,7 @@
     SubmitRequest(Box<SubmitRequest>),
     /// The entry process asks for a stored answer.
     #[serde(rename = "rc")]
-    ReclaimAnswer(ReclaimAnswer),
+    FetchAnswerRequest(FetchAnswerRequest),
     /// The entry process needs no more frames of the given attempt.
     #[serde(rename = "de")]
     Detach(id::Attempt),
@@ -85,7 +85,7 @@
     PullConfig(u64),
     /// Requests that are suspected of crashing the agent's target.
     #[serde(rename = "sp")]
-    SuspectedRequests(Vec<SuspectedRequest>),
+    CrashSuspectRequests(Vec<CrashSuspectRequest>),
     /// Ticket records and stored answers of an agent that is shutting down.
     #[serde(rename = "ho")]
     Handover(Box<Handover>),
@@ -149,7 +149,7 @@
 }
 
 impl TargetPresence {
-    fn is_here(&self) -> bool {
+    fn is_running(&self) -> bool {
         *self == TargetPresence::Here
     }
 }
@@ -177,13 +177,13 @@
     #[serde(
         rename = "x",
         default,
-        skip_serializing_if = "TargetPresence::is_here"
+        skip_serializing_if = "TargetPresence::is_running"
     )]
     pub presence: TargetPresence,
     /// For how long from now the target asked to receive no requests; zero
     /// without a cooldown.
     #[serde(rename = "c", default, skip_serializing_if = "is_zero")]
-    pub target_cooldown: Millis,
+    pub target_cooldown_remaining: Millis,
     /// Earlier agent processes that handed their tickets over to the sender
     /// when they stopped.
     #[serde(rename = "h")]
@@ -208,7 +208,7 @@
     pub running_requests: u32,
     /// The number of requests that the target processes at the same time.
     #[serde(rename = "s")]
-    pub target_slots: u32,
+    pub target_request_slots: u32,
     /// The mean time that a request occupies a slot, in microseconds.
     #[serde(rename = "u")]
     pub mean_service_time_us: u32,
@@ -234,7 +234,7 @@
 pub enum Urgency {
     /// People are held up until the answer comes: at a gate, a tug or a plate.
     Urgent,
-    /// A person at a desk waits for the answer.
+    /// Normal urgency: a user waits interactively for the answer.
     Normal,
     /// The request may wait, but must not be lost.
     Background,
@@ -308,7 +308,7 @@
 
 /// Asks for a stored answer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct ReclaimAnswer {
+pub struct FetchAnswerRequest {
     /// The attempt that frames with the answer refer to.
     #[serde(rename = "a")]
     pub attempt: id::Attempt,
@@ -332,7 +332,8 @@
     /// The organisation that cancelled the request.
     #[serde(rename = "o")]
     pub organisation: Name,
-    /// The attempt that frames with the outcome refer to.
+    /// The attempt that the agent names in the frames that report the outcome
+    /// of the cancelled request.
     #[serde(rename = "a")]
     pub attempt: id::Attempt,
 }
@@ -392,13 +393,13 @@
     pub attempt: id::Attempt,
     /// The number of data frames in the attempt.
     #[serde(rename = "s")]
-    pub data_frames: u32,
+    pub data_frame_count: u32,
     /// The format of the answer.
     #[serde(rename = "f")]
     pub format: AnswerFormat,
     /// The length of the complete answer in bytes.
     #[serde(rename = "l")]
-    pub length: u64,
+    pub answer_bytes_total: u64,
     /// The BLAKE3 digest of the complete answer.
     #[serde(rename = "d", with = "serde_bytes")]
     pub answer_blake3_digest: Vec<u8>,
@@ -415,7 +416,7 @@
     pub code: Code,
     /// Whether the request ran.
     #[serde(rename = "r")]
-    pub ran: Execution,
+    pub ran: ExecutionStatus,
     /// How long the caller should wait before it retries.
     #[serde(rename = "w")]
     pub retry_after: Option<Millis>,
@@ -424,9 +425,10 @@
 /// Consecutive records of the configuration log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ConfigRecords {
-    /// The offset of the first record in the configuration log.
+    /// The position in the configuration log of the first record in
+    /// `encoded_records`.
     #[serde(rename = "first")]
-    pub first_offset: u64,
+    pub first_record_offset: u64,
     /// The encoded log records, one for each offset.
     #[serde(rename = "records")]
     pub encoded_records: Vec<serde_bytes::ByteBuf>,
@@ -489,15 +491,15 @@
     /// The reason for the failure.
     pub code: Code,
     /// Whether the request ran.
-    pub ran: Execution,
+    pub ran: ExecutionStatus,
     /// How long the caller should wait before it retries.
     pub retry_after: Option<Millis>,
 }
 
 impl RequestFailure {
     /// Creates a failure without a retry delay.
-    pub fn new(code: Code, ran: Execution) -> RequestFailure {
-        RequestFailure { code, ran, retry_after: None }
+    pub fn new(code: Code, execution: ExecutionStatus) -> RequestFailure {
+        RequestFailure { code, ran: execution, retry_after: None }
     }
 
     /// Returns the same failure with a retry delay.
--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -35,9 +35,9 @@
     engine::EngineClient,
     lead::GroupCoordinator,
     plan::{MapPlan, PlanUpdate},
-    rota::CountReportSchedule,
+    rota::SelectionCountReportSchedule,
     settings::Settings,
-    wire::{AgentMessage, GroupMessage, UrgentStatus},
+    wire::{AgentMessage, GroupMessage, UrgentRankStatus},
 };
 
 mod chair;
@@ -47,22 +47,23 @@
 
 /// The interval at which the agent polls its engine while no switch is in
 /// progress.
-const IDLE_ENGINE_POLL_INTERVAL: Millis = Millis(50);
+const ENGINE_POLL_INTERVAL_WITHOUT_MAP_SWITCH: Millis = Millis(50);
 
-/// The polling interval while a switch of maps is in progress: shorter than a
-/// pass.
-const SWITCH_POLL_INTERVAL: Millis = Millis(30);
+/// The interval at which an agent polls its engine while a switch of maps is
+/// in progress: shorter than a pass.
+const ENGINE_POLL_INTERVAL_DURING_MAP_SWITCH: Millis = Millis(30);
 
-/// The polling interval of the holder's agent while the hold is ordered: from
-/// then on the group may be stopped until all ranks are armed.
-const HOLD_POLL_INTERVAL: Millis = Millis(6);
+/// The interval at which an agent polls its engine while the directive
+/// requires this engine to hold the group: the group may be stopped until all
+/// ranks are armed.
+const ENGINE_POLL_INTERVAL_DURING_HOLD: Millis = Millis(6);
 
 /// The interval at which the agent reports the engine's load to entry
 /// processes.
 const LOAD_REPORT_INTERVAL: Millis = Millis(400);
 
 /// The number of ranks up to which messages are repeated every
-/// [`SWITCH_POLL_INTERVAL`].
+/// [`ENGINE_POLL_INTERVAL_DURING_MAP_SWITCH`].
 const MAX_RANKS_AT_SHORTEST_MESSAGE_INTERVAL: u64 = 16;
 
 /// How long a stopping agent waits at most for a switch of maps to end. A
@@ -72,22 +73,23 @@
 
 /// The time after which the subscription of an entry process expires unless
 /// renewed.
-const SUBSCRIPTION_TTL: Millis = Millis(4_000);
+const LOAD_SUBSCRIPTION_TTL: Millis = Millis(4_000);
 
 /// A task that acquires a fencing number from the platform's log.
 type FencingNumberTask = JoinHandle<Option<LogPosition>>;
 
-/// The agent of one engine.
+/// An agent that reports the load of one model engine to entry processes and
+/// sends the engine the orders of a switch of expert maps.
 pub struct Agent {
     settings: Settings,
     log: Logger,
     engine_client: EngineClient,
-    entries_socket: UdpSocket,
-    agents_socket: UdpSocket,
+    entry_process_socket: UdpSocket,
+    agent_message_socket: UdpSocket,
     own_address: SocketAddr,
     /// The entry processes that subscribed to load reports, and when each last
     /// renewed its subscription.
-    subscribed_entries: BTreeMap<SocketAddr, Millis>,
+    subscribed_entry_processes: BTreeMap<SocketAddr, Millis>,
     /// The service's targets and expert layout, as last received from an entry
     /// process.
     service_shape: Option<LoadSubscription>,
@@ -98,22 +100,22 @@
     /// Whether the engine's process is known to have ended.
     engine_process: EngineProcessState,
     /// The cooldowns that the engines of other ranks requested, each with the
-    /// group formation in which it was requested.
+    /// epoch of the group in which the engine requested the cooldown.
     remote_engine_cooldowns: BTreeMap<SocketAddr, (Epoch, Cooldown)>,
     /// The group that the engine last named as its own.
     engine_group: Option<Name>,
     /// The engines of the service that belong to other groups.
     engines_of_other_groups: BTreeSet<SocketAddr>,
-    experts_of_map: Option<(Epoch, order::Version, Vec<Vec<u16>>)>,
+    expert_lists_of_map_in_use: Option<(Epoch, order::Version, Vec<Vec<u16>>)>,
     last_selection_counts: Option<(Epoch, Vec<Vec<u64>>)>,
-    count_schedule: Option<CountReportSchedule>,
+    selection_count_report_schedule: Option<SelectionCountReportSchedule>,
     held_plan: Option<MapPlan>,
-    /// The last directive, the address of the coordinator that sent it, and
-    /// when it arrived.
+    /// The last received directive, the address of the coordinator that sent
+    /// the directive, and the time of receipt.
     last_directive: Option<(Directive, SocketAddr, Millis)>,
-    /// The formation and pass for which the agent last received the
+    /// The group's epoch and the pass for which the agent last received the
     /// announcement that the coordinator's own rank arms.
-    announced_coordinator_arming: Option<(Epoch, u64)>,
+    announced_coordinator_arming_pass: Option<(Epoch, u64)>,
     /// The highest fencing number that the agent has received.
     max_known_fencing_number: u64,
     /// The newest known era of the platform's log.
@@ -122,15 +124,15 @@
     /// The task that acquires a fencing number, if one is running.
     fencing_number_task: Option<FencingNumberTask>,
     agent_start: Millis,
-    /// The formation and pass of the engine's first report to this agent
-    /// process.
-    first_reported_pass: Option<(Epoch, u64)>,
+    /// The group's epoch and the pass in the engine's first report to this
+    /// agent process.
+    first_reported_epoch_and_pass: Option<(Epoch, u64)>,
     /// When the agent was asked to stop, if at all.
     stop_request_time: Option<Millis>,
     /// Whether the agent must poll the engine again without waiting for the
     /// interval.
-    poll_again_at_once: bool,
-    last_actions: LastActions,
+    poll_engine_again_at_once: bool,
+    last_actions: LastAgentActions,
 }
 
 /// Whether an engine's process has ended. A process that doesn't answer may
@@ -143,36 +145,38 @@
 
 /// An *arm* order that the engine didn't answer.
 #[derive(Clone, Copy)]
-struct UnansweredArm {
+struct UnansweredArmOrder {
     epoch: Epoch,
     /// The pass at which the order was to switch maps.
     switch_pass: u64,
     order_time: Millis,
 }
 
-/// When the agent last took each kind of action, and with which content.
+/// The time and content of the last action of each kind that an agent took.
 #[derive(Default)]
-struct LastActions {
+struct LastAgentActions {
     load_report_time: Millis,
     status_time: Millis,
     directive_time: Millis,
     fencing_number_request_time: Option<Millis>,
     sent_directive: Option<Directive>,
     /// The last *arm* order that the engine didn't answer.
-    unanswered_arm: Option<UnansweredArm>,
-    /// The directive for which the agent last ordered a hold.
+    unanswered_arm_order: Option<UnansweredArmOrder>,
+    /// The directive for which the agent, as the coordinator, last sent the
+    /// *hold* order to the engine that has to hold the group.
     hold_directive: Option<Directive>,
     hold_order_time: Millis,
     /// The urgent part of the status that the agent last sent to the
     /// coordinator.
-    sent_urgent_status: Option<UrgentStatus>,
+    last_sent_urgent_rank_status: Option<UrgentRankStatus>,
     /// The version of the plan that the agent last distributed as coordinator.
     distributed_plan_version: Option<order::Version>,
     plan_distribution_time: Millis,
     /// When the agent last called the engine of a silent agent.
-    silent_engine_call_time: Millis,
-    silent_engine_call_count: usize,
-    /// The directive for which the engine last accepted an order, and when.
+    silent_agent_engine_call_time: Millis,
+    silent_agent_engine_call_count: usize,
+    /// The directive for which the engine last accepted an order, and the time
+    /// at which the engine accepted the order.
     accepted_order: Option<(Directive, Millis)>,
 }
 
@@ -183,12 +187,14 @@
         let own_address = at(settings.agent_datagram_port);
         Ok(Agent {
             engine_client: EngineClient::new(settings.engine_address),
-            entries_socket: UdpSocket::bind(at(settings.entry_datagram_port))
-                .await?,
-            agents_socket: UdpSocket::bind(own_address).await?,
+            entry_process_socket: UdpSocket::bind(at(
+                settings.entry_datagram_port
+            ))
+            .await?,
+            agent_message_socket: UdpSocket::bind(own_address).await?,
             own_address,
             log,
-            subscribed_entries: BTreeMap::new(),
+            subscribed_entry_processes: BTreeMap::new(),
             service_shape: None,
             engine_state: None,
             engine_start_unix_ms: None,
@@ -196,28 +202,28 @@
             remote_engine_cooldowns: BTreeMap::new(),
             engine_group: None,
             engines_of_other_groups: BTreeSet::new(),
-            experts_of_map: None,
+            expert_lists_of_map_in_use: None,
             last_selection_counts: None,
-            count_schedule: None,
+            selection_count_report_schedule: None,
             held_plan: None,
             last_directive: None,
-            announced_coordinator_arming: None,
+            announced_coordinator_arming_pass: None,
             max_known_fencing_number: 0,
             newest_log_era: LogEra::default(),
             coordinator: None,
             fencing_number_task: None,
             agent_start: Millis::now(),
-            first_reported_pass: None,
+            first_reported_epoch_and_pass: None,
             stop_request_time: None,
-            poll_again_at_once: false,
-            last_actions: LastActions::default(),
+            poll_engine_again_at_once: false,
+            last_actions: LastAgentActions::default(),
             settings,
         })
     }
 
     /// Runs the agent until it is asked to stop and no switch of maps needs
     /// it.
-    pub async fn run(
+    pub async fn run_until_stopped(
         mut self,
         stop: impl Future<Output = ()>,
     ) -> io::Result<()> {
@@ -233,16 +239,18 @@
                 () = &mut stop, if self.stop_request_time.is_none() => {
                     self.stop_request_time = Some(Millis::now());
                     if let Some(coordinator) = &mut self.coordinator {
-                        coordinator.stop_planning();
+                        coordinator.prevent_further_map_switches();
                     }
                 }
-                got = self.agents_socket.recv_from(&mut from_agents) => {
+                got = self.agent_message_socket
+                    .recv_from(&mut from_agents) => {
                     if let Ok((length, _)) = got {
                         self.handle_agent_message(&from_agents[..length])
                             .await;
                     }
                 }
-                got = self.entries_socket.recv_from(&mut from_entries) => {
+                got = self.entry_process_socket
+                    .recv_from(&mut from_entries) => {
                     if let Ok((length, from)) = got {
                         self.handle_subscription(
                             &from_entries[..length], from);
@@ -265,14 +273,14 @@
                 return Ok(());
             }
             // The next report shows the effect of an order or directive.
-            if std::mem::take(&mut self.poll_again_at_once) {
+            if std::mem::take(&mut self.poll_engine_again_at_once) {
                 next_poll = Instant::now();
             }
         }
     }
 
     /// Returns whether the agent was asked to stop and no switch of maps,
-    /// which may hold the group, needs it any more.
+    /// which may hold the group, needs the agent any more.
     fn can_agent_stop(&self) -> bool {
         let Some(since) = self.stop_request_time else { return false };
         let aim = self
@@ -290,11 +298,11 @@
             .map_or(DesiredState::Rest, |it| it.0.desired_state);
         let rank = self.engine_report().map(|it| it.rank);
         match aim {
-            DesiredState::Rest => IDLE_ENGINE_POLL_INTERVAL,
+            DesiredState::Rest => ENGINE_POLL_INTERVAL_WITHOUT_MAP_SWITCH,
             DesiredState::Held { holder, .. } if Some(holder) == rank => {
-                HOLD_POLL_INTERVAL
+                ENGINE_POLL_INTERVAL_DURING_HOLD
             }
-            _ => SWITCH_POLL_INTERVAL,
+            _ => ENGINE_POLL_INTERVAL_DURING_MAP_SWITCH,
         }
     }
 
@@ -306,17 +314,17 @@
         };
         let now = Millis::now();
         self.record_log_era(subscription.log_era);
-        if self.subscribed_entries.insert(sender, now).is_none() {
+        if self.subscribed_entry_processes.insert(sender, now).is_none() {
             info!(self.log, "entry_met"; "entry" => %sender);
         }
-        self.subscribed_entries.retain(|_, last_received| {
-            now.since(*last_received) < SUBSCRIPTION_TTL
+        self.subscribed_entry_processes.retain(|_, last_received| {
+            now.since(*last_received) < LOAD_SUBSCRIPTION_TTL
         });
         if !subscription.targets.is_empty() {
             self.service_shape = Some(subscription);
         } else if subscription.target_list_id != self.target_list_id() {
-            // The load report names the list that the agent has, and the entry
-            // process then sends the full list again.
+            // The load report names the list of targets that the agent has,
+            // and the entry process then sends the full list again.
             self.last_actions.load_report_time = Millis(0);
         }
     }
@@ -325,7 +333,7 @@
     async fn handle_agent_message(&mut self, datagram: &[u8]) {
         let now = Millis::now();
         let decoded = gossip::decode::<GroupMessage<AgentMessage>>(datagram);
-        let Some(GroupMessage { group_name, message }) = decoded else {
+        let Some(GroupMessage { group_name, agent_message }) = decoded else {
             warn!(self.log, "strange_datagram");
             return;
         };
@@ -333,7 +341,7 @@
         if self.engine_group() != Some(&group_name) {
             return;
         }
-        match message {
+        match agent_message {
             AgentMessage::Status(status) => {
                 if let Some(coordinator) = &mut self.coordinator {
                     if status.max_known_fencing_number
@@ -344,9 +352,9 @@
                         );
                         return;
                     }
-                    coordinator.merge_status(*status, now);
+                    coordinator.merge_rank_status(*status, now);
                     coordinator
-                        .advance_switch(self.service_shape.as_ref(), now);
+                        .advance_map_switch(self.service_shape.as_ref(), now);
                     self.broadcast_directive(now).await;
                 }
             }
@@ -361,22 +369,25 @@
                     self.step_down_as_coordinator(directive.fencing_number);
                 }
                 let before = self.last_directive.as_ref().map(|it| it.0);
-                self.record_coordinator_arming(&directive);
+                self.record_coordinator_arming_announcement(&directive);
                 self.last_directive = Some((directive, from, now));
                 if before != Some(directive) {
                     self.poll_engine().await;
-                    self.poll_again_at_once = matches!(
+                    self.poll_engine_again_at_once = matches!(
                         directive.desired_state,
                         DesiredState::Held { .. }
                     );
                 }
             }
-            AgentMessage::SelectionGrowth(growth) => {
+            AgentMessage::SelectionCountIncrease(increase) => {
                 let shape = self.service_shape.as_ref();
                 let experts_per_set =
                     shape.map_or(0, |it| it.experts_per_layer_set.into());
                 if let Some(coordinator) = &mut self.coordinator {
-                    coordinator.add_selection_growth(growth, experts_per_set);
+                    coordinator.add_selection_count_increase(
+                        increase,
+                        experts_per_set,
+                    );
                 }
             }
             AgentMessage::CoordinatorStop(fencing_number) => {
@@ -406,41 +417,49 @@
                 "has" => ?has),
         }
         let forward_to_agents = std::mem::take(&mut update.forward_to_agents);
-        self.send_to_agents(&AgentMessage::Plan(update), &forward_to_agents)
-            .await;
+        self.send_message_to_agents(
+            &AgentMessage::Plan(update),
+            &forward_to_agents,
+        )
+        .await;
     }
 
-    /// Polls the engine, sends the order that is needed and reports to entry
-    /// processes and the coordinator.
+    /// Polls the engine, sends the order that the last directive requires and
+    /// reports to entry processes and the coordinator.
     async fn poll_engine(&mut self) {
-        let before = self.group_standing();
+        let before = self.group_epoch_and_state();
         self.read_engine_state().await;
         if let Some((directive, _, _)) = self.last_directive
-            && self.send_required_order(directive).await
+            && self.send_order_required_by_directive(directive).await
         {
             self.read_engine_state().await;
         }
         let now = Millis::now();
-        let changed = self.group_standing() != before;
+        let changed = self.group_epoch_and_state() != before;
         if changed {
-            info!(self.log, "standing"; "now" => ?self.group_standing());
+            info!(self.log, "standing";
+                "now" => ?self.group_epoch_and_state());
         }
         if changed
             || now.since(self.last_actions.load_report_time)
                 >= LOAD_REPORT_INTERVAL
         {
             self.last_actions.load_report_time = now;
-            self.report_load_to_entries().await;
+            self.report_load_to_entry_processes().await;
         }
-        self.report_selection_growth(now).await;
+        self.report_selection_count_increase(now).await;
         self.report_status_to_coordinator(now).await;
         self.act_as_coordinator_or_candidate(now).await;
     }
 
-    fn record_coordinator_arming(&mut self, directive: &Directive) {
+    fn record_coordinator_arming_announcement(
+        &mut self,
+        directive: &Directive,
+    ) {
         if let Some(step) = order::announced_coordinator_arming_step(directive)
         {
-            self.announced_coordinator_arming = Some((directive.epoch, step));
+            self.announced_coordinator_arming_pass =
+                Some((directive.epoch, step));
         }
     }
 
@@ -459,30 +478,36 @@
         self.engine_state.as_ref()?.report.as_ref()
     }
 
-    fn group_standing(&self) -> Option<(Epoch, GroupState)> {
+    fn group_epoch_and_state(&self) -> Option<(Epoch, GroupState)> {
         self.engine_report().map(|it| (it.epoch, it.standing))
     }
 
-    async fn send_to_agents(
+    async fn send_message_to_agents(
         &self,
-        message: &AgentMessage,
+        agent_message: &AgentMessage,
         agents: &[SocketAddr],
     ) {
         let Some(group_name) = self.engine_group().cloned() else { return };
-        let bytes = gossip::encode(&GroupMessage { group_name, message });
+        let bytes =
+            gossip::encode(&GroupMessage { group_name, agent_message });
         for agent in agents {
-            send_datagram(&self.log, &self.agents_socket, &bytes, *agent)
-                .await;
+            send_datagram(
+                &self.log,
+                &self.agent_message_socket,
+                &bytes,
+                *agent,
+            )
+            .await;
         }
     }
 
     /// Returns the interval at which messages are repeated while a switch is
     /// in progress. A larger group repeats them less often, to limit the load
     /// on the coordinator's link and processor.
-    fn switch_message_interval(&self) -> Millis {
+    fn message_interval_during_map_switch(&self) -> Millis {
         let ranks = self.engine_report().map_or(0, |it| u64::from(it.ranks));
         Millis(
-            SWITCH_POLL_INTERVAL.0
+            ENGINE_POLL_INTERVAL_DURING_MAP_SWITCH.0
                 * ranks
                     .div_ceil(MAX_RANKS_AT_SHORTEST_MESSAGE_INTERVAL)
                     .max(1),
--- a/cowsliproad-rank/src/agent/readings.rs
+++ b/cowsliproad-rank/src/agent/readings.rs
@@ -8,8 +8,8 @@
 
 use super::{Agent, EngineProcessState};
 use crate::{
-    rota::{CountReportAction, CountReportSchedule},
-    wire::{AgentMessage, SelectionGrowth},
+    rota::{SelectionCountReportAction, SelectionCountReportSchedule},
+    wire::{AgentMessage, SelectionCountIncrease},
 };
 
 /// The rate at which agents send selection counts to a coordinator, in bytes
@@ -20,9 +20,11 @@
     /// Reads the engine's report, and the engine's expert lists if the map is
     /// new.
     pub(super) async fn read_engine_state(&mut self) {
-        match self.engine_client.fetch_state().await {
+        match self.engine_client.fetch_engine_state().await {
             Ok(state) => {
-                self.reset_after_engine_restart(state.start_unix_ms);
+                self.discard_data_of_previous_engine_process(
+                    state.start_unix_ms,
+                );
                 self.engine_process = EngineProcessState::NotKnownEnded;
                 self.engine_group =
                     state.group.clone().or(self.engine_group.take());
@@ -37,18 +39,19 @@
                     info!(self.log, "engine_lost"; "error" => %error,
                         "cooldown" => cooldown.0);
                 }
-                self.record_engine_loss(&error);
+                self.record_engine_exit_if_refused(&error);
                 return;
             }
         }
         let Some(report) = self.engine_report() else { return };
         let (epoch, map, step) = (report.epoch, report.map, report.step);
-        self.first_reported_pass.get_or_insert((epoch, step));
-        let known = self.experts_of_map.as_ref().map(|it| (it.0, it.1));
+        self.first_reported_epoch_and_pass.get_or_insert((epoch, step));
+        let known =
+            self.expert_lists_of_map_in_use.as_ref().map(|it| (it.0, it.1));
         if known != Some((epoch, map)) {
             match self.engine_client.fetch_expert_lists().await {
                 Ok(lists) => {
-                    self.experts_of_map =
+                    self.expert_lists_of_map_in_use =
                         Some((epoch, lists.map_version, lists.experts_by_set));
                 }
                 Err(error) => {
@@ -58,10 +61,11 @@
         }
     }
 
-    /// Detects from a failed call that no process listens at the engine's
-    /// address, and then reports the loss to entry processes at once: they
-    /// look for the work that ended the engine.
-    fn record_engine_loss(&mut self, error: &io::Error) {
+    /// Records that the engine's process has ended if the engine's address
+    /// refused the connection, and makes the agent report this to entry
+    /// processes at once, because entry processes look for the request that
+    /// ended the engine's process.
+    fn record_engine_exit_if_refused(&mut self, error: &io::Error) {
         let gone = error.kind() == io::ErrorKind::ConnectionRefused;
         if gone && self.engine_process == EngineProcessState::NotKnownEnded {
             self.engine_process = EngineProcessState::Ended;
@@ -72,29 +76,32 @@
     /// Discards the data of the engine's previous process if the engine has
     /// restarted: the new process has none of the earlier maps, orders and
     /// counts.
-    fn reset_after_engine_restart(&mut self, start_unix_ms: u64) {
+    fn discard_data_of_previous_engine_process(&mut self, start_unix_ms: u64) {
         let before = self.engine_start_unix_ms.replace(start_unix_ms);
         if before.is_none_or(|it| it == start_unix_ms) {
             return;
         }
         info!(self.log, "engine_restarted"; "start" => start_unix_ms);
-        self.experts_of_map = None;
+        self.expert_lists_of_map_in_use = None;
         self.last_selection_counts = None;
-        self.first_reported_pass = None;
-        self.last_actions.unanswered_arm = None;
+        self.first_reported_epoch_and_pass = None;
+        self.last_actions.unanswered_arm_order = None;
         self.last_actions.accepted_order = None;
     }
 
     /// Reads the selection counts if the schedule requires this, and sends
-    /// their growth to the coordinator.
-    pub(super) async fn report_selection_growth(&mut self, now: Millis) {
+    /// their increase to the coordinator.
+    pub(super) async fn report_selection_count_increase(
+        &mut self,
+        now: Millis,
+    ) {
         let (Some(shape), Some(report)) =
             (&self.service_shape, self.engine_report())
         else {
             return;
         };
         let experts = usize::from(shape.experts_per_layer_set);
-        let numbers = u64::from(shape.layer_sets)
+        let numbers = u64::from(shape.layer_set_count)
             * u64::from(shape.experts_per_layer_set);
         let round_duration = Millis(
             numbers * u64::from(report.ranks)
@@ -102,13 +109,14 @@
         );
         let Some((_, to, _)) = self.last_directive else { return };
         let (rank, ranks) = (report.rank, report.ranks);
-        let new =
-            || CountReportSchedule::new(now, round_duration, rank, ranks);
+        let new = || {
+            SelectionCountReportSchedule::new(now, round_duration, rank, ranks)
+        };
         let due = self
-            .count_schedule
+            .selection_count_report_schedule
             .get_or_insert_with(new)
-            .take_required_action(now, round_duration);
-        if due == CountReportAction::Nothing {
+            .advance_count_report_schedule(now, round_duration);
+        if due == SelectionCountReportAction::Nothing {
             return;
         }
         let counts =
@@ -122,7 +130,8 @@
         let before = self.last_selection_counts.replace(counts.clone());
         let growth = before
             .filter(|it| {
-                due == CountReportAction::ReportGrowth && it.0 == counts.0
+                due == SelectionCountReportAction::ReportIncrease
+                    && it.0 == counts.0
             })
             .and_then(|it| CountGrowth::from_counts(&it.1, &counts.1));
         let Some(CountGrowth {
@@ -132,17 +141,16 @@
         else {
             return;
         };
-        let reported_growth = SelectionGrowth {
-            selections_per_growth_unit: scale,
-            growth_in_units: units,
+        let reported_increase = SelectionCountIncrease {
+            selections_per_increase_unit: scale,
+            increase_units_by_expert: units,
         };
         match &mut self.coordinator {
-            Some(coordinator) => {
-                coordinator.add_selection_growth(reported_growth, experts)
-            }
+            Some(coordinator) => coordinator
+                .add_selection_count_increase(reported_increase, experts),
             None => {
-                self.send_to_agents(
-                    &AgentMessage::SelectionGrowth(reported_growth),
+                self.send_message_to_agents(
+                    &AgentMessage::SelectionCountIncrease(reported_increase),
                     &[to],
                 )
                 .await
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -24,7 +24,7 @@
 
 use crate::{
     plan::{MapPlan, PlanUpdate},
-    wire::{RankStatus, SelectionGrowth},
+    wire::{RankStatus, SelectionCountIncrease},
 };
 
 /// The age above which the coordinator ignores a rank's report.
@@ -39,7 +39,7 @@
 const SELECTION_COUNT_SAMPLE_INTERVAL: Millis = Millis(50);
 
 /// The minimum interval between two searches for a better map.
-const MIN_PLAN_INTERVAL: Millis = Millis(50);
+const MIN_MAP_SEARCH_INTERVAL: Millis = Millis(50);
 
 /// The coordinator of a group, with its view of the ranks.
 #[derive(Debug)]
@@ -54,7 +54,7 @@
     total_selection_counts: CumulativeCounts,
     demand_estimator: DemandEstimator,
     last_sample_time: Millis,
-    last_plan_search: Millis,
+    last_map_search_time: Millis,
     current_plan: Option<MapPlan>,
     /// The plan that preceded the current plan.
     previous_plan: Option<MapPlan>,
@@ -72,7 +72,7 @@
     /// The new coordinator's fencing number.
     pub fencing_number: u64,
     /// The rank of the new coordinator's own engine.
-    pub own_rank: u16,
+    pub coordinator_rank: u16,
     /// The VM of the previous coordinator, and that coordinator's fencing
     /// number.
     pub predecessor_vm_and_fencing_number: Option<(IpAddr, u64)>,
@@ -89,7 +89,7 @@
             switch_coordinator: Coordinator::new(
                 CoordinatorConfig::new(),
                 start.fencing_number,
-                start.own_rank,
+                start.coordinator_rank,
             ),
             predecessor_vm_and_fencing_number: start
                 .predecessor_vm_and_fencing_number,
@@ -97,7 +97,7 @@
             total_selection_counts: CumulativeCounts::new(),
             demand_estimator: DemandEstimator::new(),
             last_sample_time: Millis(0),
-            last_plan_search: Millis(0),
+            last_map_search_time: Millis(0),
             current_plan: None,
             previous_plan: None,
             plan_in_use: None,
@@ -123,13 +123,18 @@
     }
 
     /// Returns the agents from which the coordinator has a status.
-    pub fn reporting_agents(&self) -> impl Iterator<Item = SocketAddr> {
+    pub fn reporting_agent_addresses(
+        &self,
+    ) -> impl Iterator<Item = SocketAddr> {
         self.statuses_by_rank.values().map(|it| it.0.agent_address)
     }
 
-    /// Returns the current plan for the agents that lack it. Agents that have
-    /// the previous plan receive only the differences.
-    pub fn plan_updates(&self) -> Vec<(PlanUpdate, Vec<SocketAddr>)> {
+    /// Returns the updates that send the current plan to the agents without
+    /// this plan, each update with its recipients. Agents that have the
+    /// previous plan receive only the differences.
+    pub fn plan_updates_with_recipients(
+        &self,
+    ) -> Vec<(PlanUpdate, Vec<SocketAddr>)> {
         let Some(plan) = &self.current_plan else { return Vec::new() };
         let version = Some(plan.map_version);
         let lacks =
@@ -164,12 +169,12 @@
     }
 
     /// Prevents the coordinator from starting another switch of maps.
-    pub fn stop_planning(&mut self) {
+    pub fn prevent_further_map_switches(&mut self) {
         self.must_not_start_switch = true;
     }
 
     /// Merges a rank's status into the coordinator's view of the group.
-    pub fn merge_status(&mut self, mut status: RankStatus, now: Millis) {
+    pub fn merge_rank_status(&mut self, mut status: RankStatus, now: Millis) {
         let rank = status.engine_report.rank;
         if let Some((known, _)) = self.statuses_by_rank.get_mut(&rank) {
             let newer =
@@ -179,42 +184,44 @@
             }
             // A status that the coordinator read from the engine itself has no
             // expert lists.
-            status.map_version_and_experts_by_set = status
-                .map_version_and_experts_by_set
-                .or(known.map_version_and_experts_by_set.take());
+            status.map_version_and_experts_by_layer_set = status
+                .map_version_and_experts_by_layer_set
+                .or(known.map_version_and_experts_by_layer_set.take());
         }
         self.statuses_by_rank.insert(rank, (status, now));
     }
 
-    /// Adds the growth of a rank's selection counts to the total.
-    pub fn add_selection_growth(
+    /// Adds the increase of a rank's selection counts to the total counts of
+    /// the group.
+    pub fn add_selection_count_increase(
         &mut self,
-        growth: SelectionGrowth,
+        increase: SelectionCountIncrease,
         experts_per_set: usize,
     ) {
-        let SelectionGrowth {
-            selections_per_growth_unit: scale,
-            growth_in_units: units,
-        } = growth;
+        let SelectionCountIncrease {
+            selections_per_increase_unit: scale,
+            increase_units_by_expert: units,
+        } = increase;
         CountGrowth { counts_per_unit: scale, growth_in_units: units }
             .add_to_counts(&mut self.total_selection_counts, experts_per_set);
     }
 
     /// Advances the switch of maps according to the reports of all ranks, and
     /// plans a better map if no switch is in progress.
-    pub fn advance_switch(
+    pub fn advance_map_switch(
         &mut self,
         service_shape: Option<&LoadSubscription>,
         now: Millis,
     ) {
-        let snapshots = self.recent_snapshots(now);
-        let missing_ranks = self.missing_ranks(service_shape, now);
+        let snapshots = self.recent_rank_snapshots(now);
+        let missing_ranks =
+            self.ranks_without_recent_report(service_shape, now);
         let event = self.switch_coordinator.advance_switch(
             &snapshots,
             missing_ranks,
             now,
         );
-        self.handle_switch_event(event);
+        self.handle_map_switch_event(event);
         if missing_ranks != MissingRanks::None {
             return;
         }
@@ -223,7 +230,8 @@
         let is_open =
             |it: &RankSnapshot| it.report.standing == GroupState::Open;
         let open = snapshots.iter().all(is_open);
-        let due = now.since(self.last_plan_search) >= MIN_PLAN_INTERVAL;
+        let due =
+            now.since(self.last_map_search_time) >= MIN_MAP_SEARCH_INTERVAL;
         if let Some(service_shape) = service_shape
             && self.switch_coordinator.is_idle()
             && self.current_directive().epoch == snapshots[0].report.epoch
@@ -231,13 +239,13 @@
             && due
             && !self.must_not_start_switch
         {
-            self.last_plan_search = now;
+            self.last_map_search_time = now;
             self.start_switch_to_better_map(service_shape, &snapshots, now);
         }
     }
 
     /// Returns snapshots of the ranks whose reports are recent.
-    fn recent_snapshots(&self, now: Millis) -> Vec<RankSnapshot> {
+    fn recent_rank_snapshots(&self, now: Millis) -> Vec<RankSnapshot> {
         let fresh = self
             .statuses_by_rank
             .values()
@@ -254,8 +262,10 @@
         } else {
             ObeyedCoordinator::Another
         };
-        let (report, seal) =
-            (status.engine_report.clone(), status.coordinator_arming_notice);
+        let (report, seal) = (
+            status.engine_report.clone(),
+            status.coordinator_arming_notice_receipt,
+        );
         RankSnapshot {
             report,
             arm_order_status: status.arm_order_status,
@@ -265,7 +275,7 @@
     }
 
     /// Returns which ranks of the group have no recent report.
-    fn missing_ranks(
+    fn ranks_without_recent_report(
         &self,
         service_shape: Option<&LoadSubscription>,
         now: Millis,
@@ -298,7 +308,7 @@
 
     /// Returns the VM of the engine that has to hold the group, and the *hold*
     /// order to send to this engine.
-    pub fn hold_order_to_send(&self) -> Option<(IpAddr, Order)> {
+    pub fn recipient_vm_and_hold_order(&self) -> Option<(IpAddr, Order)> {
         let directive = self.current_directive();
         self.statuses_by_rank.values().find_map(|(status, _)| {
             let order = due_hold_order(&directive, &status.engine_report)?;
@@ -306,7 +316,7 @@
         })
     }
 
-    fn handle_switch_event(&mut self, event: SwitchEvent) {
+    fn handle_map_switch_event(&mut self, event: SwitchEvent) {
         match event {
             SwitchEvent::None => {}
             SwitchEvent::Changed(version) => {
@@ -336,7 +346,9 @@
     /// and no rank has armed for it. The switch would wait for copies to a map
     /// that is out of date.
     fn abandon_outdated_plan(&mut self) {
-        if self.demand_estimator.demand_shifted_at() < self.last_plan_search {
+        if self.demand_estimator.demand_shifted_at()
+            < self.last_map_search_time
+        {
             return;
         }
         if let Some(version) = self.switch_coordinator.abandon_plan() {
@@ -345,8 +357,8 @@
         }
     }
 
-    /// Drops the current plan. Agents may already have it, so the next plan is
-    /// sent as the differences from it.
+    /// Drops the current plan. Agents may already have this plan, so the next
+    /// plan is sent as the differences from this plan.
     fn drop_current_plan(&mut self) {
         self.previous_plan =
             self.current_plan.take().or(self.previous_plan.take());
@@ -374,7 +386,7 @@
         let shape_of_map = Shape {
             rank_count: snapshots.len(),
             expert_count: usize::from(service_shape.experts_per_layer_set),
-            layer_count: usize::from(service_shape.layer_sets),
+            layer_count: usize::from(service_shape.layer_set_count),
             slots_per_rank: usize::from(
                 service_shape.expert_slots_per_layer_set,
             ),
@@ -384,7 +396,7 @@
             return;
         };
         let config = live::LivePlanConfig::new(usize::from(
-            service_shape.max_new_experts_per_layer_set,
+            service_shape.max_experts_added_to_rank_per_layer_set,
         ))
         .with_max_new_experts_per_rank(max_new_experts_per_rank(Millis(
             service_shape.expert_copy_ms,
@@ -435,7 +447,7 @@
             vec![vec![Vec::new(); shape.rank_count]; shape.layer_count];
         for (status, _) in self.statuses_by_rank.values() {
             let (listed, sets) =
-                status.map_version_and_experts_by_set.as_ref()?;
+                status.map_version_and_experts_by_layer_set.as_ref()?;
             if *listed != version || status.engine_report.map != version {
                 return None;
             }
@@ -450,22 +462,25 @@
 
 /// Returns how many new experts a map may assign to a rank: as many as are
 /// copied in the time that the rest of a switch takes, but at least one.
-fn max_new_experts_per_rank(copy_duration: Millis) -> usize {
-    let most = MAP_SWITCH_DURATION.0.checked_div(copy_duration.0);
+fn max_new_experts_per_rank(expert_copy_duration: Millis) -> usize {
+    let most = MAP_SWITCH_DURATION_WITHOUT_COPIES
+        .0
+        .checked_div(expert_copy_duration.0);
     most.map_or(usize::MAX, |it| it.max(1) as usize)
 }
 
-/// The duration of a switch of maps without its copies: messages, orders and
-/// the passes before the boundary. In groups of 24 ranks with copies of 76 ms,
-/// results under heavy load were best at two copies a rank: 0.77, against 0.71
-/// at five, 0.75 at three and 0.76 at one.
-const MAP_SWITCH_DURATION: Millis = Millis(180);
+/// The duration of a map switch without the copies of experts. A map may assign
+/// to a rank as many new experts as are copied in this time, but at least one.
+/// At 76 ms a copy, these are two: in groups of 24 ranks under heavy load, two
+/// copies give 0.77, one 0.76, three 0.75 and five 0.71.
+const MAP_SWITCH_DURATION_WITHOUT_COPIES: Millis = Millis(180);
 
 /// Returns a rank's speed relative to its normal speed.
-fn relative_rank_speed(rank: &(RankStatus, Millis)) -> f64 {
-    1.0 / f64::from(rank.0.slowdown_factor).max(MIN_SLOWDOWN_FACTOR)
+fn relative_rank_speed(status_and_time: &(RankStatus, Millis)) -> f64 {
+    1.0 / f64::from(status_and_time.0.slowdown_factor)
+        .max(MIN_RELATIVE_WORK_DURATION)
 }
 
-/// The lower bound of a rank's slowdown factor: no engine counts as more than
-/// twice as fast as normal.
-const MIN_SLOWDOWN_FACTOR: f64 = 0.5;
+/// The lower bound of the duration of an engine's work relative to normal: no
+/// engine counts as more than twice as fast as normal.
+const MIN_RELATIVE_WORK_DURATION: f64 = 0.5;
--- a/cowsliproad-rank/src/rota.rs
+++ b/cowsliproad-rank/src/rota.rs
@@ -13,15 +13,15 @@
 /// The longest window in which a rank counts selections. Twenty samples of 200
 /// ms distinguish a shift of demand from chance; see
 /// [`cowsliproad_placement::demand`].
-pub const MAX_COUNTING_WINDOW: Millis = Millis(200);
+pub const MAX_SELECTION_COUNTING_WINDOW: Millis = Millis(200);
 
 /// The shortest window in which a rank counts selections. An engine updates
 /// its counts once a pass, and the passes of a busy group take 50 ms and more.
-pub const MIN_COUNTING_WINDOW: Millis = Millis(45);
+pub const MIN_SELECTION_COUNTING_WINDOW: Millis = Millis(45);
 
 /// The times at which a rank reads and reports its selection counts.
 #[derive(Clone, Copy, Debug)]
-pub struct CountReportSchedule {
+pub struct SelectionCountReportSchedule {
     /// The start of the current counting window, or `None` between two
     /// windows.
     window_start: Option<Millis>,
@@ -29,59 +29,65 @@
     next_window_start: Millis,
 }
 
-/// The action that the schedule requires at a given time.
+/// The action that the schedule requires of a rank at a given time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum CountReportAction {
-    /// No action is required.
+pub enum SelectionCountReportAction {
+    /// The rank takes no action.
     Nothing,
-    /// Read the engine's counts at the start of a counting window.
+    /// The rank reads the engine's selection counts at the start of a counting
+    /// window.
     StartWindow,
-    /// Read the engine's counts, and report their growth since the start of
-    /// the window.
-    ReportGrowth,
+    /// The rank reads the engine's selection counts, and reports their increase
+    /// since the start of the counting window.
+    ReportIncrease,
 }
 
-impl CountReportSchedule {
-    /// Creates the schedule of one rank. Its first window starts within the
-    /// first round, at an offset that depends on the rank.
+impl SelectionCountReportSchedule {
+    /// Creates the schedule by which one rank counts and reports expert
+    /// selections. The first counting window starts within the first round,
+    /// which begins at `now`: after the share `rank / rank_count` of the
+    /// round's duration.
     pub fn new(
         now: Millis,
         round_duration: Millis,
         rank: u16,
         rank_count: u16,
-    ) -> CountReportSchedule {
+    ) -> SelectionCountReportSchedule {
         let offset =
             round_duration.0 * u64::from(rank) / u64::from(rank_count.max(1));
-        CountReportSchedule {
+        SelectionCountReportSchedule {
             window_start: None,
             next_window_start: now + Millis(offset),
         }
     }
 
-    /// Returns the action that is required now, and records the action as
-    /// done.
-    pub fn take_required_action(
+    /// Advances the schedule to the current time, and returns the action that
+    /// the rank has to take now.
+    pub fn advance_count_report_schedule(
         &mut self,
         now: Millis,
         round_duration: Millis,
-    ) -> CountReportAction {
+    ) -> SelectionCountReportAction {
         match self.window_start {
-            None if now < self.next_window_start => CountReportAction::Nothing,
+            None if now < self.next_window_start => {
+                SelectionCountReportAction::Nothing
+            }
             None => {
                 self.window_start = Some(now);
-                CountReportAction::StartWindow
+                SelectionCountReportAction::StartWindow
             }
             Some(window_start)
                 if now.since(window_start)
-                    < counting_window_duration(round_duration) =>
+                    < selection_counting_window_duration(round_duration) =>
             {
-                CountReportAction::Nothing
+                SelectionCountReportAction::Nothing
             }
             Some(window_start) => {
                 self.next_window_start = window_start + round_duration;
-                self.window_start =
-                    (round_duration <= MAX_COUNTING_WINDOW).then_some(now);
-                CountReportAction::ReportGrowth
+                self.window_start = (round_duration
+                    <= MAX_SELECTION_COUNTING_WINDOW)
+                    .then_some(now);
+                SelectionCountReportAction::ReportIncrease
             }
         }
     }
@@ -89,6 +95,7 @@
 
 /// Returns the length of a counting window: a whole round where the bounds
 /// allow this, so that windows follow each other without a gap.
-pub fn counting_window_duration(round_duration: Millis) -> Millis {
-    round_duration.clamp(MIN_COUNTING_WINDOW, MAX_COUNTING_WINDOW)
+pub fn selection_counting_window_duration(round_duration: Millis) -> Millis {
+    round_duration
+        .clamp(MIN_SELECTION_COUNTING_WINDOW, MAX_SELECTION_COUNTING_WINDOW)
 }
--- a/cowsliproad-rank/src/wire.rs
+++ b/cowsliproad-rank/src/wire.rs
@@ -20,7 +20,7 @@
     pub group_name: Name,
     /// The content of the datagram.
     #[serde(rename = "m")]
-    pub message: T,
+    pub agent_message: T,
 }
 
 /// A message from one agent to another.
@@ -29,10 +29,10 @@
     /// The state of a rank, from each agent to the coordinator.
     #[serde(rename = "s")]
     Status(Box<RankStatus>),
-    /// The growth of a rank's selection counts, from each agent to the
+    /// The increase of a rank's selection counts, from each agent to the
     /// coordinator.
     #[serde(rename = "c")]
-    SelectionGrowth(SelectionGrowth),
+    SelectionCountIncrease(SelectionCountIncrease),
     /// The coordinator's directive to all agents, and the coordinator's
     /// address.
     #[serde(rename = "d")]
@@ -54,14 +54,14 @@
     /// The report of the rank's engine.
     #[serde(rename = "r")]
     pub engine_report: RankReport,
-    /// Whether an *arm* order that the report doesn't show may still be
-    /// executed.
+    /// Whether the engine may still execute an *arm* order that the engine's
+    /// report doesn't show.
     #[serde(rename = "o")]
     pub arm_order_status: ArmOrderStatus,
     /// Whether the agent has received the announcement that the coordinator's
     /// own rank arms.
     #[serde(rename = "l")]
-    pub coordinator_arming_notice: CoordinatorArmingNotice,
+    pub coordinator_arming_notice_receipt: CoordinatorArmingNotice,
     /// The factor by which the engine's work takes longer than normal.
     #[serde(rename = "t")]
     pub slowdown_factor: f32,
@@ -71,19 +71,20 @@
     /// The version of the plan that the agent has.
     #[serde(rename = "p")]
     pub held_plan_version: Option<Version>,
-    /// The engine's experts by set, with the version of their map. Present
-    /// only if the coordinator needs the lists.
+    /// The experts that the engine holds, by set of layers, with the version
+    /// of the map that assigns them. Present only if the coordinator needs the
+    /// lists.
     #[serde(rename = "x")]
-    pub map_version_and_experts_by_set: Option<(Version, Vec<Vec<u16>>)>,
+    pub map_version_and_experts_by_layer_set: Option<(Version, Vec<Vec<u16>>)>,
 }
 
 /// The part of a rank's status whose changes are sent to the coordinator
 /// without delay.
 #[derive(Clone, Debug, PartialEq)]
-pub struct UrgentStatus {
+pub struct UrgentRankStatus {
     engine_report: RankReport,
     arm_order_status: ArmOrderStatus,
-    coordinator_arming_notice: CoordinatorArmingNotice,
+    coordinator_arming_notice_receipt: CoordinatorArmingNotice,
     max_known_fencing_number: u64,
     held_plan_version: Option<Version>,
 }
@@ -91,36 +92,39 @@
 impl RankStatus {
     /// Returns the part of the status whose changes are sent to the
     /// coordinator without delay.
-    pub fn urgent_status(&self) -> UrgentStatus {
+    pub fn urgent_rank_status(&self) -> UrgentRankStatus {
         // The pass number is left out: it changes with each pass.
         let engine_report =
             RankReport { step: 0, ..self.engine_report.clone() };
         let RankStatus {
             arm_order_status,
-            coordinator_arming_notice,
+            coordinator_arming_notice_receipt,
             max_known_fencing_number,
             held_plan_version,
             ..
         } = *self;
-        UrgentStatus {
+        UrgentRankStatus {
             engine_report,
             arm_order_status,
-            coordinator_arming_notice,
+            coordinator_arming_notice_receipt,
             max_known_fencing_number,
             held_plan_version,
         }
     }
 }
 
-/// The growth of a rank's selection counts in one window: how often requests
+/// The increase of a rank's selection counts in one window: how often requests
 /// selected each expert. A lost datagram makes the demand seem slightly lower
 /// for a moment.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct SelectionGrowth {
-    /// The number of selections that one unit of growth stands for.
+pub struct SelectionCountIncrease {
+    /// The number of expert selections that one unit in
+    /// `increase_units_by_expert` stands for.
     #[serde(rename = "s")]
-    pub selections_per_growth_unit: u64,
-    /// The growth of the count of each expert in units, one set after another.
+    pub selections_per_increase_unit: u64,
+    /// The increase of each expert's selection count, in units of
+    /// `selections_per_increase_unit`: the experts of the first set of layers,
+    /// then those of the next sets.
     #[serde(rename = "u", with = "serde_bytes")]
-    pub growth_in_units: Vec<u8>,
+    pub increase_units_by_expert: Vec<u8>,
 }
--- a/cowsliproad-rank/tests/lead.rs
+++ b/cowsliproad-rank/tests/lead.rs
@@ -9,7 +9,7 @@
 };
 use cowsliproad_rank::{
     lead::{CoordinatorParameters, GroupCoordinator},
-    wire::{RankStatus, SelectionGrowth},
+    wire::{RankStatus, SelectionCountIncrease},
 };
 use slog::{Discard, Logger, o};
 
@@ -27,7 +27,7 @@
     fn new() -> TestGroup {
         let start = CoordinatorParameters {
             fencing_number: 1,
-            own_rank: 0,
+            coordinator_rank: 0,
             predecessor_vm_and_fencing_number: None,
         };
         let coordinator =
@@ -42,31 +42,31 @@
     fn pass_statuses_to_coordinator(&mut self, popular_expert: usize) {
         self.now = self.now + Millis(60);
         for rank in 0..RANK_COUNT {
-            let mut growth_in_units = vec![10; EXPERTS_PER_SET];
-            growth_in_units[popular_expert] = 250;
-            self.coordinator.add_selection_growth(
-                SelectionGrowth {
-                    selections_per_growth_unit: 100,
-                    growth_in_units,
+            let mut increase_units_by_expert = vec![10; EXPERTS_PER_SET];
+            increase_units_by_expert[popular_expert] = 250;
+            self.coordinator.add_selection_count_increase(
+                SelectionCountIncrease {
+                    selections_per_increase_unit: 100,
+                    increase_units_by_expert,
                 },
                 EXPERTS_PER_SET,
             );
             let report = &mut self.reports_by_rank[usize::from(rank)];
             report.step += 1;
             let status = self.rank_status(rank);
-            self.coordinator.merge_status(status, self.now);
+            self.coordinator.merge_rank_status(status, self.now);
         }
         let shape = LoadSubscription {
             targets: Vec::new(),
             target_list_id: 1,
-            layer_sets: 1,
+            layer_set_count: 1,
             experts_per_layer_set: EXPERTS_PER_SET as u16,
             expert_slots_per_layer_set: 8,
-            max_new_experts_per_layer_set: 2,
+            max_experts_added_to_rank_per_layer_set: 2,
             log_era: Default::default(),
             expert_copy_ms: 400,
         };
-        self.coordinator.advance_switch(Some(&shape), self.now);
+        self.coordinator.advance_map_switch(Some(&shape), self.now);
     }
 
     fn rank_status(&self, rank: u16) -> RankStatus {
@@ -77,13 +77,14 @@
             agent_address: ([127, 0, 0, 1 + rank as u8], 1).into(),
             max_known_fencing_number: 1,
             held_plan_version: None,
-            map_version_and_experts_by_set: Some((
+            map_version_and_experts_by_layer_set: Some((
                 Version(0),
                 vec![experts_of_rank.collect()],
             )),
             slowdown_factor: 1.0,
             arm_order_status: ArmOrderStatus::Answered,
-            coordinator_arming_notice: CoordinatorArmingNotice::NotReceived,
+            coordinator_arming_notice_receipt:
+                CoordinatorArmingNotice::NotReceived,
             engine_report: report,
         }
     }
