--- a/cowsliproad-bench/src/bin/cowsliproad-naive.rs
+++ b/cowsliproad-bench/src/bin/cowsliproad-naive.rs
@@ -75,7 +75,7 @@
     tokio::task::spawn_local(follow(front.clone(), settings.clone()));
     let readiness = TcpListener::bind(settings.readiness_address).await?;
     tokio::task::spawn_local(serve(front.clone(), readiness));
-    let callers = TcpListener::bind(settings.caller_address).await?;
+    let callers = TcpListener::bind(settings.caller_listen_address).await?;
     tokio::select! {
         () = serve(front, callers) => {}
         () = program::wait_for_stop_signal() => {}
--- a/cowsliproad-direct/src/call/failure.rs
+++ b/cowsliproad-direct/src/call/failure.rs
@@ -26,8 +26,9 @@
 /// that they find targets that have joined since.
 const MAX_RETRY_AFTER: Millis = Millis(600_000);
 
-/// Attempts beyond the number of targets that a route allows. These go to
-/// targets that have stated that they did not run the request.
+/// Attempts that a request may make beyond the number of targets that its
+/// route lets it try. They are allowed because targets may state that they
+/// didn't run the request: such attempts don't count as possible runs.
 const MAX_EXTRA_ATTEMPTS: usize = 4;
 
 /// Attempts of one request, including failed connects. A failed connect ends
--- a/cowsliproad-direct/src/ends.rs
+++ b/cowsliproad-direct/src/ends.rs
@@ -36,12 +36,12 @@
 
 /// Delay before a target without an agent is probed. Requests whose
 /// connections to the target broke together share one probe.
-const PROBE_DELAY_WITHOUT_AGENT: Millis = Millis(150);
+const CRASH_PROBE_DELAY_WITHOUT_AGENT: Millis = Millis(150);
 
 /// Delay before a target with an agent is probed. An agent reports every 400
 /// ms, so its report mostly makes the probe unnecessary: a partition of a
 /// whole group causes no probe connections.
-const PROBE_DELAY_WITH_AGENT: Millis = Millis(550);
+const CRASH_PROBE_DELAY_WITH_AGENT: Millis = Millis(550);
 
 /// An agent that sent no report for this long before a connection broke isn't
 /// expected to report on the target, which is probed as if it had no agent.
@@ -224,16 +224,16 @@
     entry: &Entry,
     choice: &ChosenTarget,
 ) -> Option<Millis> {
-    let (last_seen_alive, exit_reported_at) = {
+    let (last_seen_alive, target_exit_reported_at) = {
         let endpoint = choice.endpoint.borrow();
-        (endpoint.last_seen_alive, endpoint.exit_reported_at)
+        (endpoint.last_seen_alive, endpoint.target_exit_reported_at)
     };
     let survived = |it: &CrashSuspicion| {
         last_seen_alive.is_some_and(|at| it.earliest_survival_proof_at() <= at)
     };
     resolve_suspicions(entry, choice, ProbeOutcome::Alive, survived);
     let crashed = |it: &CrashSuspicion| {
-        exit_reported_at
+        target_exit_reported_at
             .is_some_and(|at| it.broken_at <= at + MAX_MESSAGE_LATENCY)
     };
     resolve_suspicions(entry, choice, ProbeOutcome::Crashed, crashed);
@@ -250,8 +250,10 @@
     let report_age =
         endpoint.group.as_ref().map(|it| since.since(it.reported_at));
     match report_age {
-        Some(age) if age < AGENT_REPORT_TIMEOUT => PROBE_DELAY_WITH_AGENT,
-        _ => PROBE_DELAY_WITHOUT_AGENT,
+        Some(age) if age < AGENT_REPORT_TIMEOUT => {
+            CRASH_PROBE_DELAY_WITH_AGENT
+        }
+        _ => CRASH_PROBE_DELAY_WITHOUT_AGENT,
     }
 }
 
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -97,7 +97,7 @@
     /// report, or the target answered a request.
     pub last_seen_alive: Option<Millis>,
     /// When the target's agent last reported that the engine process is gone.
-    pub exit_reported_at: Option<Millis>,
+    pub target_exit_reported_at: Option<Millis>,
     /// Requests during which the target may have crashed.
     pub crash_suspicions: Vec<CrashSuspicion>,
     /// The rate limit that the target states in its answers.
@@ -111,7 +111,7 @@
     pub permit_request_in_flight: bool,
     /// Whether the target's latest Retry-After header was unreadable; logged
     /// only once.
-    pub last_retry_after_invalid: bool,
+    pub last_retry_after_header_invalid: bool,
     /// Whether the target takes requests again after its latest cooldown.
     pub cooldown_recovery: CooldownRecovery,
 }
@@ -138,7 +138,7 @@
     pub group_name: Name,
     /// Epoch of the group's formation, raised each time that the group forms
     /// again.
-    pub formation_epoch: u64,
+    pub group_formation_epoch: u64,
     /// Whether the group accepts requests.
     pub accepts_requests: bool,
     /// The number of the last forward pass that the group began.
@@ -304,7 +304,7 @@
         let kept = Settings {
             vm: old.vm.clone(),
             zone: old.zone.clone(),
-            caller_address: old.caller_address,
+            caller_listen_address: old.caller_listen_address,
             readiness_address: old.readiness_address,
             peer_port: old.peer_port,
             ..new
@@ -322,7 +322,7 @@
     }
 
     /// The raw bytes of the configuration in force, if there is one.
-    pub fn raw_catalog(&self) -> Option<Bytes> {
+    pub fn encoded_routing_catalog(&self) -> Option<Bytes> {
         self.catalog.borrow().as_ref().map(|it| it.1.clone())
     }
 
--- a/cowsliproad-direct/src/entry/groups.rs
+++ b/cowsliproad-direct/src/entry/groups.rs
@@ -15,7 +15,11 @@
     pub fn record_broken_group(&self, choice: &ChosenTarget) {
         let endpoint = choice.endpoint.borrow();
         let Some(group) = &endpoint.group else { return };
-        self.merge_formation(&group.group_name, group.formation_epoch, false);
+        self.merge_formation(
+            &group.group_name,
+            group.group_formation_epoch,
+            false,
+        );
     }
 
     /// Merges a rank's report on the formation of its group. A group that
@@ -24,15 +28,15 @@
     pub fn merge_formation(
         &self,
         group: &Name,
-        formation_epoch: u64,
+        group_formation_epoch: u64,
         accepts_requests: bool,
     ) {
         let mut formations = self.formations.borrow_mut();
-        let new = GroupFormation::new(formation_epoch, accepts_requests);
+        let new = GroupFormation::new(group_formation_epoch, accepts_requests);
         let known = formations.entry(group.clone()).or_insert(new);
-        if known.merge_rank_report(formation_epoch, accepts_requests) {
+        if known.merge_rank_report(group_formation_epoch, accepts_requests) {
             info!(self.log, "group_stands"; "group" => &**group,
-                "epoch" => formation_epoch, "open" => accepts_requests);
+                "epoch" => group_formation_epoch, "open" => accepts_requests);
         }
     }
 
@@ -44,9 +48,9 @@
         let Some(known) = formations.get_mut(&group.group_name) else {
             return;
         };
-        if known.halt_for_lost_rank(group.formation_epoch, now) {
+        if known.halt_for_lost_rank(group.group_formation_epoch, now) {
             info!(self.log, "group_halted"; "group" => &*group.group_name,
-                "epoch" => group.formation_epoch);
+                "epoch" => group.group_formation_epoch);
         }
     }
 
@@ -55,15 +59,15 @@
     pub fn record_forward_pass(
         &self,
         group: &Name,
-        formation_epoch: u64,
+        group_formation_epoch: u64,
         pass: u64,
         now: Millis,
     ) {
         let mut formations = self.formations.borrow_mut();
         let Some(known) = formations.get_mut(group) else { return };
-        if known.record_reported_step(formation_epoch, pass, now) {
+        if known.record_reported_step(group_formation_epoch, pass, now) {
             info!(self.log, "group_goes_on"; "group" => &**group,
-                "epoch" => formation_epoch, "step" => pass);
+                "epoch" => group_formation_epoch, "step" => pass);
         }
     }
 
--- a/cowsliproad-direct/src/lib.rs
+++ b/cowsliproad-direct/src/lib.rs
@@ -65,13 +65,14 @@
     settings: Settings,
 ) -> io::Result<()> {
     let log = log::logger("direct", &settings.vm, settings.log_level);
-    let caller_listener = TcpListener::bind(settings.caller_address).await?;
+    let caller_listener =
+        TcpListener::bind(settings.caller_listen_address).await?;
     let readiness_listener =
         TcpListener::bind(settings.readiness_address).await?;
     let peer_listener = TcpListener::bind(settings.own_peer_address()).await?;
     let peer_socket =
         Rc::new(UdpSocket::bind(settings.own_peer_address()).await?);
-    info!(log, "started"; "callers" => %settings.caller_address);
+    info!(log, "started"; "callers" => %settings.caller_listen_address);
     let entry = Rc::new(Entry::new(settings, log.clone()));
     entry.limits.borrow_mut().set_permit_socket(peer_socket.clone());
     let readiness_server = readiness::serve_queries(
--- a/cowsliproad-direct/src/measure.rs
+++ b/cowsliproad-direct/src/measure.rs
@@ -61,7 +61,7 @@
     }
 
     /// Records the time until an answer to a caller was complete.
-    pub fn record_answer_completion(&self, took: Millis) {
+    pub fn record_answer_duration(&self, took: Millis) {
         self.whole.record(took.0, &[]);
     }
 
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -134,7 +134,7 @@
     let mut endpoint = endpoint.borrow_mut();
     let visible_state = |it: &GroupReport| {
         (
-            it.formation_epoch,
+            it.group_formation_epoch,
             it.accepts_requests,
             it.service_time_percent / SERVICE_TIME_STEP_PERCENT,
         )
@@ -145,10 +145,10 @@
         now,
     );
     endpoint.last_seen_alive = Some(now);
-    endpoint.exit_reported_at = None;
+    endpoint.target_exit_reported_at = None;
     let group = GroupReport {
         group_name: load.group_name.clone(),
-        formation_epoch: load.group_epoch,
+        group_formation_epoch: load.group_epoch,
         accepts_requests: load.group_accepts_requests,
         last_forward_pass: load.last_forward_pass,
         service_time_percent: load.service_time_percent,
@@ -157,12 +157,12 @@
     let after = visible_state(&group);
     entry.merge_formation(
         &group.group_name,
-        group.formation_epoch,
+        group.group_formation_epoch,
         group.accepts_requests,
     );
     entry.record_forward_pass(
         &group.group_name,
-        group.formation_epoch,
+        group.group_formation_epoch,
         group.last_forward_pass,
         now,
     );
@@ -189,7 +189,7 @@
     };
     entry.record_zone_contact(&target.zone, now);
     let endpoint = entry.endpoint_or_insert(&target.id);
-    let before = endpoint.borrow_mut().exit_reported_at.replace(now);
+    let before = endpoint.borrow_mut().target_exit_reported_at.replace(now);
     if before.is_none() {
         info!(entry.log, "target_lost"; "target" => &*target.id);
         if let Some(group) = &endpoint.borrow().group {
--- a/cowsliproad-direct/src/peers/state.rs
+++ b/cowsliproad-direct/src/peers/state.rs
@@ -109,8 +109,9 @@
         Ok(catalog) => entry.adopt_catalog(catalog, raw, ChangeSource::Peer),
         Err(error) => warn!(entry.log, "catalog_refused"; "error" => %error),
     }
-    // The targets that this entry process knows are kept while its reads of
-    // the log succeed.
+    // The peer's list of targets is taken over only while this entry process
+    // has no ready target, or while the log doesn't answer and a change of a
+    // target is unread.
     let knows = entry.fleet.borrow().ready_targets().next().is_some();
     if knows && !entry.log_read_schedule.borrow().needs_peer_state() {
         return;
@@ -135,7 +136,7 @@
     entry: &Entry,
     request: &Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-    let raw = entry.raw_catalog();
+    let raw = entry.encoded_routing_catalog();
     let (Some(raw), STATE_PATH) = (raw, request.uri().path()) else {
         let mut answer = Response::new(Full::new(Bytes::new()));
         *answer.status_mut() = StatusCode::NOT_FOUND;
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -80,7 +80,7 @@
 const MIN_ANNOUNCEMENT_INTERVAL: Millis = Millis(1_000);
 
 /// How often expired crash records are evicted.
-const EVICTION_INTERVAL: Millis = Millis(10_000);
+const EXPIRED_CRASH_RECORD_EVICTION_INTERVAL: Millis = Millis(10_000);
 
 /// Crashed targets that are watched for signs of life, 100 bytes each.
 const MAX_WATCHED_CRASHES: usize = 1_024;
@@ -190,7 +190,9 @@
 
     /// Evicts expired records, and deletes them from the log.
     pub fn evict_expired_records(&mut self, now: Millis) {
-        if now.since(self.last_eviction) < EVICTION_INTERVAL {
+        if now.since(self.last_eviction)
+            < EXPIRED_CRASH_RECORD_EVICTION_INTERVAL
+        {
             return;
         }
         self.last_eviction = now;
--- a/cowsliproad-direct/src/settings.rs
+++ b/cowsliproad-direct/src/settings.rs
@@ -17,7 +17,7 @@
     pub zone: Name,
     /// The address where callers connect.
     #[serde(rename = "callers")]
-    pub caller_address: SocketAddr,
+    pub caller_listen_address: SocketAddr,
     /// The address that serves readiness and metrics.
     #[serde(rename = "readiness")]
     pub readiness_address: SocketAddr,
@@ -73,7 +73,7 @@
         Settings {
             vm: "entry-1".into(),
             zone: "a".into(),
-            caller_address: local(8080),
+            caller_listen_address: local(8080),
             readiness_address: local(8081),
             seed_addresses: vec![local(8082)],
             peer_port: 7340,
@@ -96,7 +96,7 @@
     pub fn has_same_restart_settings(&self, other: &Settings) -> bool {
         self.vm == other.vm
             && self.zone == other.zone
-            && self.caller_address == other.caller_address
+            && self.caller_listen_address == other.caller_listen_address
             && self.readiness_address == other.readiness_address
             && self.peer_port == other.peer_port
     }
@@ -104,7 +104,7 @@
     /// The address where this entry process receives datagrams and calls of
     /// other entry processes.
     pub fn own_peer_address(&self) -> SocketAddr {
-        SocketAddr::new(self.caller_address.ip(), self.peer_port)
+        SocketAddr::new(self.caller_listen_address.ip(), self.peer_port)
     }
 }
 
--- a/cowsliproad-direct/src/stated.rs
+++ b/cowsliproad-direct/src/stated.rs
@@ -82,7 +82,7 @@
             RetryAfter::Unreadable => {
                 let mut endpoint = choice.endpoint.borrow_mut();
                 if !std::mem::replace(
-                    &mut endpoint.last_retry_after_invalid,
+                    &mut endpoint.last_retry_after_header_invalid,
                     true,
                 ) {
                     warn!(self.log, "retry_after_refused";
@@ -99,7 +99,7 @@
             return;
         }
         let mut endpoint = choice.endpoint.borrow_mut();
-        endpoint.last_retry_after_invalid = false;
+        endpoint.last_retry_after_header_invalid = false;
         endpoint.cooldown_recovery = CooldownRecovery::Pending;
         drop(endpoint);
         info!(self.log, "cooldown"; "request" => request,
--- a/cowsliproad-direct/src/stream.rs
+++ b/cowsliproad-direct/src/stream.rs
@@ -372,7 +372,7 @@
         let outcome = self.relay_events(&mut target_stream, first_event).await;
         drop(target_stream);
         let duration = Millis::now().since(self.call.arrived);
-        self.entry.metrics.record_answer_completion(duration);
+        self.entry.metrics.record_answer_duration(duration);
         info!(self.entry.log, "stream_ended"; "request" => &*self.call.request_id,
             "outcome" => outcome, "events" => self.event_count,
             "pause" => self.longest_gap.0, "took" => duration.0);
--- a/cowsliproad-direct/tests/entry/callers.rs
+++ b/cowsliproad-direct/tests/entry/callers.rs
@@ -14,7 +14,7 @@
 
 /// Sends bytes and reads what comes until the entry closes or falls silent.
 async fn exchange(entry: &Entry, bytes: &str) -> String {
-    let address = entry.settings.caller_address;
+    let address = entry.settings.caller_listen_address;
     let mut stream = TcpStream::connect(address).await.expect("connected");
     stream.write_all(bytes.as_bytes()).await.expect("sent");
     let mut read = Vec::new();
@@ -106,7 +106,7 @@
     let mut plant = Plant::start().await;
     plant.target("i-1", "plain").await;
     let entry = plant.entry().await;
-    let address = entry.settings.caller_address;
+    let address = entry.settings.caller_listen_address;
     let mut stream = TcpStream::connect(address).await.expect("connected");
     stream.write_all(b"POST /many/").await.expect("sent");
     let mut buffer = [0; 1_024];
--- a/cowsliproad-direct/tests/entry/harness.rs
+++ b/cowsliproad-direct/tests/entry/harness.rs
@@ -163,12 +163,12 @@
         let at = |port| SocketAddr::from((vm, port));
         Settings {
             vm: format!("entry-{}", self.next).into(),
-            caller_address: at(CALLERS),
+            caller_listen_address: at(CALLERS),
             readiness_address: at(READINESS),
             peer_port: PEERS,
             seed_addresses: seeds
                 .iter()
-                .map(|it| it.settings.caller_address)
+                .map(|it| it.settings.caller_listen_address)
                 .collect(),
             log_address: self.log_address,
             target_wait_ms: Millis(1_900),
@@ -214,8 +214,10 @@
     /// Starts a process whose log goes somewhere.
     pub fn start_with(settings: Settings, output: Stdio) -> Entry {
         let directory = std::env::temp_dir();
-        let name =
-            format!("cowsliproad-{}.json", settings.caller_address.ip());
+        let name = format!(
+            "cowsliproad-{}.json",
+            settings.caller_listen_address.ip()
+        );
         let file = directory.join(name);
         write(&file, &settings);
         let child = Command::new(env!("CARGO_BIN_EXE_cowsliproad-direct"))
@@ -319,13 +321,16 @@
         body: &str,
     ) -> Request<Full<Bytes>> {
         let number = REQUEST.fetch_add(1, Ordering::Relaxed);
-        Request::post(format!("http://{}{path}", self.settings.caller_address))
-            .header(http::header::HOST, "host.example")
-            .header(http::header::AUTHORIZATION, format!("Bearer {key}"))
-            .header(header::REQUEST_ID, format!("q{number}"))
-            .header(header::TIME_LEFT, "4000")
-            .body(Full::new(Bytes::from(body.to_string())))
-            .expect("a request")
+        Request::post(format!(
+            "http://{}{path}",
+            self.settings.caller_listen_address
+        ))
+        .header(http::header::HOST, "host.example")
+        .header(http::header::AUTHORIZATION, format!("Bearer {key}"))
+        .header(header::REQUEST_ID, format!("q{number}"))
+        .header(header::TIME_LEFT, "4000")
+        .body(Full::new(Bytes::from(body.to_string())))
+        .expect("a request")
     }
 }
 
--- a/cowsliproad-direct/tests/entry/processes.rs
+++ b/cowsliproad-direct/tests/entry/processes.rs
@@ -69,7 +69,8 @@
         for number in 0..count {
             let seeds: Vec<&Entry> = entries.iter().take(3).collect();
             let mut settings = plant.settings(&seeds);
-            let address = (settings.caller_address.ip(), LOG_PORT).into();
+            let address =
+                (settings.caller_listen_address.ip(), LOG_PORT).into();
             let link = Proxy::start(address, settings.log_address).await;
             links.push(link.expect("a proxy"));
             settings.log_address = address;
@@ -150,7 +151,7 @@
         let others = others.filter_map(|it| {
             let entry = it.borrow();
             let (process, entry) = entry.as_ref()?;
-            Some((*process, entry.settings.caller_address))
+            Some((*process, entry.settings.caller_listen_address))
         });
         let (known, seeds) = others.take(3).unzip();
         let settings = match address {
--- a/cowsliproad-direct/tests/entry/rollbacks.rs
+++ b/cowsliproad-direct/tests/entry/rollbacks.rs
@@ -372,7 +372,8 @@
     /// Starts an entry whose lines are kept.
     fn of(plant: &mut Plant, seeds: &[&Entry]) -> (Entry, Lines) {
         let settings = plant.settings(seeds);
-        let name = format!("cowsliproad-{}.log", settings.caller_address.ip());
+        let name =
+            format!("cowsliproad-{}.log", settings.caller_listen_address.ip());
         let path = std::env::temp_dir().join(name);
         let file = File::create(&path).expect("a file");
         (Entry::start_with(settings, file.into()), Lines(path))
