--- a/cowsliproad-direct/src/callers.rs
+++ b/cowsliproad-direct/src/callers.rs
@@ -194,23 +194,26 @@
             () = sleep(IDLE_CHECK_INTERVAL.duration()) => {}
             () = entry.idle_close_requested.notified() => {}
         }
-        match next_connection_action(&entry, &activity) {
-            ConnectionAction::Keep => {}
+        match check_connection(&entry, &activity) {
+            ConnectionCheckResult::Keep => {}
             // hyper completes an in-flight request first.
-            ConnectionAction::ShutDown => serving.as_mut().graceful_shutdown(),
+            ConnectionCheckResult::CloseAfterRequest => {
+                serving.as_mut().graceful_shutdown()
+            }
             // hyper would wait for the rest of the head forever.
-            ConnectionAction::Drop => return,
+            ConnectionCheckResult::CloseAtOnce => return,
         }
     }
 }
 
-/// What to do with a caller's connection after a check.
-enum ConnectionAction {
+/// Whether a check keeps or closes a caller's connection, and when it is
+/// closed.
+enum ConnectionCheckResult {
     Keep,
     /// Close the connection after any in-flight request.
-    ShutDown,
+    CloseAfterRequest,
     /// Close the connection at once.
-    Drop,
+    CloseAtOnce,
 }
 
 async fn answer_caller_request(
@@ -228,26 +231,26 @@
     answer
 }
 
-fn next_connection_action(
+fn check_connection(
     entry: &Entry,
     activity: &ConnectionActivity,
-) -> ConnectionAction {
+) -> ConnectionCheckResult {
     let is_answering = activity.in_flight.get() > 0;
     let limits = current_request_limits(entry);
     let now = Millis::now();
     let head_started_at = activity.head_started_at.get();
     let is_late = |since: Millis| now.since(since) > limits.header_timeout;
     if !is_answering && head_started_at.is_some_and(is_late) {
-        return ConnectionAction::Drop;
+        return ConnectionCheckResult::CloseAtOnce;
     }
     let idle = now.since(activity.idle_since.get());
     let idle_expired = !is_answering
         && head_started_at.is_none()
         && idle > limits.idle_timeout + CALLER_IDLE_GRACE;
     if idle_expired || entry.process_phase.get() == ProcessPhase::Closing {
-        return ConnectionAction::ShutDown;
+        return ConnectionCheckResult::CloseAfterRequest;
     }
-    ConnectionAction::Keep
+    ConnectionCheckResult::Keep
 }
 
 fn current_request_limits(entry: &Entry) -> RequestLimits {
--- a/cowsliproad-direct/src/ends.rs
+++ b/cowsliproad-direct/src/ends.rs
@@ -178,7 +178,7 @@
     }
 }
 
-/// Probes a target until no suspicion is left.
+/// Probes a target until no suspicion that it crashed is left.
 async fn probe_target(entry: Rc<Entry>, choice: ChosenTarget) {
     let mut probes = 0;
     loop {
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -168,7 +168,7 @@
     invalid_target_keys: RefCell<HashSet<String>>,
     /// Raw target announcements by target id, served to entry processes that
     /// start without the log.
-    pub raw_announcements: RefCell<HashMap<Name, Bytes>>,
+    pub raw_announcements_by_target: RefCell<HashMap<Name, Bytes>>,
     endpoints: RefCell<HashMap<Name, Rc<RefCell<Endpoint>>>>,
     retry_budgets: RefCell<HashMap<Name, RetryWindow>>,
     /// The newest known formation of each group, reported by any of its ranks.
@@ -252,7 +252,7 @@
             fleet: RefCell::new(TargetFleet::new(TargetFleetConfig::new())),
             longest_caller_timeouts: RefCell::new(HashMap::new()),
             invalid_target_keys: RefCell::new(HashSet::new()),
-            raw_announcements: RefCell::new(HashMap::new()),
+            raw_announcements_by_target: RefCell::new(HashMap::new()),
             endpoints: RefCell::new(HashMap::new()),
             retry_budgets: RefCell::new(HashMap::new()),
             formations: RefCell::new(HashMap::new()),
@@ -300,7 +300,7 @@
         let old = self.settings();
         info!(self.log, "settings_read";
             "changed" => new != *old,
-            "needs_restart" => !new.has_same_restart_settings(&old));
+            "needs_restart" => !new.has_same_settings_requiring_restart(&old));
         let kept = Settings {
             vm: old.vm.clone(),
             zone: old.zone.clone(),
@@ -414,7 +414,7 @@
                 self.agent_target_list_ids
                     .borrow_mut()
                     .retain(|it, _| addresses.contains(it));
-                self.raw_announcements.borrow_mut().remove(id);
+                self.raw_announcements_by_target.borrow_mut().remove(id);
                 self.digest_wakeup.notify_one();
             }
         }
@@ -433,7 +433,7 @@
             .log_read_schedule
             .borrow_mut()
             .merge_peer_log_read(at, changed);
-        self.extend_leases_after_gap(continuity, now);
+        self.extend_target_leases_after_log_read_gap(continuity, now);
         if self.log_read_schedule.borrow().has_unread_target_change() {
             self.targets_read_wakeup.notify_one();
         }
@@ -449,7 +449,7 @@
 
     /// Extends the leases of all targets after a gap in the reads of the
     /// targets topic, since targets may have renewed them unobserved.
-    pub fn extend_leases_after_gap(
+    pub fn extend_target_leases_after_log_read_gap(
         &self,
         continuity: LogReadContinuity,
         now: Millis,
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -339,7 +339,7 @@
         let budgets = self.retry_budgets.borrow();
         let usual = budgets.get(service);
         let usual = usual.map_or(0.0, |it| {
-            it.estimate_requests(UNREPORTED_REQUEST_INTERVAL, now)
+            it.estimate_requests(UNREPORTED_REQUESTS_ESTIMATION_SPAN, now)
         });
         usual.max(f64::from(sent)) * others
     }
@@ -365,10 +365,10 @@
 /// request is sent to the target.
 const RECOVERY_PROBE_TIMEOUT: Millis = Millis(400);
 
-/// The time for which requests of other entry processes are estimated: two
-/// report intervals of an agent. `cowsliproad-bench routing` compares this
-/// interval with others.
-const UNREPORTED_REQUEST_INTERVAL: Millis = Millis(800);
+/// The length of time for which the unreported requests of other entry
+/// processes are estimated: two report intervals of an agent.
+/// `cowsliproad-bench routing` compares this length with others.
+const UNREPORTED_REQUESTS_ESTIMATION_SPAN: Millis = Millis(800);
 
 /// Connections to one target that every entry process may open, however many
 /// entry processes share the service's limit.
--- a/cowsliproad-direct/src/entry/groups.rs
+++ b/cowsliproad-direct/src/entry/groups.rs
@@ -71,7 +71,9 @@
         }
     }
 
-    /// Whether a group accepts requests, by the newest known formation.
+    /// Whether a group accepts requests, by its newest known formation: the
+    /// latest epoch in which its ranks formed the group. Without a known
+    /// formation, the given report decides.
     pub(super) fn group_accepts_requests(
         &self,
         group: &GroupReport,
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -263,7 +263,7 @@
                     .log_read_schedule
                     .borrow_mut()
                     .record_own_log_read(now, reading.end_position);
-                entry.extend_leases_after_gap(found, now);
+                entry.extend_target_leases_after_log_read_gap(found, now);
                 apply_target_records(&entry, &reading, now);
                 // Targets that renewed their records before the read began are
                 // among the records just read.
@@ -381,7 +381,7 @@
                     .merge_target_announcement(target, now);
                 if entry.fleet.borrow().is_target_ready(&id) {
                     entry
-                        .raw_announcements
+                        .raw_announcements_by_target
                         .borrow_mut()
                         .insert(id, raw.clone());
                 }
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -46,9 +46,9 @@
 /// The timeout for a reply to a permit request that isn't forwarded.
 const PERMIT_REPLY_TIMEOUT: Millis = Millis(120);
 
-/// The timeout for a reply to a permit request if the caller's request can go
-/// to another target.
-const SHORT_PERMIT_REPLY_TIMEOUT: Millis = Millis(40);
+/// The timeout for a reply to a request for a permit that is to be valid at
+/// once. Without a reply, the caller's request can go to another target.
+const IMMEDIATE_PERMIT_REPLY_TIMEOUT: Millis = Millis(40);
 
 /// How long an entry process that didn't reply to a permit request is passed
 /// over as owner of limiters.
@@ -225,7 +225,7 @@
         request_permit(entry.clone(), choice.clone(), max_permit_wait, sender);
     tokio::task::spawn_local(task);
     let wait = match max_permit_wait {
-        Millis(0) => SHORT_PERMIT_REPLY_TIMEOUT,
+        Millis(0) => IMMEDIATE_PERMIT_REPLY_TIMEOUT,
         _ => Millis(
             PERMIT_REPLY_TIMEOUT.0
                 * u64::from(MAX_PERMIT_REQUEST_FORWARDS + 1),
@@ -295,8 +295,8 @@
         }
         PermitDecision::Later(after) => {
             endpoint.next_permit_request_at = now + after;
-            // The request that needed the permit may have gone to another
-            // target.
+            // Fails if the request that needed the permit no longer waits for
+            // it, for example because the request went to another target.
             let _ = given.send(None);
         }
     }
--- a/cowsliproad-direct/src/peers/state.rs
+++ b/cowsliproad-direct/src/peers/state.rs
@@ -142,7 +142,7 @@
         *answer.status_mut() = StatusCode::NOT_FOUND;
         return answer;
     };
-    let announced = entry.raw_announcements.borrow();
+    let announced = entry.raw_announcements_by_target.borrow();
     let targets = announced.iter().map(|(id, value)| TargetAnnouncement {
         id: id.to_string(),
         value: value.to_vec(),
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -58,9 +58,10 @@
 /// that it wrote itself.
 const MAX_OWN_REWRITE_DELAY: Millis = Millis(300);
 
-/// An entry process that didn't write a lost record itself rewrites it later
-/// by a random time of up to this delay for each entry process, so that mostly
-/// one entry process rewrites the record.
+/// An entry process that didn't write a lost record itself delays its rewrite
+/// by an additional random time, so that mostly one entry process rewrites the
+/// record. The additional time is at most this delay times the number of entry
+/// processes.
 const REWRITE_DELAY_PER_PEER: Millis = Millis(50);
 
 /// The longest additional delay before an entry process rewrites a lost record
--- a/cowsliproad-direct/src/reply.rs
+++ b/cowsliproad-direct/src/reply.rs
@@ -121,7 +121,7 @@
     plain_text_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n")
 }
 
-/// Sets the header that names the request of a response.
+/// Sets the response header that carries the id of the request.
 pub fn set_request_id(response: &mut Response<Body>, id: &HeaderValue) {
     response.headers_mut().insert(header::REQUEST_ID, id.clone());
 }
--- a/cowsliproad-direct/src/settings.rs
+++ b/cowsliproad-direct/src/settings.rs
@@ -39,8 +39,10 @@
     /// The time from SIGTERM until the process is killed.
     #[serde(rename = "grace_ms")]
     pub shutdown_grace_ms: Millis,
-    /// How long a request waits for a usable target, where the route doesn't
-    /// set how long callers wait without an event.
+    /// How long a request waits for a usable target, unless its route sets
+    /// `caller_idle_timeout`: a caller of such a route leaves after that time
+    /// without an event of the response stream, so a request waits for a
+    /// target slightly less long than that.
     #[serde(rename = "wait_ms")]
     pub target_wait_ms: Millis,
     /// The retry budget that all entry processes share.
@@ -93,7 +95,10 @@
 
     /// Whether two settings agree in everything that needs a restart to
     /// change.
-    pub fn has_same_restart_settings(&self, other: &Settings) -> bool {
+    pub fn has_same_settings_requiring_restart(
+        &self,
+        other: &Settings,
+    ) -> bool {
         self.vm == other.vm
             && self.zone == other.zone
             && self.caller_listen_address == other.caller_listen_address
