--- a/cowsliproad-agent/src/adapter/engine.rs
+++ b/cowsliproad-agent/src/adapter/engine.rs
@@ -208,7 +208,7 @@
             self.target_address
         ))
         .header(header::CONTENT_TYPE, "application/json")
-        .header("x-request-id", work.request.to_string())
+        .header("x-request-id", work.request_id.to_string())
         .body(Full::new(Bytes::from(body.to_string())))
         .map_err(|_| bad)
     }
@@ -218,7 +218,7 @@
         work: &RequestWork,
         from: u32,
     ) -> Result<Request<Full<Bytes>>, RequestFailure> {
-        let id = work.request;
+        let id = work.request_id;
         let target = self.target_address;
         Request::get(format!("http://{target}/v1/streams/{id}?from={from}"))
             .body(Full::default())
@@ -231,7 +231,7 @@
         if self.pacer.remaining_cooldown(Millis::now()).0 > 0 {
             return;
         }
-        let id = work.request;
+        let id = work.request_id;
         let uri = format!("http://{}/v1/streams/{id}", self.target_address);
         let Ok(request) = Request::delete(uri).body(Full::default()) else {
             return;
--- a/cowsliproad-agent/src/adapter/plain.rs
+++ b/cowsliproad-agent/src/adapter/plain.rs
@@ -24,7 +24,7 @@
     AdapterPlugin {
         adapter_name: "plain",
         description: "a plain HTTP service",
-        start_adapter: start_adapter::<PlainAdapter>,
+        start_adapter: start_adapter::<PlainHttpAdapter>,
     }
 }
 
@@ -34,16 +34,19 @@
 
 /// Sends requests to a plain HTTP service.
 #[derive(Debug)]
-pub struct PlainAdapter {
+pub struct PlainHttpAdapter {
     client: Client,
     target_address: SocketAddr,
     silence_timeout: Duration,
     pacer: Arc<RequestPacer>,
 }
 
-impl Adapter for PlainAdapter {
-    fn new(settings: &Settings, pacer: &Arc<RequestPacer>) -> PlainAdapter {
-        PlainAdapter {
+impl Adapter for PlainHttpAdapter {
+    fn new(
+        settings: &Settings,
+        pacer: &Arc<RequestPacer>,
+    ) -> PlainHttpAdapter {
+        PlainHttpAdapter {
             client: Client::new(),
             pacer: pacer.clone(),
             target_address: settings.target_address,
@@ -90,7 +93,7 @@
 ) -> Result<Request<Full<Bytes>>, RequestFailure> {
     Request::post(format!("http://{target}/{}", work.request_type))
         .header(header::CONTENT_TYPE, "application/json")
-        .header("x-request-id", work.request.to_string())
+        .header("x-request-id", work.request_id.to_string())
         .body(Full::new(work.request_body.clone()))
         .map_err(|_| {
             RequestFailure::new(Code::BadRequest, ExecutionStatus::NotRun)
--- a/cowsliproad-agent/src/ends.rs
+++ b/cowsliproad-agent/src/ends.rs
@@ -76,8 +76,8 @@
     /// together with the time.
     crash_source: String,
     state: Mutex<CrashState>,
-    /// Wakes the task that watches the target when the target's process is
-    /// gone or a request to the target is abandoned.
+    /// Notified when the target's process is gone or a request to the target
+    /// is abandoned, to wake the task that watches the target.
     watch_needed: Notify,
 }
 
@@ -131,7 +131,7 @@
     }
 
     /// Takes the crash reports that must still be sent to entry processes.
-    pub fn take_unsent_reports(&self) -> Vec<CrashSuspectRequest> {
+    pub fn take_unsent_suspects(&self) -> Vec<CrashSuspectRequest> {
         let mut state = lock(&self.state);
         state.has_unsent_presence = false;
         let reports = std::mem::take(&mut state.unsent_reports);
@@ -208,7 +208,7 @@
     }
 
     /// Whether the target's process must be checked regularly.
-    fn needs_watching(&self) -> bool {
+    fn target_needs_watching(&self) -> bool {
         let state = lock(&self.state);
         state.presence == TargetPresence::Gone
             || !state.abandoned_requests.is_empty()
@@ -277,7 +277,7 @@
 ) {
     loop {
         gate.crashes.watch_needed.notified().await;
-        while gate.crashes.needs_watching() {
+        while gate.crashes.target_needs_watching() {
             let check_started = Millis::now();
             if is_target_gone(&gate).await {
                 report_crash_with_abandoned_requests(&gate);
@@ -351,7 +351,7 @@
 fn report_crash(gate: &TargetGate, work: &RequestWork) {
     let digest = work.submission_digest();
     info!(gate.logger(), "ended_under";
-        "request" => %work.request, "work" => %digest,
+        "request" => %work.request_id, "work" => %digest,
         "target" => %gate.settings.target_address);
     gate.crashes.record_crash_during(digest);
     report_presence(gate, TargetPresence::Gone);
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -44,7 +44,7 @@
     ends::TargetCrashes,
     pace,
     settings::Settings,
-    work::{AnswerDemand, AnswerEnding, RequestWork, RerunPolicy},
+    work::{AnswerEnding, AnswerInterest, RequestWork, RerunPolicy},
 };
 
 mod submit;
@@ -187,7 +187,7 @@
         let mut state = self.lock_state();
         let queued = state
             .request_queue
-            .remove_first_matching(|it| it.request == cancel.request);
+            .remove_first_matching(|it| it.request_id == cancel.request);
         if queued.is_some() {
             let failure =
                 RequestFailure::new(Code::Cancelled, ExecutionStatus::NotRun);
@@ -219,7 +219,7 @@
     /// Cancels a request whose last listener left and whose answer need not be
     /// kept.
     pub fn abandon_unwanted_work(&self, work: &RequestWork) {
-        if work.answer_demand() == AnswerDemand::Wanted
+        if work.answer_interest() == AnswerInterest::Wanted
             || work.answer_ending().is_some()
         {
             return;
@@ -227,7 +227,7 @@
         let mut state = self.lock_state();
         let queued = state
             .request_queue
-            .remove_first_matching(|it| it.request == work.request);
+            .remove_first_matching(|it| it.request_id == work.request_id);
         if let Some(item) = queued {
             let failure =
                 RequestFailure::new(Code::Cancelled, ExecutionStatus::NotRun);
@@ -245,7 +245,7 @@
             // Subscribed before the check for a request to start, so that no
             // change of the rate limit is missed.
             let changed = self.pacer.wait_for_limit_change();
-            match self.try_next_work() {
+            match self.try_take_next_work() {
                 NextWork::Ready(work) => return work,
                 NextWork::Unavailable => ready.await,
                 NextWork::RateLimited(wait) => tokio::select! {
@@ -358,7 +358,7 @@
         for answer in handover.stored_answers {
             let work = Arc::new(RequestWork::from_stored_answer(answer));
             state.retain_finished_work(&work, now);
-            state.work_by_request.insert(work.request, work);
+            state.work_by_request.insert(work.request_id, work);
         }
         if let Some(ticket_register) = ticket_register {
             let inherited = InheritedRegister {
@@ -395,7 +395,7 @@
         }
     }
 
-    fn try_next_work(&self) -> NextWork {
+    fn try_take_next_work(&self) -> NextWork {
         let mut state = self.lock_state();
         let now = Millis::now();
         let service_rate = self.service_rate(&state);
@@ -469,7 +469,8 @@
     /// The clock of the agent process that recorded the tickets, at the
     /// handover.
     pub clock_at_handover: Millis,
-    /// The ticket records.
+    /// Whether that process accepted or refused each recorded ticket, and when
+    /// the ticket expires.
     pub ticket_register: TicketRegister,
 }
 
@@ -541,7 +542,7 @@
         work: &Arc<RequestWork>,
         failure: RequestFailure,
     ) {
-        self.ticket_register.refuse_unsent_ticket(work.request);
+        self.ticket_register.refuse_unsent_ticket(work.request_id);
         work.record_result(Err(failure));
         self.retain_finished_work(work, Millis::now());
     }
@@ -552,7 +553,7 @@
         let key = work.idempotency_key.clone();
         self.finished_work.push_back(FinishedWork {
             finished_at: now,
-            request: work.request,
+            request: work.request_id,
             answer_bytes,
             idempotency_key: key.map(|key| (work.organisation.clone(), key)),
         });
--- a/cowsliproad-agent/src/gate/submit.rs
+++ b/cowsliproad-agent/src/gate/submit.rs
@@ -45,7 +45,7 @@
         match &outcome {
             Ok(work) => {
                 debug!(self.log, "admit";
-                    "request" => %work.request,
+                    "request" => %work.request_id,
                     "organisation" => %submit.organisation,
                     "type" => %submit.request_type);
                 self.work_available.notify_one();
@@ -170,7 +170,7 @@
             let body_hash = blake3::hash(&submit.body);
             state.idempotency_keys.insert(
                 key,
-                KeyedRequest { request: work.request, body_hash },
+                KeyedRequest { request: work.request_id, body_hash },
             );
         }
         Ok(work)
@@ -204,7 +204,7 @@
                 );
             }
             PushOutcome::Refused(_, wait) => {
-                state.ticket_register.refuse_unsent_ticket(work.request);
+                state.ticket_register.refuse_unsent_ticket(work.request_id);
                 return Err(RequestFailure::new(
                     Code::Overloaded,
                     ExecutionStatus::NotRun,
@@ -213,7 +213,7 @@
             }
         }
         state.accepted_total += 1;
-        state.work_by_request.insert(work.request, work.clone());
+        state.work_by_request.insert(work.request_id, work.clone());
         Ok(work)
     }
 
--- a/cowsliproad-agent/src/links.rs
+++ b/cowsliproad-agent/src/links.rs
@@ -85,7 +85,7 @@
     }
 
     fn send_heartbeats_on(&self, mut open_links: MutexGuard<'_, Vec<Sender>>) {
-        let reports = self.gate.crashes.take_unsent_reports();
+        let reports = self.gate.crashes.take_unsent_suspects();
         self.gate.pacer.mark_cooldown_sent();
         let heartbeat = Frame::Heartbeat(
             self.gate.build_heartbeat(self.replica.next_offset()),
@@ -96,7 +96,7 @@
             // this agent is alive, so the heartbeat may be dropped.
             let _ = link.try_send(heartbeat.clone());
             if !reports.is_empty() {
-                send_suspects(link, reports.clone());
+                send_crash_suspects(link, reports.clone());
             }
         }
     }
@@ -118,7 +118,7 @@
 
 /// Sends suspected requests to an entry process, also when the send queue of
 /// the link is full.
-fn send_suspects(link: &Sender, suspects: Vec<CrashSuspectRequest>) {
+fn send_crash_suspects(link: &Sender, suspects: Vec<CrashSuspectRequest>) {
     let frame = Frame::CrashSuspectRequests(suspects);
     if link.try_send(frame.clone()).is_ok() {
         return;
@@ -165,7 +165,7 @@
     info!(links.log, "link_open"; "peer" => %peer_hello.name);
     let suspects = links.gate.crashes.all_suspected_requests();
     if !suspects.is_empty() {
-        send_suspects(&sender, suspects);
+        send_crash_suspects(&sender, suspects);
     }
     links.lock_open_links().push(sender.clone());
     let session =
@@ -174,15 +174,15 @@
     info!(links.log, "link_closed"; "peer" => %peer_hello.name);
 }
 
-/// An open link and the attempts that receive answers on it.
+/// An open link to a peer, and the attempts whose answers are sent on it.
 struct LinkSession {
     links: Arc<AgentLinks>,
     sender: Sender,
-    attempts: HashMap<id::Attempt, AttemptListener>,
+    attempts: HashMap<id::Attempt, AnswerReceiver>,
 }
 
 /// An attempt on this link that receives the answer of a request.
-struct AttemptListener {
+struct AnswerReceiver {
     work: Arc<RequestWork>,
     window: Arc<AnswerWindow>,
     task: AbortHandle,
@@ -205,9 +205,7 @@
     async fn handle_frame(&mut self, frame: Frame) {
         match frame {
             Frame::SubmitRequest(submit) => self.submit_request(*submit),
-            Frame::FetchAnswerRequest(reclaim) => {
-                self.reclaim_answer(&reclaim)
-            }
+            Frame::FetchAnswerRequest(reclaim) => self.resume_answer(&reclaim),
             Frame::AnswerAck(ack) => {
                 if let Some(listener) = self.attempts.get(&ack.attempt) {
                     listener.window.acknowledge(ack.delivered_bytes);
@@ -244,7 +242,7 @@
         }
     }
 
-    fn reclaim_answer(&mut self, reclaim: &FetchAnswerRequest) {
+    fn resume_answer(&mut self, reclaim: &FetchAnswerRequest) {
         match self.links.gate.find_work_to_reclaim(reclaim) {
             Ok(work) => self.start_sending_answer(
                 reclaim.attempt,
@@ -273,14 +271,14 @@
         };
         let task = tokio::spawn(answer_sender.send_answer(first_byte_offset))
             .abort_handle();
-        let listener = AttemptListener { work, window, task };
+        let listener = AnswerReceiver { work, window, task };
         self.attempts.insert(attempt, listener);
     }
 
     fn detach_attempt(&mut self, attempt: id::Attempt) {
         let Some(listener) = self.attempts.remove(&attempt) else { return };
         listener.task.abort();
-        listener.work.remove_listener();
+        listener.work.decrement_listener_count();
         self.links.gate.abandon_unwanted_work(&listener.work);
     }
 
@@ -324,7 +322,7 @@
     work: Arc<RequestWork>,
 ) {
     sleep(RECONNECT_GRACE_TIME).await;
-    work.remove_listener();
+    work.decrement_listener_count();
     gate.abandon_unwanted_work(&work);
 }
 
@@ -377,7 +375,7 @@
     async fn send_answer(self, first_byte_offset: u64) {
         let accepted = RequestAccepted {
             attempt: self.attempt,
-            request: self.work.request,
+            request: self.work.request_id,
         };
         if self.sender.send(Frame::RequestAccepted(accepted)).await.is_err() {
             return;
--- a/cowsliproad-agent/src/settings.rs
+++ b/cowsliproad-agent/src/settings.rs
@@ -48,13 +48,14 @@
         default = "Settings::default_max_queued_requests"
     )]
     pub max_queued_requests: u32,
-    /// The maximum number of ticket records kept.
+    /// The maximum number of ticket records kept. A ticket record
+    /// holds whether one submitted ticket was accepted or refused.
     #[serde(
         rename = "tickets",
         default = "Settings::default_max_ticket_records"
     )]
     pub max_ticket_records: u32,
-    /// The maximum size of all finished answers kept.
+    /// The maximum total size, in bytes, of the finished answers kept.
     #[serde(
         rename = "kept_bytes",
         default = "Settings::default_max_kept_answer_bytes"
--- a/cowsliproad-agent/src/work.rs
+++ b/cowsliproad-agent/src/work.rs
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub struct RequestWork {
     /// The request's id.
-    pub request: id::Request,
+    pub request_id: id::Request,
     /// The organisation that submitted the request.
     pub organisation: Name,
     /// The name of the request type.
@@ -111,7 +111,7 @@
     /// Creates a request that has not started.
     pub fn new(submit: &SubmitRequest, now: Millis) -> RequestWork {
         RequestWork {
-            request: submit.request,
+            request_id: submit.request,
             organisation: submit.organisation.clone(),
             request_type: submit.request_type.clone(),
             request_body: Bytes::from(submit.body.clone()),
@@ -173,7 +173,7 @@
             AnswerEnding::Failed(failure) => Err(*failure),
         };
         Some(StoredAnswer {
-            request: self.request,
+            request: self.request_id,
             organisation: self.organisation.clone(),
             result,
         })
@@ -273,20 +273,24 @@
     }
 
     /// Removes a listener. Returns whether the answer is still wanted.
-    pub fn remove_listener(&self) -> AnswerDemand {
+    pub fn decrement_listener_count(&self) -> AnswerInterest {
         let before = self.listener_count.fetch_sub(1, Ordering::Relaxed);
-        if before > 1 { AnswerDemand::Wanted } else { self.answer_demand() }
+        if before > 1 {
+            AnswerInterest::Wanted
+        } else {
+            self.answer_interest()
+        }
     }
 
     /// Whether the answer has a listener or must be kept.
-    pub fn answer_demand(&self) -> AnswerDemand {
+    pub fn answer_interest(&self) -> AnswerInterest {
         let listened = self.listener_count.load(Ordering::Relaxed) > 0;
         let kept = self.persistence == RequestPersistence::Keep
             || self.rerun_policy == RerunPolicy::Never;
         if listened || kept {
-            AnswerDemand::Wanted
+            AnswerInterest::Wanted
         } else {
-            AnswerDemand::Unwanted
+            AnswerInterest::Unwanted
         }
     }
 
@@ -297,7 +301,7 @@
 
 /// Whether the answer to a request is still wanted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum AnswerDemand {
+pub enum AnswerInterest {
     /// The answer has a listener, or must be kept.
     Wanted,
     /// The answer has no listener and need not be kept.
