--- a/cowsliproad-agent/src/adapter/engine.rs
+++ b/cowsliproad-agent/src/adapter/engine.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, ExecutionStatus},
+    code::{ExecutionStatus, ResultCode},
     plugin::inventory,
     wire::{AnswerFormat, RequestFailure},
 };
@@ -73,7 +73,7 @@
             () = work.wait_until_cancelled() => {
                 self.cancel_at_target(work).await;
                 Err(RequestFailure::new(
-                    Code::Cancelled,
+                    ResultCode::Cancelled,
                     ExecutionStatus::OutcomeUnknown,
                 ))
             }
@@ -121,7 +121,7 @@
         }
         self.cancel_at_target(work).await;
         Err(RequestFailure::new(
-            Code::TargetFailed,
+            ResultCode::TargetFailed,
             ExecutionStatus::OutcomeUnknown,
         ))
     }
@@ -134,7 +134,7 @@
         let head =
             timeout(self.silence_timeout, self.client.send(request)).await;
         let silent = RequestFailure::new(
-            Code::TimedOut,
+            ResultCode::TimedOut,
             ExecutionStatus::OutcomeUnknown,
         );
         let head =
@@ -168,7 +168,7 @@
             }
             if work.answer_length() > MAX_ANSWER_BYTES {
                 return Err(RequestFailure::new(
-                    Code::TargetFailed,
+                    ResultCode::TargetFailed,
                     ExecutionStatus::OutcomeUnknown,
                 ));
             }
@@ -185,7 +185,7 @@
             RerunPolicy::Never => Ok(self.silence_timeout),
             RerunPolicy::Allowed if left.is_zero() => {
                 Err(RequestFailure::new(
-                    Code::TimedOut,
+                    ResultCode::TimedOut,
                     ExecutionStatus::OutcomeUnknown,
                 ))
             }
@@ -197,7 +197,8 @@
         &self,
         work: &RequestWork,
     ) -> Result<Request<Full<Bytes>>, RequestFailure> {
-        let bad = RequestFailure::new(Code::BadJson, ExecutionStatus::NotRun);
+        let bad =
+            RequestFailure::new(ResultCode::BadJson, ExecutionStatus::NotRun);
         let mut body: Value =
             serde_json::from_slice(&work.request_body).map_err(|_| bad)?;
         let fields = body.as_object_mut().ok_or(bad)?;
@@ -223,7 +224,10 @@
         Request::get(format!("http://{target}/v1/streams/{id}?from={from}"))
             .body(Full::default())
             .map_err(|_| {
-                RequestFailure::new(Code::BadRequest, ExecutionStatus::NotRun)
+                RequestFailure::new(
+                    ResultCode::BadRequest,
+                    ExecutionStatus::NotRun,
+                )
             })
     }
 
--- a/cowsliproad-agent/src/adapter/plain.rs
+++ b/cowsliproad-agent/src/adapter/plain.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, ExecutionStatus},
+    code::{ExecutionStatus, ResultCode},
     plugin::inventory,
     wire::{AnswerFormat, RequestFailure},
 };
@@ -63,7 +63,7 @@
             response = call => response.map_err(request_failure)?,
             () = work.wait_until_cancelled() => {
                 return Err(RequestFailure::new(
-                    Code::Cancelled,
+                    ResultCode::Cancelled,
                     ExecutionStatus::OutcomeUnknown,
                 ));
             }
@@ -75,7 +75,7 @@
         );
         if !response.status().is_success() {
             return Err(RequestFailure::new(
-                Code::TargetFailed,
+                ResultCode::TargetFailed,
                 ExecutionStatus::OutcomeUnknown,
             ));
         }
@@ -93,7 +93,10 @@
         .header("x-request-id", work.request.to_string())
         .body(Full::new(work.request_body.clone()))
         .map_err(|_| {
-            RequestFailure::new(Code::BadRequest, ExecutionStatus::NotRun)
+            RequestFailure::new(
+                ResultCode::BadRequest,
+                ExecutionStatus::NotRun,
+            )
         })
 }
 
@@ -112,15 +115,16 @@
 /// Maps an HTTP client error to the failure of the request at the target.
 pub(super) fn request_failure(error: Error) -> RequestFailure {
     match error {
-        Error::Connect(_) | Error::Refused(_) => {
-            RequestFailure::new(Code::TargetFailed, ExecutionStatus::NotRun)
-        }
+        Error::Connect(_) | Error::Refused(_) => RequestFailure::new(
+            ResultCode::TargetFailed,
+            ExecutionStatus::NotRun,
+        ),
         Error::Timeout => RequestFailure::new(
-            Code::TimedOut,
+            ResultCode::TimedOut,
             ExecutionStatus::OutcomeUnknown,
         ),
         Error::Exchange(_) | Error::TooLarge => RequestFailure::new(
-            Code::TargetFailed,
+            ResultCode::TargetFailed,
             ExecutionStatus::OutcomeUnknown,
         ),
     }
--- a/cowsliproad-agent/src/ends.rs
+++ b/cowsliproad-agent/src/ends.rs
@@ -25,7 +25,7 @@
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, ExecutionStatus},
+    code::{ExecutionStatus, ResultCode},
     gossip::CrashSuspectRequest,
     id,
     sync::lock,
@@ -234,7 +234,7 @@
     work: &RequestWork,
     failure: RequestFailure,
 ) -> CrashCheck {
-    if failure.code != Code::TargetFailed {
+    if failure.code != ResultCode::TargetFailed {
         if failure.ran == ExecutionStatus::OutcomeUnknown {
             let until = Millis::now() + MIN_ABANDONED_RUN_TIME;
             gate.crashes.record_abandoned_request(
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -25,7 +25,7 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    code::{Code, ExecutionStatus},
+    code::{ExecutionStatus, ResultCode},
     id,
     sync::lock,
     wire::{
@@ -189,28 +189,31 @@
             .request_queue
             .remove_first_matching(|it| it.request == cancel.request);
         if queued.is_some() {
-            let failure =
-                RequestFailure::new(Code::Cancelled, ExecutionStatus::NotRun);
+            let failure = RequestFailure::new(
+                ResultCode::Cancelled,
+                ExecutionStatus::NotRun,
+            );
             state.fail_unsent_work(&work, failure);
             return failure;
         }
         drop(state);
         match (work.answer_ending(), work.rerun_policy) {
-            (Some(AnswerEnding::Whole { .. }), _) => {
-                RequestFailure::new(Code::Cancelled, ExecutionStatus::Ran)
-            }
+            (Some(AnswerEnding::Whole { .. }), _) => RequestFailure::new(
+                ResultCode::Cancelled,
+                ExecutionStatus::Ran,
+            ),
             (Some(AnswerEnding::Failed(failure)), _) => failure,
             (None, RerunPolicy::Allowed) => {
                 work.request_cancellation();
                 RequestFailure::new(
-                    Code::Cancelled,
+                    ResultCode::Cancelled,
                     ExecutionStatus::OutcomeUnknown,
                 )
             }
             // A non-repeatable request is never aborted while it runs, since
             // its outcome at the target would be unknown.
             (None, RerunPolicy::Never) => RequestFailure::new(
-                Code::InProgress,
+                ResultCode::InProgress,
                 ExecutionStatus::OutcomeUnknown,
             ),
         }
@@ -229,8 +232,10 @@
             .request_queue
             .remove_first_matching(|it| it.request == work.request);
         if let Some(item) = queued {
-            let failure =
-                RequestFailure::new(Code::Cancelled, ExecutionStatus::NotRun);
+            let failure = RequestFailure::new(
+                ResultCode::Cancelled,
+                ExecutionStatus::NotRun,
+            );
             state.fail_unsent_work(&item.work, failure);
         } else {
             work.request_cancellation();
@@ -264,7 +269,7 @@
         result: Result<cowsliproad_kernel::wire::AnswerFormat, RequestFailure>,
         slot_time: Duration,
     ) {
-        let code = result.err().map_or(Code::Ok, |failure| failure.code);
+        let code = result.err().map_or(ResultCode::Ok, |failure| failure.code);
         work.record_result(result);
         let mut state = self.lock_state();
         state.running_requests -= 1;
@@ -385,11 +390,11 @@
                 Ok(work.clone())
             }
             Some(_) => Err(RequestFailure::new(
-                Code::ForeignToken,
+                ResultCode::ForeignToken,
                 ExecutionStatus::NotForwarded,
             )),
             None => Err(RequestFailure::new(
-                Code::UnknownToken,
+                ResultCode::UnknownToken,
                 ExecutionStatus::OutcomeUnknown,
             )),
         }
@@ -433,7 +438,7 @@
         }
     }
 
-    fn count_result(&self, code: Code) {
+    fn count_result(&self, code: ResultCode) {
         self.result_counter.add(1, &[KeyValue::new("code", code.name())]);
     }
 
@@ -514,7 +519,7 @@
             self.request_queue.remove_expired_item(service_rate, now)
         {
             let failure = RequestFailure::new(
-                Code::DeadlinePassed,
+                ResultCode::DeadlinePassed,
                 ExecutionStatus::NotRun,
             );
             self.fail_unsent_work(&item.work, failure);
@@ -527,8 +532,10 @@
         for item in
             self.request_queue.remove_items_missing_deadline(service_rate, now)
         {
-            let failure =
-                RequestFailure::new(Code::Overloaded, ExecutionStatus::NotRun);
+            let failure = RequestFailure::new(
+                ResultCode::Overloaded,
+                ExecutionStatus::NotRun,
+            );
             let wait = self.request_queue.estimate_retry_after(service_rate);
             self.fail_unsent_work(&item.work, failure.with_retry_after(wait));
         }
--- a/cowsliproad-agent/src/gate/submit.rs
+++ b/cowsliproad-agent/src/gate/submit.rs
@@ -10,7 +10,7 @@
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, ExecutionStatus},
+    code::{ExecutionStatus, ResultCode},
     wire::{ProcessPhase, RequestFailure, SubmitMode, SubmitRequest},
 };
 use slog::{debug, info};
@@ -21,7 +21,7 @@
 /// Refuses a quarantined request, which crashes the targets that run it. The
 /// entry process, which knows of all crashes, adds the time to retry after.
 const QUARANTINED_REFUSAL: RequestFailure = RequestFailure {
-    code: Code::Quarantined,
+    code: ResultCode::Quarantined,
     ran: ExecutionStatus::NotRun,
     retry_after: None,
 };
@@ -86,7 +86,7 @@
             it.ticket_register.submit(&ticket, then)
         } else {
             return Err(RequestFailure::new(
-                Code::TargetGone,
+                ResultCode::TargetGone,
                 ExecutionStatus::OutcomeUnknown,
             ));
         };
@@ -95,30 +95,30 @@
             SubmitVerdict::Seen => {
                 state.work_by_request.get(&ticket.request).cloned().ok_or(
                     RequestFailure::new(
-                        Code::AnswerDropped,
+                        ResultCode::AnswerDropped,
                         ExecutionStatus::Ran,
                     ),
                 )
             }
             SubmitVerdict::Burned if recalled => Err(QUARANTINED_REFUSAL),
             SubmitVerdict::Burned if leaving => Err(RequestFailure::new(
-                Code::Leaving,
+                ResultCode::Leaving,
                 ExecutionStatus::NotRun,
             )),
             SubmitVerdict::Burned => Err(RequestFailure::new(
-                Code::TicketBurned,
+                ResultCode::TicketBurned,
                 ExecutionStatus::NotRun,
             )),
             SubmitVerdict::Expired => Err(RequestFailure::new(
-                Code::TicketExpired,
+                ResultCode::TicketExpired,
                 ExecutionStatus::NotRun,
             )),
             SubmitVerdict::TooOld => Err(RequestFailure::new(
-                Code::TicketExpired,
+                ResultCode::TicketExpired,
                 ExecutionStatus::OutcomeUnknown,
             )),
             SubmitVerdict::Full => Err(RequestFailure::new(
-                Code::RegisterFull,
+                ResultCode::RegisterFull,
                 ExecutionStatus::NotForwarded,
             )
             .with_retry_after(Millis(1_000))),
@@ -138,7 +138,7 @@
         {
             if keyed.body_hash != blake3::hash(&submit.body) {
                 return Err(RequestFailure::new(
-                    Code::KeyReused,
+                    ResultCode::KeyReused,
                     ExecutionStatus::NotRun,
                 ));
             }
@@ -151,7 +151,7 @@
         if let Some(work) = known.filter(|it| !has_failed(it)) {
             let own = work.organisation == submit.organisation;
             let foreign = RequestFailure::new(
-                Code::ForeignToken,
+                ResultCode::ForeignToken,
                 ExecutionStatus::NotForwarded,
             );
             return own.then(|| work.clone()).ok_or(foreign);
@@ -161,7 +161,7 @@
         }
         if state.phase == ProcessPhase::Leaving {
             return Err(RequestFailure::new(
-                Code::Leaving,
+                ResultCode::Leaving,
                 ExecutionStatus::NotRun,
             ));
         }
@@ -196,8 +196,10 @@
         match state.request_queue.push(item, service_rate, now) {
             PushOutcome::Queued => {}
             PushOutcome::Displaced(loser, wait) => {
-                let failure =
-                    RequestFailure::new(Code::Shed, ExecutionStatus::NotRun);
+                let failure = RequestFailure::new(
+                    ResultCode::Shed,
+                    ExecutionStatus::NotRun,
+                );
                 state.fail_unsent_work(
                     &loser.work,
                     failure.with_retry_after(wait),
@@ -206,7 +208,7 @@
             PushOutcome::Refused(_, wait) => {
                 state.ticket_register.refuse_unsent_ticket(work.request);
                 return Err(RequestFailure::new(
-                    Code::Overloaded,
+                    ResultCode::Overloaded,
                     ExecutionStatus::NotRun,
                 )
                 .with_retry_after(wait));
@@ -223,7 +225,7 @@
         submit: &SubmitRequest,
     ) -> Result<Ticket, RequestFailure> {
         let forged = RequestFailure::new(
-            Code::ForgedToken,
+            ResultCode::ForgedToken,
             ExecutionStatus::NotForwarded,
         );
         let text = std::str::from_utf8(encoded_ticket).map_err(|_| forged)?;
@@ -235,7 +237,7 @@
             && ticket.request == submit.request;
         if !fits {
             return Err(RequestFailure::new(
-                Code::ForeignToken,
+                ResultCode::ForeignToken,
                 ExecutionStatus::NotForwarded,
             ));
         }
--- a/cowsliproad-agent/src/handover.rs
+++ b/cowsliproad-agent/src/handover.rs
@@ -183,7 +183,8 @@
     let mut chunk = Vec::new();
     let mut chunk_bytes = 0;
     for answer in answers {
-        chunk_bytes += answer.result.as_ref().map_or(0, |it| it.bytes.len());
+        chunk_bytes +=
+            answer.result.as_ref().map_or(0, |it| it.answer_bytes.len());
         chunk.push(answer.clone());
         if chunk_bytes >= HANDOVER_CHUNK_BYTES {
             chunks.push(std::mem::take(&mut chunk));
--- a/cowsliproad-agent/src/work.rs
+++ b/cowsliproad-agent/src/work.rs
@@ -153,7 +153,7 @@
         let work = RequestWork::new(&submit, Millis(0));
         match answer.result {
             Ok(content) => {
-                work.append_answer_bytes(&content.bytes);
+                work.append_answer_bytes(&content.answer_bytes);
                 work.record_result(Ok(content.format));
             }
             Err(failure) => work.record_result(Err(failure)),
@@ -168,7 +168,7 @@
         let result = match progress.ending.as_ref()? {
             AnswerEnding::Whole { format, .. } => Ok(AnswerContent {
                 format: *format,
-                bytes: progress.answer_bytes.clone(),
+                answer_bytes: progress.answer_bytes.clone(),
             }),
             AnswerEnding::Failed(failure) => Err(*failure),
         };
--- a/cowsliproad-bench/src/experiment/config.rs
+++ b/cowsliproad-bench/src/experiment/config.rs
@@ -21,7 +21,7 @@
 use cowsliproad_ctl::client::{Client, Error, Mode};
 use cowsliproad_entry::EntryState;
 use cowsliproad_kernel::{
-    code::{Code, ExecutionStatus},
+    code::{ExecutionStatus, ResultCode},
     id,
     plugin::inventory,
     sync::lock,
@@ -287,7 +287,7 @@
                 ran: ExecutionStatus::NotRun, code, ..
             }) => {
                 match code {
-                    Code::StaleBase => ledger.refused += 1,
+                    ResultCode::StaleBase => ledger.refused += 1,
                     _ => ledger.not_run += 1,
                 }
                 let denied = ledger.denied.entry(self.key.clone());
@@ -299,7 +299,7 @@
 }
 
 fn is_unknown(error: &Error) -> bool {
-    error.code() == Some(Code::AppendUnknown)
+    error.code() == Some(ResultCode::AppendUnknown)
         || matches!(error, Error::Call(_))
 }
 
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -312,7 +312,7 @@
                     organisation: "organisation".into(),
                     result: Ok(AnswerContent {
                         format: AnswerFormat::Json,
-                        bytes: vec![b'x'; 512],
+                        answer_bytes: vec![b'x'; 512],
                     }),
                 }))
             })
--- a/cowsliproad-config/src/fold.rs
+++ b/cowsliproad-config/src/fold.rs
@@ -13,7 +13,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use cowsliproad_kernel::{code::Code, id};
+use cowsliproad_kernel::{code::ResultCode, id};
 use serde::{Deserialize, Serialize};
 
 use crate::object::{ConfigObject, ObjectKey};
@@ -62,7 +62,7 @@
     /// The change took effect; the object now has this revision.
     Accepted(u64),
     /// The change was refused with this result code.
-    Refused(Code),
+    Refused(ResultCode),
 }
 
 /// An object and its revision.
@@ -163,7 +163,10 @@
 
     /// Checks whether the current state would accept a change; the error is
     /// the code with which the state would refuse the change.
-    pub fn check_change(&self, change: &ConfigChange) -> Result<(), Code> {
+    pub fn check_change(
+        &self,
+        change: &ConfigChange,
+    ) -> Result<(), ResultCode> {
         match change {
             ConfigChange::Put { base_revision, object } => {
                 self.check_put(*base_revision, object)
@@ -213,19 +216,19 @@
         &self,
         base_revision: u64,
         object: &ConfigObject,
-    ) -> Result<(), Code> {
+    ) -> Result<(), ResultCode> {
         if object.validate().is_err() {
-            return Err(Code::BadObject);
+            return Err(ResultCode::BadObject);
         }
         if self.object_revision(&object.key()) != base_revision {
-            return Err(Code::StaleBase);
+            return Err(ResultCode::StaleBase);
         }
         if !object
             .dependencies()
             .iter()
             .all(|key| self.objects.contains_key(key))
         {
-            return Err(Code::NoSuchObject);
+            return Err(ResultCode::NoSuchObject);
         }
         Ok(())
     }
@@ -234,18 +237,18 @@
         &self,
         base_revision: u64,
         key: &ObjectKey,
-    ) -> Result<(), Code> {
+    ) -> Result<(), ResultCode> {
         let revision = self.object_revision(key);
         if revision == 0 {
-            return Err(Code::NoSuchObject);
+            return Err(ResultCode::NoSuchObject);
         }
         if revision != base_revision {
-            return Err(Code::StaleBase);
+            return Err(ResultCode::StaleBase);
         }
         let depends =
             |it: &VersionedObject| it.object.dependencies().contains(key);
         if self.objects.values().any(depends) {
-            return Err(Code::InUse);
+            return Err(ResultCode::InUse);
         }
         Ok(())
     }
--- a/cowsliproad-ctl/src/apply.rs
+++ b/cowsliproad-ctl/src/apply.rs
@@ -11,7 +11,7 @@
     fold::VersionedObject,
     object::{ObjectKey, ObjectKind},
 };
-use cowsliproad_kernel::{code::Code, id};
+use cowsliproad_kernel::{code::ResultCode, id};
 
 use crate::client::{Client, Error, Mode};
 
@@ -110,7 +110,7 @@
 }
 
 fn is_unknown(error: &Error) -> bool {
-    error.code() == Some(Code::AppendUnknown)
+    error.code() == Some(ResultCode::AppendUnknown)
         || matches!(error, Error::Call(_))
 }
 
--- a/cowsliproad-ctl/src/client.rs
+++ b/cowsliproad-ctl/src/client.rs
@@ -9,7 +9,7 @@
     object::{ObjectKey, ObjectKind},
 };
 use cowsliproad_kernel::{
-    code::{Code, ExecutionStatus},
+    code::{ExecutionStatus, ResultCode},
     id,
 };
 use futures_util::{Stream, StreamExt};
@@ -26,7 +26,7 @@
     /// The change was refused or its outcome is unknown.
     Change {
         /// The result code.
-        code: Code,
+        code: ResultCode,
         /// Whether it took effect.
         ran: ExecutionStatus,
         /// What the entry added.
@@ -146,7 +146,7 @@
 
 impl Error {
     /// The result code, if the entry gave one.
-    pub fn code(&self) -> Option<Code> {
+    pub fn code(&self) -> Option<ResultCode> {
         match self {
             Error::Change { code, .. } => Some(*code),
             Error::Call(_) | Error::Answer(_) => None,
@@ -185,8 +185,8 @@
 
 fn result(reply: message::ChangeReply) -> Result<u64, Error> {
     let number = u16::try_from(reply.code).unwrap_or(u16::MAX);
-    let code = Code::try_from(number).map_err(Error::Answer)?;
-    if code == Code::Ok {
+    let code = ResultCode::try_from(number).map_err(Error::Answer)?;
+    if code == ResultCode::Ok {
         return Ok(reply.revision);
     }
     let ran = match reply.ran.as_str() {
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -144,7 +144,7 @@
     /// The number of the last forward pass that the group began.
     pub last_forward_pass: u64,
     /// How long the target's work takes, in percent of the usual time.
-    pub service_time_percent: u32,
+    pub service_time_percent_of_normal: u32,
     /// When the agent's report on the group arrived.
     pub reported_at: Millis,
 }
--- a/cowsliproad-direct/src/entry/choose.rs
+++ b/cowsliproad-direct/src/entry/choose.rs
@@ -269,7 +269,7 @@
                 slots: target.slots,
                 locality,
                 service_time_percent_of_normal: group
-                    .map_or(100, |it| it.service_time_percent),
+                    .map_or(100, |it| it.service_time_percent_of_normal),
                 latency_ms,
             };
             let cost_ms = pick::expected_request_cost_ms(&candidate, now);
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -137,7 +137,7 @@
         (
             it.group_formation_epoch,
             it.accepts_requests,
-            it.service_time_percent / SERVICE_TIME_STEP_PERCENT,
+            it.service_time_percent_of_normal / SERVICE_TIME_STEP_PERCENT,
         )
     };
     let before = endpoint.group.as_ref().map(visible_state);
@@ -152,7 +152,7 @@
         group_formation_epoch: load.group_epoch,
         accepts_requests: load.group_accepts_requests,
         last_forward_pass: load.last_forward_pass,
-        service_time_percent: load.service_time_percent,
+        service_time_percent_of_normal: load.service_time_percent_of_normal,
         reported_at: now,
     };
     let after = visible_state(&group);
@@ -173,7 +173,8 @@
         info!(entry.log, "group"; "target" => &*id,
             "epoch" => load.group_epoch,
             "open" => load.group_accepts_requests,
-            "step" => load.last_forward_pass, "pace" => load.service_time_percent);
+            "step" => load.last_forward_pass,
+            "pace" => load.service_time_percent_of_normal);
         entry.notify_target_change();
     }
 }
--- a/cowsliproad-direct/src/stream.rs
+++ b/cowsliproad-direct/src/stream.rs
@@ -331,7 +331,7 @@
 /// moving a dozen streams off the slow rank restores the speed of the others.
 fn target_slows_its_group(entry: &Entry, choice: &ChosenTarget) -> bool {
     let service_time = |group: Option<&GroupReport>| {
-        group.map_or(100, |it| it.service_time_percent)
+        group.map_or(100, |it| it.service_time_percent_of_normal)
     };
     let own_service_time =
         service_time(choice.endpoint.borrow().group.as_ref());
--- a/cowsliproad-direct/tests/entry/harness.rs
+++ b/cowsliproad-direct/tests/entry/harness.rs
@@ -376,7 +376,7 @@
         engine_address: target.listen_address().expect("it listens"),
         running_requests: 0,
         queued_requests: 0,
-        service_time_percent: 100,
+        service_time_percent_of_normal: 100,
         group_name: "g".into(),
         group_epoch: 1,
         last_forward_pass: 1,
--- a/cowsliproad-direct/tests/entry/streams.rs
+++ b/cowsliproad-direct/tests/entry/streams.rs
@@ -177,7 +177,7 @@
     agents.change(|loads| {
         let slow = slow.listen_address();
         let load = loads.iter_mut().find(|it| Some(it.engine_address) == slow);
-        load.expect("it is listed").service_time_percent = 1_200;
+        load.expect("it is listed").service_time_percent_of_normal = 1_200;
     });
     until("the slow rank is left", async || slow.in_flight_streams() == 0)
         .await;
--- a/cowsliproad-entry/src/admin.rs
+++ b/cowsliproad-entry/src/admin.rs
@@ -15,7 +15,7 @@
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, ExecutionStatus},
+    code::{ExecutionStatus, ResultCode},
     id,
 };
 use cowsliproad_net::server::{AcceptHandle, Listener};
@@ -71,10 +71,12 @@
         let object = request.object.ok_or("object: needed".to_string());
         let object = match object.and_then(convert::from_message) {
             Ok(object) => object,
-            Err(why) => return Ok(refused_change(Code::BadObject, &why)),
+            Err(why) => {
+                return Ok(refused_change(ResultCode::BadObject, &why));
+            }
         };
         if let Err(why) = object.validate() {
-            return Ok(refused_change(Code::BadObject, &why));
+            return Ok(refused_change(ResultCode::BadObject, &why));
         }
         let change = ConfigChange::Put { base_revision: request.base, object };
         let command = id::Command(request.command);
@@ -88,7 +90,9 @@
         let request = request.into_inner();
         let key = match parse_object_key(&request.kind, &request.name) {
             Ok(key) => key,
-            Err(why) => return Ok(refused_change(Code::BadObject, &why)),
+            Err(why) => {
+                return Ok(refused_change(ResultCode::BadObject, &why));
+            }
         };
         let change = ConfigChange::Delete { base_revision: request.base, key };
         let command = id::Command(request.command);
@@ -107,7 +111,7 @@
         let view = self.shared.published_view.current_view();
         let found = view.config_state.get(&key).map(entry_message);
         found.map(Response::new).ok_or_else(|| {
-            let text = Code::NoSuchObject.to_string();
+            let text = ResultCode::NoSuchObject.to_string();
             Status::new(volo_grpc::Code::NotFound, text)
         })
     }
@@ -169,7 +173,7 @@
             let view = self.shared.published_view.current_view();
             return match view.config_state.check_change(&change) {
                 Ok(()) => change_reply(
-                    Code::Ok,
+                    ResultCode::Ok,
                     ExecutionStatus::NotRun,
                     0,
                     "dry run",
@@ -186,7 +190,7 @@
         {
             // A record that replicas cannot decode would never get a verdict.
             return refused_change(
-                Code::BadObject,
+                ResultCode::BadObject,
                 "the object doesn't encode",
             );
         }
@@ -194,15 +198,15 @@
         info!(self.shared.logger, "append";
             "command" => %command, "outcome" => ?append);
         if append == AppendOutcome::NotDone {
-            return refused_change(Code::LogUnavailable, "");
+            return refused_change(ResultCode::LogUnavailable, "");
         }
         match self.wait_for_verdict(command).await {
             Some(verdict) => self.reply_with_verdict(command, verdict),
             None => change_reply(
-                Code::AppendUnknown,
+                ResultCode::AppendUnknown,
                 ExecutionStatus::OutcomeUnknown,
                 0,
-                Code::AppendUnknown.text(),
+                ResultCode::AppendUnknown.text(),
             ),
         }
     }
@@ -246,7 +250,7 @@
             "command" => %command, "verdict" => ?verdict);
         match verdict {
             ChangeOutcome::Accepted(revision) => change_reply(
-                Code::Ok,
+                ResultCode::Ok,
                 ExecutionStatus::Ran,
                 revision,
                 "accepted",
@@ -256,13 +260,16 @@
     }
 }
 
-fn refused_change(code: Code, detail: &str) -> Response<message::ChangeReply> {
+fn refused_change(
+    code: ResultCode,
+    detail: &str,
+) -> Response<message::ChangeReply> {
     let detail = if detail.is_empty() { code.text() } else { detail };
     change_reply(code, ExecutionStatus::NotRun, 0, detail)
 }
 
 fn change_reply(
-    code: Code,
+    code: ResultCode,
     ran: ExecutionStatus,
     revision: u64,
     detail: &str,
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -16,7 +16,7 @@
 use cowsliproad_config::object::RequestType;
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, ExecutionStatus},
+    code::{ExecutionStatus, ResultCode},
     id,
     wire::{
         CancelRequest, Frame, ProcessPhase, RequestFailure,
@@ -170,7 +170,7 @@
                 Box::pin(self.cancel_work(&request, token)).await
             }
             (_, ["v1", "requests", _]) => {
-                Err(refuse_unforwarded(Code::BadMethod, "GET or DELETE"))
+                Err(refuse_unforwarded(ResultCode::BadMethod, "GET or DELETE"))
             }
             (Method::POST, ["v1", service, type_name, "tickets"]) => {
                 self.issue_tickets(&request, service, type_name)
@@ -185,9 +185,9 @@
                 .await
             }
             (_, ["v1", _, _]) => {
-                Err(refuse_unforwarded(Code::BadMethod, "POST"))
+                Err(refuse_unforwarded(ResultCode::BadMethod, "POST"))
             }
-            _ => Err(refuse_unforwarded(Code::UnknownPath, "")),
+            _ => Err(refuse_unforwarded(ResultCode::UnknownPath, "")),
         };
         outcome.unwrap_or_else(RequestRefusal::into_response)
     }
@@ -316,7 +316,7 @@
         let link = holder.and_then(|target| target.agent_link.load_full());
         let gone = || {
             let failure = RequestFailure::new(
-                Code::TargetGone,
+                ResultCode::TargetGone,
                 ExecutionStatus::OutcomeUnknown,
             );
             RequestRefusal::new(failure)
@@ -335,7 +335,7 @@
         link.unregister_attempt(attempt);
         match answer {
             Ok(Some(AttemptEvent::Refused(failure)))
-                if failure.code == Code::Cancelled =>
+                if failure.code == ResultCode::Cancelled =>
             {
                 let body = json!({ "ran": failure.ran.as_str() });
                 Ok(reply::json_response(StatusCode::OK, body.to_string()))
@@ -356,7 +356,7 @@
         let checked = self.check_request(request, service, type_name)?;
         if !needs_ticket(&checked.request_type) {
             let text = "this type may be repeated and takes no tickets";
-            return Err(refuse_unforwarded(Code::BadRequest, text));
+            return Err(refuse_unforwarded(ResultCode::BadRequest, text));
         }
         let count = server::query_number(request, "count").unwrap_or(1);
         let count = count.clamp(1, MAX_TICKETS_PER_REQUEST);
@@ -419,8 +419,10 @@
         first.map_err(|wait| {
             let Some(wait) = wait else { return no_target_refusal() };
             let after = patience::add_retry_jitter(wait, rand::random());
-            let failure =
-                RequestFailure::new(Code::Overloaded, ExecutionStatus::NotRun);
+            let failure = RequestFailure::new(
+                ResultCode::Overloaded,
+                ExecutionStatus::NotRun,
+            );
             RequestRefusal::new(failure.with_retry_after(after))
         })
     }
@@ -435,20 +437,18 @@
     ) -> Result<CheckedRequest, RequestRefusal> {
         let view = self.shared.published_view.current_view();
         let organisation = authenticate_organisation(request, &view)?;
-        let service = view
-            .services
-            .get(service)
-            .cloned()
-            .ok_or_else(|| refuse_unforwarded(Code::UnknownService, ""))?;
-        let request_type = service
-            .request_types
-            .get(type_name)
-            .cloned()
-            .ok_or_else(|| refuse_unforwarded(Code::UnknownType, ""))?;
+        let service =
+            view.services.get(service).cloned().ok_or_else(|| {
+                refuse_unforwarded(ResultCode::UnknownService, "")
+            })?;
+        let request_type =
+            service.request_types.get(type_name).cloned().ok_or_else(
+                || refuse_unforwarded(ResultCode::UnknownType, ""),
+            )?;
         let allowed = &request_type.allowed_organisations;
         let name = &organisation.declaration.name;
         if !allowed.is_empty() && !allowed.contains(name) {
-            return Err(refuse_unforwarded(Code::NotAllowed, ""));
+            return Err(refuse_unforwarded(ResultCode::NotAllowed, ""));
         }
         Ok(CheckedRequest { organisation, service, request_type })
     }
@@ -468,12 +468,12 @@
             self.shared.in_flight_requests.load(Ordering::Relaxed) > limit;
         let ran = ExecutionStatus::NotForwarded;
         if full {
-            let failure = RequestFailure::new(Code::Overloaded, ran);
+            let failure = RequestFailure::new(ResultCode::Overloaded, ran);
             let failure = failure.with_retry_after(OVERLOAD_RETRY_AFTER);
             return Err(RequestRefusal::new(failure));
         }
         checked.organisation.try_begin_request().ok_or_else(|| {
-            let failure = RequestFailure::new(Code::OverShare, ran);
+            let failure = RequestFailure::new(ResultCode::OverShare, ran);
             let failure = failure.with_retry_after(OVERLOAD_RETRY_AFTER);
             RequestRefusal::new(failure)
         })
@@ -493,16 +493,16 @@
         };
         let text = text
             .to_str()
-            .map_err(|_| refuse_unforwarded(Code::ForgedToken, ""))?
+            .map_err(|_| refuse_unforwarded(ResultCode::ForgedToken, ""))?
             .to_string();
         let ticket = ticket::verify(&text, &self.shared.ticket_key)
-            .map_err(|_| refuse_unforwarded(Code::ForgedToken, ""))?;
+            .map_err(|_| refuse_unforwarded(ResultCode::ForgedToken, ""))?;
         let fits = ticket.purpose == TokenPurpose::Ticket
             && ticket.organisation == checked.organisation.declaration.name
             && ticket.service == checked.service.name
             && ticket.request_type == checked.request_type.name;
         if !fits {
-            return Err(refuse_unforwarded(Code::ForeignToken, ""));
+            return Err(refuse_unforwarded(ResultCode::ForeignToken, ""));
         }
         Ok(Some((text, ticket)))
     }
@@ -516,7 +516,7 @@
         match self.sign_new_ticket(checked) {
             Ok(ticket) => {
                 let failure = RequestFailure::new(
-                    Code::TicketNeeded,
+                    ResultCode::TicketNeeded,
                     ExecutionStatus::NotRun,
                 );
                 RequestRefusal {
@@ -538,9 +538,9 @@
         let view = self.shared.published_view.current_view();
         let organisation = authenticate_organisation(request, &view)?;
         let token = ticket::verify(token, &self.shared.ticket_key)
-            .map_err(|_| refuse_unforwarded(Code::ForgedToken, ""))?;
+            .map_err(|_| refuse_unforwarded(ResultCode::ForgedToken, ""))?;
         if token.organisation != organisation.declaration.name {
-            return Err(refuse_unforwarded(Code::ForeignToken, ""));
+            return Err(refuse_unforwarded(ResultCode::ForeignToken, ""));
         }
         Ok(token)
     }
@@ -558,16 +558,20 @@
         let body = server::read_body(body, limit, patience).await;
         let body = body.map_err(|error| match error {
             BodyError::TooLarge => refuse_unforwarded(
-                Code::TooLarge,
+                ResultCode::TooLarge,
                 &format!("at most {limit} bytes"),
             ),
-            BodyError::TimedOut => refuse_unforwarded(Code::SlowBody, ""),
+            BodyError::TimedOut => {
+                refuse_unforwarded(ResultCode::SlowBody, "")
+            }
             BodyError::Incomplete => {
-                refuse_unforwarded(Code::BadRequest, "the body was cut")
+                refuse_unforwarded(ResultCode::BadRequest, "the body was cut")
             }
         })?;
         serde_json::from_slice::<serde::de::IgnoredAny>(&body).map_err(
-            |error| refuse_unforwarded(Code::BadJson, &error.to_string()),
+            |error| {
+                refuse_unforwarded(ResultCode::BadJson, &error.to_string())
+            },
         )?;
         Ok(body.to_vec())
     }
@@ -620,7 +624,7 @@
                 | AnswerItem::Done(_),
             ) => {}
             None => {
-                let code = Code::TargetFailed;
+                let code = ResultCode::TargetFailed;
                 return Err(RequestFailure::new(
                     code,
                     ExecutionStatus::OutcomeUnknown,
@@ -654,9 +658,9 @@
 async fn kept_answer_response(forwarder: RequestForwarder) -> Response {
     let (response, failure) = answer::whole_answer_response(forwarder).await;
     match failure {
-        Some(failure) if failure.code == Code::TimedOut => {
+        Some(failure) if failure.code == ResultCode::TimedOut => {
             let failure = RequestFailure::new(
-                Code::Accepted,
+                ResultCode::Accepted,
                 ExecutionStatus::OutcomeUnknown,
             );
             let failure = failure.with_retry_after(UNFINISHED_RETRY_AFTER);
@@ -668,7 +672,7 @@
 
 /// A refusal, with the outcome "not forwarded", of a request that the entry
 /// process rejected itself.
-fn refuse_unforwarded(code: Code, detail: &str) -> RequestRefusal {
+fn refuse_unforwarded(code: ResultCode, detail: &str) -> RequestRefusal {
     let failure = RequestFailure::new(code, ExecutionStatus::NotForwarded);
     RequestRefusal {
         problem_detail: detail.into(),
@@ -677,7 +681,9 @@
 }
 
 fn no_target_refusal() -> RequestRefusal {
-    let failure =
-        RequestFailure::new(Code::NoTarget, ExecutionStatus::NotForwarded);
+    let failure = RequestFailure::new(
+        ResultCode::NoTarget,
+        ExecutionStatus::NotForwarded,
+    );
     RequestRefusal::new(failure.with_retry_after(UNFINISHED_RETRY_AFTER))
 }
--- a/cowsliproad-entry/src/callers/finish.rs
+++ b/cowsliproad-entry/src/callers/finish.rs
@@ -6,7 +6,7 @@
 };
 
 use cowsliproad_config::object::RequestType;
-use cowsliproad_kernel::{code::Code, id, wire::RequestFailure};
+use cowsliproad_kernel::{code::ResultCode, id, wire::RequestFailure};
 use opentelemetry::{
     KeyValue,
     metrics::{Counter, Histogram, Meter},
@@ -60,7 +60,7 @@
 
 impl AnswerObserver for RequestRecorder {
     fn answer_ended(&mut self, failure: Option<&RequestFailure>) {
-        let code = failure.map_or(Code::Ok, |it| it.code);
+        let code = failure.map_or(ResultCode::Ok, |it| it.code);
         let elapsed = self.arrived_at.elapsed();
         let request_metrics = &self.entry_state.request_metrics;
         let kind = self.request_type.name.to_string();
--- a/cowsliproad-entry/src/callers/head.rs
+++ b/cowsliproad-entry/src/callers/head.rs
@@ -4,7 +4,7 @@
 
 use cowsliproad_kernel::{
     Name,
-    code::{Code, ExecutionStatus},
+    code::{ExecutionStatus, ResultCode},
     wire::RequestFailure,
 };
 use http::header;
@@ -26,8 +26,10 @@
     if view.services.is_empty() {
         // Without a configuration no organisation key is known, so no key can
         // be rejected as wrong.
-        let failure =
-            RequestFailure::new(Code::NotReady, ExecutionStatus::NotForwarded);
+        let failure = RequestFailure::new(
+            ResultCode::NotReady,
+            ExecutionStatus::NotForwarded,
+        );
         return Err(RequestRefusal::new(
             failure.with_retry_after(OVERLOAD_RETRY_AFTER),
         ));
@@ -35,14 +37,14 @@
     let value = request
         .headers()
         .get(header::AUTHORIZATION)
-        .ok_or_else(|| refuse_unforwarded(Code::NoKey, ""))?;
+        .ok_or_else(|| refuse_unforwarded(ResultCode::NoKey, ""))?;
     let key = value.to_str().ok().and_then(|it| it.strip_prefix("Bearer "));
-    let key = key.ok_or_else(|| refuse_unforwarded(Code::NoKey, ""))?;
+    let key = key.ok_or_else(|| refuse_unforwarded(ResultCode::NoKey, ""))?;
     let hash = blake3::hash(key.as_bytes()).to_hex();
     view.organisations
         .get(hash.as_str())
         .cloned()
-        .ok_or_else(|| refuse_unforwarded(Code::WrongKey, ""))
+        .ok_or_else(|| refuse_unforwarded(ResultCode::WrongKey, ""))
 }
 
 /// Reads from the `Prefer` and `Accept` headers how the caller receives the
@@ -76,7 +78,7 @@
         }
         _ => {
             let text = "idempotency-key: 1 to 128 visible characters";
-            Err(refuse_unforwarded(Code::BadRequest, text))
+            Err(refuse_unforwarded(ResultCode::BadRequest, text))
         }
     }
 }
--- a/cowsliproad-entry/src/forward.rs
+++ b/cowsliproad-entry/src/forward.rs
@@ -28,7 +28,7 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    code::{Code, ExecutionStatus},
+    code::{ExecutionStatus, ResultCode},
     id,
     wire::{
         AnswerAck, AnswerEnd, FetchAnswerRequest, Frame, RequestFailure,
@@ -292,8 +292,9 @@
         incarnation: id::Incarnation,
     ) {
         if self.submission_count >= MAX_SUBMISSIONS_PER_REQUEST {
-            return self
-                .finish_with_failure(unknown_outcome_failure(Code::LinkLost));
+            return self.finish_with_failure(unknown_outcome_failure(
+                ResultCode::LinkLost,
+            ));
         }
         let Some(target) =
             self.wait_for_answering_target(&target_name, incarnation).await
@@ -338,8 +339,8 @@
         )
         .map_err(|wait| {
             let (code, wait) = match wait {
-                Some(wait) => (Code::Overloaded, wait),
-                None => (Code::NoTarget, NO_TARGET_RETRY_AFTER),
+                Some(wait) => (ResultCode::Overloaded, wait),
+                None => (ResultCode::NoTarget, NO_TARGET_RETRY_AFTER),
             };
             RequestFailure::new(code, self.execution_state())
                 .with_retry_after(wait)
@@ -429,8 +430,10 @@
 
     /// Handles an attempt that never left this entry process.
     fn handle_unsent_attempt(&mut self, target: Arc<Target>) {
-        let failure =
-            RequestFailure::new(Code::LinkLost, ExecutionStatus::NotForwarded);
+        let failure = RequestFailure::new(
+            ResultCode::LinkLost,
+            ExecutionStatus::NotForwarded,
+        );
         match &self.task {
             // The next attempt looks for the process of the ticket again.
             ForwardTask::Work(work_request)
@@ -532,7 +535,7 @@
                 attempt.detach_attempt();
                 self.tried_targets.push(attempt.target.name.clone());
                 let failure = RequestFailure::new(
-                    Code::TargetFailed,
+                    ResultCode::TargetFailed,
                     ExecutionStatus::OutcomeUnknown,
                 );
                 self.handle_failed_attempt(failure);
--- a/cowsliproad-entry/src/forward/failure.rs
+++ b/cowsliproad-entry/src/forward/failure.rs
@@ -6,7 +6,7 @@
 use cowsliproad_admission::{patience, quarantine::QuarantineVerdict};
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, ExecutionStatus},
+    code::{ExecutionStatus, ResultCode},
     id,
     sync::lock,
     wire::{FetchAnswerRequest, Frame, RequestFailure},
@@ -29,7 +29,7 @@
         attempt.detach_attempt();
         self.may_have_run = true;
         let failure = RequestFailure::new(
-            Code::TimedOut,
+            ResultCode::TimedOut,
             ExecutionStatus::OutcomeUnknown,
         );
         self.finish_with_failure(
@@ -64,7 +64,7 @@
         else {
             self.tried_targets.push(attempt.target.name.clone());
             let failure = RequestFailure::new(
-                Code::LinkLost,
+                ResultCode::LinkLost,
                 ExecutionStatus::OutcomeUnknown,
             );
             return self.handle_failed_attempt(failure);
@@ -129,7 +129,7 @@
         let ForwardTask::Work(work_request) = &self.task else {
             return failure;
         };
-        if failure.code != Code::Quarantined {
+        if failure.code != ResultCode::Quarantined {
             return failure;
         }
         let after =
@@ -158,20 +158,20 @@
         }
         let retryable = matches!(
             failure.code,
-            Code::Leaving
-                | Code::Overloaded
-                | Code::Shed
-                | Code::TargetFailed
-                | Code::TargetGone
-                | Code::TimedOut
-                | Code::LinkLost
-                | Code::RegisterFull
-                | Code::UnknownToken
+            ResultCode::Leaving
+                | ResultCode::Overloaded
+                | ResultCode::Shed
+                | ResultCode::TargetFailed
+                | ResultCode::TargetGone
+                | ResultCode::TimedOut
+                | ResultCode::LinkLost
+                | ResultCode::RegisterFull
+                | ResultCode::UnknownToken
         );
         if !retryable || self.submission_count >= MAX_SUBMISSIONS_PER_REQUEST {
             return false;
         }
-        if failure.code == Code::Leaving
+        if failure.code == ResultCode::Leaving
             && self.free_retry_count < MAX_FREE_RETRIES
         {
             self.free_retry_count += 1;
@@ -193,7 +193,7 @@
     /// Ends the request with a failure. The `Retry-After` of an overload gets
     /// jitter, so that callers don't come back all at once.
     pub(super) fn finish_with_failure(&mut self, mut failure: RequestFailure) {
-        if failure.code == Code::Overloaded {
+        if failure.code == ResultCode::Overloaded {
             let spread = |it| patience::add_retry_jitter(it, rand::random());
             failure.retry_after = failure.retry_after.map(spread);
         }
@@ -231,11 +231,11 @@
         let view = self.shared.published_view.current_view();
         if is_process_ended(&view, &self.task, incarnation) {
             return RequestFailure::new(
-                Code::TargetGone,
+                ResultCode::TargetGone,
                 ExecutionStatus::OutcomeUnknown,
             );
         }
-        unknown_outcome_failure(Code::LinkLost)
+        unknown_outcome_failure(ResultCode::LinkLost)
     }
 
     /// Returns the target whose agent is, or took over from, an agent process.
@@ -288,7 +288,7 @@
 }
 
 /// A failure whose outcome is unknown, with a `Retry-After`.
-pub(super) fn unknown_outcome_failure(code: Code) -> RequestFailure {
+pub(super) fn unknown_outcome_failure(code: ResultCode) -> RequestFailure {
     RequestFailure::new(code, ExecutionStatus::OutcomeUnknown)
         .with_retry_after(UNKNOWN_OUTCOME_RETRY_AFTER)
 }
--- a/cowsliproad-entry/src/quarantine.rs
+++ b/cowsliproad-entry/src/quarantine.rs
@@ -11,7 +11,7 @@
 };
 use cowsliproad_kernel::{
     clock::Millis,
-    code::{Code, ExecutionStatus},
+    code::{ExecutionStatus, ResultCode},
     gossip::CrashSuspectRequest,
     sync::lock,
     wire::RequestFailure,
@@ -90,5 +90,6 @@
 ) -> RequestFailure {
     info!(shared.logger, "refused"; "request" => %work_request.request_id,
         "work" => %work_request.work_digest, "after" => retry_after.0);
-    RequestFailure::new(Code::Quarantined, ran).with_retry_after(retry_after)
+    RequestFailure::new(ResultCode::Quarantined, ran)
+        .with_retry_after(retry_after)
 }
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -17,7 +17,7 @@
 use cowsliproad_kernel::{
     Name,
     clock::Millis,
-    code::Code,
+    code::ResultCode,
     id,
     sync::lock,
     wire::{
@@ -377,9 +377,9 @@
 /// The outcome for a target's health of an attempt that ended with a failure.
 pub fn classify_failure(failure: &RequestFailure) -> AttemptOutcome {
     match failure.code {
-        Code::TargetFailed | Code::TimedOut | Code::LinkLost => {
-            AttemptOutcome::Failed
-        }
+        ResultCode::TargetFailed
+        | ResultCode::TimedOut
+        | ResultCode::LinkLost => AttemptOutcome::Failed,
         _ => AttemptOutcome::Neutral,
     }
 }
--- a/cowsliproad-kernel/src/code.rs
+++ b/cowsliproad-kernel/src/code.rs
@@ -41,42 +41,42 @@
             Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize,
         )]
         #[serde(into = "u16", try_from = "u16")]
-        pub enum Code {
+        pub enum ResultCode {
             $(#[doc = $text] $name = $number,)*
         }
 
-        impl Code {
+        impl ResultCode {
             /// All result codes, ordered by number.
-            pub const ALL: &'static [Code] = &[$(Code::$name,)*];
+            pub const ALL: &'static [ResultCode] = &[$(ResultCode::$name,)*];
 
             /// Returns the name of the result code.
             pub fn name(self) -> &'static str {
                 match self {
-                    $(Code::$name => stringify!($name),)*
+                    $(ResultCode::$name => stringify!($name),)*
                 }
             }
 
             /// Returns the HTTP status of responses with this result code.
             pub fn status(self) -> u16 {
                 match self {
-                    $(Code::$name => $status,)*
+                    $(ResultCode::$name => $status,)*
                 }
             }
 
             /// Returns a text for people: the cause and what to do.
             pub fn text(self) -> &'static str {
                 match self {
-                    $(Code::$name => $text,)*
+                    $(ResultCode::$name => $text,)*
                 }
             }
         }
 
-        impl TryFrom<u16> for Code {
+        impl TryFrom<u16> for ResultCode {
             type Error = String;
 
-            fn try_from(number: u16) -> Result<Code, String> {
+            fn try_from(number: u16) -> Result<ResultCode, String> {
                 match number {
-                    $($number => Ok(Code::$name),)*
+                    $($number => Ok(ResultCode::$name),)*
                     _ => Err(format!("no result code has number {number}")),
                 }
             }
@@ -130,20 +130,20 @@
     AppendUnknown = 4005 504 "The log's answer was lost; repeat the command.",
 }
 
-impl Code {
+impl ResultCode {
     /// Returns the number of the result code.
     pub fn number(self) -> u16 {
         self as u16
     }
 }
 
-impl From<Code> for u16 {
-    fn from(code: Code) -> u16 {
+impl From<ResultCode> for u16 {
+    fn from(code: ResultCode) -> u16 {
         code.number()
     }
 }
 
-impl std::fmt::Display for Code {
+impl std::fmt::Display for ResultCode {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{} {}: {}", self.number(), self.name(), self.text())
     }
--- a/cowsliproad-kernel/src/gossip.rs
+++ b/cowsliproad-kernel/src/gossip.rs
@@ -266,7 +266,7 @@
     pub queued_requests: u32,
     /// How long the engine takes for its work, in percent of the usual time.
     #[serde(rename = "p")]
-    pub service_time_percent: u32,
+    pub service_time_percent_of_normal: u32,
     /// The name of the engine's group.
     #[serde(rename = "g")]
     pub group_name: Name,
--- a/cowsliproad-kernel/src/wire.rs
+++ b/cowsliproad-kernel/src/wire.rs
@@ -12,7 +12,7 @@
 use crate::{
     Name,
     clock::Millis,
-    code::{Code, ExecutionStatus},
+    code::{ExecutionStatus, ResultCode},
     gossip::CrashSuspectRequest,
     id,
 };
@@ -391,7 +391,7 @@
     /// The attempt that completed.
     #[serde(rename = "a")]
     pub attempt: id::Attempt,
-    /// The number of data frames in the attempt.
+    /// The number of data frames that the attempt sent before this frame.
     #[serde(rename = "s")]
     pub data_frame_count: u32,
     /// The format of the answer.
@@ -413,7 +413,7 @@
     pub attempt: id::Attempt,
     /// The reason for the refusal.
     #[serde(rename = "c")]
-    pub code: Code,
+    pub code: ResultCode,
     /// Whether the request ran.
     #[serde(rename = "r")]
     pub ran: ExecutionStatus,
@@ -464,7 +464,8 @@
     pub has_more: bool,
 }
 
-/// A stored answer.
+/// The outcome of a finished request, in the form in which a stopping agent
+/// hands it over to a peer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct StoredAnswer {
     /// The request that was answered.
@@ -481,15 +482,15 @@
     /// The format of the answer.
     pub format: AnswerFormat,
     /// The answer bytes.
-    #[serde(with = "serde_bytes")]
-    pub bytes: Vec<u8>,
+    #[serde(rename = "bytes", with = "serde_bytes")]
+    pub answer_bytes: Vec<u8>,
 }
 
 /// Why a request has no answer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RequestFailure {
     /// The reason for the failure.
-    pub code: Code,
+    pub code: ResultCode,
     /// Whether the request ran.
     pub ran: ExecutionStatus,
     /// How long the caller should wait before it retries.
@@ -498,7 +499,10 @@
 
 impl RequestFailure {
     /// Creates a failure without a retry delay.
-    pub fn new(code: Code, execution: ExecutionStatus) -> RequestFailure {
+    pub fn new(
+        code: ResultCode,
+        execution: ExecutionStatus,
+    ) -> RequestFailure {
         RequestFailure { code, ran: execution, retry_after: None }
     }
 
--- a/cowsliproad-rank/src/agent/words.rs
+++ b/cowsliproad-rank/src/agent/words.rs
@@ -39,7 +39,8 @@
             engine_address: self.settings.engine_address,
             running_requests: state.running_requests,
             queued_requests: state.queued_requests,
-            service_time_percent: (state.slowdown_factor * 100.0) as u32,
+            service_time_percent_of_normal: (state.slowdown_factor * 100.0)
+                as u32,
             group_name: state.group.clone().unwrap_or_else(|| "".into()),
             group_epoch: report.map_or(0, |it| it.epoch.0),
             last_forward_pass: report.map_or(0, |it| it.step),
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -8,7 +8,7 @@
     object::{ObjectKey, ObjectKind, Organisation},
 };
 use cowsliproad_ctl::client::{Client, Mode};
-use cowsliproad_kernel::{code::Code, id};
+use cowsliproad_kernel::{code::ResultCode, id};
 use cowsliproad_standin::fault::Fault;
 
 fn organisation(share: u32) -> ConfigObject {
@@ -35,7 +35,7 @@
     command: id::Command,
     base: u64,
     share: u32,
-) -> Result<u64, Option<Code>> {
+) -> Result<u64, Option<ResultCode>> {
     let object = organisation(share);
     let outcome = client.put(command, base, &object, Mode::Commit).await;
     outcome.map_err(|error| error.code())
@@ -47,7 +47,7 @@
     let first = put(&client, id::Command::random(), 0, 1).await;
     let first = first.expect("it is accepted");
     let stale = put(&client, id::Command::random(), 0, 2).await;
-    assert_eq!(stale, Err(Some(Code::StaleBase)));
+    assert_eq!(stale, Err(Some(ResultCode::StaleBase)));
     let next = put(&client, id::Command::random(), first, 3).await;
     assert!(next.is_ok());
 }
@@ -71,7 +71,7 @@
     let first = first.expect("it is accepted");
     plant.log.switch.set(Fault::Error);
     let refused = put(&client, id::Command::random(), first, 2).await;
-    assert_eq!(refused, Err(Some(Code::LogUnavailable)));
+    assert_eq!(refused, Err(Some(ResultCode::LogUnavailable)));
     let held = client.get(&key()).await.expect("it is still there");
     assert_eq!(held.revision, first);
     plant.log.switch.set(Fault::None);
--- a/tests/properties/fold.rs
+++ b/tests/properties/fold.rs
@@ -12,7 +12,7 @@
             Target,
         },
     },
-    kernel::{code::Code, id::Command},
+    kernel::{code::ResultCode, id::Command},
 };
 use proptest::prelude::*;
 
@@ -173,7 +173,7 @@
     let mut state = ConfigState::new();
     assert_eq!(put(&mut state, 1, 0, "a"), ChangeOutcome::Accepted(1));
     assert_eq!(put(&mut state, 2, 1, "a"), ChangeOutcome::Accepted(2));
-    let stale = ChangeOutcome::Refused(Code::StaleBase);
+    let stale = ChangeOutcome::Refused(ResultCode::StaleBase);
     assert_eq!(put(&mut state, 3, 1, "a"), stale);
 }
 
--- a/tests/result_codes.rs
+++ b/tests/result_codes.rs
@@ -1,6 +1,6 @@
 //! The table in the docs lists exactly the codes that there are.
 
-use cowsliproad::kernel::code::Code;
+use cowsliproad::kernel::code::ResultCode;
 
 #[test]
 fn the_table_is_the_enum() {
@@ -13,7 +13,7 @@
             first.parse::<u16>().is_ok()
         })
         .collect();
-    let expected: Vec<String> = Code::ALL
+    let expected: Vec<String> = ResultCode::ALL
         .iter()
         .map(|code| {
             format!(
@@ -30,7 +30,7 @@
 
 #[test]
 fn numbers_are_read_back() {
-    for code in Code::ALL {
-        assert_eq!(Code::try_from(code.number()), Ok(*code));
+    for code in ResultCode::ALL {
+        assert_eq!(ResultCode::try_from(code.number()), Ok(*code));
     }
 }
