--- a/cowsliproad-bench/src/experiment/switch.rs
+++ b/cowsliproad-bench/src/experiment/switch.rs
@@ -75,14 +75,14 @@
         if now < self.next_pass {
             return;
         }
-        let step = self.ranks[0].step + 1;
+        let step = self.ranks[0].latest_begun_pass + 1;
         if self.ranks.iter().any(|it| it.held_pass == Some(step)) {
             score.held += 1;
             return;
         }
         self.next_pass = now + PASS_MS;
         for rank in &mut self.ranks {
-            rank.step = step;
+            rank.latest_begun_pass = step;
             if let Some((version, at)) = rank.armed_map_and_pass
                 && at == step
             {
@@ -103,11 +103,11 @@
             }
             Order::Arm(version, step)
                 if rank.prepared_map_version == Some(*version)
-                    && *step > rank.step =>
+                    && *step > rank.latest_begun_pass =>
             {
                 rank.armed_map_and_pass = Some((*version, *step));
             }
-            Order::Hold(step) if *step > rank.step => {
+            Order::Hold(step) if *step > rank.latest_begun_pass => {
                 rank.held_pass = Some(*step)
             }
             Order::Go(step) if rank.held_pass == Some(*step) => {
--- a/cowsliproad-mapswitch/src/lib.rs
+++ b/cowsliproad-mapswitch/src/lib.rs
@@ -103,7 +103,7 @@
 
 /// Whether a member of a group can run its next step.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum NextStep {
+pub enum MemberAction {
     /// The step can run with this map.
     Run(Version),
     /// The step must wait until the decision on this proposal is known.
@@ -167,12 +167,12 @@
     }
 
     /// Returns whether the member's next step can run, and with which map.
-    pub fn next_step(&self) -> NextStep {
+    pub fn next_step(&self) -> MemberAction {
         match &self.undecided_ballot {
             Some(ballot) if self.step >= ballot.proposal.boundary => {
-                NextStep::Hold(ballot.proposal)
+                MemberAction::Hold(ballot.proposal)
             }
-            _ => NextStep::Run(self.map),
+            _ => MemberAction::Run(self.map),
         }
     }
 
@@ -180,14 +180,14 @@
     /// must wait for the decision on a proposal.
     pub fn run_step(&mut self) -> Option<Version> {
         match self.next_step() {
-            NextStep::Run(map) => {
+            MemberAction::Run(map) => {
                 self.step += 1;
                 // If all members are known to have voted yes, the member
                 // switches maps when it reaches the proposal's boundary.
                 self.apply_decision();
                 Some(map)
             }
-            NextStep::Hold(_) => None,
+            MemberAction::Hold(_) => None,
         }
     }
 
--- a/cowsliproad-mapswitch/src/order.rs
+++ b/cowsliproad-mapswitch/src/order.rs
@@ -101,7 +101,8 @@
     /// Whether the group accepts requests.
     pub standing: GroupState,
     /// The number of the last forward pass that the group began.
-    pub step: u64,
+    #[serde(rename = "step")]
+    pub latest_begun_pass: u64,
     /// The version of the expert map that the rank uses.
     pub map: Version,
     /// The newest map whose experts the rank has copied.
@@ -125,7 +126,7 @@
             rank,
             ranks,
             standing: GroupState::Open,
-            step: 0,
+            latest_begun_pass: 0,
             map: Version(0),
             prepared_map_version: None,
             armed_map_and_pass: None,
@@ -238,9 +239,9 @@
     Rest,
     /// All ranks have copied the experts of this map.
     Prepared(Version),
-    /// One rank, the holder, makes the group wait before pass `step`. The
-    /// coordinator
-    /// sends the *hold* order to the holder's engine over the network.
+    /// One rank, the holder, makes the group wait before a pass. The
+    /// coordinator sends the *hold* order to the holder's engine over the
+    /// network.
     Held {
         /// The number of the pass that the group must not begin.
         step: u64,
@@ -335,7 +336,7 @@
 ) -> Option<Order> {
     let is_due = report.armed_map_and_pass != Some((version, step))
         && report.map < version
-        && report.step < step
+        && report.latest_begun_pass < step
         && except != Some(report.rank);
     is_due.then_some(Order::Arm(version, step))
 }
@@ -367,6 +368,6 @@
     let is_due = report.rank == holder
         && report.epoch == directive.epoch
         && report.held_pass != Some(step)
-        && report.step < step;
+        && report.latest_begun_pass < step;
     is_due.then_some(Order::Hold(step))
 }
--- a/cowsliproad-mapswitch/src/order/coordinator.rs
+++ b/cowsliproad-mapswitch/src/order/coordinator.rs
@@ -26,7 +26,7 @@
 
     /// Sets the minimum and maximum number of passes from the latest pass to
     /// the boundary, the first pass that uses the new map.
-    pub fn with_boundary_lead(
+    pub fn with_switch_lead_passes(
         self,
         min_passes: u64,
         max_passes: u64,
@@ -316,9 +316,10 @@
             (_, MissingRanks::Predecessor(_) | MissingRanks::Others) => {
                 SwitchEvent::None
             }
-            (SwitchPhase::Holding { version, step, holder }, _) => {
-                self.begin_arming_if_held(snapshots, version, step, holder)
-            }
+            (SwitchPhase::Holding { version, step, holder }, _) => self
+                .begin_arming_if_group_is_held(
+                    snapshots, version, step, holder,
+                ),
             (SwitchPhase::Arming { version, step, except }, _) => {
                 self.announce_own_arming_or_release_hold(
                     snapshots, version, step, except, now,
@@ -382,7 +383,8 @@
         // completed.
         let all_settled = snapshots.iter().all(is_armed_state_final);
         let unarmed = |it: &RankSnapshot| {
-            it.report.armed_map_and_pass.is_none() && it.report.step < step
+            it.report.armed_map_and_pass.is_none()
+                && it.report.latest_begun_pass < step
         };
         let coordinator_unarmed = snapshots.iter().any(unarmed)
             || has_holding_rank_missed_arming_notice(snapshots, step);
@@ -460,7 +462,7 @@
 
     /// Begins to arm the ranks once a rank reports that it holds the group, or
     /// chooses a later boundary if the group has begun the boundary pass.
-    fn begin_arming_if_held(
+    fn begin_arming_if_group_is_held(
         &mut self,
         snapshots: &[RankSnapshot],
         version: Version,
@@ -598,5 +600,9 @@
 
 /// Returns the latest pass that any rank has begun.
 fn latest_begun_pass(snapshots: &[RankSnapshot]) -> u64 {
-    snapshots.iter().map(|it| it.report.step).max().unwrap_or_default()
+    snapshots
+        .iter()
+        .map(|it| it.report.latest_begun_pass)
+        .max()
+        .unwrap_or_default()
 }
--- a/cowsliproad-mapswitch/src/order/fence.rs
+++ b/cowsliproad-mapswitch/src/order/fence.rs
@@ -2,8 +2,8 @@
 //!
 //! Each coordinator appends a record to the log and derives its fencing number
 //! from the record's position. Numbers grow with the offset. They also grow
-//! with the log's era, because a log that is restored from an older copy
-//! assigns the same offsets again.
+//! with the log's era: a new era begins whenever the platform's log comes back
+//! from an older copy, because the log then assigns the same offsets again.
 //!
 //! A position identifies one record only if the log stayed in one era from the
 //! append call to its answer: a record that was appended before a rollback may
--- a/cowsliproad-placement/src/demand.rs
+++ b/cowsliproad-placement/src/demand.rs
@@ -99,7 +99,8 @@
             let old =
                 |it: &(Millis, CumulativeCounts)| now.since(it.0) >= window;
             let split = self.samples.iter().rposition(old)?;
-            // If the samples before the split cover less than a window, their
+            // The split is the newest sample that is at least a window old. If
+            // the samples before it cover less than a window, their
             // counts are few and differ by chance.
             let before =
                 self.samples.get(self.first_sample_index_since_shift())?.0;
--- a/cowsliproad-placement/src/growth.rs
+++ b/cowsliproad-placement/src/growth.rs
@@ -10,11 +10,12 @@
 /// The growth of a rank's counts, quantized to one byte for each expert.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CountGrowth {
-    /// The number of counts that one unit of `growth_in_units` stands for.
+    /// The number of counts that one unit of
+    /// `quantized_growth_by_layer_and_expert` stands for.
     pub counts_per_unit: u64,
     /// The growth of each expert's count in units of `counts_per_unit` counts,
     /// one layer after the other.
-    pub growth_in_units: Vec<u8>,
+    pub quantized_growth_by_layer_and_expert: Vec<u8>,
 }
 
 impl CountGrowth {
@@ -38,7 +39,10 @@
         let unit = |it: u64| ((it + scale / 2) / scale) as u8;
         Some(CountGrowth {
             counts_per_unit: scale,
-            growth_in_units: grown.into_iter().map(unit).collect(),
+            quantized_growth_by_layer_and_expert: grown
+                .into_iter()
+                .map(unit)
+                .collect(),
         })
     }
 
@@ -49,7 +53,9 @@
         counts: &mut CumulativeCounts,
         experts_per_layer: usize,
     ) {
-        let layers = self.growth_in_units.chunks(experts_per_layer.max(1));
+        let layers = self
+            .quantized_growth_by_layer_and_expert
+            .chunks(experts_per_layer.max(1));
         if counts.len() != layers.len() {
             *counts = vec![vec![0; experts_per_layer]; layers.len()];
         }
--- a/cowsliproad-placement/src/live.rs
+++ b/cowsliproad-placement/src/live.rs
@@ -41,8 +41,11 @@
     /// experts for each rank and layer in one map.
     pub fn new(max_new_experts_per_layer: usize) -> LivePlanConfig {
         let max_new_experts_per_rank = usize::MAX;
-        let (copy_cost, min_layer_saving, min_total_saving) =
-            (COPY_COST_SHARE, MIN_LAYER_SAVING_SHARE, MIN_TOTAL_SAVING_SHARE);
+        let (copy_cost, min_layer_saving, min_total_saving) = (
+            COST_PER_COPY_AS_SHARE_OF_MEAN_RANK_LOAD,
+            MIN_LAYER_SAVING_SHARE,
+            MIN_TOTAL_SAVING_SHARE,
+        );
         LivePlanConfig {
             max_new_experts_per_layer,
             max_new_experts_per_rank,
@@ -82,7 +85,7 @@
 /// for. With a demand that shifts every 4 s, 0.03 moves a third of the experts
 /// that 0.006 does at the same serving speed. Only the last few percent of
 /// balance are given up.
-const COPY_COST_SHARE: f64 = 0.03;
+const COST_PER_COPY_AS_SHARE_OF_MEAN_RANK_LOAD: f64 = 0.03;
 
 /// The minimum saving of a changed layer, as a share of its slowest rank's
 /// time. Counts of 500 ms differ by some 2% by chance.
--- a/cowsliproad-rank/src/agent/orders.rs
+++ b/cowsliproad-rank/src/agent/orders.rs
@@ -214,7 +214,7 @@
         let recent = |at: Millis| now.since(at) < LATE_ORDER_EXECUTION_TIMEOUT;
         let open = self.last_actions.unanswered_arm_order.is_some_and(|arm| {
             arm.epoch == report.epoch
-                && arm.switch_pass > report.step
+                && arm.switch_pass > report.latest_begun_pass
                 && recent(arm.order_time)
         });
         let inherited = recent(self.agent_start)
@@ -234,7 +234,7 @@
     ) -> bool {
         self.first_reported_epoch_and_pass.is_none_or(|(epoch, step)| {
             epoch == report.epoch
-                && report.step <= step + MAX_BOUNDARY_LEAD_PASSES
+                && report.latest_begun_pass <= step + MAX_BOUNDARY_LEAD_PASSES
         })
     }
 
--- a/cowsliproad-rank/src/agent/readings.rs
+++ b/cowsliproad-rank/src/agent/readings.rs
@@ -44,7 +44,8 @@
             }
         }
         let Some(report) = self.engine_report() else { return };
-        let (epoch, map, step) = (report.epoch, report.map, report.step);
+        let (epoch, map, step) =
+            (report.epoch, report.map, report.latest_begun_pass);
         self.first_reported_epoch_and_pass.get_or_insert((epoch, step));
         let known =
             self.expert_lists_of_map_in_use.as_ref().map(|it| (it.0, it.1));
@@ -136,7 +137,7 @@
             .and_then(|it| CountGrowth::from_counts(&it.1, &counts.1));
         let Some(CountGrowth {
             counts_per_unit: scale,
-            growth_in_units: units,
+            quantized_growth_by_layer_and_expert: units,
         }) = growth
         else {
             return;
--- a/cowsliproad-rank/src/agent/words.rs
+++ b/cowsliproad-rank/src/agent/words.rs
@@ -43,7 +43,7 @@
                 as u32,
             group_name: state.group.clone().unwrap_or_else(|| "".into()),
             group_epoch: report.map_or(0, |it| it.epoch.0),
-            last_forward_pass: report.map_or(0, |it| it.step),
+            last_forward_pass: report.map_or(0, |it| it.latest_begun_pass),
             group_accepts_requests: report
                 .is_none_or(|it| it.standing == GroupState::Open),
             target_list_id: self.target_list_id(),
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -202,8 +202,11 @@
             selections_per_increase_unit: scale,
             increase_units_by_expert: units,
         } = increase;
-        CountGrowth { counts_per_unit: scale, growth_in_units: units }
-            .add_to_counts(&mut self.total_selection_counts, experts_per_set);
+        CountGrowth {
+            counts_per_unit: scale,
+            quantized_growth_by_layer_and_expert: units,
+        }
+        .add_to_counts(&mut self.total_selection_counts, experts_per_set);
     }
 
     /// Advances the switch of maps according to the reports of all ranks, and
@@ -418,7 +421,8 @@
                 plan.planned_step_time_ratio_to_ideal),
             "bound" => format!("{bound:.3}"),
             "slowest" => speeds.iter().copied().fold(1.0, f64::min),
-            "copies" => plan.move_count, "step" => snapshots[0].report.step,
+            "copies" => plan.move_count,
+            "step" => snapshots[0].report.latest_begun_pass,
             "counted" => loads.iter().flatten().sum::<f64>());
         let directive = self.current_directive();
         let last = self.current_plan.replace(MapPlan {
--- a/cowsliproad-rank/src/wire.rs
+++ b/cowsliproad-rank/src/wire.rs
@@ -95,7 +95,7 @@
     pub fn urgent_rank_status(&self) -> UrgentRankStatus {
         // The pass number is left out: it changes with each pass.
         let engine_report =
-            RankReport { step: 0, ..self.engine_report.clone() };
+            RankReport { latest_begun_pass: 0, ..self.engine_report.clone() };
         let RankStatus {
             arm_order_status,
             coordinator_arming_notice_receipt,
--- a/cowsliproad-rank/tests/lead.rs
+++ b/cowsliproad-rank/tests/lead.rs
@@ -52,7 +52,7 @@
                 EXPERTS_PER_SET,
             );
             let report = &mut self.reports_by_rank[usize::from(rank)];
-            report.step += 1;
+            report.latest_begun_pass += 1;
             let status = self.rank_status(rank);
             self.coordinator.merge_rank_status(status, self.now);
         }
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -22,7 +22,7 @@
 const GROUP_FORMING_TIME: Millis = Millis(3_000);
 
 /// How long requests run that don't crash the group.
-const HARMLESS_RUN_TIME: Millis = Millis(500);
+const RUN_TIME_OF_HARMLESS_REQUEST: Millis = Millis(500);
 
 const START_TIME: Millis = Millis(1_000_000);
 
@@ -41,7 +41,7 @@
 }
 
 /// The state of a group after some actions.
-struct GroupState {
+struct ExploredState {
     /// The crash-inducing requests.
     crash_inducing: RequestBitSet,
     /// The number of requests.
@@ -59,9 +59,12 @@
 /// request's verdict and number of crashes, and the survived requests.
 type StateKey = (Vec<(QuarantineVerdict, usize)>, RequestBitSet);
 
-impl GroupState {
-    fn new(request_count: u32, crash_inducing: RequestBitSet) -> GroupState {
-        GroupState {
+impl ExploredState {
+    fn new(
+        request_count: u32,
+        crash_inducing: RequestBitSet,
+    ) -> ExploredState {
+        ExploredState {
             crash_inducing,
             request_count,
             ledger: CrashLedger::new(),
@@ -77,18 +80,19 @@
         request_count: u32,
         crash_inducing: RequestBitSet,
         actions: &[Action],
-    ) -> GroupState {
-        let mut state = GroupState::new(request_count, crash_inducing);
+    ) -> ExploredState {
+        let mut state = ExploredState::new(request_count, crash_inducing);
         actions.iter().for_each(|it| state.apply_action(*it));
         state
     }
 
-    fn work_digest(request_number: u32) -> WorkDigest {
+    fn request_digest(request_number: u32) -> WorkDigest {
         WorkDigest::new(&[&request_number.to_be_bytes()])
     }
 
     fn quarantine_verdict(&self, request_number: u32) -> QuarantineVerdict {
-        self.ledger.verdict(GroupState::work_digest(request_number), self.now)
+        self.ledger
+            .verdict(ExploredState::request_digest(request_number), self.now)
     }
 
     /// Returns the numbers of the requests in a set.
@@ -152,18 +156,18 @@
             {
                 for request_number in self.request_numbers_of_set(requests) {
                     self.ledger.record_survived_request(
-                        GroupState::work_digest(request_number),
+                        ExploredState::request_digest(request_number),
                         self.now,
                     );
                 }
                 self.survived_requests |= requests;
-                self.now = self.now + HARMLESS_RUN_TIME;
+                self.now = self.now + RUN_TIME_OF_HARMLESS_REQUEST;
             }
             Action::Run { requests, answering } => {
                 let end = CrashId::new("i-1", self.crash_count);
                 self.crash_count += 1;
                 for request_number in self.request_numbers_of_set(requests) {
-                    let work = GroupState::work_digest(request_number);
+                    let work = ExploredState::request_digest(request_number);
                     self.ledger.record_crash(work, end, self.now);
                     if answering >> request_number & 1 == 0 {
                         self.ledger.suspend_request(work, self.now);
@@ -192,7 +196,7 @@
         {
             let ends = self
                 .ledger
-                .crash_count(GroupState::work_digest(request_number));
+                .crash_count(ExploredState::request_digest(request_number));
             let is_refused = ends >= SURVIVED_REQUEST_CRASH_THRESHOLD;
             let is_free = self.quarantine_verdict(request_number)
                 == QuarantineVerdict::Allowed;
@@ -204,7 +208,7 @@
         let requests = (0..self.request_count).map(|it| {
             (
                 self.quarantine_verdict(it),
-                self.ledger.crash_count(GroupState::work_digest(it)),
+                self.ledger.crash_count(ExploredState::request_digest(it)),
             )
         });
         (requests.collect(), self.survived_requests)
@@ -223,7 +227,7 @@
     for _ in 0..=max_actions {
         let mut next = Vec::new();
         for path in paths {
-            let state = GroupState::state_after_actions(
+            let state = ExploredState::state_after_actions(
                 request_count,
                 crash_inducing,
                 &path,
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -59,9 +59,9 @@
     /// The highest fencing number that the engine has seen, and the highest
     /// sequence number of the records of coordinators whose order it accepted.
     engine_highest_seen: (u64, u8),
-    /// Whether a fencing number was assigned twice or out of order, or the
-    /// engine accepted an order of an earlier coordinator after an order of a
-    /// later coordinator.
+    /// Whether a rule was broken: a fencing number was assigned twice or out of
+    /// order, or the engine obeyed a coordinator after it had obeyed a later
+    /// one.
     is_violated: bool,
 }
 
--- a/tests/mapswitch/main.rs
+++ b/tests/mapswitch/main.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
 use cowsliproad::mapswitch::{
-    Generation, Member, NextStep, Proposal, Version, VoteMessage,
+    Generation, Member, MemberAction, Proposal, Version, VoteMessage,
     WeightsStatus,
 };
 
@@ -245,7 +245,7 @@
     state = state.crash_member(2).expect("the first crash");
     let held_state = state.clone().run_until_stable();
     let member = held_state.members[0].as_ref().expect("alive");
-    assert_eq!(member.next_step(), NextStep::Hold(PROPOSALS[0]));
+    assert_eq!(member.next_step(), MemberAction::Hold(PROPOSALS[0]));
     for rank in 0..2 {
         state = state.join_next_generation(rank).expect("alive");
     }
--- a/tests/order/main.rs
+++ b/tests/order/main.rs
@@ -187,7 +187,7 @@
             rank,
             ranks: RANK_COUNT,
             standing: GroupState::Open,
-            step: self.step,
+            latest_begun_pass: self.step,
             map: Version(engine.map),
             prepared_map_version: engine.prepared_map.map(Version),
             armed_map_and_pass: engine
@@ -420,7 +420,7 @@
             // stored snapshots.
             let is_unchanged = |it: &(RankSnapshot, u64)| {
                 let mut old = it.clone();
-                old.0.report.step = self.step;
+                old.0.report.latest_begun_pass = self.step;
                 old == reported
             };
             if previous.is_some_and(is_unchanged) {
@@ -434,7 +434,7 @@
                 .snapshots_by_rank
                 .values_mut()
             {
-                snapshot.report.step = self.step;
+                snapshot.report.latest_begun_pass = self.step;
             }
             next_states.push(state);
         }
@@ -641,7 +641,7 @@
 }
 
 fn new_coordinator_view(fence: u64, rank: u16) -> CoordinatorView {
-    let config = CoordinatorConfig::new().with_boundary_lead(2, 2);
+    let config = CoordinatorConfig::new().with_switch_lead_passes(2, 2);
     let coordinator = Coordinator::new(config, fence, rank);
     CoordinatorView { coordinator, snapshots_by_rank: BTreeMap::new() }
 }
@@ -782,7 +782,7 @@
             rank,
             ranks: RANK_COUNT,
             standing: GroupState::Open,
-            step: 1,
+            latest_begun_pass: 1,
             map: Version(0),
             prepared_map_version: Some(Version(FIRST_MAP_VERSION)),
             armed_map_and_pass: Some((Version(FIRST_MAP_VERSION), 3)),
