--- a/cowsliproad-agent/src/adapter.rs
+++ b/cowsliproad-agent/src/adapter.rs
@@ -1,8 +1,8 @@
 //! Adapters that send requests to targets: one plug-in per kind of target.
 //!
 //! An adapter is a type. [`run_work`] is compiled for each adapter, and the
-//! plug-in's `start` function selects one, so there is no dynamic dispatch per
-//! request.
+//! plug-in's `start_adapter` function selects one, so there is no dynamic
+//! dispatch per request.
 
 pub mod engine;
 pub mod plain;
@@ -16,7 +16,7 @@
 use tokio::runtime::Handle;
 
 use crate::{
-    ends::{self, CrashCheck},
+    ends::{self, CrashCheckOutcome},
     gate::TargetGate,
     pace::RequestPacer,
     settings::Settings,
@@ -92,7 +92,7 @@
     // retries a crash-inducing request at another target.
     let crash_check = ends::check_for_crash(&gate, &work, failure).await;
     gate.finish_running_work(&work, result, slot_time);
-    if crash_check == CrashCheck::StillListening {
+    if crash_check == CrashCheckOutcome::StillListening {
         ends::recheck_for_crash(&gate, &work).await;
     }
 }
--- a/cowsliproad-agent/src/adapter/engine.rs
+++ b/cowsliproad-agent/src/adapter/engine.rs
@@ -100,8 +100,8 @@
                     events.unparsed_bytes.clear();
                     let resume = self
                         .build_resume_request(work, events.received_tokens)?;
-                    // Resuming is one more request to the target, so it needs
-                    // a permit.
+                    // The longest wait for the permit that resuming needs, as
+                    // one more request to the target.
                     let byte_timeout = self.byte_timeout(work)?;
                     if timeout(byte_timeout, self.pacer.acquire_permit())
                         .await
--- a/cowsliproad-agent/src/ends.rs
+++ b/cowsliproad-agent/src/ends.rs
@@ -1,5 +1,5 @@
 //! Detection of crashes of the target's process, and of the requests that ran
-//! then.
+//! at the time of a crash.
 //!
 //! The agent runs on the target's own VM, so a refused connection proves that
 //! no process listens there. The agent reports the requests that were
@@ -9,7 +9,7 @@
 //!
 //! The report is sent before the answer to the request, on the same link:
 //! each retry of a crash-inducing request goes to another target, and the
-//! request would crash four of them in the 250 ms between two heartbeats. The
+//! request would crash four targets in the 250 ms between two heartbeats. The
 //! agent also reports that the target's process is gone or back; entry
 //! processes send no requests in between.
 
@@ -52,7 +52,7 @@
 /// and its connections one after the other, and never restarts this fast.
 const CRASH_RECHECK_DELAY: Duration = Duration::from_millis(50);
 
-/// The time between checks whether the target's process is there, while it is
+/// The time between checks whether the target's process is running, while it is
 /// gone or may still run abandoned requests. A check costs one connection on
 /// the same VM.
 const PRESENCE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -69,7 +69,7 @@
 /// requests queued inside a target.
 const MAX_ABANDONED_REQUESTS: usize = 256;
 
-/// Tracks crashes of the target's process and whether the process is there.
+/// Tracks crashes of the target's process and whether the process is running.
 #[derive(Debug)]
 pub struct TargetCrashes {
     /// The target's name and the agent's incarnation, which identify crashes
@@ -100,7 +100,7 @@
 
 /// The result of the check for a crash after a request failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum CrashCheck {
+pub enum CrashCheckOutcome {
     /// The check for a crash is complete.
     Complete,
     /// The target still accepts connections, as a crashing process may do for
@@ -142,7 +142,8 @@
         reports.iter().filter_map(known).collect()
     }
 
-    /// All suspected requests, for an entry process that has just connected.
+    /// All requests suspected of crashing the target, for an entry process that
+    /// has just connected.
     pub fn all_suspected_requests(&self) -> Vec<CrashSuspectRequest> {
         let mut state = lock(&self.state);
         let now = Millis::now();
@@ -208,7 +209,7 @@
     }
 
     /// Whether the target's process must be checked regularly.
-    fn target_needs_watching(&self) -> bool {
+    fn needs_presence_check(&self) -> bool {
         let state = lock(&self.state);
         state.presence == TargetPresence::Gone
             || !state.abandoned_requests.is_empty()
@@ -220,7 +221,8 @@
         lock(&self.state).abandoned_requests.retain(|it| alive_at < it.1);
     }
 
-    /// Takes the abandoned requests that the target may have been running.
+    /// Takes the requests that the agent abandoned and that the target may have
+    /// been running.
     fn take_abandoned_requests(&self) -> Vec<quarantine::WorkDigest> {
         let abandoned =
             std::mem::take(&mut lock(&self.state).abandoned_requests);
@@ -233,7 +235,7 @@
     gate: &TargetGate,
     work: &RequestWork,
     failure: RequestFailure,
-) -> CrashCheck {
+) -> CrashCheckOutcome {
     if failure.code != ResultCode::TargetFailed {
         if failure.ran == ExecutionStatus::OutcomeUnknown {
             let until = Millis::now() + MIN_ABANDONED_RUN_TIME;
@@ -242,21 +244,23 @@
                 until.max(work.deadline),
             );
         }
-        return CrashCheck::Complete;
+        return CrashCheckOutcome::Complete;
     }
     let is_gone = is_target_gone(gate).await;
     match (failure.ran, is_gone) {
         (ExecutionStatus::OutcomeUnknown, true) => {
             report_crash(gate, work);
-            CrashCheck::Complete
+            CrashCheckOutcome::Complete
         }
-        (ExecutionStatus::OutcomeUnknown, false) => CrashCheck::StillListening,
-        // The process was gone before the request was sent.
+        (ExecutionStatus::OutcomeUnknown, false) => {
+            CrashCheckOutcome::StillListening
+        }
+        // The target's process was gone before the request was sent.
         (_, true) => {
             report_presence(gate, TargetPresence::Gone);
-            CrashCheck::Complete
+            CrashCheckOutcome::Complete
         }
-        (_, false) => CrashCheck::Complete,
+        (_, false) => CrashCheckOutcome::Complete,
     }
 }
 
@@ -277,7 +281,7 @@
 ) {
     loop {
         gate.crashes.watch_needed.notified().await;
-        while gate.crashes.target_needs_watching() {
+        while gate.crashes.needs_presence_check() {
             let check_started = Millis::now();
             if is_target_gone(&gate).await {
                 report_crash_with_abandoned_requests(&gate);
@@ -339,7 +343,8 @@
     }
 }
 
-/// Records that the target crashed while it may have run abandoned requests.
+/// Records that the target crashed while it may have been running requests that
+/// the agent had abandoned.
 fn report_crash_with_abandoned_requests(gate: &TargetGate) {
     for digest in gate.crashes.take_abandoned_requests() {
         info!(gate.logger(), "ended_under_left"; "work" => %digest,
--- a/cowsliproad-agent/src/gate.rs
+++ b/cowsliproad-agent/src/gate.rs
@@ -82,11 +82,12 @@
     accepted_total: u64,
 }
 
-/// The ticket register that a stopped agent handed over.
+/// A ticket register that a stopping agent handed over to this agent.
 #[derive(Debug)]
 struct InheritedRegister {
     ticket_register: TicketRegister,
-    /// The stopped agent's clock at the handover.
+    /// The clock of the agent process that recorded the tickets, at the
+    /// handover.
     sender_clock: Millis,
     /// This agent's clock when it accepted the handover.
     inherited_at: Millis,
@@ -210,8 +211,9 @@
                     ExecutionStatus::OutcomeUnknown,
                 )
             }
-            // A non-repeatable request is never aborted while it runs, since
-            // its outcome at the target would be unknown.
+            // A caller that cancels a running non-repeatable request gets this
+            // failure. The request isn't aborted, since its outcome at the
+            // target would then be unknown.
             (None, RerunPolicy::Never) => RequestFailure::new(
                 ResultCode::InProgress,
                 ExecutionStatus::OutcomeUnknown,
@@ -466,7 +468,8 @@
     pub stored_answers: Vec<StoredAnswer>,
 }
 
-/// The ticket register of one agent process, sealed for the handover.
+/// The final ticket register of an agent process that hands over: no more
+/// tickets are recorded in it.
 #[derive(Debug)]
 pub struct SealedRegister {
     /// The incarnation of the agent process that recorded the tickets.
@@ -474,14 +477,14 @@
     /// The clock of the agent process that recorded the tickets, at the
     /// handover.
     pub clock_at_handover: Millis,
-    /// Whether that process accepted or refused each recorded ticket, and when
-    /// the ticket expires.
+    /// Whether the agent process accepted or refused each recorded ticket, and
+    /// when the ticket expires.
     pub ticket_register: TicketRegister,
 }
 
 /// Fails queued requests that can no longer meet their deadline, without
 /// waiting for a slot, and evicts old answers, for as long as the agent runs.
-pub async fn sweep_queue(gate: Arc<TargetGate>) {
+pub async fn sweep_queue_and_answers(gate: Arc<TargetGate>) {
     loop {
         tokio::time::sleep(QUEUE_SWEEP_INTERVAL).await;
         let mut state = gate.lock_state();
@@ -591,7 +594,8 @@
 }
 
 impl InheritedRegister {
-    /// The current time on the stopped agent's clock.
+    /// Converts `now` from this agent's clock to the clock of the agent process
+    /// that recorded the tickets.
     fn sender_clock_now(&self, now: Millis) -> Millis {
         self.sender_clock + now.since(self.inherited_at)
     }
--- a/cowsliproad-agent/src/gate/submit.rs
+++ b/cowsliproad-agent/src/gate/submit.rs
@@ -191,7 +191,8 @@
             work: work.clone(),
         };
         let service_rate = self.service_rate(state);
-        // With a free slot the queue is empty, so `push` refuses only for the
+        // If no request waits for a slot or for the rate limit, the queue is
+        // empty. `push` then refuses this request only if it would miss its
         // deadline.
         match state.request_queue.push(item, service_rate, now) {
             PushOutcome::Queued => {}
--- a/cowsliproad-agent/src/handover.rs
+++ b/cowsliproad-agent/src/handover.rs
@@ -66,9 +66,9 @@
     sleep(EXIT_DELAY).await;
 }
 
-/// Finds the agents that can take over. An agent that stops before its
-/// configuration lists any first requests the latest configuration from entry
-/// processes.
+/// Finds the targets whose agents can take over. If the stopping agent's
+/// configuration lists no such target, the stopping agent first requests the
+/// latest configuration from entry processes.
 async fn wait_for_peers(agent: &Agent) -> Vec<Target> {
     let deadline = Instant::now() + PEER_DISCOVERY_TIMEOUT;
     loop {
--- a/cowsliproad-agent/src/lib.rs
+++ b/cowsliproad-agent/src/lib.rs
@@ -45,7 +45,8 @@
     replica::ConfigReplica, settings::Settings,
 };
 
-/// A running agent.
+/// The handle of a running agent, which admits all requests for one target. It
+/// holds the agent's settings, shared state and addresses.
 #[derive(Clone, Debug)]
 pub struct Agent {
     /// The agent's settings.
@@ -91,7 +92,9 @@
         .traffic_runtime
         .spawn(links::accept_links(links.clone(), listener));
     runtimes.control_runtime.spawn(links::run_heartbeats(links.clone()));
-    runtimes.control_runtime.spawn(gate::sweep_queue(gate.clone()));
+    runtimes
+        .control_runtime
+        .spawn(gate::sweep_queue_and_answers(gate.clone()));
     runtimes
         .control_runtime
         .spawn(ends::watch_target_presence(gate.clone(), links.clone()));
--- a/cowsliproad-agent/src/links.rs
+++ b/cowsliproad-agent/src/links.rs
@@ -116,8 +116,8 @@
     }
 }
 
-/// Sends suspected requests to an entry process, also when the send queue of
-/// the link is full.
+/// Sends requests suspected of crashing the target to an entry process, also
+/// when the send queue of the link is full.
 fn send_crash_suspects(link: &Sender, suspects: Vec<CrashSuspectRequest>) {
     let frame = Frame::CrashSuspectRequests(suspects);
     if link.try_send(frame.clone()).is_ok() {
@@ -125,8 +125,9 @@
     }
     let link = link.clone();
     tokio::spawn(async move {
-        // If the link breaks, the entry process receives all suspected
-        // requests when it reconnects.
+        // Sending fails only if the link breaks. The error may be ignored,
+        // since the entry process receives all requests suspected of crashing
+        // the target when it reconnects.
         let _ = link.send(frame).await;
     });
 }
--- a/cowsliproad-agent/src/work.rs
+++ b/cowsliproad-agent/src/work.rs
@@ -230,8 +230,8 @@
         }
     }
 
-    /// Waits for answer bytes or the end at a byte offset, and reads up to
-    /// `max_bytes`.
+    /// Waits until the answer has bytes at the byte offset `offset` or the
+    /// request has ended. Reads up to `max_bytes` of the answer from there.
     pub async fn next_answer_piece(
         &self,
         offset: u64,
