--- a/cowsliproad-direct/src/call/choose.rs
+++ b/cowsliproad-direct/src/call/choose.rs
@@ -57,8 +57,10 @@
                 entry.connection_freed.notified(),
             );
             let now = Millis::now();
-            let verdict =
-                entry.quarantine.borrow_mut().admit_work(self.work, now);
+            let verdict = entry
+                .request_quarantine
+                .borrow_mut()
+                .admit_work(self.work, now);
             match verdict {
                 QuarantineVerdict::Allowed => {}
                 QuarantineVerdict::Refused(after) => {
--- a/cowsliproad-direct/src/entry.rs
+++ b/cowsliproad-direct/src/entry.rs
@@ -34,7 +34,7 @@
 
 use crate::{
     ends::CrashSuspicion, limits::RateLimits, measure::EntryMetrics,
-    peers::Peers, quarantine::Quarantine, rollback::LogRollbacks,
+    peers::Peers, quarantine::RequestQuarantine, rollback::LogRollbacks,
     settings::Settings, upstream::ConnectionPool,
 };
 
@@ -54,7 +54,7 @@
 
 /// Where a state change came from, for logs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ChangeSource {
+pub enum StateChangeSource {
     /// The change was read from the platform's log.
     Log,
     /// The change came in a digest or state snapshot of another entry process.
@@ -174,7 +174,7 @@
     /// The newest known formation of each group, reported by any of its ranks.
     formations: RefCell<HashMap<Name, GroupFormation>>,
     /// Quarantine of crash-inducing requests.
-    pub quarantine: RefCell<Quarantine>,
+    pub request_quarantine: RefCell<RequestQuarantine>,
     /// When a VM of each availability zone last sent a message.
     zone_last_seen: RefCell<HashMap<Name, Millis>>,
     /// Rate limiters of targets that state a limit, and open permit requests.
@@ -256,7 +256,7 @@
             endpoints: RefCell::new(HashMap::new()),
             retry_budgets: RefCell::new(HashMap::new()),
             formations: RefCell::new(HashMap::new()),
-            quarantine: RefCell::new(Quarantine::default()),
+            request_quarantine: RefCell::new(RequestQuarantine::default()),
             zone_last_seen: RefCell::new(HashMap::new()),
             limits: RefCell::new(RateLimits::default()),
             cooldowns: RefCell::new(Cooldowns::new()),
@@ -337,7 +337,7 @@
         &self,
         catalog: RoutingCatalog,
         raw: Bytes,
-        source: ChangeSource,
+        source: StateChangeSource,
     ) {
         let before = self.catalog_version();
         if before >= catalog.config_version() {
@@ -369,7 +369,7 @@
         &self,
         id: &str,
         change: TargetChange,
-        source: ChangeSource,
+        source: StateChangeSource,
     ) {
         match change {
             TargetChange::None => return,
@@ -441,8 +441,8 @@
 
     /// Records a change of the targets that was read from the log, so that
     /// other entry processes read the change too.
-    fn record_target_change_in_log(&self, source: ChangeSource) {
-        if source == ChangeSource::Log {
+    fn record_target_change_in_log(&self, source: StateChangeSource) {
+        if source == StateChangeSource::Log {
             self.log_read_schedule.borrow_mut().record_target_change();
         }
     }
--- a/cowsliproad-direct/src/follow.rs
+++ b/cowsliproad-direct/src/follow.rs
@@ -24,7 +24,7 @@
 use tokio::time::sleep;
 
 use crate::{
-    entry::{ChangeSource, Entry},
+    entry::{Entry, StateChangeSource},
     peers,
 };
 
@@ -171,7 +171,7 @@
             read = call => read,
             () = entry.rollbacks.wait_for_era_after(era) => Err(Error::RolledBack),
         };
-        entry.observe_log_era(self.client.era(), ChangeSource::Log);
+        entry.observe_log_era(self.client.era(), StateChangeSource::Log);
         let Page { next_position: next, records } = read?;
         self.contact.record_success(entry);
         let scope = match self.next_position.replace(next) {
@@ -240,7 +240,7 @@
                 return entry.adopt_catalog(
                     catalog,
                     raw.clone(),
-                    ChangeSource::Log,
+                    StateChangeSource::Log,
                 );
             }
             Err(error) => {
@@ -322,7 +322,9 @@
     let records = &reading.records;
     let changes = records
         .iter()
-        .map(|it| apply_target_announcement(entry, it, now, ChangeSource::Log))
+        .map(|it| {
+            apply_target_announcement(entry, it, now, StateChangeSource::Log)
+        })
         .filter(|it| *it != TargetChange::None)
         .count();
     if reading.scope == ReadScope::New {
@@ -355,7 +357,11 @@
 
 fn record_left_targets(entry: &Entry, gone: &[Name]) {
     for id in gone {
-        entry.apply_target_change(id, TargetChange::Left, ChangeSource::Log);
+        entry.apply_target_change(
+            id,
+            TargetChange::Left,
+            StateChangeSource::Log,
+        );
     }
 }
 
@@ -365,7 +371,7 @@
     entry: &Entry,
     record: &Record,
     now: Millis,
-    source: ChangeSource,
+    source: StateChangeSource,
 ) -> TargetChange {
     let change = match &record.value {
         None => {
--- a/cowsliproad-direct/src/limits.rs
+++ b/cowsliproad-direct/src/limits.rs
@@ -36,7 +36,9 @@
 use crate::{
     attempt::Attempt,
     call::AttemptError,
-    entry::{ChangeSource, ChosenTarget, CooldownRecovery, Endpoint, Entry},
+    entry::{
+        ChosenTarget, CooldownRecovery, Endpoint, Entry, StateChangeSource,
+    },
 };
 
 /// How often a permit request may be forwarded: to the supposed owner of the
@@ -56,7 +58,7 @@
 
 /// Supposed owners of a limiter that are asked for the same permit. Each may
 /// be gone.
-const MAX_OWNERS_ASKED: usize = 2;
+const MAX_LIMIT_OWNERS_ASKED_FOR_PERMIT: usize = 2;
 
 /// The delay before a permit is requested again if no entry process knows when
 /// one becomes free.
@@ -313,7 +315,7 @@
     max_permit_wait: Millis,
     hops: u8,
 ) -> PermitDecision {
-    for asked in 0..MAX_OWNERS_ASKED {
+    for asked in 0..MAX_LIMIT_OWNERS_ASKED_FOR_PERMIT {
         let now = Millis::now();
         let zone = entry.settings().zone.clone();
         let owner = entry.peers.borrow().limiter_owner(target, &zone, now);
@@ -455,7 +457,7 @@
         self.handle_limit_change(
             &choice.target.id,
             observed.change,
-            ChangeSource::Own,
+            StateChangeSource::Own,
         );
     }
 
@@ -481,7 +483,11 @@
         let endpoint = self.endpoint_or_insert(&limit.target);
         let change =
             endpoint.borrow_mut().rate_limit.merge_limit_report(report, now);
-        self.handle_limit_change(&limit.target, change, ChangeSource::Peer);
+        self.handle_limit_change(
+            &limit.target,
+            change,
+            StateChangeSource::Peer,
+        );
     }
 
     /// Applies a rate limit that another entry process sent before the target
@@ -501,7 +507,7 @@
         &self,
         target: &Name,
         change: LimitChange,
-        source: ChangeSource,
+        source: StateChangeSource,
     ) {
         if change == LimitChange::None {
             return;
--- a/cowsliproad-direct/src/peers.rs
+++ b/cowsliproad-direct/src/peers.rs
@@ -32,7 +32,7 @@
 
 use crate::{
     call::{COOLDOWN_PROBE_PERIOD, MAX_COOLDOWN_STAGGER},
-    entry::{ChangeSource, Entry},
+    entry::{Entry, StateChangeSource},
     limits::{self, DigestScope},
     settings::Settings,
 };
@@ -250,7 +250,7 @@
     let mut counted_joins = 0;
     loop {
         let now = Millis::now();
-        entry.quarantine.borrow_mut().evict_expired_records(now);
+        entry.request_quarantine.borrow_mut().evict_expired_records(now);
         let recipients = entry.peers.borrow_mut().pick_digest_recipients(now);
         let all = round % DIGEST_ROUNDS_PER_FULL_DIGEST == 0;
         let scope = if all { DigestScope::All } else { DigestScope::Changed };
@@ -301,7 +301,7 @@
             .unwrap_or(DEPARTURE_BROADCAST_TTL);
     let fleet = entry.fleet.borrow();
     let (suspected_requests, retracted) =
-        entry.quarantine.borrow().suspects_for_digest(scope, now);
+        entry.request_quarantine.borrow().suspects_for_digest(scope, now);
     let (mut left, mut withdrawn_targets_with_start_and_sequence) =
         (Vec::new(), Vec::new());
     for (id, departure) in fleet.target_departures_since(since) {
@@ -397,7 +397,7 @@
     received_digest: GossipDigest,
 ) {
     let now = Millis::now();
-    entry.observe_log_era(received_digest.log_era, ChangeSource::Peer);
+    entry.observe_log_era(received_digest.log_era, StateChangeSource::Peer);
     let left = received_digest.departed_targets_with_start_unix_ms.iter();
     let left = left.map(|it| {
         (&it.0, GossipedDeparture::Announced(ProcessStartUnixMs(it.1)))
@@ -412,7 +412,7 @@
             .fleet
             .borrow_mut()
             .merge_gossiped_departure(id, departure, now);
-        entry.apply_target_change(id, change, ChangeSource::Peer);
+        entry.apply_target_change(id, change, StateChangeSource::Peer);
     }
     entry.record_zone_contact(&received_digest.sender_zone, now);
     entry.merge_peer_suspects(
--- a/cowsliproad-direct/src/peers/agents.rs
+++ b/cowsliproad-direct/src/peers/agents.rs
@@ -20,7 +20,7 @@
 use tokio::net::UdpSocket;
 
 use super::send_datagram;
-use crate::entry::{ChangeSource, Entry, GroupReport};
+use crate::entry::{Entry, GroupReport, StateChangeSource};
 
 /// In-flight requests are woken when a target's service time, in percent of
 /// the usual time, crosses a multiple of this number.
@@ -127,7 +127,7 @@
         && target.start == ProcessStartUnixMs(load.engine_start_unix_ms)
     {
         info!(entry.log, "target_leaving"; "target" => &*target.id,
-            "source" => ?ChangeSource::Peer);
+            "source" => ?StateChangeSource::Peer);
         return entry.mark_target_left(&target);
     }
     let id = target.id;
--- a/cowsliproad-direct/src/peers/state.rs
+++ b/cowsliproad-direct/src/peers/state.rs
@@ -19,7 +19,7 @@
 
 use super::wait_for_seed_digests;
 use crate::{
-    entry::{ChangeSource, Entry},
+    entry::{Entry, StateChangeSource},
     follow,
 };
 
@@ -106,7 +106,9 @@
 fn apply_peer_state(entry: &Entry, state: EntryState) {
     let raw = Bytes::from(state.catalog);
     match catalog::decode(&raw) {
-        Ok(catalog) => entry.adopt_catalog(catalog, raw, ChangeSource::Peer),
+        Ok(catalog) => {
+            entry.adopt_catalog(catalog, raw, StateChangeSource::Peer)
+        }
         Err(error) => warn!(entry.log, "catalog_refused"; "error" => %error),
     }
     // The peer's list of targets is taken over only while this entry process
@@ -124,7 +126,7 @@
             entry,
             &record,
             now,
-            ChangeSource::Peer,
+            StateChangeSource::Peer,
         );
     }
     entry.log_read_schedule.borrow_mut().record_merged_peer_state();
--- a/cowsliproad-direct/src/quarantine.rs
+++ b/cowsliproad-direct/src/quarantine.rs
@@ -35,7 +35,7 @@
 
 use crate::{
     ends::MAX_MESSAGE_LATENCY,
-    entry::{ChangeSource, Entry},
+    entry::{Entry, StateChangeSource},
     follow::{LogCallStatus, ReadScope, TopicReader},
     limits::DigestScope,
 };
@@ -62,7 +62,7 @@
 /// by an additional random time, so that mostly one entry process rewrites the
 /// record. The additional time is at most this delay times the number of entry
 /// processes.
-const REWRITE_DELAY_PER_PEER: Millis = Millis(50);
+const RECORD_REWRITE_DELAY_PER_PEER: Millis = Millis(50);
 
 /// The longest additional delay before an entry process rewrites a lost record
 /// that it didn't write itself.
@@ -89,7 +89,7 @@
 /// The crash ledger of this entry process, and the crash records that it has
 /// yet to write to the platform's log.
 #[derive(Debug, Default)]
-pub struct Quarantine {
+pub struct RequestQuarantine {
     ledger: CrashLedger,
     /// Digests of requests under which this entry process itself observed a
     /// crash or a survival of a target.
@@ -140,7 +140,7 @@
     written_at: u64,
 }
 
-impl Quarantine {
+impl RequestQuarantine {
     /// Returns whether a request with this work digest may run now, and
     /// records the arrival of a refused request.
     pub fn admit_work(
@@ -230,7 +230,7 @@
     }
 
     /// Cancels the rewrite of a lost record that the log holds again.
-    fn cancel_rewrite_if_stored(
+    fn cancel_record_rewrite_if_in_log(
         &mut self,
         kept: &CrashSuspectRequest,
         now: Millis,
@@ -274,7 +274,7 @@
         extent: CrashExtent,
         now: Millis,
     ) {
-        let mut quarantine = self.quarantine.borrow_mut();
+        let mut quarantine = self.request_quarantine.borrow_mut();
         let crash_id = quarantine.ledger.crash_id(&target.id, target.start.0);
         quarantine.watch_crash(crash_id, now);
         quarantine.observed_work.insert(work);
@@ -284,20 +284,20 @@
             CrashExtent::Target => QuarantineChange::None,
         };
         drop(quarantine);
-        self.handle_quarantine_change(work, change, ChangeSource::Own);
-        self.handle_quarantine_change(work, suspended, ChangeSource::Own);
+        self.handle_quarantine_change(work, change, StateChangeSource::Own);
+        self.handle_quarantine_change(work, suspended, StateChangeSource::Own);
     }
 
     /// Records that a target survived a request with this work digest.
     pub fn record_survived_work(&self, work: WorkDigest, now: Millis) {
-        let mut quarantine = self.quarantine.borrow_mut();
+        let mut quarantine = self.request_quarantine.borrow_mut();
         let change = quarantine.ledger.record_survived_request(work, now);
         if change != QuarantineChange::None {
             // The log's record must state the survival too.
             quarantine.observed_work.insert(work);
         }
         drop(quarantine);
-        self.handle_quarantine_change(work, change, ChangeSource::Own);
+        self.handle_quarantine_change(work, change, StateChangeSource::Own);
     }
 
     /// Retracts a target's crash if the target answers a request that was sent
@@ -309,7 +309,7 @@
         sent: Millis,
         now: Millis,
     ) {
-        let mut quarantine = self.quarantine.borrow_mut();
+        let mut quarantine = self.request_quarantine.borrow_mut();
         let Some((id, watched)) = quarantine.watched_crash_of(target) else {
             return;
         };
@@ -317,7 +317,7 @@
         let is_soon = now.since(watched.reported_at) < MIN_TARGET_RESTART_TIME;
         drop(quarantine);
         if is_later && is_soon {
-            self.retract_crash(id, now, ChangeSource::Own);
+            self.retract_crash(id, now, StateChangeSource::Own);
         }
     }
 
@@ -333,21 +333,21 @@
         if start != target.start || start == ProcessStartUnixMs::default() {
             return;
         }
-        let mut quarantine = self.quarantine.borrow_mut();
+        let mut quarantine = self.request_quarantine.borrow_mut();
         let Some((id, watched)) = quarantine.watched_crash_of(target) else {
             return;
         };
         let is_later = now.since(watched.reported_at) >= MAX_MESSAGE_LATENCY;
         drop(quarantine);
         if is_later {
-            self.retract_crash(id, now, ChangeSource::Own);
+            self.retract_crash(id, now, StateChangeSource::Own);
         }
     }
 
     /// Retracts a target's crash if the target renews its announcement in a
     /// later read.
     pub fn retract_crash_on_renewal(&self, target: &Target, now: Millis) {
-        let mut quarantine = self.quarantine.borrow_mut();
+        let mut quarantine = self.request_quarantine.borrow_mut();
         let Some((id, watched)) = quarantine.watched_crash_of(target) else {
             return;
         };
@@ -361,7 +361,7 @@
         if target.announcement_sequence > first
             && now.since(at) >= MIN_ANNOUNCEMENT_INTERVAL
         {
-            self.retract_crash(id, now, ChangeSource::Log);
+            self.retract_crash(id, now, StateChangeSource::Log);
         }
     }
 
@@ -370,9 +370,9 @@
         &self,
         crash_id: CrashId,
         now: Millis,
-        source: ChangeSource,
+        source: StateChangeSource,
     ) {
-        let mut quarantine = self.quarantine.borrow_mut();
+        let mut quarantine = self.request_quarantine.borrow_mut();
         if quarantine.ledger.is_crash_retracted(crash_id) {
             return;
         }
@@ -391,7 +391,7 @@
                 source,
             );
         }
-        if source != ChangeSource::Peer {
+        if source != StateChangeSource::Peer {
             self.digest_wakeup.notify_one();
         }
     }
@@ -405,10 +405,10 @@
         now: Millis,
     ) {
         for crash_id in retracted_crashes.iter().map(|it| CrashId(*it)) {
-            self.retract_crash(crash_id, now, ChangeSource::Peer);
+            self.retract_crash(crash_id, now, StateChangeSource::Peer);
         }
         for suspect in suspects.unpack() {
-            self.merge_suspect(&suspect, now, ChangeSource::Peer);
+            self.merge_suspect(&suspect, now, StateChangeSource::Peer);
         }
     }
 
@@ -416,9 +416,9 @@
         &self,
         suspect: &CrashSuspectRequest,
         now: Millis,
-        source: ChangeSource,
+        source: StateChangeSource,
     ) -> QuarantineChange {
-        let mut quarantine = self.quarantine.borrow_mut();
+        let mut quarantine = self.request_quarantine.borrow_mut();
         let change = quarantine.ledger.merge_remote_suspect(suspect, now);
         for crash_id in suspect.crash_ids.iter().map(|it| CrashId(*it)) {
             if change != QuarantineChange::None
@@ -442,13 +442,14 @@
         &self,
         work: WorkDigest,
         change: QuarantineChange,
-        source: ChangeSource,
+        source: StateChangeSource,
     ) {
         if change == QuarantineChange::None {
             return;
         }
         let now = Millis::now();
-        let crashes = self.quarantine.borrow().ledger.crash_count(work);
+        let crashes =
+            self.request_quarantine.borrow().ledger.crash_count(work);
         match change {
             QuarantineChange::None | QuarantineChange::Suspected => {}
             QuarantineChange::Refused => {
@@ -460,7 +461,7 @@
             }
             QuarantineChange::Suspended => {
                 let verdict =
-                    self.quarantine.borrow().ledger.verdict(work, now);
+                    self.request_quarantine.borrow().ledger.verdict(work, now);
                 info!(self.log, "work_suspended"; "work" => %work,
                     "ends" => crashes, "verdict" => ?verdict,
                     "source" => ?source);
@@ -473,8 +474,10 @@
                 self.metrics.record_quarantine_event("freed");
             }
         }
-        self.quarantine.borrow_mut().queue_record_write_if_observed(work);
-        if source == ChangeSource::Own {
+        self.request_quarantine
+            .borrow_mut()
+            .queue_record_write_if_observed(work);
+        if source == StateChangeSource::Own {
             self.digest_wakeup.notify_one();
         }
     }
@@ -547,13 +550,13 @@
             suspect.since_last_received = suspect.since_last_received + age
         }
     }
-    let change = entry.merge_suspect(&suspect, now, ChangeSource::Log);
+    let change = entry.merge_suspect(&suspect, now, StateChangeSource::Log);
     let work = WorkDigest(suspect.request_hash);
-    let mut quarantine = entry.quarantine.borrow_mut();
-    quarantine.cancel_rewrite_if_stored(&suspect, now);
+    let mut quarantine = entry.request_quarantine.borrow_mut();
+    quarantine.cancel_record_rewrite_if_in_log(&suspect, now);
     if quarantine.ledger.export_suspect(work, now).is_none() {
-        // The record has expired, and the entry process that wrote it may be
-        // gone.
+        // Delete the expired record from the log, since the entry process that
+        // wrote it may be gone.
         quarantine.pending_writes.insert(work);
         quarantine.write_wakeup.notify_one();
     }
@@ -566,9 +569,10 @@
     let kept = kept.iter().map(|it| (it.suspect.request_hash, &it.suspect));
     let kept: HashMap<u64, &CrashSuspectRequest> = kept.collect();
     let entries = entry.peers.borrow().entry_process_count() as u64;
-    let others = Millis(REWRITE_DELAY_PER_PEER.0 * entries);
+    let others = Millis(RECORD_REWRITE_DELAY_PER_PEER.0 * entries);
     let others = others.min(MAX_PEER_REWRITE_DELAY);
-    let known = entry.quarantine.borrow().ledger.snapshot_suspects(now);
+    let known =
+        entry.request_quarantine.borrow().ledger.snapshot_suspects(now);
     let known = known
         .into_iter()
         .filter(|it| it.crash_ids.len() >= MIN_CRASHES_FOR_LOG_RECORD);
@@ -581,7 +585,7 @@
             continue;
         }
         let drawn = entry.random_fraction();
-        let mut quarantine = entry.quarantine.borrow_mut();
+        let mut quarantine = entry.request_quarantine.borrow_mut();
         let wait = match quarantine.written_work.contains(&work) {
             true => drawn * MAX_OWN_REWRITE_DELAY.0 as f64,
             false => MAX_OWN_REWRITE_DELAY.0 as f64 + drawn * others.0 as f64,
@@ -615,10 +619,11 @@
 pub async fn write_quarantine_records(entry: Rc<Entry>) {
     let mut client = Client::new(entry.settings().log_address);
     let mut contact = LogCallStatus::new(log::QUARANTINE_TOPIC);
-    let write_wakeup = entry.quarantine.borrow().write_wakeup.clone();
+    let write_wakeup = entry.request_quarantine.borrow().write_wakeup.clone();
     loop {
         let now = Millis::now();
-        let next = entry.quarantine.borrow_mut().next_record_write(now);
+        let next =
+            entry.request_quarantine.borrow_mut().next_record_write(now);
         let work = match next {
             Ok(work) => work,
             Err(None) => {
@@ -635,13 +640,13 @@
         let key = work.to_string();
         client.raise_era(entry.rollbacks.newest_era());
         let written = client.put(log::QUARANTINE_TOPIC, &key, &value).await;
-        entry.observe_log_era(client.era(), ChangeSource::Log);
+        entry.observe_log_era(client.era(), StateChangeSource::Log);
         if let Err(error) = written {
             contact.back_off_after_failure(&entry, &error).await;
             continue;
         }
         contact.record_success(&entry);
-        let mut quarantine = entry.quarantine.borrow_mut();
+        let mut quarantine = entry.request_quarantine.borrow_mut();
         quarantine.pending_writes.remove(&work);
         if value.is_empty() {
             quarantine.written_work.remove(&work);
@@ -657,8 +662,11 @@
 /// Encodes the quarantine record of a request for the log; empty if the record
 /// is to be deleted.
 fn encode_suspect_record(entry: &Entry, work: WorkDigest) -> Vec<u8> {
-    let suspect =
-        entry.quarantine.borrow().ledger.export_suspect(work, Millis::now());
+    let suspect = entry
+        .request_quarantine
+        .borrow()
+        .ledger
+        .export_suspect(work, Millis::now());
     // The record states no suspension, which ends before other entry processes
     // read the record.
     let suspect =
--- a/cowsliproad-direct/src/rollback.rs
+++ b/cowsliproad-direct/src/rollback.rs
@@ -31,7 +31,7 @@
 use slog::info;
 use tokio::sync::watch;
 
-use crate::entry::{ChangeSource, Entry};
+use crate::entry::{Entry, StateChangeSource};
 
 /// The time, per entry process, over which all entry processes spread their
 /// reads of a topic after a rollback.
@@ -41,8 +41,8 @@
 /// configuration must be in force within two seconds.
 const MAX_REREAD_SPREAD: Millis = Millis(1_000);
 
-/// How long after a rollback the earlier departures of targets are broadcast
-/// again.
+/// The period after a rollback in which the earlier departures of targets are
+/// broadcast again, since the rolled-back log may list these targets.
 const REPEATED_DEPARTURE_BROADCAST_TTL: Millis = Millis(8_000);
 
 /// The greatest age of the copy to which the log is rolled back. The copy may
@@ -113,7 +113,7 @@
 impl Entry {
     /// Records the log's era. Once anything was read from the log, a newer era
     /// means that the log was rolled back.
-    pub fn observe_log_era(&self, era: LogEra, source: ChangeSource) {
+    pub fn observe_log_era(&self, era: LogEra, source: StateChangeSource) {
         let before = self.rollbacks.newest_era();
         if era <= before {
             return;
--- a/cowsliproad-direct/src/stream.rs
+++ b/cowsliproad-direct/src/stream.rs
@@ -212,7 +212,8 @@
         }
         // A quarantined request may still be queued at the target, and would
         // crash the target too.
-        if entry.quarantine.borrow().refuses_work(work, Millis::now()) {
+        if entry.request_quarantine.borrow().refuses_work(work, Millis::now())
+        {
             return Err(AttemptError::MayHaveRun(
                 "the request crashes its targets",
             ));
