--- a/cowsliproad-agent/src/ends.rs
+++ b/cowsliproad-agent/src/ends.rs
@@ -29,7 +29,7 @@
     gossip::CrashSuspectRequest,
     id,
     sync::lock,
-    wire::{RequestFailure, TargetPresence},
+    wire::{RequestFailure, TargetProcessState},
 };
 use slog::info;
 use tokio::{
@@ -89,7 +89,7 @@
     /// Digests of requests whose crash reports must still be sent to entry
     /// processes.
     unsent_reports: Vec<quarantine::WorkDigest>,
-    presence: TargetPresence,
+    presence: TargetProcessState,
     /// Whether a change of the target's presence must still be sent to entry
     /// processes.
     has_unsent_presence: bool,
@@ -119,7 +119,7 @@
     }
 
     /// Whether the target's process is running.
-    pub fn target_presence(&self) -> TargetPresence {
+    pub fn target_presence(&self) -> TargetProcessState {
         lock(&self.state).presence
     }
 
@@ -179,13 +179,13 @@
 
     /// Records whether the target's process is running. Returns whether the
     /// presence changed.
-    fn set_target_presence(&self, presence: TargetPresence) -> bool {
+    fn set_target_presence(&self, presence: TargetProcessState) -> bool {
         let mut state = lock(&self.state);
         let is_new = state.presence != presence;
         state.presence = presence;
         state.has_unsent_presence |= is_new;
         drop(state);
-        if presence == TargetPresence::Gone {
+        if presence == TargetProcessState::Gone {
             self.watch_needed.notify_one();
         }
         is_new
@@ -210,7 +210,7 @@
     /// Whether the target's process must be checked regularly.
     fn target_needs_watching(&self) -> bool {
         let state = lock(&self.state);
-        state.presence == TargetPresence::Gone
+        state.presence == TargetProcessState::Gone
             || !state.abandoned_requests.is_empty()
     }
 
@@ -253,7 +253,7 @@
         (ExecutionStatus::OutcomeUnknown, false) => CrashCheck::StillListening,
         // The process was gone before the request was sent.
         (_, true) => {
-            report_presence(gate, TargetPresence::Gone);
+            report_presence(gate, TargetProcessState::Gone);
             CrashCheck::Complete
         }
         (_, false) => CrashCheck::Complete,
@@ -281,10 +281,10 @@
             let check_started = Millis::now();
             if is_target_gone(&gate).await {
                 report_crash_with_abandoned_requests(&gate);
-                report_presence(&gate, TargetPresence::Gone);
+                report_presence(&gate, TargetProcessState::Gone);
             } else {
                 gate.crashes.record_alive_at(check_started);
-                report_presence(&gate, TargetPresence::Here);
+                report_presence(&gate, TargetProcessState::Here);
             }
             links.send_unsent_reports();
             sleep(PRESENCE_CHECK_INTERVAL).await;
@@ -310,7 +310,7 @@
             () = changed => {}
             () = sleep(left.duration()) => {}
             () = wait_until_target_gone(&gate) => {
-                report_presence(&gate, TargetPresence::Gone);
+                report_presence(&gate, TargetProcessState::Gone);
                 links.send_unsent_reports();
             }
         }
@@ -354,11 +354,11 @@
         "request" => %work.request_id, "work" => %digest,
         "target" => %gate.settings.target_address);
     gate.crashes.record_crash_during(digest);
-    report_presence(gate, TargetPresence::Gone);
+    report_presence(gate, TargetProcessState::Gone);
 }
 
-fn report_presence(gate: &TargetGate, presence: TargetPresence) {
-    if presence == TargetPresence::Gone {
+fn report_presence(gate: &TargetGate, presence: TargetProcessState) {
+    if presence == TargetProcessState::Gone {
         gate.pacer.clear_limits();
     }
     if gate.crashes.set_target_presence(presence) {
--- a/cowsliproad-agent/src/http.rs
+++ b/cowsliproad-agent/src/http.rs
@@ -38,7 +38,7 @@
 }
 
 impl Handler for HealthServer {
-    async fn handle(&self, request: Request) -> Response {
+    async fn handle_request(&self, request: Request) -> Response {
         match request.uri().path() {
             "/livez" => reply::text_response(StatusCode::OK, "live\n"),
             "/readyz" => match self.gate.process_phase() {
--- a/cowsliproad-bench/src/baseline.rs
+++ b/cowsliproad-bench/src/baseline.rs
@@ -78,7 +78,7 @@
 }
 
 impl Handler for Front {
-    async fn handle(
+    async fn handle_request(
         &self,
         request: volo_http::request::Request,
     ) -> volo_http::response::Response {
--- a/cowsliproad-bench/src/experiment/slopes.rs
+++ b/cowsliproad-bench/src/experiment/slopes.rs
@@ -31,7 +31,7 @@
     plugin::inventory,
     wire::{
         self, AgentLoad, AnswerContent, AnswerFormat, Frame, Heartbeat,
-        ProcessPhase, StoredAnswer, TargetPresence, Urgency,
+        ProcessPhase, StoredAnswer, TargetProcessState, Urgency,
     },
 };
 use cowsliproad_routing::choice;
@@ -276,7 +276,7 @@
                 accepted_requests_total: 1_234_567,
             },
             target_cooldown_remaining: Millis(0),
-            presence: TargetPresence::Here,
+            presence: TargetProcessState::Here,
             taken_over_incarnations: (0..holds)
                 .map(|_| id::Incarnation::random())
                 .collect(),
--- a/cowsliproad-entry/src/callers.rs
+++ b/cowsliproad-entry/src/callers.rs
@@ -123,7 +123,7 @@
 }
 
 impl Handler for CallerApi {
-    async fn handle(&self, request: Request) -> Response {
+    async fn handle_request(&self, request: Request) -> Response {
         let shared = &self.shared;
         shared.in_flight_requests.fetch_add(1, Ordering::Relaxed);
         let entry_in_flight =
--- a/cowsliproad-entry/src/links.rs
+++ b/cowsliproad-entry/src/links.rs
@@ -9,7 +9,7 @@
 
 use cowsliproad_kernel::{
     clock::Millis,
-    wire::{AgentLoad, Frame, Heartbeat, ProcessRole, TargetPresence},
+    wire::{AgentLoad, Frame, Heartbeat, ProcessRole, TargetProcessState},
 };
 use cowsliproad_net::link::{self, Identity, Receiver, Sender};
 use slog::{debug, info};
@@ -324,7 +324,7 @@
         phase: shared.lifecycle_phase(),
         load: AgentLoad::default(),
         target_cooldown_remaining: Millis(0),
-        presence: TargetPresence::Here,
+        presence: TargetProcessState::Here,
         taken_over_incarnations: Vec::new(),
         next_config_offset: shared
             .published_view
--- a/cowsliproad-entry/src/target.rs
+++ b/cowsliproad-entry/src/target.rs
@@ -22,7 +22,7 @@
     sync::lock,
     wire::{
         AgentLoad, AnswerData, AnswerEnd, AttemptRefusal, Frame, Heartbeat,
-        ProcessPhase, RequestFailure, TargetPresence,
+        ProcessPhase, RequestFailure, TargetProcessState,
     },
 };
 use cowsliproad_net::link::{SendError, Sender};
@@ -202,7 +202,7 @@
             .last_heartbeat
             .as_ref()
             .is_some_and(|it| it.phase == ProcessPhase::Serving);
-        let here = stats.reported_presence() == TargetPresence::Here;
+        let here = stats.reported_presence() == TargetProcessState::Here;
         drop(stats);
         serving
             && here
@@ -275,11 +275,11 @@
         let is_cooling = stats.health.cooldown_end(now).is_some();
         let state = match (linked, stats.reported_presence(), accepting_work) {
             (false, _, _) => "unreachable",
-            (true, TargetPresence::Gone, _) => "ended",
-            (true, TargetPresence::Here, false) => "leaving",
-            (true, TargetPresence::Here, true) if is_cooling => "cooling",
-            (true, TargetPresence::Here, true) if is_ejected => "ejected",
-            (true, TargetPresence::Here, true) => "serving",
+            (true, TargetProcessState::Gone, _) => "ended",
+            (true, TargetProcessState::Here, false) => "leaving",
+            (true, TargetProcessState::Here, true) if is_cooling => "cooling",
+            (true, TargetProcessState::Here, true) if is_ejected => "ejected",
+            (true, TargetProcessState::Here, true) => "serving",
         };
         let heartbeat = stats.last_heartbeat.as_ref();
         TargetStatus {
@@ -295,10 +295,10 @@
 impl TargetStats {
     /// Whether the process of the target runs, by the last heartbeat of its
     /// agent.
-    fn reported_presence(&self) -> TargetPresence {
+    fn reported_presence(&self) -> TargetProcessState {
         self.last_heartbeat
             .as_ref()
-            .map_or(TargetPresence::Here, |it| it.presence)
+            .map_or(TargetProcessState::Here, |it| it.presence)
     }
 }
 
--- a/cowsliproad-kernel/src/gossip.rs
+++ b/cowsliproad-kernel/src/gossip.rs
@@ -79,7 +79,8 @@
     /// The version of the configuration that the sender uses; 0 for none.
     #[serde(rename = "c")]
     pub config_version: u64,
-    /// The highest era of the platform's log that the sender has observed.
+    /// The highest era of the platform's log that the sender has observed. The
+    /// era is raised each time the log comes back from an older copy.
     #[serde(rename = "y", default)]
     pub log_era: LogEra,
     /// The time since the sender, or an entry process whose gossip reached the
@@ -228,7 +229,7 @@
     /// Empty if the receiving agent has reported that it already has this list.
     #[serde(rename = "t")]
     pub targets: Vec<SocketAddr>,
-    /// The identifier of the list of engines; see [`target_list_id`].
+    /// The identifier of the list of targets; see [`target_list_id`].
     #[serde(rename = "l")]
     pub target_list_id: u64,
     /// The number of sets of layers that have their own expert map.
@@ -247,7 +248,8 @@
     /// How long a rank takes to copy an expert, in milliseconds.
     #[serde(rename = "c")]
     pub expert_copy_ms: u64,
-    /// The highest era of the platform's log that the sender has observed.
+    /// The highest era of the platform's log that the sender has observed. The
+    /// era is raised each time the log comes back from an older copy.
     #[serde(rename = "y", default)]
     pub log_era: LogEra,
 }
--- a/cowsliproad-kernel/src/wire.rs
+++ b/cowsliproad-kernel/src/wire.rs
@@ -140,7 +140,7 @@
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize,
 )]
-pub enum TargetPresence {
+pub enum TargetProcessState {
     /// The target's process is running, as far as the agent knows.
     #[default]
     Here,
@@ -148,9 +148,9 @@
     Gone,
 }
 
-impl TargetPresence {
+impl TargetProcessState {
     fn is_running(&self) -> bool {
-        *self == TargetPresence::Here
+        *self == TargetProcessState::Here
     }
 }
 
@@ -177,9 +177,9 @@
     #[serde(
         rename = "x",
         default,
-        skip_serializing_if = "TargetPresence::is_running"
+        skip_serializing_if = "TargetProcessState::is_running"
     )]
-    pub presence: TargetPresence,
+    pub presence: TargetProcessState,
     /// For how long from now the target asked to receive no requests; zero
     /// without a cooldown.
     #[serde(rename = "c", default, skip_serializing_if = "is_zero")]
@@ -261,7 +261,8 @@
     /// The time left until the request's deadline.
     #[serde(rename = "d")]
     pub time_left: Millis,
-    /// The ticket of a request that must not run twice.
+    /// The ticket of a non-repeatable request: a signed token that permits one
+    /// run of the request.
     #[serde(rename = "t", with = "serde_bytes")]
     pub ticket: Option<Vec<u8>>,
     /// The caller's idempotency key.
--- a/cowsliproad-net/src/server.rs
+++ b/cowsliproad-net/src/server.rs
@@ -198,7 +198,7 @@
 /// Handles the requests of a server.
 pub trait Handler: Send + Sync + 'static {
     /// Returns the response to a request.
-    fn handle(
+    fn handle_request(
         &self,
         request: Request,
     ) -> impl Future<Output = Response> + Send;
@@ -234,7 +234,7 @@
         _: &mut ServerContext,
         request: Request,
     ) -> Result<Response, Infallible> {
-        Ok(self.0.handle(request).await)
+        Ok(self.0.handle_request(request).await)
     }
 }
 
--- a/cowsliproad-net/src/single.rs
+++ b/cowsliproad-net/src/single.rs
@@ -51,7 +51,7 @@
 
     /// Sends a request and reads the response with a body of at most
     /// `max_body_bytes` bytes, all within `time_limit`. Never retries.
-    pub async fn call(
+    pub async fn send_request(
         &mut self,
         request: Request<Full<Bytes>>,
         max_body_bytes: usize,
--- a/cowsliproad-rank/src/engine.rs
+++ b/cowsliproad-rank/src/engine.rs
@@ -130,7 +130,7 @@
         let timeout = timeout.duration();
         let call = self
             .connection
-            .call(request, MAX_ENGINE_ANSWER_BYTES, timeout)
+            .send_request(request, MAX_ENGINE_ANSWER_BYTES, timeout)
             .await;
         let answer = call.map_err(|error| match error {
             Error::Refused(_) => {
--- a/cowsliproad-standin/src/log.rs
+++ b/cowsliproad-standin/src/log.rs
@@ -139,7 +139,7 @@
 }
 
 impl Handler for Log {
-    async fn handle(&self, request: Request) -> Response {
+    async fn handle_request(&self, request: Request) -> Response {
         let path = crate::path(&request);
         let path: Vec<&str> = path.iter().map(String::as_str).collect();
         if let (&Method::POST, ["fault"]) = (request.method(), &path[..]) {
--- a/cowsliproad-standin/src/plain.rs
+++ b/cowsliproad-standin/src/plain.rs
@@ -145,7 +145,7 @@
 }
 
 impl Handler for Plain {
-    async fn handle(&self, request: Request) -> Response {
+    async fn handle_request(&self, request: Request) -> Response {
         let path = crate::path(&request);
         let path: Vec<&str> = path.iter().map(String::as_str).collect();
         match (request.method().clone(), &path[..]) {
--- a/cowsliproad-standin/src/vms.rs
+++ b/cowsliproad-standin/src/vms.rs
@@ -88,7 +88,7 @@
 }
 
 impl Handler for Vms {
-    async fn handle(&self, request: Request) -> Response {
+    async fn handle_request(&self, request: Request) -> Response {
         let path = crate::path(&request);
         let path: Vec<&str> = path.iter().map(String::as_str).collect();
         match (request.method().clone(), &path[..]) {
--- a/tests/properties/decoders.rs
+++ b/tests/properties/decoders.rs
@@ -9,7 +9,7 @@
         id, settings,
         wire::{
             self, AgentLoad, Frame, Heartbeat, ProcessPhase,
-            RequestPersistence, SubmitMode, SubmitRequest, TargetPresence,
+            RequestPersistence, SubmitMode, SubmitRequest, TargetProcessState,
             Urgency,
         },
     },
@@ -61,7 +61,7 @@
                 accepted_requests_total: 1,
             },
             target_cooldown_remaining: Millis(u64::from(load[0])),
-            presence: TargetPresence::Gone,
+            presence: TargetProcessState::Gone,
             taken_over_incarnations: vec![id::Incarnation(1)],
             next_config_offset: 3,
         };
