--- a/cowsliproad-mapswitch/src/lib.rs
+++ b/cowsliproad-mapswitch/src/lib.rs
@@ -167,7 +167,7 @@
     }
 
     /// Returns whether the member's next step can run, and with which map.
-    pub fn next_step(&self) -> MemberAction {
+    pub fn next_action(&self) -> MemberAction {
         match &self.undecided_ballot {
             Some(ballot) if self.step >= ballot.proposal.boundary => {
                 MemberAction::Hold(ballot.proposal)
@@ -178,8 +178,8 @@
 
     /// Runs the member's next step and returns its map, or `None` if the step
     /// must wait for the decision on a proposal.
-    pub fn run_step(&mut self) -> Option<Version> {
-        match self.next_step() {
+    pub fn run_step_and_get_map(&mut self) -> Option<Version> {
+        match self.next_action() {
             MemberAction::Run(map) => {
                 self.step += 1;
                 // If all members are known to have voted yes, the member
--- a/cowsliproad-mapswitch/src/order.rs
+++ b/cowsliproad-mapswitch/src/order.rs
@@ -53,15 +53,17 @@
 
 pub use crate::Version;
 pub use coordinator::{
-    Coordinator, CoordinatorConfig, MAX_BOUNDARY_LEAD_PASSES, SwitchEvent,
+    Coordinator, CoordinatorConfig, MAX_PASSES_UNTIL_SWITCH, SwitchEvent,
     VERSIONS_PER_COORDINATOR,
 };
 
 mod coordinator;
 pub mod fence;
 
-/// The number of a group's formation. A new formation starts with the first
-/// map, and no rank has prepared a map, is armed to switch or holds the group.
+/// The number of a group's formation; a group that forms again gets a new one.
+/// At the start of a formation all ranks use the first map, and no rank has
+/// prepared a map, is armed to switch or holds the group. A rank that holds the
+/// group keeps it from beginning a certain pass.
 #[derive(
     Clone,
     Copy,
@@ -99,7 +101,8 @@
     /// The number of ranks in the group.
     pub ranks: u16,
     /// Whether the group accepts requests.
-    pub standing: GroupState,
+    #[serde(rename = "standing")]
+    pub group_state: GroupState,
     /// The number of the last forward pass that the group began.
     #[serde(rename = "step")]
     pub latest_begun_pass: u64,
@@ -125,7 +128,7 @@
             epoch,
             rank,
             ranks,
-            standing: GroupState::Open,
+            group_state: GroupState::Open,
             latest_begun_pass: 0,
             map: Version(0),
             prepared_map_version: None,
--- a/cowsliproad-mapswitch/src/order/coordinator.rs
+++ b/cowsliproad-mapswitch/src/order/coordinator.rs
@@ -49,11 +49,11 @@
 /// boundary is as far ahead as recent arming took, so that the group doesn't
 /// stop while orders go unanswered. With half of the orders lost, arming takes
 /// some 200 ms.
-const BOUNDARY_LEAD_PASS_RANGE: (u64, u64) = (2, MAX_BOUNDARY_LEAD_PASSES);
+const BOUNDARY_LEAD_PASS_RANGE: (u64, u64) = (2, MAX_PASSES_UNTIL_SWITCH);
 
 /// The maximum number of passes between an *arm* order and the pass at which
 /// the rank switches maps.
-pub const MAX_BOUNDARY_LEAD_PASSES: u64 = 10;
+pub const MAX_PASSES_UNTIL_SWITCH: u64 = 10;
 
 /// The minimum time to plan for the arming of all ranks. *Hold*, *arm* and
 /// *go* together take 30 to 60 ms when every order is answered, and the
--- a/cowsliproad-placement/src/load.rs
+++ b/cowsliproad-placement/src/load.rs
@@ -6,7 +6,7 @@
 
 /// The weight of a new token count in its moving average, for a count that
 /// differs from the average by noise only.
-const NOISY_COUNT_WEIGHT: f64 = 0.35;
+const MOVING_AVERAGE_WEIGHT_OF_NOISY_COUNT: f64 = 0.35;
 
 /// The number of intervals whose counts have to be recorded before a map is
 /// planned from them.
@@ -95,6 +95,6 @@
     {
         JUMPED_COUNT_WEIGHT
     } else {
-        NOISY_COUNT_WEIGHT
+        MOVING_AVERAGE_WEIGHT_OF_NOISY_COUNT
     }
 }
--- a/cowsliproad-rank/src/agent.rs
+++ b/cowsliproad-rank/src/agent.rs
@@ -479,7 +479,7 @@
     }
 
     fn group_epoch_and_state(&self) -> Option<(Epoch, GroupState)> {
-        self.engine_report().map(|it| (it.epoch, it.standing))
+        self.engine_report().map(|it| (it.epoch, it.group_state))
     }
 
     async fn send_message_to_agents(
--- a/cowsliproad-rank/src/agent/chair.rs
+++ b/cowsliproad-rank/src/agent/chair.rs
@@ -87,7 +87,7 @@
     /// too long.
     pub(super) fn has_lost_coordinator(&self, now: Millis) -> bool {
         let Some(report) = self.engine_report() else { return false };
-        if report.standing == GroupState::Broken
+        if report.group_state == GroupState::Broken
             || self.service_shape.is_none()
         {
             return false;
--- a/cowsliproad-rank/src/agent/orders.rs
+++ b/cowsliproad-rank/src/agent/orders.rs
@@ -7,7 +7,7 @@
 use cowsliproad_kernel::clock::Millis;
 use cowsliproad_mapswitch::order::{
     self, ArmOrderStatus, CoordinatorArmingNotice, DesiredState, Directive,
-    Epoch, MAX_BOUNDARY_LEAD_PASSES, OrderResult, RankReport,
+    Epoch, MAX_PASSES_UNTIL_SWITCH, OrderResult, RankReport,
 };
 use cowsliproad_routing::cooldown::Cooldown;
 use slog::info;
@@ -202,7 +202,7 @@
     /// that this agent process or the agent's previous process sent. An engine
     /// no longer executes an *arm* order for a pass that has begun. The
     /// previous process sent no *arm* order for a pass that is more than
-    /// [`MAX_BOUNDARY_LEAD_PASSES`] after the first pass reported to this
+    /// [`MAX_PASSES_UNTIL_SWITCH`] after the first pass reported to this
     /// process. Without this bound a group whose coordinator froze was held
     /// for 3.9 s: five agents had restarted two seconds before, so that no
     /// switch of maps could be cancelled for 13 s.
@@ -234,7 +234,7 @@
     ) -> bool {
         self.first_reported_epoch_and_pass.is_none_or(|(epoch, step)| {
             epoch == report.epoch
-                && report.latest_begun_pass <= step + MAX_BOUNDARY_LEAD_PASSES
+                && report.latest_begun_pass <= step + MAX_PASSES_UNTIL_SWITCH
         })
     }
 
--- a/cowsliproad-rank/src/agent/words.rs
+++ b/cowsliproad-rank/src/agent/words.rs
@@ -45,7 +45,7 @@
             group_epoch: report.map_or(0, |it| it.epoch.0),
             last_forward_pass: report.map_or(0, |it| it.latest_begun_pass),
             group_accepts_requests: report
-                .is_none_or(|it| it.standing == GroupState::Open),
+                .is_none_or(|it| it.group_state == GroupState::Open),
             target_list_id: self.target_list_id(),
             engine_start_unix_ms: state.start_unix_ms,
             draining: self.engine_client.is_engine_leaving(),
--- a/cowsliproad-rank/src/lead.rs
+++ b/cowsliproad-rank/src/lead.rs
@@ -231,7 +231,7 @@
         self.sample_selection_counts(now);
         self.abandon_outdated_plan();
         let is_open =
-            |it: &RankSnapshot| it.report.standing == GroupState::Open;
+            |it: &RankSnapshot| it.report.group_state == GroupState::Open;
         let open = snapshots.iter().all(is_open);
         let due =
             now.since(self.last_map_search_time) >= MIN_MAP_SEARCH_INTERVAL;
--- a/tests/mapswitch/main.rs
+++ b/tests/mapswitch/main.rs
@@ -113,7 +113,7 @@
             return None;
         }
         let step = (member.generation(), member.next_step_number());
-        let map = member.run_step()?;
+        let map = member.run_step_and_get_map()?;
         let first_map = *next.used_maps.entry(step).or_insert(map);
         assert_eq!(first_map, map, "two maps in step {step:?}: {self:?}");
         Some(next)
@@ -245,7 +245,7 @@
     state = state.crash_member(2).expect("the first crash");
     let held_state = state.clone().run_until_stable();
     let member = held_state.members[0].as_ref().expect("alive");
-    assert_eq!(member.next_step(), MemberAction::Hold(PROPOSALS[0]));
+    assert_eq!(member.next_action(), MemberAction::Hold(PROPOSALS[0]));
     for rank in 0..2 {
         state = state.join_next_generation(rank).expect("alive");
     }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -156,7 +156,7 @@
         for message in self.network.clone() {
             self.group[rank].handle_message(message, WeightsStatus::Loaded);
         }
-        format!("{:?}", self.group[rank].next_step())
+        format!("{:?}", self.group[rank].next_action())
     }
 }
 
@@ -230,7 +230,7 @@
             }
             "step" => {
                 let rank = number(args.take_key("rank"), 0)?;
-                format!("{:?}", self.group[rank].run_step())
+                format!("{:?}", self.group[rank].run_step_and_get_map())
             }
             "deliver" => {
                 let rank = number(args.take_key("rank"), 0)?;
